--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -246,7 +246,7 @@
 fn check_file(file: &Path) -> Result<Answer, Answer> {
     let content = text(file)?;
     if !content.trim_start().starts_with('{') {
-        let parsed = asterrill_conf::parse(&file.display().to_string(), &content);
+        let parsed = asterrill_operator_config::parse(&file.display().to_string(), &content);
         let parsed = parsed.map_err(|mistake| no(mistake.to_string()))?;
         let queues = parsed.broker.map_or(0, |broker| broker.queues.len());
         return Ok(yes(json!({"ok": true, "kind": "operator's file", "queues": queues})));
--- a/agree/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -13,7 +13,7 @@
 //! | [`Agree`] | one node: perhaps a keeper, always a holder |
 //!
 //! ```
-//! use asterrill_agree::{Agree, Kind, Change, Entry, Standing, Terms, Wish};
+//! use asterrill_consensus::{Agree, Kind, Change, Entry, Standing, Terms, Wish};
 //! let terms = Terms { keepers: vec!["n1".into()], lease: 1_000_000, renew: 200_000, tick: 10_000 };
 //! let (mut node, _) = Agree::new(0, "n1", 1, terms, &[], &[]).unwrap();
 //! let entry = Entry { standing: Standing::Out, until: 0 };
@@ -30,24 +30,24 @@
 //! assert!(node.gate().0.turns_away(Kind::Tenants, "loud"));
 //! ```
 
-mod book;
-mod gate;
-mod keeper;
+mod apply_policy;
+mod fragment;
 mod lease;
 mod node;
-mod pieces;
-mod shelf;
 mod state;
+mod storage;
 #[cfg(test)]
 mod tests;
+mod version_log;
+mod voter;
 
-pub use book::{Book, Command, Outcome, Ticket};
-pub use gate::{caller_key, Form, Gate};
-pub use keeper::{Keeper, Write};
+pub use apply_policy::{caller_key, Form, Gate};
+pub use fragment::{split, Pieces};
 pub use lease::{counted, stated, Asked, Held, Office};
 pub use node::{Agree, Counts, Settled, Terms, Wish};
-pub use pieces::{split, Pieces};
-pub use shelf::{open, seal, Record};
 pub use state::{
     contradict, Change, Entry, Kind, Refused, Standing, State, Step, CHANGES, ENTRIES, KEY, TEXT,
 };
+pub use storage::{open, seal, Record};
+pub use version_log::{Book, Command, Outcome, Ticket};
+pub use voter::{Keeper, Write};
--- a/agree/src/node.rs
+++ b/consensus/src/node.rs
@@ -1,11 +1,11 @@
 //! One node: perhaps a keeper, always a holder. Messages, time and wishes in; messages, writes and a gate out.
 
-use crate::book::{Book, Command, Outcome, Ticket};
-use crate::gate::Gate;
-use crate::keeper::{Keeper, Write};
+use crate::apply_policy::Gate;
+use crate::fragment::{split, Pieces};
 use crate::lease::{stated, Asked, Held, Office};
-use crate::pieces::{split, Pieces};
 use crate::state::{Change, State, Step, Whole};
+use crate::version_log::{Book, Command, Outcome, Ticket};
+use crate::voter::{Keeper, Write};
 use asterrill::Us;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -671,7 +671,7 @@
         let hash = |gate: &Gate| gate.acting().hash();
         if !same || hash(&gate) != hash(&self.gate) {
             self.counts.lapsed +=
-                u64::from(gate.form == crate::gate::Form::Safe && self.gate.form != gate.form);
+                u64::from(gate.form == crate::apply_policy::Form::Safe && self.gate.form != gate.form);
             self.gate = gate;
         }
         self.fresh = true;
--- a/agree/src/tests.rs
+++ b/consensus/src/tests.rs
@@ -507,7 +507,7 @@
 }
 
 #[test]
-#[ignore = "minutes: cargo test -p asterrill-agree --release -- --ignored --nocapture"]
+#[ignore = "minutes: cargo test -p asterrill-consensus --release -- --ignored --nocapture"]
 fn two_thousand_seeded_cases() {
     let threads: Vec<_> = (0..6_u64)
         .map(|t| {
--- a/agree/src/keeper.rs
+++ b/consensus/src/voter.rs
@@ -1,7 +1,7 @@
 //! A keeper: one of a few named members whose majority puts versions in one order and on disk, by the crate `raft`.
 
-use crate::book::{Book, Command, Outcome, Ticket};
-use crate::shelf::{open, seal, Record, Shelf};
+use crate::storage::{open, seal, Record, Shelf};
+use crate::version_log::{Book, Command, Outcome, Ticket};
 use asterrill::Us;
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, EntryType, Message, MessageType};
@@ -28,7 +28,7 @@
 fn damaged(disk: &[u8], whole: usize) -> bool {
     let Some(rest) = disk.get(whole..).filter(|rest| rest.len() > 4) else { return false };
     let length = rest.get(..4).and_then(|b| b.try_into().ok()).map_or(0, u32::from_le_bytes) as usize;
-    rest.len() > length.saturating_add(crate::shelf::HEAD)
+    rest.len() > length.saturating_add(crate::storage::HEAD)
 }
 
 struct Waiting {
--- a/consumer/src/lib.rs
+++ b/consumer/src/lib.rs
@@ -22,18 +22,18 @@
 //! What can't be known: after a restart of the process all that is known here is gone. A redelivered message of
 //! a non-idempotent method that is not known is therefore rejected, unless the operator says otherwise.
 
-mod due;
-mod known;
+mod deadline;
+mod dedup;
+mod prefetch;
 mod queue;
 mod routes;
+mod settlement;
 #[cfg(test)]
 mod tests;
-mod verdict;
-mod window;
 
+pub use prefetch::Window;
 pub use queue::{Counts, Do, Offer, Queue, WorkId};
 pub use routes::{Known, Route, Select, Unrouted};
-pub use window::Window;
 
 use asterrill::Us;
 
--- a/consumer/src/queue.rs
+++ b/consumer/src/queue.rs
@@ -1,11 +1,11 @@
 //! The state machine of one queue: what was delivered and not settled, what is to be done about it, and how far
 //! the subscription is.
 
-use crate::due::due;
-use crate::known::{Ended, Identity};
+use crate::deadline::due;
+use crate::dedup::{Ended, Identity};
+use crate::prefetch::{Signs, Window};
 use crate::routes::{route, Known, Unrouted};
-use crate::verdict::{verdict, Tried, Verdict};
-use crate::window::{Signs, Window};
+use crate::settlement::{verdict, Tried, Verdict};
 use crate::Terms;
 use asterrill::{CallerId, Effect, Final, MethodId, Us};
 use asterrill_protocol::amqp::{Delivery, Settle, Tag};
--- a/consumer/src/tests.rs
+++ b/consumer/src/tests.rs
@@ -1,7 +1,7 @@
 //! A queue against a broker and an engine played by the test, with a ledger of every tag and every run.
 
-use crate::known::{Ended, Identity};
-use crate::window::{Signs, Window};
+use crate::dedup::{Ended, Identity};
+use crate::prefetch::{Signs, Window};
 use crate::{Do, Known, Queue, Select, Terms, WorkId};
 use asterrill::{Effect, Final, MethodId, Us};
 use asterrill_protocol::amqp::{Channel, Delivery, Headers, Settle, Tag};
@@ -679,7 +679,7 @@
 
 #[test]
 fn due_is_the_earliest_of_all_bounds_and_clocks_that_differ_take_nothing() {
-    use crate::due::due;
+    use crate::deadline::due;
     let now = 1_000 * S;
     let with = |expiration: &str, timestamp| {
         let expiration = Some(expiration.to_string()).filter(|e| !e.is_empty());
--- a/daemon/src/change.rs
+++ b/daemon/src/change.rs
@@ -3,13 +3,13 @@
 //! watched, and written down.
 
 use crate::core::{Core, Flip};
-use crate::hub::Hub;
+use crate::dispatcher::Dispatcher;
 use crate::operator;
 use crate::store::Store;
 use asterrill::Us;
-use asterrill_conf::File;
 use asterrill_entries::{read_step, Change as Entry, Content as Entries, Kind};
 use asterrill_net::now;
+use asterrill_operator_config::File;
 use asterrill_rollout::{
     check, difference, hash, Before, Change, Event, Hash, Kept, Marked, Problem, Refusal, Rollout, Seen,
     Stage, State, Verdict, Version, Watch, Wish,
@@ -47,7 +47,7 @@
     }
     /// The version that was kept.
     pub fn recall(kept: &Kept) -> Result<Content, Fault> {
-        let file = asterrill_conf::parse("operator's file", &kept.file);
+        let file = asterrill_operator_config::parse("operator's file", &kept.file);
         let file = file.map_err(|mistake| Fault::new(mistake.to_string()))?;
         Ok(Content { entries: kept.content.clone(), file: Arc::new(file), text: kept.file.clone() })
     }
@@ -149,8 +149,8 @@
     Members,
     /// What the backends have agreed on; a list of it; a wish about it.
     Fleet,
-    List(asterrill_agree::Kind),
-    Wish(asterrill_agree::Wish),
+    List(asterrill_consensus::Kind),
+    Wish(asterrill_consensus::Wish),
 }
 
 /// An answer: one JSON object, with `ok` and, where that is false, `error`.
@@ -200,7 +200,7 @@
             content.entries = to.map_err(|fault| refused(&fault.to_string()))?.content;
         }
         What::Text(text) => {
-            let file = asterrill_conf::parse("operator's file", &text);
+            let file = asterrill_operator_config::parse("operator's file", &text);
             content.file = Arc::new(file.map_err(|mistake| refused(&mistake.to_string()))?);
             content.text = text.into();
         }
@@ -237,7 +237,7 @@
 fn could_carry_out(running: &Content, content: &Content, step: &[Entry], seed: u64) -> Result<(), Fault> {
     bare(content, step, seed)?;
     operator::terms(content.file.broker.as_ref(), &content.entries)?;
-    let bare = |file: &File| file.broker.clone().map(asterrill_conf::Broker::without_queues);
+    let bare = |file: &File| file.broker.clone().map(asterrill_operator_config::Broker::without_queues);
     if bare(&content.file) != bare(&running.file)
         || content.file.changes != running.file.changes
         || content.file.recovery != running.file.recovery
@@ -288,7 +288,7 @@
 }
 
 /// What is done between two slices of a change: all others get their turn.
-pub type Pause<'a> = dyn FnMut(&Hub) + 'a;
+pub type Pause<'a> = dyn FnMut(&Dispatcher) + 'a;
 
 pub struct Changes {
     rollout: Rollout<Content>,
@@ -338,20 +338,20 @@
     }
 
     /// What a change is to be read and checked against.
-    pub fn glance(&self, hub: &Hub) -> Glance {
+    pub fn glance(&self, dispatcher: &Dispatcher) -> Glance {
         let running = self.rollout.running();
-        let seen = hub.with(|core, _, _| core.seen());
+        let seen = dispatcher.with(|core, _, _| core.seen());
         Glance { number: running.number, running: running.content.clone(), seen }
     }
 
     /// Time has passed: what was served is looked at.
-    pub fn tick(&mut self, hub: &Hub, pause: &mut Pause<'_>) {
+    pub fn tick(&mut self, dispatcher: &Dispatcher, pause: &mut Pause<'_>) {
         let at = now();
         if at < self.next {
             return;
         }
         self.next = at + SAMPLE;
-        let sample = hub.with(|core, _, _| core.served());
+        let sample = dispatcher.with(|core, _, _| core.served());
         let verdict = match &mut self.watch {
             Some(watch) => {
                 self.meanwhile.take(at, &sample);
@@ -371,65 +371,66 @@
         match verdict {
             Verdict::Wait => {}
             Verdict::Undo { expected, seen } => {
-                let told = self.undo(hub, &figures(expected, seen), pause);
+                let told = self.undo(dispatcher, &figures(expected, seen), pause);
                 if told["ok"] != json!(true) {
-                    warn!(hub.log, "the change could not be undone"; "why" => %told["error"]);
+                    warn!(dispatcher.log, "the change could not be undone"; "why" => %told["error"]);
                 }
             }
-            Verdict::Settle { expected, seen } => drop(self.settle(hub, &figures(expected, seen))),
+            Verdict::Settle { expected, seen } => drop(self.settle(dispatcher, &figures(expected, seen))),
         }
     }
 
     /// A configuration file was read again, on a signal: its addresses are taken up by the caller, the rest goes
     /// through the same transaction as any change. `prepared`: how that was read, if it differs from what ran then.
     pub fn reread(
-        &mut self, hub: &Hub, to: Deployment, prepared: Option<Result<Prepared, Told>>, pause: &mut Pause<'_>,
+        &mut self, dispatcher: &Dispatcher, to: Deployment, prepared: Option<Result<Prepared, Told>>,
+        pause: &mut Pause<'_>,
     ) {
         let running = self.rollout.running();
         if to.content.digest() == running.content.entries.digest() {
             return;
         }
-        let told = if hub.changes.load(Ordering::Acquire) {
+        let told = if dispatcher.changes.load(Ordering::Acquire) {
             // What runs may be another one by now.
             let prepared = match prepared {
                 Some(Ok(prepared)) if prepared.against == running.number => Ok(prepared),
                 Some(Err(told)) => Err(told),
                 _ => {
                     let asked = Asked { what: What::Entries(to.content), base: None, wish: Wish::default() };
-                    prepare(&self.glance(hub), asked, self.terms, self.seed)
+                    prepare(&self.glance(dispatcher), asked, self.terms, self.seed)
                 }
             };
-            match prepared.map(|prepared| self.stage(hub, prepared)) {
-                Ok(staged) if staged["ok"] == json!(true) => self.apply(hub, None, None, pause),
+            match prepared.map(|prepared| self.stage(dispatcher, prepared)) {
+                Ok(staged) if staged["ok"] == json!(true) => self.apply(dispatcher, None, None, pause),
                 Ok(told) | Err(told) => told,
             }
         } else {
             refused("half of the members or fewer are seen")
         };
         if told["ok"] != json!(true) {
-            hub.with(|core, _, _| core.counters().changes_refused += 1);
-            warn!(hub.log, "the settings stay as they were"; "why" => %told["error"], "problems" => %told["problems"]);
+            dispatcher.with(|core, _, _| core.counters().changes_refused += 1);
+            warn!(dispatcher.log, "the settings stay as they were"; "why" => %told["error"], "problems" => %told["problems"]);
         }
     }
 
     /// Does what an operator wants.
-    pub fn want(&mut self, hub: &Hub, wanted: Wanted, pause: &mut Pause<'_>) -> Told {
+    pub fn want(&mut self, dispatcher: &Dispatcher, wanted: Wanted, pause: &mut Pause<'_>) -> Told {
         // Cut off from the others, it goes back at the most: what is changed here would be changed here alone.
-        let alone = !hub.changes.load(Ordering::Acquire);
+        let alone = !dispatcher.changes.load(Ordering::Acquire);
         if alone && matches!(wanted, Wanted::Stage(_) | Wanted::Apply { .. }) {
             return refused("this backend sees half of its members or fewer: only undo and settle are taken");
         }
         match wanted {
-            Wanted::Stage(prepared) => self.stage(hub, *prepared),
-            Wanted::Apply { if_base, probation } => self.apply(hub, if_base, probation, pause),
-            Wanted::Status => self.status(hub),
+            Wanted::Stage(prepared) => self.stage(dispatcher, *prepared),
+            Wanted::Apply { if_base, probation } => self.apply(dispatcher, if_base, probation, pause),
+            Wanted::Status => self.status(dispatcher),
             Wanted::Members => refused("there is no section [members]"),
             Wanted::Fleet | Wanted::List(_) | Wanted::Wish(_) => refused("there is no section [fleet]"),
-            Wanted::Settle => self.settle(hub, "asked for"),
-            Wanted::Undo => self.undo(hub, "asked for", pause),
+            Wanted::Settle => self.settle(dispatcher, "asked for"),
+            Wanted::Undo => self.undo(dispatcher, "asked for", pause),
             Wanted::Drop => match self.rollout.drop_staged(now()) {
                 Ok(number) => {
-                    self.log(&hub.log);
+                    self.log(&dispatcher.log);
                     json!({"ok": true, "version": number})
                 }
                 Err(refusal) => refused(&refusal.to_string()),
@@ -444,7 +445,7 @@
         }
     }
 
-    fn stage(&mut self, hub: &Hub, prepared: Prepared) -> Told {
+    fn stage(&mut self, dispatcher: &Dispatcher, prepared: Prepared) -> Told {
         let Prepared { against, content, hash, step, base, wish, meaning, problems } = prepared;
         let running = self.rollout.running().number;
         if against != running {
@@ -455,7 +456,7 @@
             Ok(number) => {
                 let entries = step.len();
                 self.steps.insert(number, step);
-                self.log(&hub.log);
+                self.log(&dispatcher.log);
                 json!({"ok": true, "version": number, "hash": &*hash, "entries": entries, "changes": meaning,
                     "problems": problems})
             }
@@ -464,14 +465,15 @@
     }
 
     fn apply(
-        &mut self, hub: &Hub, if_base: Option<u64>, probation: Option<Us>, pause: &mut Pause<'_>,
+        &mut self, dispatcher: &Dispatcher, if_base: Option<u64>, probation: Option<Us>,
+        pause: &mut Pause<'_>,
     ) -> Told {
         let (at, probation) = (now(), probation.unwrap_or(self.terms.probation));
         let before = self.rollout.running().content.clone();
         let version = match self.rollout.apply(at, if_base, probation) {
             Ok(version) => version,
             Err(refusal) => {
-                self.log(&hub.log);
+                self.log(&dispatcher.log);
                 return refused(&refusal.to_string());
             }
         };
@@ -479,18 +481,18 @@
         self.keep();
         let start = std::time::Instant::now();
         let step = self.step_of(&version, &before);
-        if let Err(fault) = self.carry_out(hub, &version, &step, Entry::clone, pause) {
+        if let Err(fault) = self.carry_out(dispatcher, &version, &step, Entry::clone, pause) {
             // It passed all checks, so this is a defect, or places ran out; nothing of it was applied.
             self.rollout.undo(at, &fault.to_string()).map(drop).unwrap_or_default();
             self.keep();
-            self.log(&hub.log);
+            self.log(&dispatcher.log);
             return refused(&fault.to_string());
         }
         let took = start.elapsed().as_micros() as u64;
         self.watch = Some(Watch::new(now(), &self.before, before.entries, probation));
         self.next = now();
         self.running.set(&version.content);
-        self.log(&hub.log);
+        self.log(&dispatcher.log);
         json!({"ok": true, "version": version.number, "hash": &*version.hash, "entries": step.len(),
             "took_us": took, "probation_us": probation})
     }
@@ -507,8 +509,8 @@
     /// time; then one input of the core turns over to all of them. Nothing is done where it can't be taken up. `of`: what
     /// goes in for an entry of `step`.
     fn carry_out(
-        &mut self, hub: &Hub, to: &Version<Content>, step: &[Entry], of: impl Fn(&Entry) -> Entry,
-        pause: &mut Pause<'_>,
+        &mut self, dispatcher: &Dispatcher, to: &Version<Content>, step: &[Entry],
+        of: impl Fn(&Entry) -> Entry, pause: &mut Pause<'_>,
     ) -> Result<(), Fault> {
         let Version { number, content, .. } = to;
         let bare = bare(content, step, self.seed)?;
@@ -516,38 +518,38 @@
         let longest = methods.map(|(_, method)| method.latency_target).max().unwrap_or(0);
         let queues = operator::terms(content.file.broker.as_ref(), &content.entries)?;
         let tells_tenants = content.entries.count(Kind::Tenant) > 0;
-        hub.with(|core, _, _| core.could_take(step, &queues)).map_err(Fault::new)?;
+        dispatcher.with(|core, _, _| core.could_take(step, &queues)).map_err(Fault::new)?;
         let mut slices = step.chunks(SLICE).peekable();
         while let Some(slice) = slices.next() {
             let slice: Vec<Entry> = slice.iter().map(&of).collect();
-            hub.with(|core, _, _| core.stage(&slice));
+            dispatcher.with(|core, _, _| core.stage(&slice));
             if slices.peek().is_some() {
-                pause(hub);
+                pause(dispatcher);
             }
         }
         let flip = Flip { number: *number, bare, longest, queues, tells_tenants };
-        hub.with(|core: &mut Core, wire, now| core.change(now, flip, wire));
-        hub.with(|core, _, _| core.settings_now(content.settings()));
+        dispatcher.with(|core: &mut Core, wire, now| core.change(now, flip, wire));
+        dispatcher.with(|core, _, _| core.settings_now(content.settings()));
         let frame = content.entries.frame();
-        hub.resize(frame.memory_mb, crate::room(frame.sockets));
+        dispatcher.resize(frame.memory_mb, crate::room(frame.sockets));
         Ok(())
     }
 
-    fn settle(&mut self, hub: &Hub, why: &str) -> Told {
+    fn settle(&mut self, dispatcher: &Dispatcher, why: &str) -> Told {
         match self.rollout.settle(now(), why) {
             Ok(number) => {
                 self.watch = None;
                 self.before = std::mem::take(&mut self.meanwhile);
-                hub.with(|core, _, _| core.settled());
+                dispatcher.with(|core, _, _| core.settled());
                 self.keep();
-                self.log(&hub.log);
+                self.log(&dispatcher.log);
                 json!({"ok": true, "version": number, "hash": &*self.rollout.running().hash})
             }
             Err(refusal) => refused(&refusal.to_string()),
         }
     }
 
-    fn undo(&mut self, hub: &Hub, why: &str, pause: &mut Pause<'_>) -> Told {
+    fn undo(&mut self, dispatcher: &Dispatcher, why: &str, pause: &mut Pause<'_>) -> Told {
         let undone = self.rollout.running().clone();
         match self.rollout.undo(now(), why) {
             Ok(version) => {
@@ -555,11 +557,11 @@
                 self.meanwhile = Before::default();
                 let (step, before) =
                     (self.step_of(&undone, &version.content), version.content.entries.clone());
-                let done = self.carry_out(hub, &version, &step, |entry| back(entry, &before), pause);
-                hub.with(|core, _, _| core.settled());
+                let done = self.carry_out(dispatcher, &version, &step, |entry| back(entry, &before), pause);
+                dispatcher.with(|core, _, _| core.settled());
                 self.running.set(&version.content);
                 self.keep();
-                self.log(&hub.log);
+                self.log(&dispatcher.log);
                 match done {
                     Ok(()) => json!({"ok": true, "version": version.number, "hash": &*version.hash,
                         "entries": step.len()}),
@@ -570,15 +572,15 @@
         }
     }
 
-    fn status(&self, hub: &Hub) -> Told {
+    fn status(&self, dispatcher: &Dispatcher) -> Told {
         let running = self.rollout.running();
         let entries = &running.content.entries;
         let probation = match self.rollout.stage_now() {
             Stage::Settled => Value::Null,
             Stage::Probation(until) => json!({"until": until, "good": self.rollout.good().number}),
         };
-        let counted = hub.counted();
-        let back = hub.with(|core, _, _| {
+        let counted = dispatcher.counted();
+        let back = dispatcher.with(|core, _, _| {
             let (stages, outages) = core.stages()?;
             let (why, since) = stages.why();
             Some(json!({"name": stages.stage().name(), "why": why, "since": since, "outages": outages}))
--- a/daemon/src/parties.rs
+++ b/daemon/src/connection.rs
@@ -1,7 +1,7 @@
 //! Who is at the other end of each connection: bytes go through the state machine of its protocol, and the
 //! messages to the core.
 
-use crate::hub::Hub;
+use crate::dispatcher::Dispatcher;
 use crate::wire::{ConnId, LinkId, Place};
 use asterrill::Us;
 use asterrill_net::{exchange, now, wait_until, Address, Outbox, Party, Pause, Peer};
@@ -19,7 +19,7 @@
 
 /// A sidecar.
 pub struct Sidecar {
-    pub hub: Arc<Hub>,
+    pub dispatcher: Arc<Dispatcher>,
     pub conn: ConnId,
     pub frames: frames::Reader,
     pub heard: bool,
@@ -30,7 +30,7 @@
         let conn = self.conn;
         while let Some(frame) = self.frames.next(bytes)? {
             self.heard = true;
-            let fine = self.hub.with(|core, wire, now| match frame {
+            let fine = self.dispatcher.with(|core, wire, now| match frame {
                 frames::Frame::Rpc(stream, ask, body) => {
                     core.rpc_read(now, Place { conn, stream }, ask, body, wire)
                 }
@@ -55,17 +55,17 @@
 impl Peer for Sidecar {
     fn read(&mut self, mut bytes: &[u8]) -> bool {
         let taken = self.take(&mut bytes);
-        self.hub.heard(self.conn, self.heard, taken.is_ok() && self.frames.halfway());
+        self.dispatcher.heard(self.conn, self.heard, taken.is_ok() && self.frames.halfway());
         match taken {
             Ok(()) => true,
             Err(broken) => {
-                self.hub.ending(self.conn, Some(broken.0));
+                self.dispatcher.ending(self.conn, Some(broken.0));
                 false
             }
         }
     }
     fn half_closed(&mut self) {
-        self.hub.ending(self.conn, None);
+        self.dispatcher.ending(self.conn, None);
     }
     fn lingers(&self) -> Option<u64> {
         // One that never said anything whole is owed nothing, and others may want its place.
@@ -75,7 +75,7 @@
 
 /// The agent that owns the cores.
 pub struct Agent {
-    pub hub: Arc<Hub>,
+    pub dispatcher: Arc<Dispatcher>,
     pub out: Outbox,
     pub notices: agent::Reader,
     /// Makes the module anew, for a start at a moment, cold or warm.
@@ -88,7 +88,7 @@
         while let Some(notice) = self.notices.next(bytes)? {
             self.useful = true;
             let make = &self.make;
-            self.hub.with(|core, wire, now| match notice {
+            self.dispatcher.with(|core, wire, now| match notice {
                 Notice::Greeting { empty, ago } => {
                     let fresh = if core.is_up() { None } else { make(now.saturating_sub(ago), empty) };
                     core.agent_up(now, fresh, wire);
@@ -114,8 +114,8 @@
     fn read(&mut self, mut bytes: &[u8]) -> bool {
         let taken = self.take(&mut bytes);
         if let Err(broken) = &taken {
-            warn!(self.hub.log, "the link to the agent is made anew"; "why" => broken.0);
-            self.hub.with(|core, _, _| core.counters().bad_agent += 1);
+            warn!(self.dispatcher.log, "the link to the agent is made anew"; "why" => broken.0);
+            self.dispatcher.with(|core, _, _| core.counters().bad_agent += 1);
             self.out.cut();
         }
         taken.is_ok()
@@ -129,7 +129,7 @@
     fn ready(&mut self) {}
     fn up(&mut self) {
         self.notices = agent::Reader::default();
-        let last = self.hub.with(|core, _, now| core.agent_link(now));
+        let last = self.dispatcher.with(|core, _, now| core.agent_link(now));
         let mut bytes = Vec::new();
         agent::subscribe(&mut bytes, last);
         self.out.put(&[&bytes]);
@@ -141,7 +141,7 @@
 
 /// The layer below, by one of its links.
 pub struct Below {
-    pub hub: Arc<Hub>,
+    pub dispatcher: Arc<Dispatcher>,
     pub out: Outbox,
     pub link: LinkId,
     pub replies: records::Reader,
@@ -153,16 +153,16 @@
         loop {
             match self.replies.next(&mut bytes) {
                 Ok(None) => {
-                    self.hub.stalled(self.link, self.replies.halfway());
+                    self.dispatcher.stalled(self.link, self.replies.halfway());
                     return true;
                 }
-                Ok(Some(reply)) => self.hub.with(|core, wire, now| {
+                Ok(Some(reply)) => self.dispatcher.with(|core, wire, now| {
                     core.call_ended(now, self.link, reply.id, reply.end, reply.body, wire);
                     self.useful = true;
                 }),
                 Err(broken) => {
-                    warn!(self.hub.log, "a link below is made anew"; "why" => broken.0);
-                    self.hub.with(|core, _, _| core.counters().bad_below += 1);
+                    warn!(self.dispatcher.log, "a link below is made anew"; "why" => broken.0);
+                    self.dispatcher.with(|core, _, _| core.counters().bad_below += 1);
                     self.out.cut();
                     return false;
                 }
@@ -176,60 +176,60 @@
 
 impl Party for Below {
     fn ready(&mut self) {
-        self.hub.with(|core, _, _| core.link_ready(self.link));
+        self.dispatcher.with(|core, _, _| core.link_ready(self.link));
     }
     fn up(&mut self) {
         self.replies = records::Reader::default();
     }
     fn down(&mut self, refused: bool) -> bool {
-        self.hub.stalled(self.link, false);
-        self.hub.with(|core, wire, now| core.link_ended(now, self.link, refused, wire));
+        self.dispatcher.stalled(self.link, false);
+        self.dispatcher.with(|core, wire, now| core.link_ended(now, self.link, refused, wire));
         std::mem::take(&mut self.useful)
     }
 }
 
 /// The broker that queues are consumed from.
 pub struct Broker {
-    pub hub: Arc<Hub>,
+    pub dispatcher: Arc<Dispatcher>,
 }
 
 impl Peer for Broker {
     fn read(&mut self, bytes: &[u8]) -> bool {
-        self.hub.with(|core, wire, now| core.broker_read(now, bytes, wire))
+        self.dispatcher.with(|core, wire, now| core.broker_read(now, bytes, wire))
     }
     fn half_closed(&mut self) {
-        self.hub.with(|_, wire, _| wire.end_broker(true));
+        self.dispatcher.with(|_, wire, _| wire.end_broker(true));
     }
 }
 
 impl Party for Broker {
     fn ready(&mut self) {}
     fn up(&mut self) {
-        self.hub.with(|core, wire, now| core.broker_up(now, wire));
+        self.dispatcher.with(|core, wire, now| core.broker_up(now, wire));
     }
     fn down(&mut self, _: bool) -> bool {
-        self.hub.with(|core, wire, now| core.broker_down(now, wire))
+        self.dispatcher.with(|core, wire, now| core.broker_down(now, wire))
     }
     fn wanted(&self) -> bool {
-        !self.hub.with(|core, _, _| core.broker_done())
+        !self.dispatcher.with(|core, _, _| core.broker_done())
     }
 }
 
 /// Tells the name service whether this backend takes work, at once when that or its address changes. A report
 /// that went out may count though it is not answered, so only one that could not be sent makes the next wait.
-pub fn report(hub: &Hub, name: &str, to: &Address, mut pause: Pause, spread: Option<u64>) {
-    hub.naming.attend();
+pub fn report(dispatcher: &Dispatcher, name: &str, to: &Address, mut pause: Pause, spread: Option<u64>) {
+    dispatcher.naming.attend();
     let (mut at, mut kept, mut reports) = (to.get(), None, 0_u64);
     loop {
         reports += 1;
-        let Some(serving) = hub.serving() else {
+        let Some(serving) = dispatcher.serving() else {
             wait_until(now() + REPORT);
             continue;
         };
         if at != to.get() {
             (at, kept) = (to.get(), None);
         }
-        let news = || hub.serving() != Some(serving) || to.get() != at;
+        let news = || dispatcher.serving() != Some(serving) || to.get() != at;
         let (mut request, mut reader, mut counts) = (Vec::new(), naming::Reader::default(), false);
         naming::report(&mut request, name, &at.to_string(), serving);
         let start = now();
@@ -242,12 +242,12 @@
                     Some(reply.stays)
                 }
                 Err(broken) => {
-                    warn!(hub.log, "a report was lost"; "why" => broken.0);
-                    hub.with(|core, _, _| core.counters().bad_naming += 1);
+                    warn!(dispatcher.log, "a report was lost"; "why" => broken.0);
+                    dispatcher.with(|core, _, _| core.counters().bad_naming += 1);
                     Some(false)
                 }
             });
-        hub.with(|core, _, _| {
+        dispatcher.with(|core, _, _| {
             core.counters().reports += u64::from(counts);
             core.counters().reports_lost += u64::from(!counts);
         });
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -2,7 +2,7 @@
 //! a line of JSON goes back; the program `asterrill` speaks it. Its threads touch nothing but the orders.
 
 use crate::change::{Asked, Told, Wanted, What};
-use asterrill_agree::{Change, Entry, Kind, Standing, Wish as Wanting};
+use asterrill_consensus::{Change, Entry, Kind, Standing, Wish as Wanting};
 use asterrill_rollout::Wish;
 use serde_json::{json, Value};
 use slog::{info, warn, Logger};
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -1,17 +1,17 @@
 //! Where the engine meets what surrounds it here: sidecars, the agent that runs, and the layer below. Inputs go
 //! in, what is to be written comes out, time is passed in. No socket, no clock, no decision about an RPC.
 
-use crate::below::Links;
-use crate::counters::Counters;
-use crate::names::Names;
-use crate::notices::Agent;
+use crate::agent_session::Agent;
+use crate::name_table::Names;
 use crate::queues::{Ask as Want, Queues};
-use crate::returning::{Known, Returning};
+use crate::recovery::{Known, Returning};
 use crate::service::Service;
-use crate::sidecars::Sidecars;
+use crate::sidecar_registry::Sidecars;
+use crate::stats::Counters;
+use crate::upstream::Links;
 use crate::wire::{Asker, ConnId, LinkId, Place, Wire};
 use asterrill::{CallEnd, Effect, Final, MethodId, RpcId, RunEnd, Us};
-use asterrill_agree::{caller_key, Gate, Kind};
+use asterrill_consensus::{caller_key, Gate, Kind};
 use asterrill_engine::{Bounds, Command, Engine, IdempotencyKey, Outputs, Read, RouteId, Served, Terms};
 use asterrill_entries::{Change, Name};
 use asterrill_net::{Buf, Pool};
--- a/daemon/src/hub.rs
+++ b/daemon/src/dispatcher.rs
@@ -2,11 +2,11 @@
 //! outboxes. Nothing here waits, and nothing is decided.
 
 use crate::core::Core;
-use crate::counters::Counters;
 use crate::queues::Queues;
+use crate::stats::Counters;
 use crate::wire::{ConnId, LinkId, Place, Wire};
 use asterrill::{Final, RpcId, Us};
-use asterrill_agree::Gate;
+use asterrill_consensus::Gate;
 use asterrill_net::{elapsed, now, Bell, Door, Outbox, Pool, Room, SIZE};
 use asterrill_protocol::agent::{self, NoticeId};
 use asterrill_protocol::frames::{self, ANSWER_HEAD};
@@ -117,7 +117,7 @@
     gate: Us,
 }
 
-pub struct Hub {
+pub struct Dispatcher {
     inner: Mutex<Inner>,
     pub pool: Pool,
     /// Bodies of RPCs.
@@ -135,10 +135,10 @@
     pub changes: AtomicBool,
 }
 
-impl Hub {
+impl Dispatcher {
     pub fn new(
         core: Core, agent: Outbox, below: Vec<Outbox>, room: usize, idle: Us, pools: [Pool; 2], log: Logger,
-    ) -> Hub {
+    ) -> Dispatcher {
         let door = Door::default();
         let ports = Ports {
             lines: BTreeMap::new(),
@@ -160,7 +160,7 @@
         };
         let ([pool, held], taken) = (pools, Room::new(room));
         let inner = Inner { core, ports, armed: Us::MAX, conns: 0, lease: Us::MAX, gate: Us::MAX };
-        Hub {
+        Dispatcher {
             inner: Mutex::new(inner),
             pool,
             held,
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,40 +1,40 @@
 //! asterrilld: one backend. Starts the parts, waits for signals, ends with code 0 after the notice to leave.
 
-mod below;
+mod agent_session;
 mod change;
+mod connection;
 mod control;
 mod core;
-mod counters;
-mod hub;
-mod names;
-mod notices;
+mod dispatcher;
+mod membership;
+mod name_table;
 mod operator;
-mod parties;
-mod peers;
 mod queues;
-mod returning;
+mod recovery;
 mod service;
-mod sidecars;
+mod sidecar_registry;
+mod stats;
 mod store;
 #[cfg(test)]
 mod tests;
+mod upstream;
 mod wire;
 
 use crate::change::{prepare, refused, Asked, Changes, Content, Glance, Pause, Prepared, Running, Told};
 use crate::change::{Wanted, What};
+use crate::connection::{report, Agent, Below, Broker, Sidecar};
 use crate::control::Request;
 use crate::core::Core;
-use crate::hub::{buffers, Hub};
-use crate::parties::{report, Agent, Below, Broker, Sidecar};
-use crate::peers::{Begin as Meet, Peers};
-use crate::returning::{Returning, Start as Begun};
+use crate::dispatcher::{buffers, Dispatcher};
+use crate::membership::{Begin as Meet, Peers};
+use crate::recovery::{Returning, Start as Begun};
 use crate::store::{find_learned, find_members, Store};
 use crate::wire::{ConnId, LinkId};
 use asterrill::Us;
-use asterrill_conf::{File, Form};
 use asterrill_net::{
     drive, hold, listen, now, spawn, turn, wait_until, Address, End, Outbox, Pause as Rest, Pool,
 };
+use asterrill_operator_config::{File, Form};
 use asterrill_protocol::{agent, frames, records};
 use asterrill_recovery::{phase, Moment};
 use asterrill_rollout::{start_with, Marked, Start, Wish};
@@ -132,7 +132,7 @@
     let bodies = buffers(to.memory_mb) as u64;
     let broker = operator::queues(now(), &operator, &start.entries, to.seed, bodies)?;
     if let Some(members) = &operator.members {
-        peers::check(&to.name, members)?;
+        membership::check(&to.name, members)?;
     }
     if arguments.check {
         return Ok(());
@@ -157,14 +157,14 @@
     let room = room(to.sockets);
     let (out, links) = (agent_out.clone(), below.clone());
     let pools = [pool.clone(), held];
-    let hub = Arc::new(Hub::new(core, out, links, room, idle, pools, log.clone()));
+    let dispatcher = Arc::new(Dispatcher::new(core, out, links, room, idle, pools, log.clone()));
     if let Some((queues, addresses, pause)) = broker {
         let out = Outbox::new(&pool, LINK);
-        hub.take_queues(queues, out.clone());
-        let (hub, pool) = (hub.clone(), pool.clone());
+        dispatcher.take_queues(queues, out.clone());
+        let (dispatcher, pool) = (dispatcher.clone(), pool.clone());
         let (least, most) = (Duration::from_micros(pause.0), Duration::from_micros(pause.1));
         let pause = Rest::new(least, most, chance.generate());
-        spawn("broker", move || hold(&addresses, &out, &pool, true, pause, &mut Broker { hub }))?;
+        spawn("broker", move || hold(&addresses, &out, &pool, true, pause, &mut Broker { dispatcher }))?;
     }
     if let Some(terms) = operator.recovery {
         let (settings, moment) = (start.settings(), moment());
@@ -172,7 +172,7 @@
         let kept = state.and_then(|dir| find_learned(dir, log));
         let (name, lasting, seed, memory_mb) = (to.name.clone(), state.is_some(), own, to.memory_mb);
         let begun = Begun { name, settings, cores, memory_mb, moment, terms, kept, seed, lasting };
-        hub.with(|core, wire, now| core.come_back(now, Returning::new(now, begun), wire));
+        dispatcher.with(|core, wire, now| core.come_back(now, Returning::new(now, begun), wire));
     }
     let spread = operator.recovery.map(|_| own);
     let orders = Arc::new(Orders::default());
@@ -184,7 +184,7 @@
             let kept = operator.changes.state.as_deref().and_then(|dir| find_members(dir, log));
             let fleet = operator.fleet.as_ref().zip(operator.changes.state.as_deref());
             let (peers, socket) = Peers::open(Meet { name: &to.name, file, kept, seed: own, fleet }, log)?;
-            peers.live(socket, &hub, store.clone())?;
+            peers.live(socket, &dispatcher, store.clone())?;
             Some(peers)
         }
         None => None,
@@ -192,8 +192,8 @@
     let changes = Changes::new(start, number, undone, terms, to.seed, store.clone());
     let running = changes.running();
     if let Some(path) = &operator.changes.control {
-        let (orders, hub, seed) = (orders.clone(), hub.clone(), to.seed);
-        let want = move |request| orders.request(request, &hub, terms, seed);
+        let (orders, dispatcher, seed) = (orders.clone(), dispatcher.clone(), to.seed);
+        let want = move |request| orders.request(request, &dispatcher, terms, seed);
         control::listen(path, Arc::new(want), log)?;
     }
     let places = Arc::new(Places {
@@ -205,67 +205,68 @@
     info!(log, "started"; "name" => &to.name, "listen" => %to.listen);
 
     {
-        let (hub, orders, places) = (hub.clone(), orders.clone(), places.clone());
+        let (dispatcher, orders, places) = (dispatcher.clone(), orders.clone(), places.clone());
         let (handle, stop, peers) = (signals.handle(), to.stop, peers.clone());
         let leaving = Leaving { peers, store, stop, came: false };
-        spawn("clock", move || clock(&hub, &orders, &places, leaving, changes, &handle))?;
+        spawn("clock", move || clock(&dispatcher, &orders, &places, leaving, changes, &handle))?;
     }
     {
-        let (hub, seed, running) = (hub.clone(), to.seed, running.clone());
+        let (dispatcher, seed, running) = (dispatcher.clone(), to.seed, running.clone());
         let (pool, pause) = (pool.clone(), Rest::new(ms(10), ms(1000), chance.generate()));
         let places = places.clone();
         spawn("agent", move || {
             let make =
                 move |at, cold| asterrill_settings::server(at, seed, &running.get().entries, Some(cold)).ok();
             let (out, make) = (agent_out.clone(), Box::new(make));
-            let mut party = Agent { hub, out, notices: agent::Reader::default(), make, useful: false };
+            let mut party = Agent { dispatcher, out, notices: agent::Reader::default(), make, useful: false };
             hold(&places.agent, &agent_out, &pool, true, pause, &mut party);
         })?;
     }
     for (i, out) in below.into_iter().enumerate() {
-        let (hub, pool, pause) = (hub.clone(), pool.clone(), Rest::new(ms(10), ms(200), chance.generate()));
+        let (dispatcher, pool, pause) =
+            (dispatcher.clone(), pool.clone(), Rest::new(ms(10), ms(200), chance.generate()));
         let Some(records) = places.records.clone() else { break };
         spawn("below", move || {
             let (link, replies) = (LinkId(i), records::Reader::default());
-            let mut party = Below { hub, out: out.clone(), link, replies, useful: false };
+            let mut party = Below { dispatcher, out: out.clone(), link, replies, useful: false };
             hold(&records, &out, &pool, false, pause, &mut party);
         })?;
     }
     {
-        let (hub, pause) = (hub.clone(), Rest::new(ms(50), ms(1000), chance.generate()));
+        let (dispatcher, pause) = (dispatcher.clone(), Rest::new(ms(50), ms(1000), chance.generate()));
         let (name, places) = (to.name.clone(), places.clone());
-        spawn("naming", move || report(&hub, &name, &places.naming, pause, spread))?;
+        spawn("naming", move || report(&dispatcher, &name, &places.naming, pause, spread))?;
     }
     {
-        let hub = hub.clone();
+        let dispatcher = dispatcher.clone();
         spawn("sweep", move || {
             wait_until(now() + spread.map_or(0, |seed| phase(seed, "sweep", SWEEP)));
             loop {
                 wait_until(now() + SWEEP);
-                hub.sweep();
+                dispatcher.sweep();
             }
         })?;
     }
     {
-        let (hub, log) = (hub.clone(), log.clone());
-        let crowd = hub.clone();
+        let (dispatcher, log) = (dispatcher.clone(), log.clone());
+        let crowd = dispatcher.clone();
         spawn("listener", move || {
             listen(
                 listener,
                 &crowd.door,
-                hub.room.clone(),
+                dispatcher.room.clone(),
                 log,
                 || crowd.crowded(),
                 |stream, place| {
                     // Known before the next one may find no room.
-                    let out = Outbox::new(&hub.pool, LINE);
-                    let conn: ConnId = hub.join(out.clone());
-                    let (hub, parted) = (hub.clone(), hub.clone());
+                    let out = Outbox::new(&dispatcher.pool, LINE);
+                    let conn: ConnId = dispatcher.join(out.clone());
+                    let (dispatcher, parted) = (dispatcher.clone(), dispatcher.clone());
                     let taken = spawn("sidecar", move || {
                         let frames = frames::Reader::default();
-                        let mut peer = Sidecar { hub: hub.clone(), conn, frames, heard: false };
-                        let end = drive(&stream, &out, &hub.pool, &mut peer);
-                        hub.part(conn, end == End::Broken);
+                        let mut peer = Sidecar { dispatcher: dispatcher.clone(), conn, frames, heard: false };
+                        let end = drive(&stream, &out, &dispatcher.pool, &mut peer);
+                        dispatcher.part(conn, end == End::Broken);
                         drop(stream);
                         drop(place);
                     });
@@ -280,16 +281,17 @@
         match signal {
             SIGTERM => orders.lock().leave = true,
             SIGHUP => {
-                let read = told(Some(&running.get())).map(|to| orders.reread(to, &running, &hub, terms));
+                let read =
+                    told(Some(&running.get())).map(|to| orders.reread(to, &running, &dispatcher, terms));
                 orders.lock().reload = Some(read);
             }
             _ => {
-                info!(log, "counters"; "of" => hub.counters(), "members" => peers.as_ref().map(|p| p.counters()))
+                info!(log, "counters"; "of" => dispatcher.counters(), "members" => peers.as_ref().map(|p| p.counters()))
             }
         }
-        hub.clock.ring();
+        dispatcher.clock.ring();
     }
-    info!(log, "ended"; "counters" => hub.counters());
+    info!(log, "ended"; "counters" => dispatcher.counters());
     Ok(())
 }
 
@@ -378,8 +380,8 @@
 
 impl Orders {
     /// Carries a request out: a change is read and checked here, on the thread of who asks.
-    fn request(&self, request: Request, hub: &Hub, terms: change::Terms, seed: u64) -> Told {
-        let ring = || hub.clock.ring();
+    fn request(&self, request: Request, dispatcher: &Dispatcher, terms: change::Terms, seed: u64) -> Told {
+        let ring = || dispatcher.clock.ring();
         let read = |asked| match self.glance(ring) {
             Some(glance) => prepare(&glance, asked, terms, seed),
             None => Err(refused("nobody answers")),
@@ -404,19 +406,21 @@
             }
         };
         if is_change && told["ok"] != serde_json::json!(true) {
-            hub.with(|core, _, _| core.counters().changes_refused += 1);
+            dispatcher.with(|core, _, _| core.counters().changes_refused += 1);
         }
         told
     }
 
     /// A configuration was read again: what differs from what runs is checked here, if anything does.
-    fn reread(&self, to: Deployment, running: &Running, hub: &Hub, terms: change::Terms) -> Reread {
+    fn reread(
+        &self, to: Deployment, running: &Running, dispatcher: &Dispatcher, terms: change::Terms,
+    ) -> Reread {
         if to.content.digest() == running.get().entries.digest() {
             return Reread { to, prepared: None };
         }
         let what = What::Entries(to.content.clone());
         let asked = Asked { what, base: None, wish: Wish::default() };
-        let glance = self.glance(|| hub.clock.ring());
+        let glance = self.glance(|| dispatcher.clock.ring());
         let prepared = glance.map(|glance| prepare(&glance, asked, terms, to.seed));
         Reread { to, prepared }
     }
@@ -466,39 +470,39 @@
 
 impl Places {
     /// Goes over to where the other sides are now.
-    fn go_over(&self, hub: &Hub, to: &Deployment) {
+    fn go_over(&self, dispatcher: &Dispatcher, to: &Deployment) {
         if self.agent.moves(to.agent) {
             self.links.iter().take(1).for_each(Outbox::cut);
         }
         if let (Some(records), Some(at)) = (&self.records, to.records) {
             if records.moves(at) {
-                hub.with(|core, wire, _| core.links_moved(wire));
+                dispatcher.with(|core, wire, _| core.links_moved(wire));
             }
         }
         self.naming.moves(to.naming);
         self.links.iter().for_each(Outbox::moved);
-        hub.naming.ring();
+        dispatcher.naming.ring();
     }
 }
 
 /// The configuration was read again. One that can't be used changes nothing.
 fn reload(
-    hub: &Hub, places: &Places, stop: &mut Us, read: Result<Reread, Fault>,
+    dispatcher: &Dispatcher, places: &Places, stop: &mut Us, read: Result<Reread, Fault>,
 ) -> Option<(Deployment, Option<Result<Prepared, Told>>)> {
     let fine = read.is_ok();
-    hub.with(|core, _, _| {
+    dispatcher.with(|core, _, _| {
         core.counters().reloads += u64::from(fine);
         core.counters().reloads_failed += u64::from(!fine);
     });
     match read {
         Ok(Reread { to, prepared }) => {
             *stop = to.stop;
-            places.go_over(hub, &to);
-            info!(hub.log, "the configuration was read again"; "agent" => %to.agent, "naming" => %to.naming);
+            places.go_over(dispatcher, &to);
+            info!(dispatcher.log, "the configuration was read again"; "agent" => %to.agent, "naming" => %to.naming);
             Some((to, prepared))
         }
         Err(fault) => {
-            warn!(hub.log, "the configuration stays as it was"; "why" => %fault);
+            warn!(dispatcher.log, "the configuration stays as it was"; "why" => %fault);
             None
         }
     }
@@ -514,33 +518,33 @@
 
 impl Leaving {
     /// What was learned is written down, at its beat or since the notice came.
-    fn keep_learned(&self, hub: &Hub, leaving: bool) {
-        if let Some(learned) = hub.with(|core, _, now| core.snapshot(now, moment, leaving)) {
+    fn keep_learned(&self, dispatcher: &Dispatcher, leaving: bool) {
+        if let Some(learned) = dispatcher.with(|core, _, now| core.snapshot(now, moment, leaving)) {
             self.store.iter().for_each(|store| store.keep_learned(learned.clone()));
         }
     }
     /// The notice came. Of the moment before it leaves: what a drain does to the figures is not worth learning.
-    fn notice(&mut self, hub: &Hub) {
+    fn notice(&mut self, dispatcher: &Dispatcher) {
         let first = !std::mem::replace(&mut self.came, true);
-        self.keep_learned(hub, first);
+        self.keep_learned(dispatcher, first);
         self.peers.iter().for_each(|peers| peers.leave());
-        hub.with(|core, wire, now| core.drain(now, self.stop, wire));
+        dispatcher.with(|core, wire, now| core.drain(now, self.stop, wire));
     }
 }
 
 /// Between two slices of a change: all others get their turn, time passes for the core, and the notice to leave is not
 /// held up. It is told to the module as it is in force; the slices that are left go in after it.
-fn between(hub: &Hub, orders: &Orders, leaving: &mut Leaving, came: bool) {
+fn between(dispatcher: &Dispatcher, orders: &Orders, leaving: &mut Leaving, came: bool) {
     turn();
     if !leaving.came && (came || orders.lock().leave) {
-        leaving.notice(hub);
+        leaving.notice(dispatcher);
     }
-    pass(hub);
+    pass(dispatcher);
 }
 
 /// Lets time pass for the core, if something is due.
-fn pass(hub: &Hub) {
-    hub.with(|core, wire, now| {
+fn pass(dispatcher: &Dispatcher) {
+    dispatcher.with(|core, wire, now| {
         if core.next().is_some_and(|at| at <= now) {
             core.tick(now, wire);
         }
@@ -549,23 +553,24 @@
 
 /// Lets time pass for the core, and ends the program once it has left.
 fn clock(
-    hub: &Hub, orders: &Orders, places: &Places, mut leaving: Leaving, mut changes: Changes, handle: &Handle,
+    dispatcher: &Dispatcher, orders: &Orders, places: &Places, mut leaving: Leaving, mut changes: Changes,
+    handle: &Handle,
 ) {
     let peers = leaving.peers.clone();
-    hub.clock.attend();
-    hub.with(|core, wire, now| core.start(now, wire));
+    dispatcher.clock.attend();
+    dispatcher.with(|core, wire, now| core.start(now, wire));
     loop {
-        let at = hub.arm(changes.next());
+        let at = dispatcher.arm(changes.next());
         // Who rang while a change went in slice by slice was not waited for.
         wait_until(if orders.lock().waits() { 0 } else { at.min(now() + LOOK) });
         let order = std::mem::take(&mut *orders.lock());
         for told in order.glances {
-            told.try_send(changes.glance(hub)).unwrap_or_default();
+            told.try_send(changes.glance(dispatcher)).unwrap_or_default();
         }
-        let reread = order.reload.and_then(|read| reload(hub, places, &mut leaving.stop, read));
-        let pause: &mut Pause<'_> = &mut |hub| between(hub, orders, &mut leaving, order.leave);
+        let reread = order.reload.and_then(|read| reload(dispatcher, places, &mut leaving.stop, read));
+        let pause: &mut Pause<'_> = &mut |dispatcher| between(dispatcher, orders, &mut leaving, order.leave);
         if let Some((to, prepared)) = reread {
-            changes.reread(hub, to, prepared, pause);
+            changes.reread(dispatcher, to, prepared, pause);
         }
         for (wanted, told) in order.wants {
             let answer = match (&wanted, &peers) {
@@ -576,26 +581,26 @@
                     peers.wish(wish.clone(), told);
                     continue;
                 }
-                _ => changes.want(hub, wanted, pause),
+                _ => changes.want(dispatcher, wanted, pause),
             };
             // Whoever asked may have gone meanwhile.
             told.try_send(answer).unwrap_or_default();
         }
         if order.leave {
-            leaving.notice(hub);
+            leaving.notice(dispatcher);
             changes.leave();
         } else {
-            leaving.keep_learned(hub, false);
+            leaving.keep_learned(dispatcher, false);
         }
         if now() > at.saturating_add(LATE) {
             wait_until(now() + SETTLE);
         }
-        pass(hub);
-        changes.tick(hub, &mut |hub| between(hub, orders, &mut leaving, false));
-        if hub.with(|core, _, _| core.left()) {
-            hub.close();
+        pass(dispatcher);
+        changes.tick(dispatcher, &mut |dispatcher| between(dispatcher, orders, &mut leaving, false));
+        if dispatcher.with(|core, _, _| core.left()) {
+            dispatcher.close();
             let until = now() + CLOSING;
-            while !hub.closed() && now() < until {
+            while !dispatcher.closed() && now() < until {
                 wait_until(now() + SETTLE);
             }
             // Whoever waits for an answer is not kept waiting.
--- a/daemon/src/peers.rs
+++ b/daemon/src/membership.rs
@@ -1,10 +1,10 @@
 //! How this backend knows the others: the state machine of `asterrill-membership`, joined to a socket for datagrams, to
 //! the core and to the operators. Its own lock, its own coroutines: no RPC ever waits for it.
 
-use crate::hub::Hub;
+use crate::dispatcher::Dispatcher;
 use crate::store::{cut_agreed, find_agreed, Stands, Store};
 use asterrill::Us;
-use asterrill_agree::{Agree, Entry, Gate, Kind, Settled, Wish, Write};
+use asterrill_consensus::{Agree, Entry, Gate, Kind, Settled, Wish, Write};
 use asterrill_membership::{
     conduct, Changes, Counts, Event, Id, Kept, Members, Name, Seal, Shown, Standing, Terms,
 };
@@ -50,17 +50,19 @@
 /// What a start needs of the operator's file and of before.
 pub struct Begin<'a> {
     pub name: &'a str,
-    pub file: &'a asterrill_conf::Members,
+    pub file: &'a asterrill_operator_config::Members,
     pub kept: Option<Kept>,
     pub seed: u64,
     /// How backends agree, and the directory of a keeper's file.
-    pub fleet: Option<(&'a asterrill_conf::Fleet, &'a Path)>,
+    pub fleet: Option<(&'a asterrill_operator_config::Fleet, &'a Path)>,
 }
 
 /// The agreement of this one with the others, from what stands on disk.
-fn agreement(name: &str, start: u64, fleet: &asterrill_conf::Fleet, dir: &Path) -> Result<Agree, Fault> {
+fn agreement(
+    name: &str, start: u64, fleet: &asterrill_operator_config::Fleet, dir: &Path,
+) -> Result<Agree, Fault> {
     let (keepers, lease) = (fleet.keepers.clone(), fleet.lease);
-    let terms = asterrill_agree::Terms { keepers, lease, renew: fleet.renew, tick: fleet.tick };
+    let terms = asterrill_consensus::Terms { keepers, lease, renew: fleet.renew, tick: fleet.tick };
     let named = |e: &dyn std::fmt::Display| Fault::new(format!("{}: {e}", dir.join("agreed").display()));
     let keeper = terms.keepers.iter().any(|keeper| keeper == name);
     let disk = if keeper { find_agreed(dir).map_err(|e| named(&e))? } else { Vec::new() };
@@ -111,8 +113,9 @@
 }
 
 /// Whether the key may be read and the name is one.
-pub fn check(name: &str, file: &asterrill_conf::Members) -> Result<(Name, String), Fault> {
-    let key = asterrill_conf::read_secret(&file.key_file).map_err(|fault| Fault::new(fault.to_string()))?;
+pub fn check(name: &str, file: &asterrill_operator_config::Members) -> Result<(Name, String), Fault> {
+    let key = asterrill_operator_config::read_secret(&file.key_file)
+        .map_err(|fault| Fault::new(fault.to_string()))?;
     let name = Name::new(name).ok_or_else(|| Fault::new(format!("name {name:?} is none for a member")))?;
     Ok((name, key))
 }
@@ -161,7 +164,7 @@
 
     /// Starts the coroutines: one reads, one lets time pass and sends.
     pub fn live(
-        self: &Arc<Peers>, socket: Datagrams, hub: &Arc<Hub>, store: Option<Store>,
+        self: &Arc<Peers>, socket: Datagrams, dispatcher: &Arc<Dispatcher>, store: Option<Store>,
     ) -> std::io::Result<()> {
         let (peers, from) = (self.clone(), socket.again()?);
         spawn("members", move || {
@@ -172,16 +175,18 @@
                 peers.clock.ring();
             });
         })?;
-        let (peers, hub) = (self.clone(), hub.clone());
+        let (peers, dispatcher) = (self.clone(), dispatcher.clone());
         let (rings, numbers) = (self.clone(), self.stands.clone());
         let stands: Arc<Stands> = Arc::new(move |number| {
             numbers.lock().unwrap_or_else(|e| e.into_inner()).push(number);
             rings.clock.ring();
         });
-        spawn("members' clock", move || peers.attend(&socket, &hub, store, &stands))
+        spawn("members' clock", move || peers.attend(&socket, &dispatcher, store, &stands))
     }
 
-    fn attend(&self, socket: &Datagrams, hub: &Hub, store: Option<Store>, stands: &Arc<Stands>) {
+    fn attend(
+        &self, socket: &Datagrams, dispatcher: &Dispatcher, store: Option<Store>, stands: &Arc<Stands>,
+    ) {
         self.clock.attend();
         let (mut keep, mut kept) = (elapsed(), Kept::default());
         loop {
@@ -196,7 +201,7 @@
                     store.keep_agreed(writes, stands);
                 }
                 if let Some((gate, until)) = gate {
-                    hub.gate(gate, until);
+                    dispatcher.gate(gate, until);
                 }
                 let fresh = inner.members.take_out();
                 inner.out.extend(fresh);
@@ -209,8 +214,8 @@
             };
             // The core learns of a smaller part before anybody else learns anything. It is good for so long only: what
             // is paused, or does not come to look, has nothing when it wakes.
-            hub.lease(at.saturating_add(self.lasting), does.changes == Changes::Any);
-            hub.with(|core, wire, now| core.share(now, does.part, wire));
+            dispatcher.lease(at.saturating_add(self.lasting), does.changes == Changes::Any);
+            dispatcher.with(|core, wire, now| core.share(now, does.part, wire));
             for (to, bytes) in out {
                 socket.send(to, &bytes);
             }
@@ -306,7 +311,7 @@
         let (newest, (acting, _)) = (agree.book().newest(), gate.versions());
         if let Some(kind) = list {
             let row = |(key, entry): (&String, &Entry)| {
-                let standing = if entry.standing == asterrill_agree::Standing::In { "in" } else { "out" };
+                let standing = if entry.standing == asterrill_consensus::Standing::In { "in" } else { "out" };
                 json!({"key": key, "standing": standing, "until": entry.until})
             };
             let rows: Vec<Value> = newest.list(kind).take(ROWS).map(row).collect();
--- a/daemon/src/operator.rs
+++ b/daemon/src/operator.rs
@@ -2,10 +2,10 @@
 
 use crate::queues::{Queues, Setup};
 use asterrill::{Say, Us};
-use asterrill_conf::{Broker, File, Redelivered};
 use asterrill_consumer::{Select, Terms};
 use asterrill_entries::{Content, Kind};
 use asterrill_net::Address;
+use asterrill_operator_config::{Broker, File, Redelivered};
 use asterrill_protocol::amqp::{Credentials, Login};
 use asterrill_settings::Fault;
 use std::path::Path;
@@ -16,11 +16,12 @@
 pub fn read(path: &Path) -> Result<(File, String), Fault> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| Fault::new(format!("{name}: {e}")))?;
-    let file = asterrill_conf::parse(&name, &text).map_err(|mistake| Fault::new(mistake.to_string()))?;
+    let file =
+        asterrill_operator_config::parse(&name, &text).map_err(|mistake| Fault::new(mistake.to_string()))?;
     Ok((file, text))
 }
 
-fn select(from: &asterrill_conf::Select) -> Select {
+fn select(from: &asterrill_operator_config::Select) -> Select {
     let (header, means) = (from.header.clone(), from.means.clone());
     Select { header, means, otherwise: from.otherwise.clone() }
 }
@@ -40,7 +41,7 @@
         if let Some(name) = known.find(|name| content.tenant(name).is_none()) {
             return Err(Fault::new(format!("queue {}: there is no tenant {name}", queue.name)));
         }
-        if content.count(Kind::Tenant) > 0 && queue.tenant == asterrill_conf::Select::default() {
+        if content.count(Kind::Tenant) > 0 && queue.tenant == asterrill_operator_config::Select::default() {
             let text = "tenants are told apart here: it wants tenant or tenant-header";
             return Err(Fault::new(format!("queue {}: {text}", queue.name)));
         }
@@ -68,7 +69,7 @@
 ) -> Result<Option<Consumption>, Fault> {
     let terms = terms(file.broker.as_ref(), content)?;
     let Some(broker) = file.broker.clone() else { return Ok(None) };
-    let password = asterrill_conf::read_secret(&broker.password_file);
+    let password = asterrill_operator_config::read_secret(&broker.password_file);
     let password = password.map_err(|fault| Fault::new(fault.to_string()))?;
     let setup = Setup {
         login: Login {
--- a/daemon/src/returning.rs
+++ b/daemon/src/recovery.rs
@@ -2,9 +2,9 @@
 //! kept comes in, what is to be kept goes out, moments are passed in.
 
 use asterrill::{CallerId, Care, Experience, MethodId, Standing, Us};
-use asterrill_conf::Recovery;
 use asterrill_engine::Counts;
 use asterrill_entries::Name;
+use asterrill_operator_config::Recovery;
 use asterrill_recovery::{
     weigh, Beat, Evidence, Kept, Learned, Moment, Opening, Present, Seen, Stage, Stages, Targets, Terms,
     METHODS, TENANTS,
--- a/daemon/src/store.rs
+++ b/daemon/src/store.rs
@@ -2,7 +2,7 @@
 //! not at all, the newest wish first; versions before anything else. Of versions what differs from what stands there is
 //! appended as steps; a whole version is written at the first wish, after a failure, and when the steps have outgrown it.
 
-use asterrill_agree::Write as Bytes;
+use asterrill_consensus::Write as Bytes;
 use asterrill_membership::Kept;
 use asterrill_recovery::{Learned, MOST};
 use asterrill_rollout::{recover, write_whole, Kept as Version, Standing, State};
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 mod change;
-mod hub;
+mod dispatcher;
 
 const MS: Us = 1_000;
 const START: Us = 1_000_000 * MS;
@@ -787,7 +787,7 @@
 
 #[test]
 fn the_next_call_of_an_rpc_goes_by_another_link_even_where_that_rests_and_by_none_where_there_is_none() {
-    use crate::below::Links;
+    use crate::upstream::Links;
     use asterrill_engine::RouteId;
     let (mut links, mut out) = (Links::new(2), Out::default());
     let first = links.pick(None).unwrap();
@@ -1097,8 +1097,8 @@
 
 mod coming_back {
     use super::*;
-    use crate::returning::{Returning, Start};
-    use asterrill_conf::Recovery;
+    use crate::recovery::{Returning, Start};
+    use asterrill_operator_config::Recovery;
     use asterrill_recovery::{Learned, Moment, Stage};
 
     fn start(now: Us, kept: Option<Learned>) -> Returning {
@@ -1205,7 +1205,7 @@
 
 #[test]
 fn whom_the_agreed_lists_turn_away_never_runs_and_is_told_so_and_a_lease_that_ends_leaves_the_safe_form() {
-    use asterrill_agree::{Change, Entry, Gate, Kind, Standing, State, Step};
+    use asterrill_consensus::{Change, Entry, Gate, Kind, Standing, State, Step};
     let put = |kind, key: &str, standing| Change::Put {
         kind,
         key: key.into(),
--- a/daemon/src/tests/change.rs
+++ b/daemon/src/tests/change.rs
@@ -1,8 +1,8 @@
-//! Changes carried out at a hub, with what comes between two slices of them.
+//! Changes carried out at a dispatcher, with what comes between two slices of them.
 
 use super::*;
 use crate::change::{prepare, Asked, Changes, Content, Prepared, Terms, Wanted, What};
-use crate::hub::Hub;
+use crate::dispatcher::Dispatcher;
 use asterrill_net::{now, one_worker, spawn, Outbox};
 use asterrill_rollout::Wish;
 use std::sync::Arc;
@@ -16,105 +16,111 @@
     )
 }
 
-fn begin(start: &Entries) -> (Arc<Hub>, Changes) {
+fn begin(start: &Entries) -> (Arc<Dispatcher>, Changes) {
     let pool = Pool::new(500);
     let server = asterrill_settings::server(now(), 1, start, None).unwrap();
     let core = Core::new(now(), server, Pool::new(500), 4);
     let agent = Outbox::new(&pool, 1 << 16);
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let hub = Arc::new(Hub::new(core, agent, Vec::new(), 8, u64::MAX, [pool, Pool::new(500)], log));
-    hub.with(|core, wire, now| core.start(now, wire));
-    let content = Content::new(start.clone(), asterrill_conf::File::default(), "");
-    (hub, Changes::new(content, 1, Vec::new(), TERMS, 1, None))
+    let dispatcher =
+        Arc::new(Dispatcher::new(core, agent, Vec::new(), 8, u64::MAX, [pool, Pool::new(500)], log));
+    dispatcher.with(|core, wire, now| core.start(now, wire));
+    let content = Content::new(start.clone(), asterrill_operator_config::File::default(), "");
+    (dispatcher, Changes::new(content, 1, Vec::new(), TERMS, 1, None))
 }
 
-fn read(hub: &Hub, changes: &Changes, to: &Entries) -> Prepared {
+fn read(dispatcher: &Dispatcher, changes: &Changes, to: &Entries) -> Prepared {
     let wish = Wish { force: true, queue: false };
     let asked = Asked { what: What::Entries(to.clone()), base: None, wish };
-    prepare(&changes.glance(hub), asked, TERMS, 1).unwrap()
+    prepare(&changes.glance(dispatcher), asked, TERMS, 1).unwrap()
 }
 
-fn knows(hub: &Hub, tenant: &str) -> bool {
-    hub.with(|core, _, _| core.knows_tenant(tenant))
+fn knows(dispatcher: &Dispatcher, tenant: &str) -> bool {
+    dispatcher.with(|core, _, _| core.knows_tenant(tenant))
 }
 
 #[test]
 fn others_have_a_turn_between_slices_and_see_the_version_before_until_the_last_one_is_in() {
     let (start, to) = (guests(0..1_000), guests(500..1_500));
-    let (hub, mut changes) = begin(&start);
-    let prepared = read(&hub, &changes, &to);
+    let (dispatcher, mut changes) = begin(&start);
+    let prepared = read(&dispatcher, &changes, &to);
     let mut turns = 0;
-    let mut pause = |hub: &Hub| {
+    let mut pause = |dispatcher: &Dispatcher| {
         turns += 1;
         assert!(
-            knows(hub, "guest 0") && !knows(hub, "guest 1499") && hub.with(|core, _, _| core.version()) == 1
+            knows(dispatcher, "guest 0")
+                && !knows(dispatcher, "guest 1499")
+                && dispatcher.with(|core, _, _| core.version()) == 1
         );
     };
-    let staged = changes.want(&hub, Wanted::Stage(Box::new(prepared)), &mut pause);
+    let staged = changes.want(&dispatcher, Wanted::Stage(Box::new(prepared)), &mut pause);
     assert_eq!((&staged["ok"], &staged["entries"]), (&json!(true), &json!(1_000)));
-    let applied = changes.want(&hub, Wanted::Apply { if_base: Some(1), probation: None }, &mut pause);
+    let applied = changes.want(&dispatcher, Wanted::Apply { if_base: Some(1), probation: None }, &mut pause);
     assert_eq!(applied["ok"], json!(true), "{applied}");
     assert_eq!(turns, 4, "five slices of 200");
-    assert!(!knows(&hub, "guest 0") && knows(&hub, "guest 1499") && knows(&hub, "guest 700"));
+    assert!(
+        !knows(&dispatcher, "guest 0") && knows(&dispatcher, "guest 1499") && knows(&dispatcher, "guest 700")
+    );
     let mut turns = 0;
-    let undone = changes.want(&hub, Wanted::Undo, &mut |_| turns += 1);
+    let undone = changes.want(&dispatcher, Wanted::Undo, &mut |_| turns += 1);
     assert_eq!((&undone["ok"], turns), (&json!(true), 4));
-    assert!(knows(&hub, "guest 0") && !knows(&hub, "guest 1499"));
-    assert_eq!(hub.counted().half_applied, 0);
+    assert!(knows(&dispatcher, "guest 0") && !knows(&dispatcher, "guest 1499"));
+    assert_eq!(dispatcher.counted().half_applied, 0);
 }
 
 #[test]
 fn a_file_that_was_read_against_another_version_is_compared_anew() {
     let start = guests(0..3);
-    let (hub, mut changes) = begin(&start);
+    let (dispatcher, mut changes) = begin(&start);
     let mut file = server();
     file["Tenants"] = json!([{"Name": "acme", "QuotaRps": 500_000}, {"Name": "guest 0", "QuotaRps": 1_000_000},
         {"Name": "guest 1", "QuotaRps": 1_000_000}, {"Name": "guest 2", "QuotaRps": 1_000_000}]);
     let to = content(&file);
-    let old = read(&hub, &changes, &to);
+    let old = read(&dispatcher, &changes, &to);
     // Meanwhile a step comes into force that puts one whom the file does not know.
-    let prepared = read(&hub, &changes, &guests(0..4));
+    let prepared = read(&dispatcher, &changes, &guests(0..4));
     for wanted in
         [Wanted::Stage(Box::new(prepared)), Wanted::Apply { if_base: None, probation: None }, Wanted::Settle]
     {
-        assert_eq!(changes.want(&hub, wanted, &mut |_| ())["ok"], json!(true));
+        assert_eq!(changes.want(&dispatcher, wanted, &mut |_| ())["ok"], json!(true));
     }
-    assert!(knows(&hub, "guest 3"));
+    assert!(knows(&dispatcher, "guest 3"));
     let nowhere = "127.0.0.1:1";
     let whole = json!({"name": "n1", "listen": nowhere, "agent": nowhere, "naming": nowhere, "seed": "1",
         "stop_ms": 900, "limits": {"memory_mb": 64, "sockets": 64}, "settings": file});
     let deployment = asterrill_settings::read(&whole.to_string()).unwrap();
-    changes.reread(&hub, deployment, Some(Ok(old)), &mut |_| ());
+    changes.reread(&dispatcher, deployment, Some(Ok(old)), &mut |_| ());
     // Compared with what runs now, a tenant goes: that is risky, so it is refused whole.
-    let status = changes.want(&hub, Wanted::Status, &mut |_| ());
+    let status = changes.want(&dispatcher, Wanted::Status, &mut |_| ());
     assert_eq!(
         (&status["version"], &status["counters"]["changes_refused"]),
         (&json!(2), &json!(1)),
         "{status}"
     );
-    assert!(knows(&hub, "guest 3"));
+    assert!(knows(&dispatcher, "guest 3"));
 }
 
 #[test]
 fn a_change_that_was_read_against_a_version_that_runs_no_more_is_refused_and_nothing_is_staged() {
-    let (hub, mut changes) = begin(&guests(0..3));
-    let late = read(&hub, &changes, &guests(0..5));
-    let prepared = read(&hub, &changes, &guests(0..4));
+    let (dispatcher, mut changes) = begin(&guests(0..3));
+    let late = read(&dispatcher, &changes, &guests(0..5));
+    let prepared = read(&dispatcher, &changes, &guests(0..4));
     let apply = Wanted::Apply { if_base: None, probation: None };
     for wanted in [Wanted::Stage(Box::new(prepared)), apply, Wanted::Settle] {
-        assert_eq!(changes.want(&hub, wanted, &mut |_| ())["ok"], json!(true));
+        assert_eq!(changes.want(&dispatcher, wanted, &mut |_| ())["ok"], json!(true));
     }
-    let told = changes.want(&hub, Wanted::Stage(Box::new(late)), &mut |_| ());
+    let told = changes.want(&dispatcher, Wanted::Stage(Box::new(late)), &mut |_| ());
     assert!(told["error"].as_str().is_some_and(|why| why.contains("version 2 came into force")), "{told}");
-    assert_eq!(changes.want(&hub, Wanted::Status, &mut |_| ())["staged"], json!(null));
+    assert_eq!(changes.want(&dispatcher, Wanted::Status, &mut |_| ())["staged"], json!(null));
 }
 
 #[test]
 fn a_change_that_another_crosses_while_it_is_read_is_read_again_and_staged() {
-    let (hub, mut changes) = begin(&guests(0..3));
+    let (dispatcher, mut changes) = begin(&guests(0..3));
     let (orders, other) =
-        (std::sync::Arc::new(crate::Orders::default()), read(&hub, &changes, &guests(0..4)));
-    let (asking, of, step) = (orders.clone(), hub.clone(), r#"{"put":"tenant","Name":"late","QuotaRps":7}"#);
+        (std::sync::Arc::new(crate::Orders::default()), read(&dispatcher, &changes, &guests(0..4)));
+    let (asking, of, step) =
+        (orders.clone(), dispatcher.clone(), r#"{"put":"tenant","Name":"late","QuotaRps":7}"#);
     let asks = std::thread::spawn(move || {
         let asked =
             Asked { what: What::Step(step.into()), base: None, wish: Wish { force: true, queue: false } };
@@ -125,16 +131,16 @@
     while !asks.is_finished() && std::time::Instant::now() < until {
         let order = std::mem::take(&mut *orders.lock());
         for told in order.glances {
-            told.try_send(changes.glance(&hub)).unwrap();
+            told.try_send(changes.glance(&dispatcher)).unwrap();
             // Another version comes into force as soon as the change has been told what to be checked against.
             let Some(prepared) = crossing.take() else { continue };
             let apply = Wanted::Apply { if_base: None, probation: None };
             for wanted in [Wanted::Stage(Box::new(prepared)), apply, Wanted::Settle] {
-                assert_eq!(changes.want(&hub, wanted, &mut |_| ())["ok"], json!(true));
+                assert_eq!(changes.want(&dispatcher, wanted, &mut |_| ())["ok"], json!(true));
             }
         }
         for (wanted, told) in order.wants {
-            told.try_send(changes.want(&hub, wanted, &mut |_| ())).unwrap();
+            told.try_send(changes.want(&dispatcher, wanted, &mut |_| ())).unwrap();
         }
     }
     let told = asks.join().unwrap();
@@ -144,17 +150,17 @@
 #[test]
 fn a_notice_to_leave_is_told_between_two_slices() {
     one_worker().unwrap();
-    let (hub, _) = begin(&guests(0..3));
+    let (dispatcher, _) = begin(&guests(0..3));
     let (told, heard) = std::sync::mpsc::channel();
     spawn("clock", move || {
         let orders = crate::Orders::default();
         let mut leaving = crate::Leaving { peers: None, store: None, stop: 900 * MS, came: false };
-        hub.clock.attend();
-        crate::between(&hub, &orders, &mut leaving, false);
-        let before = hub.serving();
+        dispatcher.clock.attend();
+        crate::between(&dispatcher, &orders, &mut leaving, false);
+        let before = dispatcher.serving();
         orders.lock().leave = true;
-        crate::between(&hub, &orders, &mut leaving, false);
-        told.send((before, hub.serving(), leaving.came, orders.lock().leave)).unwrap();
+        crate::between(&dispatcher, &orders, &mut leaving, false);
+        told.send((before, dispatcher.serving(), leaving.came, orders.lock().leave)).unwrap();
     })
     .unwrap();
     let (before, after, came, stays) = heard.recv_timeout(std::time::Duration::from_secs(10)).unwrap();
@@ -175,13 +181,13 @@
         content(&settings)
     };
     let (start, to) = (version(100, 400), version(120, 500));
-    let (hub, mut changes) = begin(&start);
+    let (dispatcher, mut changes) = begin(&start);
     let from = std::time::Instant::now();
-    let prepared = read(&hub, &changes, &to);
+    let prepared = read(&dispatcher, &changes, &to);
     let read = from.elapsed();
     for turn in 0..3 {
         let (last, mut longest) = (std::cell::Cell::new(None), std::time::Duration::ZERO);
-        let mut pause = |_: &Hub| {
+        let mut pause = |_: &Dispatcher| {
             let now = std::time::Instant::now();
             let since: Option<std::time::Instant> = last.replace(Some(now));
             longest = longest.max(since.map_or(std::time::Duration::ZERO, |since| now - since));
@@ -189,10 +195,10 @@
         let from = std::time::Instant::now();
         let told = if turn % 2 == 0 {
             let stage = Wanted::Stage(Box::new(prepared.clone()));
-            assert_eq!(changes.want(&hub, stage, &mut pause)["ok"], json!(true));
-            changes.want(&hub, Wanted::Apply { if_base: None, probation: None }, &mut pause)
+            assert_eq!(changes.want(&dispatcher, stage, &mut pause)["ok"], json!(true));
+            changes.want(&dispatcher, Wanted::Apply { if_base: None, probation: None }, &mut pause)
         } else {
-            changes.want(&hub, Wanted::Undo, &mut pause)
+            changes.want(&dispatcher, Wanted::Undo, &mut pause)
         };
         assert_eq!(told["ok"], json!(true), "{told}");
         let (all, end) = (from.elapsed(), last.get().map(|last| last.elapsed()));
--- a/daemon/src/tests/hub.rs
+++ b/daemon/src/tests/dispatcher.rs
@@ -1,9 +1,9 @@
-//! The hub with a sidecar's connection on a real socket.
+//! The dispatcher with a sidecar's connection on a real socket.
 
 use super::{made, server, START};
+use crate::connection::Sidecar;
 use crate::core::Core;
-use crate::hub::Hub;
-use crate::parties::Sidecar;
+use crate::dispatcher::Dispatcher;
 use crate::wire::ConnId;
 use asterrill_net::{bind, drive, listen, now, one_worker, spawn, Outbox, Pool, Room};
 use asterrill_protocol::frames;
@@ -24,19 +24,24 @@
     let agent = Outbox::new(&pool, 1 << 16);
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let pools = [pool.clone(), Pool::new(500)];
-    let hub = Arc::new(Hub::new(core, agent, Vec::new(), 8, u64::MAX, pools, log.clone()));
+    let dispatcher = Arc::new(Dispatcher::new(core, agent, Vec::new(), 8, u64::MAX, pools, log.clone()));
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = listener.local_addr().unwrap();
     let ((come, came), (ends, end)) = (channel(), channel());
-    let (of, door) = (hub.clone(), hub.door.clone());
+    let (of, door) = (dispatcher.clone(), dispatcher.door.clone());
     let took = move |stream, place| {
-        let (hub, out, ends) = (of.clone(), Outbox::new(&of.pool, 192 * 1024), ends.clone());
-        let conn: ConnId = hub.join(out.clone());
+        let (dispatcher, out, ends) = (of.clone(), Outbox::new(&of.pool, 192 * 1024), ends.clone());
+        let conn: ConnId = dispatcher.join(out.clone());
         come.send((conn, out.clone())).unwrap();
         spawn("sidecar", move || {
-            let mut peer = Sidecar { hub: hub.clone(), conn, frames: frames::Reader::default(), heard: true };
-            drive(&stream, &out, &hub.pool, &mut peer);
-            hub.part(conn, false);
+            let mut peer = Sidecar {
+                dispatcher: dispatcher.clone(),
+                conn,
+                frames: frames::Reader::default(),
+                heard: true,
+            };
+            drive(&stream, &out, &dispatcher.pool, &mut peer);
+            dispatcher.part(conn, false);
             drop((stream, place));
             ends.send(conn).unwrap_or_default();
         })
@@ -61,14 +66,14 @@
     assert!(other.put(&[&[7; 50_000]]));
     quick.set_read_timeout(Some(WAIT)).unwrap();
     quick.read_exact(&mut [0; 50_000]).unwrap();
-    [slow_conn, quick_conn].into_iter().for_each(|conn| hub.ending(conn, None));
+    [slow_conn, quick_conn].into_iter().for_each(|conn| dispatcher.ending(conn, None));
     assert_eq!(quick.read(&mut [0]).unwrap(), 0, "it ends in order");
     drop(quick);
     assert_eq!(end.recv_timeout(WAIT), Ok(quick_conn));
-    hub.sweep_at(now() + 9_000_000);
+    dispatcher.sweep_at(now() + 9_000_000);
     assert!(end.recv_timeout(Duration::from_millis(100)).is_err(), "it still has time");
     assert!(!out.is_empty(), "it takes nothing");
-    hub.sweep_at(now() + 11_000_000);
+    dispatcher.sweep_at(now() + 11_000_000);
     assert_eq!(end.recv_timeout(Duration::from_millis(300)), Ok(slow_conn));
     drop(slow);
 }
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -2,8 +2,8 @@
 //! what happened, and what it hands back is carried out list by list.
 
 use crate::idempotency::{IdempotencyKey, IdempotencyKeys};
-use crate::kept::Kept;
 use crate::outputs::{Counts, Outputs, RouteId, Served};
+use crate::response_cache::Kept;
 use asterrill::{
     Answer, Arrival, CallEnd, CallerId, Care, Control, Effect, Experience, Final, Gauges, MethodId, Outcome,
     RpcId, RunEnd, Staged, Standing, Term, Us,
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -38,8 +38,8 @@
 
 mod engine;
 mod idempotency;
-mod kept;
 mod outputs;
+mod response_cache;
 #[cfg(test)]
 mod tests;
 
--- a/lab/src/fleet/agree.rs
+++ b/lab/src/fleet/agree.rs
@@ -2,7 +2,7 @@
 //! node, while faults go on; a stand-in of that caller asks every node all the time, and its answers tell who acts on what.
 
 use super::members::{ask, setup, FILE};
-use super::returns::{ms, Terms, COLD};
+use super::restart_recovery::{ms, Terms, COLD};
 use super::script::{Line, Played, What};
 use super::{Fleet, Plan};
 use crate::amqp::PRICE;
--- a/lab/src/fleet/callers.rs
+++ b/lab/src/fleet/callers.rs
@@ -1,7 +1,7 @@
 //! Stand-in sidecars of a fleet: each sends RPCs by chance, chooses among the backends that a late list names, and
 //! tries again elsewhere without a mark. A share of them is deaf: it heeds neither `pause` nor credit.
 
-use super::parties::Naming;
+use super::shared_services::Naming;
 use crate::load::{frame, request, unix_us, Share};
 use rand::rngs::StdRng;
 use rand::seq::IteratorRandom;
--- a/lab/src/fleet/members.rs
+++ b/lab/src/fleet/members.rs
@@ -1,7 +1,7 @@
 //! `fleet-members`: real processes that know each other, and cuts, losses, pauses and deaths between them. What each
 //! says of its view is asked of it; what it took of a shared limit is in the layer's own account.
 
-use super::returns::{habits, methods, ms, share, Terms, COLD, RAMP, WEIGHTS};
+use super::restart_recovery::{habits, methods, ms, share, Terms, COLD, RAMP, WEIGHTS};
 use super::script::{self, Line, Played, What};
 use super::{mean_work, Fleet, Plan};
 use crate::amqp::{self, LOOK, PRICE, UPDATE};
--- a/lab/src/fleet/narrow.rs
+++ b/lab/src/fleet/narrow.rs
@@ -2,7 +2,7 @@
 //! idle clients while discovery is down; `fleet-cold`, cold servers under the sum of what all their callers send.
 
 use super::callers::parts;
-use super::returns::{methods, ms, COLD, RAMP};
+use super::restart_recovery::{methods, ms, COLD, RAMP};
 use super::script::Spoil;
 use super::{Fleet, Member, Plan};
 use crate::amqp::LOOK;
--- a/lab/src/fleet/returns.rs
+++ b/lab/src/fleet/restart_recovery.rs
@@ -457,5 +457,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/returns.rs"]
+#[path = "tests/restart_recovery.rs"]
 mod tests;
--- a/lab/src/fleet/tests/returns.rs
+++ b/lab/src/fleet/tests/restart_recovery.rs
@@ -1,4 +1,4 @@
-//! Tests of `returns.rs`.
+//! Tests of `restart_recovery.rs`.
 
 use super::*;
 
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -189,7 +189,7 @@
             Scenario::RecoveryCpu => amqp::recovery_cpu(report, to.seed, span(4), rate),
             Scenario::FleetReturn | Scenario::FleetMembers | Scenario::FleetAgree => {
                 let (script, plot, other) = (to.script.clone(), to.plot.clone(), to.other.clone());
-                let terms = fleet::returns::Terms {
+                let terms = fleet::restart_recovery::Terms {
                     seed: to.seed,
                     kind: to.kind()?,
                     nodes: to.nodes.clamp(3, 40),
@@ -199,7 +199,7 @@
                     seconds: to.seconds,
                 };
                 match self {
-                    Scenario::FleetReturn => fleet::returns::scenario(report, &terms),
+                    Scenario::FleetReturn => fleet::restart_recovery::scenario(report, &terms),
                     Scenario::FleetAgree => fleet::agree::scenario(report, &terms),
                     _ => fleet::members::scenario(report, &terms),
                 }
--- a/lab/src/scale/agree.rs
+++ b/lab/src/scale/agree.rs
@@ -1,5 +1,5 @@
 //! `scale-agree`: what there is of agreement today, hollow, at the fleet's size: three keepers and many holders, the real
-//! state machines of `asterrill-agree` with a driver in memory (`world.rs`, which says what it leaves out).
+//! state machines of `asterrill-consensus` with a driver in memory (`world.rs`, which says what it leaves out).
 //!
 //! Times are virtual. CPU is what this thread spent in the state machines; it is charged to the virtual time of the node that
 //! spent it, but for `--quick`, which is the same each time.
@@ -11,7 +11,7 @@
 
 use crate::report::{Fault, Report};
 use asterrill::Us;
-use asterrill_agree::{Change, Counts, Entry, Kind as Of, Settled, Standing, Terms, CHANGES};
+use asterrill_consensus::{Change, Counts, Entry, Kind as Of, Settled, Standing, Terms, CHANGES};
 use clap::ValueEnum;
 use rand::seq::SliceRandom;
 use rand::Rng;
@@ -19,7 +19,7 @@
 use world::{Bounds, Tally, World, MS, S};
 
 const KEEPERS: usize = 3;
-const LEASE: Us = 5 * S; // conf/src/fleet.rs
+const LEASE: Us = 5 * S; // operator-config/src/fleet.rs
 const TICK: Us = 50 * MS;
 const FORGET: usize = 260; // one-entry changes, after which the keepers know no steps from the start any more
 const PLACES: usize = 12_000_000; // holders times entries, for which two gigabytes are enough
@@ -294,7 +294,7 @@
     // The holders, each with what it would have kept, within a second.
     let leader = run.world.leader().ok_or("nobody leads")?;
     let book = run.world.nodes[leader].agree.as_ref().map(|agree| agree.book().clone()).unwrap_or_default();
-    let mut kept = asterrill_agree::Book::default();
+    let mut kept = asterrill_consensus::Book::default();
     kept.believe(book.newest());
     let image = kept.image();
     report.set("version_bytes", json!(image.len()));
--- a/lab/src/scale/agree/world.rs
+++ b/lab/src/scale/agree/world.rs
@@ -1,13 +1,13 @@
-//! Many nodes of `asterrill-agree` in one process, on virtual time: whoever is due next has its turn, as the loop of
-//! `daemon/src/peers.rs` gives it one. Words are events with a size, a delay and a chance to get lost.
+//! Many nodes of `asterrill-consensus` in one process, on virtual time: whoever is due next has its turn, as the loop of
+//! `daemon/src/membership.rs` gives it one. Words are events with a size, a delay and a chance to get lost.
 //!
 //! What it has of the real process: the bounds on words that wait to be read and to be sent, the bound on what one sender may
 //! send, the bytes of the envelope, the time until a write stands, clocks whose rates differ, and (`charge`) that a node
 //! which computes does nothing else meanwhile. What it leaves out: sockets and their system calls, sealing (BLAKE3), the
-//! members beneath, the hub that takes the gate, waiting for a core, the width of a line, and headers of UDP and IP.
+//! members beneath, the dispatcher that takes the effective version, waiting for a core, the width of a line, and headers of UDP and IP.
 
 use asterrill::Us;
-use asterrill_agree::{contradict, Agree, Change, Form, Settled, State, Terms, Wish, Write};
+use asterrill_consensus::{contradict, Agree, Change, Form, Settled, State, Terms, Wish, Write};
 use nix::time::{clock_gettime, ClockId};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -17,7 +17,7 @@
 pub const S: Us = 1_000 * MS;
 /// Kind of the payload, head and keyed hash of `asterrill-membership`.
 pub const ENVELOPE: u64 = 1 + 33 + 16;
-const WAITING: usize = 4_096; // daemon/src/peers.rs: datagrams that wait to be sent
+const WAITING: usize = 4_096; // daemon/src/membership.rs: datagrams that wait to be sent
 const WORDS: usize = 4_096; // membership/src/members.rs: words that wait to be taken
 const BURST: f64 = 2_000.0; // and what one sender may send at once
 const RATE: f64 = 1_000.0; // and a second
--- a/lab/src/scale/members_real.rs
+++ b/lab/src/scale/members_real.rs
@@ -4,7 +4,7 @@
 use super::members::{memory_kb, play, round, Kind, Terms};
 use crate::amqp::{LOOK, PRICE};
 use crate::fleet::members::{ask, setup, FILE, GREET, PROBE, SECTIONS, SETTLE, SUSPICION};
-use crate::fleet::returns::{ms, COLD};
+use crate::fleet::restart_recovery::{ms, COLD};
 use crate::fleet::{Fleet, Plan};
 use crate::report::{Fault, Report};
 use crate::world::{Method, Setup};
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -15,20 +15,20 @@
 //!
 //! A view never decides about an RPC. It changes one figure of the module, through one call, and nothing waits for it.
 
-mod conduct;
+mod envelope;
 mod id;
-mod kept;
 mod lease;
 mod members;
-mod seal;
+mod persisted_state;
+mod role_policy;
 #[cfg(test)]
 mod tests;
 mod view;
 
-pub use conduct::{conduct, Changes, Conduct, SLICES};
+pub use envelope::{Dropped, Seal};
 pub use id::{Id, Name};
-pub use kept::Kept;
 pub use lease::{Lease, Terms as LeaseTerms};
 pub use members::{Counts, Event, Members, Shown, Standing, Terms};
-pub use seal::{Dropped, Seal};
+pub use persisted_state::Kept;
+pub use role_policy::{conduct, Changes, Conduct, SLICES};
 pub use view::{Evidence, Quorum, View};
--- a/membership/src/members.rs
+++ b/membership/src/members.rs
@@ -1,8 +1,8 @@
 //! The state machine of one member: datagrams and time in, datagrams and events out.
 
+use crate::envelope::{Dropped, Seal};
 use crate::id::{Id, Name};
 use crate::lease::{self, Lease};
-use crate::seal::{Dropped, Seal};
 use crate::view::{Evidence, Quorum, View};
 use asterrill::Us;
 use bytes::Buf;
--- a/membership/src/kept.rs
+++ b/membership/src/persisted_state.rs
@@ -53,5 +53,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/kept.rs"]
+#[path = "tests/persisted_state.rs"]
 mod tests;
--- a/membership/src/conduct.rs
+++ b/membership/src/role_policy.rs
@@ -43,5 +43,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/conduct.rs"]
+#[path = "tests/role_policy.rs"]
 mod tests;
--- a/conf/src/lib.rs
+++ b/operator-config/src/lib.rs
@@ -2,10 +2,10 @@
 //! brackets begins a section. Text in, typed values out; nothing here opens anything but in [`read_secret`].
 //!
 //! ```
-//! let file = asterrill_conf::parse("a.conf", "[broker]\naddress 127.0.0.1:5672\nuser u\npassword-file /p\n\
+//! let file = asterrill_operator_config::parse("a.conf", "[broker]\naddress 127.0.0.1:5672\nuser u\npassword-file /p\n\
 //!     [queue stock]\nmethod stock-update # a comment\nbound 10s\n").unwrap();
 //! assert_eq!(file.broker.unwrap().queues[0].bound, 10_000_000);
-//! let wrong = asterrill_conf::parse("a.conf", "[broker]\nheartbeat 10").unwrap_err();
+//! let wrong = asterrill_operator_config::parse("a.conf", "[broker]\nheartbeat 10").unwrap_err();
 //! assert_eq!(wrong.to_string(), "a.conf:2: heartbeat wants a time with its unit, such as 10s or 250ms, not \"10\"");
 //! ```
 
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -27,18 +27,18 @@
 //! assert_eq!(age(&now, &then), Some(2_000_000));
 //! ```
 
-mod learned;
-mod opening;
-mod sealed;
-mod spread;
+mod checksummed;
+mod jitter;
+mod slow_start;
+mod snapshot;
 mod stages;
+mod staleness;
 #[cfg(test)]
 mod tests;
-mod weigh;
 
-pub use learned::{age, Kept, Learned, LearnedFault, Moment, ACCOUNTS, METHODS, TENANTS};
-pub use opening::{Opening, Seen, Terms};
-pub use sealed::{open, seal, SealFault, MOST};
-pub use spread::{phase, seed, Beat};
+pub use checksummed::{open, seal, SealFault, MOST};
+pub use jitter::{phase, seed, Beat};
+pub use slow_start::{Opening, Seen, Terms};
+pub use snapshot::{age, Kept, Learned, LearnedFault, Moment, ACCOUNTS, METHODS, TENANTS};
 pub use stages::{Evidence, Stage, Stages};
-pub use weigh::{weigh, Present, Recall, Targets, Value, Verdict, Why, DEAREST, KEPT_RUNS, STATED};
+pub use staleness::{weigh, Present, Recall, Targets, Value, Verdict, Why, DEAREST, KEPT_RUNS, STATED};
--- a/recovery/src/learned.rs
+++ b/recovery/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! What a server has learned, as text, and how old such a text is.
 
-use crate::sealed::{open, seal, SealFault};
+use crate::checksummed::{open, seal, SealFault};
 use asterrill::Us;
 use std::fmt::Write as _;
 
--- a/recovery/src/weigh.rs
+++ b/recovery/src/staleness.rs
@@ -1,7 +1,7 @@
 //! What of a snapshot still holds after this start. One table; the docs have it in words
 //! (`docs/design/recovery.md`).
 
-use crate::learned::{age, Learned, Moment};
+use crate::snapshot::{age, Learned, Moment};
 use asterrill::Us;
 use std::collections::BTreeMap;
 
--- a/recovery/src/tests.rs
+++ b/recovery/src/tests.rs
@@ -1,4 +1,4 @@
-use crate::weigh::{DEAREST, KEPT_RUNS};
+use crate::staleness::{DEAREST, KEPT_RUNS};
 use crate::*;
 use asterrill::Us;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
--- a/src/control.rs
+++ b/src/control.rs
@@ -4,8 +4,8 @@
 //! one method and carries out the `Outcome` handed back (`types.rs`). `RULES` below are gone through in order
 //! until none fires. Reasons: `docs/design.md`.
 
-#[path = "learned.rs"]
-mod learned;
+#[path = "snapshot.rs"]
+mod snapshot;
 
 use crate::terms::{Ranked, Staged, Term};
 use crate::types::*;
