--- a/consumer/src/queue.rs
+++ b/consumer/src/queue.rs
@@ -8,7 +8,7 @@
 use crate::settlement::{verdict, Tried, Verdict};
 use crate::Terms;
 use asterrill::{CallerId, Effect, Final, MethodId, Us};
-use asterrill_protocol::amqp::{Delivery, Settle, Tag};
+use asterrill_protocol::amqp::{Delivery, DeliveryTag, Settle};
 use nanorand::{Rng, WyRand};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -46,7 +46,7 @@
     Offer(Offer),
     /// Nobody waits for this one any more; [`Queue::withdrawn`] follows.
     Withdraw(WorkId),
-    Settle(Tag, Settle),
+    Settle(DeliveryTag, Settle),
     /// Publish the answer [`Queue::reply`]; [`Queue::published`] follows once that was possible.
     Publish(WorkId),
     Log(String),
@@ -122,7 +122,7 @@
     offer: Offer,
     body: Vec<u8>,
     /// Of all deliveries of it that were not settled. None once its channel was lost.
-    tags: Vec<Tag>,
+    tags: Vec<DeliveryTag>,
     stage: Stage,
     runs: u32,
     pushed_back: u32,
@@ -474,7 +474,7 @@
         true
     }
 
-    fn unrouted(&mut self, tag: Tag, why: &Unrouted) {
+    fn unrouted(&mut self, tag: DeliveryTag, why: &Unrouted) {
         if self.counts.unrouted.is_power_of_two() || self.counts.unrouted == 0 {
             let line = format!("a delivery of queue {} goes nowhere: {why}", self.terms.queue);
             self.todo.push_back(Do::Log(line));
@@ -484,7 +484,7 @@
     }
 
     /// A delivery is rejected that was never taken in.
-    fn turn_away(&mut self, tag: Tag) {
+    fn turn_away(&mut self, tag: DeliveryTag) {
         self.counts.rejected += 1;
         self.todo.push_back(Do::Settle(tag, Settle::Reject));
     }
--- a/consumer/src/tests.rs
+++ b/consumer/src/tests.rs
@@ -4,7 +4,7 @@
 use crate::prefetch::{Signs, Window};
 use crate::{Do, Known, Queue, Select, Terms, WorkId};
 use asterrill::{Effect, Final, MethodId, Us};
-use asterrill_protocol::amqp::{Channel, Delivery, Headers, Settle, Tag};
+use asterrill_protocol::amqp::{Channel, Delivery, DeliveryTag, Headers, Settle};
 use quickcheck::Gen;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -60,8 +60,8 @@
     now: Us,
     ready: VecDeque<Message>,
     /// Out on the channel that stands, by tag.
-    out: BTreeMap<Tag, Message>,
-    settled: BTreeSet<Tag>,
+    out: BTreeMap<DeliveryTag, Message>,
+    settled: BTreeSet<DeliveryTag>,
     ends: BTreeMap<u64, Vec<Settle>>,
     tags: u64,
     offered: BTreeMap<WorkId, u64>,
@@ -82,11 +82,11 @@
     fn new() -> Tags {
         use asterrill_protocol::amqp::{Credentials, Login, Session};
         let credentials = Credentials { user: "u".into(), password: "p".into() };
-        let login = Login { credentials, virtual_host: "/".into(), heartbeat: 0, body_most: 64 };
+        let login = Login { credentials, virtual_host: "/".into(), heartbeat: 0, max_body_bytes: 64 };
         Tags(Session::new(login))
     }
     /// The tag of a delivery with this number on the channel as it stands now.
-    fn tag(&mut self, number: u64) -> Tag {
+    fn tag(&mut self, number: u64) -> DeliveryTag {
         let name = [1, b'c'];
         let mut payload = vec![0, 60, 0, 60];
         payload.extend_from_slice(&name);
@@ -196,7 +196,7 @@
             }
         }
     }
-    fn settle(&mut self, tag: Tag, how: Settle) {
+    fn settle(&mut self, tag: DeliveryTag, how: Settle) {
         if !self.settled.insert(tag) {
             self.faults.push(format!("{tag:?} was settled twice"));
         }
@@ -396,7 +396,7 @@
             w.end(n % 2 == 0); // ended here, and the settlement is never read
         }
     }
-    let settled: Vec<(Tag, Settle)> = w
+    let settled: Vec<(DeliveryTag, Settle)> = w
         .asked
         .iter()
         .filter_map(|d| if let Do::Settle(tag, how) = d { Some((*tag, *how)) } else { None })
--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -6,7 +6,7 @@
 use asterrill::Us;
 use asterrill_net::{exchange, now, wait_until, Address, Outbox, Party, Pause, Peer};
 use asterrill_protocol::agent::{self, Notice};
-use asterrill_protocol::{frames, naming, records, Broken};
+use asterrill_protocol::{name_service, sidecar, upstream, ProtocolError};
 use asterrill_recovery::phase;
 use asterrill_settings::Server;
 use slog::warn;
@@ -21,31 +21,31 @@
 pub struct Sidecar {
     pub dispatcher: Arc<Dispatcher>,
     pub conn: ConnId,
-    pub frames: frames::Reader,
+    pub frames: sidecar::Reader,
     pub heard: bool,
 }
 
 impl Sidecar {
-    fn take(&mut self, bytes: &mut &[u8]) -> Result<(), Broken> {
+    fn take(&mut self, bytes: &mut &[u8]) -> Result<(), ProtocolError> {
         let conn = self.conn;
         while let Some(frame) = self.frames.next(bytes)? {
             self.heard = true;
             let fine = self.dispatcher.with(|core, wire, now| match frame {
-                frames::Frame::Rpc(stream, ask, body) => {
+                sidecar::Frame::Rpc(stream, ask, body) => {
                     core.rpc_read(now, Place { conn, stream }, ask, body, wire)
                 }
-                frames::Frame::Odd(stream) => core.odd(now, Place { conn, stream }, wire),
-                frames::Frame::Gone(stream) => {
+                sidecar::Frame::Malformed(stream) => core.odd(now, Place { conn, stream }, wire),
+                sidecar::Frame::Cancelled(stream) => {
                     core.gone(now, Place { conn, stream }, wire);
                     true
                 }
-                frames::Frame::Check(stream, thorough) => {
+                sidecar::Frame::Check(stream, thorough) => {
                     core.check(now, Place { conn, stream }, thorough, wire);
                     true
                 }
             });
             if !fine {
-                return Err(Broken("too many streams are open, or nothing that came could be run"));
+                return Err(ProtocolError("too many streams are open, or nothing that came could be run"));
             }
         }
         Ok(())
@@ -55,7 +55,7 @@
 impl Peer for Sidecar {
     fn read(&mut self, mut bytes: &[u8]) -> bool {
         let taken = self.take(&mut bytes);
-        self.dispatcher.heard(self.conn, self.heard, taken.is_ok() && self.frames.halfway());
+        self.dispatcher.heard(self.conn, self.heard, taken.is_ok() && self.frames.has_partial());
         match taken {
             Ok(()) => true,
             Err(broken) => {
@@ -84,7 +84,7 @@
 }
 
 impl Agent {
-    fn take(&mut self, bytes: &mut &[u8]) -> Result<(), Broken> {
+    fn take(&mut self, bytes: &mut &[u8]) -> Result<(), ProtocolError> {
         while let Some(notice) = self.notices.next(bytes)? {
             self.useful = true;
             let make = &self.make;
@@ -144,7 +144,7 @@
     pub dispatcher: Arc<Dispatcher>,
     pub out: Outbox,
     pub link: LinkId,
-    pub replies: records::Reader,
+    pub replies: upstream::Reader,
     pub useful: bool,
 }
 
@@ -153,7 +153,7 @@
         loop {
             match self.replies.next(&mut bytes) {
                 Ok(None) => {
-                    self.dispatcher.stalled(self.link, self.replies.halfway());
+                    self.dispatcher.stalled(self.link, self.replies.has_partial());
                     return true;
                 }
                 Ok(Some(reply)) => self.dispatcher.with(|core, wire, now| {
@@ -179,7 +179,7 @@
         self.dispatcher.with(|core, _, _| core.link_ready(self.link));
     }
     fn up(&mut self) {
-        self.replies = records::Reader::default();
+        self.replies = upstream::Reader::default();
     }
     fn down(&mut self, refused: bool) -> bool {
         self.dispatcher.stalled(self.link, false);
@@ -230,8 +230,8 @@
             (at, kept) = (to.get(), None);
         }
         let news = || dispatcher.serving() != Some(serving) || to.get() != at;
-        let (mut request, mut reader, mut counts) = (Vec::new(), naming::Reader::default(), false);
-        naming::report(&mut request, name, &at.to_string(), serving);
+        let (mut request, mut reader, mut counts) = (Vec::new(), name_service::Reader::default(), false);
+        name_service::report(&mut request, name, &at.to_string(), serving);
         let start = now();
         let (fresh, wanted) = (kept.is_none(), || !news());
         let done =
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -16,7 +16,7 @@
 use asterrill_entries::{Change, Name};
 use asterrill_net::{Buf, Pool};
 use asterrill_protocol::agent::{self, NoticeId};
-use asterrill_protocol::frames::{Ask, StreamId, STREAMS};
+use asterrill_protocol::sidecar::{RpcRequest, StreamId, MAX_STREAMS};
 use asterrill_recovery::{Learned, Moment, Stages};
 use asterrill_rollout::{Sample, Seen};
 use asterrill_settings::{Bare, Server};
@@ -536,9 +536,11 @@
 
     /// An RPC came whole. False if nothing more is taken from its connection: too many streams are open, or
     /// nothing that came on it could be run.
-    pub fn rpc_read(&mut self, now: Us, place: Place, ask: Ask, body: &[u8], wire: &mut dyn Wire) -> bool {
+    pub fn rpc_read(
+        &mut self, now: Us, place: Place, ask: RpcRequest, body: &[u8], wire: &mut dyn Wire,
+    ) -> bool {
         let fine = self.around.sidecars.brings(place.conn);
-        if self.owed_on(place.conn) >= STREAMS || !fine {
+        if self.owed_on(place.conn) >= MAX_STREAMS || !fine {
             return false;
         }
         if let Some(gate) = &self.around.gate {
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -9,8 +9,8 @@
 use asterrill_consensus::Gate;
 use asterrill_net::{elapsed, now, Bell, Door, Outbox, Pool, Room, SIZE};
 use asterrill_protocol::agent::{self, NoticeId};
-use asterrill_protocol::frames::{self, ANSWER_HEAD};
-use asterrill_protocol::records;
+use asterrill_protocol::sidecar::{self, ANSWER_OVERHEAD_BYTES};
+use asterrill_protocol::upstream;
 use slog::{info, warn, Logger};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -464,14 +464,14 @@
             info!(self.log, "a sidecar's connection is closed"; "why" => why);
         }
         self.scratch.clear();
-        frames::error(&mut self.scratch, why);
+        sidecar::error(&mut self.scratch, why);
         line.out.put(&[&self.scratch]);
         true
     }
 
     fn leave(&mut self, out: &Outbox) {
         self.scratch.clear();
-        frames::leaving(&mut self.scratch);
+        sidecar::leaving(&mut self.scratch);
         out.put(&[&self.scratch]);
     }
 
@@ -501,11 +501,11 @@
 
 impl Wire for Ports {
     fn answer(&mut self, to: Place, answer: Final<'_>, credit: Option<f64>) {
-        self.scratch.reserve(ANSWER_HEAD + asterrill_protocol::BODY);
-        self.to(to, |bytes| frames::answer(bytes, to.stream, answer, credit));
+        self.scratch.reserve(ANSWER_OVERHEAD_BYTES + asterrill_protocol::MAX_BODY_BYTES);
+        self.to(to, |bytes| sidecar::answer(bytes, to.stream, answer, credit));
     }
     fn health(&mut self, to: Place, good: bool, credit: Option<f64>) {
-        self.to(to, |bytes| frames::health(bytes, to.stream, good, credit));
+        self.to(to, |bytes| sidecar::health(bytes, to.stream, good, credit));
     }
     fn launch(&mut self, id: RpcId, method: &str, body: &[u8]) {
         self.tell_agent(|bytes| agent::launch(bytes, id, method, body.len()), Some(body));
@@ -527,12 +527,12 @@
     }
     fn call(&mut self, link: LinkId, id: RpcId, wait: Us, body: &[u8]) -> bool {
         self.scratch.clear();
-        records::call(&mut self.scratch, id, wait, body.len());
+        upstream::call(&mut self.scratch, id, wait, body.len());
         self.below.get(link.0).is_some_and(|out| out.put(&[&self.scratch, body, b"\r\n"]))
     }
     fn give_up(&mut self, link: LinkId, id: RpcId) {
         self.scratch.clear();
-        records::give_up(&mut self.scratch, id);
+        upstream::give_up(&mut self.scratch, id);
         if let Some(out) = self.below.get(link.0) {
             out.put(&[&self.scratch]);
         }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -35,7 +35,7 @@
     drive, hold, listen, now, spawn, turn, wait_until, Address, End, Outbox, Pause as Rest, Pool,
 };
 use asterrill_operator_config::{File, Form};
-use asterrill_protocol::{agent, frames, records};
+use asterrill_protocol::{agent, sidecar};
 use asterrill_recovery::{phase, Moment};
 use asterrill_rollout::{start_with, Marked, Start, Wish};
 use asterrill_settings::{Deployment, Fault};
@@ -227,7 +227,7 @@
             (dispatcher.clone(), pool.clone(), Rest::new(ms(10), ms(200), chance.generate()));
         let Some(records) = places.records.clone() else { break };
         spawn("below", move || {
-            let (link, replies) = (LinkId(i), records::Reader::default());
+            let (link, replies) = (LinkId(i), asterrill_protocol::upstream::Reader::default());
             let mut party = Below { dispatcher, out: out.clone(), link, replies, useful: false };
             hold(&records, &out, &pool, false, pause, &mut party);
         })?;
@@ -263,7 +263,7 @@
                     let conn: ConnId = dispatcher.join(out.clone());
                     let (dispatcher, parted) = (dispatcher.clone(), dispatcher.clone());
                     let taken = spawn("sidecar", move || {
-                        let frames = frames::Reader::default();
+                        let frames = sidecar::Reader::default();
                         let mut peer = Sidecar { dispatcher: dispatcher.clone(), conn, frames, heard: false };
                         let end = drive(&stream, &out, &dispatcher.pool, &mut peer);
                         dispatcher.part(conn, end == End::Broken);
--- a/daemon/src/operator.rs
+++ b/daemon/src/operator.rs
@@ -76,7 +76,7 @@
             credentials: Credentials { user: broker.user, password },
             virtual_host: broker.virtual_host,
             heartbeat: broker.heartbeat,
-            body_most: broker.body as usize,
+            max_body_bytes: broker.body as usize,
         },
         terms,
         seed,
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -7,7 +7,7 @@
 use asterrill_entries::{Change as Entry, Content as Entries, Kind};
 use asterrill_net::Pool;
 use asterrill_protocol::agent::NoticeId;
-use asterrill_protocol::frames::{Ask, StreamId};
+use asterrill_protocol::sidecar::{RpcRequest, StreamId};
 use asterrill_settings::Server;
 use quickcheck::{Gen, QuickCheck};
 use serde_json::{json, Value};
@@ -216,8 +216,8 @@
     core: Core,
     out: Out,
     now: Us,
-    asks: BTreeMap<Place, (Ask, bool)>, // and whether its caller is gone
-    read: usize,                        // notices that were read
+    asks: BTreeMap<Place, (RpcRequest, bool)>, // and whether its caller is gone
+    read: usize,                               // notices that were read
     next: u64,
     killed: Option<Us>,
     version: u64,
@@ -265,7 +265,7 @@
         let place = Place { conn: ConnId(conn), stream: StreamId(self.next as u32) };
         let (caller, due) = (CallerId(conn), Some(self.now + patience));
         let (method, tenant) = (method.to_string(), "acme".to_string());
-        let ask = Ask { id, method, tenant, caller, born: self.now - 3 * MS, due, size_kb: 20.0, key };
+        let ask = RpcRequest { id, method, tenant, caller, born: self.now - 3 * MS, due, size_kb: 20.0, key };
         self.out.bodies.insert(id, body.clone());
         if self.core.rpc_read(self.now, place, ask.clone(), &body, &mut self.out) {
             self.asks.insert(place, (ask, false));
@@ -504,8 +504,9 @@
                 // A read that repeats another may carry what the other's run made.
                 let made =
                     |id: RpcId| Out::result(id) == *body && self.out.runs.get(&id).is_some_and(|r| r.over);
-                let same =
-                    |other: &Ask| other.key.is_some() && (&other.method, other.key) == (&ask.method, ask.key);
+                let same = |other: &RpcRequest| {
+                    other.key.is_some() && (&other.method, other.key) == (&ask.method, ask.key)
+                };
                 let joined = self.asks.values().any(|(other, _)| same(other) && made(other.id));
                 assert!(made(ask.id) || joined, "ok without its result {ask:?}");
             }
@@ -661,7 +662,7 @@
         let (method, tenant, caller) = (method.to_string(), "acme".to_string(), CallerId(conn));
         let (born, due, size_kb) = (w.now, Some(w.now + 800 * MS), 20.0 + conn as f64);
         w.out.bodies.insert(id, body.to_vec());
-        let ask = Ask { id, method, tenant, caller, born, due, size_kb, key: None };
+        let ask = RpcRequest { id, method, tenant, caller, born, due, size_kb, key: None };
         assert!(w.core.rpc_read(w.now, place, ask, body, &mut w.out));
         place
     };
@@ -919,7 +920,7 @@
     let (id, place) =
         (RpcId::new("00000000000000ff").unwrap(), Place { conn: ConnId(1), stream: StreamId(1) });
     let (method, tenant, caller) = ("look".to_string(), "acme".to_string(), CallerId(1));
-    let ask = Ask { id, method, tenant, caller, born: 0, due: Some(1), size_kb: 20.0, key: None };
+    let ask = RpcRequest { id, method, tenant, caller, born: 0, due: Some(1), size_kb: 20.0, key: None };
     w.core.rpc_read(w.now, place, ask, b"", &mut w.out);
     assert_eq!(w.out.answers[&place].0, "pushed back");
     let fine = w.ask(2, "look", 900 * MS, None);
@@ -933,7 +934,7 @@
     let (method, tenant, caller) = ("look".to_string(), "acme".to_string(), CallerId(1));
     let (id, place) = (RpcId::of(9), Place { conn: ConnId(1), stream: StreamId(1) });
     let born = w.now - 20 * MS;
-    let ask = Ask { id, method, tenant, caller, born, due: None, size_kb: 20.0, key: None };
+    let ask = RpcRequest { id, method, tenant, caller, born, due: None, size_kb: 20.0, key: None };
     w.core.rpc_read(w.now, place, ask, b"", &mut w.out);
     assert!(w.out.runs.contains_key(&id), "it is run like any other");
     let mut late = 0;
@@ -1029,7 +1030,7 @@
     let place = Place { conn: ConnId(1), stream: StreamId(1) };
     let (id, caller) = (RpcId::new("00000000000000aa").unwrap(), CallerId(1));
     let (method, tenant, due) = ("book".to_string(), "acme".to_string(), Some(START + 900 * MS));
-    let ask = Ask { id, method, tenant, caller, born: START, due, size_kb: 20.0, key: None };
+    let ask = RpcRequest { id, method, tenant, caller, born: START, due, size_kb: 20.0, key: None };
     core.rpc_read(START, place, ask, b"", &mut out);
     assert_eq!(out.answers[&place].0, "aborted", "the version that runs does not know it");
     let mut w = World::new(32);
@@ -1058,7 +1059,7 @@
         let (id, caller) = (RpcId::of(n + 1), CallerId(n));
         let (method, tenant, due) = ("look".to_string(), "acme".to_string(), Some(START + 900_000 * MS));
         out.bodies.insert(id, Vec::new());
-        let ask = Ask { id, method, tenant, caller, born: START, due, size_kb: 1.0, key: None };
+        let ask = RpcRequest { id, method, tenant, caller, born: START, due, size_kb: 1.0, key: None };
         core.rpc_read(START, place, ask, b"", &mut out);
     }
     let in_hand = core.open();
@@ -1255,7 +1256,7 @@
         let (method, tenant, caller) = (method.to_string(), tenant.to_string(), CallerId(1));
         let (born, due) = (w.now, Some(w.now + 800 * MS));
         w.out.bodies.insert(id, b"body".to_vec());
-        let ask = Ask { id, method, tenant, caller, born, due, size_kb: 1.0, key: None };
+        let ask = RpcRequest { id, method, tenant, caller, born, due, size_kb: 1.0, key: None };
         w.core.rpc_read(w.now, place, ask, b"body", &mut w.out);
         // It runs, waits, or is pushed back, where it is known.
         w.out.answers.get(&place).is_none_or(|(what, _)| *what != "aborted")
--- a/daemon/src/tests/dispatcher.rs
+++ b/daemon/src/tests/dispatcher.rs
@@ -6,7 +6,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::wire::ConnId;
 use asterrill_net::{bind, drive, listen, now, one_worker, spawn, Outbox, Pool, Room};
-use asterrill_protocol::frames;
+use asterrill_protocol::sidecar;
 use socket2::{Domain, Socket, Type};
 use std::io::Read;
 use std::net::TcpStream;
@@ -37,7 +37,7 @@
             let mut peer = Sidecar {
                 dispatcher: dispatcher.clone(),
                 conn,
-                frames: frames::Reader::default(),
+                frames: sidecar::Reader::default(),
                 heard: true,
             };
             drive(&stream, &out, &dispatcher.pool, &mut peer);
--- a/daemon/src/wire.rs
+++ b/daemon/src/wire.rs
@@ -4,7 +4,7 @@
 use asterrill::{Final, RpcId, Us};
 use asterrill_consumer::WorkId;
 use asterrill_protocol::agent::NoticeId;
-use asterrill_protocol::frames::StreamId;
+use asterrill_protocol::sidecar::StreamId;
 
 /// A sidecar's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/protocol/src/agent.rs
+++ b/protocol/src/agent.rs
@@ -1,7 +1,7 @@
 //! Commands to the agent that owns the cores, and what it tells.
 
-use crate::lines::Lines;
-use crate::Broken;
+use crate::line_reader::LineReader;
+use crate::ProtocolError;
 use asterrill::{Gauges, RpcId, RunEnd, Us};
 use std::io::Write;
 
@@ -29,11 +29,11 @@
 
 /// Reads what the agent tells.
 #[derive(Default)]
-pub struct Reader(Lines);
+pub struct Reader(LineReader);
 
 impl Reader {
     /// Takes from `input` up to the end of the next notice. Without one all of `input` has been taken.
-    pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Notice<'a>>, Broken> {
+    pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Notice<'a>>, ProtocolError> {
         match self.0.next(input, length)? {
             Some((line, body)) => notice(line, body).map(Some),
             None => Ok(None),
@@ -41,19 +41,20 @@
     }
 }
 
-fn length(line: &str) -> Result<Option<usize>, Broken> {
+fn length(line: &str) -> Result<Option<usize>, ProtocolError> {
     let mut words = line.split(' ');
     let last = match words.next() {
         Some("outcome") => words.nth(4),
         Some("request") => words.nth(2),
         _ => return Ok(None),
     };
-    let length = last.and_then(|n| n.parse().ok()).ok_or(Broken("a notice of the agent lacks its length"))?;
+    let length =
+        last.and_then(|n| n.parse().ok()).ok_or(ProtocolError("a notice of the agent lacks its length"))?;
     Ok(Some(length))
 }
 
-fn notice<'a>(line: &str, body: Option<&'a [u8]>) -> Result<Notice<'a>, Broken> {
-    parse(line, body).ok_or(Broken("a notice of the agent is not understood"))
+fn notice<'a>(line: &str, body: Option<&'a [u8]>) -> Result<Notice<'a>, ProtocolError> {
+    parse(line, body).ok_or(ProtocolError("a notice of the agent is not understood"))
 }
 
 fn parse<'a>(line: &str, body: Option<&'a [u8]>) -> Option<Notice<'a>> {
--- a/protocol/src/amqp/frames.rs
+++ b/protocol/src/amqp/frames.rs
@@ -2,7 +2,7 @@
 //! and of a kind that the other side may send.
 
 use super::depth;
-use crate::Broken;
+use crate::ProtocolError;
 use amq_protocol::frame::{gen_frame, parse_frame, AMQPContentHeader, AMQPFrame};
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::protocol::AMQPClass;
@@ -58,7 +58,7 @@
     from: Origin,
     most: usize,
     part: Vec<u8>,
-    broken: Option<Broken>,
+    broken: Option<ProtocolError>,
 }
 
 impl Frames {
@@ -71,12 +71,12 @@
         self.most = most.clamp(FRAME_LEAST, self.most);
     }
     /// In the middle of a frame.
-    pub fn halfway(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.part.is_empty()
     }
 
     /// Takes from `input` up to the end of the next frame. Without one all of `input` has been taken.
-    pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<AMQPFrame>, Broken> {
+    pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<AMQPFrame>, ProtocolError> {
         if let Some(broken) = &self.broken {
             return Err(broken.clone());
         }
@@ -85,7 +85,7 @@
         frame
     }
 
-    fn collect(&mut self, input: &mut &[u8]) -> Result<Option<AMQPFrame>, Broken> {
+    fn collect(&mut self, input: &mut &[u8]) -> Result<Option<AMQPFrame>, ProtocolError> {
         let need = loop {
             let need = self.need()?;
             let (now, later) = input.split_at((need - self.part.len()).min(input.len()));
@@ -100,7 +100,7 @@
         };
         let part = std::mem::take(&mut self.part);
         if part.get(need - 1) != Some(&END) {
-            return Err(Broken("an AMQP frame does not end where it should"));
+            return Err(ProtocolError("an AMQP frame does not end where it should"));
         }
         let frame = self.parse(&part);
         self.part = part;
@@ -109,30 +109,30 @@
     }
 
     /// Bytes that are needed before more can be told: the head, then the whole frame.
-    fn need(&self) -> Result<usize, Broken> {
+    fn need(&self) -> Result<usize, ProtocolError> {
         let Some(kind) = self.part.first() else { return Ok(HEAD) };
         match *kind {
             METHOD | HEADER | BODY | HEARTBEAT => {}
-            b'A' => return Err(Broken("the broker speaks another version of AMQP")),
-            _ => return Err(Broken("an AMQP frame's type is not known")),
+            b'A' => return Err(ProtocolError("the broker speaks another version of AMQP")),
+            _ => return Err(ProtocolError("an AMQP frame's type is not known")),
         }
         let Some(size) = self.part.get(3..HEAD) else { return Ok(HEAD) };
         let size = size.iter().fold(0, |n, b| n << 8 | *b as usize);
         if HEAD + size + 1 > self.most {
-            return Err(Broken("an AMQP frame is larger than was agreed"));
+            return Err(ProtocolError("an AMQP frame is larger than was agreed"));
         }
         Ok(HEAD + size + 1)
     }
 
-    fn parse(&self, part: &[u8]) -> Result<AMQPFrame, Broken> {
-        const BAD: Broken = Broken("an AMQP frame is not understood");
+    fn parse(&self, part: &[u8]) -> Result<AMQPFrame, ProtocolError> {
+        const BAD: ProtocolError = ProtocolError("an AMQP frame is not understood");
         let payload = part.get(HEAD..part.len() - 1).ok_or(BAD)?;
         match part.first().copied() {
             Some(METHOD) => {
                 let two = |at: usize| Some(u16::from_be_bytes(payload.get(at..at + 2)?.try_into().ok()?));
                 let method = two(0).zip(two(2)).ok_or(BAD)?;
                 if self.from == Origin::Broker && !BROKER.contains(&method) {
-                    return Err(Broken("an AMQP method that a broker does not send"));
+                    return Err(ProtocolError("an AMQP method that a broker does not send"));
                 }
                 if method == (10, 10) {
                     depth::start(payload)?;
--- a/protocol/src/amqp/mod.rs
+++ b/protocol/src/amqp/mod.rs
@@ -14,5 +14,5 @@
 
 pub use frames::{write, write_content, Frames, Origin, FRAME_MOST};
 pub use session::{
-    Channel, Credentials, Delivery, Event, Fault, Headers, Login, Reply, Session, Settle, State, Tag,
+    Channel, Credentials, Delivery, DeliveryTag, Event, Fault, Headers, Login, Reply, Session, Settle, State,
 };
--- a/protocol/src/amqp/session.rs
+++ b/protocol/src/amqp/session.rs
@@ -3,7 +3,7 @@
 //! [`Session::out`].
 
 use super::frames::{self, write_content, Frames, Origin, FRAME_LEAST, FRAME_MOST};
-use crate::Broken;
+use crate::ProtocolError;
 use amq_protocol::frame::{AMQPFrame, ProtocolVersion};
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::protocol::{basic, channel, confirm, connection, AMQPClass};
@@ -23,7 +23,7 @@
 /// A delivery's tag together with the opening of the channel it came by: a tag of an earlier opening, or of an
 /// earlier connection, is never used (1.8.3.13).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Tag {
+pub struct DeliveryTag {
     pub channel: Channel,
     epoch: u64,
     number: u64,
@@ -50,7 +50,7 @@
     /// Asked for, in microseconds; the broker may want another. 0 for none.
     pub heartbeat: Us,
     /// Longest body that is kept, in bytes; of longer ones only the head is handed on.
-    pub body_most: usize,
+    pub max_body_bytes: usize,
 }
 
 /// How a delivery is settled.
@@ -82,7 +82,7 @@
 /// A message as it was delivered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delivery {
-    pub tag: Tag,
+    pub tag: DeliveryTag,
     pub redelivered: bool,
     pub exchange: String,
     pub routing_key: String,
@@ -153,7 +153,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
     #[error("{0}")]
-    Broken(&'static str),
+    ProtocolError(&'static str),
     #[error("the broker does not take PLAIN, it offers {0:?}")]
     NoPlain(String),
     #[error("nothing came from the broker for {0} ms, twice the heartbeat that was agreed")]
@@ -166,9 +166,9 @@
     SlowClose,
 }
 
-impl From<Broken> for Fault {
-    fn from(broken: Broken) -> Fault {
-        Fault::Broken(broken.0)
+impl From<ProtocolError> for Fault {
+    fn from(broken: ProtocolError) -> Fault {
+        Fault::ProtocolError(broken.0)
     }
 }
 
@@ -237,7 +237,7 @@
     pub out: Vec<u8>,
 }
 
-const UNEXPECTED: Fault = Fault::Broken("an AMQP frame came where it does not belong");
+const UNEXPECTED: Fault = Fault::ProtocolError("an AMQP frame came where it does not belong");
 
 impl Session {
     pub fn new(login: Login) -> Session {
@@ -265,7 +265,7 @@
         self.blocked
     }
     /// Tags of this channel can still be used.
-    pub fn stands(&self, tag: Tag) -> bool {
+    pub fn stands(&self, tag: DeliveryTag) -> bool {
         self.is_open(tag.channel) && self.lines.get(&tag.channel).is_some_and(|line| line.epoch == tag.epoch)
     }
 
@@ -338,7 +338,7 @@
                 self.tell(0, AMQPClass::Connection(M::StartOk(start_ok)));
                 Ok(None)
             }
-            (State::Tuning, M::Secure(_)) => Err(Fault::Broken("the broker wants more than PLAIN")),
+            (State::Tuning, M::Secure(_)) => Err(Fault::ProtocolError("the broker wants more than PLAIN")),
             (State::Tuning, M::Tune(tune)) => {
                 let most = if tune.frame_max == 0 { u32::MAX } else { tune.frame_max };
                 if (most as usize) < FRAME_LEAST {
@@ -475,14 +475,14 @@
     }
 
     fn body(&mut self, at: Channel, bytes: &[u8]) -> Result<Option<Event>, Fault> {
-        let most = self.login.body_most as u64;
+        let most = self.login.max_body_bytes as u64;
         let Some(line) = self.line(at) else { return Ok(None) };
         let content = line.content.as_mut().ok_or(UNEXPECTED)?;
         let size = content.header.as_ref().map(|header| header.1).ok_or(UNEXPECTED)?;
         content.left = content
             .left
             .checked_sub(bytes.len() as u64)
-            .ok_or(Fault::Broken("an AMQP body is longer than its header said"))?;
+            .ok_or(Fault::ProtocolError("an AMQP body is longer than its header said"))?;
         if size <= most {
             content.body.extend_from_slice(bytes);
         }
@@ -496,7 +496,7 @@
 
     /// Hands on a message whose content is whole.
     fn whole(&mut self, at: Channel) -> Result<Option<Event>, Fault> {
-        let most = self.login.body_most as u64;
+        let most = self.login.max_body_bytes as u64;
         let Some(line) = self.lines.get_mut(&at) else { return Ok(None) };
         let Some(content) = line.content.take_if(|content| content.left == 0) else { return Ok(None) };
         let Some(header) = content.header else { return Err(UNEXPECTED) };
@@ -504,7 +504,7 @@
         Ok(Some(match content.what {
             What::Return(code) => Event::Returned { message_id: headers.message_id, code },
             What::Deliver(deliver) => Event::Delivered(Box::new(Delivery {
-                tag: Tag { channel: at, epoch: line.epoch, number: deliver.delivery_tag },
+                tag: DeliveryTag { channel: at, epoch: line.epoch, number: deliver.delivery_tag },
                 redelivered: deliver.redelivered,
                 exchange: deliver.exchange.to_string(),
                 routing_key: deliver.routing_key.to_string(),
@@ -579,7 +579,7 @@
     }
 
     /// Settles a delivery (1.8.3.13, 1.8.3.14). False if its channel is over: nothing is written then.
-    pub fn settle(&mut self, tag: Tag, how: Settle) -> bool {
+    pub fn settle(&mut self, tag: DeliveryTag, how: Settle) -> bool {
         if !self.stands(tag) {
             return false;
         }
--- a/protocol/src/amqp/tests.rs
+++ b/protocol/src/amqp/tests.rs
@@ -11,7 +11,7 @@
 
 fn login() -> Login {
     let credentials = Credentials { user: "u".into(), password: "hidden".into() };
-    Login { credentials, virtual_host: "/".into(), heartbeat: 4 * S, body_most: 64 }
+    Login { credentials, virtual_host: "/".into(), heartbeat: 4 * S, max_body_bytes: 64 }
 }
 
 fn method(channel: u16, method: AMQPClass) -> Vec<u8> {
@@ -244,8 +244,8 @@
         feed(&mut consuming(), 6, &deliver(2, 1, with, b"")).map(|events| events.len())
     };
     assert_eq!(read(7), Ok(1));
-    assert_eq!(read(8), Err(Fault::Broken("AMQP field tables lie too deep in one another")));
-    assert_eq!(read(500), Err(Fault::Broken("AMQP field tables lie too deep in one another")));
+    assert_eq!(read(8), Err(Fault::ProtocolError("AMQP field tables lie too deep in one another")));
+    assert_eq!(read(500), Err(Fault::ProtocolError("AMQP field tables lie too deep in one another")));
     let mut session = Session::new(login());
     session.connected(0);
     assert!(feed(&mut session, 1, &start("PLAIN", nest(500))).is_err());
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -4,24 +4,24 @@
 
 pub mod agent;
 pub mod amqp;
-pub mod frames;
-mod lines;
-pub mod naming;
-pub mod records;
+mod line_reader;
+pub mod name_service;
+pub mod sidecar;
 #[cfg(test)]
 mod tests;
+pub mod upstream;
 
 use std::fmt;
 
 /// What was read can't be understood: the connection it came on is of no more use for reading.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
-impl fmt::Display for Broken {
+impl fmt::Display for ProtocolError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.0)
     }
 }
 
 /// The longest body of any kind that is taken in; longer ones are passed over.
-pub const BODY: usize = 4096;
+pub const MAX_BODY_BYTES: usize = 4096;
--- a/protocol/src/lines.rs
+++ b/protocol/src/line_reader.rs
@@ -1,6 +1,6 @@
-//! Lines of words ended by CR LF, some followed by a body of a told length and CR LF.
+//! LineReader of words ended by CR LF, some followed by a body of a told length and CR LF.
 
-use crate::{Broken, BODY};
+use crate::{ProtocolError, MAX_BODY_BYTES};
 
 const LINE: usize = 512;
 const LONGEST: usize = 1 << 24; // a length beyond it is nonsense
@@ -10,7 +10,7 @@
 
 /// Collects a line, then its body. What is handed back lives until the next call.
 #[derive(Default)]
-pub(crate) struct Lines {
+pub(crate) struct LineReader {
     line: Vec<u8>,
     body: Vec<u8>,
     left: Option<usize>, // bytes of body and CR LF still to come
@@ -18,17 +18,17 @@
     whole: bool,         // the last call handed something back
 }
 
-impl Lines {
+impl LineReader {
     /// In the middle of a line or its body.
-    pub(crate) fn halfway(&self) -> bool {
+    pub(crate) fn has_partial(&self) -> bool {
         !self.whole && !self.line.is_empty()
     }
 
     /// Takes from `input` up to the end of the next line and its body. `length` tells from a line how long
     /// its body is, if it has one; one that is too long is handed back as none.
     pub(crate) fn next(
-        &mut self, input: &mut &[u8], length: fn(&str) -> Result<Option<usize>, Broken>,
-    ) -> Result<Option<Line<'_>>, Broken> {
+        &mut self, input: &mut &[u8], length: fn(&str) -> Result<Option<usize>, ProtocolError>,
+    ) -> Result<Option<Line<'_>>, ProtocolError> {
         if std::mem::take(&mut self.whole) {
             self.line.clear();
             self.body.clear();
@@ -38,7 +38,7 @@
             let end = input.iter().position(|b| *b == b'\n').map_or(input.len(), |at| at + 1);
             let (now, later) = input.split_at(end);
             if self.line.len() + now.len() > LINE {
-                return Err(Broken("a line is too long"));
+                return Err(ProtocolError("a line is too long"));
             }
             self.line.extend_from_slice(now);
             *input = later;
@@ -46,13 +46,13 @@
                 return Ok(None);
             }
             if !self.line.ends_with(b"\r\n") {
-                return Err(Broken("a line does not end in CR LF"));
+                return Err(ProtocolError("a line does not end in CR LF"));
             }
             self.line.truncate(self.line.len() - 2);
             match length(text(&self.line)?)? {
                 None => self.whole = true,
-                Some(n) if n > LONGEST => return Err(Broken("a body is too long")),
-                Some(n) => (self.left, self.long) = (Some(n + 2), n > BODY),
+                Some(n) if n > LONGEST => return Err(ProtocolError("a body is too long")),
+                Some(n) => (self.left, self.long) = (Some(n + 2), n > MAX_BODY_BYTES),
             }
         }
         if let Some(left) = self.left {
@@ -71,7 +71,7 @@
                 return Ok(None);
             }
             if !self.body.ends_with(b"\r\n") {
-                return Err(Broken("a body does not end in CR LF"));
+                return Err(ProtocolError("a body does not end in CR LF"));
             }
             self.body.truncate(self.body.len() - 2);
             (self.left, self.whole) = (None, true);
@@ -81,6 +81,6 @@
     }
 }
 
-fn text(line: &[u8]) -> Result<&str, Broken> {
-    std::str::from_utf8(line).map_err(|_| Broken("a line is not text"))
+fn text(line: &[u8]) -> Result<&str, ProtocolError> {
+    std::str::from_utf8(line).map_err(|_| ProtocolError("a line is not text"))
 }
--- a/protocol/src/naming.rs
+++ b/protocol/src/name_service.rs
@@ -1,6 +1,6 @@
 //! Reports to the name service, spoken in HTTP/1.1.
 
-use crate::Broken;
+use crate::ProtocolError;
 use std::io::Write;
 
 const HEAD: usize = 4096;
@@ -36,7 +36,7 @@
 
 impl Reader {
     /// Takes from `input` up to the end of the next reply. Without one all of `input` has been taken.
-    pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<Reply>, Broken> {
+    pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<Reply>, ProtocolError> {
         while self.found.is_none() {
             let Some((byte, later)) = input.split_first() else { return Ok(None) };
             self.head.push(*byte);
@@ -45,7 +45,7 @@
                 self.found = head(&self.head)?;
                 self.head.clear();
             } else if self.head.len() >= HEAD {
-                return Err(Broken("a reply of the name service has too long a head"));
+                return Err(ProtocolError("a reply of the name service has too long a head"));
             }
         }
         let Some((reply, left)) = &mut self.found else { return Ok(None) };
@@ -62,8 +62,8 @@
 }
 
 /// None for an interim reply, which another one follows.
-fn head(bytes: &[u8]) -> Result<Option<(Reply, usize)>, Broken> {
-    const BAD: Broken = Broken("a reply of the name service is not understood");
+fn head(bytes: &[u8]) -> Result<Option<(Reply, usize)>, ProtocolError> {
+    const BAD: ProtocolError = ProtocolError("a reply of the name service is not understood");
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut response = httparse::Response::new(&mut headers);
     response.parse(bytes).map_err(|_| BAD)?;
--- a/protocol/src/frames.rs
+++ b/protocol/src/sidecar.rs
@@ -1,7 +1,7 @@
 //! Binary frames between sidecars and a backend. A frame may be far longer than what is kept of it: fields
 //! that nobody asked for are passed over as they come.
 
-use crate::Broken;
+use crate::ProtocolError;
 use asterrill::{CallerId, Final, RpcId, Us};
 use std::collections::BTreeSet;
 
@@ -10,9 +10,9 @@
 pub struct StreamId(pub u32);
 
 /// The streams that may be open on one connection.
-pub const STREAMS: usize = 32;
+pub const MAX_STREAMS: usize = 32;
 /// The most bytes that one final answer takes besides its body.
-pub const ANSWER_HEAD: usize = 128;
+pub const ANSWER_OVERHEAD_BYTES: usize = 128;
 
 const SHORTEST: usize = 5;
 const LONGEST: usize = 262_144;
@@ -22,7 +22,7 @@
 
 /// An RPC as a sidecar sent it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct RpcRequest {
     pub id: RpcId,
     pub method: String,
     pub tenant: String,
@@ -37,11 +37,11 @@
 
 #[derive(Debug, PartialEq)]
 pub enum Frame<'a> {
-    Rpc(StreamId, Ask, &'a [u8]),
+    Rpc(StreamId, RpcRequest, &'a [u8]),
     /// An RPC with a field missing or odd, or a body too long: it can only be aborted.
-    Odd(StreamId),
+    Malformed(StreamId),
     /// Nobody waits for this stream any more.
-    Gone(StreamId),
+    Cancelled(StreamId),
     /// A health check; a thorough one wants to know whether work gets done.
     Check(StreamId, bool),
 }
@@ -75,7 +75,7 @@
     odd: bool,
     used: Used,
     highest: StreamId,
-    broken: Option<Broken>,
+    broken: Option<ProtocolError>,
 }
 
 impl Default for Reader {
@@ -105,13 +105,13 @@
 
 impl Reader {
     /// In the middle of a frame.
-    pub fn halfway(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         self.at != At::Head || !self.part.is_empty()
     }
 
     /// Takes from `input` up to the end of the next frame that says something, and hands it back. Without
     /// one all of `input` has been taken.
-    pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Frame<'a>>, Broken> {
+    pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Frame<'a>>, ProtocolError> {
         if let Some(broken) = &self.broken {
             return Err(broken.clone());
         }
@@ -125,7 +125,7 @@
         }
     }
 
-    fn until_frame(&mut self, input: &mut &[u8]) -> Result<bool, Broken> {
+    fn until_frame(&mut self, input: &mut &[u8]) -> Result<bool, ProtocolError> {
         loop {
             if self.at == At::Head && self.part.is_empty() {
                 (self.need, self.passed) = (9, 0);
@@ -151,7 +151,7 @@
     }
 
     /// An element is whole. True at the end of a frame.
-    fn element(&mut self) -> Result<bool, Broken> {
+    fn element(&mut self) -> Result<bool, ProtocolError> {
         let whole = self.passed == 0;
         match self.at {
             At::Head => {
@@ -159,7 +159,7 @@
                 self.kind = self.part[4];
                 self.stream = StreamId(number(&self.part[5..]) as u32);
                 if !(SHORTEST..=LONGEST).contains(&length) {
-                    return Err(Broken("a frame's length is out of bounds"));
+                    return Err(ProtocolError("a frame's length is out of bounds"));
                 }
                 self.rest = length - SHORTEST;
                 self.values.clear();
@@ -168,16 +168,16 @@
                     1 | 4 => {
                         self.highest = self.highest.max(self.stream);
                         if self.kind == 1 && !self.used.take(self.stream) {
-                            return Err(Broken("a stream was used twice"));
+                            return Err(ProtocolError("a stream was used twice"));
                         }
                         self.go(At::Count, 1)
                     }
                     3 if self.stream > self.highest => {
-                        Err(Broken("a stream that was never used is given up"))
+                        Err(ProtocolError("a stream that was never used is given up"))
                     }
                     3 if self.rest == 0 => Ok(self.end()),
-                    3 => Err(Broken("a frame of type 3 has a payload")),
-                    _ => Err(Broken("a frame's type is not known")),
+                    3 => Err(ProtocolError("a frame of type 3 has a payload")),
+                    _ => Err(ProtocolError("a frame's type is not known")),
                 }
             }
             At::Count => {
@@ -208,7 +208,7 @@
         }
     }
 
-    fn next_field(&mut self) -> Result<bool, Broken> {
+    fn next_field(&mut self) -> Result<bool, ProtocolError> {
         if self.fields > 0 {
             return self.go(At::NameLength, 1);
         }
@@ -216,8 +216,8 @@
     }
 
     /// On to the next element, of this length. True where that is the end already.
-    fn go(&mut self, at: At, need: usize) -> Result<bool, Broken> {
-        self.rest = self.rest.checked_sub(need).ok_or(Broken("a frame's fields don't parse"))?;
+    fn go(&mut self, at: At, need: usize) -> Result<bool, ProtocolError> {
+        self.rest = self.rest.checked_sub(need).ok_or(ProtocolError("a frame's fields don't parse"))?;
         self.part.clear();
         (self.at, self.need, self.passed) = (at, need, 0);
         if need > 0 {
@@ -239,8 +239,8 @@
         let body = &self.body[..];
         match (self.kind, ask) {
             (1, Some(ask)) if !self.odd => Frame::Rpc(stream, ask, body),
-            (1, _) => Frame::Odd(stream),
-            (3, _) => Frame::Gone(stream),
+            (1, _) => Frame::Malformed(stream),
+            (3, _) => Frame::Cancelled(stream),
             _ => Frame::Check(stream, thorough),
         }
     }
@@ -249,7 +249,7 @@
         self.values.iter().find(|(n, _)| *n == name).map(|(_, v)| v.as_str())
     }
 
-    fn ask(&self) -> Option<Ask> {
+    fn ask(&self) -> Option<RpcRequest> {
         let id = self.value("trace").filter(|t| t.len() == 16 && t.bytes().all(|b| b.is_ascii_hexdigit()))?;
         let whole =
             |name| self.value(name).filter(|v| v.bytes().all(|b| b.is_ascii_digit()))?.parse::<u64>().ok();
@@ -267,7 +267,7 @@
             Some(key) => Some(u64::from_str_radix(key, 16).ok()?),
             None => None,
         };
-        Some(Ask {
+        Some(RpcRequest {
             id: RpcId::new(id)?,
             method: self.value("route")?.to_string(),
             tenant: self.value("customer").unwrap_or("").to_string(),
@@ -343,7 +343,7 @@
 pub fn error(to: &mut Vec<u8>, text: &str) {
     let start = head(to, 2, StreamId(0));
     to.extend_from_slice(&[5, 0]);
-    to.extend_from_slice(&text.as_bytes()[..text.len().min(ANSWER_HEAD / 2)]);
+    to.extend_from_slice(&text.as_bytes()[..text.len().min(ANSWER_OVERHEAD_BYTES / 2)]);
     close(to, start);
 }
 
--- a/protocol/src/tests.rs
+++ b/protocol/src/tests.rs
@@ -1,13 +1,13 @@
 //! Every state machine fed its bytes split at every place, byte by byte, and garbage.
 
-use crate::frames::{self, StreamId};
-use crate::{agent, naming, records, Broken, BODY};
+use crate::sidecar::{self, StreamId};
+use crate::{agent, name_service, upstream, ProtocolError, MAX_BODY_BYTES};
 use asterrill::Final;
 use asterrill::RpcId;
 use quickcheck::{Gen, QuickCheck};
 
 /// Feeds pieces to a fresh reader; what it hands back, in words, and how it ended.
-type Feed = fn(&[&[u8]]) -> (Vec<String>, Option<Broken>);
+type Feed = fn(&[&[u8]]) -> (Vec<String>, Option<ProtocolError>);
 
 macro_rules! feed {
     ($reader:ty) => {
@@ -31,10 +31,10 @@
 }
 
 const MACHINES: [(&str, Feed); 4] = [
-    ("frames", feed!(frames::Reader)),
+    ("frames", feed!(sidecar::Reader)),
     ("agent", feed!(agent::Reader)),
-    ("records", feed!(records::Reader)),
-    ("naming", feed!(naming::Reader)),
+    ("records", feed!(upstream::Reader)),
+    ("naming", feed!(name_service::Reader)),
 ];
 
 fn frame(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
@@ -133,7 +133,7 @@
     assert!(fault([rpc(1, &ASK, b""), frame(3, 2, &[])].concat()).contains("never used"));
     assert_eq!(fault([frame(4, 1, &fields(&[])), frame(3, 1, &[])].concat()), "none");
     assert_eq!(fault([rpc(2, &ASK, b""), rpc(1, &ASK, b""), rpc(3, &ASK, b"")].concat()), "none");
-    let mut reader = frames::Reader::default();
+    let mut reader = sidecar::Reader::default();
     assert!(reader.next(&mut &frame(9, 1, &[])[..]).is_err());
     assert!(reader.next(&mut &rpc(1, &ASK, b"")[..]).is_err());
 }
@@ -194,7 +194,7 @@
     assert!(feed(&[&[b'a'; 4000]]).1.is_some());
     // A body too long to be passed on is passed over, and what follows is read.
     let long = |n: usize, end: &str| format!("request 1 ab {n}\r\n{}{end}aside 2 on\r\n", "x".repeat(n));
-    for (n, what) in [(BODY, "Some"), (BODY + 1, "None"), (3 * BODY, "None")] {
+    for (n, what) in [(MAX_BODY_BYTES, "Some"), (MAX_BODY_BYTES + 1, "None"), (3 * MAX_BODY_BYTES, "None")] {
         let bytes = long(n, "\r\n");
         for piece in [1, 2, 3, 1000, bytes.len()] {
             let (said, broken) = feed(&bytes.as_bytes().chunks(piece).collect::<Vec<_>>());
@@ -202,21 +202,25 @@
         }
         assert!(feed(&[long(n, "\n\r").as_bytes()]).1.is_some());
     }
-    let passed = format!("outcome 1 ab PASS 1 {0}\r\n{1}\r\n", BODY + 1, "x".repeat(BODY + 1));
+    let passed =
+        format!("outcome 1 ab PASS 1 {0}\r\n{1}\r\n", MAX_BODY_BYTES + 1, "x".repeat(MAX_BODY_BYTES + 1));
     assert!(feed(&[passed.as_bytes()]).0[0].contains("Aborted"));
     assert!(feed(&[b"request 1 ab 99999999999\r\n"]).1.is_some());
     // A reply from below that can't be passed on spoils its link at once: it may never come to its end.
     let (_, below) = MACHINES[2];
-    for spoilt in
-        [format!("ab DONE {}\r\n", BODY + 1), "ab DONE 3000000000\r\n".into(), "ab DONE -1\r\n".into()]
-    {
+    for spoilt in [
+        format!("ab DONE {}\r\n", MAX_BODY_BYTES + 1),
+        "ab DONE 3000000000\r\n".into(),
+        "ab DONE -1\r\n".into(),
+    ] {
         assert!(below(&[spoilt.as_bytes()]).1.is_some(), "{spoilt}");
     }
-    let mut reader = records::Reader::default();
-    for (piece, halfway) in [("ab DO", true), ("NE 2\r\n", true), ("x", true), ("y\r\n", false), ("", false)]
+    let mut reader = upstream::Reader::default();
+    for (piece, has_partial) in
+        [("ab DO", true), ("NE 2\r\n", true), ("x", true), ("y\r\n", false), ("", false)]
     {
         reader.next(&mut piece.as_bytes()).unwrap();
-        assert_eq!(reader.halfway(), halfway, "after {piece:?}");
+        assert_eq!(reader.has_partial(), has_partial, "after {piece:?}");
     }
     assert!(feed(&[b"request 1 ab 1\r\nxyz"]).1.is_some());
     assert!(feed(&[b"sampled 1 -2\r\n"]).1.is_some());
@@ -226,23 +230,23 @@
 #[test]
 fn what_is_written_can_be_read_by_the_page() {
     let mut to = Vec::new();
-    frames::answer(&mut to, StreamId(9), Final::Ok(b"r\r\n"), Some(2.5));
+    sidecar::answer(&mut to, StreamId(9), Final::Ok(b"r\r\n"), Some(2.5));
     let payload = [&[0][..], &fields(&[("advice", "2.5000")]), b"r\r\n"].concat();
     assert_eq!(to, frame(2, 9, &payload));
     to.clear();
-    frames::answer(&mut to, StreamId(9), Final::PushedBack { terminal: true, come_back: 1_500 }, None);
+    sidecar::answer(&mut to, StreamId(9), Final::PushedBack { terminal: true, come_back: 1_500 }, None);
     assert_eq!(to, frame(2, 9, &[&[11][..], &fields(&[("pause", "2"), ("terminal", "1")])].concat()));
     to.clear();
-    frames::answer(&mut to, StreamId(9), Final::Aborted, None);
-    frames::health(&mut to, StreamId(1), false, None);
-    frames::leaving(&mut to);
+    sidecar::answer(&mut to, StreamId(9), Final::Aborted, None);
+    sidecar::health(&mut to, StreamId(1), false, None);
+    sidecar::leaving(&mut to);
     assert_eq!(to, [frame(2, 9, &[5, 0]), frame(5, 1, &[1, 0]), frame(6, 0, &[])].concat());
     let id = RpcId::new("00ab").unwrap();
     to.clear();
     agent::launch(&mut to, id, "look", 3);
     agent::skip(&mut to, id, agent::NoticeId(4));
-    records::call(&mut to, id, 250_100, 9);
-    records::give_up(&mut to, id);
+    upstream::call(&mut to, id, 250_100, 9);
+    upstream::give_up(&mut to, id);
     let lines = "launch 00ab look 3\r\nforgo 00ab 4\r\nOP 00ab 251 9\r\nUNOP 00ab\r\n";
     assert_eq!(String::from_utf8_lossy(&to), lines);
 }
--- a/protocol/src/records.rs
+++ b/protocol/src/upstream.rs
@@ -1,7 +1,7 @@
 //! Calls to the layer below, and its replies.
 
-use crate::lines::Lines;
-use crate::{Broken, BODY};
+use crate::line_reader::LineReader;
+use crate::{ProtocolError, MAX_BODY_BYTES};
 use asterrill::{CallEnd, RpcId, Us};
 use std::io::Write;
 
@@ -15,16 +15,16 @@
 
 /// Reads the replies on one connection.
 #[derive(Default)]
-pub struct Reader(Lines);
+pub struct Reader(LineReader);
 
 impl Reader {
     /// In the middle of a reply.
-    pub fn halfway(&self) -> bool {
-        self.0.halfway()
+    pub fn has_partial(&self) -> bool {
+        self.0.has_partial()
     }
 
     /// Takes from `input` up to the end of the next reply. Without one all of `input` has been taken.
-    pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Reply<'a>>, Broken> {
+    pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Reply<'a>>, ProtocolError> {
         let Some((line, body)) = self.0.next(input, length)? else { return Ok(None) };
         let mut words = line.split(' ');
         let id = words.next().filter(|id| !id.is_empty()).and_then(RpcId::new);
@@ -37,20 +37,20 @@
         };
         match (id, end) {
             (Some(id), Some(end)) => Ok(Some(Reply { id, end, body: body.unwrap_or(&[]) })),
-            _ => Err(Broken("a reply from below is not understood")),
+            _ => Err(ProtocolError("a reply from below is not understood")),
         }
     }
 }
 
-fn length(line: &str) -> Result<Option<usize>, Broken> {
+fn length(line: &str) -> Result<Option<usize>, ProtocolError> {
     let mut words = line.split(' ').skip(1);
     if words.next() != Some("DONE") {
         return Ok(None);
     }
     match words.next().and_then(|n| n.parse().ok()) {
-        Some(n) if n <= BODY => Ok(Some(n)),
-        Some(_) => Err(Broken("a reply from below is too long")),
-        None => Err(Broken("a reply from below lacks its length")),
+        Some(n) if n <= MAX_BODY_BYTES => Ok(Some(n)),
+        Some(_) => Err(ProtocolError("a reply from below is too long")),
+        None => Err(ProtocolError("a reply from below lacks its length")),
     }
 }
 
