--- a/protocol/src/tests.rs
+++ b/protocol/src/tests.rs
@@ -162,12 +162,12 @@
         let bytes = [rpc(1, &odd, b""), rpc(2, &ASK, b"")].concat();
         let (said, broken) = feed(&[&bytes]);
         assert!(
-            said.len() == 2 && said[0].contains("Odd") && said[1].contains("Rpc") && broken.is_none(),
+            said.len() == 2 && said[0].contains("Malformed") && said[1].contains("Rpc") && broken.is_none(),
             "{said:?}"
         );
     }
     let (said, _) = feed(&[&[rpc(1, &ASK, &[7; 2049]), rpc(2, &ASK, &[7; 2048])].concat()]);
-    assert!(said[0].contains("Odd") && said[1].contains("Rpc"));
+    assert!(said[0].contains("Malformed") && said[1].contains("Rpc"));
 }
 
 #[test]
@@ -184,7 +184,7 @@
     // One that is there has to make sense, and what always comes has to be there.
     for left_out in ["route", "trace", "born", "client", "size"] {
         let some: Vec<_> = ASK.into_iter().filter(|(name, _)| *name != left_out).collect();
-        assert!(feed(&[&rpc(1, &some, b"")]).0[0].starts_with("Odd"), "{left_out}");
+        assert!(feed(&[&rpc(1, &some, b"")]).0[0].starts_with("Malformed"), "{left_out}");
     }
 }
 
