--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -12,7 +12,10 @@
 use crate::wire::{Asker, ConnId, LinkId, Place, Wire};
 use asterrill::{CallEnd, Effect, Final, MethodId, RpcId, RunEnd, Us};
 use asterrill_consensus::{caller_key, Gate, Kind};
-use asterrill_engine::{Bounds, Command, Engine, IdempotencyKey, Outputs, Read, RouteId, Served, Terms};
+use asterrill_engine::{
+    Command, Engine, EngineConfig, IdempotencyKey, Outputs, RetentionLimits, RpcRequest, Served,
+    UpstreamLinkId,
+};
 use asterrill_entries::{Change, Name};
 use asterrill_net::{Buf, Pool};
 use asterrill_protocol::agent::{self, NoticeId};
@@ -75,9 +78,16 @@
 }
 
 /// Takes a server apart: the module, its terms and its names.
-fn parts(mut server: Server, results: usize) -> (asterrill::Control, Terms, Names) {
+fn parts(mut server: Server, results: usize) -> (asterrill::Control, EngineConfig, Names) {
     let names = Names::new(&mut server);
-    let terms = Terms { shares: server.shares, fresh: server.fresh, results, longest: server.longest };
+    let terms = EngineConfig {
+        coalescible_methods: server.shares,
+        limits: RetentionLimits {
+            result_ttl: server.fresh,
+            idempotency_result_bytes: results,
+            max_rpc_lifetime: server.longest,
+        },
+    };
     (server.control, terms, names)
 }
 
@@ -89,7 +99,7 @@
 
 impl InForce<'_> {
     fn of_method(&self, name: &str) -> Option<MethodId> {
-        self.names.method(name).filter(|place| self.engine.knows_method(*place))
+        self.names.method(name).filter(|place| self.engine.has_method(*place))
     }
 }
 
@@ -99,7 +109,7 @@
         Some((place, self.names.effect(place)?))
     }
     fn tenant(&self, name: &str) -> Option<usize> {
-        self.names.tenant(name).filter(|place| self.engine.knows_tenant(*place))
+        self.names.tenant(name).filter(|place| self.engine.has_tenant(*place))
     }
     fn tells_tenants(&self) -> bool {
         self.names.tells_tenants
@@ -111,7 +121,7 @@
         self.names.target(self.of_method(name)?)
     }
     fn shortest(&self) -> Us {
-        let known = self.names.methods().filter(|place| self.engine.knows_method(*place));
+        let known = self.names.methods().filter(|place| self.engine.has_method(*place));
         known.filter_map(|place| self.names.target(place)).min().unwrap_or(0)
     }
 }
@@ -121,7 +131,7 @@
         self
     }
     fn named(&self, method: MethodId) -> Option<(&Name, Us)> {
-        let known = self.engine.knows_method(method);
+        let known = self.engine.has_method(method);
         self.names.name(method).zip(self.names.target(method)).filter(|_| known)
     }
     fn place(&self, method: &str) -> Option<MethodId> {
@@ -131,7 +141,7 @@
         asterrill_consumer::Known::tenant(self, name)
     }
     fn tenants(&self) -> Vec<(&Name, usize)> {
-        self.names.tenants().filter(|(_, place)| self.engine.knows_tenant(*place)).collect()
+        self.names.tenants().filter(|(_, place)| self.engine.has_tenant(*place)).collect()
     }
 }
 
@@ -182,7 +192,7 @@
             }
         }
     }
-    fn over(&mut self, id: RpcId) {
+    fn closed(&mut self, id: RpcId) {
         self.around.agent.over(id);
     }
     fn launch(&mut self, at: Asker, id: RpcId, method: MethodId, body: &[u8]) {
@@ -205,27 +215,29 @@
         let asked = self.around.agent.sends(self.now, id);
         self.wire.skip(id, asked);
     }
-    fn ran(&mut self, at: Asker) {
+    fn run_completed(&mut self, at: Asker) {
         match at {
             Asker::Sidecar(place) => self.around.sidecars.ran(place.conn),
             Asker::Queue(_) => {}
         }
     }
-    fn sample(&mut self) {
+    fn request_gauges(&mut self) {
         self.wire.sample(self.around.agent.tag(self.now));
     }
-    fn call(&mut self, last: Option<RouteId>, id: RpcId, wait: Us, body: &[u8]) -> Option<RouteId> {
+    fn send_call(
+        &mut self, last: Option<UpstreamLinkId>, id: RpcId, wait: Us, body: &[u8],
+    ) -> Option<UpstreamLinkId> {
         let by = self.around.links.pick(last).filter(|by| self.wire.call(*by, id, wait, body))?;
         self.around.links.placed(by);
-        Some(RouteId(by.0))
+        Some(UpstreamLinkId(by.0))
     }
-    fn give_up(&mut self, by: RouteId, id: RpcId) {
+    fn cancel_call(&mut self, by: UpstreamLinkId, id: RpcId) {
         self.wire.give_up(LinkId(by.0), id);
     }
-    fn off(&mut self, by: RouteId, late: bool) {
+    fn call_finished(&mut self, by: UpstreamLinkId, late: bool) {
         self.around.links.off(LinkId(by.0), late, self.wire);
     }
-    fn health(&mut self, good: bool) {
+    fn set_health(&mut self, good: bool) {
         self.around.healthy = good;
         if self.around.up.is_some() {
             self.wire.serving(good && !self.around.draining);
@@ -279,7 +291,7 @@
         &mut self, now: Us, wire: &mut dyn Wire,
         input: impl FnOnce(&mut Engine<Asker, Buf>, Us, &mut Carry<'_>) -> R,
     ) -> R {
-        self.now = self.engine.pass(now);
+        self.now = self.engine.advance_to(now);
         let mut carry = Carry { now: self.now, around: &mut self.around, wire };
         let result = input(&mut self.engine, self.now, &mut carry);
         if self.around.queues.is_some() {
@@ -308,7 +320,7 @@
                     // Of all ids it may be one that is open; hardly so several times.
                     let mut taken = false;
                     for _ in 0..IDS {
-                        taken = taken || self.engine.rpc_read(now, at, read.clone(), &body, &mut out);
+                        taken = taken || self.engine.request_received(now, at, read.clone(), &body, &mut out);
                         read.id = RpcId::of(self.chance.generate());
                     }
                     if !taken {
@@ -318,7 +330,7 @@
                 }
                 Want::Withdraw(work) => {
                     let at = Asker::Queue(work);
-                    if !self.engine.launched(at) && self.engine.gone(now, at, &mut out) {
+                    if !self.engine.is_launched(at) && self.engine.caller_gone(now, at, &mut out) {
                         self.around.queues.iter_mut().for_each(|queues| queues.withdrawn(now, work));
                     }
                 }
@@ -384,14 +396,14 @@
         let (engine, names) = (&self.engine, &self.around.server);
         let name = |method| names.name(method).cloned();
         let mut seen = self.around.service.seen(self.now, name, |method| engine.cost(method));
-        seen.held_kb = engine.held_kb();
+        seen.held_kb = engine.memory_in_use_kb();
         seen
     }
     /// From now on service is judged by the targets of the version that runs, and nothing goes back behind it.
     pub fn settled(&mut self) {
         let engine = &self.engine;
         self.around.service.settled();
-        self.around.server.settled(|tenant| engine.knows_tenant(tenant));
+        self.around.server.settled(|tenant| engine.has_tenant(tenant));
     }
 
     /// Whether a change could be staged, and these queues be taken up with it.
@@ -412,7 +424,11 @@
     pub fn change(&mut self, now: Us, flip: Flip, wire: &mut dyn Wire) {
         let Flip { number, bare, longest, queues: terms, tells_tenants } = flip;
         let results = self.held.bytes() / RESULTS;
-        let bounds = bare.as_ref().map(|bare| Bounds { fresh: bare.fresh, results, longest: bare.longest });
+        let bounds = bare.as_ref().map(|bare| RetentionLimits {
+            result_ttl: bare.fresh,
+            idempotency_result_bytes: results,
+            max_rpc_lifetime: bare.longest,
+        });
         self.with(now, wire, |engine, now, out| {
             let Around { counters, stamps, service, queues, server, agent, .. } = &mut *out.around;
             counters.changes += 1;
@@ -431,7 +447,7 @@
                 bare.control
             });
             stamps.module = number;
-            engine.change(now, frame, bounds, out);
+            engine.apply_staged(now, frame, bounds, out);
         });
     }
 
@@ -475,7 +491,7 @@
     /// Looks at how far it is back.
     fn attend_return(&mut self, now: Us, wire: &mut dyn Wire) {
         let Some(returning) = &mut self.around.returning else { return };
-        let (care, entered) = returning.look(now, &self.engine.counts, self.engine.standing());
+        let (care, entered) = returning.look(now, &self.engine.stats, self.engine.standing());
         if let Some(stage) = entered {
             let (why, _) = returning.stages().why();
             wire.log(&format!("stage {}: {why}", stage.name()));
@@ -530,7 +546,7 @@
     /// All that was counted.
     pub fn counted(&self) -> Counters {
         let mut counters = self.around.counters.clone();
-        counters.take(&self.engine.counts);
+        counters.take(&self.engine.stats);
         counters
     }
 
@@ -549,7 +565,7 @@
                 [(Kind::Tenants, &ask.tenant), (Kind::Callers, &caller), (Kind::Methods, &ask.method)];
             if named.into_iter().any(|(kind, key)| gate.turns_away(kind, key)) {
                 self.around.counters.barred += 1;
-                self.with(now, wire, |engine, now, out| engine.turn_away(now, Asker::Sidecar(place), out));
+                self.with(now, wire, |engine, now, out| engine.reject(now, Asker::Sidecar(place), out));
                 return true;
             }
         }
@@ -565,28 +581,28 @@
         // What the agent may never have heard of is not joined to anything, and nothing to it.
         let shares = self.around.sidecars.proven(place.conn);
         let tokened = server.effect(method) == Some(Effect::Tokened);
-        let known = (tokened || ask.key.is_some() && shares && self.engine.shares(method))
+        let known = (tokened || ask.key.is_some() && shares && self.engine.is_coalescible(method))
             .then(|| idempotency_key(&ask.method, &ask.tenant, body));
         // An answer carries what a run made for this RPC: of reads with one key, only tries of the same one share.
         let key =
             known.and_then(|IdempotencyKey(bytes)| bytes.first_chunk().map(|half| u64::from_be_bytes(*half)));
         let (token, key) = if tokened { (known, None) } else { (None, key) };
-        let at = self.engine.pass(now);
-        let read = Read {
+        let at = self.engine.advance_to(now);
+        let read = RpcRequest {
             id: ask.id,
             method,
             tenant,
             caller: ask.caller,
-            due: ask.due,
-            unread: at.saturating_sub(ask.born.max(self.around.up.unwrap_or(at))),
+            deadline: ask.due,
+            time_unread: at.saturating_sub(ask.born.max(self.around.up.unwrap_or(at))),
             size_kb: ask.size_kb,
-            key,
-            shares,
+            cache_key: key,
+            coalescible: shares,
             idempotency_key: token,
         };
         self.around.service.read(method);
         let asker = Asker::Sidecar(place);
-        if !self.with(now, wire, |engine, now, out| engine.rpc_read(now, asker, read, body, out)) {
+        if !self.with(now, wire, |engine, now, out| engine.request_received(now, asker, read, body, out)) {
             self.refuse(now, place, wire);
         }
         true
@@ -604,7 +620,7 @@
     /// For an RPC that could never be run here.
     fn refuse(&mut self, now: Us, place: Place, wire: &mut dyn Wire) {
         self.around.counters.odd += 1;
-        self.with(now, wire, |engine, now, out| engine.refuse(now, Asker::Sidecar(place), out));
+        self.with(now, wire, |engine, now, out| engine.abort_unserviceable(now, Asker::Sidecar(place), out));
         self.nonsense(place.conn, wire);
     }
 
@@ -617,7 +633,7 @@
 
     /// Nobody waits for this stream any more.
     pub fn gone(&mut self, now: Us, place: Place, wire: &mut dyn Wire) {
-        self.with(now, wire, |engine, now, out| engine.gone(now, Asker::Sidecar(place), out));
+        self.with(now, wire, |engine, now, out| engine.caller_gone(now, Asker::Sidecar(place), out));
     }
 
     /// A connection ended: nobody waits for anything on it.
@@ -625,14 +641,14 @@
         self.around.exercise.asking.retain(|place| place.conn != conn);
         let places: Vec<Asker> = self.on(conn).copied().collect();
         for place in places {
-            self.with(now, wire, |engine, now, out| engine.gone(now, place, out));
+            self.with(now, wire, |engine, now, out| engine.caller_gone(now, place, out));
         }
         self.around.sidecars.ended(conn);
     }
 
     fn on(&self, conn: ConnId) -> impl Iterator<Item = &Asker> {
         let at = |stream| Asker::Sidecar(Place { conn, stream: StreamId(stream) });
-        self.engine.owed_in(at(0)..=at(u32::MAX))
+        self.engine.unanswered_in(at(0)..=at(u32::MAX))
     }
     fn asking(&self, conn: ConnId) -> impl Iterator<Item = &Place> {
         self.around.exercise.asking.iter().filter(move |place| place.conn == conn)
@@ -651,16 +667,16 @@
     }
     /// RPCs that are not over.
     pub fn open(&self) -> usize {
-        self.engine.open()
+        self.engine.open_rpcs()
     }
     /// Answers owed in all.
     pub fn owed(&self) -> usize {
-        self.engine.owed()
+        self.engine.unanswered()
     }
 
     /// A health check: a thorough one waits for an exercise of the agent, which all that ask share.
     pub fn check(&mut self, now: Us, place: Place, thorough: bool, wire: &mut dyn Wire) {
-        self.now = self.engine.pass(now);
+        self.now = self.engine.advance_to(now);
         let Around { exercise, agent, counters, healthy, up, .. } = &mut self.around;
         counters.checks += 1;
         let asking = exercise.asking.len();
@@ -676,7 +692,7 @@
     }
 
     pub fn exercised(&mut self, now: Us, tag: u64, good: bool, wire: &mut dyn Wire) {
-        self.now = self.engine.pass(now);
+        self.now = self.engine.advance_to(now);
         self.around.agent.heard();
         if tag == self.around.exercise.tag {
             self.answer_checks(good, wire);
@@ -691,22 +707,28 @@
 
     /// A new link to the agent stands. Hands back the number of the last notice read.
     pub fn agent_link(&mut self, now: Us) -> NoticeId {
-        self.now = self.engine.pass(now);
+        self.now = self.engine.advance_to(now);
         self.around.agent.linked(self.now)
     }
 
     /// The agent greets: at its start, `ago`, it was `empty` or warm. Once all is read that was missed while
     /// there was no link, what may have been lost on the way is sent again.
     pub fn agent_up(&mut self, now: Us, fresh: Option<Server>, wire: &mut dyn Wire) {
-        self.now = self.engine.pass(now);
+        self.now = self.engine.advance_to(now);
         self.around.counters.agent_up += 1;
         if let Some(server) =
-            fresh.filter(|_| self.engine.counts.rpcs == 0 && self.around.counters.changes == 0)
+            fresh.filter(|_| self.engine.stats.requests == 0 && self.around.counters.changes == 0)
         {
             // Its names stand at the places at which they stand already: both were made of the same version.
             let results = self.held.bytes() / RESULTS;
-            let terms =
-                Terms { shares: server.shares, fresh: server.fresh, results, longest: server.longest };
+            let terms = EngineConfig {
+                coalescible_methods: server.shares,
+                limits: RetentionLimits {
+                    result_ttl: server.fresh,
+                    idempotency_result_bytes: results,
+                    max_rpc_lifetime: server.longest,
+                },
+            };
             self.with(now, wire, |engine, now, out| engine.restart(now, server.control, terms, out));
             if let Some(part) = self.around.part {
                 self.with(now, wire, |engine, now, out| engine.share(now, part, out));
@@ -714,7 +736,7 @@
         }
         if self.around.up.is_none() {
             self.around.up = Some(self.now);
-            self.engine.attended();
+            self.engine.gauges_available();
             wire.serving(self.around.healthy && !self.around.draining);
         }
         wire.sample(self.around.agent.greeted(self.now));
@@ -729,7 +751,7 @@
     fn send_again(&mut self, wire: &mut dyn Wire) {
         let (commands, stops) = self.around.agent.lost(self.now);
         for id in commands {
-            match self.engine.command(id) {
+            match self.engine.last_command(id) {
                 Some(Command::Launch(method, body)) => {
                     let name = self.around.server.name(method).map_or("", |name| name);
                     wire.launch(id, name, body);
@@ -749,9 +771,9 @@
     }
 
     pub fn sampled(&mut self, now: Us, tag: u64, values: &[f64], wire: &mut dyn Wire) {
-        self.now = self.engine.pass(now);
+        self.now = self.engine.advance_to(now);
         self.around.agent.heard();
-        self.engine.sampled(now, agent::gauges(&self.around.server.gauges, values));
+        self.engine.gauges_sampled(now, agent::gauges(&self.around.server.gauges, values));
         if self.around.agent.sampled(tag) {
             self.send_again(wire);
         }
@@ -783,7 +805,7 @@
         self.around.counters.refusals += 1;
         self.around.agent.heard();
         let Some(id) = launch else { return };
-        match self.with(now, wire, |engine, now, out| engine.unrunnable(now, id, out)) {
+        match self.with(now, wire, |engine, now, out| engine.launch_failed(now, id, out)) {
             Some(Asker::Sidecar(place)) => self.nonsense(place.conn, wire),
             Some(Asker::Queue(_)) | None => {}
         }
@@ -803,7 +825,7 @@
     pub fn call_ended(
         &mut self, now: Us, by: LinkId, id: RpcId, end: CallEnd, reply: &[u8], wire: &mut dyn Wire,
     ) {
-        let by = RouteId(by.0);
+        let by = UpstreamLinkId(by.0);
         self.with(now, wire, |engine, now, out| engine.call_ended(now, by, id, end, reply, out));
     }
 
@@ -813,7 +835,9 @@
         let some = self.around.links.busy(by);
         self.around.links.ends(by);
         if some {
-            self.with(now, wire, |engine, now, out| engine.route_ended(now, RouteId(by.0), end, out));
+            self.with(now, wire, |engine, now, out| {
+                engine.upstream_link_ended(now, UpstreamLinkId(by.0), end, out)
+            });
         }
         self.around.links.ended(by);
     }
@@ -850,7 +874,7 @@
 
     /// The notice to leave has run out, and nothing is owed any more.
     pub fn left(&self) -> bool {
-        self.engine.left()
+        self.engine.is_drained()
     }
 
     /// When `tick` is wanted next.
@@ -860,12 +884,12 @@
         let queues = self.around.queues.as_ref().and_then(Queues::next);
         let returning = self.around.returning.as_ref().map(Returning::next);
         let agent = self.around.agent.next();
-        [self.engine.next(), exercise, queues, agent, returning].into_iter().flatten().min()
+        [self.engine.next_timer(), exercise, queues, agent, returning].into_iter().flatten().min()
     }
 
     /// Time has passed.
     pub fn tick(&mut self, now: Us, wire: &mut dyn Wire) {
-        self.now = self.engine.pass(now);
+        self.now = self.engine.advance_to(now);
         if !self.around.exercise.asking.is_empty() && self.around.exercise.until <= self.now {
             self.answer_checks(false, wire);
         }
--- a/daemon/src/queues.rs
+++ b/daemon/src/queues.rs
@@ -3,7 +3,7 @@
 
 use asterrill::{Final, RpcId, Us};
 use asterrill_consumer::{Do, Known, Offer, Queue, Terms, WorkId};
-use asterrill_engine::Read;
+use asterrill_engine::RpcRequest;
 use asterrill_protocol::amqp::{Channel, Delivery, Event, Login, Reply, Session, State};
 use nanorand::{Rng, WyRand};
 use std::fmt;
@@ -42,7 +42,7 @@
 
 /// What the core is asked for.
 pub enum Ask {
-    Offer(Read, WorkId, Vec<u8>),
+    Offer(RpcRequest, WorkId, Vec<u8>),
     Withdraw(WorkId),
     Log(String),
 }
@@ -295,17 +295,17 @@
         None
     }
 
-    fn read_of(&mut self, offer: &Offer) -> Read {
-        Read {
+    fn read_of(&mut self, offer: &Offer) -> RpcRequest {
+        RpcRequest {
             id: RpcId::of(self.chance.generate()),
             method: offer.method,
             tenant: offer.tenant,
             caller: offer.caller,
-            due: Some(offer.due),
-            unread: 0,
+            deadline: Some(offer.due),
+            time_unread: 0,
             size_kb: offer.size_kb,
-            key: None,
-            shares: false,
+            cache_key: None,
+            coalescible: false,
             idempotency_key: None,
         }
     }
--- a/daemon/src/recovery.rs
+++ b/daemon/src/recovery.rs
@@ -2,7 +2,7 @@
 //! kept comes in, what is to be kept goes out, moments are passed in.
 
 use asterrill::{CallerId, Care, Experience, MethodId, Standing, Us};
-use asterrill_engine::Counts;
+use asterrill_engine::EngineStats;
 use asterrill_entries::Name;
 use asterrill_operator_config::Recovery;
 use asterrill_recovery::{
@@ -46,13 +46,13 @@
     next: Us,
     snapshot: Beat,
     /// What the engine had counted at the last look.
-    before: Counts,
+    before: EngineStats,
 }
 
 impl Returning {
     pub fn new(now: Us, start: Start) -> Returning {
         let snapshot = Beat::new(now, start.terms.snapshot, start.seed, "snapshot");
-        let (stages, before) = (Stages::new(now), Counts::default());
+        let (stages, before) = (Stages::new(now), EngineStats::default());
         Returning { start, stages, opening: None, weighed: false, next: now + LOOK, snapshot, before }
     }
     pub fn next(&self) -> Us {
@@ -108,13 +108,15 @@
     }
 
     /// Time has passed. Hands back the care that is to be taken, if that has changed, and the stage that was entered.
-    pub fn look(&mut self, now: Us, counts: &Counts, standing: Standing) -> (Option<Care>, Option<Stage>) {
+    pub fn look(
+        &mut self, now: Us, counts: &EngineStats, standing: Standing,
+    ) -> (Option<Care>, Option<Stage>) {
         if now < self.next {
             return (None, None);
         }
         self.next = now + LOOK;
         let before = std::mem::replace(&mut self.before, counts.clone());
-        let failed = |c: &Counts| c.calls_aborted + c.calls_timed_out + c.calls_pushed_back;
+        let failed = |c: &EngineStats| c.calls_aborted + c.calls_timed_out + c.calls_rejected;
         let seen = Seen {
             ok: counts.calls_ok - before.calls_ok,
             failed: failed(counts) - failed(&before),
@@ -125,8 +127,8 @@
         let evidence = Evidence {
             weighed: self.weighed,
             runs: counts.runs_ok - before.runs_ok,
-            read: counts.rpcs - before.rpcs,
-            turned_away: counts.pushed_back - before.pushed_back,
+            read: counts.requests - before.requests,
+            turned_away: counts.rejected - before.rejected,
             pace: standing.pace,
             ramped: standing.warm,
             calls_open: self.opening.as_ref().is_none_or(|o| o.is_open() || standing.at_call == 0),
--- a/daemon/src/service.rs
+++ b/daemon/src/service.rs
@@ -65,10 +65,10 @@
     }
     pub fn answered(&mut self, served: Served, ok: bool) {
         let Some(of) = self.of.get_mut(served.method.0) else { return };
-        let in_time = ok && served.took <= of.judged;
+        let in_time = ok && served.latency <= of.judged;
         of.asked += 1;
         of.in_time += u64::from(in_time);
-        of.spoilt += u64::from(!in_time && served.spoilt);
+        of.spoilt += u64::from(!in_time && served.upstream_failed);
         if !std::mem::replace(&mut of.touched, true) {
             self.touched.push(served.method.0);
         }
--- a/daemon/src/stats.rs
+++ b/daemon/src/stats.rs
@@ -1,6 +1,6 @@
 //! What was taken in, sent and answered since the start.
 
-use asterrill_engine::Counts;
+use asterrill_engine::EngineStats;
 use std::fmt;
 
 macro_rules! counters {
@@ -100,12 +100,16 @@
 
 impl Counters {
     /// Takes in what the engine counted.
-    pub fn take(&mut self, counts: &Counts) {
+    pub fn take(&mut self, counts: &EngineStats) {
         macro_rules! take {
-            ($($name:ident)*) => { $(self.$name += counts.$name;)* };
+            ($($counter:ident: $stat:ident),*) => { $(self.$counter += counts.$stat;)* };
         }
-        take!(rpcs no_buffer ok pushed_back aborted gone joined runs runs_ok runs_aborted runs_stopped);
-        take!(runs_not_started calls calls_ok calls_pushed_back calls_aborted calls_timed_out skips wakes);
-        take!(wakes_blind stale late_replies results_dropped tokens_full);
+        take!(rpcs: requests, no_buffer: no_buffer, ok: ok, pushed_back: rejected, aborted: aborted);
+        take!(gone: callers_gone, joined: coalesced, results_dropped: results_evicted);
+        take!(tokens_full: idempotency_keys_full, runs: runs, runs_ok: runs_ok, runs_aborted: runs_aborted);
+        take!(runs_stopped: runs_stopped, runs_not_started: runs_not_started, calls: calls, calls_ok: calls_ok);
+        take!(calls_pushed_back: calls_rejected, calls_aborted: calls_aborted, calls_timed_out: calls_timed_out);
+        take!(skips: calls_skipped, wakes: wakeups, wakes_blind: wakeups_without_gauges);
+        take!(stale: stale_events, late_replies: late_replies);
     }
 }
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -789,21 +789,21 @@
 #[test]
 fn the_next_call_of_an_rpc_goes_by_another_link_even_where_that_rests_and_by_none_where_there_is_none() {
     use crate::upstream::Links;
-    use asterrill_engine::RouteId;
+    use asterrill_engine::UpstreamLinkId;
     let (mut links, mut out) = (Links::new(2), Out::default());
     let first = links.pick(None).unwrap();
     links.placed(first);
     links.off(first, false, &mut out); // its reply came; a second copy may follow
-    let other = links.pick(Some(RouteId(first.0))).unwrap();
+    let other = links.pick(Some(UpstreamLinkId(first.0))).unwrap();
     assert_ne!(first, other);
     // The other has broken off: it rests, and takes calls for when it stands again.
     links.ends(other);
     links.ended(other);
-    assert_eq!(links.pick(Some(RouteId(first.0))), Some(other), "not the link that the reply came by");
+    assert_eq!(links.pick(Some(UpstreamLinkId(first.0))), Some(other), "not the link that the reply came by");
     links.ready(other);
     // The other is being closed: there is none for now.
     links.retire(other, &mut out);
-    assert_eq!(links.pick(Some(RouteId(first.0))), None);
+    assert_eq!(links.pick(Some(UpstreamLinkId(first.0))), None);
     assert_eq!(links.pick(None), Some(first), "of other RPCs it takes calls as before");
 }
 
@@ -1081,8 +1081,10 @@
     for n in 0..1_000_000_u64 {
         let method = asterrill::MethodId(n as usize % 2);
         service.read(method);
-        service
-            .answered(asterrill_engine::Served { method, took: n % 900_000, spoilt: n % 50 == 0 }, n % 3 > 0);
+        service.answered(
+            asterrill_engine::Served { method, latency: n % 900_000, upstream_failed: n % 50 == 0 },
+            n % 3 > 0,
+        );
         if n % 20 == 0 {
             // 200 a second, ten looks
             std::hint::black_box(service.take(|method| names.get(method.0).cloned(), |_| 5.0));
@@ -1341,7 +1343,8 @@
     for _ in 0..3 {
         service.read(of(7));
         service.read(of(4_000));
-        service.answered(asterrill_engine::Served { method: of(7), took: 1, spoilt: false }, true);
+        service
+            .answered(asterrill_engine::Served { method: of(7), latency: 1, upstream_failed: false }, true);
     }
     let sample = service.take(name, |_| 2.0);
     assert_eq!(asked.get(), 2, "names that are looked at");
@@ -1349,7 +1352,8 @@
     assert_eq!((counted("m7").asked, counted("m7").in_time, counted("m7").work), (3.0, 3.0, 6.0));
     assert_eq!((counted("m4000").asked, counted("m4000").work), (0.0, 6.0));
     assert!(service.take(name, |_| 2.0).methods.is_empty() && asked.get() == 2);
-    service.answered(asterrill_engine::Served { method: of(4_000), took: 1, spoilt: true }, false);
+    service
+        .answered(asterrill_engine::Served { method: of(4_000), latency: 1, upstream_failed: true }, false);
     assert_eq!(service.take(name, |_| 2.0).methods["m4000"].spoilt, 1.0);
     asked.set(0);
     service.pass(30_000 * MS);
--- a/daemon/src/upstream.rs
+++ b/daemon/src/upstream.rs
@@ -2,7 +2,7 @@
 //! used again.
 
 use crate::wire::{LinkId, Wire};
-use asterrill_engine::RouteId;
+use asterrill_engine::UpstreamLinkId;
 
 /// A link below as far as calls go. A call has one to itself while there are enough: a reply that spoils its
 /// link takes no other call with it. The next call of the same RPC goes by another, so that a late reply, or
@@ -31,9 +31,9 @@
 
     /// The link for a call of an RPC whose last one went by `last`: never that one again, as a second copy of the
     /// reply may still come there. None where there is no other just now.
-    pub fn pick(&self, last: Option<RouteId>) -> Option<LinkId> {
+    pub fn pick(&self, last: Option<UpstreamLinkId>) -> Option<LinkId> {
         let links = self.links.iter().enumerate().map(|(i, link)| (LinkId(i), link));
-        let another = |id: &LinkId| Some(RouteId(id.0)) != last;
+        let another = |id: &LinkId| Some(UpstreamLinkId(id.0)) != last;
         let usable = links.filter(|(id, link)| !link.closing && !link.old && another(id));
         let order = |(_, link): &(LinkId, &Link)| (link.resting, link.calls, std::cmp::Reverse(link.last));
         usable.min_by_key(order).map(|(id, _)| id)
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -2,7 +2,7 @@
 //! what happened, and what it hands back is carried out list by list.
 
 use crate::idempotency::{IdempotencyKey, IdempotencyKeys};
-use crate::outputs::{Counts, Outputs, RouteId, Served};
+use crate::outputs::{EngineStats, Outputs, Served, UpstreamLinkId};
 use crate::response_cache::Kept;
 use asterrill::{
     Answer, Arrival, CallEnd, CallerId, Care, Control, Effect, Experience, Final, Gauges, MethodId, Outcome,
@@ -15,28 +15,24 @@
 const FRESH: Us = 50_000; // older gauges are not passed on
 const REPLY: Us = 30_000; // beyond the time-out of a call, until its reply is not waited for any more
 
-/// What the engine needs to know of the methods.
+/// What an [`Engine`] is made with.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    /// Of each method, in order: an idempotent RPC may share the result of another.
-    pub shares: Vec<bool>,
-    /// How long a read's result may serve others, in microseconds; 0 for never.
-    pub fresh: Us,
-    /// Bytes of the results of tokened RPCs that are kept for their repeats.
-    pub results: usize,
-    /// The longest that any RPC may be open, in microseconds.
-    pub longest: Us,
+pub struct EngineConfig {
+    /// For each method, in the order of their ids: whether idempotent RPCs of it may share the result of one run.
+    pub coalescible_methods: Vec<bool>,
+    /// What applies to all methods alike.
+    pub limits: RetentionLimits,
 }
 
-/// Of [`Terms`] what is not by method.
+/// How long, and how much of, what has ended is retained for repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
-    /// How long a read's result may serve others, in microseconds; 0 for never.
-    pub fresh: Us,
-    /// Bytes of the results of tokened RPCs that are kept for their repeats.
-    pub results: usize,
+pub struct RetentionLimits {
+    /// How long the result of a read may be served to others, in microseconds; 0 switches the cache off.
+    pub result_ttl: Us,
+    /// Total bytes of results retained for repeats with the same idempotency key.
+    pub idempotency_result_bytes: usize,
     /// The longest that any RPC may be open, in microseconds.
-    pub longest: Us,
+    pub max_rpc_lifetime: Us,
 }
 
 /// Makes the copy of a body that is held; none while there is no room for it.
@@ -44,21 +40,21 @@
 
 /// One RPC as a front read it.
 #[derive(Clone, Debug)]
-pub struct Read {
+pub struct RpcRequest {
     pub id: RpcId,
     pub method: MethodId,
     pub tenant: Option<usize>,
     pub caller: CallerId,
-    /// When its caller stops waiting, where that is told; else the deadline of its method counts from its arrival.
-    pub due: Option<Us>,
+    /// When its caller stops waiting, where that is told; else the deadline of its method stats from its arrival.
+    pub deadline: Option<Us>,
     /// How long it lay unread here, in microseconds.
-    pub unread: Us,
+    pub time_unread: Us,
     /// Memory taken while it is held, in kB.
     pub size_kb: f64,
     /// What a read is about, where told.
-    pub key: Option<u64>,
+    pub cache_key: Option<u64>,
     /// It may be joined to another of its key, and others to it.
-    pub shares: bool,
+    pub coalescible: bool,
     /// Of a tokened RPC: by what its repeats are known.
     pub idempotency_key: Option<IdempotencyKey>,
 }
@@ -87,7 +83,7 @@
     /// Off the cores, until a call is placed or left out.
     AtCall,
     /// By this way, until then.
-    Calling(RouteId, Us),
+    Calling(UpstreamLinkId, Us),
 }
 
 /// What the module is told once it has been heard out.
@@ -102,13 +98,13 @@
     place: P,
     prior: Option<RpcId>,
     owed: bool,
-    read: Read,
+    read: RpcRequest,
     stage: Stage,
     /// Of the RPC until it has been started, then of its call, then the reply to that.
     body: Option<B>,
-    route: Option<RouteId>, // of its last call
-    since: Us,              // its arrival
-    spoilt: bool,           // a call of it has failed
+    route: Option<UpstreamLinkId>, // of its last call
+    since: Us,                     // its arrival
+    spoilt: bool,                  // a call of it has failed
 }
 
 /// See the package's page.
@@ -134,17 +130,18 @@
     leaves: Option<(Us, Us)>,
     later: VecDeque<Later>,
     settling: bool, // what came of an outcome is being told to the module
-    pub counts: Counts,
+    pub stats: EngineStats,
 }
 
 impl<P: Copy + Ord, B: AsRef<[u8]>> Engine<P, B> {
     /// `hold` makes the copy of a body that is held, and hands back none while there is no room for it.
-    pub fn new(now: Us, control: Control, terms: Terms, hold: Hold<B>) -> Engine<P, B> {
-        let tokens = IdempotencyKeys::new(terms.results, terms.longest);
+    pub fn new(now: Us, control: Control, terms: EngineConfig, hold: Hold<B>) -> Engine<P, B> {
+        let tokens =
+            IdempotencyKeys::new(terms.limits.idempotency_result_bytes, terms.limits.max_rpc_lifetime);
         Engine {
             control,
-            shares: Staged::new(terms.shares),
-            fresh: terms.fresh,
+            shares: Staged::new(terms.coalescible_methods),
+            fresh: terms.limits.result_ttl,
             hold,
             now,
             open: BTreeMap::new(),
@@ -161,22 +158,21 @@
             leaves: None,
             later: VecDeque::new(),
             settling: false,
-            counts: Counts::default(),
+            stats: EngineStats::default(),
         }
     }
 
     /// The start: the module says what to publish.
     pub fn start(&mut self, now: Us, out: &mut dyn Outputs<P>) {
-        self.pass(now);
+        self.advance_to(now);
         let outcome = self.control.started();
         self.carry(outcome, out);
     }
 
     /// The same for a module made anew, before any RPC was read.
-    pub fn restart(&mut self, now: Us, control: Control, terms: Terms, out: &mut dyn Outputs<P>) {
-        let Terms { shares, fresh, results, longest } = terms;
-        self.take_bounds(Bounds { fresh, results, longest });
-        self.shares = Staged::new(shares);
+    pub fn restart(&mut self, now: Us, control: Control, terms: EngineConfig, out: &mut dyn Outputs<P>) {
+        self.take_bounds(terms.limits);
+        self.shares = Staged::new(terms.coalescible_methods);
         self.control = control;
         self.wakes.clear();
         self.start(now, out);
@@ -186,7 +182,7 @@
         }
     }
 
-    /// Takes terms in beside those in force: nothing of them shows until [`Engine::change`]. See
+    /// Takes terms in beside those in force: nothing of them shows until [`Engine::apply_staged`]. See
     /// [`Control::stage`].
     pub fn stage(&mut self, terms: &[Term]) {
         for term in terms {
@@ -200,26 +196,26 @@
 
     /// All that was staged is in force from now on, at once, with the settings of `frame` and these bounds where
     /// there are any: see [`Control::change`]. What is kept of reads serves nobody under the new terms.
-    pub fn change(
-        &mut self, now: Us, frame: Option<Control>, bounds: Option<Bounds>, out: &mut dyn Outputs<P>,
+    pub fn apply_staged(
+        &mut self, now: Us, frame: Option<Control>, bounds: Option<RetentionLimits>, out: &mut dyn Outputs<P>,
     ) {
-        self.pass(now);
+        self.advance_to(now);
         self.shares.change();
         bounds.into_iter().for_each(|bounds| self.take_bounds(bounds));
         self.kept.forget_ended();
         let outcome = self.control.change(self.now, frame);
         self.carry(outcome, out);
     }
-    fn take_bounds(&mut self, bounds: Bounds) {
-        self.idempotency.bounds(bounds.results, bounds.longest);
-        self.fresh = bounds.fresh;
+    fn take_bounds(&mut self, bounds: RetentionLimits) {
+        self.idempotency.bounds(bounds.idempotency_result_bytes, bounds.max_rpc_lifetime);
+        self.fresh = bounds.result_ttl;
     }
     /// RPCs of this method can be read now.
-    pub fn knows_method(&self, method: MethodId) -> bool {
+    pub fn has_method(&self, method: MethodId) -> bool {
         self.control.knows_method(method)
     }
     /// This tenant has a share now.
-    pub fn knows_tenant(&self, tenant: usize) -> bool {
+    pub fn has_tenant(&self, tenant: usize) -> bool {
         self.control.knows_tenant(tenant)
     }
     /// What serving an RPC of a method takes, as learned so far, in microseconds.
@@ -227,7 +223,7 @@
         self.control.cost(method)
     }
     /// Memory of what is held and runs, in kB.
-    pub fn held_kb(&self) -> f64 {
+    pub fn memory_in_use_kb(&self) -> f64 {
         self.control.held_kb()
     }
 
@@ -240,54 +236,56 @@
     }
     /// What the module is to recall of what was learned before this start.
     pub fn recall(&mut self, now: Us, told: Experience, out: &mut dyn Outputs<P>) {
-        self.pass(now);
+        self.advance_to(now);
         let outcome = self.control.recall(self.now, told);
         self.carry(outcome, out);
     }
     /// How carefully the module comes back, from now on.
     pub fn careful(&mut self, now: Us, care: Care, out: &mut dyn Outputs<P>) {
-        self.pass(now);
+        self.advance_to(now);
         let outcome = self.control.careful(self.now, care);
         self.carry(outcome, out);
     }
 
     /// This server's part of what the settings divide among servers: see [`Control::share`].
     pub fn share(&mut self, now: Us, part: f64, out: &mut dyn Outputs<P>) {
-        self.pass(now);
+        self.advance_to(now);
         let outcome = self.control.share(self.now, part);
         self.carry(outcome, out);
     }
 
     /// From now on the gauges can be had.
-    pub fn attended(&mut self) {
+    pub fn gauges_available(&mut self) {
         self.attended = true;
     }
 
     /// The clock may be set back; time here never is. Hands back the time that it is here.
-    pub fn pass(&mut self, now: Us) -> Us {
+    pub fn advance_to(&mut self, now: Us) -> Us {
         self.now = self.now.max(now);
         self.now
     }
 
     /// An RPC came whole. False if its id is that of an open one: nothing was taken then.
-    pub fn rpc_read(&mut self, now: Us, place: P, read: Read, body: &[u8], out: &mut dyn Outputs<P>) -> bool {
-        self.pass(now);
-        let (id, since) = (read.id, self.now.saturating_sub(read.unread));
+    pub fn request_received(
+        &mut self, now: Us, place: P, read: RpcRequest, body: &[u8], out: &mut dyn Outputs<P>,
+    ) -> bool {
+        self.advance_to(now);
+        let (id, since) = (read.id, self.now.saturating_sub(read.time_unread));
         if self.open.contains_key(&id) || self.owed.contains_key(&place) {
             return false;
         }
         let known = read.idempotency_key.is_none_or(|token| self.idempotency.prior(token, since).is_some());
         if !known && self.idempotency.full() {
-            self.counts.tokens_full += 1;
-            self.turn_away(now, place, out);
+            self.stats.idempotency_keys_full += 1;
+            self.reject(now, place, out);
             return true;
         }
         let Some(body) = (self.hold)(body) else {
-            self.counts.no_buffer += 1;
-            self.refuse(now, place, out);
+            self.stats.no_buffer += 1;
+            self.abort_unserviceable(now, place, out);
             return true;
         };
-        self.counts.rpcs += 1;
+        self.stats.requests += 1;
         let (stage, body) = (Stage::Held, Some(body));
         let rpc =
             Rpc { place, prior: None, owed: true, read, stage, body, route: None, since, spoilt: false };
@@ -298,7 +296,7 @@
     }
 
     /// Reads of this method may share the result of one run.
-    pub fn shares(&self, method: MethodId) -> bool {
+    pub fn is_coalescible(&self, method: MethodId) -> bool {
         self.fresh > 0 && self.shares.get(method.0).copied().unwrap_or(false)
     }
 
@@ -307,7 +305,7 @@
         let Some(rpc) = self.open.get_mut(&id) else { return };
         let read = &rpc.read;
         let shares = self.fresh > 0 && self.shares.get(read.method.0).copied().unwrap_or(false);
-        let key = read.key.filter(|_| read.shares && shares).map(|key| (read.method, key));
+        let key = read.cache_key.filter(|_| read.coalescible && shares).map(|key| (read.method, key));
         let prior = match (read.idempotency_key, key) {
             (Some(token), _) => self.idempotency.prior(token, rpc.since),
             (None, Some(key)) => self.kept.prior(key, self.now),
@@ -321,38 +319,38 @@
             id,
             method: read.method,
             caller: read.caller,
-            due: read.due,
+            due: read.deadline,
             size_kb: read.size_kb,
             unread: self.now.saturating_sub(rpc.since),
             repeat: false,
             prior,
-            key: read.key,
+            key: read.cache_key,
         };
         let outcome = self.control.rpc_read(self.now, arrival, read.tenant);
         self.carry(outcome, out);
     }
 
     /// An RPC came that could never be run here: it is aborted at once.
-    pub fn refuse(&mut self, now: Us, place: P, out: &mut dyn Outputs<P>) {
-        self.pass(now);
-        self.counts.rpcs += 1;
-        self.counts.aborted += 1;
+    pub fn abort_unserviceable(&mut self, now: Us, place: P, out: &mut dyn Outputs<P>) {
+        self.advance_to(now);
+        self.stats.requests += 1;
+        self.stats.aborted += 1;
         out.answer(place, Final::Aborted, self.credit, None);
     }
 
     /// An RPC of somebody who is not to be served here: it never runs, and is told so at once.
-    pub fn turn_away(&mut self, now: Us, place: P, out: &mut dyn Outputs<P>) {
-        self.pass(now);
-        self.counts.rpcs += 1;
-        self.counts.pushed_back += 1;
+    pub fn reject(&mut self, now: Us, place: P, out: &mut dyn Outputs<P>) {
+        self.advance_to(now);
+        self.stats.requests += 1;
+        self.stats.rejected += 1;
         out.answer(place, Final::PushedBack { terminal: true, come_back: 0 }, self.credit, None);
     }
 
     /// Nobody waits for the answer at this place any more. False if none was owed.
-    pub fn gone(&mut self, now: Us, place: P, out: &mut dyn Outputs<P>) -> bool {
-        self.pass(now);
+    pub fn caller_gone(&mut self, now: Us, place: P, out: &mut dyn Outputs<P>) -> bool {
+        self.advance_to(now);
         let Some(id) = self.owed.remove(&place) else { return false };
-        self.counts.gone += 1;
+        self.stats.callers_gone += 1;
         self.settle(id, out);
         let outcome = self.control.caller_gone(self.now, id);
         self.carry(outcome, out);
@@ -360,15 +358,15 @@
     }
 
     /// The places in a range at which an answer is owed.
-    pub fn owed_in(&self, places: impl RangeBounds<P>) -> impl Iterator<Item = &P> {
+    pub fn unanswered_in(&self, places: impl RangeBounds<P>) -> impl Iterator<Item = &P> {
         self.owed.range(places).map(|(place, _)| place)
     }
     /// Answers owed in all.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered(&self) -> usize {
         self.owed.len()
     }
     /// RPCs that are not over.
-    pub fn open(&self) -> usize {
+    pub fn open_rpcs(&self) -> usize {
         self.open.len()
     }
     /// The number published to callers, where there is one.
@@ -376,12 +374,12 @@
         self.credit
     }
     /// An answer is owed at this place, and its run was started.
-    pub fn launched(&self, place: P) -> bool {
+    pub fn is_launched(&self, place: P) -> bool {
         let rpc = self.owed.get(&place).and_then(|id| self.open.get(id));
         rpc.is_some_and(|rpc| !matches!(rpc.stage, Stage::Held | Stage::Joined(_)))
     }
     /// The last thing that the executor of this RPC was told, while its run goes on.
-    pub fn command(&self, id: RpcId) -> Option<Command<'_>> {
+    pub fn last_command(&self, id: RpcId) -> Option<Command<'_>> {
         let rpc = self.open.get(&id)?;
         let body = rpc.body.as_ref().map_or(&[][..], B::as_ref);
         match rpc.stage {
@@ -393,38 +391,38 @@
     }
 
     /// The gauges that were asked for.
-    pub fn sampled(&mut self, now: Us, gauges: Gauges) {
-        self.pass(now);
+    pub fn gauges_sampled(&mut self, now: Us, gauges: Gauges) {
+        self.advance_to(now);
         self.gauges = Some((self.now, gauges));
     }
 
     /// A run is over.
     pub fn run_ended(&mut self, now: Us, id: RpcId, end: RunEnd, result: &[u8], out: &mut dyn Outputs<P>) {
-        self.pass(now);
+        self.advance_to(now);
         let Some(rpc) = self.open.get(&id) else {
-            self.counts.stale += 1;
+            self.stats.stale_events += 1;
             return;
         };
         if matches!(end, RunEnd::Ok | RunEnd::Aborted) {
-            out.ran(rpc.place);
+            out.run_completed(rpc.place);
         }
         match end {
-            RunEnd::Ok => self.counts.runs_ok += 1,
-            RunEnd::Aborted => self.counts.runs_aborted += 1,
-            RunEnd::Stopped => self.counts.runs_stopped += 1,
-            RunEnd::NotStarted => self.counts.runs_not_started += 1,
+            RunEnd::Ok => self.stats.runs_ok += 1,
+            RunEnd::Aborted => self.stats.runs_aborted += 1,
+            RunEnd::Stopped => self.stats.runs_stopped += 1,
+            RunEnd::NotStarted => self.stats.runs_not_started += 1,
         }
         if let Stage::Calling(route, until) = rpc.stage {
             self.calls.remove(&(until, id));
-            out.give_up(route, id);
-            out.off(route, false);
+            out.cancel_call(route, id);
+            out.call_finished(route, false);
         }
         let ok = end == RunEnd::Ok;
         self.answer(id, if ok { Final::Ok(result) } else { Final::Aborted }, out);
         self.close(id, out);
         let (hold, until) = (&self.hold, self.now + self.fresh);
         self.kept.ended(id, until, || Some(result).filter(|_| ok).and_then(hold));
-        self.counts.results_dropped += self.idempotency.ended(id, Some(result).filter(|_| ok));
+        self.stats.results_evicted += self.idempotency.ended(id, Some(result).filter(|_| ok));
         let outcome = self.control.run_ended(self.now, id, end);
         self.carry(outcome, out);
         for next in self.joined_to(id) {
@@ -433,7 +431,7 @@
     }
 
     /// The executor can't run what it was told to launch. Hands back the place, if that was so.
-    pub fn unrunnable(&mut self, now: Us, id: RpcId, out: &mut dyn Outputs<P>) -> Option<P> {
+    pub fn launch_failed(&mut self, now: Us, id: RpcId, out: &mut dyn Outputs<P>) -> Option<P> {
         let rpc = self.open.get(&id).filter(|rpc| rpc.stage == Stage::Running(Sent::Launch))?;
         let place = rpc.place;
         self.run_ended(now, id, RunEnd::NotStarted, &[], out);
@@ -444,7 +442,7 @@
     fn close(&mut self, id: RpcId, out: &mut dyn Outputs<P>) {
         if let Some(rpc) = self.open.remove(&id) {
             self.joined.remove(&(rpc.prior.unwrap_or(id), id));
-            out.over(id);
+            out.closed(id);
         }
     }
 
@@ -465,9 +463,9 @@
     /// A run waits for a call with this body; none where that is too long to be passed on. False if no run of
     /// this RPC goes on.
     pub fn call_needed(&mut self, now: Us, id: RpcId, body: Option<&[u8]>, out: &mut dyn Outputs<P>) -> bool {
-        self.pass(now);
+        self.advance_to(now);
         let Some(rpc) = self.open.get_mut(&id).filter(|r| matches!(r.stage, Stage::Running(..))) else {
-            self.counts.stale += 1;
+            self.stats.stale_events += 1;
             return false;
         };
         rpc.stage = Stage::AtCall;
@@ -479,22 +477,25 @@
 
     /// A reply came from below, by this way.
     pub fn call_ended(
-        &mut self, now: Us, by: RouteId, id: RpcId, end: CallEnd, reply: &[u8], out: &mut dyn Outputs<P>,
+        &mut self, now: Us, by: UpstreamLinkId, id: RpcId, end: CallEnd, reply: &[u8],
+        out: &mut dyn Outputs<P>,
     ) {
-        self.pass(now);
+        self.advance_to(now);
         match self.open.get(&id).map(|r| r.stage) {
             Some(Stage::Calling(route, until)) if route == by => {
                 self.calls.remove(&(until, id));
-                out.off(route, false);
+                out.call_finished(route, false);
                 self.end_call(id, end, reply, out);
             }
-            _ => self.counts.late_replies += 1,
+            _ => self.stats.late_replies += 1,
         }
     }
 
     /// A way below is gone with all calls on it, which end so.
-    pub fn route_ended(&mut self, now: Us, by: RouteId, end: CallEnd, out: &mut dyn Outputs<P>) {
-        self.pass(now);
+    pub fn upstream_link_ended(
+        &mut self, now: Us, by: UpstreamLinkId, end: CallEnd, out: &mut dyn Outputs<P>,
+    ) {
+        self.advance_to(now);
         let on = |r: &Rpc<P, B>| matches!(r.stage, Stage::Calling(route, _) if route == by);
         let lost: Vec<RpcId> = self.open.iter().filter(|(_, r)| on(r)).map(|(id, _)| *id).collect();
         for id in lost {
@@ -517,10 +518,10 @@
         }
         rpc.spoilt |= matches!(end, CallEnd::Aborted | CallEnd::TimedOut);
         match end {
-            CallEnd::Ok => self.counts.calls_ok += 1,
-            CallEnd::PushedBack => self.counts.calls_pushed_back += 1,
-            CallEnd::Aborted => self.counts.calls_aborted += 1,
-            CallEnd::TimedOut => self.counts.calls_timed_out += 1,
+            CallEnd::Ok => self.stats.calls_ok += 1,
+            CallEnd::PushedBack => self.stats.calls_rejected += 1,
+            CallEnd::Aborted => self.stats.calls_aborted += 1,
+            CallEnd::TimedOut => self.stats.calls_timed_out += 1,
         }
         let outcome = self.control.call_ended(self.now, id, end);
         self.carry(outcome, out);
@@ -528,7 +529,7 @@
 
     /// The notice to leave: all is to be answered by `kill`. A second one changes nothing.
     pub fn drain(&mut self, now: Us, kill: Us, out: &mut dyn Outputs<P>) {
-        self.pass(now);
+        self.advance_to(now);
         if self.leaves.is_some() {
             return;
         }
@@ -538,17 +539,17 @@
     }
 
     /// There was a notice to leave.
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.leaves.is_some()
     }
 
     /// The notice to leave has run out, and nothing is owed any more.
-    pub fn left(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.leaves.is_some_and(|(_, kill)| self.now >= kill) && self.owed.is_empty()
     }
 
     /// When `tick` is wanted next.
-    pub fn next(&self) -> Option<Us> {
+    pub fn next_timer(&self) -> Option<Us> {
         let lead = if self.sampled || !self.attended { 0 } else { LEAD };
         let wake = self.wakes.first().map(|at| at.saturating_sub(lead));
         let call = self.calls.first().map(|(at, _)| *at);
@@ -558,12 +559,12 @@
 
     /// Time has passed.
     pub fn tick(&mut self, now: Us, out: &mut dyn Outputs<P>) {
-        self.pass(now);
+        self.advance_to(now);
         while let Some((until, id)) = self.calls.first().copied().filter(|(until, _)| *until <= self.now) {
             self.calls.remove(&(until, id));
             if let Some(Stage::Calling(route, _)) = self.open.get(&id).map(|r| r.stage) {
-                out.give_up(route, id);
-                out.off(route, true);
+                out.cancel_call(route, id);
+                out.call_finished(route, true);
                 self.end_call(id, CallEnd::TimedOut, &[], out);
             }
         }
@@ -572,14 +573,14 @@
         let Some(wake) = self.wakes.first().copied() else { return };
         if self.attended && !self.sampled && wake <= self.now + LEAD {
             self.sampled = true;
-            out.sample();
+            out.request_gauges();
         }
         if wake <= self.now {
             self.wakes = self.wakes.split_off(&(self.now + 1));
             self.sampled = false;
             let gauges = self.gauges.take().filter(|(at, _)| at + FRESH > self.now).map(|(_, g)| g);
-            self.counts.wakes += 1;
-            self.counts.wakes_blind += u64::from(gauges.is_none());
+            self.stats.wakeups += 1;
+            self.stats.wakeups_without_gauges += u64::from(gauges.is_none());
             let outcome = self.control.woken(self.now, gauges.unwrap_or_default());
             self.carry(outcome, out);
         }
@@ -589,12 +590,12 @@
     fn answer(&mut self, id: RpcId, answer: Final<'_>, out: &mut dyn Outputs<P>) {
         let Some(rpc) = self.open.get(&id).filter(|rpc| rpc.owed) else { return };
         match answer {
-            Final::Ok(_) => self.counts.ok += 1,
-            Final::PushedBack { .. } => self.counts.pushed_back += 1,
-            Final::Aborted => self.counts.aborted += 1,
+            Final::Ok(_) => self.stats.ok += 1,
+            Final::PushedBack { .. } => self.stats.rejected += 1,
+            Final::Aborted => self.stats.aborted += 1,
         }
         let took = self.now.saturating_sub(rpc.since);
-        let of = Served { method: rpc.read.method, took, spoilt: rpc.spoilt };
+        let of = Served { method: rpc.read.method, latency: took, upstream_failed: rpc.spoilt };
         out.answer(rpc.place, answer, self.credit, Some(of));
         self.owed.remove(&rpc.place);
         self.settle(id, out);
@@ -616,8 +617,8 @@
             Stage::Calling(route, until) => {
                 rpc.stage = Stage::AtCall;
                 self.calls.remove(&(until, id));
-                out.give_up(route, id);
-                out.off(route, false);
+                out.cancel_call(route, id);
+                out.call_finished(route, false);
             }
             _ => {}
         }
@@ -653,7 +654,7 @@
         for id in outcome.runs {
             let Some(rpc) = self.open.get_mut(&id) else { continue };
             rpc.stage = Stage::Running(Sent::Launch);
-            self.counts.runs += 1;
+            self.stats.runs += 1;
             out.launch(rpc.place, id, rpc.read.method, rpc.body.as_ref().map_or(&[][..], B::as_ref));
         }
         for (id, wait) in outcome.calls {
@@ -662,12 +663,12 @@
         for id in outcome.skips {
             let Some(rpc) = self.open.get_mut(&id).filter(|rpc| rpc.stage == Stage::AtCall) else { continue };
             rpc.stage = Stage::Running(Sent::Skip);
-            self.counts.skips += 1;
+            self.stats.calls_skipped += 1;
             out.skip(id);
         }
         self.credit = outcome.credit.or(self.credit);
         if let Some(healthy) = outcome.health {
-            out.health(healthy);
+            out.set_health(healthy);
         }
         if let Some(span) = outcome.close_idle {
             out.close_idle(span);
@@ -719,7 +720,7 @@
     /// Joins an RPC to the one it repeats, which is open or ended a short while ago.
     fn join(&mut self, id: RpcId) {
         let Some(prior) = self.open.get(&id).and_then(|r| r.prior) else { return };
-        self.counts.joined += 1;
+        self.stats.coalesced += 1;
         if !self.open.contains_key(&prior) {
             self.later.push_back(Later::JoinEnds(id));
         }
@@ -729,10 +730,11 @@
 
     fn call(&mut self, id: RpcId, wait: Us, out: &mut dyn Outputs<P>) {
         let Some(rpc) = self.open.get_mut(&id).filter(|rpc| rpc.stage == Stage::AtCall) else { return };
-        self.counts.calls += 1;
+        self.stats.calls += 1;
         let until = self.now + wait + REPLY;
-        let by = rpc.body.as_ref().and_then(|body| out.call(rpc.route, id, wait, body.as_ref()));
-        (rpc.stage, rpc.route) = (Stage::Calling(by.unwrap_or(RouteId(usize::MAX)), until), by.or(rpc.route));
+        let by = rpc.body.as_ref().and_then(|body| out.send_call(rpc.route, id, wait, body.as_ref()));
+        (rpc.stage, rpc.route) =
+            (Stage::Calling(by.unwrap_or(UpstreamLinkId(usize::MAX)), until), by.or(rpc.route));
         if by.is_some() {
             self.calls.insert((until, id));
         } else {
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -9,31 +9,32 @@
 //!
 //! | who | brings | is told |
 //! | --- | --- | --- |
-//! | fronts: who asks and is answered | [`Engine::rpc_read`], [`Engine::gone`] | [`Outputs::answer`] |
-//! | executors: who runs | [`Engine::run_ended`], [`Engine::call_needed`], [`Engine::unrunnable`] | [`Outputs::launch`], [`Outputs::resume`], [`Outputs::skip`], [`Outputs::stop`] |
-//! | the layer below | [`Engine::call_ended`], [`Engine::route_ended`] | [`Outputs::call`], [`Outputs::give_up`] |
-//! | the owner of time and gauges | [`Engine::tick`], [`Engine::sampled`], [`Engine::drain`] | [`Outputs::sample`] |
+//! | fronts: who asks and is answered | [`Engine::request_received`], [`Engine::caller_gone`] | [`Outputs::answer`] |
+//! | executors: who runs | [`Engine::run_ended`], [`Engine::call_needed`], [`Engine::launch_failed`] | [`Outputs::launch`], [`Outputs::resume`], [`Outputs::skip`], [`Outputs::stop`] |
+//! | the layer below | [`Engine::call_ended`], [`Engine::upstream_link_ended`] | [`Outputs::send_call`], [`Outputs::cancel_call`] |
+//! | the owner of time and gauges | [`Engine::tick`], [`Engine::gauges_sampled`], [`Engine::drain`] | [`Outputs::request_gauges`] |
 //!
 //! `P` says where an answer goes: any small value that the fronts tell apart by themselves, such as a stream
 //! of a connection, a delivery of a queue, or the number of a request in the same process.
 //!
 //! Promises:
-//! - Each RPC that [`Engine::rpc_read`] took is answered once, or given up by [`Engine::gone`], never both.
+//! - Each RPC that [`Engine::request_received`] took is answered once, or given up by [`Engine::caller_gone`], never both.
 //! - An RPC is launched at most once; only an executor that lost the command is told again, by itself.
-//! - Nothing is handed back for an RPC after [`Outputs::over`]; then its id may be used again.
+//! - Nothing is handed back for an RPC after [`Outputs::closed`]; then its id may be used again.
 //! - Time never goes back here, whatever the clock does.
 //!
 //! ```
-//! use asterrill_engine::{Engine, Terms};
+//! use asterrill_engine::{Engine, EngineConfig, RetentionLimits};
 //! # use asterrill::*;
 //! # let control = Control::new(0, 1, 4_000, StopMode::Off, vec![Method { latency_target: 400_000,
 //! #     deadline: 900_000, effect: Effect::Idempotent, criticality: 1.0, late_share: 0.0, window: 0,
 //! #     skip_share: 0.0 }], Accounts::new(400_000, 1), Target::new(0, 1, 8.0, 1.0, 1),
 //! #     Calls::new(Below::Nothing, 1, 0, 400_000), Keys::new(0.0, 0), Memory::new(9e9, 1.0), Drain::new(0),
 //! #     Credit::new(Say::Off, 0, 400_000, 0), Shares::new(&[], 1, 1.0));
-//! let terms = Terms { shares: vec![true], fresh: 0, results: 0, longest: 900_000 };
-//! let engine: Engine<u64, Vec<u8>> = Engine::new(0, control, terms, Box::new(|bytes| Some(bytes.to_vec())));
-//! assert_eq!((engine.open(), engine.owed()), (0, 0));
+//! let limits = RetentionLimits { result_ttl: 0, idempotency_result_bytes: 0, max_rpc_lifetime: 900_000 };
+//! let config = EngineConfig { coalescible_methods: vec![true], limits };
+//! let engine: Engine<u64, Vec<u8>> = Engine::new(0, control, config, Box::new(|bytes| Some(bytes.to_vec())));
+//! assert_eq!((engine.open_rpcs(), engine.unanswered()), (0, 0));
 //! ```
 
 mod engine;
@@ -43,6 +44,6 @@
 #[cfg(test)]
 mod tests;
 
-pub use engine::{Bounds, Command, Engine, Hold, Read, Terms};
+pub use engine::{Command, Engine, EngineConfig, Hold, RetentionLimits, RpcRequest};
 pub use idempotency::IdempotencyKey;
-pub use outputs::{Counts, Outputs, RouteId, Served};
+pub use outputs::{EngineStats, Outputs, Served, UpstreamLinkId};
--- a/engine/src/outputs.rs
+++ b/engine/src/outputs.rs
@@ -1,19 +1,19 @@
-//! What the engine hands back, and what it counts.
+//! What the engine hands back, and what it stats.
 
 use asterrill::{Final, MethodId, RpcId, Us};
 
 /// The way to the layer below that a call goes by, as the layer's owner numbers them; nothing is read into it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RouteId(pub usize);
+pub struct UpstreamLinkId(pub usize);
 
 /// An RPC that was served, well or not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Served {
     pub method: MethodId,
     /// From its arrival, reading included, to its answer, in microseconds.
-    pub took: Us,
+    pub latency: Us,
     /// A call of it below has failed or timed out.
-    pub spoilt: bool,
+    pub upstream_failed: bool,
 }
 
 /// What the engine has done. Each is carried out at once and nothing here waits.
@@ -22,7 +22,7 @@
     /// where there is one; `of`: what is known of the RPC, none of one that could never be run.
     fn answer(&mut self, to: P, answer: Final<'_>, credit: Option<f64>, of: Option<Served>);
     /// The RPC is over: nothing is owed, nothing runs. Its id may come again.
-    fn over(&mut self, id: RpcId);
+    fn closed(&mut self, id: RpcId);
     /// Start the run of the RPC that was read at this place.
     fn launch(&mut self, at: P, id: RpcId, method: MethodId, body: &[u8]);
     /// Stop a run; it still ends by [`crate::Engine::run_ended`].
@@ -32,18 +32,20 @@
     /// A run goes on without the call that it waits for.
     fn skip(&mut self, id: RpcId);
     /// A run was made for the RPC read at this place.
-    fn ran(&mut self, at: P);
-    /// Ask for the gauges: [`crate::Engine::sampled`] brings them.
-    fn sample(&mut self);
+    fn run_completed(&mut self, at: P);
+    /// Ask for the gauges: [`crate::Engine::gauges_sampled`] brings them.
+    fn request_gauges(&mut self);
     /// Place a call below that is waited for `wait` microseconds. `last`: the way by which the RPC's call before
     /// went. Hands back the way by which it was sent; none if it surely was not.
-    fn call(&mut self, last: Option<RouteId>, id: RpcId, wait: Us, body: &[u8]) -> Option<RouteId>;
+    fn send_call(
+        &mut self, last: Option<UpstreamLinkId>, id: RpcId, wait: Us, body: &[u8],
+    ) -> Option<UpstreamLinkId>;
     /// Nobody waits for this call any more.
-    fn give_up(&mut self, by: RouteId, id: RpcId);
+    fn cancel_call(&mut self, by: UpstreamLinkId, id: RpcId);
     /// One call fewer is in hand on this way; `late` if its reply did not come in time.
-    fn off(&mut self, by: RouteId, late: bool);
+    fn call_finished(&mut self, by: UpstreamLinkId, late: bool);
     /// The answer to health checks from now on.
-    fn health(&mut self, good: bool);
+    fn set_health(&mut self, good: bool);
     /// Connections idle for this long, in microseconds, are to be closed; 0 once callers are to leave for good.
     fn close_idle(&mut self, span: Us);
     /// A line for the operators' log.
@@ -52,20 +54,20 @@
 
 /// What was read, answered and run since the start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct EngineStats {
     /// RPCs read, whether they could be taken or not; and of these the ones without a buffer.
-    pub rpcs: u64,
+    pub requests: u64,
     pub no_buffer: u64,
     /// Final answers, and RPCs whose caller left before its answer.
     pub ok: u64,
-    pub pushed_back: u64,
+    pub rejected: u64,
     pub aborted: u64,
-    pub gone: u64,
+    pub callers_gone: u64,
     /// RPCs that waited for the answer of another, results that had to go before their time, and new tokened RPCs that
     /// there was no room to remember.
-    pub joined: u64,
-    pub results_dropped: u64,
-    pub tokens_full: u64,
+    pub coalesced: u64,
+    pub results_evicted: u64,
+    pub idempotency_keys_full: u64,
     /// Runs started, and how they ended.
     pub runs: u64,
     pub runs_ok: u64,
@@ -75,15 +77,15 @@
     /// Calls below, how they ended, and those left out.
     pub calls: u64,
     pub calls_ok: u64,
-    pub calls_pushed_back: u64,
+    pub calls_rejected: u64,
     pub calls_aborted: u64,
     pub calls_timed_out: u64,
-    pub skips: u64,
+    pub calls_skipped: u64,
     /// Wakes of the module, and those of them without gauges.
-    pub wakes: u64,
-    pub wakes_blind: u64,
+    pub wakeups: u64,
+    pub wakeups_without_gauges: u64,
     /// Ends of runs and needs of calls about RPCs that are over.
-    pub stale: u64,
+    pub stale_events: u64,
     /// Replies from below that no call waited for.
     pub late_replies: u64,
 }
--- a/engine/src/tests.rs
+++ b/engine/src/tests.rs
@@ -1,7 +1,10 @@
 //! The engine with a front and an executor in the same process, as a library embeds it: numbers for places, and
 //! runs that end when the test says so.
 
-use crate::{Command, Engine, IdempotencyKey, Outputs, Read, RouteId, Served, Terms};
+use crate::{
+    Command, Engine, EngineConfig, IdempotencyKey, Outputs, RetentionLimits, RpcRequest, Served,
+    UpstreamLinkId,
+};
 use asterrill::*;
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,7 +53,7 @@
     runs: BTreeSet<RpcId>,
     launched: BTreeSet<RpcId>,
     over: BTreeSet<RpcId>,
-    calls: BTreeMap<RpcId, RouteId>,
+    calls: BTreeMap<RpcId, UpstreamLinkId>,
     faults: Vec<String>,
     deaf: bool,                                   // calls can't be sent
     tries: BTreeMap<RpcId, (IdempotencyKey, Us)>, // of tokened RPCs, with their arrivals
@@ -98,7 +101,7 @@
             self.faults.push(format!("{to}: answered twice"));
         }
     }
-    fn over(&mut self, id: RpcId) {
+    fn closed(&mut self, id: RpcId) {
         if !self.over.insert(id) {
             self.faults.push(format!("{id:?}: over twice"));
         }
@@ -121,22 +124,24 @@
     fn skip(&mut self, id: RpcId) {
         self.runs.insert(id);
     }
-    fn ran(&mut self, _: u64) {}
-    fn sample(&mut self) {}
-    fn call(&mut self, last: Option<RouteId>, id: RpcId, _: Us, _: &[u8]) -> Option<RouteId> {
-        let by = RouteId(last.map_or(0, |last| last.0 + 1));
+    fn run_completed(&mut self, _: u64) {}
+    fn request_gauges(&mut self) {}
+    fn send_call(
+        &mut self, last: Option<UpstreamLinkId>, id: RpcId, _: Us, _: &[u8],
+    ) -> Option<UpstreamLinkId> {
+        let by = UpstreamLinkId(last.map_or(0, |last| last.0 + 1));
         if !self.deaf && self.calls.insert(id, by).is_some() {
             self.faults.push(format!("{id:?}: two calls at a time"));
         }
         Some(by).filter(|_| !self.deaf)
     }
-    fn give_up(&mut self, by: RouteId, id: RpcId) {
+    fn cancel_call(&mut self, by: UpstreamLinkId, id: RpcId) {
         if self.calls.remove(&id) != Some(by) {
             self.faults.push(format!("{id:?}: gave up what was not called"));
         }
     }
-    fn off(&mut self, _: RouteId, _: bool) {}
-    fn health(&mut self, _: bool) {}
+    fn call_finished(&mut self, _: UpstreamLinkId, _: bool) {}
+    fn set_health(&mut self, _: bool) {}
     fn close_idle(&mut self, _: Us) {}
     fn log(&mut self, _: &str) {}
 }
@@ -150,7 +155,14 @@
 
 impl World {
     fn new(below: Below) -> World {
-        let terms = Terms { shares: vec![true, false, false], fresh: 0, results: 64, longest: 900 * MS };
+        let terms = EngineConfig {
+            coalescible_methods: vec![true, false, false],
+            limits: RetentionLimits {
+                result_ttl: 0,
+                idempotency_result_bytes: 64,
+                max_rpc_lifetime: 900 * MS,
+            },
+        };
         let mut engine = Engine::new(0, control(below), terms, Box::new(|bytes| Some(bytes.to_vec())));
         let mut ledger = Ledger::default();
         engine.start(0, &mut ledger);
@@ -166,20 +178,20 @@
         let id = RpcId::new(&format!("{place:x}")).unwrap();
         self.ledger.asked.insert(place, id);
         self.ledger.tries.extend(token.map(|token| (id, (token, self.now - unread))));
-        let read = Read {
+        let read = RpcRequest {
             id,
             method: MethodId(method),
             tenant: None,
             caller: CallerId(place % 3),
-            due: Some(self.now + patience),
-            unread,
+            deadline: Some(self.now + patience),
+            time_unread: unread,
             size_kb: 10.0,
-            key: None,
-            shares: false,
+            cache_key: None,
+            coalescible: false,
             idempotency_key: token,
         };
         self.due.insert(place, self.now + patience);
-        assert!(self.engine.rpc_read(self.now, place, read, b"body", &mut self.ledger));
+        assert!(self.engine.request_received(self.now, place, read, b"body", &mut self.ledger));
         place
     }
     fn nth_run(&self, n: usize) -> Option<RpcId> {
@@ -193,7 +205,7 @@
     }
     fn pass(&mut self, span: Us) {
         let until = self.now + span;
-        while let Some(at) = self.engine.next().filter(|at| *at <= until) {
+        while let Some(at) = self.engine.next_timer().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.engine.tick(self.now, &mut self.ledger);
         }
@@ -245,7 +257,7 @@
         }
         world.pass(2_000 * MS);
         world.check();
-        world.engine.owed() == 0
+        world.engine.unanswered() == 0
     }
     let mut runs = QuickCheck::new().tests(150).rng(Gen::from_size_and_seed(300, 4));
     runs.quickcheck(holds as fn(Vec<(u8, u16)>) -> bool);
@@ -328,13 +340,13 @@
     // The caller of each leaves in turn; what was waited for is another's then.
     for place in &tries[..199] {
         w.due.remove(place);
-        assert!(w.engine.gone(w.now, *place, &mut w.ledger), "{place} {:?}", w.ledger.answers);
+        assert!(w.engine.caller_gone(w.now, *place, &mut w.ledger), "{place} {:?}", w.ledger.answers);
     }
     while let Some(id) = w.ledger.runs.pop_first() {
         w.engine.run_ended(w.now, id, RunEnd::Ok, id.as_str().as_bytes(), &mut w.ledger);
     }
     assert_eq!(w.ledger.answers.get(&tries[199]), Some(&"ok"), "{:?}", w.ledger.answers);
-    assert_eq!((w.engine.open(), w.engine.owed()), (0, 0));
+    assert_eq!((w.engine.open_rpcs(), w.engine.unanswered()), (0, 0));
     // All that wait when the first falls due in the hold are decided upon at once, without a chain of calls.
     (0..2).for_each(|_| _ = w.ask(1, 900 * MS)); // nothing more starts beside these
     let held = w.ask_again(TOKENED, 200 * MS, Some(5), 0);
@@ -354,7 +366,7 @@
         places.push(w.ask_again(TOKENED, 900 * MS, Some(token), 0));
         w.end(0, RunEnd::Ok);
     }
-    assert!(w.engine.counts.results_dropped > 0);
+    assert!(w.engine.stats.results_evicted > 0);
     let (old, new) =
         (w.ask_again(TOKENED, 900 * MS, Some(0), 0), w.ask_again(TOKENED, 900 * MS, Some(99), 0));
     assert_eq!((w.ledger.answers[&old], w.ledger.answers[&new]), ("aborted", "ok"));
@@ -376,31 +388,31 @@
                 .unwrap(),
         ))
     };
-    let read = |n: u32| Read {
+    let read = |n: u32| RpcRequest {
         id: RpcId::of(n.into()),
         method: MethodId(TOKENED),
         tenant: None,
         caller: CallerId(n.into()),
-        due: None,
-        unread: 0,
+        deadline: None,
+        time_unread: 0,
         size_kb: 0.01,
-        key: None,
-        shares: false,
+        cache_key: None,
+        coalescible: false,
         idempotency_key: token(n),
     };
     let mut n = 0;
-    while w.engine.counts.tokens_full == 0 {
+    while w.engine.stats.idempotency_keys_full == 0 {
         assert!(n < 20_000, "no bound");
-        w.engine.rpc_read(w.now, n.into(), read(n), b"", &mut w.ledger);
+        w.engine.request_received(w.now, n.into(), read(n), b"", &mut w.ledger);
         w.engine.run_ended(w.now, RpcId::of(n.into()), RunEnd::Ok, b"", &mut w.ledger);
         n += 1;
     }
     assert_eq!(w.ledger.answers[&u64::from(n - 1)], "pushed back");
-    let again = Read { id: RpcId::of(1 << 40), ..read(7) };
-    w.engine.rpc_read(w.now, 1 << 40, again, b"", &mut w.ledger);
+    let again = RpcRequest { id: RpcId::of(1 << 40), ..read(7) };
+    w.engine.request_received(w.now, 1 << 40, again, b"", &mut w.ledger);
     assert_eq!(w.ledger.answers[&(1 << 40)], "ok", "known all the time");
     w.pass(2 * WINDOW + 900 * MS);
-    w.engine.rpc_read(w.now, u64::from(n), read(n), b"", &mut w.ledger);
+    w.engine.request_received(w.now, u64::from(n), read(n), b"", &mut w.ledger);
     assert!(w.ledger.launched.contains(&RpcId::of(n.into())), "room again once the windows are over");
 }
 
@@ -409,15 +421,15 @@
     let mut w = World::new(Below::Tier);
     let place = w.ask(0, 900 * MS);
     let id = w.ledger.asked[&place];
-    assert!(w.engine.launched(place));
-    assert_eq!(w.engine.command(id), Some(Command::Launch(MethodId(0), &b"body"[..])));
+    assert!(w.engine.is_launched(place));
+    assert_eq!(w.engine.last_command(id), Some(Command::Launch(MethodId(0), &b"body"[..])));
     assert!(w.engine.call_needed(w.now, id, Some(b"call"), &mut w.ledger));
-    assert_eq!(w.engine.command(id), None);
+    assert_eq!(w.engine.last_command(id), None);
     let by = w.ledger.calls.remove(&id).unwrap();
     w.engine.call_ended(w.now, by, id, CallEnd::Ok, b"reply", &mut w.ledger);
-    assert_eq!(w.engine.command(id), Some(Command::Resume(&b"reply"[..])));
+    assert_eq!(w.engine.last_command(id), Some(Command::Resume(&b"reply"[..])));
     w.end(0, RunEnd::Ok);
-    assert_eq!((w.engine.command(id), w.engine.open()), (None, 0));
+    assert_eq!((w.engine.last_command(id), w.engine.open_rpcs()), (None, 0));
     assert!(w.ledger.over.contains(&id) && w.ledger.answers[&place] == "ok");
 }
 
@@ -426,21 +438,21 @@
     let mut w = World::new(Below::Nothing);
     let place = w.ask(1, 900 * MS);
     let id = w.ledger.asked[&place];
-    let read = |id, caller| Read {
+    let read = |id, caller| RpcRequest {
         id,
         method: MethodId(1),
         tenant: None,
         caller: CallerId(caller),
-        due: Some(900 * MS),
-        unread: 0,
+        deadline: Some(900 * MS),
+        time_unread: 0,
         size_kb: 1.0,
-        key: None,
-        shares: false,
+        cache_key: None,
+        coalescible: false,
         idempotency_key: None,
     };
-    assert!(!w.engine.rpc_read(0, 77, read(id, 1), b"", &mut w.ledger));
+    assert!(!w.engine.request_received(0, 77, read(id, 1), b"", &mut w.ledger));
     let other = RpcId::new("other").unwrap();
-    assert!(!w.engine.rpc_read(0, place, read(other, 1), b"", &mut w.ledger));
+    assert!(!w.engine.request_received(0, place, read(other, 1), b"", &mut w.ledger));
     w.end(0, RunEnd::Ok);
     assert_eq!((w.ledger.answers.get(&place), w.ledger.answers.get(&77)), (Some(&"ok"), None));
 }
@@ -450,10 +462,10 @@
     let mut w = World::new(Below::Nothing);
     let place = w.ask(1, 900 * MS);
     let id = w.ledger.asked[&place];
-    assert_eq!(w.engine.unrunnable(w.now, id, &mut w.ledger), Some(place));
+    assert_eq!(w.engine.launch_failed(w.now, id, &mut w.ledger), Some(place));
     assert_eq!(w.ledger.answers[&place], "aborted");
-    assert_eq!(w.engine.unrunnable(w.now, id, &mut w.ledger), None);
+    assert_eq!(w.engine.launch_failed(w.now, id, &mut w.ledger), None);
     w.engine.run_ended(w.now, id, RunEnd::Ok, b"", &mut w.ledger);
-    assert_eq!(w.engine.counts.stale, 1);
+    assert_eq!(w.engine.stats.stale_events, 1);
     w.check();
 }
