--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -13,7 +13,7 @@
 use asterrill::{CallEnd, Effect, Final, MethodId, RpcId, RunEnd, Us};
 use asterrill_consensus::{caller_key, Gate, Kind};
 use asterrill_engine::{
-    Command, Engine, EngineConfig, IdempotencyKey, Outputs, RetentionLimits, RpcRequest, Served,
+    Command, Engine, EngineConfig, IdempotencyKey, IncomingRpc, Outputs, RetentionLimits, Served,
     UpstreamLinkId,
 };
 use asterrill_entries::{Change, Name};
@@ -588,7 +588,7 @@
             known.and_then(|IdempotencyKey(bytes)| bytes.first_chunk().map(|half| u64::from_be_bytes(*half)));
         let (token, key) = if tokened { (known, None) } else { (None, key) };
         let at = self.engine.advance_to(now);
-        let read = RpcRequest {
+        let read = IncomingRpc {
             id: ask.id,
             method,
             tenant,
--- a/daemon/src/queues.rs
+++ b/daemon/src/queues.rs
@@ -3,7 +3,7 @@
 
 use asterrill::{Final, RpcId, Us};
 use asterrill_consumer::{Do, Known, Offer, Queue, Terms, WorkId};
-use asterrill_engine::RpcRequest;
+use asterrill_engine::IncomingRpc;
 use asterrill_protocol::amqp::{Channel, Delivery, Event, Login, Reply, Session, State};
 use nanorand::{Rng, WyRand};
 use std::fmt;
@@ -42,7 +42,7 @@
 
 /// What the core is asked for.
 pub enum Ask {
-    Offer(RpcRequest, WorkId, Vec<u8>),
+    Offer(IncomingRpc, WorkId, Vec<u8>),
     Withdraw(WorkId),
     Log(String),
 }
@@ -295,8 +295,8 @@
         None
     }
 
-    fn read_of(&mut self, offer: &Offer) -> RpcRequest {
-        RpcRequest {
+    fn read_of(&mut self, offer: &Offer) -> IncomingRpc {
+        IncomingRpc {
             id: RpcId::of(self.chance.generate()),
             method: offer.method,
             tenant: offer.tenant,
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -40,7 +40,7 @@
 
 /// One RPC as a front read it.
 #[derive(Clone, Debug)]
-pub struct RpcRequest {
+pub struct IncomingRpc {
     pub id: RpcId,
     pub method: MethodId,
     pub tenant: Option<usize>,
@@ -98,7 +98,7 @@
     place: P,
     prior: Option<RpcId>,
     owed: bool,
-    read: RpcRequest,
+    read: IncomingRpc,
     stage: Stage,
     /// Of the RPC until it has been started, then of its call, then the reply to that.
     body: Option<B>,
@@ -267,7 +267,7 @@
 
     /// An RPC came whole. False if its id is that of an open one: nothing was taken then.
     pub fn request_received(
-        &mut self, now: Us, place: P, read: RpcRequest, body: &[u8], out: &mut dyn Outputs<P>,
+        &mut self, now: Us, place: P, read: IncomingRpc, body: &[u8], out: &mut dyn Outputs<P>,
     ) -> bool {
         self.advance_to(now);
         let (id, since) = (read.id, self.now.saturating_sub(read.time_unread));
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -44,6 +44,6 @@
 #[cfg(test)]
 mod tests;
 
-pub use engine::{Command, Engine, EngineConfig, Hold, RetentionLimits, RpcRequest};
+pub use engine::{Command, Engine, EngineConfig, Hold, IncomingRpc, RetentionLimits};
 pub use idempotency::IdempotencyKey;
 pub use outputs::{EngineStats, Outputs, Served, UpstreamLinkId};
--- a/engine/src/tests.rs
+++ b/engine/src/tests.rs
@@ -2,7 +2,7 @@
 //! runs that end when the test says so.
 
 use crate::{
-    Command, Engine, EngineConfig, IdempotencyKey, Outputs, RetentionLimits, RpcRequest, Served,
+    Command, Engine, EngineConfig, IdempotencyKey, IncomingRpc, Outputs, RetentionLimits, Served,
     UpstreamLinkId,
 };
 use asterrill::*;
@@ -178,7 +178,7 @@
         let id = RpcId::new(&format!("{place:x}")).unwrap();
         self.ledger.asked.insert(place, id);
         self.ledger.tries.extend(token.map(|token| (id, (token, self.now - unread))));
-        let read = RpcRequest {
+        let read = IncomingRpc {
             id,
             method: MethodId(method),
             tenant: None,
@@ -388,7 +388,7 @@
                 .unwrap(),
         ))
     };
-    let read = |n: u32| RpcRequest {
+    let read = |n: u32| IncomingRpc {
         id: RpcId::of(n.into()),
         method: MethodId(TOKENED),
         tenant: None,
@@ -408,7 +408,7 @@
         n += 1;
     }
     assert_eq!(w.ledger.answers[&u64::from(n - 1)], "pushed back");
-    let again = RpcRequest { id: RpcId::of(1 << 40), ..read(7) };
+    let again = IncomingRpc { id: RpcId::of(1 << 40), ..read(7) };
     w.engine.request_received(w.now, 1 << 40, again, b"", &mut w.ledger);
     assert_eq!(w.ledger.answers[&(1 << 40)], "ok", "known all the time");
     w.pass(2 * WINDOW + 900 * MS);
@@ -438,7 +438,7 @@
     let mut w = World::new(Below::Nothing);
     let place = w.ask(1, 900 * MS);
     let id = w.ledger.asked[&place];
-    let read = |id, caller| RpcRequest {
+    let read = |id, caller| IncomingRpc {
         id,
         method: MethodId(1),
         tenant: None,
