--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -3,7 +3,7 @@
 //! answered.
 
 use asterrill_entries::{read_step, Change, Content, Kind, Step};
-use asterrill_rollout::{check, difference, Problem, Seen};
+use asterrill_rollout::{check, difference, ObservedLoad, Problem};
 use clap::{CommandFactory, Parser, Subcommand};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -257,7 +257,7 @@
     let content = entries(file, &content)?;
     // Against itself, as nothing runs here: only what is wrong by itself shows.
     let all = Content::new(content.frame().as_ref().clone()).changes_to(&content);
-    let problems = check(&content, &content, &all, &Seen::default(), f64::INFINITY);
+    let problems = check(&content, &content, &all, &ObservedLoad::default(), f64::INFINITY);
     let shown: Vec<String> = problems.iter().map(Problem::to_string).collect();
     let [methods, tenants] = [Kind::Method, Kind::Tenant].map(|kind| content.count(kind));
     Ok(yes(json!({"ok": shown.is_empty(), "kind": "configuration", "methods": methods, "tenants": tenants,
--- a/daemon/src/change.rs
+++ b/daemon/src/change.rs
@@ -11,8 +11,8 @@
 use asterrill_net::now;
 use asterrill_operator_config::File;
 use asterrill_rollout::{
-    check, difference, hash, Before, Change, Event, Hash, Kept, Marked, Problem, Refusal, Rollout, Seen,
-    Stage, State, Verdict, Version, Watch, Wish,
+    check, difference, hash, Before, Change, Event, Hash, Kept, Marked, ObservedLoad, Problem, Refusal,
+    Rollout, Stage, State, Verdict, Version, Watch, Wish,
 };
 use asterrill_settings::{Deployment, Fault};
 use serde_json::{json, Value};
@@ -113,7 +113,7 @@
 pub struct Glance {
     number: u64,
     running: Content,
-    seen: Seen,
+    seen: ObservedLoad,
 }
 
 /// A change that was read and checked against a version. Cheap to copy.
@@ -209,7 +209,8 @@
     // What is booked now is a part of what there is.
     let (old, new) = (running.entries.frame(), content.entries.frame());
     let free = free_kb();
-    let seen = Seen { free_kb: free.map_or(0.0, |free| free + old.ram_kb), ..glance.seen.clone() };
+    let seen =
+        ObservedLoad { available_kb: free.map_or(0.0, |free| free + old.ram_kb), ..glance.seen.clone() };
     let more = new.memory_mb.saturating_sub(old.memory_mb) as f64 * 1024.0;
     if free.is_some_and(|free| more > free) {
         return Err(refused(&format!("it wants {more:.0} kB more for itself than there are free")));
@@ -600,7 +601,7 @@
         let Some(store) = &self.store else { return };
         let (good, running) = (self.rollout.good(), self.rollout.running());
         let on_probation = running.number != good.number;
-        store.keep(State {
+        store.save_versions(State {
             good: good.content.kept(good.number),
             probation: on_probation.then(|| running.content.kept(running.number)),
             undone: self.rollout.undone().cloned().collect(),
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -21,7 +21,7 @@
 use asterrill_protocol::agent::{self, NoticeId};
 use asterrill_protocol::sidecar::{RpcRequest, StreamId, MAX_STREAMS};
 use asterrill_recovery::{Learned, Moment, Stages};
-use asterrill_rollout::{Sample, Seen};
+use asterrill_rollout::{ObservedLoad, ServiceSample};
 use asterrill_settings::{Bare, Server};
 use nanorand::{Rng, WyRand};
 
@@ -386,17 +386,17 @@
         self.around.stamps.module
     }
     /// What was served since the last time, for the watch over a change.
-    pub fn served(&mut self) -> Sample {
+    pub fn served(&mut self) -> ServiceSample {
         let (engine, names) = (&self.engine, &self.around.server);
         self.around.service.pass(self.now);
         self.around.service.take(|method| names.name(method).cloned(), |method| engine.cost(method))
     }
     /// What was seen in the last minute, and is held now.
-    pub fn seen(&self) -> Seen {
+    pub fn seen(&self) -> ObservedLoad {
         let (engine, names) = (&self.engine, &self.around.server);
         let name = |method| names.name(method).cloned();
         let mut seen = self.around.service.seen(self.now, name, |method| engine.cost(method));
-        seen.held_kb = engine.memory_in_use_kb();
+        seen.in_use_kb = engine.memory_in_use_kb();
         seen
     }
     /// From now on service is judged by the targets of the version that runs, and nothing goes back behind it.
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -28,7 +28,7 @@
 use crate::dispatcher::{buffers, Dispatcher};
 use crate::membership::{Begin as Meet, Peers};
 use crate::recovery::{Returning, Start as Begun};
-use crate::store::{find_learned, find_members, Store};
+use crate::store::{read_learned, read_members, Store};
 use crate::wire::{ConnId, LinkId};
 use asterrill::Us;
 use asterrill_net::{
@@ -169,7 +169,7 @@
     if let Some(terms) = operator.recovery {
         let (settings, moment) = (start.settings(), moment());
         let state = operator.changes.state.as_deref();
-        let kept = state.and_then(|dir| find_learned(dir, log));
+        let kept = state.and_then(|dir| read_learned(dir, log));
         let (name, lasting, seed, memory_mb) = (to.name.clone(), state.is_some(), own, to.memory_mb);
         let begun = Begun { name, settings, cores, memory_mb, moment, terms, kept, seed, lasting };
         dispatcher.with(|core, wire, now| core.come_back(now, Returning::new(now, begun), wire));
@@ -181,7 +181,7 @@
         change::Terms { probation: operator.changes.probation, factor: operator.changes.factor as f64 };
     let peers = match &operator.members {
         Some(file) => {
-            let kept = operator.changes.state.as_deref().and_then(|dir| find_members(dir, log));
+            let kept = operator.changes.state.as_deref().and_then(|dir| read_members(dir, log));
             let fleet = operator.fleet.as_ref().zip(operator.changes.state.as_deref());
             let (peers, socket) = Peers::open(Meet { name: &to.name, file, kept, seed: own, fleet }, log)?;
             peers.live(socket, &dispatcher, store.clone())?;
@@ -357,7 +357,7 @@
     let told = Content::new(to.content.clone(), file, &text);
     let Some(dir) = told.file.changes.state.clone() else { return Ok((told, 1, Vec::new())) };
     std::fs::create_dir_all(&dir).unwrap_or_default(); // one that can't be made shows when it is written
-    match start_with(&told.hash(), store::find(&dir, log)) {
+    match start_with(&told.hash(), store::read_versions(&dir, log)) {
         Start::Told { number, undone } => Ok((told, number, undone)),
         Start::Good { good, undone, why } => match Content::recall(&good) {
             Ok(content) => {
@@ -518,15 +518,15 @@
 
 impl Leaving {
     /// What was learned is written down, at its beat or since the notice came.
-    fn keep_learned(&self, dispatcher: &Dispatcher, leaving: bool) {
+    fn save_learned(&self, dispatcher: &Dispatcher, leaving: bool) {
         if let Some(learned) = dispatcher.with(|core, _, now| core.snapshot(now, moment, leaving)) {
-            self.store.iter().for_each(|store| store.keep_learned(learned.clone()));
+            self.store.iter().for_each(|store| store.save_learned(learned.clone()));
         }
     }
     /// The notice came. Of the moment before it leaves: what a drain does to the figures is not worth learning.
     fn notice(&mut self, dispatcher: &Dispatcher) {
         let first = !std::mem::replace(&mut self.came, true);
-        self.keep_learned(dispatcher, first);
+        self.save_learned(dispatcher, first);
         self.peers.iter().for_each(|peers| peers.leave());
         dispatcher.with(|core, wire, now| core.drain(now, self.stop, wire));
     }
@@ -590,7 +590,7 @@
             leaving.notice(dispatcher);
             changes.leave();
         } else {
-            leaving.keep_learned(dispatcher, false);
+            leaving.save_learned(dispatcher, false);
         }
         if now() > at.saturating_add(LATE) {
             wait_until(now() + SETTLE);
--- a/daemon/src/membership.rs
+++ b/daemon/src/membership.rs
@@ -2,7 +2,7 @@
 //! the core and to the operators. Its own lock, its own coroutines: no RPC ever waits for it.
 
 use crate::dispatcher::Dispatcher;
-use crate::store::{cut_agreed, find_agreed, Stands, Store};
+use crate::store::{read_consensus, truncate_consensus, OnDurable, Store};
 use asterrill::Us;
 use asterrill_consensus::{Agree, Entry, Gate, Kind, Settled, Wish, Write};
 use asterrill_membership::{
@@ -65,10 +65,10 @@
     let terms = asterrill_consensus::Terms { keepers, lease, renew: fleet.renew, tick: fleet.tick };
     let named = |e: &dyn std::fmt::Display| Fault::new(format!("{}: {e}", dir.join("agreed").display()));
     let keeper = terms.keepers.iter().any(|keeper| keeper == name);
-    let disk = if keeper { find_agreed(dir).map_err(|e| named(&e))? } else { Vec::new() };
+    let disk = if keeper { read_consensus(dir).map_err(|e| named(&e))? } else { Vec::new() };
     let (agree, whole) = Agree::new(elapsed(), name, start, terms, &disk, &[]).map_err(|e| named(&e))?;
     if keeper && whole < disk.len() {
-        cut_agreed(dir, whole).map_err(|e| named(&e))?;
+        truncate_consensus(dir, whole).map_err(|e| named(&e))?;
     }
     Ok(agree)
 }
@@ -177,7 +177,7 @@
         })?;
         let (peers, dispatcher) = (self.clone(), dispatcher.clone());
         let (rings, numbers) = (self.clone(), self.stands.clone());
-        let stands: Arc<Stands> = Arc::new(move |number| {
+        let stands: Arc<OnDurable> = Arc::new(move |number| {
             numbers.lock().unwrap_or_else(|e| e.into_inner()).push(number);
             rings.clock.ring();
         });
@@ -185,7 +185,7 @@
     }
 
     fn attend(
-        &self, socket: &Datagrams, dispatcher: &Dispatcher, store: Option<Store>, stands: &Arc<Stands>,
+        &self, socket: &Datagrams, dispatcher: &Dispatcher, store: Option<Store>, stands: &Arc<OnDurable>,
     ) {
         self.clock.attend();
         let (mut keep, mut kept) = (elapsed(), Kept::default());
@@ -198,7 +198,7 @@
                 }
                 let (writes, gate, wait) = inner.agree(at, &self.stands);
                 if let (Some(store), false) = (&store, writes.is_empty()) {
-                    store.keep_agreed(writes, stands);
+                    store.save_consensus(writes, stands);
                 }
                 if let Some((gate, until)) = gate {
                     dispatcher.gate(gate, until);
@@ -228,7 +228,7 @@
                     let start = self.inner().members.own().start;
                     let fresh = Kept { start, wall: 0, agreed: agreed.into_iter().collect(), at: all };
                     if fresh != kept {
-                        store.keep_members(Kept { wall: now(), ..fresh.clone() }.write());
+                        store.save_members(Kept { wall: now(), ..fresh.clone() }.write());
                         kept = fresh;
                     }
                 }
--- a/daemon/src/service.rs
+++ b/daemon/src/service.rs
@@ -4,7 +4,7 @@
 use asterrill::{MethodId, Us};
 use asterrill_engine::Served;
 use asterrill_entries::Name;
-use asterrill_rollout::{Counted, Sample, Seen};
+use asterrill_rollout::{MethodCounts, MethodLoad, ObservedLoad, ServiceSample};
 
 const HALF: Us = 30_000_000; // of the minute that is looked back on
 
@@ -15,9 +15,9 @@
     /// By which it is judged while a change is watched: that of the version before.
     judged: Us,
     read: u64,
-    asked: u64,
+    answered: u64,
     in_time: u64,
-    spoilt: u64,
+    upstream_failed: u64,
     /// Read in this half of the minute, and in the one before.
     minute: (u64, u64),
     /// It is among those that were touched since the last look, and among those read in the minute.
@@ -66,9 +66,9 @@
     pub fn answered(&mut self, served: Served, ok: bool) {
         let Some(of) = self.of.get_mut(served.method.0) else { return };
         let in_time = ok && served.latency <= of.judged;
-        of.asked += 1;
+        of.answered += 1;
         of.in_time += u64::from(in_time);
-        of.spoilt += u64::from(!in_time && served.upstream_failed);
+        of.upstream_failed += u64::from(!in_time && served.upstream_failed);
         if !std::mem::replace(&mut of.touched, true) {
             self.touched.push(served.method.0);
         }
@@ -76,17 +76,17 @@
     /// What came since the last time.
     pub fn take(
         &mut self, name: impl Fn(MethodId) -> Option<Name>, cost: impl Fn(MethodId) -> f64,
-    ) -> Sample {
-        let mut sample = Sample::default();
+    ) -> ServiceSample {
+        let mut sample = ServiceSample::default();
         for place in self.touched.drain(..) {
             let Some(of) = self.of.get_mut(place) else { continue };
-            let counted = Counted {
-                asked: of.asked as f64,
+            let counted = MethodCounts {
+                answered: of.answered as f64,
                 in_time: of.in_time as f64,
-                spoilt: of.spoilt as f64,
-                work: of.read as f64 * cost(MethodId(place)),
+                upstream_failed: of.upstream_failed as f64,
+                work_us: of.read as f64 * cost(MethodId(place)),
             };
-            (of.read, of.asked, of.in_time, of.spoilt, of.touched) = (0, 0, 0, 0, false);
+            (of.read, of.answered, of.in_time, of.upstream_failed, of.touched) = (0, 0, 0, 0, false);
             sample.methods.extend(name(MethodId(place)).map(|name| (name, counted)));
         }
         sample
@@ -107,14 +107,17 @@
     /// What was read in the last minute.
     pub fn seen(
         &self, now: Us, name: impl Fn(MethodId) -> Option<Name>, cost: impl Fn(MethodId) -> f64,
-    ) -> Seen {
+    ) -> ObservedLoad {
         let entry = |place: &usize| {
             let of = self.of.get(*place)?;
             let count = (of.minute.0 + of.minute.1) as f64;
-            Some((name(MethodId(*place))?, (count, cost(MethodId(*place)))))
+            Some((
+                name(MethodId(*place))?,
+                MethodLoad { requests: count, mean_work_us: cost(MethodId(*place)) },
+            ))
         };
         let span = now.saturating_sub(self.half.saturating_sub(HALF).max(self.start));
         let methods = self.recent.iter().filter_map(entry).collect();
-        Seen { methods, seconds: span as f64 / 1e6, ..Seen::default() }
+        ObservedLoad { methods, seconds: span as f64 / 1e6, ..ObservedLoad::default() }
     }
 }
--- a/daemon/src/store.rs
+++ b/daemon/src/store.rs
@@ -22,7 +22,7 @@
 const LEARNED: &str = "learned"; // the file of what was learned
 
 /// Told the number of a write that stands on disk.
-pub type Stands = dyn Fn(u64) + Send + Sync;
+pub type OnDurable = dyn Fn(u64) + Send + Sync;
 
 /// What is to be written next.
 #[derive(Default)]
@@ -32,7 +32,7 @@
     members: Option<String>,
     /// What a keeper has to have on disk, in this order, and who is told once it stands there.
     agreed: Vec<Bytes>,
-    stands: Option<Arc<Stands>>,
+    stands: Option<Arc<OnDurable>>,
 }
 
 #[derive(Default)]
@@ -47,7 +47,7 @@
 pub struct Store(Arc<Desk>);
 
 /// Reads what an earlier process had learned. What can't be used is told, and is as if it were not there.
-pub fn find_learned(dir: &Path, log: &Logger) -> Option<Learned> {
+pub fn read_learned(dir: &Path, log: &Logger) -> Option<Learned> {
     let path = dir.join(LEARNED);
     let text = match File::open(&path) {
         Ok(file) => {
@@ -66,7 +66,7 @@
 }
 
 /// Reads who was there before. What can't be used is told, and is as if it were not there.
-pub fn find_members(dir: &Path, log: &Logger) -> Option<Kept> {
+pub fn read_members(dir: &Path, log: &Logger) -> Option<Kept> {
     let path = dir.join(MEMBERS);
     let mut text = String::new();
     match File::open(&path).and_then(|file| file.take(MOST as u64 + 1).read_to_string(&mut text)) {
@@ -86,11 +86,11 @@
 }
 
 /// Reads which versions an earlier process has left. What can't be used is told, and is as if it were not there.
-pub fn find(dir: &Path, log: &Logger) -> Option<State> {
+pub fn read_versions(dir: &Path, log: &Logger) -> Option<State> {
     let path = dir.join(VERSIONS);
     let read = match File::open(&path) {
         Ok(file) => recover(BufReader::new(file)).map_err(|fault| fault.to_string()),
-        Err(e) if e.kind() == io::ErrorKind::NotFound => return find_former(dir, log),
+        Err(e) if e.kind() == io::ErrorKind::NotFound => return read_former_versions(dir, log),
         Err(e) => Err(e.to_string()),
     };
     match read {
@@ -114,7 +114,7 @@
 
 /// Reads versions as builds before the file of versions kept them, each a whole text in a file of its own. What was
 /// undone then is not known any more: it was named by a hash of the text.
-fn find_former(dir: &Path, log: &Logger) -> Option<State> {
+fn read_former_versions(dir: &Path, log: &Logger) -> Option<State> {
     let read = |name: &str| -> Result<Option<Version>, String> {
         let mut text = String::new();
         match File::open(dir.join(name)).and_then(|file| file.take(MOST as u64 + 1).read_to_string(&mut text))
@@ -161,22 +161,22 @@
     /// From now on this is to stand on disk. Of several wishes the last counts: what is appended leads to it from what
     /// stands there, so at most one waits, nothing is left out and nothing is written twice. Costs the caller nothing that
     /// grows with the version.
-    pub fn keep(&self, state: State) {
+    pub fn save_versions(&self, state: State) {
         self.0.wanted().versions = Some(state);
         self.0.news.notify_one();
     }
     /// The same for what was learned.
-    pub fn keep_learned(&self, learned: Learned) {
+    pub fn save_learned(&self, learned: Learned) {
         self.0.wanted().learned = Some(learned);
         self.0.news.notify_one();
     }
     /// The same for who was there.
-    pub fn keep_members(&self, text: String) {
+    pub fn save_members(&self, text: String) {
         self.0.wanted().members = Some(text);
         self.0.news.notify_one();
     }
     /// What a keeper has to have on disk: each of it is written, in this order.
-    pub fn keep_agreed(&self, writes: Vec<Bytes>, stands: &Arc<Stands>) {
+    pub fn save_consensus(&self, writes: Vec<Bytes>, stands: &Arc<OnDurable>) {
         let mut wanted = self.0.wanted();
         wanted.agreed.extend(writes);
         wanted.stands = Some(stands.clone());
@@ -212,7 +212,7 @@
         let members = wanted.members.take();
         let (agreed, told_of) = (std::mem::take(&mut wanted.agreed), wanted.stands.clone());
         drop(wanted);
-        let versions = versions.map_or(Ok(()), |state| keep_versions(dir, &mut stands, state));
+        let versions = versions.map_or(Ok(()), |state| write_versions(dir, &mut stands, state));
         let learned = learned.map_or(Ok(()), |learned| put(dir, &dir.join(LEARNED), &learned.write()));
         let members = members.map_or(Ok(()), |text| {
             let sealed = asterrill_recovery::seal(MEMBERS, FORMAT, &text);
@@ -234,7 +234,7 @@
 
 /// Writes what leads from what stands there to what is to. After a failure it is not known what stands there, so the
 /// next time a whole version takes its place: steps never follow a hole.
-fn keep_versions(dir: &Path, standing: &mut Option<Standing>, state: State) -> io::Result<()> {
+fn write_versions(dir: &Path, standing: &mut Option<Standing>, state: State) -> io::Result<()> {
     let path = dir.join(VERSIONS);
     let steps = standing.as_ref().and_then(|standing| standing.steps_to(&state));
     if let Some((old, steps)) = standing.take().zip(steps) {
@@ -277,7 +277,7 @@
 }
 
 /// The file of a keeper: appended to, or made anew; one sync for all that came together.
-fn keep(dir: &Path, writes: &[Bytes], stands: Option<&Stands>) -> io::Result<()> {
+fn keep(dir: &Path, writes: &[Bytes], stands: Option<&OnDurable>) -> io::Result<()> {
     let Some(last) = writes.last() else { return Ok(()) };
     let path = dir.join(AGREED);
     let mut file = None;
@@ -298,14 +298,14 @@
 }
 
 /// The bytes of a keeper's file.
-pub fn find_agreed(dir: &Path) -> io::Result<Vec<u8>> {
+pub fn read_consensus(dir: &Path) -> io::Result<Vec<u8>> {
     match std::fs::read(dir.join(AGREED)) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
         read => read,
     }
 }
 /// What follows the whole records of a keeper's file is cut off.
-pub fn cut_agreed(dir: &Path, whole: usize) -> io::Result<()> {
+pub fn truncate_consensus(dir: &Path, whole: usize) -> io::Result<()> {
     let file = File::options().write(true).create(true).truncate(false).open(dir.join(AGREED))?;
     file.set_len(whole as u64)?;
     file.sync_all()
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -1349,17 +1349,18 @@
     let sample = service.take(name, |_| 2.0);
     assert_eq!(asked.get(), 2, "names that are looked at");
     let counted = |n: &str| sample.methods[n];
-    assert_eq!((counted("m7").asked, counted("m7").in_time, counted("m7").work), (3.0, 3.0, 6.0));
-    assert_eq!((counted("m4000").asked, counted("m4000").work), (0.0, 6.0));
+    assert_eq!((counted("m7").answered, counted("m7").in_time, counted("m7").work_us), (3.0, 3.0, 6.0));
+    assert_eq!((counted("m4000").answered, counted("m4000").work_us), (0.0, 6.0));
     assert!(service.take(name, |_| 2.0).methods.is_empty() && asked.get() == 2);
     service
         .answered(asterrill_engine::Served { method: of(4_000), latency: 1, upstream_failed: true }, false);
-    assert_eq!(service.take(name, |_| 2.0).methods["m4000"].spoilt, 1.0);
+    assert_eq!(service.take(name, |_| 2.0).methods["m4000"].upstream_failed, 1.0);
     asked.set(0);
     service.pass(30_000 * MS);
     service.read(of(9));
     let seen = service.seen(31_000 * MS, name, |_| 2.0);
-    assert_eq!((asked.get(), seen.methods["m7"], seen.methods["m9"]), (3, (3.0, 2.0), (1.0, 2.0)));
+    let load = |requests| asterrill_rollout::MethodLoad { requests, mean_work_us: 2.0 };
+    assert_eq!((asked.get(), seen.methods["m7"], seen.methods["m9"]), (3, load(3.0), load(1.0)));
     service.pass(60_000 * MS);
     let seen = service.seen(61_000 * MS, name, |_| 2.0);
     assert_eq!(
--- a/daemon/src/tests/store.rs
+++ b/daemon/src/tests/store.rs
@@ -33,7 +33,7 @@
 }
 /// Writes states one after the other, as the thread does.
 fn keep_all(dir: &Path, standing: &mut Option<Standing>, states: &[State]) {
-    states.iter().for_each(|state| keep_versions(dir, standing, state.clone()).unwrap());
+    states.iter().for_each(|state| write_versions(dir, standing, state.clone()).unwrap());
 }
 fn wait(what: impl Fn() -> bool) {
     let until = Instant::now() + Duration::from_secs(5);
@@ -55,8 +55,8 @@
     let mut undone = state(2, None);
     undone.undone.push((kept(3).hash(), 3));
     for next in [state(1, Some(2)), state(2, None), state(2, Some(3)), undone.clone()] {
-        keep_versions(&dir, &mut standing, next.clone()).unwrap();
-        assert_eq!(find(&dir, &log()), Some(next));
+        write_versions(&dir, &mut standing, next.clone()).unwrap();
+        assert_eq!(read_versions(&dir, &log()), Some(next));
     }
     // What follows the whole version is steps; a wish for what stands there writes nothing.
     let steps = length(&dir) - whole;
@@ -66,13 +66,13 @@
     // Cut short it gives what stood there before, and within the whole version nothing.
     let text = std::fs::read(dir.join(VERSIONS)).unwrap();
     std::fs::write(dir.join(VERSIONS), &text[..text.len() - 1]).unwrap();
-    assert_eq!(find(&dir, &log()), Some(state(2, Some(3))));
+    assert_eq!(read_versions(&dir, &log()), Some(state(2, Some(3))));
     std::fs::write(dir.join(VERSIONS), &text[..30]).unwrap();
-    assert_eq!(find(&dir, &log()), None);
+    assert_eq!(read_versions(&dir, &log()), None);
     std::fs::write(dir.join(VERSIONS), "of another program").unwrap();
-    assert_eq!(find(&dir, &log()), None);
+    assert_eq!(read_versions(&dir, &log()), None);
     std::fs::remove_file(dir.join(VERSIONS)).unwrap();
-    assert_eq!(find(&dir, &log()), None);
+    assert_eq!(read_versions(&dir, &log()), None);
     std::fs::remove_dir_all(dir).unwrap();
 }
 
@@ -86,16 +86,16 @@
     let store = Store::start(&dir, &log()).unwrap();
     let said = Arc::new(AtomicU64::new(0));
     let counts = said.clone();
-    let stands: Arc<Stands> = Arc::new(move |_| counts.store(1, Ordering::Relaxed));
-    store.keep(state(2, None));
-    store.keep_agreed(vec![Bytes { number: 1, bytes: vec![1; 64], anew: false }], &stands);
+    let stands: Arc<OnDurable> = Arc::new(move |_| counts.store(1, Ordering::Relaxed));
+    store.save_versions(state(2, None));
+    store.save_consensus(vec![Bytes { number: 1, bytes: vec![1; 64], anew: false }], &stands);
     wait(|| store.failed() >= 2);
-    assert_eq!(find(&dir, &log()), Some(state(1, None)));
+    assert_eq!(read_versions(&dir, &log()), Some(state(1, None)));
     assert_eq!(said.load(Ordering::Relaxed), 0);
     // There is room again: what is wished for next stands there.
     std::fs::remove_file(dir.join("versions.new")).unwrap();
-    store.keep(state(2, Some(3)));
-    wait(|| find(&dir, &log()) == Some(state(2, Some(3))));
+    store.save_versions(state(2, Some(3)));
+    wait(|| read_versions(&dir, &log()) == Some(state(2, Some(3))));
     std::fs::remove_dir_all(dir).unwrap();
 }
 
@@ -108,18 +108,18 @@
     // The disk is full for a moment.
     std::fs::rename(&path, &aside).unwrap();
     symlink("/dev/full", &path).unwrap();
-    assert!(keep_versions(&dir, &mut standing, state(2, None)).is_err());
+    assert!(write_versions(&dir, &mut standing, state(2, None)).is_err());
     std::fs::rename(&aside, &path).unwrap();
-    assert_eq!(find(&dir, &log()), Some(state(1, Some(2))));
+    assert_eq!(read_versions(&dir, &log()), Some(state(1, Some(2))));
     // A step from 2 would follow a hole.
     keep_all(&dir, &mut standing, &[state(2, Some(3))]);
-    assert_eq!(find(&dir, &log()), Some(state(2, Some(3))));
+    assert_eq!(read_versions(&dir, &log()), Some(state(2, Some(3))));
     assert!(std::fs::read_to_string(&path).unwrap().starts_with("asterrill versions 1\nwhole 2 "));
     // The file is gone: steps alone would be nothing, so that is a failure too, and then it is made anew.
     std::fs::remove_file(&path).unwrap();
-    assert!(keep_versions(&dir, &mut standing, state(3, None)).is_err());
+    assert!(write_versions(&dir, &mut standing, state(3, None)).is_err());
     keep_all(&dir, &mut standing, &[state(3, None)]);
-    assert_eq!(find(&dir, &log()), Some(state(3, None)));
+    assert_eq!(read_versions(&dir, &log()), Some(state(3, None)));
     std::fs::remove_dir_all(dir).unwrap();
 }
 
@@ -132,11 +132,11 @@
     for cut in 0..=new.len() {
         keep_all(&dir, &mut None, &[state(1, None)]);
         std::fs::write(&beside, &new[..cut]).unwrap();
-        assert_eq!(find(&dir, &log()), Some(state(1, None)), "cut at {cut}");
+        assert_eq!(read_versions(&dir, &log()), Some(state(1, None)), "cut at {cut}");
     }
     // What was left there is in nobody's way.
     keep_all(&dir, &mut None, &[state(2, Some(3))]);
-    assert_eq!(find(&dir, &log()), Some(state(2, Some(3))));
+    assert_eq!(read_versions(&dir, &log()), Some(state(2, Some(3))));
     assert!(!beside.exists());
     std::fs::remove_dir_all(dir).unwrap();
 }
@@ -149,8 +149,8 @@
     for number in 1..100 {
         let mut next = state(number, None);
         next.good.file = "a line\n".repeat(400 + number as usize).into();
-        keep_versions(&dir, &mut standing, next.clone()).unwrap();
-        assert_eq!(find(&dir, &log()), Some(next));
+        write_versions(&dir, &mut standing, next.clone()).unwrap();
+        assert_eq!(read_versions(&dir, &log()), Some(next));
         let now = length(&dir);
         (longest, anew, before) = (longest.max(now), anew + u32::from(now < before), now);
     }
@@ -165,9 +165,9 @@
     let dir = dir("many");
     let store = Store::start(&dir, &log()).unwrap();
     for number in 1..500 {
-        store.keep(state(number, Some(number + 1)));
+        store.save_versions(state(number, Some(number + 1)));
     }
-    wait(|| find(&dir, &log()) == Some(state(499, Some(500))));
+    wait(|| read_versions(&dir, &log()) == Some(state(499, Some(500))));
     assert_eq!(store.failed(), 0);
     std::fs::remove_dir_all(dir).unwrap();
 }
@@ -190,7 +190,7 @@
     let undone = format!("undone {} 3\n", "f".repeat(32));
     std::fs::write(dir.join("good"), sealed(4, &undone, &text(5))).unwrap();
     std::fs::write(dir.join("probation"), sealed(5, "", &text(6))).unwrap();
-    let found = find(&dir, &log()).unwrap();
+    let found = read_versions(&dir, &log()).unwrap();
     assert_eq!((found.good.number, found.probation.as_ref().map(|on| on.number)), (4, Some(5)));
     let frame = found.good.content.frame();
     assert_eq!((frame.memory_mb, frame.sockets, frame.cores, &*found.good.file), (64, 100, 4, "a file\n"));
@@ -199,20 +199,20 @@
     assert_eq!(found.undone, []);
     // Once versions stand in their own file, the others are gone.
     keep_all(&dir, &mut None, &[state(1, None)]);
-    assert_eq!(find(&dir, &log()), Some(state(1, None)));
+    assert_eq!(read_versions(&dir, &log()), Some(state(1, None)));
     assert!(!dir.join("good").exists() && !dir.join("probation").exists());
     // One that is damaged is as if it were not there.
     std::fs::remove_file(dir.join(VERSIONS)).unwrap();
     std::fs::write(dir.join("good"), &sealed(4, &undone, &text(5))[..200]).unwrap();
-    assert_eq!(find(&dir, &log()), None);
+    assert_eq!(read_versions(&dir, &log()), None);
     std::fs::remove_dir_all(dir).unwrap();
 }
 
 #[test]
 fn a_place_that_can_not_be_written_is_counted_and_nothing_else_happens() {
     let store = Store::start(Path::new("/proc/nowhere"), &log()).unwrap();
-    store.keep(state(1, None));
+    store.save_versions(state(1, None));
     wait(|| store.failed() > 0);
-    store.keep(state(2, None));
+    store.save_versions(state(2, None));
     wait(|| store.failed() > 1);
 }
--- a/rollout/examples/figures.rs
+++ b/rollout/examples/figures.rs
@@ -4,7 +4,9 @@
 
 use asterrill::{Effect, Method};
 use asterrill_entries::{write_step, Change, Content, Frame, Name, Step};
-use asterrill_rollout::{recover, write_whole, Before, Counted, Kept, Sample, State, Verdict, Watch};
+use asterrill_rollout::{
+    recover, write_whole, Before, Kept, MethodCounts, ServiceSample, State, Verdict, Watch,
+};
 use std::fmt;
 use std::fs::File;
 use std::io::{BufReader, BufWriter, Write};
@@ -53,14 +55,14 @@
 fn watch(content: &Content) -> f64 {
     let names: Vec<Name> = content.methods().map(|(name, _)| name.clone()).collect();
     let sample = |at: usize| {
-        let counted = Counted { asked: 1.0, in_time: 1.0, spoilt: 0.0, work: 5_000.0 };
+        let counted = MethodCounts { answered: 1.0, in_time: 1.0, upstream_failed: 0.0, work_us: 5_000.0 };
         let some = (0..9).filter_map(|i| Some((names.get((at * 9 + i) % names.len())?.clone(), counted)));
-        Sample { methods: some.collect() }
+        ServiceSample { methods: some.collect() }
     };
     let mut before = Before::default();
     (1..=200).for_each(|at| before.take(at as u64 * 100_000, &sample(at)));
     let mut watch = Watch::new(20_000_000, &before, content.clone(), 3_600_000_000);
-    let samples: Vec<Sample> = (201..=3_200).map(sample).collect();
+    let samples: Vec<ServiceSample> = (201..=3_200).map(sample).collect();
     let start = Instant::now();
     for (i, sample) in samples.iter().enumerate() {
         let verdict = watch.take((201 + i as u64) * 100_000, sample);
--- a/rollout/src/check.rs
+++ b/rollout/src/check.rs
@@ -11,15 +11,24 @@
 
 /// What the server has seen in the last minute, and holds now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
-    /// Of each method: RPCs read in the last minute, and the mean work of one in microseconds.
-    pub methods: BTreeMap<Name, (f64, f64)>,
+pub struct ObservedLoad {
+    /// Of each method.
+    pub methods: BTreeMap<Name, MethodLoad>,
     /// Over how many seconds that was seen, at most 60.
     pub seconds: f64,
     /// Memory of what is held and runs, in kB.
-    pub held_kb: f64,
+    pub in_use_kb: f64,
     /// Memory that the program may take for it, in kB; 0 where that is not known.
-    pub free_kb: f64,
+    pub available_kb: f64,
+}
+
+/// RPCs of one method in the last minute.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct MethodLoad {
+    /// RPCs read.
+    pub requests: f64,
+    /// Mean CPU work of one, in microseconds.
+    pub mean_work_us: f64,
 }
 
 /// What is wrong with a change, or risky.
@@ -123,7 +132,7 @@
 /// or more. What the changes do not touch is not looked at again, but for the memory that is held now. To check a
 /// version by itself, hand it in as both, with the changes that lead to it from nothing.
 pub fn check(
-    running: &Content, staged: &Content, changes: &[Change], seen: &Seen, factor: f64,
+    running: &Content, staged: &Content, changes: &[Change], seen: &ObservedLoad, factor: f64,
 ) -> Vec<Problem> {
     let touched = touched(changes);
     let (old, new) = (figures(running.frame()), figures(staged.frame()));
@@ -160,12 +169,17 @@
     if new.call_share.is_some_and(|share| share <= 0.0) {
         wrong(&|| "the share of the calls below is nothing".into());
     }
-    if new.memory_kb < seen.held_kb {
-        wrong(&|| format!("memory of {:.0} kB is under the {:.0} kB held now", new.memory_kb, seen.held_kb));
+    if new.memory_kb < seen.in_use_kb {
+        wrong(&|| {
+            format!("memory of {:.0} kB is under the {:.0} kB held now", new.memory_kb, seen.in_use_kb)
+        });
     }
-    if seen.free_kb > 0.0 && new.memory_kb > seen.free_kb {
+    if seen.available_kb > 0.0 && new.memory_kb > seen.available_kb {
         wrong(&|| {
-            format!("memory of {:.0} kB is more than the {:.0} kB there are", new.memory_kb, seen.free_kb)
+            format!(
+                "memory of {:.0} kB is more than the {:.0} kB there are",
+                new.memory_kb, seen.available_kb
+            )
         });
     }
     let mut differs = |what: &dyn Fn() -> String, old: f64, new: f64| {
@@ -215,14 +229,14 @@
 /// The share of the last minute's RPCs that a version would have turned away: those of methods that it does not
 /// know, those whose mean work leaves no time within the deadline, and of the rest what is beyond its cores, the
 /// least critical first. Costs what was seen.
-pub fn dry_run(new: &Content, seen: &Seen) -> f64 {
-    let all: f64 = seen.methods.values().map(|(n, _)| n).sum();
+pub fn dry_run(new: &Content, seen: &ObservedLoad) -> f64 {
+    let all: f64 = seen.methods.values().map(|load| load.requests).sum();
     if all <= 0.0 || seen.seconds <= 0.0 {
         return 0.0;
     }
     let mut away = 0.0;
     let mut rest = Vec::new();
-    for (name, (count, work)) in &seen.methods {
+    for (name, MethodLoad { requests: count, mean_work_us: work }) in &seen.methods {
         match new.method(name) {
             Some(m) if *work < m.deadline as f64 => rest.push((m.criticality, *count, *work)),
             _ => away += count,
--- a/rollout/src/lib.rs
+++ b/rollout/src/lib.rs
@@ -35,13 +35,13 @@
 mod transaction;
 mod watch;
 
-pub use check::{check, difference, dry_run, Problem, Seen, LISTED};
+pub use check::{check, difference, dry_run, MethodLoad, ObservedLoad, Problem, LISTED};
 pub use record::{
     hash, recover, start_with, write_whole, Damage, Kept, RecordFault, Recovered, Standing, Start, State,
     Steps, FILE, STEPS,
 };
 pub use transaction::{Change, Event, Hash, Marked, Refusal, Rollout, Stage, Version, Wish};
-pub use watch::{Before, Counted, Loss, Sample, Verdict, Watch};
+pub use watch::{Before, Loss, MethodCounts, ServiceSample, Verdict, Watch};
 
 /// A moment or a span in whole microseconds.
 pub type Us = u64;
--- a/rollout/src/tests.rs
+++ b/rollout/src/tests.rs
@@ -165,13 +165,17 @@
     }
 }
 
+fn load(requests: f64, mean_work_us: f64) -> MethodLoad {
+    MethodLoad { requests, mean_work_us }
+}
+
 #[test]
 fn each_mistake_is_named_and_what_is_only_risky_may_be_forced() {
-    let seen = Seen {
-        methods: [("price".into(), (600.0, 5_000.0)), ("look".into(), (600.0, 50_000.0))].into(),
+    let seen = ObservedLoad {
+        methods: [("price".into(), load(600.0, 5_000.0)), ("look".into(), load(600.0, 50_000.0))].into(),
         seconds: 60.0,
-        held_kb: 5_000.0,
-        free_kb: 100_000.0,
+        in_use_kb: 5_000.0,
+        available_kb: 100_000.0,
     };
     let said = |edit: fn(&mut Facts)| {
         let mut new = facts();
@@ -225,9 +229,9 @@
     // 600 take 3 s of a core, 600 take 30 s: of 15 s the critical ones get theirs, and 240 of the others.
     let mut scarce = facts();
     scarce.frame.cores = 1;
-    let share = dry_run(&scarce.content(), &Seen { seconds: 15.0, ..seen });
+    let share = dry_run(&scarce.content(), &ObservedLoad { seconds: 15.0, ..seen });
     assert!((0.29..0.31).contains(&share), "{share}");
-    assert_eq!(dry_run(&scarce.content(), &Seen::default()), 0.0);
+    assert_eq!(dry_run(&scarce.content(), &ObservedLoad::default()), 0.0);
 }
 
 #[test]
@@ -236,7 +240,7 @@
     bad.methods.get_mut("look").unwrap().deadline = 1;
     let bad = bad.content();
     let all = Content::new((**bad.frame()).clone()).changes_to(&bad);
-    let said = |changes: &[Entry]| check(&bad, &bad, changes, &Seen::default(), f64::INFINITY).len();
+    let said = |changes: &[Entry]| check(&bad, &bad, changes, &ObservedLoad::default(), f64::INFINITY).len();
     // What a change does not touch is not held against it.
     assert_eq!((said(&all), said(&[]), said(&[Entry::PutTenant("nile".into(), 1.0)])), (1, 0, 0));
 }
@@ -287,7 +291,7 @@
         Method { window: 0, effect: Effect::Tokened, ..method(1.0, 200) },
     ));
     let staged = new.apply(&changes).unwrap();
-    let problems = check(&new, &staged, &changes, &Seen::default(), 3.0);
+    let problems = check(&new, &staged, &changes, &ObservedLoad::default(), 3.0);
     assert_eq!((problems.len(), problems.last()), (LISTED + 1, Some(&Problem::More(48_801))));
     // What is wrong comes first, so that it is among those that are listed.
     assert_eq!(problems[0].to_string(), "wrong: method look: it is tokened, but has no window");
@@ -333,7 +337,7 @@
         }
         n
     }
-    fn beat(&mut self, now: Us, changed: bool) -> Sample {
+    fn beat(&mut self, now: Us, changed: bool) -> ServiceSample {
         let within = |(from, until): (Us, Us)| (from..until).contains(&now);
         let (from, until, times) = self.jump;
         let rate = self.rate * if within((from, until)) { times } else { 1.0 };
@@ -341,18 +345,19 @@
         let work = self.cores * 0.6e6 / self.rate;
         let mut room = self.cores * 1e5;
         let burst = if self.chance.random::<f64>() < 0.05 { 3.0 } else { 0.9 };
-        let mut sample = Sample::default();
+        let mut sample = ServiceSample::default();
         for (i, name) in ["price", "look"].into_iter().enumerate() {
             let asked = self.poisson(rate / 10.0 * [0.25, 0.75][i]);
             let fits = (room / (asked * work).max(1.0)).min(1.0);
             room -= asked * work * fits;
-            let mut counted = Counted { asked, work: asked * work, ..Counted::default() };
+            let mut counted =
+                MethodCounts { answered: asked, work_us: asked * work, ..MethodCounts::default() };
             let mut fine = (1.0 - (self.usual * burst).min(1.0)) * fits;
             fine *= if changed { 1.0 - self.lost[i] } else { 1.0 };
             fine *= if within(self.unlucky) { 0.2 } else { 1.0 };
             for _ in 0..asked as u64 {
                 if within(self.below) && self.chance.random::<f64>() < 0.5 {
-                    counted.spoilt += 1.0;
+                    counted.upstream_failed += 1.0;
                 } else if self.chance.random::<f64>() < fine {
                     counted.in_time += 1.0;
                 }
@@ -450,7 +455,7 @@
     let mut now = 0;
     let verdict = loop {
         now += S / 10;
-        match watch.take(now, &Sample::default()) {
+        match watch.take(now, &ServiceSample::default()) {
             Verdict::Wait => {}
             verdict => break verdict,
         }
@@ -461,6 +466,6 @@
 #[test]
 fn a_clock_set_back_decides_nothing_early() {
     let mut watch = Watch::new(100 * S, &Before::default(), nothing(), 2 * S);
-    assert_eq!(watch.take(S, &Sample::default()), Verdict::Wait);
-    assert_eq!(watch.take(100 * S, &Sample::default()), Verdict::Wait);
+    assert_eq!(watch.take(S, &ServiceSample::default()), Verdict::Wait);
+    assert_eq!(watch.take(100 * S, &ServiceSample::default()), Verdict::Wait);
 }
--- a/rollout/src/watch.rs
+++ b/rollout/src/watch.rs
@@ -48,35 +48,35 @@
 /// out as their call below failed, and the work of those that came, in microseconds of a core. Of methods that were
 /// asked for only: the cost of a sample does not grow with how many there are.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sample {
-    pub methods: BTreeMap<Name, Counted>,
+pub struct ServiceSample {
+    pub methods: BTreeMap<Name, MethodCounts>,
 }
 
 /// Of one method.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counted {
+pub struct MethodCounts {
     /// Final answers, and those of them that were ok in time.
-    pub asked: f64,
+    pub answered: f64,
     pub in_time: f64,
     /// Of those not in time, the ones whose call below failed.
-    pub spoilt: f64,
+    pub upstream_failed: f64,
     /// Work that came, as far as it is known what an RPC takes, in microseconds.
-    pub work: f64,
+    pub work_us: f64,
 }
 
-impl Sample {
+impl ServiceSample {
     /// Takes another in.
-    pub fn add(&mut self, other: &Sample) {
+    pub fn add(&mut self, other: &ServiceSample) {
         for (name, counted) in &other.methods {
             let all = self.methods.entry(name.clone()).or_default();
-            all.asked += counted.asked;
+            all.answered += counted.answered;
             all.in_time += counted.in_time;
-            all.spoilt += counted.spoilt;
-            all.work += counted.work;
+            all.upstream_failed += counted.upstream_failed;
+            all.work_us += counted.work_us;
         }
     }
     fn work(&self) -> f64 {
-        self.methods.values().map(|counted| counted.work).sum()
+        self.methods.values().map(|counted| counted.work_us).sum()
     }
 }
 
@@ -105,14 +105,14 @@
 /// The last slots, kept at all times, so that a change finds its window before.
 #[derive(Clone, Debug, Default)]
 pub struct Before {
-    slots: VecDeque<Sample>,
-    open: Sample,
+    slots: VecDeque<ServiceSample>,
+    open: ServiceSample,
     since: Us,
 }
 
 impl Before {
     /// Takes in what came since the last time.
-    pub fn take(&mut self, now: Us, sample: &Sample) {
+    pub fn take(&mut self, now: Us, sample: &ServiceSample) {
         self.open.add(sample);
         if now >= self.since.saturating_add(SLOT) {
             self.since = now;
@@ -127,7 +127,7 @@
 /// Half a second of the probation, and what it says by itself: kept, so that it is reckoned once.
 #[derive(Clone, Debug)]
 struct Slot {
-    sample: Sample,
+    sample: ServiceSample,
     /// What was to be expected: criticality asked, and lost of it.
     due: (f64, f64),
     bad: bool,
@@ -140,16 +140,16 @@
     weights: Content,
     /// Work that the old version could do in a second, in microseconds.
     room: f64,
-    before: Sample,
+    before: ServiceSample,
     /// RPCs' worth of evidence in it.
     evidence: f64,
     recent: VecDeque<Slot>,
     /// Over the whole probation: what was seen, what was to be expected as criticality asked and lost, and slots
     /// that told something, with the bad ones among them.
-    all: Sample,
+    all: ServiceSample,
     due: (f64, f64),
     told: (usize, usize),
-    open: Sample,
+    open: ServiceSample,
     since: Us,
     start: Us,
     probation: Us,
@@ -160,18 +160,18 @@
     pub fn new(now: Us, before: &Before, old: Content, probation: Us) -> Watch {
         let mut all = before.open.clone();
         before.slots.iter().for_each(|slot| all.add(slot));
-        let slots = before.slots.iter().map(Sample::work).fold(0.0, f64::max);
+        let slots = before.slots.iter().map(ServiceSample::work).fold(0.0, f64::max);
         let room = (crate::check::cores(&old) * 1e6 * BUSY).max(slots * (1_000_000 / SLOT) as f64);
         let mut watch = Watch {
             weights: old,
             room,
-            before: Sample::default(),
+            before: ServiceSample::default(),
             evidence: 0.0,
             recent: VecDeque::new(),
-            all: Sample::default(),
+            all: ServiceSample::default(),
             due: (0.0, 0.0),
             told: (0, 0),
-            open: Sample::default(),
+            open: ServiceSample::default(),
             since: now,
             start: now,
             probation,
@@ -182,7 +182,7 @@
     }
 
     /// Takes in what came since the last time.
-    pub fn take(&mut self, now: Us, sample: &Sample) -> Verdict {
+    pub fn take(&mut self, now: Us, sample: &ServiceSample) -> Verdict {
         self.open.add(sample);
         if now < self.since.saturating_add(SLOT) {
             return Verdict::Wait;
@@ -206,7 +206,7 @@
     }
 
     fn decide(&self, now: Us) -> Verdict {
-        let mut recent = Sample::default();
+        let mut recent = ServiceSample::default();
         self.recent.iter().for_each(|slot| recent.add(&slot.sample));
         let due = self.recent.iter().fold((0.0, 0.0), |all, slot| (all.0 + slot.due.0, all.1 + slot.due.1));
         let (expected, seen) = (self.expected(due), self.loss(&recent));
@@ -242,10 +242,10 @@
     }
 
     /// The share of criticality that was not answered in time, without what was spoilt below.
-    fn loss(&self, sample: &Sample) -> Loss {
+    fn loss(&self, sample: &ServiceSample) -> Loss {
         let (mut all, mut lost, mut squares) = (0.0, 0.0, 0.0);
         for (name, counted) in &sample.methods {
-            let (weight, asked) = (self.weight(name), (counted.asked - counted.spoilt).max(0.0));
+            let (weight, asked) = (self.weight(name), (counted.answered - counted.upstream_failed).max(0.0));
             all += weight * asked;
             lost += weight * (asked - counted.in_time).max(0.0);
             squares += weight * weight * asked;
@@ -256,15 +256,15 @@
 
     /// What the old version would have lost of a slot's load: as before, and of each method what is beyond its
     /// room. As criticality asked, and lost of it.
-    fn due(&self, sample: &Sample) -> (f64, f64) {
+    fn due(&self, sample: &ServiceSample) -> (f64, f64) {
         let (room, work) = (self.room * SLOT as f64 / 1e6, sample.work());
         let fits = if work > 0.0 { (room / work).min(1.0) } else { 1.0 };
         let (mut all, mut lost) = (0.0, 0.0);
         for (name, counted) in &sample.methods {
             let before = self.before.methods.get(name).copied().unwrap_or_default();
-            let asked = (before.asked - before.spoilt).max(0.0);
+            let asked = (before.answered - before.upstream_failed).max(0.0);
             let usual = if asked > 0.0 { ((asked - before.in_time) / asked).clamp(0.0, 1.0) } else { 0.0 };
-            let weight = self.weight(name) * (counted.asked - counted.spoilt).max(0.0);
+            let weight = self.weight(name) * (counted.answered - counted.upstream_failed).max(0.0);
             all += weight;
             lost += weight * (1.0 - (1.0 - usual) * fits);
         }
