--- a/consumer/src/tests.rs
+++ b/consumer/src/tests.rs
@@ -202,7 +202,7 @@
         }
         // One whose channel is over is not written by the session.
         let Some(mut message) = self.out.remove(&tag) else {
-            if self.session.0.stands(tag) {
+            if self.session.0.is_current(tag) {
                 self.faults.push(format!("{tag:?} was never delivered"));
             }
             return;
@@ -223,7 +223,7 @@
         }
     }
     fn cut(&mut self) {
-        self.session.0.ended();
+        self.session.0.disconnected();
         self.queue.down();
         self.lose();
         self.todo();
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -341,7 +341,7 @@
             let session = queues.out();
             if !session.out.is_empty() {
                 wire.broker(&session.out);
-                session.written(now);
+                session.mark_written(now);
             }
             if queues.done() {
                 wire.end_broker(false);
--- a/daemon/src/queues.rs
+++ b/daemon/src/queues.rs
@@ -104,7 +104,7 @@
             }
             let (number, seed) = (self.queues.len() as u16 + 1, self.chance.generate());
             let mut queue = Queue::new(now, number, seed, terms);
-            if self.session.state() == State::Up {
+            if self.session.state() == State::Open {
                 queue.up(now);
             }
             self.queues.push(queue);
@@ -128,16 +128,16 @@
     }
     /// The connection is gone. True if it had been of use.
     pub fn down(&mut self) -> bool {
-        let useful = matches!(self.session.state(), State::Up | State::Closing);
+        let useful = matches!(self.session.state(), State::Open | State::Closing);
         self.counts.down += u64::from(useful);
-        self.session.ended();
+        self.session.disconnected();
         self.answers = false;
         self.queues.iter_mut().for_each(Queue::down);
         useful
     }
     /// No connection is wanted any more.
     pub fn done(&self) -> bool {
-        self.left || self.leaving && self.session.state() == State::Down
+        self.left || self.leaving && self.session.state() == State::Disconnected
     }
 
     /// Takes what the broker sent; `known`: what is in force, by which deliveries find their way. The error is why the
@@ -162,22 +162,22 @@
         &mut self, now: Us, event: Event, logs: &mut Vec<String>, known: &dyn Known,
     ) -> Result<(), String> {
         match event {
-            Event::Up => {
+            Event::Connected => {
                 self.counts.up += 1;
                 logs.push("the broker took the connection".into());
                 self.session.open(ANSWERS);
                 self.queues.iter_mut().for_each(|queue| queue.up(now));
             }
-            Event::ChannelOpen(ANSWERS) => self.session.confirms(ANSWERS),
-            Event::Confirms(_) => self.answers = true,
+            Event::ChannelOpen(ANSWERS) => self.session.select_confirms(ANSWERS),
+            Event::ConfirmsSelected(_) => self.answers = true,
             Event::ChannelOpen(at) => self.at(at).into_iter().for_each(|queue| queue.channel_open(now)),
             Event::Consuming(at) => self.at(at).into_iter().for_each(|queue| queue.consuming(now)),
             Event::Cancelled { channel, by_broker } => {
                 self.at(channel).into_iter().for_each(|queue| queue.cancelled(now, by_broker));
             }
             Event::Delivered(delivery) => self.delivered(now, *delivery, known),
-            Event::Confirmed { number, multiple, arrived } => {
-                self.queues.iter_mut().for_each(|queue| queue.confirmed(now, number, multiple, arrived));
+            Event::Confirmed { number, multiple, accepted } => {
+                self.queues.iter_mut().for_each(|queue| queue.confirmed(now, number, multiple, accepted));
             }
             Event::Returned { message_id, code } => {
                 let work = message_id.and_then(|id| u64::from_str_radix(&id, 16).ok()).map(WorkId);
@@ -204,7 +204,7 @@
                 self.counts.closed += 1;
                 return Err(format!("the broker closed it: {code} {}", short(&text)));
             }
-            Event::Left => self.left = true,
+            Event::CloseConfirmed => self.left = true,
         }
         Ok(())
     }
@@ -233,7 +233,7 @@
 
     /// When `tick` is wanted next.
     pub fn next(&self) -> Option<Us> {
-        self.queues.iter().filter_map(Queue::next).chain(self.session.next()).min()
+        self.queues.iter().filter_map(Queue::next).chain(self.session.next_tick()).min()
     }
 
     /// Time has passed. `credit`: the number published to callers; none while nothing can be run. The error is
@@ -289,7 +289,7 @@
             }
         }
         let all_left = self.queues.iter().all(Queue::left);
-        if self.leaving && all_left && self.session.state() == State::Up {
+        if self.leaving && all_left && self.session.state() == State::Open {
             self.session.close(now, LEAVING, "leaving");
         }
         None
--- a/protocol/src/amqp/frames.rs
+++ b/protocol/src/amqp/frames.rs
@@ -67,7 +67,7 @@
         Frames { from, most: most.clamp(FRAME_LEAST, 1 << 24), part: Vec::new(), broken: None }
     }
     /// From now on frames are as large as was agreed.
-    pub fn agreed(&mut self, most: usize) {
+    pub fn set_max_frame_size(&mut self, most: usize) {
         self.most = most.clamp(FRAME_LEAST, self.most);
     }
     /// In the middle of a frame.
--- a/protocol/src/amqp/tests.rs
+++ b/protocol/src/amqp/tests.rs
@@ -53,7 +53,7 @@
 }
 
 /// All that comes of these bytes.
-fn feed(session: &mut Session, now: u64, mut bytes: &[u8]) -> Result<Vec<Event>, Fault> {
+fn feed(session: &mut Session, now: u64, mut bytes: &[u8]) -> Result<Vec<Event>, SessionError> {
     let mut events = Vec::new();
     while let Some(event) = session.read(now, &mut bytes)? {
         events.push(event);
@@ -72,7 +72,7 @@
     while let Some(frame) = frames.next(&mut bytes).unwrap() {
         all.push(frame);
     }
-    session.written(now);
+    session.mark_written(now);
     all
 }
 
@@ -80,11 +80,11 @@
     let mut session = Session::new(login());
     session.connected(0);
     assert_eq!(session.out, b"AMQP\x00\x00\x09\x01");
-    session.written(0);
+    session.mark_written(0);
     feed(&mut session, 1, &start("AMQPLAIN PLAIN", FieldTable::default())).unwrap();
     feed(&mut session, 2, &tune(0, heartbeat)).unwrap();
     let open_ok = con(connection::AMQPMethod::OpenOk(connection::OpenOk {}));
-    assert_eq!(feed(&mut session, 3, &open_ok).unwrap(), [Event::Up]);
+    assert_eq!(feed(&mut session, 3, &open_ok).unwrap(), [Event::Connected]);
     said(&mut session, 3);
     session
 }
@@ -108,7 +108,7 @@
 fn the_handshake_says_what_it_should_and_the_password_is_never_shown() {
     let mut session = Session::new(login());
     session.connected(0);
-    session.written(0);
+    session.mark_written(0);
     feed(&mut session, 1, &start("PLAIN", FieldTable::default())).unwrap();
     let AMQPFrame::Method(0, AMQPClass::Connection(connection::AMQPMethod::StartOk(ok))) =
         said(&mut session, 1).remove(0)
@@ -158,7 +158,7 @@
     let mut session = consuming();
     let events = feed(&mut session, 6, &deliver(2, 1, AMQPProperties::default(), b"a")).unwrap();
     let Event::Delivered(first) = &events[0] else { panic!("{events:?}") };
-    assert!(session.stands(first.tag));
+    assert!(session.is_current(first.tag));
     let close = channel::Close { reply_code: 406, reply_text: "tag".into(), class_id: 60, method_id: 80 };
     let close = method(2, AMQPClass::Channel(channel::AMQPMethod::Close(close)));
     let closed = Event::ChannelClosed { channel: Channel(2), code: 406, text: "tag".into() };
@@ -173,7 +173,7 @@
     let events = feed(&mut session, 9, &deliver(2, 1, AMQPProperties::default(), b"a")).unwrap();
     let Event::Delivered(again) = &events[0] else { panic!("{events:?}") };
     assert!(again.tag != first.tag && session.settle(again.tag, Settle::Ack));
-    session.ended();
+    session.disconnected();
     session.connected(10);
     assert!(!session.settle(again.tag, Settle::Ack));
 }
@@ -217,7 +217,7 @@
     let mut session = Session::new(login());
     session.connected(0);
     feed(&mut session, 1, &start("PLAIN", FieldTable::default())).unwrap();
-    assert_eq!(feed(&mut session, 2, &tune(100, 0)).unwrap_err(), Fault::SmallFrames(100));
+    assert_eq!(feed(&mut session, 2, &tune(100, 0)).unwrap_err(), SessionError::FramesTooSmall(100));
 }
 
 #[test]
@@ -244,8 +244,8 @@
         feed(&mut consuming(), 6, &deliver(2, 1, with, b"")).map(|events| events.len())
     };
     assert_eq!(read(7), Ok(1));
-    assert_eq!(read(8), Err(Fault::ProtocolError("AMQP field tables lie too deep in one another")));
-    assert_eq!(read(500), Err(Fault::ProtocolError("AMQP field tables lie too deep in one another")));
+    assert_eq!(read(8), Err(SessionError::Protocol("AMQP field tables lie too deep in one another")));
+    assert_eq!(read(500), Err(SessionError::Protocol("AMQP field tables lie too deep in one another")));
     let mut session = Session::new(login());
     session.connected(0);
     assert!(feed(&mut session, 1, &start("PLAIN", nest(500))).is_err());
@@ -254,20 +254,20 @@
 #[test]
 fn heartbeats_are_written_and_a_silent_broker_is_given_up() {
     let mut session = up(2);
-    assert_eq!(session.next(), Some(3 + S));
+    assert_eq!(session.next_tick(), Some(3 + S));
     session.tick(3 + S).unwrap();
     assert_eq!(said(&mut session, 3 + S), [AMQPFrame::Heartbeat(0)]);
     feed(&mut session, 2 * S, &[8, 0, 0, 0, 0, 0, 0, 206]).unwrap();
     session.tick(5 * S).unwrap();
-    assert_eq!(session.tick(6 * S).unwrap_err(), Fault::Silent(4000));
+    assert_eq!(session.tick(6 * S).unwrap_err(), SessionError::HeartbeatTimeout(4000));
     let mut slow = Session::new(login());
     slow.connected(0);
-    assert_eq!(slow.next(), Some(10 * S));
-    assert_eq!(slow.tick(10 * S).unwrap_err(), Fault::SlowHandshake);
+    assert_eq!(slow.next_tick(), Some(10 * S));
+    assert_eq!(slow.tick(10 * S).unwrap_err(), SessionError::HandshakeTimeout);
     // A clock that is set back gives nobody up.
     let mut session = up(2);
     feed(&mut session, 100 * S, &[8, 0, 0, 0, 0, 0, 0, 206]).unwrap();
-    session.written(100 * S);
+    session.mark_written(100 * S);
     session.tick(50 * S).unwrap();
     feed(&mut session, 50 * S, &[8, 0, 0, 0, 0, 0, 0, 206]).unwrap();
     session.tick(103 * S).unwrap();
@@ -280,7 +280,7 @@
     let reply = Reply { to: "r", correlation_id: Some("c"), message_id: "1", kind: "ok", body: b"x" };
     assert_eq!(session.publish(Channel(1), &reply), None);
     feed(&mut session, 4, &open_ok(1)).unwrap();
-    session.confirms(Channel(1));
+    session.select_confirms(Channel(1));
     said(&mut session, 4);
     assert_eq!(
         (session.publish(Channel(1), &reply), session.publish(Channel(1), &reply)),
@@ -291,11 +291,11 @@
     let AMQPFrame::Header(1, 60, header) = &frames[1] else { panic!("{frames:?}") };
     assert_eq!(header.properties.correlation_id().as_ref().map(|c| c.as_str()), Some("c"));
     let ack = bas(1, basic::AMQPMethod::Ack(basic::Ack { delivery_tag: 2, multiple: true }));
-    let confirmed = Event::Confirmed { number: 2, multiple: true, arrived: true };
+    let confirmed = Event::Confirmed { number: 2, multiple: true, accepted: true };
     assert_eq!(feed(&mut session, 6, &ack).unwrap(), [confirmed]);
     let blocked = connection::Blocked { reason: "disk".into() };
     feed(&mut session, 7, &con(connection::AMQPMethod::Blocked(blocked))).unwrap();
-    assert!(session.blocked() && session.publish(Channel(1), &reply).is_none());
+    assert!(session.is_blocked() && session.publish(Channel(1), &reply).is_none());
     feed(&mut session, 8, &con(connection::AMQPMethod::Unblocked(connection::Unblocked {}))).unwrap();
     assert_eq!(session.publish(Channel(1), &reply), Some(3));
     let back = basic::Return {
@@ -317,10 +317,10 @@
     assert!(session.close(10, 200, "leaving") && !session.close(10, 200, "leaving"));
     let crossing = deliver(2, 1, AMQPProperties::default(), b"late");
     let ok = con(connection::AMQPMethod::CloseOk(connection::CloseOk {}));
-    assert_eq!(feed(&mut session, 11, &[crossing, ok].concat()).unwrap(), [Event::Left]);
+    assert_eq!(feed(&mut session, 11, &[crossing, ok].concat()).unwrap(), [Event::CloseConfirmed]);
     let mut slow = consuming();
     slow.close(10, 200, "leaving");
-    assert_eq!(slow.tick(10 + S).unwrap_err(), Fault::SlowClose);
+    assert_eq!(slow.tick(10 + S).unwrap_err(), SessionError::CloseTimeout);
     let mut session = consuming();
     let close = connection::Close { reply_code: 320, reply_text: "stop".into(), class_id: 0, method_id: 0 };
     let events = feed(&mut session, 6, &con(connection::AMQPMethod::Close(close))).unwrap();
