--- a/daemon/src/change.rs
+++ b/daemon/src/change.rs
@@ -2,7 +2,7 @@
 //! checked against what runs off the worker, put in slice by slice on it, come into force in one input of the core, are
 //! watched, and written down.
 
-use crate::core::{Core, Flip};
+use crate::core::{Core, VersionSwitch};
 use crate::dispatcher::Dispatcher;
 use crate::operator;
 use crate::store::Store;
@@ -341,7 +341,7 @@
     /// What a change is to be read and checked against.
     pub fn glance(&self, dispatcher: &Dispatcher) -> Glance {
         let running = self.rollout.running();
-        let seen = dispatcher.with(|core, _, _| core.seen());
+        let seen = dispatcher.with(|core, _, _| core.recent_load());
         Glance { number: running.number, running: running.content.clone(), seen }
     }
 
@@ -352,7 +352,7 @@
             return;
         }
         self.next = at + SAMPLE;
-        let sample = dispatcher.with(|core, _, _| core.served());
+        let sample = dispatcher.with(|core, _, _| core.take_service_sample());
         let verdict = match &mut self.watch {
             Some(watch) => {
                 self.meanwhile.take(at, &sample);
@@ -391,7 +391,7 @@
         if to.content.digest() == running.content.entries.digest() {
             return;
         }
-        let told = if dispatcher.changes.load(Ordering::Acquire) {
+        let told = if dispatcher.changes_allowed.load(Ordering::Acquire) {
             // What runs may be another one by now.
             let prepared = match prepared {
                 Some(Ok(prepared)) if prepared.against == running.number => Ok(prepared),
@@ -409,7 +409,7 @@
             refused("half of the members or fewer are seen")
         };
         if told["ok"] != json!(true) {
-            dispatcher.with(|core, _, _| core.counters().changes_refused += 1);
+            dispatcher.with(|core, _, _| core.stats_mut().changes_refused += 1);
             warn!(dispatcher.log, "the settings stay as they were"; "why" => %told["error"], "problems" => %told["problems"]);
         }
     }
@@ -417,7 +417,7 @@
     /// Does what an operator wants.
     pub fn want(&mut self, dispatcher: &Dispatcher, wanted: Wanted, pause: &mut Pause<'_>) -> Told {
         // Cut off from the others, it goes back at the most: what is changed here would be changed here alone.
-        let alone = !dispatcher.changes.load(Ordering::Acquire);
+        let alone = !dispatcher.changes_allowed.load(Ordering::Acquire);
         if alone && matches!(wanted, Wanted::Stage(_) | Wanted::Apply { .. }) {
             return refused("this backend sees half of its members or fewer: only undo and settle are taken");
         }
@@ -519,7 +519,7 @@
         let longest = methods.map(|(_, method)| method.latency_target).max().unwrap_or(0);
         let queues = operator::terms(content.file.broker.as_ref(), &content.entries)?;
         let tells_tenants = content.entries.count(Kind::Tenant) > 0;
-        dispatcher.with(|core, _, _| core.could_take(step, &queues)).map_err(Fault::new)?;
+        dispatcher.with(|core, _, _| core.check_capacity_for(step, &queues)).map_err(Fault::new)?;
         let mut slices = step.chunks(SLICE).peekable();
         while let Some(slice) = slices.next() {
             let slice: Vec<Entry> = slice.iter().map(&of).collect();
@@ -528,9 +528,9 @@
                 pause(dispatcher);
             }
         }
-        let flip = Flip { number: *number, bare, longest, queues, tells_tenants };
-        dispatcher.with(|core: &mut Core, wire, now| core.change(now, flip, wire));
-        dispatcher.with(|core, _, _| core.settings_now(content.settings()));
+        let flip = VersionSwitch { number: *number, bare, longest, queues, tells_tenants };
+        dispatcher.with(|core: &mut Core, wire, now| core.switch_version(now, flip, wire));
+        dispatcher.with(|core, _, _| core.set_settings_hash(content.settings()));
         let frame = content.entries.frame();
         dispatcher.resize(frame.memory_mb, crate::room(frame.sockets));
         Ok(())
@@ -541,7 +541,7 @@
             Ok(number) => {
                 self.watch = None;
                 self.before = std::mem::take(&mut self.meanwhile);
-                dispatcher.with(|core, _, _| core.settled());
+                dispatcher.with(|core, _, _| core.commit_change());
                 self.keep();
                 self.log(&dispatcher.log);
                 json!({"ok": true, "version": number, "hash": &*self.rollout.running().hash})
@@ -559,7 +559,7 @@
                 let (step, before) =
                     (self.step_of(&undone, &version.content), version.content.entries.clone());
                 let done = self.carry_out(dispatcher, &version, &step, |entry| back(entry, &before), pause);
-                dispatcher.with(|core, _, _| core.settled());
+                dispatcher.with(|core, _, _| core.commit_change());
                 self.running.set(&version.content);
                 self.keep();
                 self.log(&dispatcher.log);
@@ -580,9 +580,9 @@
             Stage::Settled => Value::Null,
             Stage::Probation(until) => json!({"until": until, "good": self.rollout.good().number}),
         };
-        let counted = dispatcher.counted();
+        let counted = dispatcher.stats();
         let back = dispatcher.with(|core, _, _| {
-            let (stages, outages) = core.stages()?;
+            let (stages, outages) = core.recovery_stages()?;
             let (why, since) = stages.why();
             Some(json!({"name": stages.stage().name(), "why": why, "since": since, "outages": outages}))
         });
--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -18,18 +18,18 @@
 const WITHIN: Duration = Duration::from_millis(800); // a report that takes longer is lost
 
 /// A sidecar.
-pub struct Sidecar {
+pub struct SidecarConnection {
     pub dispatcher: Arc<Dispatcher>,
     pub conn: ConnId,
     pub frames: sidecar::Reader,
-    pub heard: bool,
+    pub has_spoken: bool,
 }
 
-impl Sidecar {
+impl SidecarConnection {
     fn take(&mut self, bytes: &mut &[u8]) -> Result<(), ProtocolError> {
         let conn = self.conn;
         while let Some(frame) = self.frames.next(bytes)? {
-            self.heard = true;
+            self.has_spoken = true;
             let fine = self.dispatcher.with(|core, wire, now| match frame {
                 sidecar::Frame::Rpc(stream, ask, body) => {
                     core.rpc_read(now, Place { conn, stream }, ask, body, wire)
@@ -52,29 +52,33 @@
     }
 }
 
-impl Peer for Sidecar {
+impl Peer for SidecarConnection {
     fn read(&mut self, mut bytes: &[u8]) -> bool {
         let taken = self.take(&mut bytes);
-        self.dispatcher.heard(self.conn, self.heard, taken.is_ok() && self.frames.has_partial());
+        self.dispatcher.frame_progress(
+            self.conn,
+            self.has_spoken,
+            taken.is_ok() && self.frames.has_partial(),
+        );
         match taken {
             Ok(()) => true,
             Err(broken) => {
-                self.dispatcher.ending(self.conn, Some(broken.0));
+                self.dispatcher.close_when_answered(self.conn, Some(broken.0));
                 false
             }
         }
     }
     fn half_closed(&mut self) {
-        self.dispatcher.ending(self.conn, None);
+        self.dispatcher.close_when_answered(self.conn, None);
     }
     fn lingers(&self) -> Option<u64> {
         // One that never said anything whole is owed nothing, and others may want its place.
-        Some(if self.heard { LINGER } else { 0 })
+        Some(if self.has_spoken { LINGER } else { 0 })
     }
 }
 
 /// The agent that owns the cores.
-pub struct Agent {
+pub struct AgentConnection {
     pub dispatcher: Arc<Dispatcher>,
     pub out: Outbox,
     pub notices: agent::Reader,
@@ -83,16 +87,17 @@
     pub useful: bool,
 }
 
-impl Agent {
+impl AgentConnection {
     fn take(&mut self, bytes: &mut &[u8]) -> Result<(), ProtocolError> {
         while let Some(notice) = self.notices.next(bytes)? {
             self.useful = true;
             let make = &self.make;
             self.dispatcher.with(|core, wire, now| match notice {
                 Notice::Greeting { empty, ago } => {
-                    let fresh = if core.is_up() { None } else { make(now.saturating_sub(ago), empty) };
+                    let fresh =
+                        if core.agent_has_greeted() { None } else { make(now.saturating_sub(ago), empty) };
                     core.agent_up(now, fresh, wire);
-                    core.greeted(now, empty, wire);
+                    core.agent_greeted(now, empty, wire);
                     wire.log(&format!("the agent is up: empty {empty}, started {ago} us ago"));
                 }
                 Notice::Ended(number, id, end, result) => core.run_ended(now, number, id, end, result, wire),
@@ -110,12 +115,12 @@
     }
 }
 
-impl Peer for Agent {
+impl Peer for AgentConnection {
     fn read(&mut self, mut bytes: &[u8]) -> bool {
         let taken = self.take(&mut bytes);
         if let Err(broken) = &taken {
             warn!(self.dispatcher.log, "the link to the agent is made anew"; "why" => broken.0);
-            self.dispatcher.with(|core, _, _| core.counters().bad_agent += 1);
+            self.dispatcher.with(|core, _, _| core.stats_mut().bad_agent += 1);
             self.out.cut();
         }
         taken.is_ok()
@@ -125,7 +130,7 @@
     }
 }
 
-impl Party for Agent {
+impl Party for AgentConnection {
     fn ready(&mut self) {}
     fn up(&mut self) {
         self.notices = agent::Reader::default();
@@ -140,7 +145,7 @@
 }
 
 /// The layer below, by one of its links.
-pub struct Below {
+pub struct UpstreamConnection {
     pub dispatcher: Arc<Dispatcher>,
     pub out: Outbox,
     pub link: LinkId,
@@ -148,12 +153,12 @@
     pub useful: bool,
 }
 
-impl Peer for Below {
+impl Peer for UpstreamConnection {
     fn read(&mut self, mut bytes: &[u8]) -> bool {
         loop {
             match self.replies.next(&mut bytes) {
                 Ok(None) => {
-                    self.dispatcher.stalled(self.link, self.replies.has_partial());
+                    self.dispatcher.reply_progress(self.link, self.replies.has_partial());
                     return true;
                 }
                 Ok(Some(reply)) => self.dispatcher.with(|core, wire, now| {
@@ -162,7 +167,7 @@
                 }),
                 Err(broken) => {
                     warn!(self.dispatcher.log, "a link below is made anew"; "why" => broken.0);
-                    self.dispatcher.with(|core, _, _| core.counters().bad_below += 1);
+                    self.dispatcher.with(|core, _, _| core.stats_mut().bad_below += 1);
                     self.out.cut();
                     return false;
                 }
@@ -174,7 +179,7 @@
     }
 }
 
-impl Party for Below {
+impl Party for UpstreamConnection {
     fn ready(&mut self) {
         self.dispatcher.with(|core, _, _| core.link_ready(self.link));
     }
@@ -182,18 +187,18 @@
         self.replies = upstream::Reader::default();
     }
     fn down(&mut self, refused: bool) -> bool {
-        self.dispatcher.stalled(self.link, false);
+        self.dispatcher.reply_progress(self.link, false);
         self.dispatcher.with(|core, wire, now| core.link_ended(now, self.link, refused, wire));
         std::mem::take(&mut self.useful)
     }
 }
 
 /// The broker that queues are consumed from.
-pub struct Broker {
+pub struct BrokerConnection {
     pub dispatcher: Arc<Dispatcher>,
 }
 
-impl Peer for Broker {
+impl Peer for BrokerConnection {
     fn read(&mut self, bytes: &[u8]) -> bool {
         self.dispatcher.with(|core, wire, now| core.broker_read(now, bytes, wire))
     }
@@ -202,7 +207,7 @@
     }
 }
 
-impl Party for Broker {
+impl Party for BrokerConnection {
     fn ready(&mut self) {}
     fn up(&mut self) {
         self.dispatcher.with(|core, wire, now| core.broker_up(now, wire));
@@ -217,8 +222,10 @@
 
 /// Tells the name service whether this backend takes work, at once when that or its address changes. A report
 /// that went out may count though it is not answered, so only one that could not be sent makes the next wait.
-pub fn report(dispatcher: &Dispatcher, name: &str, to: &Address, mut pause: Pause, spread: Option<u64>) {
-    dispatcher.naming.attend();
+pub fn send_load_reports(
+    dispatcher: &Dispatcher, name: &str, to: &Address, mut pause: Pause, spread: Option<u64>,
+) {
+    dispatcher.load_report_bell.attend();
     let (mut at, mut kept, mut reports) = (to.get(), None, 0_u64);
     loop {
         reports += 1;
@@ -243,13 +250,13 @@
                 }
                 Err(broken) => {
                     warn!(dispatcher.log, "a report was lost"; "why" => broken.0);
-                    dispatcher.with(|core, _, _| core.counters().bad_naming += 1);
+                    dispatcher.with(|core, _, _| core.stats_mut().bad_naming += 1);
                     Some(false)
                 }
             });
         dispatcher.with(|core, _, _| {
-            core.counters().reports += u64::from(counts);
-            core.counters().reports_lost += u64::from(!counts);
+            core.stats_mut().reports += u64::from(counts);
+            core.stats_mut().reports_lost += u64::from(!counts);
         });
         kept = done.flatten();
         if counts {
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -1,15 +1,15 @@
 //! Where the engine meets what surrounds it here: sidecars, the agent that runs, and the layer below. Inputs go
 //! in, what is to be written comes out, time is passed in. No socket, no clock, no decision about an RPC.
 
-use crate::agent_session::Agent;
-use crate::name_table::Names;
-use crate::queues::{Ask as Want, Queues};
-use crate::recovery::{Known, Returning};
-use crate::service::Service;
-use crate::sidecar_registry::Sidecars;
-use crate::stats::Counters;
-use crate::upstream::Links;
-use crate::wire::{Asker, ConnId, LinkId, Place, Wire};
+use crate::agent_session::AgentSession;
+use crate::name_table::NameTable;
+use crate::queues::{QueueConsumers, QueueRequest};
+use crate::recovery::{ActiveTerms, RecoveryTracker};
+use crate::service_stats::ServiceStats;
+use crate::sidecar_registry::SidecarRegistry;
+use crate::stats::Stats;
+use crate::upstream::UpstreamLinks;
+use crate::wire::{ConnId, LinkId, Place, Requester, Wire};
 use asterrill::{CallEnd, Effect, Final, MethodId, RpcId, RunEnd, Us};
 use asterrill_consensus::{caller_key, Gate, Kind};
 use asterrill_engine::{
@@ -40,7 +40,7 @@
 }
 
 pub struct Core {
-    engine: Engine<Asker, Buf>,
+    engine: Engine<Requester, Buf>,
     held: Pool,
     around: Around,
     now: Us,
@@ -49,37 +49,37 @@
 
 /// All but the engine.
 struct Around {
-    server: Names,
-    agent: Agent,
-    sidecars: Sidecars,
-    links: Links,
-    queues: Option<Queues>,
+    server: NameTable,
+    agent: AgentSession,
+    sidecars: SidecarRegistry,
+    links: UpstreamLinks,
+    queues: Option<QueueConsumers>,
     exercise: Exercise,
     healthy: bool,
     draining: bool,
     up: Option<Us>, // since the agent greeted: nothing was sent here before
-    service: Service,
-    stamps: Stamps,
-    returning: Option<Returning>,
+    service: ServiceStats,
+    stamps: AppliedVersions,
+    returning: Option<RecoveryTracker>,
     /// Of what the settings divide, this server's part over the even one; none where nobody tells.
     part: Option<f64>,
     /// Whom the agreed lists turn away; none where nobody agrees.
     gate: Option<Gate>,
-    counters: Counters,
+    counters: Stats,
 }
 
 /// The version of the configuration that each part has taken up. They differ only while one is being applied, so
 /// never while anything is answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Stamps {
+struct AppliedVersions {
     module: u64,
     names: u64,
     queues: u64,
 }
 
 /// Takes a server apart: the module, its terms and its names.
-fn parts(mut server: Server, results: usize) -> (asterrill::Control, EngineConfig, Names) {
-    let names = Names::new(&mut server);
+fn parts(mut server: Server, results: usize) -> (asterrill::Control, EngineConfig, NameTable) {
+    let names = NameTable::new(&mut server);
     let terms = EngineConfig {
         coalescible_methods: server.shares,
         limits: RetentionLimits {
@@ -92,18 +92,18 @@
 }
 
 /// The names of what is in force now.
-struct InForce<'a> {
-    names: &'a Names,
-    engine: &'a Engine<Asker, Buf>,
+struct ActiveNames<'a> {
+    names: &'a NameTable,
+    engine: &'a Engine<Requester, Buf>,
 }
 
-impl InForce<'_> {
+impl ActiveNames<'_> {
     fn of_method(&self, name: &str) -> Option<MethodId> {
         self.names.method(name).filter(|place| self.engine.has_method(*place))
     }
 }
 
-impl asterrill_consumer::Known for InForce<'_> {
+impl asterrill_consumer::Known for ActiveNames<'_> {
     fn method(&self, name: &str) -> Option<(MethodId, Effect)> {
         let place = self.of_method(name)?;
         Some((place, self.names.effect(place)?))
@@ -116,7 +116,7 @@
     }
 }
 
-impl asterrill_recovery::Targets for InForce<'_> {
+impl asterrill_recovery::Targets for ActiveNames<'_> {
     fn target(&self, name: &str) -> Option<Us> {
         self.names.target(self.of_method(name)?)
     }
@@ -126,7 +126,7 @@
     }
 }
 
-impl Known for InForce<'_> {
+impl ActiveTerms for ActiveNames<'_> {
     fn targets(&self) -> &dyn asterrill_recovery::Targets {
         self
     }
@@ -146,7 +146,7 @@
 }
 
 /// What comes into force together with the entries that were staged.
-pub struct Flip {
+pub struct VersionSwitch {
     pub number: u64,
     /// The parts of the module that are no entries, where the frame or a method changes.
     pub bare: Option<Bare>,
@@ -171,22 +171,22 @@
 }
 
 /// The engine's outputs, carried out by what surrounds it.
-struct Carry<'a> {
+struct EngineOutputs<'a> {
     now: Us,
     around: &'a mut Around,
     wire: &'a mut dyn Wire,
 }
 
-impl Outputs<Asker> for Carry<'_> {
-    fn answer(&mut self, to: Asker, answer: Final<'_>, credit: Option<f64>, of: Option<Served>) {
-        let Stamps { module, names, queues } = self.around.stamps;
+impl Outputs<Requester> for EngineOutputs<'_> {
+    fn answer(&mut self, to: Requester, answer: Final<'_>, credit: Option<f64>, of: Option<Served>) {
+        let AppliedVersions { module, names, queues } = self.around.stamps;
         self.around.counters.half_applied += u64::from(module != names || names != queues);
         if let Some(of) = of {
             self.around.service.answered(of, matches!(answer, Final::Ok(_)));
         }
         match to {
-            Asker::Sidecar(place) => self.wire.answer(place, answer, credit),
-            Asker::Queue(work) => {
+            Requester::Sidecar(place) => self.wire.answer(place, answer, credit),
+            Requester::Queue(work) => {
                 let now = self.now;
                 self.around.queues.iter_mut().for_each(|queues| queues.answered(now, work, answer));
             }
@@ -195,8 +195,8 @@
     fn closed(&mut self, id: RpcId) {
         self.around.agent.over(id);
     }
-    fn launch(&mut self, at: Asker, id: RpcId, method: MethodId, body: &[u8]) {
-        if let Asker::Queue(work) = at {
+    fn launch(&mut self, at: Requester, id: RpcId, method: MethodId, body: &[u8]) {
+        if let Requester::Queue(work) = at {
             self.around.queues.iter_mut().for_each(|queues| queues.launched(work));
         }
         self.around.agent.sends(self.now, id);
@@ -215,10 +215,10 @@
         let asked = self.around.agent.sends(self.now, id);
         self.wire.skip(id, asked);
     }
-    fn run_completed(&mut self, at: Asker) {
+    fn run_completed(&mut self, at: Requester) {
         match at {
-            Asker::Sidecar(place) => self.around.sidecars.ran(place.conn),
-            Asker::Queue(_) => {}
+            Requester::Sidecar(place) => self.around.sidecars.ran(place.conn),
+            Requester::Queue(_) => {}
         }
     }
     fn request_gauges(&mut self) {
@@ -256,8 +256,8 @@
 
 impl Core {
     pub fn new(now: Us, server: Server, pool: Pool, links: usize) -> Core {
-        let service = Service::new(now, server.targets.clone());
-        let (mut agent, longest) = (Agent::default(), server.targets.iter().max().copied());
+        let service = ServiceStats::new(now, server.targets.clone());
+        let (mut agent, longest) = (AgentSession::default(), server.targets.iter().max().copied());
         agent.target(longest.unwrap_or(0));
         let (control, terms, server) = parts(server, pool.bytes() / RESULTS);
         let held = pool.clone();
@@ -267,19 +267,19 @@
             around: Around {
                 server,
                 agent,
-                sidecars: Sidecars::default(),
-                links: Links::new(links),
+                sidecars: SidecarRegistry::default(),
+                links: UpstreamLinks::new(links),
                 queues: None,
                 exercise: Exercise::default(),
                 healthy: true,
                 draining: false,
                 up: None,
                 service,
-                stamps: Stamps { module: 1, names: 1, queues: 1 },
+                stamps: AppliedVersions { module: 1, names: 1, queues: 1 },
                 returning: None,
                 part: None,
                 gate: None,
-                counters: Counters::default(),
+                counters: Stats::default(),
             },
             now,
             chance: WyRand::new_seed(now),
@@ -289,10 +289,10 @@
     /// Brings an input to the engine, together with what carries out its outputs.
     fn with<R>(
         &mut self, now: Us, wire: &mut dyn Wire,
-        input: impl FnOnce(&mut Engine<Asker, Buf>, Us, &mut Carry<'_>) -> R,
+        input: impl FnOnce(&mut Engine<Requester, Buf>, Us, &mut EngineOutputs<'_>) -> R,
     ) -> R {
         self.now = self.engine.advance_to(now);
-        let mut carry = Carry { now: self.now, around: &mut self.around, wire };
+        let mut carry = EngineOutputs { now: self.now, around: &mut self.around, wire };
         let result = input(&mut self.engine, self.now, &mut carry);
         if self.around.queues.is_some() {
             self.attend_queues(wire);
@@ -301,10 +301,10 @@
     }
 
     /// Messages of queues are taken in from now on.
-    pub fn take_queues(&mut self, queues: Queues) {
+    pub fn attach_queues(&mut self, queues: QueueConsumers) {
         self.around.queues = Some(queues);
     }
-    pub fn queues(&self) -> Option<&Queues> {
+    pub fn queues(&self) -> Option<&QueueConsumers> {
         self.around.queues.as_ref()
     }
 
@@ -312,11 +312,11 @@
     fn attend_queues(&mut self, wire: &mut dyn Wire) {
         let now = self.now;
         while let Some(ask) = self.around.queues.as_mut().and_then(|queues| queues.ask(now)) {
-            let mut out = Carry { now, around: &mut self.around, wire };
+            let mut out = EngineOutputs { now, around: &mut self.around, wire };
             match ask {
-                Want::Offer(mut read, work, body) => {
+                QueueRequest::Offer(mut read, work, body) => {
                     out.around.service.read(read.method);
-                    let at = Asker::Queue(work);
+                    let at = Requester::Queue(work);
                     // Of all ids it may be one that is open; hardly so several times.
                     let mut taken = false;
                     for _ in 0..IDS {
@@ -328,13 +328,13 @@
                         out.answer(at, answer, None, None);
                     }
                 }
-                Want::Withdraw(work) => {
-                    let at = Asker::Queue(work);
+                QueueRequest::Withdraw(work) => {
+                    let at = Requester::Queue(work);
                     if !self.engine.is_launched(at) && self.engine.caller_gone(now, at, &mut out) {
                         self.around.queues.iter_mut().for_each(|queues| queues.withdrawn(now, work));
                     }
                 }
-                Want::Log(line) => wire.log(&line),
+                QueueRequest::Log(line) => wire.log(&line),
             }
         }
         if let Some(queues) = &mut self.around.queues {
@@ -355,18 +355,18 @@
     }
     /// The connection to the broker is gone, or could not be made. True if it had been of use.
     pub fn broker_down(&mut self, now: Us, wire: &mut dyn Wire) -> bool {
-        self.with(now, wire, |_, _, out| out.around.queues.as_mut().is_some_and(Queues::down))
+        self.with(now, wire, |_, _, out| out.around.queues.as_mut().is_some_and(QueueConsumers::down))
     }
     /// No connection to the broker is wanted any more.
     pub fn broker_done(&self) -> bool {
-        self.around.queues.as_ref().is_some_and(Queues::done)
+        self.around.queues.as_ref().is_some_and(QueueConsumers::done)
     }
     /// Takes what the broker sent. False if the connection is of no more use.
     pub fn broker_read(&mut self, now: Us, bytes: &[u8], wire: &mut dyn Wire) -> bool {
         let mut logs = Vec::new();
         let fine = self.with(now, wire, |engine, now, out| {
             let Around { queues, server, .. } = &mut *out.around;
-            let known = InForce { names: server, engine };
+            let known = ActiveNames { names: server, engine };
             queues.as_mut().map_or(Ok(()), |queues| queues.read(now, bytes, &mut logs, &known))
         });
         logs.iter().for_each(|line| wire.log(line));
@@ -386,13 +386,13 @@
         self.around.stamps.module
     }
     /// What was served since the last time, for the watch over a change.
-    pub fn served(&mut self) -> ServiceSample {
+    pub fn take_service_sample(&mut self) -> ServiceSample {
         let (engine, names) = (&self.engine, &self.around.server);
         self.around.service.pass(self.now);
         self.around.service.take(|method| names.name(method).cloned(), |method| engine.cost(method))
     }
     /// What was seen in the last minute, and is held now.
-    pub fn seen(&self) -> ObservedLoad {
+    pub fn recent_load(&self) -> ObservedLoad {
         let (engine, names) = (&self.engine, &self.around.server);
         let name = |method| names.name(method).cloned();
         let mut seen = self.around.service.seen(self.now, name, |method| engine.cost(method));
@@ -400,14 +400,16 @@
         seen
     }
     /// From now on service is judged by the targets of the version that runs, and nothing goes back behind it.
-    pub fn settled(&mut self) {
+    pub fn commit_change(&mut self) {
         let engine = &self.engine;
         self.around.service.settled();
         self.around.server.settled(|tenant| engine.has_tenant(tenant));
     }
 
     /// Whether a change could be staged, and these queues be taken up with it.
-    pub fn could_take(&self, changes: &[Change], terms: &[asterrill_consumer::Terms]) -> Result<(), String> {
+    pub fn check_capacity_for(
+        &self, changes: &[Change], terms: &[asterrill_consumer::Terms],
+    ) -> Result<(), String> {
         if self.around.queues.as_ref().is_some_and(|queues| !queues.could_take(terms)) {
             return Err("there were too many queues since the start: start anew".into());
         }
@@ -421,8 +423,8 @@
     }
     /// Another version of the configuration from now on, whole, with all that was staged: all that follows is decided
     /// under it, and what is in hand keeps the terms under which it was read.
-    pub fn change(&mut self, now: Us, flip: Flip, wire: &mut dyn Wire) {
-        let Flip { number, bare, longest, queues: terms, tells_tenants } = flip;
+    pub fn switch_version(&mut self, now: Us, flip: VersionSwitch, wire: &mut dyn Wire) {
+        let VersionSwitch { number, bare, longest, queues: terms, tells_tenants } = flip;
         let results = self.held.bytes() / RESULTS;
         let bounds = bare.as_ref().map(|bare| RetentionLimits {
             result_ttl: bare.fresh,
@@ -468,17 +470,17 @@
     }
 
     /// How this server comes back is attended to from now on.
-    pub fn come_back(&mut self, now: Us, returning: Returning, wire: &mut dyn Wire) {
+    pub fn start_recovery(&mut self, now: Us, returning: RecoveryTracker, wire: &mut dyn Wire) {
         let care = returning.care();
         self.around.returning = Some(returning);
         self.with(now, wire, |engine, now, out| engine.careful(now, care, out));
     }
     /// The agent has greeted: what was kept is weighed, the first time.
-    pub fn greeted(&mut self, now: Us, empty: bool, wire: &mut dyn Wire) {
+    pub fn agent_greeted(&mut self, now: Us, empty: bool, wire: &mut dyn Wire) {
         let (standing, engine) = (self.engine.standing(), &self.engine);
         let Around { returning, server, .. } = &mut self.around;
         let Some(returning) = returning else { return };
-        let recall = returning.greeted(now, empty, standing, &InForce { names: server, engine });
+        let recall = returning.greeted(now, empty, standing, &ActiveNames { names: server, engine });
         let care = returning.care();
         self.with(now, wire, |engine, now, out| {
             engine.careful(now, care, out);
@@ -507,7 +509,7 @@
     }
     #[cfg(test)]
     pub fn knows_tenant(&self, name: &str) -> bool {
-        let known = InForce { names: &self.around.server, engine: &self.engine };
+        let known = ActiveNames { names: &self.around.server, engine: &self.engine };
         asterrill_consumer::Known::tenant(&known, name).is_some()
     }
     /// Places of tenants that there ever were.
@@ -516,21 +518,21 @@
         self.around.server.places()
     }
     /// Other settings came into force; their hash.
-    pub fn settings_now(&mut self, hash: u64) {
+    pub fn set_settings_hash(&mut self, hash: u64) {
         self.around.returning.iter_mut().for_each(|returning| returning.change(hash));
     }
     /// What is to be kept now, if a snapshot is due or the server leaves.
-    pub fn snapshot(&mut self, now: Us, moment: impl Fn() -> Moment, leaving: bool) -> Option<Learned> {
+    pub fn take_snapshot(&mut self, now: Us, moment: impl Fn() -> Moment, leaving: bool) -> Option<Learned> {
         let returning = self.around.returning.as_mut()?;
         if !returning.snapshot_due(now, leaving) {
             return None;
         }
         self.around.counters.snapshots += 1;
         let (engine, names) = (&self.engine, &self.around.server);
-        Some(returning.snapshot(moment(), engine.learned(), &InForce { names, engine }))
+        Some(returning.snapshot(moment(), engine.learned(), &ActiveNames { names, engine }))
     }
     /// How far it is back, and the outages of the layer below that were noticed; none where nobody attends to it.
-    pub fn stages(&self) -> Option<(&Stages, u64)> {
+    pub fn recovery_stages(&self) -> Option<(&Stages, u64)> {
         self.around.returning.as_ref().map(|returning| (returning.stages(), returning.outages()))
     }
 
@@ -540,11 +542,11 @@
     }
 
     /// What was counted, besides what the engine counts.
-    pub fn counters(&mut self) -> &mut Counters {
+    pub fn stats_mut(&mut self) -> &mut Stats {
         &mut self.around.counters
     }
     /// All that was counted.
-    pub fn counted(&self) -> Counters {
+    pub fn stats(&self) -> Stats {
         let mut counters = self.around.counters.clone();
         counters.take(&self.engine.stats);
         counters
@@ -565,12 +567,12 @@
                 [(Kind::Tenants, &ask.tenant), (Kind::Callers, &caller), (Kind::Methods, &ask.method)];
             if named.into_iter().any(|(kind, key)| gate.turns_away(kind, key)) {
                 self.around.counters.barred += 1;
-                self.with(now, wire, |engine, now, out| engine.reject(now, Asker::Sidecar(place), out));
+                self.with(now, wire, |engine, now, out| engine.reject(now, Requester::Sidecar(place), out));
                 return true;
             }
         }
         let server = &self.around.server;
-        let in_force = InForce { names: server, engine: &self.engine };
+        let in_force = ActiveNames { names: server, engine: &self.engine };
         let tenant = asterrill_consumer::Known::tenant(&in_force, &ask.tenant);
         // Where tenants are told apart, an RPC is of one of them.
         let known = tenant.is_some() || !server.tells_tenants;
@@ -601,7 +603,7 @@
             idempotency_key: token,
         };
         self.around.service.read(method);
-        let asker = Asker::Sidecar(place);
+        let asker = Requester::Sidecar(place);
         if !self.with(now, wire, |engine, now, out| engine.request_received(now, asker, read, body, out)) {
             self.refuse(now, place, wire);
         }
@@ -620,7 +622,9 @@
     /// For an RPC that could never be run here.
     fn refuse(&mut self, now: Us, place: Place, wire: &mut dyn Wire) {
         self.around.counters.odd += 1;
-        self.with(now, wire, |engine, now, out| engine.abort_unserviceable(now, Asker::Sidecar(place), out));
+        self.with(now, wire, |engine, now, out| {
+            engine.abort_unserviceable(now, Requester::Sidecar(place), out)
+        });
         self.nonsense(place.conn, wire);
     }
 
@@ -633,21 +637,21 @@
 
     /// Nobody waits for this stream any more.
     pub fn gone(&mut self, now: Us, place: Place, wire: &mut dyn Wire) {
-        self.with(now, wire, |engine, now, out| engine.caller_gone(now, Asker::Sidecar(place), out));
+        self.with(now, wire, |engine, now, out| engine.caller_gone(now, Requester::Sidecar(place), out));
     }
 
     /// A connection ended: nobody waits for anything on it.
-    pub fn conn_ended(&mut self, now: Us, conn: ConnId, wire: &mut dyn Wire) {
+    pub fn connection_closed(&mut self, now: Us, conn: ConnId, wire: &mut dyn Wire) {
         self.around.exercise.asking.retain(|place| place.conn != conn);
-        let places: Vec<Asker> = self.on(conn).copied().collect();
+        let places: Vec<Requester> = self.on(conn).copied().collect();
         for place in places {
             self.with(now, wire, |engine, now, out| engine.caller_gone(now, place, out));
         }
         self.around.sidecars.ended(conn);
     }
 
-    fn on(&self, conn: ConnId) -> impl Iterator<Item = &Asker> {
-        let at = |stream| Asker::Sidecar(Place { conn, stream: StreamId(stream) });
+    fn on(&self, conn: ConnId) -> impl Iterator<Item = &Requester> {
+        let at = |stream| Requester::Sidecar(Place { conn, stream: StreamId(stream) });
         self.engine.unanswered_in(at(0)..=at(u32::MAX))
     }
     fn asking(&self, conn: ConnId) -> impl Iterator<Item = &Place> {
@@ -743,7 +747,7 @@
     }
 
     /// The agent has greeted before.
-    pub fn is_up(&self) -> bool {
+    pub fn agent_has_greeted(&self) -> bool {
         self.around.up.is_some()
     }
 
@@ -806,8 +810,8 @@
         self.around.agent.heard();
         let Some(id) = launch else { return };
         match self.with(now, wire, |engine, now, out| engine.launch_failed(now, id, out)) {
-            Some(Asker::Sidecar(place)) => self.nonsense(place.conn, wire),
-            Some(Asker::Queue(_)) | None => {}
+            Some(Requester::Sidecar(place)) => self.nonsense(place.conn, wire),
+            Some(Requester::Queue(_)) | None => {}
         }
     }
 
@@ -851,7 +855,7 @@
         self.around.links.retire(by, wire);
     }
     /// The layer below is to be found elsewhere. What is in hand may still end where it was.
-    pub fn links_moved(&mut self, wire: &mut dyn Wire) {
+    pub fn upstream_moved(&mut self, wire: &mut dyn Wire) {
         self.around.links.moved(wire);
     }
     /// Calls are in hand on this link.
@@ -873,16 +877,16 @@
     }
 
     /// The notice to leave has run out, and nothing is owed any more.
-    pub fn left(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         self.engine.is_drained()
     }
 
     /// When `tick` is wanted next.
-    pub fn next(&self) -> Option<Us> {
+    pub fn next_deadline(&self) -> Option<Us> {
         let exercise = &self.around.exercise;
         let exercise = Some(exercise.until).filter(|_| !exercise.asking.is_empty());
-        let queues = self.around.queues.as_ref().and_then(Queues::next);
-        let returning = self.around.returning.as_ref().map(Returning::next);
+        let queues = self.around.queues.as_ref().and_then(QueueConsumers::next);
+        let returning = self.around.returning.as_ref().map(RecoveryTracker::next);
         let agent = self.around.agent.next();
         [self.engine.next_timer(), exercise, queues, agent, returning].into_iter().flatten().min()
     }
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -2,8 +2,8 @@
 //! outboxes. Nothing here waits, and nothing is decided.
 
 use crate::core::Core;
-use crate::queues::Queues;
-use crate::stats::Counters;
+use crate::queues::QueueConsumers;
+use crate::stats::Stats;
 use crate::wire::{ConnId, LinkId, Place, Wire};
 use asterrill::{Final, RpcId, Us};
 use asterrill_consensus::Gate;
@@ -123,16 +123,16 @@
     /// Bodies of RPCs.
     held: Pool,
     /// For connections.
-    pub room: Room,
+    pub capacity: Room,
     /// Of the listening socket.
-    pub door: Door,
+    pub listener_gate: Door,
     pub log: Logger,
     /// Rings when the clock is wanted earlier than it was set.
     pub clock: Bell,
     /// Rings when the name service is to be told something new.
-    pub naming: Bell,
+    pub load_report_bell: Bell,
     /// Changes of the settings are taken: this one is not cut off from the others.
-    pub changes: AtomicBool,
+    pub changes_allowed: AtomicBool,
 }
 
 impl Dispatcher {
@@ -164,12 +164,12 @@
             inner: Mutex::new(inner),
             pool,
             held,
-            room: taken,
-            door,
+            capacity: taken,
+            listener_gate: door,
             log,
             clock: Bell::default(),
-            naming: Bell::default(),
-            changes: AtomicBool::new(true),
+            load_report_bell: Bell::default(),
+            changes_allowed: AtomicBool::new(true),
         }
     }
 
@@ -178,9 +178,9 @@
     }
 
     /// Messages of queues are taken in from now on, over this outbox.
-    pub fn take_queues(&self, queues: Queues, out: Outbox) {
+    pub fn attach_queues(&self, queues: QueueConsumers, out: Outbox) {
         let mut inner = self.inner();
-        inner.core.take_queues(queues);
+        inner.core.attach_queues(queues);
         inner.ports.broker = Some(out);
     }
 
@@ -202,9 +202,9 @@
         ports.version = core.version();
         ports.finish(core);
         if ports.serving != told {
-            self.naming.ring();
+            self.load_report_bell.ring();
         }
-        let next = core.next().unwrap_or(Us::MAX);
+        let next = core.next_deadline().unwrap_or(Us::MAX);
         if next < *armed {
             *armed = next;
             self.clock.ring();
@@ -215,7 +215,7 @@
     /// The part that was told last is good until then, by [`elapsed`]; and whether changes are taken here.
     pub fn lease(&self, until: Us, changes: bool) {
         self.inner().lease = until;
-        self.changes.store(changes, Ordering::Release);
+        self.changes_allowed.store(changes, Ordering::Release);
     }
 
     /// What the agreed lists say, and until when without another word.
@@ -226,9 +226,9 @@
     }
 
     /// The clock is set to what the core wants next; hands that back.
-    pub fn arm(&self, least: Us) -> Us {
+    pub fn arm_clock(&self, least: Us) -> Us {
         let mut inner = self.inner();
-        inner.armed = inner.core.next().unwrap_or(Us::MAX).min(least);
+        inner.armed = inner.core.next_deadline().unwrap_or(Us::MAX).min(least);
         inner.armed
     }
 
@@ -238,10 +238,10 @@
     }
 
     /// A connection was taken in.
-    pub fn join(&self, out: Outbox) -> ConnId {
+    pub fn connection_opened(&self, out: Outbox) -> ConnId {
         let mut inner = self.inner();
         inner.conns += 1;
-        inner.core.counters().connections += 1;
+        inner.core.stats_mut().connections += 1;
         let conn = ConnId(inner.conns);
         if inner.ports.draining {
             inner.ports.leave(&out);
@@ -257,10 +257,10 @@
     }
 
     /// A connection has ended.
-    pub fn part(&self, conn: ConnId, broken: bool) {
+    pub fn connection_closed(&self, conn: ConnId, broken: bool) {
         self.with(|core, wire, now| {
-            core.counters().broken += u64::from(broken);
-            core.conn_ended(now, conn, wire);
+            core.stats_mut().broken += u64::from(broken);
+            core.connection_closed(now, conn, wire);
         });
         let mut inner = self.inner();
         inner.ports.lines.remove(&conn);
@@ -269,7 +269,7 @@
 
     /// After bytes of a connection were taken: whether it has said something whole so far, and whether it
     /// stands in the middle of a frame.
-    pub fn heard(&self, conn: ConnId, heard: bool, halfway: bool) {
+    pub fn frame_progress(&self, conn: ConnId, heard: bool, halfway: bool) {
         let mut inner = self.inner();
         let Inner { core, ports, .. } = &mut *inner;
         let Some(line) = ports.lines.get_mut(&conn) else { return };
@@ -283,7 +283,7 @@
     }
 
     /// Whether a link below stands in the middle of a reply.
-    pub fn stalled(&self, link: LinkId, halfway: bool) {
+    pub fn reply_progress(&self, link: LinkId, halfway: bool) {
         if let Some(since) = self.inner().ports.stalled.get_mut(link.0) {
             *since = if halfway { since.or_else(|| Some(now())) } else { None };
         }
@@ -291,11 +291,11 @@
 
     /// No more is read from a connection: it is closed once nothing is owed on it. An error tells the
     /// sidecar.
-    pub fn ending(&self, conn: ConnId, error: Option<&str>) {
+    pub fn close_when_answered(&self, conn: ConnId, error: Option<&str>) {
         let mut inner = self.inner();
         let Inner { core, ports, .. } = &mut *inner;
         match error {
-            Some(why) => core.counters().bad_sidecar += u64::from(ports.end(conn, why)),
+            Some(why) => core.stats_mut().bad_sidecar += u64::from(ports.end(conn, why)),
             None if ports.lines.contains_key(&conn) => ports.close(conn),
             None => {}
         }
@@ -304,7 +304,7 @@
 
     /// Lets connections go that have carried nothing for as long as was decided, those that stopped in the
     /// middle of a frame or never said anything whole, and the least useful before there is no room left.
-    pub fn sweep(&self) {
+    pub fn sweep_connections(&self) {
         self.sweep_at(now());
     }
     pub fn sweep_at(&self, now: Us) {
@@ -335,7 +335,7 @@
         }
         for (conns, why) in [(stuck, "a frame stopped halfway"), (mute, "nothing whole came")] {
             for conn in conns {
-                core.counters().bad_sidecar += u64::from(ports.end(conn, why));
+                core.stats_mut().bad_sidecar += u64::from(ports.end(conn, why));
             }
         }
         ports.finish(core);
@@ -348,14 +348,14 @@
             quiet = others.into_iter().take(over).map(|(conn, _)| *conn).collect();
         }
         for conn in quiet {
-            core.counters().closed_idle += 1;
+            core.stats_mut().closed_idle += 1;
             ports.let_go(conn, now);
         }
         for link in (0..ports.below.len()).map(LinkId) {
             let out = &ports.below[link.0];
             if ports.stalled[link.0].is_some_and(|since| since + STALL < now) {
                 ports.stalled[link.0] = None;
-                core.counters().bad_below += 1;
+                core.stats_mut().bad_below += 1;
                 warn!(ports.log, "a link below is made anew"; "why" => "a reply stopped halfway");
                 out.cut();
             } else if out.used() > 0 && out.used() + BELOW < now && !core.calls_on(link) {
@@ -366,7 +366,7 @@
 
     /// There is no room for another connection: some go at once on which nothing is owed. Nothing more is read
     /// from them, so what crosses was never taken. Those of use go one at a time only.
-    pub fn crowded(&self) {
+    pub fn evict_idle(&self) {
         let now = now();
         let mut inner = self.inner();
         let Inner { core, ports, .. } = &mut *inner;
@@ -378,7 +378,7 @@
         let some = (ports.room / SPARE / SPARE).max(1);
         for (n, (worth, _, conn)) in idle.into_iter().take(some).enumerate() {
             if n == 0 || worth < Worth::New {
-                core.counters().closed_crowded += 1;
+                core.stats_mut().closed_crowded += 1;
                 ports.let_go(conn, now);
                 ports.lines.get_mut(&conn).into_iter().for_each(|line| line.crowded = true);
                 ports.close(conn);
@@ -388,7 +388,7 @@
     }
 
     /// Closes all connections: what had come on them is dealt with, all that was answered arrives.
-    pub fn close(&self) {
+    pub fn close_all(&self) {
         let mut inner = self.inner();
         let Inner { core, ports, .. } = &mut *inner;
         ports.door.close();
@@ -398,20 +398,20 @@
         ports.finish(core);
     }
     /// No connection is left, and all that the broker is to be told has been written.
-    pub fn closed(&self) -> bool {
+    pub fn all_closed(&self) -> bool {
         let ports = &self.inner().ports;
         ports.lines.is_empty() && ports.broker.iter().all(Outbox::is_empty)
     }
 
     /// All that was counted.
-    pub fn counted(&self) -> Counters {
-        self.inner().core.counted()
+    pub fn stats(&self) -> Stats {
+        self.inner().core.stats()
     }
     /// Buffers for so much memory in all, and room for so many connections, from now on. Links below stay as many
     /// as they are.
     pub fn resize(&self, memory_mb: u64, room: usize) {
         let mut inner = self.inner();
-        self.room.grow(room as isize - inner.ports.room as isize);
+        self.capacity.grow(room as isize - inner.ports.room as isize);
         inner.ports.room = room;
         drop(inner);
         let most = buffers(memory_mb);
@@ -419,12 +419,12 @@
         self.held.resize(most);
     }
 
-    pub fn counters(&self) -> String {
+    pub fn stats_line(&self) -> String {
         let inner = self.inner();
         let (out, peak) = self.pool.used();
         let (open, owed) = (inner.core.open(), inner.core.owed());
         let queues = inner.core.queues().map(|queues| format!(" {queues}")).unwrap_or_default();
-        format!("{}open={open} owed={owed} buffers={out} buffers_peak={peak}{queues}", inner.core.counted())
+        format!("{}open={open} owed={owed} buffers={out} buffers_peak={peak}{queues}", inner.core.stats())
     }
 }
 
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -11,7 +11,7 @@
 mod operator;
 mod queues;
 mod recovery;
-mod service;
+mod service_stats;
 mod sidecar_registry;
 mod stats;
 mod store;
@@ -22,12 +22,14 @@
 
 use crate::change::{prepare, refused, Asked, Changes, Content, Glance, Pause, Prepared, Running, Told};
 use crate::change::{Wanted, What};
-use crate::connection::{report, Agent, Below, Broker, Sidecar};
+use crate::connection::{
+    send_load_reports, AgentConnection, BrokerConnection, SidecarConnection, UpstreamConnection,
+};
 use crate::control::Request;
 use crate::core::Core;
 use crate::dispatcher::{buffers, Dispatcher};
-use crate::membership::{Begin as Meet, Peers};
-use crate::recovery::{Returning, Start as Begun};
+use crate::membership::{MembershipConfig, MembershipService};
+use crate::recovery::{RecoveryConfig, RecoveryTracker};
 use crate::store::{read_learned, read_members, Store};
 use crate::wire::{ConnId, LinkId};
 use asterrill::Us;
@@ -160,19 +162,31 @@
     let dispatcher = Arc::new(Dispatcher::new(core, out, links, room, idle, pools, log.clone()));
     if let Some((queues, addresses, pause)) = broker {
         let out = Outbox::new(&pool, LINK);
-        dispatcher.take_queues(queues, out.clone());
+        dispatcher.attach_queues(queues, out.clone());
         let (dispatcher, pool) = (dispatcher.clone(), pool.clone());
         let (least, most) = (Duration::from_micros(pause.0), Duration::from_micros(pause.1));
         let pause = Rest::new(least, most, chance.generate());
-        spawn("broker", move || hold(&addresses, &out, &pool, true, pause, &mut Broker { dispatcher }))?;
+        spawn("broker", move || {
+            hold(&addresses, &out, &pool, true, pause, &mut BrokerConnection { dispatcher })
+        })?;
     }
     if let Some(terms) = operator.recovery {
         let (settings, moment) = (start.settings(), moment());
         let state = operator.changes.state.as_deref();
         let kept = state.and_then(|dir| read_learned(dir, log));
         let (name, lasting, seed, memory_mb) = (to.name.clone(), state.is_some(), own, to.memory_mb);
-        let begun = Begun { name, settings, cores, memory_mb, moment, terms, kept, seed, lasting };
-        dispatcher.with(|core, wire, now| core.come_back(now, Returning::new(now, begun), wire));
+        let begun = RecoveryConfig {
+            name,
+            settings,
+            cores,
+            memory_mb,
+            moment,
+            terms,
+            snapshot: kept,
+            seed,
+            persistent: lasting,
+        };
+        dispatcher.with(|core, wire, now| core.start_recovery(now, RecoveryTracker::new(now, begun), wire));
     }
     let spread = operator.recovery.map(|_| own);
     let orders = Arc::new(Orders::default());
@@ -183,8 +197,11 @@
         Some(file) => {
             let kept = operator.changes.state.as_deref().and_then(|dir| read_members(dir, log));
             let fleet = operator.fleet.as_ref().zip(operator.changes.state.as_deref());
-            let (peers, socket) = Peers::open(Meet { name: &to.name, file, kept, seed: own, fleet }, log)?;
-            peers.live(socket, &dispatcher, store.clone())?;
+            let (peers, socket) = MembershipService::open(
+                MembershipConfig { name: &to.name, file, persisted: kept, seed: own, fleet },
+                log,
+            )?;
+            peers.start(socket, &dispatcher, store.clone())?;
             Some(peers)
         }
         None => None,
@@ -218,7 +235,8 @@
             let make =
                 move |at, cold| asterrill_settings::server(at, seed, &running.get().entries, Some(cold)).ok();
             let (out, make) = (agent_out.clone(), Box::new(make));
-            let mut party = Agent { dispatcher, out, notices: agent::Reader::default(), make, useful: false };
+            let mut party =
+                AgentConnection { dispatcher, out, notices: agent::Reader::default(), make, useful: false };
             hold(&places.agent, &agent_out, &pool, true, pause, &mut party);
         })?;
     }
@@ -228,14 +246,14 @@
         let Some(records) = places.records.clone() else { break };
         spawn("below", move || {
             let (link, replies) = (LinkId(i), asterrill_protocol::upstream::Reader::default());
-            let mut party = Below { dispatcher, out: out.clone(), link, replies, useful: false };
+            let mut party = UpstreamConnection { dispatcher, out: out.clone(), link, replies, useful: false };
             hold(&records, &out, &pool, false, pause, &mut party);
         })?;
     }
     {
         let (dispatcher, pause) = (dispatcher.clone(), Rest::new(ms(50), ms(1000), chance.generate()));
         let (name, places) = (to.name.clone(), places.clone());
-        spawn("naming", move || report(&dispatcher, &name, &places.naming, pause, spread))?;
+        spawn("naming", move || send_load_reports(&dispatcher, &name, &places.naming, pause, spread))?;
     }
     {
         let dispatcher = dispatcher.clone();
@@ -243,7 +261,7 @@
             wait_until(now() + spread.map_or(0, |seed| phase(seed, "sweep", SWEEP)));
             loop {
                 wait_until(now() + SWEEP);
-                dispatcher.sweep();
+                dispatcher.sweep_connections();
             }
         })?;
     }
@@ -253,25 +271,30 @@
         spawn("listener", move || {
             listen(
                 listener,
-                &crowd.door,
-                dispatcher.room.clone(),
+                &crowd.listener_gate,
+                dispatcher.capacity.clone(),
                 log,
-                || crowd.crowded(),
+                || crowd.evict_idle(),
                 |stream, place| {
                     // Known before the next one may find no room.
                     let out = Outbox::new(&dispatcher.pool, LINE);
-                    let conn: ConnId = dispatcher.join(out.clone());
+                    let conn: ConnId = dispatcher.connection_opened(out.clone());
                     let (dispatcher, parted) = (dispatcher.clone(), dispatcher.clone());
                     let taken = spawn("sidecar", move || {
                         let frames = sidecar::Reader::default();
-                        let mut peer = Sidecar { dispatcher: dispatcher.clone(), conn, frames, heard: false };
+                        let mut peer = SidecarConnection {
+                            dispatcher: dispatcher.clone(),
+                            conn,
+                            frames,
+                            has_spoken: false,
+                        };
                         let end = drive(&stream, &out, &dispatcher.pool, &mut peer);
-                        dispatcher.part(conn, end == End::Broken);
+                        dispatcher.connection_closed(conn, end == End::Broken);
                         drop(stream);
                         drop(place);
                     });
                     if taken.is_err() {
-                        parted.part(conn, true);
+                        parted.connection_closed(conn, true);
                     }
                 },
             )
@@ -286,12 +309,12 @@
                 orders.lock().reload = Some(read);
             }
             _ => {
-                info!(log, "counters"; "of" => dispatcher.counters(), "members" => peers.as_ref().map(|p| p.counters()))
+                info!(log, "counters"; "of" => dispatcher.stats_line(), "members" => peers.as_ref().map(|p| p.stats_line()))
             }
         }
         dispatcher.clock.ring();
     }
-    info!(log, "ended"; "counters" => dispatcher.counters());
+    info!(log, "ended"; "counters" => dispatcher.stats_line());
     Ok(())
 }
 
@@ -406,7 +429,7 @@
             }
         };
         if is_change && told["ok"] != serde_json::json!(true) {
-            dispatcher.with(|core, _, _| core.counters().changes_refused += 1);
+            dispatcher.with(|core, _, _| core.stats_mut().changes_refused += 1);
         }
         told
     }
@@ -476,12 +499,12 @@
         }
         if let (Some(records), Some(at)) = (&self.records, to.records) {
             if records.moves(at) {
-                dispatcher.with(|core, wire, _| core.links_moved(wire));
+                dispatcher.with(|core, wire, _| core.upstream_moved(wire));
             }
         }
         self.naming.moves(to.naming);
         self.links.iter().for_each(Outbox::moved);
-        dispatcher.naming.ring();
+        dispatcher.load_report_bell.ring();
     }
 }
 
@@ -491,8 +514,8 @@
 ) -> Option<(Deployment, Option<Result<Prepared, Told>>)> {
     let fine = read.is_ok();
     dispatcher.with(|core, _, _| {
-        core.counters().reloads += u64::from(fine);
-        core.counters().reloads_failed += u64::from(!fine);
+        core.stats_mut().reloads += u64::from(fine);
+        core.stats_mut().reloads_failed += u64::from(!fine);
     });
     match read {
         Ok(Reread { to, prepared }) => {
@@ -510,7 +533,7 @@
 
 /// What is done at the notice to leave.
 struct Leaving {
-    peers: Option<Arc<Peers>>,
+    peers: Option<Arc<MembershipService>>,
     store: Option<Store>,
     stop: Us,
     came: bool,
@@ -519,7 +542,7 @@
 impl Leaving {
     /// What was learned is written down, at its beat or since the notice came.
     fn save_learned(&self, dispatcher: &Dispatcher, leaving: bool) {
-        if let Some(learned) = dispatcher.with(|core, _, now| core.snapshot(now, moment, leaving)) {
+        if let Some(learned) = dispatcher.with(|core, _, now| core.take_snapshot(now, moment, leaving)) {
             self.store.iter().for_each(|store| store.save_learned(learned.clone()));
         }
     }
@@ -545,7 +568,7 @@
 /// Lets time pass for the core, if something is due.
 fn pass(dispatcher: &Dispatcher) {
     dispatcher.with(|core, wire, now| {
-        if core.next().is_some_and(|at| at <= now) {
+        if core.next_deadline().is_some_and(|at| at <= now) {
             core.tick(now, wire);
         }
     });
@@ -560,7 +583,7 @@
     dispatcher.clock.attend();
     dispatcher.with(|core, wire, now| core.start(now, wire));
     loop {
-        let at = dispatcher.arm(changes.next());
+        let at = dispatcher.arm_clock(changes.next());
         // Who rang while a change went in slice by slice was not waited for.
         wait_until(if orders.lock().waits() { 0 } else { at.min(now() + LOOK) });
         let order = std::mem::take(&mut *orders.lock());
@@ -574,11 +597,11 @@
         }
         for (wanted, told) in order.wants {
             let answer = match (&wanted, &peers) {
-                (Wanted::Members, Some(peers)) => peers.told(),
-                (Wanted::Fleet, Some(peers)) => peers.agreed(None),
-                (Wanted::List(kind), Some(peers)) => peers.agreed(Some(*kind)),
+                (Wanted::Members, Some(peers)) => peers.describe_members(),
+                (Wanted::Fleet, Some(peers)) => peers.describe_agreed(None),
+                (Wanted::List(kind), Some(peers)) => peers.describe_agreed(Some(*kind)),
                 (Wanted::Wish(wish), Some(peers)) => {
-                    peers.wish(wish.clone(), told);
+                    peers.propose(wish.clone(), told);
                     continue;
                 }
                 _ => changes.want(dispatcher, wanted, pause),
@@ -597,10 +620,10 @@
         }
         pass(dispatcher);
         changes.tick(dispatcher, &mut |dispatcher| between(dispatcher, orders, &mut leaving, false));
-        if dispatcher.with(|core, _, _| core.left()) {
-            dispatcher.close();
+        if dispatcher.with(|core, _, _| core.is_drained()) {
+            dispatcher.close_all();
             let until = now() + CLOSING;
-            while !dispatcher.closed() && now() < until {
+            while !dispatcher.all_closed() && now() < until {
                 wait_until(now() + SETTLE);
             }
             // Whoever waits for an answer is not kept waiting.
--- a/daemon/src/membership.rs
+++ b/daemon/src/membership.rs
@@ -36,7 +36,7 @@
 }
 
 /// The others, as this backend knows them.
-pub struct Peers {
+pub struct MembershipService {
     inner: Mutex<Inner>,
     clock: Bell,
     /// Numbers of writes of a keeper that stand on disk.
@@ -48,10 +48,10 @@
 }
 
 /// What a start needs of the operator's file and of before.
-pub struct Begin<'a> {
+pub struct MembershipConfig<'a> {
     pub name: &'a str,
     pub file: &'a asterrill_operator_config::Members,
-    pub kept: Option<Kept>,
+    pub persisted: Option<Kept>,
     pub seed: u64,
     /// How backends agree, and the directory of a keeper's file.
     pub fleet: Option<(&'a asterrill_operator_config::Fleet, &'a Path)>,
@@ -120,12 +120,14 @@
     Ok((name, key))
 }
 
-impl Peers {
+impl MembershipService {
     /// Opens the socket, so that a failure shows before anything else starts.
-    pub fn open(begin: Begin<'_>, log: &Logger) -> Result<(Arc<Peers>, Datagrams), Fault> {
+    pub fn open(
+        begin: MembershipConfig<'_>, log: &Logger,
+    ) -> Result<(Arc<MembershipService>, Datagrams), Fault> {
         let file = begin.file;
         let (name, key) = check(begin.name, file)?;
-        let (start, agreed, at) = Kept::weigh(begin.kept, now(), file.forget);
+        let (start, agreed, at) = Kept::weigh(begin.persisted, now(), file.forget);
         let own =
             Id { name, at: file.advertise, start, turn: 0, zone: file.zone.clone(), capacity: file.capacity };
         let terms = Terms {
@@ -145,7 +147,7 @@
         let agree = begin.fleet.map(|(fleet, dir)| agreement(begin.name, start, fleet, dir)).transpose()?;
         let (out, asking) = (VecDeque::new(), BTreeMap::new());
         let inner = Inner { members, out, left: false, agree, asking, untold: 0 };
-        let peers = Peers {
+        let peers = MembershipService {
             inner: Mutex::new(inner),
             clock: Bell::default(),
             stands: Arc::default(),
@@ -163,8 +165,8 @@
     }
 
     /// Starts the coroutines: one reads, one lets time pass and sends.
-    pub fn live(
-        self: &Arc<Peers>, socket: Datagrams, dispatcher: &Arc<Dispatcher>, store: Option<Store>,
+    pub fn start(
+        self: &Arc<MembershipService>, socket: Datagrams, dispatcher: &Arc<Dispatcher>, store: Option<Store>,
     ) -> std::io::Result<()> {
         let (peers, from) = (self.clone(), socket.again()?);
         spawn("members", move || {
@@ -289,7 +291,7 @@
     }
 
     /// An operator wishes something; told once it is settled.
-    pub fn wish(&self, wish: Wish, told: SyncSender<Value>) {
+    pub fn propose(&self, wish: Wish, told: SyncSender<Value>) {
         let mut inner = self.inner();
         let Some(agree) = &mut inner.agree else {
             return told
@@ -302,7 +304,7 @@
         self.clock.ring();
     }
     /// For operators: what was agreed on, and how far this one is with it.
-    pub fn agreed(&self, list: Option<Kind>) -> Value {
+    pub fn describe_agreed(&self, list: Option<Kind>) -> Value {
         let inner = self.inner();
         let Some(agree) = &inner.agree else {
             return json!({"ok": false, "error": "there is no section [fleet]"});
@@ -334,7 +336,7 @@
     }
 
     /// For operators: the view, and each member.
-    pub fn told(&self) -> Value {
+    pub fn describe_members(&self) -> Value {
         let inner = self.inner();
         let (members, at) = (&inner.members, elapsed());
         let ago = |us: Us| at.saturating_sub(us) / 1_000;
@@ -365,7 +367,7 @@
     }
 
     /// What was counted, as one line.
-    pub fn counters(&self) -> String {
+    pub fn stats_line(&self) -> String {
         let inner = self.inner();
         counted(&inner.members.counts, inner.untold).to_string()
     }
--- a/daemon/src/name_table.rs
+++ b/daemon/src/name_table.rs
@@ -16,7 +16,7 @@
 }
 
 /// What the surroundings of the module need to know of its settings.
-pub struct Names {
+pub struct NameTable {
     /// By their places. A place stays for good, also that of a method that was taken: what is in hand ends at it.
     methods: Vec<Of>,
     of_methods: FxHashMap<Name, MethodId>,
@@ -33,8 +33,8 @@
     pub gauges: Vec<String>,
 }
 
-impl Names {
-    pub fn new(server: &mut Server) -> Names {
+impl NameTable {
+    pub fn new(server: &mut Server) -> NameTable {
         let (names, tenants) = (std::mem::take(&mut server.methods), std::mem::take(&mut server.tenants));
         let of_methods = names.iter().cloned().zip((0..).map(MethodId)).collect();
         let of =
@@ -44,7 +44,7 @@
         let tenants = tenants.into_iter().zip(0..).collect();
         let gauges = std::mem::take(&mut server.gauges);
         let (free, taken, staged) = (Vec::new(), Vec::new(), Vec::new());
-        Names { methods, of_methods, tenants, places, free, taken, staged, tells_tenants, gauges }
+        NameTable { methods, of_methods, tenants, places, free, taken, staged, tells_tenants, gauges }
     }
 
     /// The place of a method, whether it is in force or not.
@@ -93,7 +93,7 @@
         Err(format!("there were more than {METHODS} methods since the start: start anew"))
     }
 
-    /// Names of a change get their places; hands back the terms that are to be staged there. None of them is in force
+    /// NameTable of a change get their places; hands back the terms that are to be staged there. None of them is in force
     /// by that.
     pub fn stage(&mut self, changes: &[Change]) -> Vec<Term> {
         changes.iter().filter_map(|change| self.place(change)).collect()
--- a/daemon/src/operator.rs
+++ b/daemon/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operator's file, made into what is switched on by it.
 
-use crate::queues::{Queues, Setup};
+use crate::queues::{QueueConfig, QueueConsumers};
 use asterrill::{Say, Us};
 use asterrill_consumer::{Select, Terms};
 use asterrill_entries::{Content, Kind};
@@ -27,7 +27,7 @@
 }
 
 /// The queues, where their broker is, and the least and longest pause between connections, in microseconds.
-pub type Consumption = (Queues, Address, (Us, Us));
+pub type Consumption = (QueueConsumers, Address, (Us, Us));
 
 /// The terms of each queue. What the version does not know is named.
 pub fn terms(broker: Option<&Broker>, content: &Content) -> Result<Vec<Terms>, Fault> {
@@ -71,7 +71,7 @@
     let Some(broker) = file.broker.clone() else { return Ok(None) };
     let password = asterrill_operator_config::read_secret(&broker.password_file);
     let password = password.map_err(|fault| Fault::new(fault.to_string()))?;
-    let setup = Setup {
+    let setup = QueueConfig {
         login: Login {
             credentials: Credentials { user: broker.user, password },
             virtual_host: broker.virtual_host,
@@ -85,5 +85,5 @@
         credit: content.frame().say == Say::Credit,
     };
     let Some(addresses) = Address::first_of(&broker.addresses) else { return Ok(None) };
-    Ok(Some((Queues::new(now, setup), addresses, broker.reconnect)))
+    Ok(Some((QueueConsumers::new(now, setup), addresses, broker.reconnect)))
 }
--- a/daemon/src/queues.rs
+++ b/daemon/src/queues.rs
@@ -15,7 +15,7 @@
 const UNUSABLE: u16 = 501; // and of one for frames that are not understood
 
 /// What the queues are made from.
-pub struct Setup {
+pub struct QueueConfig {
     pub login: Login,
     pub terms: Vec<Terms>,
     pub seed: u64,
@@ -41,13 +41,13 @@
 }
 
 /// What the core is asked for.
-pub enum Ask {
+pub enum QueueRequest {
     Offer(IncomingRpc, WorkId, Vec<u8>),
     Withdraw(WorkId),
     Log(String),
 }
 
-pub struct Queues {
+pub struct QueueConsumers {
     session: Session,
     queues: Vec<Queue>,
     cores: f64,
@@ -62,12 +62,12 @@
     pub counts: Counts,
 }
 
-impl Queues {
-    pub fn new(now: Us, setup: Setup) -> Queues {
+impl QueueConsumers {
+    pub fn new(now: Us, setup: QueueConfig) -> QueueConsumers {
         let mut chance = WyRand::new_seed(setup.seed);
         let queue = |(i, terms): (usize, Terms)| Queue::new(now, i as u16 + 1, chance.generate(), terms);
         let queues = setup.terms.into_iter().enumerate().map(queue).collect();
-        Queues {
+        QueueConsumers {
             session: Session::new(setup.login),
             queues,
             cores: setup.cores,
@@ -250,17 +250,17 @@
 
     /// Carries out what the queues want done, until one wants something of the core. `read` is made from an
     /// offer and a new id.
-    pub fn ask(&mut self, now: Us) -> Option<Ask> {
+    pub fn ask(&mut self, now: Us) -> Option<QueueRequest> {
         for i in 0..self.queues.len() {
             while let Some(todo) = self.queues[i].todo() {
-                let (channel, queue) = (Queues::channel(i), &mut self.queues[i]);
+                let (channel, queue) = (QueueConsumers::channel(i), &mut self.queues[i]);
                 match todo {
                     Do::Offer(offer) => {
                         let body = queue.body(offer.work).unwrap_or(&[]).to_vec();
-                        return Some(Ask::Offer(self.read_of(&offer), offer.work, body));
+                        return Some(QueueRequest::Offer(self.read_of(&offer), offer.work, body));
                     }
-                    Do::Withdraw(work) => return Some(Ask::Withdraw(work)),
-                    Do::Log(line) => return Some(Ask::Log(line)),
+                    Do::Withdraw(work) => return Some(QueueRequest::Withdraw(work)),
+                    Do::Log(line) => return Some(QueueRequest::Log(line)),
                     Do::OpenChannel => {
                         if !self.session.open(channel) {
                             queue.not_opened(now);
@@ -320,7 +320,7 @@
     text.chars().take(128).filter(|c| !c.is_control()).collect()
 }
 
-impl fmt::Display for Queues {
+impl fmt::Display for QueueConsumers {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Counts { up, down, bad_broker, closed, blocked, late } = &self.counts;
         write!(f, "broker_up={up} broker_down={down} bad_broker={bad_broker} broker_closed={closed} ")?;
--- a/daemon/src/recovery.rs
+++ b/daemon/src/recovery.rs
@@ -13,7 +13,7 @@
 const LOOK: Us = 100_000; // between looks at what was served and called
 
 /// What a start knows of itself.
-pub struct Start {
+pub struct RecoveryConfig {
     pub name: String,
     /// The hash of the settings in force.
     pub settings: u64,
@@ -21,14 +21,14 @@
     pub memory_mb: u64,
     pub moment: Moment,
     pub terms: Recovery,
-    pub kept: Option<Learned>,
+    pub snapshot: Option<Learned>,
     pub seed: u64,
     /// There is a place where snapshots are kept.
-    pub lasting: bool,
+    pub persistent: bool,
 }
 
 /// Who knows the names of what the module numbers, as far as it is in force.
-pub trait Known {
+pub trait ActiveTerms {
     fn targets(&self) -> &dyn Targets;
     /// The name of a method, and its latency target.
     fn named(&self, method: MethodId) -> Option<(&Name, Us)>;
@@ -38,8 +38,8 @@
     fn tenants(&self) -> Vec<(&Name, usize)>;
 }
 
-pub struct Returning {
-    start: Start,
+pub struct RecoveryTracker {
+    config: RecoveryConfig,
     stages: Stages,
     opening: Option<Opening>,
     weighed: bool,
@@ -49,18 +49,18 @@
     before: EngineStats,
 }
 
-impl Returning {
-    pub fn new(now: Us, start: Start) -> Returning {
-        let snapshot = Beat::new(now, start.terms.snapshot, start.seed, "snapshot");
+impl RecoveryTracker {
+    pub fn new(now: Us, config: RecoveryConfig) -> RecoveryTracker {
+        let snapshot = Beat::new(now, config.terms.snapshot, config.seed, "snapshot");
         let (stages, before) = (Stages::new(now), EngineStats::default());
-        Returning { start, stages, opening: None, weighed: false, next: now + LOOK, snapshot, before }
+        RecoveryTracker { config, stages, opening: None, weighed: false, next: now + LOOK, snapshot, before }
     }
     pub fn next(&self) -> Us {
         self.next
     }
     /// Other settings are in force.
     pub fn change(&mut self, settings: u64) {
-        self.start.settings = settings;
+        self.config.settings = settings;
     }
     pub fn stages(&self) -> &Stages {
         &self.stages
@@ -68,7 +68,7 @@
 
     /// How carefully the module is to go about it now.
     pub fn care(&self) -> Care {
-        let Recovery { repeats, spread, .. } = self.start.terms;
+        let Recovery { repeats, spread, .. } = self.config.terms;
         let calls = self.opening.as_ref().map_or(f64::INFINITY, Opening::bound);
         Care { calls, repeats: repeats as f64 / 100.0, spread: spread as f64 / 100.0 }
     }
@@ -76,18 +76,18 @@
     /// The agent has greeted for the first time: what was kept is weighed. Hands back what the module is to recall,
     /// and what became of each value, in words.
     pub fn greeted(
-        &mut self, now: Us, empty: bool, standing: Standing, known: &dyn Known,
+        &mut self, now: Us, empty: bool, standing: Standing, known: &dyn ActiveTerms,
     ) -> Option<(Experience, String)> {
         if std::mem::replace(&mut self.weighed, true) {
             return None;
         }
         if standing.most_calls.is_finite() {
-            let first = self.start.terms.first_calls as f64;
+            let first = self.config.terms.first_calls as f64;
             let terms = Terms { most: standing.most_calls.max(1.0), first, step: LOOK };
             self.opening = Some(Opening::new(now, terms));
         }
-        let kept = self.start.kept.take()?;
-        let Start { name, settings, cores, memory_mb, moment, terms, .. } = &self.start;
+        let kept = self.config.snapshot.take()?;
+        let RecoveryConfig { name, settings, cores, memory_mb, moment, terms, .. } = &self.config;
         let (settings, cores, memory_mb, moment) = (*settings, *cores, *memory_mb, *moment);
         let (trust, targets) = (terms.trust, known.targets());
         let present = Present { name, settings, cores, memory_mb, moment, empty, trust, targets };
@@ -139,12 +139,12 @@
 
     /// A snapshot is wanted now: at its beat, or since the server leaves.
     pub fn snapshot_due(&mut self, now: Us, leaving: bool) -> bool {
-        self.start.lasting && self.weighed && (self.snapshot.due(now) || leaving)
+        self.config.persistent && self.weighed && (self.snapshot.due(now) || leaving)
     }
 
     /// What is to be kept. Methods of which nothing was learned, and those that are gone, are left out. In the order of
     /// names, as many as a snapshot holds.
-    pub fn snapshot(&self, moment: Moment, learned: Experience, known: &dyn Known) -> Learned {
+    pub fn snapshot(&self, moment: Moment, learned: Experience, known: &dyn ActiveTerms) -> Learned {
         let of_method = |(method, mean, runs): &(MethodId, f64, f64)| {
             let (name, target) = known.named(*method).filter(|_| *runs > 0.0)?;
             Some((name, target, *mean, *runs))
@@ -164,10 +164,10 @@
             Some((name.to_string(), learned.tenants.get(at)?.1))
         };
         Learned {
-            name: self.start.name.clone(),
-            settings: self.start.settings,
-            cores: self.start.cores,
-            memory_mb: self.start.memory_mb,
+            name: self.config.name.clone(),
+            settings: self.config.settings,
+            cores: self.config.cores,
+            memory_mb: self.config.memory_mb,
             moment,
             methods: methods.into_iter().map(kept).collect(),
             target: learned.target.unwrap_or(0.0),
--- a/daemon/src/service.rs
+++ b/daemon/src/service_stats.rs
@@ -26,7 +26,7 @@
 }
 
 /// Of all methods, by their places.
-pub struct Service {
+pub struct ServiceStats {
     of: Vec<Of>,
     /// The places that were read or answered since the last look.
     touched: Vec<usize>,
@@ -36,11 +36,11 @@
     start: Us,
 }
 
-impl Service {
-    pub fn new(now: Us, targets: Vec<Us>) -> Service {
+impl ServiceStats {
+    pub fn new(now: Us, targets: Vec<Us>) -> ServiceStats {
         let of = |target| Of { target, judged: target, ..Of::default() };
         let of = targets.into_iter().map(of).collect();
-        Service { of, touched: Vec::new(), recent: Vec::new(), half: now, start: now }
+        ServiceStats { of, touched: Vec::new(), recent: Vec::new(), half: now, start: now }
     }
     /// The target of a method of a version that comes into force.
     pub fn target(&mut self, place: usize, target: Us) {
--- a/daemon/src/sidecar_registry.rs
+++ b/daemon/src/sidecar_registry.rs
@@ -16,9 +16,9 @@
 
 /// The connections that have brought an RPC, until each ends.
 #[derive(Default)]
-pub struct Sidecars(BTreeMap<ConnId, Standing>);
+pub struct SidecarRegistry(BTreeMap<ConnId, Standing>);
 
-impl Sidecars {
+impl SidecarRegistry {
     /// An RPC came on a connection. False if nothing more is taken from it.
     pub fn brings(&mut self, conn: ConnId) -> bool {
         self.0.entry(conn).or_default().nonsense < NONSENSE
--- a/daemon/src/stats.rs
+++ b/daemon/src/stats.rs
@@ -6,10 +6,10 @@
 macro_rules! counters {
     ($($(#[doc = $doc:literal])* $name:ident,)*) => {
         #[derive(Clone, Debug, Default, PartialEq)]
-        pub struct Counters {
+        pub struct Stats {
             $($(#[doc = $doc])* pub $name: u64,)*
         }
-        impl fmt::Display for Counters {
+        impl fmt::Display for Stats {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 $(write!(f, concat!(stringify!($name), "={} "), self.$name)?;)*
                 Ok(())
@@ -98,7 +98,7 @@
     reports_lost,
 }
 
-impl Counters {
+impl Stats {
     /// Takes in what the engine counted.
     pub fn take(&mut self, counts: &EngineStats) {
         macro_rules! take {
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -1,7 +1,7 @@
 //! The core against a stand-in for the agent, the layer below and the sidecars: seeded random runs with the
 //! rules checked after every step, and plain cases.
 
-use crate::core::{Core, Flip};
+use crate::core::{Core, VersionSwitch};
 use crate::wire::{ConnId, LinkId, Place, Wire};
 use asterrill::{CallEnd, CallerId, Final, RpcId, RunEnd, Us};
 use asterrill_entries::{Change as Entry, Content as Entries, Kind};
@@ -46,18 +46,18 @@
     asterrill_settings::server(at, seed, &content(settings), cold).unwrap()
 }
 /// What turns over to a version once its entries are in.
-fn flip(at: Us, number: u64, to: &Entries) -> Flip {
+fn flip(at: Us, number: u64, to: &Entries) -> VersionSwitch {
     let bare = asterrill_settings::frame(at, 1, to).unwrap();
     let longest = to.methods().map(|(_, method)| method.latency_target).max().unwrap_or(0);
     let tells_tenants = to.count(Kind::Tenant) > 0;
-    Flip { number, bare: Some(bare), longest, queues: Vec::new(), tells_tenants }
+    VersionSwitch { number, bare: Some(bare), longest, queues: Vec::new(), tells_tenants }
 }
 /// A change from one version to another, whole.
 fn change(core: &mut Core, at: Us, from: &Entries, to: &Entries, number: u64, out: &mut Out) {
     let step = from.changes_to(to);
-    core.could_take(&step, &[]).unwrap();
+    core.check_capacity_for(&step, &[]).unwrap();
     core.stage(&step);
-    core.change(at, flip(at, number, to), out);
+    core.switch_version(at, flip(at, number, to), out);
 }
 
 enum Told {
@@ -372,7 +372,7 @@
 
     fn pass(&mut self, span: Us) {
         let until = self.now + span;
-        while let Some(at) = self.core.next().filter(|at| *at <= until) {
+        while let Some(at) = self.core.next_deadline().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.core.tick(self.now, &mut self.out);
             self.sampled();
@@ -420,7 +420,7 @@
         }
         let to = content(&settings);
         let step = self.entries.changes_to(&to);
-        self.core.could_take(&step, &[]).unwrap();
+        self.core.check_capacity_for(&step, &[]).unwrap();
         self.coming = Some((to, step.into()));
     }
 
@@ -435,12 +435,12 @@
             return;
         }
         self.version += 1;
-        self.core.change(self.now, flip(self.now, self.version, &to), &mut self.out);
+        self.core.switch_version(self.now, flip(self.now, self.version, &to), &mut self.out);
         self.entries = to;
         if self.version.is_multiple_of(2) {
-            self.core.settled();
+            self.core.commit_change();
         }
-        let _ = self.core.served();
+        let _ = self.core.take_service_sample();
     }
 
     fn step(&mut self, what: u8, n: usize) {
@@ -468,7 +468,7 @@
                         *gone |= !self.out.answers.contains_key(&place);
                     }
                 }
-                self.core.conn_ended(self.now, ConnId(n as u64 % 3), &mut self.out);
+                self.core.connection_closed(self.now, ConnId(n as u64 % 3), &mut self.out);
             }
             12 if n.is_multiple_of(3) => self.out.deaf = true,
             12 => self.link_up(),
@@ -524,7 +524,7 @@
             self.check();
         }
         assert_eq!((self.core.owed(), self.core.open()), (0, 0));
-        assert_eq!(self.core.counted().half_applied, 0);
+        assert_eq!(self.core.stats().half_applied, 0);
     }
 }
 
@@ -584,7 +584,7 @@
     assert_eq!((w.out.runs.len(), w.out.ended_agent), (0, 0));
     assert_eq!(w.out.answers[&lost].0, "aborted", "its caller waits no longer than told");
     w.pass(280 * MS);
-    assert_eq!((w.out.ended_agent, w.core.counted().agent_silent), (1, 1));
+    assert_eq!((w.out.ended_agent, w.core.stats().agent_silent), (1, 1));
     // Until the lost run is over nothing is taken: all looks as if work had stopped finishing.
     let turned_away = w.ask(1, "look", 900 * MS, None);
     assert_eq!(w.out.answers[&turned_away].0, "pushed back");
@@ -647,7 +647,7 @@
     w.read = 0;
     w.read_notices(1);
     w.check();
-    assert_eq!(w.core.counted().stale, 1);
+    assert_eq!(w.core.stats().stale, 1);
 }
 
 #[test]
@@ -676,7 +676,7 @@
     let late = try_of(&mut w, 3, "pay", b"order 17");
     let made: BTreeSet<_> = others.iter().chain([&first, &late]).map(|p| w.out.answers[p].clone()).collect();
     assert!(made.len() == 1 && made.first().is_some_and(|(what, _)| *what == "ok"), "{made:?}");
-    assert_eq!((w.out.runs.len(), w.core.counted().joined), (1, 3));
+    assert_eq!((w.out.runs.len(), w.core.stats().joined), (1, 3));
     // Another body is another RPC, and so is the same one of a method that may run again.
     try_of(&mut w, 1, "pay", b"order 18");
     try_of(&mut w, 1, "look", b"order 17");
@@ -721,7 +721,7 @@
     w.out.deaf = true;
     w.pass(310 * MS);
     assert_eq!(w.out.answers[&place].0, "aborted");
-    assert!(w.core.counted().wakes_blind > 0);
+    assert!(w.core.stats().wakes_blind > 0);
 }
 
 #[test]
@@ -738,7 +738,7 @@
     let id = w.asks[&place].0.id;
     let late = first.unwrap();
     w.core.call_ended(w.now, late, id, CallEnd::Ok, b"of the call given up", &mut w.out);
-    assert_eq!(w.core.counted().late_replies, 1);
+    assert_eq!(w.core.stats().late_replies, 1);
     w.pass(900 * MS); // no reply ever comes: it is given up, and the run goes on without
     assert!(w.out.called.is_empty());
     w.check();
@@ -764,7 +764,7 @@
     let (id, link) = before.iter().next().map(|(id, link)| (*id, *link)).unwrap();
     w.out.called.remove(&id);
     w.core.link_ended(w.now, link, false, &mut w.out);
-    assert_eq!((w.core.counted().calls_aborted, w.out.called.len()), (1, 3));
+    assert_eq!((w.core.stats().calls_aborted, w.out.called.len()), (1, 3));
     assert!(w.out.called[&id] != link && before.iter().all(|(i, l)| *i == id || w.out.called[i] == *l));
     w.settle();
 }
@@ -778,7 +778,7 @@
     w.read_notices(1);
     assert!(w.out.called[&id] != first);
     w.core.call_ended(w.now, first, id, CallEnd::Ok, b"of the call before", &mut w.out);
-    assert_eq!(w.core.counted().late_replies, 1);
+    assert_eq!(w.core.stats().late_replies, 1);
     w.reply(0, CallEnd::Ok);
     w.play(1, false);
     w.read_notices(1);
@@ -788,9 +788,9 @@
 
 #[test]
 fn the_next_call_of_an_rpc_goes_by_another_link_even_where_that_rests_and_by_none_where_there_is_none() {
-    use crate::upstream::Links;
+    use crate::upstream::UpstreamLinks;
     use asterrill_engine::UpstreamLinkId;
-    let (mut links, mut out) = (Links::new(2), Out::default());
+    let (mut links, mut out) = (UpstreamLinks::new(2), Out::default());
     let first = links.pick(None).unwrap();
     links.placed(first);
     links.off(first, false, &mut out); // its reply came; a second copy may follow
@@ -811,7 +811,7 @@
 fn when_the_layer_below_moves_calls_in_hand_end_where_they_are_and_others_go_to_the_new_place() {
     let (mut w, _) = calling(23, 2);
     let before: BTreeSet<LinkId> = w.out.called.values().copied().collect();
-    w.core.links_moved(&mut w.out);
+    w.core.upstream_moved(&mut w.out);
     assert!(w.out.closed.iter().all(|link| !before.contains(link)) && w.out.closed.len() == 2);
     for link in std::mem::take(&mut w.out.closed) {
         w.core.link_ended(w.now, link, false, &mut w.out);
@@ -952,12 +952,12 @@
     let place = w.ask(1, "look", 5_000 * MS, None);
     w.core.drain(w.now, 1_000 * MS, &mut w.out);
     w.core.drain(w.now, 9_000 * MS, &mut w.out); // a second notice changes nothing
-    assert!(!w.out.left && w.out.serving.last() == Some(&false) && !w.core.left());
+    assert!(!w.out.left && w.out.serving.last() == Some(&false) && !w.core.is_drained());
     w.pass(400 * MS); // the grace: what comes until then is run, so callers are told to leave only now
-    assert!(w.out.left && !w.core.left());
+    assert!(w.out.left && !w.core.is_drained());
     w.pass(599 * MS);
     assert_eq!(w.out.answers[&place].0, "aborted");
-    assert!(w.core.left());
+    assert!(w.core.is_drained());
 }
 
 #[test]
@@ -984,7 +984,7 @@
             "after the grace nothing is run"
         );
         w.pass(1_000 * MS);
-        assert!(w.core.left() && w.core.owed() == 0);
+        assert!(w.core.is_drained() && w.core.owed() == 0);
     }
 }
 
@@ -1075,7 +1075,7 @@
         })
         .collect();
     spans.sort_unstable();
-    let mut service = crate::service::Service::new(0, vec![400 * MS, 400 * MS]);
+    let mut service = crate::service_stats::ServiceStats::new(0, vec![400 * MS, 400 * MS]);
     let names: [asterrill_entries::Name; 2] = ["look".into(), "book".into()];
     let start = std::time::Instant::now();
     for n in 0..1_000_000_u64 {
@@ -1100,25 +1100,38 @@
 
 mod coming_back {
     use super::*;
-    use crate::recovery::{Returning, Start};
+    use crate::recovery::{RecoveryConfig, RecoveryTracker};
     use asterrill_operator_config::Recovery;
     use asterrill_recovery::{Learned, Moment, Stage};
 
-    fn start(now: Us, kept: Option<Learned>) -> Returning {
+    fn start(now: Us, kept: Option<Learned>) -> RecoveryTracker {
         let moment = Moment { wall: now, up: now / 2, boot: 9 };
         let terms = Recovery { snapshot: 1_000 * MS, ..Recovery::default() };
         let (name, settings, cores, memory_mb) = ("n1".to_string(), 77, 2.0, 64);
         let (seed, lasting) = (5, true);
-        Returning::new(now, Start { name, settings, cores, memory_mb, moment, terms, kept, seed, lasting })
+        RecoveryTracker::new(
+            now,
+            RecoveryConfig {
+                name,
+                settings,
+                cores,
+                memory_mb,
+                moment,
+                terms,
+                snapshot: kept,
+                seed,
+                persistent: lasting,
+            },
+        )
     }
     fn world(seed: u64, kept: Option<Learned>) -> World {
         let mut core = Core::new(START, made(START, seed, &server(), None), Pool::new(500), 4);
         let mut out = Out::default();
         core.start(START, &mut out);
-        core.come_back(START, start(START, kept), &mut out);
+        core.start_recovery(START, start(START, kept), &mut out);
         core.agent_link(START);
         core.agent_up(START, None, &mut out);
-        core.greeted(START, false, &mut out);
+        core.agent_greeted(START, false, &mut out);
         World::with(core, out, START, &server())
     }
     fn serve(w: &mut World, rpcs: u64) {
@@ -1131,7 +1144,7 @@
         }
     }
     fn stage(w: &World) -> Stage {
-        w.core.stages().unwrap().0.stage()
+        w.core.recovery_stages().unwrap().0.stage()
     }
 
     #[test]
@@ -1142,13 +1155,13 @@
         assert_eq!(stage(&w), Stage::Cold);
         serve(&mut w, 40);
         let then = Moment { wall: START, up: START / 2, boot: 9 };
-        let kept = w.core.snapshot(w.now, || then, false).unwrap();
-        assert!(w.core.snapshot(w.now, || then, false).is_none(), "its beat is over");
+        let kept = w.core.take_snapshot(w.now, || then, false).unwrap();
+        assert!(w.core.take_snapshot(w.now, || then, false).is_none(), "its beat is over");
         assert!(
-            w.core.snapshot(w.now, || then, true).is_some(),
+            w.core.take_snapshot(w.now, || then, true).is_some(),
             "but at the notice to leave there is another"
         );
-        assert_eq!(w.core.counted().snapshots, 2);
+        assert_eq!(w.core.stats().snapshots, 2);
         let look = kept.methods.iter().find(|m| m.name == "look").unwrap();
         assert!((look.mean - 30_000.0).abs() < 15_000.0 && look.runs > 20.0, "{look:?}");
         assert!(kept.methods.iter().all(|m| m.name != "book"), "of that nothing was learned");
@@ -1164,7 +1177,7 @@
         let fresh = world(3, None).core.learned();
         let mut w = world(3, None);
         serve(&mut w, 30);
-        let mut kept = w.core.snapshot(w.now, Moment::default, true).unwrap();
+        let mut kept = w.core.take_snapshot(w.now, Moment::default, true).unwrap();
         kept.name = "n2".into();
         assert_eq!(world(3, Some(kept)).core.learned(), fresh);
     }
@@ -1239,7 +1252,7 @@
     assert_eq!(turned(&mut world), [true, true, false], "the stricter of the two");
     world.core.lapse();
     assert_eq!(turned(&mut world), [true, true, false], "a word may have been taken back");
-    assert_eq!((world.core.counted().barred, world.out.faults.len()), (5, 0));
+    assert_eq!((world.core.stats().barred, world.out.faults.len()), (5, 0));
 }
 
 /// A version with these tenants, beside what `server` says.
@@ -1278,15 +1291,15 @@
         w.core.stage(std::slice::from_ref(entry));
         assert_eq!(under(&mut w), before, "after {entry:?}");
     }
-    w.core.change(w.now, flip(w.now, 2, &to), &mut w.out);
+    w.core.switch_version(w.now, flip(w.now, 2, &to), &mut w.out);
     assert_eq!(under(&mut w), [false, false, true, false], "acme is gone, and so is book");
     assert!(asks(&mut w, "sell", "nile"));
     // And back, by the same entries turned round.
     let back = to.changes_to(&w.entries);
     w.core.stage(&back);
-    w.core.change(w.now, flip(w.now, 3, &w.entries), &mut w.out);
+    w.core.switch_version(w.now, flip(w.now, 3, &w.entries), &mut w.out);
     assert_eq!(under(&mut w), before);
-    assert_eq!(w.core.counted().half_applied, 0);
+    assert_eq!(w.core.stats().half_applied, 0);
 }
 
 #[test]
@@ -1302,7 +1315,7 @@
         } else {
             running = to;
         }
-        w.core.settled();
+        w.core.commit_change();
         assert!(w.core.places() <= 3, "{} places after {n} changes", w.core.places());
     }
     let place = w.ask(1, "look", 900 * MS, None);
@@ -1326,14 +1339,14 @@
     change(&mut core, START, &whole, &half, 3, &mut out);
     change(&mut core, START, &half, &whole, 4, &mut out);
     let other = of(&mut (1..many + 1));
-    let told = core.could_take(&whole.changes_to(&other), &[]).unwrap_err();
+    let told = core.check_capacity_for(&whole.changes_to(&other), &[]).unwrap_err();
     assert!(told.contains("more than 20000 methods since the start"), "{told}");
 }
 
 #[test]
 fn a_look_at_service_tells_of_what_was_asked_for_only_and_the_minute_of_what_was_read_in_it() {
     let names: Vec<asterrill_entries::Name> = (0..5_000).map(|n| format!("m{n}").into()).collect();
-    let mut service = crate::service::Service::new(0, vec![400 * MS; names.len()]);
+    let mut service = crate::service_stats::ServiceStats::new(0, vec![400 * MS; names.len()]);
     let asked = std::cell::Cell::new(0);
     let name = |method: asterrill::MethodId| {
         asked.set(asked.get() + 1);
--- a/daemon/src/tests/change.rs
+++ b/daemon/src/tests/change.rs
@@ -65,7 +65,7 @@
     let undone = changes.want(&dispatcher, Wanted::Undo, &mut |_| turns += 1);
     assert_eq!((&undone["ok"], turns), (&json!(true), 4));
     assert!(knows(&dispatcher, "guest 0") && !knows(&dispatcher, "guest 1499"));
-    assert_eq!(dispatcher.counted().half_applied, 0);
+    assert_eq!(dispatcher.stats().half_applied, 0);
 }
 
 #[test]
--- a/daemon/src/tests/dispatcher.rs
+++ b/daemon/src/tests/dispatcher.rs
@@ -1,7 +1,7 @@
 //! The dispatcher with a sidecar's connection on a real socket.
 
 use super::{made, server, START};
-use crate::connection::Sidecar;
+use crate::connection::SidecarConnection;
 use crate::core::Core;
 use crate::dispatcher::Dispatcher;
 use crate::wire::ConnId;
@@ -28,20 +28,20 @@
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = listener.local_addr().unwrap();
     let ((come, came), (ends, end)) = (channel(), channel());
-    let (of, door) = (dispatcher.clone(), dispatcher.door.clone());
+    let (of, door) = (dispatcher.clone(), dispatcher.listener_gate.clone());
     let took = move |stream, place| {
         let (dispatcher, out, ends) = (of.clone(), Outbox::new(&of.pool, 192 * 1024), ends.clone());
-        let conn: ConnId = dispatcher.join(out.clone());
+        let conn: ConnId = dispatcher.connection_opened(out.clone());
         come.send((conn, out.clone())).unwrap();
         spawn("sidecar", move || {
-            let mut peer = Sidecar {
+            let mut peer = SidecarConnection {
                 dispatcher: dispatcher.clone(),
                 conn,
                 frames: sidecar::Reader::default(),
-                heard: true,
+                has_spoken: true,
             };
             drive(&stream, &out, &dispatcher.pool, &mut peer);
-            dispatcher.part(conn, false);
+            dispatcher.connection_closed(conn, false);
             drop((stream, place));
             ends.send(conn).unwrap_or_default();
         })
@@ -66,7 +66,7 @@
     assert!(other.put(&[&[7; 50_000]]));
     quick.set_read_timeout(Some(WAIT)).unwrap();
     quick.read_exact(&mut [0; 50_000]).unwrap();
-    [slow_conn, quick_conn].into_iter().for_each(|conn| dispatcher.ending(conn, None));
+    [slow_conn, quick_conn].into_iter().for_each(|conn| dispatcher.close_when_answered(conn, None));
     assert_eq!(quick.read(&mut [0]).unwrap(), 0, "it ends in order");
     drop(quick);
     assert_eq!(end.recv_timeout(WAIT), Ok(quick_conn));
--- a/daemon/src/upstream.rs
+++ b/daemon/src/upstream.rs
@@ -8,7 +8,7 @@
 /// link takes no other call with it. The next call of the same RPC goes by another, so that a late reply, or
 /// a second copy, can't pass for the reply to that.
 #[derive(Clone, Copy, Debug, Default)]
-struct Link {
+struct UpstreamLink {
     calls: usize,
     /// Counts the calls placed: of free links the one used last is taken, and the others may go.
     last: u64,
@@ -19,14 +19,14 @@
     closing: bool,
 }
 
-pub struct Links {
-    links: Vec<Link>,
+pub struct UpstreamLinks {
+    links: Vec<UpstreamLink>,
     placed: u64,
 }
 
-impl Links {
-    pub fn new(links: usize) -> Links {
-        Links { links: vec![Link::default(); links], placed: 0 }
+impl UpstreamLinks {
+    pub fn new(links: usize) -> UpstreamLinks {
+        UpstreamLinks { links: vec![UpstreamLink::default(); links], placed: 0 }
     }
 
     /// The link for a call of an RPC whose last one went by `last`: never that one again, as a second copy of the
@@ -35,7 +35,8 @@
         let links = self.links.iter().enumerate().map(|(i, link)| (LinkId(i), link));
         let another = |id: &LinkId| Some(UpstreamLinkId(id.0)) != last;
         let usable = links.filter(|(id, link)| !link.closing && !link.old && another(id));
-        let order = |(_, link): &(LinkId, &Link)| (link.resting, link.calls, std::cmp::Reverse(link.last));
+        let order =
+            |(_, link): &(LinkId, &UpstreamLink)| (link.resting, link.calls, std::cmp::Reverse(link.last));
         usable.min_by_key(order).map(|(id, _)| id)
     }
 
--- a/daemon/src/wire.rs
+++ b/daemon/src/wire.rs
@@ -23,7 +23,7 @@
 
 /// Who asked, of all fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Asker {
+pub enum Requester {
     Sidecar(Place),
     /// A message of a queue.
     Queue(WorkId),
