--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -245,8 +245,8 @@
             exchange(kept.take(), at, &request, WITHIN, wanted, |mut bytes| match reader.next(&mut bytes) {
                 Ok(None) => None,
                 Ok(Some(reply)) => {
-                    counts = reply.counts;
-                    Some(reply.stays)
+                    counts = reply.accepted;
+                    Some(reply.keep_alive)
                 }
                 Err(broken) => {
                     warn!(dispatcher.log, "a report was lost"; "why" => broken.0);
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -471,7 +471,7 @@
 
     fn leave(&mut self, out: &Outbox) {
         self.scratch.clear();
-        sidecar::leaving(&mut self.scratch);
+        sidecar::goaway(&mut self.scratch);
         out.put(&[&self.scratch]);
     }
 
@@ -532,7 +532,7 @@
     }
     fn give_up(&mut self, link: LinkId, id: RpcId) {
         self.scratch.clear();
-        upstream::give_up(&mut self.scratch, id);
+        upstream::cancel(&mut self.scratch, id);
         if let Some(out) = self.below.get(link.0) {
             out.put(&[&self.scratch]);
         }
--- a/protocol/src/agent.rs
+++ b/protocol/src/agent.rs
@@ -1,38 +1,52 @@
-//! Commands to the agent that owns the cores, and what it tells.
+//! Commands to the agent that owns the cores, and its notices. Lines of words, some with a body.
 
 use crate::line_reader::LineReader;
 use crate::ProtocolError;
 use asterrill::{Gauges, RpcId, RunEnd, Us};
 use std::io::Write;
 
-/// The number of a notice.
+/// The number of a notice; they ascend over all connections to one agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NoticeId(pub u64);
 
+/// What the agent reports.
 #[derive(Debug, PartialEq)]
 pub enum Notice<'a> {
-    /// The agent is up: whether it started without what makes it warm, and how long ago.
-    Greeting { empty: bool, ago: Us },
-    /// A run is over; with the result where it is ok. A result too long to be passed on is none.
+    /// The first notice on a connection.
+    Greeting {
+        /// The agent started with empty caches: this server is cold.
+        empty: bool,
+        /// Since the agent's start, in microseconds.
+        ago: Us,
+    },
+    /// A run has ended, with its result if it is ok. A result over [`crate::MAX_BODY_BYTES`] counts as aborted.
     Ended(NoticeId, RpcId, RunEnd, &'a [u8]),
-    /// A run waits for a call with this body; none where it is too long to be passed on.
+    /// A run waits for an upstream call with this body; `None` where it is over [`crate::MAX_BODY_BYTES`].
     CallNeeded(NoticeId, RpcId, Option<&'a [u8]>),
-    /// The gauges in the order of the settings, as asked for under a number.
+    /// The gauges in the order of the settings, for the request of this number.
     Sampled(u64, Vec<f64>),
-    /// Whether the work of a thorough health check got done.
+    /// Whether the work of the thorough health check of this number got done.
     Exercised(u64, bool),
-    /// A command about this RPC was not carried out; whether it was to run it.
-    Refused { launch: bool, id: Option<RpcId> },
-    /// A remark.
+    /// A command was not carried out.
+    Refused {
+        /// It was a launch.
+        launch: bool,
+        /// The RPC that it was about.
+        id: Option<RpcId>,
+    },
+    /// A notice without consequences; only its number counts.
     Aside(NoticeId),
 }
 
-/// Reads what the agent tells.
+/// Reads the notices on one connection.
 #[derive(Default)]
 pub struct Reader(LineReader);
 
 impl Reader {
     /// Takes from `input` up to the end of the next notice. Without one all of `input` has been taken.
+    ///
+    /// # Errors
+    /// A line that is no notice, or whose length is out of bounds.
     pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Notice<'a>>, ProtocolError> {
         match self.0.next(input, length)? {
             Some((line, body)) => notice(line, body).map(Some),
@@ -108,44 +122,48 @@
     word.parse::<f64>().ok().filter(|ms| *ms >= 0.0 && *ms < 1e15).map(|ms| (ms * 1000.0) as Us)
 }
 
-/// The gauges the module reads, out of what the agent sampled, by their names in order.
+/// The gauges that the decision module reads, out of the sampled `values`, which are in the order of `names`.
 pub fn gauges(names: &[String], values: &[f64]) -> Gauges {
     let gauge = |name: &str| names.iter().position(|n| n == name).and_then(|i| values.get(i)).copied();
     Gauges { on_cores: gauge("on_cores"), heap_share: gauge("heap_share"), links: gauge("links") }
 }
 
 /// Writing into memory can't fail.
-fn put(to: &mut Vec<u8>, line: std::fmt::Arguments<'_>) {
+fn write_line(to: &mut Vec<u8>, line: std::fmt::Arguments<'_>) {
     to.write_fmt(line).unwrap_or_default();
 }
 
+/// Asks for all notices after this one.
 pub fn subscribe(to: &mut Vec<u8>, last: NoticeId) {
-    put(to, format_args!("subscribe {}\r\n", last.0));
+    write_line(to, format_args!("subscribe {}\r\n", last.0));
 }
 
-/// What goes before the body of a run, which CR LF follows.
+/// Writes the line that announces a run and its body of `length` bytes; the body and CR LF follow.
 pub fn launch(to: &mut Vec<u8>, id: RpcId, method: &str, length: usize) {
-    put(to, format_args!("launch {} {method} {length}\r\n", id.as_str()));
+    write_line(to, format_args!("launch {} {method} {length}\r\n", id.as_str()));
 }
 
+/// Stops a run.
 pub fn stop(to: &mut Vec<u8>, id: RpcId) {
-    put(to, format_args!("freeze {}\r\n", id.as_str()));
+    write_line(to, format_args!("freeze {}\r\n", id.as_str()));
 }
 
-/// What goes before the reply to a call, which CR LF follows.
+/// Writes the line that announces the reply to an upstream call, of `length` bytes; the reply and CR LF follow.
 pub fn deliver(to: &mut Vec<u8>, id: RpcId, length: usize) {
-    put(to, format_args!("deliver {} {length}\r\n", id.as_str()));
+    write_line(to, format_args!("deliver {} {length}\r\n", id.as_str()));
 }
 
-/// The run goes on without the call that this notice asked for.
-pub fn skip(to: &mut Vec<u8>, id: RpcId, asked: NoticeId) {
-    put(to, format_args!("forgo {} {}\r\n", id.as_str(), asked.0));
+/// Lets a run go on without the upstream call that the notice `needed` asked for.
+pub fn skip(to: &mut Vec<u8>, id: RpcId, needed: NoticeId) {
+    write_line(to, format_args!("forgo {} {}\r\n", id.as_str(), needed.0));
 }
 
+/// Asks for the gauges; the answer carries the tag.
 pub fn sample(to: &mut Vec<u8>, tag: u64) {
-    put(to, format_args!("sample {tag}\r\n"));
+    write_line(to, format_args!("sample {tag}\r\n"));
 }
 
+/// Asks for the work of a thorough health check; the answer carries the tag.
 pub fn exercise(to: &mut Vec<u8>, tag: u64) {
-    put(to, format_args!("exercise {tag}\r\n"));
+    write_line(to, format_args!("exercise {tag}\r\n"));
 }
--- a/protocol/src/amqp/channel_state.rs
+++ b/protocol/src/amqp/channel_state.rs
@@ -1,12 +1,10 @@
 //! The state of one open channel, and the message whose content is arriving on it.
 
 use super::error::{SessionError, UNEXPECTED_FRAME};
+use super::frames::CLASS_BASIC;
 use super::message::{Channel, Delivery, DeliveryTag, Event, Headers};
 use amq_protocol::protocol::basic;
 
-/// The class that carries content (1.8).
-const CLASS_BASIC: u16 = 60;
-
 /// How far a channel is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ChannelStage {
--- a/protocol/src/amqp/mod.rs
+++ b/protocol/src/amqp/mod.rs
@@ -17,6 +17,6 @@
 mod tests;
 
 pub use error::SessionError;
-pub use frames::{write, write_content, Frames, Origin, FRAME_MOST};
+pub use frames::{write, write_content, Frames, Origin, MAX_FRAME_SIZE};
 pub use message::{Channel, Credentials, Delivery, DeliveryTag, Event, Headers, Login, Reply, Settle};
 pub use session::{Session, State};
--- a/protocol/src/amqp/session.rs
+++ b/protocol/src/amqp/session.rs
@@ -8,7 +8,7 @@
 
 use super::channel_state::{ChannelStage, ChannelState};
 use super::error::SessionError;
-use super::frames::{self, Frames, Origin, FRAME_LEAST, FRAME_MOST};
+use super::frames::{self, Frames, Origin, MAX_FRAME_SIZE, MIN_FRAME_SIZE};
 use super::message::{Channel, DeliveryTag, Login};
 use amq_protocol::frame::{AMQPFrame, ProtocolVersion};
 use amq_protocol::protocol::AMQPClass;
@@ -64,10 +64,10 @@
         Session {
             login,
             state: State::Disconnected,
-            frames: Frames::new(Origin::Broker, FRAME_MOST),
+            frames: Frames::new(Origin::Broker, MAX_FRAME_SIZE),
             channels: BTreeMap::new(),
             epoch: 0,
-            max_frame_size: FRAME_LEAST,
+            max_frame_size: MIN_FRAME_SIZE,
             heartbeat: 0,
             state_since: 0,
             last_received: 0,
@@ -105,7 +105,7 @@
         self.state_since = now;
         self.last_received = now;
         self.last_sent = now;
-        self.frames = Frames::new(Origin::Broker, FRAME_MOST);
+        self.frames = Frames::new(Origin::Broker, MAX_FRAME_SIZE);
         self.send_frame(&AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1()));
     }
 
@@ -116,7 +116,7 @@
         self.out.clear();
         self.blocked = false;
         self.heartbeat = 0;
-        self.max_frame_size = FRAME_LEAST;
+        self.max_frame_size = MIN_FRAME_SIZE;
     }
 
     /// The moment at which [`Session::tick`] must be called next, if any.
--- a/protocol/src/amqp/session/incoming.rs
+++ b/protocol/src/amqp/session/incoming.rs
@@ -3,7 +3,7 @@
 use super::{Session, State};
 use crate::amqp::channel_state::{ChannelStage, ConsumerStage, ContentMethod};
 use crate::amqp::error::{SessionError, UNEXPECTED_FRAME};
-use crate::amqp::frames::{FRAME_LEAST, FRAME_MOST};
+use crate::amqp::frames::{MAX_FRAME_SIZE, MIN_FRAME_SIZE};
 use crate::amqp::message::{Channel, Credentials, Event, Headers};
 use crate::amqp::properties::{client_properties, message_headers};
 use amq_protocol::frame::AMQPFrame;
@@ -110,7 +110,7 @@
     /// `connection.tune` (1.4.2.5): the smaller of both sides' limits holds; a limit of 0 is none.
     fn tune(&mut self, tune: &connection::Tune) -> Result<Option<Event>, SessionError> {
         let proposed = if tune.frame_max == 0 { u32::MAX } else { tune.frame_max };
-        if (proposed as usize) < FRAME_LEAST {
+        if (proposed as usize) < MIN_FRAME_SIZE {
             return Err(SessionError::FramesTooSmall(proposed));
         }
         let channel_max =
@@ -118,7 +118,7 @@
         let ours = (self.login.heartbeat / 1_000_000).min(u16::MAX.into()) as u16;
         let theirs = tune.heartbeat;
         let heartbeat = if ours == 0 || theirs == 0 { ours.max(theirs) } else { ours.min(theirs) };
-        self.max_frame_size = (proposed as usize).min(FRAME_MOST);
+        self.max_frame_size = (proposed as usize).min(MAX_FRAME_SIZE);
         self.heartbeat = Us::from(heartbeat) * 1_000_000;
         self.frames.set_max_frame_size(self.max_frame_size);
         let frame_max = self.max_frame_size as u32;
--- a/protocol/src/amqp/tests.rs
+++ b/protocol/src/amqp/tests.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn the_handshake_says_what_it_should_and_the_password_is_never_shown() {
+fn handshake_sends_credentials_and_debug_output_hides_them() {
     let mut session = Session::new(login());
     session.connected(0);
     session.mark_written(0);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_delivery_reads_the_same_split_at_every_byte() {
+fn delivery_does_not_depend_on_how_bytes_are_split() {
     let mut headers = FieldTable::default();
     headers.insert("x-delivery-count".into(), AMQPValue::LongLongInt(3));
     headers.insert("org".into(), AMQPValue::LongString("nile".into()));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_tag_of_an_earlier_opening_is_never_used() {
+fn delivery_tag_of_an_earlier_channel_is_rejected() {
     let mut session = consuming();
     let events = feed(&mut session, 6, &deliver(2, 1, AMQPProperties::default(), b"a")).unwrap();
     let Event::Delivered(first) = &events[0] else { panic!("{events:?}") };
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_body_of_6_mb_is_passed_over_and_nothing_of_it_is_kept() {
+fn body_of_6_mb_is_skipped_and_not_stored() {
     let mut session = consuming();
     let bytes = deliver(2, 1, AMQPProperties::default(), &vec![7; 6_000_000]);
     let events = feed(&mut session, 6, &bytes).unwrap();
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn what_a_broker_should_not_send_is_named() {
+fn unexpected_broker_frames_are_named() {
     let named = |bytes: &[u8]| feed(&mut consuming(), 6, bytes).unwrap_err().to_string();
     assert_eq!(named(b"AMQP\0\0\x09\x01"), "the broker speaks another version of AMQP");
     assert_eq!(named(&[9, 0, 0, 0, 0, 0, 0]), "an AMQP frame's type is not known");
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn tables_too_deep_in_one_another_are_told_before_they_are_parsed() {
+fn deeply_nested_tables_are_rejected_before_parsing() {
     let nest = |deep: usize| {
         let mut value = AMQPValue::Boolean(true);
         for n in 0..deep {
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn heartbeats_are_written_and_a_silent_broker_is_given_up() {
+fn heartbeats_are_written_and_a_silent_broker_times_out() {
     let mut session = up(2);
     assert_eq!(session.next_tick(), Some(3 + S));
     session.tick(3 + S).unwrap();
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn answers_are_published_with_numbers_confirmed_and_sent_back() {
+fn replies_are_published_confirmed_and_returned() {
     let mut session = up(0);
     session.open(Channel(1));
     let reply = Reply { to: "r", correlation_id: Some("c"), message_id: "1", kind: "ok", body: b"x" };
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn a_close_from_either_side_is_answered_and_what_crosses_it_is_passed_over() {
+fn close_from_either_side_is_confirmed_and_crossing_frames_ignored() {
     let mut session = consuming();
     assert!(session.close(10, 200, "leaving") && !session.close(10, 200, "leaving"));
     let crossing = deliver(2, 1, AMQPProperties::default(), b"late");
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn a_cancel_of_either_side_ends_the_consumer_once_even_if_they_cross() {
+fn crossing_cancels_end_the_consumer_once() {
     let cancel = |nowait| {
         let cancel = basic::Cancel { consumer_tag: "c".into(), nowait };
         bas(2, basic::AMQPMethod::Cancel(cancel))
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn damage_and_garbage_never_panic_and_end_in_an_error_or_nothing() {
+fn damaged_input_never_panics() {
     fn holds(damage: Vec<(u16, u8)>, split: u16) -> bool {
         let with = AMQPProperties::default().with_message_id("m".into());
         let mut bytes = [
--- a/protocol/src/name_service.rs
+++ b/protocol/src/name_service.rs
@@ -3,8 +3,12 @@
 use crate::ProtocolError;
 use std::io::Write;
 
-const HEAD: usize = 4096;
-const BODY: usize = 65_536;
+/// The longest head of a reply, in bytes.
+const MAX_HEAD_BYTES: usize = 4096;
+/// The longest body of a reply, in bytes; it is passed over.
+const MAX_REPLY_BODY_BYTES: usize = 65_536;
+/// The most headers of a reply.
+const MAX_HEADERS: usize = 32;
 
 /// Writes a report: whether this backend takes work.
 pub fn report(to: &mut Vec<u8>, name: &str, host: &str, serving: bool) {
@@ -18,37 +22,41 @@
     .unwrap_or_default();
 }
 
-/// What came back for a report.
+/// The reply to a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The report counts.
-    pub counts: bool,
-    /// The connection can carry another.
-    pub stays: bool,
+    /// The name service has accepted the report (status 204).
+    pub accepted: bool,
+    /// The connection can carry another report.
+    pub keep_alive: bool,
 }
 
 /// Reads the reply to one report at a time.
 #[derive(Default)]
 pub struct Reader {
     head: Vec<u8>,
-    found: Option<(Reply, usize)>, // the reply, and bytes of its body still to come
+    /// A reply whose head was read, and the bytes of its body still to come.
+    pending: Option<(Reply, usize)>,
 }
 
 impl Reader {
     /// Takes from `input` up to the end of the next reply. Without one all of `input` has been taken.
+    ///
+    /// # Errors
+    /// A reply that is not HTTP/1, or too long.
     pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<Reply>, ProtocolError> {
-        while self.found.is_none() {
+        while self.pending.is_none() {
             let Some((byte, later)) = input.split_first() else { return Ok(None) };
             self.head.push(*byte);
             *input = later;
             if self.head.ends_with(b"\r\n\r\n") {
-                self.found = head(&self.head)?;
+                self.pending = parse_head(&self.head)?;
                 self.head.clear();
-            } else if self.head.len() >= HEAD {
+            } else if self.head.len() >= MAX_HEAD_BYTES {
                 return Err(ProtocolError("a reply of the name service has too long a head"));
             }
         }
-        let Some((reply, left)) = &mut self.found else { return Ok(None) };
+        let Some((reply, left)) = &mut self.pending else { return Ok(None) };
         let taken = (*left).min(input.len());
         *input = &input[taken..];
         *left -= taken;
@@ -56,34 +64,34 @@
         if *left > 0 {
             return Ok(None);
         }
-        self.found = None;
+        self.pending = None;
         Ok(Some(reply))
     }
 }
 
-/// None for an interim reply, which another one follows.
-fn head(bytes: &[u8]) -> Result<Option<(Reply, usize)>, ProtocolError> {
-    const BAD: ProtocolError = ProtocolError("a reply of the name service is not understood");
-    let mut headers = [httparse::EMPTY_HEADER; 32];
+/// `None` for an interim reply, which another one follows.
+fn parse_head(bytes: &[u8]) -> Result<Option<(Reply, usize)>, ProtocolError> {
+    const MALFORMED: ProtocolError = ProtocolError("a reply of the name service is not understood");
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    response.parse(bytes).map_err(|_| BAD)?;
-    let code = response.code.ok_or(BAD)?;
+    response.parse(bytes).map_err(|_| MALFORMED)?;
+    let code = response.code.ok_or(MALFORMED)?;
     if (100..200).contains(&code) {
         return Ok(None);
     }
-    let (mut length, mut stays) = (None, response.version == Some(1));
+    let (mut length, mut keep_alive) = (None, response.version == Some(1));
     for header in response.headers.iter() {
-        let value = std::str::from_utf8(header.value).map_err(|_| BAD)?.trim();
+        let value = std::str::from_utf8(header.value).map_err(|_| MALFORMED)?.trim();
         if header.name.eq_ignore_ascii_case("content-length") {
-            length = Some(value.parse().ok().filter(|n| *n <= BODY).ok_or(BAD)?);
+            length = Some(value.parse().ok().filter(|n| *n <= MAX_REPLY_BODY_BYTES).ok_or(MALFORMED)?);
         } else if header.name.eq_ignore_ascii_case("connection") {
-            stays &= !value.eq_ignore_ascii_case("close");
+            keep_alive &= !value.eq_ignore_ascii_case("close");
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            stays = false;
+            keep_alive = false;
         }
     }
     // Without a length the body of anything but 204 ends with the connection: it is not waited for.
-    stays &= code == 204 || length.is_some();
-    let left = if code == 204 || !stays { 0 } else { length.unwrap_or(0) };
-    Ok(Some((Reply { counts: code == 204, stays }, left)))
+    keep_alive &= code == 204 || length.is_some();
+    let left = if code == 204 || !keep_alive { 0 } else { length.unwrap_or(0) };
+    Ok(Some((Reply { accepted: code == 204, keep_alive }, left)))
 }
--- a/protocol/src/tests.rs
+++ b/protocol/src/tests.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn messages_are_the_same_wherever_their_bytes_are_split() {
+fn messages_do_not_depend_on_how_bytes_are_split() {
     for ((name, feed), (bytes, count)) in MACHINES.iter().zip(good()) {
         let whole = feed(&[&bytes]);
         assert_eq!((whole.0.len(), &whole.1), (count, &None), "{name}");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn garbage_and_damage_never_panic_and_read_the_same_in_pieces() {
+fn damaged_input_never_panics_and_reads_the_same_in_fragments() {
     fn holds(damage: Vec<(u16, u8)>, noise: Vec<u8>, piece: u8) -> bool {
         for ((name, feed), (mut bytes, _)) in MACHINES.iter().zip(good()) {
             feed(&[&noise]);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn what_breaks_the_framing_is_named_and_stays_broken() {
+fn framing_errors_are_named_and_final() {
     let (_, feed) = MACHINES[0];
     let fault = |bytes: Vec<u8>| feed(&[&bytes]).1.map(|b| b.0).unwrap_or("none");
     assert!(fault([&4u32.to_be_bytes()[..], &[1, 0, 0, 0, 1]].concat()).contains("length"));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn odd_fields_and_long_bodies_leave_the_framing_whole() {
+fn malformed_fields_and_long_bodies_do_not_break_framing() {
     let (_, feed) = MACHINES[0];
     for (at, value) in [
         (1, "short"),
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_other_customers_leave_out_is_no_fault_of_theirs() {
+fn optional_fields_may_be_missing() {
     let (_, feed) = MACHINES[0];
     // Sites whose callers state no patience, have no tenants, or write: the fields are not there.
     for left_out in
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn what_is_written_can_be_read_by_the_page() {
+fn written_messages_have_the_documented_form() {
     let mut to = Vec::new();
     sidecar::answer(&mut to, StreamId(9), Final::Ok(b"r\r\n"), Some(2.5));
     let payload = [&[0][..], &fields(&[("advice", "2.5000")]), b"r\r\n"].concat();
@@ -239,14 +239,14 @@
     to.clear();
     sidecar::answer(&mut to, StreamId(9), Final::Aborted, None);
     sidecar::health(&mut to, StreamId(1), false, None);
-    sidecar::leaving(&mut to);
+    sidecar::goaway(&mut to);
     assert_eq!(to, [frame(2, 9, &[5, 0]), frame(5, 1, &[1, 0]), frame(6, 0, &[])].concat());
     let id = RpcId::new("00ab").unwrap();
     to.clear();
     agent::launch(&mut to, id, "look", 3);
     agent::skip(&mut to, id, agent::NoticeId(4));
     upstream::call(&mut to, id, 250_100, 9);
-    upstream::give_up(&mut to, id);
+    upstream::cancel(&mut to, id);
     let lines = "launch 00ab look 3\r\nforgo 00ab 4\r\nOP 00ab 251 9\r\nUNOP 00ab\r\n";
     assert_eq!(String::from_utf8_lossy(&to), lines);
 }
--- a/protocol/src/upstream.rs
+++ b/protocol/src/upstream.rs
@@ -1,15 +1,18 @@
-//! Calls to the layer below, and its replies.
+//! Calls to the upstream tier through the local proxy, and its replies. Lines of words, some with a body.
 
 use crate::line_reader::LineReader;
 use crate::{ProtocolError, MAX_BODY_BYTES};
 use asterrill::{CallEnd, RpcId, Us};
 use std::io::Write;
 
-/// How a call ended, with the reply where it is ok.
+/// How a call ended.
 #[derive(Debug, PartialEq)]
 pub struct Reply<'a> {
+    /// The RPC that the call was made for.
     pub id: RpcId,
+    /// How it ended.
     pub end: CallEnd,
+    /// The result; empty unless the call ended ok.
     pub body: &'a [u8],
 }
 
@@ -24,6 +27,9 @@
     }
 
     /// Takes from `input` up to the end of the next reply. Without one all of `input` has been taken.
+    ///
+    /// # Errors
+    /// A line that is no reply, or a body over [`crate::MAX_BODY_BYTES`].
     pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Reply<'a>>, ProtocolError> {
         let Some((line, body)) = self.0.next(input, length)? else { return Ok(None) };
         let mut words = line.split(' ');
@@ -54,12 +60,13 @@
     }
 }
 
-/// What goes before the body of a call, which CR LF follows.
-pub fn call(to: &mut Vec<u8>, id: RpcId, wait: Us, length: usize) {
-    write!(to, "OP {} {} {length}\r\n", id.as_str(), wait.div_ceil(1000)).unwrap_or_default();
+/// Writes the line that announces a call and its body of `length` bytes; the body and CR LF follow. `timeout` is
+/// rounded up to whole milliseconds.
+pub fn call(to: &mut Vec<u8>, id: RpcId, timeout: Us, length: usize) {
+    write!(to, "OP {} {} {length}\r\n", id.as_str(), timeout.div_ceil(1000)).unwrap_or_default();
 }
 
-/// Gives up the call made for this RPC.
-pub fn give_up(to: &mut Vec<u8>, id: RpcId) {
+/// Cancels the call made for this RPC.
+pub fn cancel(to: &mut Vec<u8>, id: RpcId) {
     write!(to, "UNOP {}\r\n", id.as_str()).unwrap_or_default();
 }
