--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -2,7 +2,7 @@
 //! socket. Exit codes: 0 done; 1 the answer is no (a mistake, a refusal, a difference); 2 the arguments; 3 nobody
 //! answered.
 
-use asterrill_entries::{read_step, Change, Content, Kind, Step};
+use asterrill_entries::{read_step, Change, Configuration, EntryKind, Step};
 use asterrill_rollout::{check, difference, ObservedLoad, Problem};
 use clap::{CommandFactory, Parser, Subcommand};
 use serde_json::{json, Value};
@@ -227,13 +227,14 @@
 }
 
 /// The entries of a configuration in JSON.
-fn entries(file: &Path, text: &str) -> Result<Content, Answer> {
+fn entries(file: &Path, text: &str) -> Result<Configuration, Answer> {
     let read = asterrill_settings::read_from(text.as_bytes(), None);
-    read.map(|deployment| deployment.content).map_err(|fault| no(format!("{}: {fault}", file.display())))
+    read.map(|deployment| deployment.configuration)
+        .map_err(|fault| no(format!("{}: {fault}", file.display())))
 }
 
 /// What a step makes of a version.
-fn step(file: &Path, text: &str, on: &Content) -> Result<Vec<Change>, Answer> {
+fn step(file: &Path, text: &str, on: &Configuration) -> Result<Vec<Change>, Answer> {
     let named = |why: String| no(format!("{}: {why}", file.display()));
     let Step { hash, changes, .. } = read_step(text, on).map_err(|fault| named(fault.to_string()))?;
     if let Some(hash) = hash.filter(|hash| *hash != on.digest()) {
@@ -256,10 +257,10 @@
     }
     let content = entries(file, &content)?;
     // Against itself, as nothing runs here: only what is wrong by itself shows.
-    let all = Content::new(content.frame().as_ref().clone()).changes_to(&content);
+    let all = Configuration::new(content.globals().as_ref().clone()).changes_to(&content);
     let problems = check(&content, &content, &all, &ObservedLoad::default(), f64::INFINITY);
     let shown: Vec<String> = problems.iter().map(Problem::to_string).collect();
-    let [methods, tenants] = [Kind::Method, Kind::Tenant].map(|kind| content.count(kind));
+    let [methods, tenants] = [EntryKind::Method, EntryKind::Tenant].map(|kind| content.count(kind));
     Ok(yes(json!({"ok": shown.is_empty(), "kind": "configuration", "methods": methods, "tenants": tenants,
         "hash": content.digest().to_string(), "problems": shown})))
 }
--- a/daemon/src/change.rs
+++ b/daemon/src/change.rs
@@ -7,14 +7,14 @@
 use crate::operator;
 use crate::store::Store;
 use asterrill::Us;
-use asterrill_entries::{read_step, Change as Entry, Content as Entries, Kind};
+use asterrill_entries::{read_step, Change as Entry, Configuration as Entries, EntryKind};
 use asterrill_net::now;
-use asterrill_operator_config::File;
+use asterrill_operator_config::OperatorConfig;
 use asterrill_rollout::{
     check, difference, hash, Before, Change, Event, Hash, Kept, Marked, ObservedLoad, Problem, Refusal,
     Rollout, Stage, State, Verdict, Version, Watch, Wish,
 };
-use asterrill_settings::{Deployment, Fault};
+use asterrill_settings::{Deployment, SettingsError};
 use serde_json::{json, Value};
 use slog::{info, warn, Logger};
 use std::collections::BTreeMap;
@@ -29,12 +29,12 @@
 #[derive(Clone, Debug)]
 pub struct Content {
     pub entries: Entries,
-    pub file: Arc<File>,
+    pub file: Arc<OperatorConfig>,
     text: Arc<str>,
 }
 
 impl Content {
-    pub fn new(entries: Entries, file: File, text: &str) -> Content {
+    pub fn new(entries: Entries, file: OperatorConfig, text: &str) -> Content {
         Content { entries, file: Arc::new(file), text: text.into() }
     }
     /// Its hash: the same for the same meaning of the entries.
@@ -46,9 +46,9 @@
         Kept { number, content: self.entries.clone(), file: self.text.clone() }
     }
     /// The version that was kept.
-    pub fn recall(kept: &Kept) -> Result<Content, Fault> {
+    pub fn recall(kept: &Kept) -> Result<Content, SettingsError> {
         let file = asterrill_operator_config::parse("operator's file", &kept.file);
-        let file = file.map_err(|mistake| Fault::new(mistake.to_string()))?;
+        let file = file.map_err(|mistake| SettingsError::new(mistake.to_string()))?;
         Ok(Content { entries: kept.content.clone(), file: Arc::new(file), text: kept.file.clone() })
     }
     /// A hash of the entries alone.
@@ -197,7 +197,7 @@
         }
         What::Text(text) if text.trim_start().starts_with('{') => {
             let to = asterrill_settings::read_from(text.as_bytes(), Some(&running.entries));
-            content.entries = to.map_err(|fault| refused(&fault.to_string()))?.content;
+            content.entries = to.map_err(|fault| refused(&fault.to_string()))?.configuration;
         }
         What::Text(text) => {
             let file = asterrill_operator_config::parse("operator's file", &text);
@@ -207,7 +207,7 @@
     }
     let step = Arc::new(steps.unwrap_or_else(|| running.entries.changes_to(&content.entries)));
     // What is booked now is a part of what there is.
-    let (old, new) = (running.entries.frame(), content.entries.frame());
+    let (old, new) = (running.entries.globals(), content.entries.globals());
     let free = free_kb();
     let seen =
         ObservedLoad { available_kb: free.map_or(0.0, |free| free + old.ram_kb), ..glance.seen.clone() };
@@ -235,17 +235,21 @@
 }
 
 /// Whether all that a version says could come into force.
-fn could_carry_out(running: &Content, content: &Content, step: &[Entry], seed: u64) -> Result<(), Fault> {
+fn could_carry_out(
+    running: &Content, content: &Content, step: &[Entry], seed: u64,
+) -> Result<(), SettingsError> {
     bare(content, step, seed)?;
     operator::terms(content.file.broker.as_ref(), &content.entries)?;
-    let bare = |file: &File| file.broker.clone().map(asterrill_operator_config::Broker::without_queues);
+    let bare = |file: &OperatorConfig| {
+        file.broker.clone().map(asterrill_operator_config::BrokerConfig::without_queues)
+    };
     if bare(&content.file) != bare(&running.file)
         || content.file.changes != running.file.changes
         || content.file.recovery != running.file.recovery
         || content.file.members != running.file.members
         || content.file.fleet != running.file.fleet
     {
-        return Err(Fault::new(
+        return Err(SettingsError::new(
             "[broker], [changes], [recovery], [members], [fleet] and [log] are taken up at the next start only"
                 .into(),
         ));
@@ -255,35 +259,37 @@
 
 /// The parts of the module that are no entries, if a change touches them: methods do, by the shortest and longest of
 /// their times.
-fn bare(content: &Content, step: &[Entry], seed: u64) -> Result<Option<asterrill_settings::Bare>, Fault> {
-    let tenant = |entry: &Entry| matches!(entry, Entry::PutTenant(..) | Entry::TakeTenant(_));
+fn bare(
+    content: &Content, step: &[Entry], seed: u64,
+) -> Result<Option<asterrill_settings::GlobalParts>, SettingsError> {
+    let tenant = |entry: &Entry| matches!(entry, Entry::PutTenant(..) | Entry::RemoveTenant(_));
     if step.iter().all(tenant) {
         return Ok(None);
     }
-    asterrill_settings::frame(now(), seed, &content.entries).map(Some)
+    asterrill_settings::global_parts(now(), seed, &content.entries).map(Some)
 }
 
 /// Whether an entry says something else than what runs.
 fn differs(entry: &Entry, running: &Entries) -> bool {
     match entry {
-        Entry::Frame(frame) => frame != running.frame(),
+        Entry::SetGlobals(frame) => frame != running.globals(),
         Entry::PutMethod(name, method) => running.method(name) != Some(method),
         Entry::PutTenant(name, rate) => running.tenant(name) != Some(*rate),
-        Entry::TakeMethod(_) | Entry::TakeTenant(_) => true,
+        Entry::RemoveMethod(_) | Entry::RemoveTenant(_) => true,
     }
 }
 
 /// What undoes an entry: what `before` says of its key.
 fn back(entry: &Entry, before: &Entries) -> Entry {
     match entry {
-        Entry::Frame(_) => Entry::Frame(before.frame().clone()),
-        Entry::PutMethod(name, _) | Entry::TakeMethod(name) => match before.method(name) {
+        Entry::SetGlobals(_) => Entry::SetGlobals(before.globals().clone()),
+        Entry::PutMethod(name, _) | Entry::RemoveMethod(name) => match before.method(name) {
             Some(method) => Entry::PutMethod(name.clone(), method.clone()),
-            None => Entry::TakeMethod(name.clone()),
+            None => Entry::RemoveMethod(name.clone()),
         },
-        Entry::PutTenant(name, _) | Entry::TakeTenant(name) => match before.tenant(name) {
+        Entry::PutTenant(name, _) | Entry::RemoveTenant(name) => match before.tenant(name) {
             Some(rate) => Entry::PutTenant(name.clone(), rate),
-            None => Entry::TakeTenant(name.clone()),
+            None => Entry::RemoveTenant(name.clone()),
         },
     }
 }
@@ -388,7 +394,7 @@
         pause: &mut Pause<'_>,
     ) {
         let running = self.rollout.running();
-        if to.content.digest() == running.content.entries.digest() {
+        if to.configuration.digest() == running.content.entries.digest() {
             return;
         }
         let told = if dispatcher.changes_allowed.load(Ordering::Acquire) {
@@ -397,7 +403,8 @@
                 Some(Ok(prepared)) if prepared.against == running.number => Ok(prepared),
                 Some(Err(told)) => Err(told),
                 _ => {
-                    let asked = Asked { what: What::Entries(to.content), base: None, wish: Wish::default() };
+                    let asked =
+                        Asked { what: What::Entries(to.configuration), base: None, wish: Wish::default() };
                     prepare(&self.glance(dispatcher), asked, self.terms, self.seed)
                 }
             };
@@ -512,14 +519,14 @@
     fn carry_out(
         &mut self, dispatcher: &Dispatcher, to: &Version<Content>, step: &[Entry],
         of: impl Fn(&Entry) -> Entry, pause: &mut Pause<'_>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), SettingsError> {
         let Version { number, content, .. } = to;
         let bare = bare(content, step, self.seed)?;
         let methods = content.entries.methods().filter(|_| bare.is_some());
         let longest = methods.map(|(_, method)| method.latency_target).max().unwrap_or(0);
         let queues = operator::terms(content.file.broker.as_ref(), &content.entries)?;
-        let tells_tenants = content.entries.count(Kind::Tenant) > 0;
-        dispatcher.with(|core, _, _| core.check_capacity_for(step, &queues)).map_err(Fault::new)?;
+        let tells_tenants = content.entries.count(EntryKind::Tenant) > 0;
+        dispatcher.with(|core, _, _| core.check_capacity_for(step, &queues)).map_err(SettingsError::new)?;
         let mut slices = step.chunks(SLICE).peekable();
         while let Some(slice) = slices.next() {
             let slice: Vec<Entry> = slice.iter().map(&of).collect();
@@ -531,7 +538,7 @@
         let flip = VersionSwitch { number: *number, bare, longest, queues, tells_tenants };
         dispatcher.with(|core: &mut Core, wire, now| core.switch_version(now, flip, wire));
         dispatcher.with(|core, _, _| core.set_settings_hash(content.settings()));
-        let frame = content.entries.frame();
+        let frame = content.entries.globals();
         dispatcher.resize(frame.memory_mb, crate::room(frame.sockets));
         Ok(())
     }
@@ -587,7 +594,7 @@
             Some(json!({"name": stages.stage().name(), "why": why, "since": since, "outages": outages}))
         });
         json!({"ok": true, "version": running.number, "hash": &*running.hash, "base": running.base,
-            "methods": entries.count(Kind::Method), "tenants": entries.count(Kind::Tenant),
+            "methods": entries.count(EntryKind::Method), "tenants": entries.count(EntryKind::Tenant),
             "probation": probation, "staged": self.rollout.staged().map(|v| v.number),
             "queued": self.rollout.queued().map(|v| v.number), "stage": back,
             "counters": {"rpcs": counted.rpcs, "ok": counted.ok, "pushed_back": counted.pushed_back,
--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -8,7 +8,7 @@
 use asterrill_protocol::agent::{self, Notice};
 use asterrill_protocol::{name_service, sidecar, upstream, ProtocolError};
 use asterrill_recovery::phase;
-use asterrill_settings::Server;
+use asterrill_settings::ServerParts;
 use slog::warn;
 use std::sync::Arc;
 use std::time::Duration;
@@ -83,7 +83,7 @@
     pub out: Outbox,
     pub notices: agent::Reader,
     /// Makes the module anew, for a start at a moment, cold or warm.
-    pub make: Box<dyn Fn(Us, bool) -> Option<Server> + Send>,
+    pub make: Box<dyn Fn(Us, bool) -> Option<ServerParts> + Send>,
     pub useful: bool,
 }
 
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -22,7 +22,7 @@
 use asterrill_protocol::sidecar::{RpcRequest, StreamId, MAX_STREAMS};
 use asterrill_recovery::{Learned, Moment, Stages};
 use asterrill_rollout::{ObservedLoad, ServiceSample};
-use asterrill_settings::{Bare, Server};
+use asterrill_settings::{GlobalParts, ServerParts};
 use nanorand::{Rng, WyRand};
 
 const EXERCISE: Us = 200_000; // a thorough check is answered by then
@@ -78,14 +78,14 @@
 }
 
 /// Takes a server apart: the module, its terms and its names.
-fn parts(mut server: Server, results: usize) -> (asterrill::Control, EngineConfig, NameTable) {
+fn parts(mut server: ServerParts, results: usize) -> (asterrill::Control, EngineConfig, NameTable) {
     let names = NameTable::new(&mut server);
     let terms = EngineConfig {
-        coalescible_methods: server.shares,
+        coalescible_methods: server.coalescable,
         limits: RetentionLimits {
-            result_ttl: server.fresh,
+            result_ttl: server.response_ttl,
             idempotency_result_bytes: results,
-            max_rpc_lifetime: server.longest,
+            max_rpc_lifetime: server.longest_deadline,
         },
     };
     (server.control, terms, names)
@@ -149,7 +149,7 @@
 pub struct VersionSwitch {
     pub number: u64,
     /// The parts of the module that are no entries, where the frame or a method changes.
-    pub bare: Option<Bare>,
+    pub bare: Option<GlobalParts>,
     /// The longest latency target, in the same case.
     pub longest: Us,
     pub queues: Vec<asterrill_consumer::Terms>,
@@ -255,9 +255,9 @@
 }
 
 impl Core {
-    pub fn new(now: Us, server: Server, pool: Pool, links: usize) -> Core {
-        let service = ServiceStats::new(now, server.targets.clone());
-        let (mut agent, longest) = (AgentSession::default(), server.targets.iter().max().copied());
+    pub fn new(now: Us, server: ServerParts, pool: Pool, links: usize) -> Core {
+        let service = ServiceStats::new(now, server.latency_targets.clone());
+        let (mut agent, longest) = (AgentSession::default(), server.latency_targets.iter().max().copied());
         agent.target(longest.unwrap_or(0));
         let (control, terms, server) = parts(server, pool.bytes() / RESULTS);
         let held = pool.clone();
@@ -427,9 +427,9 @@
         let VersionSwitch { number, bare, longest, queues: terms, tells_tenants } = flip;
         let results = self.held.bytes() / RESULTS;
         let bounds = bare.as_ref().map(|bare| RetentionLimits {
-            result_ttl: bare.fresh,
+            result_ttl: bare.response_ttl,
             idempotency_result_bytes: results,
-            max_rpc_lifetime: bare.longest,
+            max_rpc_lifetime: bare.longest_deadline,
         });
         self.with(now, wire, |engine, now, out| {
             let Around { counters, stamps, service, queues, server, agent, .. } = &mut *out.around;
@@ -717,7 +717,7 @@
 
     /// The agent greets: at its start, `ago`, it was `empty` or warm. Once all is read that was missed while
     /// there was no link, what may have been lost on the way is sent again.
-    pub fn agent_up(&mut self, now: Us, fresh: Option<Server>, wire: &mut dyn Wire) {
+    pub fn agent_up(&mut self, now: Us, fresh: Option<ServerParts>, wire: &mut dyn Wire) {
         self.now = self.engine.advance_to(now);
         self.around.counters.agent_up += 1;
         if let Some(server) =
@@ -726,11 +726,11 @@
             // Its names stand at the places at which they stand already: both were made of the same version.
             let results = self.held.bytes() / RESULTS;
             let terms = EngineConfig {
-                coalescible_methods: server.shares,
+                coalescible_methods: server.coalescable,
                 limits: RetentionLimits {
-                    result_ttl: server.fresh,
+                    result_ttl: server.response_ttl,
                     idempotency_result_bytes: results,
-                    max_rpc_lifetime: server.longest,
+                    max_rpc_lifetime: server.longest_deadline,
                 },
             };
             self.with(now, wire, |engine, now, out| engine.restart(now, server.control, terms, out));
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -36,11 +36,11 @@
 use asterrill_net::{
     drive, hold, listen, now, spawn, turn, wait_until, Address, End, Outbox, Pause as Rest, Pool,
 };
-use asterrill_operator_config::{File, Form};
+use asterrill_operator_config::{LogFormat, OperatorConfig};
 use asterrill_protocol::{agent, sidecar};
 use asterrill_recovery::{phase, Moment};
 use asterrill_rollout::{start_with, Marked, Start, Wish};
-use asterrill_settings::{Deployment, Fault};
+use asterrill_settings::{Deployment, SettingsError};
 use nanorand::{Rng, WyRand};
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
 use signal_hook::iterator::{Handle, Signals};
@@ -76,7 +76,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let (log, guard) = logs(operator.0.changes.form);
+    let (log, guard) = logs(operator.0.changes.log_format);
     let done = run(&log, &arguments, operator);
     drop(log);
     drop(guard);
@@ -103,14 +103,14 @@
 }
 
 /// The log on standard error, written by a thread of its own.
-fn logs(form: Form) -> (Logger, slog_async::AsyncGuard) {
+fn logs(form: LogFormat) -> (Logger, slog_async::AsyncGuard) {
     let (drain, guard) = match form {
-        Form::Plain => {
+        LogFormat::Plain => {
             let plain = slog_term::PlainDecorator::new(std::io::stderr());
             let drain = slog_term::FullFormat::new(plain).build().fuse();
             slog_async::Async::new(drain).chan_size(512).build_with_guard()
         }
-        Form::Json => {
+        LogFormat::Json => {
             let drain = slog_json::Json::default(std::io::stderr()).fuse();
             slog_async::Async::new(drain).chan_size(512).build_with_guard()
         }
@@ -119,18 +119,18 @@
 }
 
 /// Reads the configuration file; what it has in common with what runs is shared with that.
-fn told(running: Option<&Content>) -> Result<Deployment, Fault> {
-    let path = std::env::var("GW_CONFIG").map_err(|_| Fault::new("GW_CONFIG is not set".into()))?;
-    let file = std::fs::File::open(&path).map_err(|e| Fault::new(format!("{path}: {e}")))?;
+fn told(running: Option<&Content>) -> Result<Deployment, SettingsError> {
+    let path = std::env::var("GW_CONFIG").map_err(|_| SettingsError::new("GW_CONFIG is not set".into()))?;
+    let file = std::fs::File::open(&path).map_err(|e| SettingsError::new(format!("{path}: {e}")))?;
     let read = asterrill_settings::read_from(file, running.map(|running| &running.entries));
-    read.map_err(|fault| Fault::new(format!("{path}: {fault}")))
+    read.map_err(|fault| SettingsError::new(format!("{path}: {fault}")))
 }
 
-fn run(log: &Logger, arguments: &Arguments, operator: (File, String)) -> Result<(), Fault> {
+fn run(log: &Logger, arguments: &Arguments, operator: (OperatorConfig, String)) -> Result<(), SettingsError> {
     let mut to = told(None)?;
     let (start, number, undone) = begin(&mut to, operator, log)?;
     let operator = start.file.clone();
-    let server = asterrill_settings::server(now(), to.seed, &start.entries, None)?;
+    let server = asterrill_settings::server_parts(now(), to.seed, &start.entries, None)?;
     let bodies = buffers(to.memory_mb) as u64;
     let broker = operator::queues(now(), &operator, &start.entries, to.seed, bodies)?;
     if let Some(members) = &operator.members {
@@ -140,7 +140,8 @@
         return Ok(());
     }
     asterrill_net::one_worker()?;
-    let listener = asterrill_net::bind(to.listen).map_err(|e| Fault::new(format!("{}: {e}", to.listen)))?;
+    let listener =
+        asterrill_net::bind(to.listen).map_err(|e| SettingsError::new(format!("{}: {e}", to.listen)))?;
     let mut signals = Signals::new([SIGTERM, SIGUSR1, SIGHUP])?;
     // Files may be copied: no two processes draw the same, nor one after a restart.
     let own = asterrill_recovery::seed(to.seed, &to.name, now(), std::process::id());
@@ -148,12 +149,12 @@
     // Two pools, so that what is held can't keep what is owed from being written.
     let [pool, held] = [(); 2].map(|()| Pool::new(buffers(to.memory_mb)));
     // Where callers close idle connections by themselves; not told, none is idle too long.
-    let idle = start.entries.frame().idle;
+    let idle = start.entries.globals().idle_timeout;
     let idle = if idle > 0 { idle } else { Us::MAX };
     let agent_out = Outbox::new(&pool, LINK);
     let links = links(to.sockets);
     let below: Vec<Outbox> =
-        to.records.iter().flat_map(|_| (0..links).map(|_| Outbox::new(&pool, LINK))).collect();
+        to.upstream.iter().flat_map(|_| (0..links).map(|_| Outbox::new(&pool, LINK))).collect();
     let cores = server.cores;
     let core = Core::new(now(), server, held.clone(), below.len());
     let room = room(to.sockets);
@@ -172,7 +173,7 @@
     }
     if let Some(terms) = operator.recovery {
         let (settings, moment) = (start.settings(), moment());
-        let state = operator.changes.state.as_deref();
+        let state = operator.changes.state_dir.as_deref();
         let kept = state.and_then(|dir| read_learned(dir, log));
         let (name, lasting, seed, memory_mb) = (to.name.clone(), state.is_some(), own, to.memory_mb);
         let begun = RecoveryConfig {
@@ -190,13 +191,15 @@
     }
     let spread = operator.recovery.map(|_| own);
     let orders = Arc::new(Orders::default());
-    let store = operator.changes.state.as_deref().map(|dir| Store::start(dir, log)).transpose()?;
-    let terms =
-        change::Terms { probation: operator.changes.probation, factor: operator.changes.factor as f64 };
+    let store = operator.changes.state_dir.as_deref().map(|dir| Store::start(dir, log)).transpose()?;
+    let terms = change::Terms {
+        probation: operator.changes.probation,
+        factor: operator.changes.max_change_factor as f64,
+    };
     let peers = match &operator.members {
         Some(file) => {
-            let kept = operator.changes.state.as_deref().and_then(|dir| read_members(dir, log));
-            let fleet = operator.fleet.as_ref().zip(operator.changes.state.as_deref());
+            let kept = operator.changes.state_dir.as_deref().and_then(|dir| read_members(dir, log));
+            let fleet = operator.fleet.as_ref().zip(operator.changes.state_dir.as_deref());
             let (peers, socket) = MembershipService::open(
                 MembershipConfig { name: &to.name, file, persisted: kept, seed: own, fleet },
                 log,
@@ -208,22 +211,22 @@
     };
     let changes = Changes::new(start, number, undone, terms, to.seed, store.clone());
     let running = changes.running();
-    if let Some(path) = &operator.changes.control {
+    if let Some(path) = &operator.changes.control_socket {
         let (orders, dispatcher, seed) = (orders.clone(), dispatcher.clone(), to.seed);
         let want = move |request| orders.request(request, &dispatcher, terms, seed);
         control::listen(path, Arc::new(want), log)?;
     }
     let places = Arc::new(Places {
         agent: Address::new(to.agent),
-        naming: Address::new(to.naming),
-        records: to.records.map(Address::new),
+        naming: Address::new(to.name_service),
+        records: to.upstream.map(Address::new),
         links: std::iter::once(&agent_out).chain(&below).cloned().collect(),
     });
     info!(log, "started"; "name" => &to.name, "listen" => %to.listen);
 
     {
         let (dispatcher, orders, places) = (dispatcher.clone(), orders.clone(), places.clone());
-        let (handle, stop, peers) = (signals.handle(), to.stop, peers.clone());
+        let (handle, stop, peers) = (signals.handle(), to.shutdown_grace, peers.clone());
         let leaving = Leaving { peers, store, stop, came: false };
         spawn("clock", move || clock(&dispatcher, &orders, &places, leaving, changes, &handle))?;
     }
@@ -232,8 +235,9 @@
         let (pool, pause) = (pool.clone(), Rest::new(ms(10), ms(1000), chance.generate()));
         let places = places.clone();
         spawn("agent", move || {
-            let make =
-                move |at, cold| asterrill_settings::server(at, seed, &running.get().entries, Some(cold)).ok();
+            let make = move |at, cold| {
+                asterrill_settings::server_parts(at, seed, &running.get().entries, Some(cold)).ok()
+            };
             let (out, make) = (agent_out.clone(), Box::new(make));
             let mut party =
                 AgentConnection { dispatcher, out, notices: agent::Reader::default(), make, useful: false };
@@ -347,7 +351,7 @@
 #[derive(Default)]
 struct Order {
     leave: bool,
-    reload: Option<Result<Reread, Fault>>,
+    reload: Option<Result<Reread, SettingsError>>,
     /// Who waits to be told what a change is to be checked against.
     glances: Vec<SyncSender<Glance>>,
     /// What operators want, and who waits for the answer.
@@ -376,17 +380,19 @@
 
 /// What a start begins with: the configuration as it was told, or the last good version if that was on probation
 /// when the process before ended, or had been undone.
-fn begin(to: &mut Deployment, (file, text): (File, String), log: &Logger) -> Result<Begin, Fault> {
-    let told = Content::new(to.content.clone(), file, &text);
-    let Some(dir) = told.file.changes.state.clone() else { return Ok((told, 1, Vec::new())) };
+fn begin(
+    to: &mut Deployment, (file, text): (OperatorConfig, String), log: &Logger,
+) -> Result<Begin, SettingsError> {
+    let told = Content::new(to.configuration.clone(), file, &text);
+    let Some(dir) = told.file.changes.state_dir.clone() else { return Ok((told, 1, Vec::new())) };
     std::fs::create_dir_all(&dir).unwrap_or_default(); // one that can't be made shows when it is written
     match start_with(&told.hash(), store::read_versions(&dir, log)) {
         Start::Told { number, undone } => Ok((told, number, undone)),
         Start::Good { good, undone, why } => match Content::recall(&good) {
             Ok(content) => {
                 info!(log, "started on the last good version"; "version" => good.number, "why" => why);
-                let frame = content.entries.frame();
-                (to.memory_mb, to.sockets, to.content) =
+                let frame = content.entries.globals();
+                (to.memory_mb, to.sockets, to.configuration) =
                     (frame.memory_mb, frame.sockets, content.entries.clone());
                 Ok((content, good.number, undone))
             }
@@ -438,10 +444,10 @@
     fn reread(
         &self, to: Deployment, running: &Running, dispatcher: &Dispatcher, terms: change::Terms,
     ) -> Reread {
-        if to.content.digest() == running.get().entries.digest() {
+        if to.configuration.digest() == running.get().entries.digest() {
             return Reread { to, prepared: None };
         }
-        let what = What::Entries(to.content.clone());
+        let what = What::Entries(to.configuration.clone());
         let asked = Asked { what, base: None, wish: Wish::default() };
         let glance = self.glance(|| dispatcher.clock.ring());
         let prepared = glance.map(|glance| prepare(&glance, asked, terms, to.seed));
@@ -497,12 +503,12 @@
         if self.agent.moves(to.agent) {
             self.links.iter().take(1).for_each(Outbox::cut);
         }
-        if let (Some(records), Some(at)) = (&self.records, to.records) {
+        if let (Some(records), Some(at)) = (&self.records, to.upstream) {
             if records.moves(at) {
                 dispatcher.with(|core, wire, _| core.upstream_moved(wire));
             }
         }
-        self.naming.moves(to.naming);
+        self.naming.moves(to.name_service);
         self.links.iter().for_each(Outbox::moved);
         dispatcher.load_report_bell.ring();
     }
@@ -510,7 +516,7 @@
 
 /// The configuration was read again. One that can't be used changes nothing.
 fn reload(
-    dispatcher: &Dispatcher, places: &Places, stop: &mut Us, read: Result<Reread, Fault>,
+    dispatcher: &Dispatcher, places: &Places, stop: &mut Us, read: Result<Reread, SettingsError>,
 ) -> Option<(Deployment, Option<Result<Prepared, Told>>)> {
     let fine = read.is_ok();
     dispatcher.with(|core, _, _| {
@@ -519,9 +525,9 @@
     });
     match read {
         Ok(Reread { to, prepared }) => {
-            *stop = to.stop;
+            *stop = to.shutdown_grace;
             places.go_over(dispatcher, &to);
-            info!(dispatcher.log, "the configuration was read again"; "agent" => %to.agent, "naming" => %to.naming);
+            info!(dispatcher.log, "the configuration was read again"; "agent" => %to.agent, "naming" => %to.name_service);
             Some((to, prepared))
         }
         Err(fault) => {
--- a/daemon/src/membership.rs
+++ b/daemon/src/membership.rs
@@ -9,7 +9,7 @@
     conduct, Changes, Counts, Event, Id, Kept, Members, Name, Seal, Shown, Standing, Terms,
 };
 use asterrill_net::{elapsed, now, spawn, wait_until, Bell, Datagrams};
-use asterrill_settings::Fault;
+use asterrill_settings::SettingsError;
 use serde_json::{json, Value};
 use slog::{info, warn, Logger};
 use std::collections::{BTreeMap, VecDeque};
@@ -50,20 +50,22 @@
 /// What a start needs of the operator's file and of before.
 pub struct MembershipConfig<'a> {
     pub name: &'a str,
-    pub file: &'a asterrill_operator_config::Members,
+    pub file: &'a asterrill_operator_config::MembershipConfig,
     pub persisted: Option<Kept>,
     pub seed: u64,
     /// How backends agree, and the directory of a keeper's file.
-    pub fleet: Option<(&'a asterrill_operator_config::Fleet, &'a Path)>,
+    pub fleet: Option<(&'a asterrill_operator_config::FleetConfig, &'a Path)>,
 }
 
 /// The agreement of this one with the others, from what stands on disk.
 fn agreement(
-    name: &str, start: u64, fleet: &asterrill_operator_config::Fleet, dir: &Path,
-) -> Result<Agree, Fault> {
-    let (keepers, lease) = (fleet.keepers.clone(), fleet.lease);
-    let terms = asterrill_consensus::Terms { keepers, lease, renew: fleet.renew, tick: fleet.tick };
-    let named = |e: &dyn std::fmt::Display| Fault::new(format!("{}: {e}", dir.join("agreed").display()));
+    name: &str, start: u64, fleet: &asterrill_operator_config::FleetConfig, dir: &Path,
+) -> Result<Agree, SettingsError> {
+    let (keepers, lease) = (fleet.voters.clone(), fleet.lease);
+    let terms =
+        asterrill_consensus::Terms { keepers, lease, renew: fleet.renew_interval, tick: fleet.tick_interval };
+    let named =
+        |e: &dyn std::fmt::Display| SettingsError::new(format!("{}: {e}", dir.join("agreed").display()));
     let keeper = terms.keepers.iter().any(|keeper| keeper == name);
     let disk = if keeper { read_consensus(dir).map_err(|e| named(&e))? } else { Vec::new() };
     let (agree, whole) = Agree::new(elapsed(), name, start, terms, &disk, &[]).map_err(|e| named(&e))?;
@@ -113,10 +115,13 @@
 }
 
 /// Whether the key may be read and the name is one.
-pub fn check(name: &str, file: &asterrill_operator_config::Members) -> Result<(Name, String), Fault> {
+pub fn check(
+    name: &str, file: &asterrill_operator_config::MembershipConfig,
+) -> Result<(Name, String), SettingsError> {
     let key = asterrill_operator_config::read_secret(&file.key_file)
-        .map_err(|fault| Fault::new(fault.to_string()))?;
-    let name = Name::new(name).ok_or_else(|| Fault::new(format!("name {name:?} is none for a member")))?;
+        .map_err(|fault| SettingsError::new(fault.to_string()))?;
+    let name =
+        Name::new(name).ok_or_else(|| SettingsError::new(format!("name {name:?} is none for a member")))?;
     Ok((name, key))
 }
 
@@ -124,26 +129,27 @@
     /// Opens the socket, so that a failure shows before anything else starts.
     pub fn open(
         begin: MembershipConfig<'_>, log: &Logger,
-    ) -> Result<(Arc<MembershipService>, Datagrams), Fault> {
+    ) -> Result<(Arc<MembershipService>, Datagrams), SettingsError> {
         let file = begin.file;
         let (name, key) = check(begin.name, file)?;
-        let (start, agreed, at) = Kept::weigh(begin.persisted, now(), file.forget);
+        let (start, agreed, at) = Kept::weigh(begin.persisted, now(), file.forget_after);
         let own =
             Id { name, at: file.advertise, start, turn: 0, zone: file.zone.clone(), capacity: file.capacity };
         let terms = Terms {
-            probe: file.probe,
-            suspicion: file.suspicion,
-            greet: file.greet,
-            settle: file.settle,
-            forget: file.forget,
-            calm: file.calm,
-            expect: file.expect,
+            probe: file.probe_interval,
+            suspicion: file.suspicion_timeout,
+            greet: file.contact_interval,
+            settle: file.join_delay,
+            forget: file.forget_after,
+            calm: file.flap_window,
+            expect: file.expected_members,
         };
         let seal = Seal::new(key.as_bytes(), &file.cluster, begin.name, start);
-        let contacts = file.contacts.iter().copied().chain(at).collect();
+        let contacts = file.seed_addresses.iter().copied().chain(at).collect();
         let members = Members::new(elapsed(), own, seal, terms, contacts, agreed, begin.seed);
         let socket = Datagrams::bind(file.listen);
-        let socket = socket.map_err(|e| Fault::new(format!("[members] listen {}: {e}", file.listen)))?;
+        let socket =
+            socket.map_err(|e| SettingsError::new(format!("[members] listen {}: {e}", file.listen)))?;
         let agree = begin.fleet.map(|(fleet, dir)| agreement(begin.name, start, fleet, dir)).transpose()?;
         let (out, asking) = (VecDeque::new(), BTreeMap::new());
         let inner = Inner { members, out, left: false, agree, asking, untold: 0 };
@@ -151,12 +157,12 @@
             inner: Mutex::new(inner),
             clock: Bell::default(),
             stands: Arc::default(),
-            expect: file.expect,
-            lasting: file.suspicion,
+            expect: file.expected_members,
+            lasting: file.suspicion_timeout,
             log: log.clone(),
         };
         info!(log, "members are talked to"; "cluster" => &file.cluster, "listen" => %file.listen,
-            "advertise" => %file.advertise, "start" => start, "expect" => file.expect);
+            "advertise" => %file.advertise, "start" => start, "expect" => file.expected_members);
         Ok((Arc::new(peers), socket))
     }
 
--- a/daemon/src/name_table.rs
+++ b/daemon/src/name_table.rs
@@ -3,8 +3,8 @@
 //! and one that was taken still is, until the change that took it is settled.
 
 use asterrill::{Effect, MethodId, Term, Us};
-use asterrill_entries::{Change, Name, METHODS};
-use asterrill_settings::Server;
+use asterrill_entries::{Change, Name, MAX_METHODS};
+use asterrill_settings::ServerParts;
 use rustc_hash::FxHashMap;
 
 /// Of one method, by the version in force.
@@ -34,12 +34,12 @@
 }
 
 impl NameTable {
-    pub fn new(server: &mut Server) -> NameTable {
+    pub fn new(server: &mut ServerParts) -> NameTable {
         let (names, tenants) = (std::mem::take(&mut server.methods), std::mem::take(&mut server.tenants));
         let of_methods = names.iter().cloned().zip((0..).map(MethodId)).collect();
         let of =
             |((name, effect), target): ((Name, &Effect), &Us)| Of { name, effect: *effect, target: *target };
-        let methods = names.into_iter().zip(&server.effects).zip(&server.targets).map(of).collect();
+        let methods = names.into_iter().zip(&server.effects).zip(&server.latency_targets).map(of).collect();
         let (places, tells_tenants) = (tenants.len(), !tenants.is_empty());
         let tenants = tenants.into_iter().zip(0..).collect();
         let gauges = std::mem::take(&mut server.gauges);
@@ -82,15 +82,15 @@
     pub fn could_take(&self, changes: &[Change]) -> Result<(), String> {
         let put = |change: &&Change| matches!(change, Change::PutMethod(..));
         // That none of them is known is the worst that can be: mostly there is room even so.
-        if self.methods.len() + changes.iter().filter(put).count() <= METHODS {
+        if self.methods.len() + changes.iter().filter(put).count() <= MAX_METHODS {
             return Ok(());
         }
         let fresh =
             |change: &&Change| matches!(change, Change::PutMethod(name, _) if self.method(name).is_none());
-        if self.methods.len() + changes.iter().filter(fresh).count() <= METHODS {
+        if self.methods.len() + changes.iter().filter(fresh).count() <= MAX_METHODS {
             return Ok(());
         }
-        Err(format!("there were more than {METHODS} methods since the start: start anew"))
+        Err(format!("there were more than {MAX_METHODS} methods since the start: start anew"))
     }
 
     /// NameTable of a change get their places; hands back the terms that are to be staged there. None of them is in force
@@ -101,7 +101,7 @@
 
     fn place(&mut self, change: &Change) -> Option<Term> {
         Some(match change {
-            Change::Frame(_) => return None,
+            Change::SetGlobals(_) => return None,
             Change::PutMethod(name, method) => {
                 let (effect, target) = (method.effect, method.latency_target);
                 let place = match self.method(name) {
@@ -116,7 +116,7 @@
                 self.staged.push((place, effect, target));
                 Term::Method(place, Some(method.clone()))
             }
-            Change::TakeMethod(name) => Term::Method(self.method(name)?, None),
+            Change::RemoveMethod(name) => Term::Method(self.method(name)?, None),
             Change::PutTenant(name, rate) => {
                 let place = match self.tenant(name) {
                     Some(place) => place,
@@ -131,7 +131,7 @@
                 };
                 Term::Tenant(place, Some(*rate))
             }
-            Change::TakeTenant(name) => {
+            Change::RemoveTenant(name) => {
                 self.taken.push(name.clone());
                 Term::Tenant(self.tenant(name)?, None)
             }
--- a/daemon/src/recovery.rs
+++ b/daemon/src/recovery.rs
@@ -4,7 +4,7 @@
 use asterrill::{CallerId, Care, Experience, MethodId, Standing, Us};
 use asterrill_engine::EngineStats;
 use asterrill_entries::Name;
-use asterrill_operator_config::Recovery;
+use asterrill_operator_config::RecoverySettings;
 use asterrill_recovery::{
     weigh, Beat, Evidence, Kept, Learned, Moment, Opening, Present, Seen, Stage, Stages, Targets, Terms,
     METHODS, TENANTS,
@@ -20,7 +20,7 @@
     pub cores: f64,
     pub memory_mb: u64,
     pub moment: Moment,
-    pub terms: Recovery,
+    pub terms: RecoverySettings,
     pub snapshot: Option<Learned>,
     pub seed: u64,
     /// There is a place where snapshots are kept.
@@ -51,7 +51,7 @@
 
 impl RecoveryTracker {
     pub fn new(now: Us, config: RecoveryConfig) -> RecoveryTracker {
-        let snapshot = Beat::new(now, config.terms.snapshot, config.seed, "snapshot");
+        let snapshot = Beat::new(now, config.terms.snapshot_interval, config.seed, "snapshot");
         let (stages, before) = (Stages::new(now), EngineStats::default());
         RecoveryTracker { config, stages, opening: None, weighed: false, next: now + LOOK, snapshot, before }
     }
@@ -68,7 +68,7 @@
 
     /// How carefully the module is to go about it now.
     pub fn care(&self) -> Care {
-        let Recovery { repeats, spread, .. } = self.config.terms;
+        let RecoverySettings { retry_percent: repeats, jitter_percent: spread, .. } = self.config.terms;
         let calls = self.opening.as_ref().map_or(f64::INFINITY, Opening::bound);
         Care { calls, repeats: repeats as f64 / 100.0, spread: spread as f64 / 100.0 }
     }
@@ -82,14 +82,14 @@
             return None;
         }
         if standing.most_calls.is_finite() {
-            let first = self.config.terms.first_calls as f64;
+            let first = self.config.terms.initial_calls as f64;
             let terms = Terms { most: standing.most_calls.max(1.0), first, step: LOOK };
             self.opening = Some(Opening::new(now, terms));
         }
         let kept = self.config.snapshot.take()?;
         let RecoveryConfig { name, settings, cores, memory_mb, moment, terms, .. } = &self.config;
         let (settings, cores, memory_mb, moment) = (*settings, *cores, *memory_mb, *moment);
-        let (trust, targets) = (terms.trust, known.targets());
+        let (trust, targets) = (terms.max_snapshot_age, known.targets());
         let present = Present { name, settings, cores, memory_mb, moment, empty, trust, targets };
         let recall = weigh(&kept, &present);
         let told = format!("{} (age {} ms)", recall.told(), recall.age / 1000);
--- a/daemon/src/store.rs
+++ b/daemon/src/store.rs
@@ -143,10 +143,11 @@
     let (_, text) = body.split_once("\ntext ").and_then(|(_, rest)| rest.split_once('\n')).ok_or_else(bad)?;
     let (json, file) = text.split_once("\n---\n").unwrap_or((text, ""));
     let value: serde_json::Value = serde_json::from_str(json).map_err(|e| e.to_string())?;
-    let part = |name| asterrill_settings::part(&value, name).map_err(|fault| fault.to_string());
+    let part = |name| asterrill_settings::json::object(&value, name).map_err(|fault| fault.to_string());
     let (settings, limits) = (part("settings")?, part("limits")?);
-    let limit = |name| asterrill_settings::integer(limits, name).map_err(|fault| fault.to_string());
-    let content = asterrill_settings::content_of(settings, limit("memory_mb")?, limit("sockets")?);
+    let limit = |name| asterrill_settings::json::integer(limits, name).map_err(|fault| fault.to_string());
+    let content =
+        asterrill_settings::configuration_from_json(settings, limit("memory_mb")?, limit("sockets")?);
     Ok(Version { number, content: content.map_err(|fault| fault.to_string())?, file: file.into() })
 }
 
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -4,11 +4,11 @@
 use crate::core::{Core, VersionSwitch};
 use crate::wire::{ConnId, LinkId, Place, Wire};
 use asterrill::{CallEnd, CallerId, Final, RpcId, RunEnd, Us};
-use asterrill_entries::{Change as Entry, Content as Entries, Kind};
+use asterrill_entries::{Change as Entry, Configuration as Entries, EntryKind};
 use asterrill_net::Pool;
 use asterrill_protocol::agent::NoticeId;
 use asterrill_protocol::sidecar::{RpcRequest, StreamId};
-use asterrill_settings::Server;
+use asterrill_settings::ServerParts;
 use quickcheck::{Gen, QuickCheck};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -40,16 +40,16 @@
     let nowhere = "127.0.0.1:1";
     let whole = json!({"name": "n1", "listen": nowhere, "agent": nowhere, "naming": nowhere, "seed": "1",
         "stop_ms": 900, "limits": {"memory_mb": 64, "sockets": 64}, "settings": settings});
-    asterrill_settings::read(&whole.to_string()).unwrap().content
+    asterrill_settings::read(&whole.to_string()).unwrap().configuration
 }
-pub(crate) fn made(at: Us, seed: u64, settings: &Value, cold: Option<bool>) -> Server {
-    asterrill_settings::server(at, seed, &content(settings), cold).unwrap()
+pub(crate) fn made(at: Us, seed: u64, settings: &Value, cold: Option<bool>) -> ServerParts {
+    asterrill_settings::server_parts(at, seed, &content(settings), cold).unwrap()
 }
 /// What turns over to a version once its entries are in.
 fn flip(at: Us, number: u64, to: &Entries) -> VersionSwitch {
-    let bare = asterrill_settings::frame(at, 1, to).unwrap();
+    let bare = asterrill_settings::global_parts(at, 1, to).unwrap();
     let longest = to.methods().map(|(_, method)| method.latency_target).max().unwrap_or(0);
-    let tells_tenants = to.count(Kind::Tenant) > 0;
+    let tells_tenants = to.count(EntryKind::Tenant) > 0;
     VersionSwitch { number, bare: Some(bare), longest, queues: Vec::new(), tells_tenants }
 }
 /// A change from one version to another, whole.
@@ -1101,12 +1101,12 @@
 mod coming_back {
     use super::*;
     use crate::recovery::{RecoveryConfig, RecoveryTracker};
-    use asterrill_operator_config::Recovery;
+    use asterrill_operator_config::RecoverySettings;
     use asterrill_recovery::{Learned, Moment, Stage};
 
     fn start(now: Us, kept: Option<Learned>) -> RecoveryTracker {
         let moment = Moment { wall: now, up: now / 2, boot: 9 };
-        let terms = Recovery { snapshot: 1_000 * MS, ..Recovery::default() };
+        let terms = RecoverySettings { snapshot_interval: 1_000 * MS, ..RecoverySettings::default() };
         let (name, settings, cores, memory_mb) = ("n1".to_string(), 77, 2.0, 64);
         let (seed, lasting) = (5, true);
         RecoveryTracker::new(
@@ -1324,7 +1324,7 @@
 
 #[test]
 fn as_many_methods_as_a_version_may_hold_have_places_and_one_more_is_refused_before_anything_is_staged() {
-    let many = asterrill_entries::METHODS as u64;
+    let many = asterrill_entries::MAX_METHODS as u64;
     let of = |names: &mut dyn Iterator<Item = u64>| {
         let mut settings = server();
         let method = |n: u64| json!({"Name": format!("m{n}"), "AimMs": 400, "DeadlineMs": 900, "Effect": "free", "Worth": 1});
@@ -1332,7 +1332,7 @@
         content(&settings)
     };
     let (half, whole) = (of(&mut (0..many / 2)), of(&mut (0..many)));
-    let first = asterrill_settings::server(START, 1, &half, None).unwrap();
+    let first = asterrill_settings::server_parts(START, 1, &half, None).unwrap();
     let (mut core, mut out) = (Core::new(START, first, Pool::new(50), 4), Out::default());
     change(&mut core, START, &half, &whole, 2, &mut out);
     // Any figure of those that are known may change, however many.
--- a/daemon/src/tests/change.rs
+++ b/daemon/src/tests/change.rs
@@ -18,14 +18,14 @@
 
 fn begin(start: &Entries) -> (Arc<Dispatcher>, Changes) {
     let pool = Pool::new(500);
-    let server = asterrill_settings::server(now(), 1, start, None).unwrap();
+    let server = asterrill_settings::server_parts(now(), 1, start, None).unwrap();
     let core = Core::new(now(), server, Pool::new(500), 4);
     let agent = Outbox::new(&pool, 1 << 16);
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let dispatcher =
         Arc::new(Dispatcher::new(core, agent, Vec::new(), 8, u64::MAX, [pool, Pool::new(500)], log));
     dispatcher.with(|core, wire, now| core.start(now, wire));
-    let content = Content::new(start.clone(), asterrill_operator_config::File::default(), "");
+    let content = Content::new(start.clone(), asterrill_operator_config::OperatorConfig::default(), "");
     (dispatcher, Changes::new(content, 1, Vec::new(), TERMS, 1, None))
 }
 
--- a/daemon/src/tests/store.rs
+++ b/daemon/src/tests/store.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use asterrill::{Effect, Method};
-use asterrill_entries::{Change, Content, Frame, Kind};
+use asterrill_entries::{Change, Configuration, EntryKind, GlobalSettings};
 use asterrill_rollout::Kept;
 use std::os::unix::fs::symlink;
 use std::time::{Duration, Instant};
@@ -26,7 +26,11 @@
         skip_share: 0.0,
     };
     let put = [Change::PutMethod("look".into(), method), Change::PutTenant("nile".into(), number as f64)];
-    Kept { number, content: Content::new(Frame::default()).apply(&put).unwrap(), file: "a file\n".into() }
+    Kept {
+        number,
+        content: Configuration::new(GlobalSettings::default()).apply(&put).unwrap(),
+        file: "a file\n".into(),
+    }
 }
 fn state(good: u64, probation: Option<u64>) -> State {
     State { good: kept(good), probation: probation.map(kept), undone: vec![("f".repeat(32).into(), 9)] }
@@ -192,9 +196,12 @@
     std::fs::write(dir.join("probation"), sealed(5, "", &text(6))).unwrap();
     let found = read_versions(&dir, &log()).unwrap();
     assert_eq!((found.good.number, found.probation.as_ref().map(|on| on.number)), (4, Some(5)));
-    let frame = found.good.content.frame();
+    let frame = found.good.content.globals();
     assert_eq!((frame.memory_mb, frame.sockets, frame.cores, &*found.good.file), (64, 100, 4, "a file\n"));
-    assert_eq!((found.good.content.tenant("nile"), found.good.content.count(Kind::Method)), (Some(5.0), 1));
+    assert_eq!(
+        (found.good.content.tenant("nile"), found.good.content.count(EntryKind::Method)),
+        (Some(5.0), 1)
+    );
     assert_eq!(found.probation.as_ref().and_then(|on| on.content.tenant("nile")), Some(6.0));
     assert_eq!(found.undone, []);
     // Once versions stand in their own file, the others are gone.
--- a/entries/src/content.rs
+++ b/entries/src/content.rs
@@ -1,8 +1,10 @@
 //! A version: its frame, methods and tenants, in maps that versions share.
 
-use crate::fault::{Kind, Refused};
-use crate::frame::{time_within, within, Frame};
-use crate::{text, Name, GREATEST, MEMORY, METHODS, NAME, SOCKETS, TENANTS};
+use crate::fault::{ConfigError, EntryKind};
+use crate::frame::{time_within, within, GlobalSettings};
+use crate::{
+    text, Name, MAX_FIGURE, MAX_METHODS, MAX_NAME_BYTES, MAX_TENANTS, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY,
+};
 use asterrill::{Effect, Method};
 use imbl::ordmap::{DiffItem, OrdMap};
 use std::cmp::Ordering;
@@ -25,41 +27,41 @@
 }
 
 impl FromStr for Digest {
-    type Err = Refused;
+    type Err = ConfigError;
     /// Of 32 hex digits.
-    fn from_str(text: &str) -> Result<Digest, Refused> {
+    fn from_str(text: &str) -> Result<Digest, ConfigError> {
         let digits = text.len() == 32 && text.bytes().all(|b| b.is_ascii_hexdigit());
         let number = u128::from_str_radix(text, 16).ok().filter(|_| digits);
-        number.map(Digest).ok_or(Refused::Field("hash"))
+        number.map(Digest).ok_or(ConfigError::InvalidField("hash"))
     }
 }
 
 /// One change of what a version says. A step changes each key once at most, so that their order says nothing.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    Frame(Arc<Frame>),
+    SetGlobals(Arc<GlobalSettings>),
     PutMethod(Name, Method),
-    TakeMethod(Name),
+    RemoveMethod(Name),
     /// RPCs a second over the whole fleet.
     PutTenant(Name, f64),
-    TakeTenant(Name),
+    RemoveTenant(Name),
 }
 
 impl Change {
     /// What it is about; nothing for the frame.
-    pub fn key(&self) -> Option<(Kind, &Name)> {
+    pub fn key(&self) -> Option<(EntryKind, &Name)> {
         match self {
-            Change::Frame(_) => None,
-            Change::PutMethod(name, _) | Change::TakeMethod(name) => Some((Kind::Method, name)),
-            Change::PutTenant(name, _) | Change::TakeTenant(name) => Some((Kind::Tenant, name)),
+            Change::SetGlobals(_) => None,
+            Change::PutMethod(name, _) | Change::RemoveMethod(name) => Some((EntryKind::Method, name)),
+            Change::PutTenant(name, _) | Change::RemoveTenant(name) => Some((EntryKind::Tenant, name)),
         }
     }
 }
 
 /// A version, whole. Cheap to copy: versions share what they have in common.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Content {
-    frame: Arc<Frame>,
+pub struct Configuration {
+    frame: Arc<GlobalSettings>,
     methods: OrdMap<Name, Method>,
     tenants: OrdMap<Name, f64>,
     digest: u128,
@@ -73,7 +75,7 @@
     bytes.extend_from_slice(name.as_bytes());
     xxh3_128(&bytes)
 }
-fn mark_frame(frame: &Frame) -> u128 {
+fn mark_frame(frame: &GlobalSettings) -> u128 {
     mark(0, &[], &text::frame_text(frame))
 }
 fn mark_method(name: &str, m: &Method) -> u128 {
@@ -90,16 +92,16 @@
     mark(2, &[rate.to_bits()], name)
 }
 
-/// Whether an entry may have this name: text of 1 to [`NAME`] bytes without control characters; a method's is a word,
+/// Whether an entry may have this name: text of 1 to [`MAX_NAME_BYTES`] bytes without control characters; a method's is a word,
 /// without blanks, as it stands in lines to the agent.
 ///
 /// # Errors
-/// [`Refused::Name`], with the start of what was told.
-pub fn check_name(kind: Kind, name: &str) -> Result<(), Refused> {
-    let word = kind == Kind::Method;
+/// [`ConfigError::Name`], with the start of what was told.
+pub fn check_name(kind: EntryKind, name: &str) -> Result<(), ConfigError> {
+    let word = kind == EntryKind::Method;
     let odd = |c: char| c.is_control() || word && c.is_whitespace();
-    if name.is_empty() || name.len() > NAME || name.chars().any(odd) {
-        return Err(Refused::Name { name: name.chars().take(NAME).collect(), word });
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(odd) {
+        return Err(ConfigError::InvalidName { name: name.chars().take(MAX_NAME_BYTES).collect(), word });
     }
     Ok(())
 }
@@ -107,14 +109,14 @@
 /// Whether the figures of a method are within bounds.
 ///
 /// # Errors
-/// [`Refused::Bounds`] names the field.
-pub fn check_method(m: &Method) -> Result<(), Refused> {
+/// [`ConfigError::Bounds`] names the field.
+pub fn check_method(m: &Method) -> Result<(), ConfigError> {
     [("AimMs", m.latency_target), ("DeadlineMs", m.deadline), ("WindowMs", m.window)]
         .into_iter()
         .try_for_each(|(key, value)| time_within(key, value))?;
     [("Worth", m.criticality), ("LateWorth", m.late_share), ("SkipWorth", m.skip_share)]
         .into_iter()
-        .try_for_each(|(key, value)| within(key, value, GREATEST))
+        .try_for_each(|(key, value)| within(key, value, MAX_FIGURE))
 }
 
 /// -0 is 0: the same meaning has one form.
@@ -124,14 +126,14 @@
     m
 }
 
-impl Content {
+impl Configuration {
     /// Without methods and tenants: what a reader starts from.
-    pub fn new(frame: Frame) -> Content {
+    pub fn new(frame: GlobalSettings) -> Configuration {
         let digest = mark_frame(&frame);
-        Content { frame: Arc::new(frame), methods: OrdMap::new(), tenants: OrdMap::new(), digest }
+        Configuration { frame: Arc::new(frame), methods: OrdMap::new(), tenants: OrdMap::new(), digest }
     }
 
-    pub fn frame(&self) -> &Arc<Frame> {
+    pub fn globals(&self) -> &Arc<GlobalSettings> {
         &self.frame
     }
     pub fn method(&self, name: &str) -> Option<&Method> {
@@ -150,98 +152,98 @@
         self.tenants.iter().map(|(name, rate)| (name, *rate))
     }
     /// How many there are.
-    pub fn count(&self, kind: Kind) -> usize {
+    pub fn count(&self, kind: EntryKind) -> usize {
         match kind {
-            Kind::Method => self.methods.len(),
-            Kind::Tenant => self.tenants.len(),
+            EntryKind::Method => self.methods.len(),
+            EntryKind::Tenant => self.tenants.len(),
         }
     }
     /// The name as it is held here, to be shared.
-    pub fn name(&self, kind: Kind, name: &str) -> Option<&Name> {
+    pub fn name(&self, kind: EntryKind, name: &str) -> Option<&Name> {
         match kind {
-            Kind::Method => self.methods.get_key_value(name).map(|(name, _)| name),
-            Kind::Tenant => self.tenants.get_key_value(name).map(|(name, _)| name),
+            EntryKind::Method => self.methods.get_key_value(name).map(|(name, _)| name),
+            EntryKind::Tenant => self.tenants.get_key_value(name).map(|(name, _)| name),
         }
     }
     /// The name as it is held here where it is, or a new one.
-    pub fn shared(&self, kind: Kind, name: &str) -> Name {
+    pub fn shared_name(&self, kind: EntryKind, name: &str) -> Name {
         self.name(kind, name).cloned().unwrap_or_else(|| name.into())
     }
     pub fn digest(&self) -> Digest {
         Digest(self.digest)
     }
 
-    fn put_frame(&mut self, frame: &Arc<Frame>) {
+    fn put_frame(&mut self, frame: &Arc<GlobalSettings>) {
         if self.frame != *frame {
             self.digest = self.digest.wrapping_sub(mark_frame(&self.frame)).wrapping_add(mark_frame(frame));
             self.frame = frame.clone();
         }
     }
     fn put_method(&mut self, name: &Name, method: Method) {
-        let (name, method) = (self.name(Kind::Method, name).unwrap_or(name).clone(), plain(method));
+        let (name, method) = (self.name(EntryKind::Method, name).unwrap_or(name).clone(), plain(method));
         self.digest = self.digest.wrapping_add(mark_method(&name, &method));
         if let Some(before) = self.methods.insert(name.clone(), method) {
             self.digest = self.digest.wrapping_sub(mark_method(&name, &before));
         }
     }
     fn put_tenant(&mut self, name: &Name, rate: f64) {
-        let (name, rate) = (self.name(Kind::Tenant, name).unwrap_or(name).clone(), rate + 0.0);
+        let (name, rate) = (self.name(EntryKind::Tenant, name).unwrap_or(name).clone(), rate + 0.0);
         self.digest = self.digest.wrapping_add(mark_tenant(&name, rate));
         if let Some(before) = self.tenants.insert(name.clone(), rate) {
             self.digest = self.digest.wrapping_sub(mark_tenant(&name, before));
         }
     }
-    fn take(&mut self, kind: Kind, name: &Name) -> Result<(), Refused> {
+    fn take(&mut self, kind: EntryKind, name: &Name) -> Result<(), ConfigError> {
         let mark = match kind {
-            Kind::Method => self.methods.remove(&**name).map(|before| mark_method(name, &before)),
-            Kind::Tenant => self.tenants.remove(&**name).map(|before| mark_tenant(name, before)),
+            EntryKind::Method => self.methods.remove(&**name).map(|before| mark_method(name, &before)),
+            EntryKind::Tenant => self.tenants.remove(&**name).map(|before| mark_tenant(name, before)),
         };
-        let mark = mark.ok_or_else(|| Refused::Unknown { kind, name: name.clone() })?;
+        let mark = mark.ok_or_else(|| ConfigError::UnknownEntry { kind, name: name.clone() })?;
         self.digest = self.digest.wrapping_sub(mark);
         Ok(())
     }
 
     /// One change, checked, in place. Where it is refused, nothing is changed.
-    pub(crate) fn change(&mut self, change: &Change) -> Result<(), Refused> {
+    pub(crate) fn change(&mut self, change: &Change) -> Result<(), ConfigError> {
         match change {
-            Change::Frame(frame) => {
+            Change::SetGlobals(frame) => {
                 frame.check()?;
                 for (key, before, now) in [
-                    (MEMORY, self.frame.memory_mb, frame.memory_mb),
-                    (SOCKETS, self.frame.sockets, frame.sockets),
+                    (MEMORY_LIMIT_KEY, self.frame.memory_mb, frame.memory_mb),
+                    (SOCKET_LIMIT_KEY, self.frame.sockets, frame.sockets),
                 ] {
                     // What was granted once is never left open again.
                     if before > 0 && now == 0 {
-                        return Err(Refused::Field(key));
+                        return Err(ConfigError::InvalidField(key));
                     }
                 }
                 self.put_frame(frame);
             }
             Change::PutMethod(name, method) => {
-                check_name(Kind::Method, name)?;
-                check_method(method).map_err(|why| why.of(Kind::Method, name))?;
-                if self.methods.len() >= METHODS && !self.methods.contains_key(&**name) {
-                    return Err(Refused::full(Kind::Method));
+                check_name(EntryKind::Method, name)?;
+                check_method(method).map_err(|why| why.in_entry(EntryKind::Method, name))?;
+                if self.methods.len() >= MAX_METHODS && !self.methods.contains_key(&**name) {
+                    return Err(ConfigError::too_many_entries(EntryKind::Method));
                 }
                 self.put_method(name, method.clone());
             }
             Change::PutTenant(name, rate) => {
-                check_name(Kind::Tenant, name)?;
-                within("QuotaRps", *rate, GREATEST).map_err(|why| why.of(Kind::Tenant, name))?;
-                if self.tenants.len() >= TENANTS && !self.tenants.contains_key(&**name) {
-                    return Err(Refused::full(Kind::Tenant));
+                check_name(EntryKind::Tenant, name)?;
+                within("QuotaRps", *rate, MAX_FIGURE).map_err(|why| why.in_entry(EntryKind::Tenant, name))?;
+                if self.tenants.len() >= MAX_TENANTS && !self.tenants.contains_key(&**name) {
+                    return Err(ConfigError::too_many_entries(EntryKind::Tenant));
                 }
                 self.put_tenant(name, *rate);
             }
-            Change::TakeMethod(name) => self.take(Kind::Method, name)?,
-            Change::TakeTenant(name) => self.take(Kind::Tenant, name)?,
+            Change::RemoveMethod(name) => self.take(EntryKind::Method, name)?,
+            Change::RemoveTenant(name) => self.take(EntryKind::Tenant, name)?,
         }
         Ok(())
     }
 
     /// Takes first: the room that they make is there for what is put.
-    fn change_all(&mut self, changes: &[Change]) -> Result<(), Refused> {
-        let takes = |change: &&Change| matches!(change, Change::TakeMethod(_) | Change::TakeTenant(_));
+    fn change_all(&mut self, changes: &[Change]) -> Result<(), ConfigError> {
+        let takes = |change: &&Change| matches!(change, Change::RemoveMethod(_) | Change::RemoveTenant(_));
         changes.iter().filter(takes).try_for_each(|change| self.change(change))?;
         changes.iter().filter(|change| !takes(change)).try_for_each(|change| self.change(change))
     }
@@ -249,36 +251,36 @@
     /// The version that changes lead to: whole or not at all.
     ///
     /// # Errors
-    /// [`Refused`] names the key at fault: one that stands twice, one to be taken that is not there, a name, a figure or
+    /// [`ConfigError`] names the key at fault: one that stands twice, one to be taken that is not there, a name, a figure or
     /// a number of entries out of bounds. A version with methods keeps one.
-    pub fn apply(&self, changes: &[Change]) -> Result<Content, Refused> {
+    pub fn apply(&self, changes: &[Change]) -> Result<Configuration, ConfigError> {
         once(changes)?;
         let mut next = self.clone();
         next.change_all(changes)?;
         if next.methods.is_empty() && !self.methods.is_empty() {
-            return Err(Refused::Last);
+            return Err(ConfigError::LastMethod);
         }
         Ok(next)
     }
 
     /// What leads from this version to `other`: the frame, then methods, then tenants, by name. Costs what differs: parts
     /// that the two share are not looked into.
-    pub fn changes_to(&self, other: &Content) -> Vec<Change> {
+    pub fn changes_to(&self, other: &Configuration) -> Vec<Change> {
         let mut changes = Vec::new();
         if !Arc::ptr_eq(&self.frame, &other.frame) && self.frame != other.frame {
-            changes.push(Change::Frame(other.frame.clone()));
+            changes.push(Change::SetGlobals(other.frame.clone()));
         }
         changes.extend(self.methods.diff(&other.methods).map(|item| match item {
             DiffItem::Add(name, method) | DiffItem::Update { new: (name, method), .. } => {
                 Change::PutMethod(name.clone(), method.clone())
             }
-            DiffItem::Remove(name, _) => Change::TakeMethod(name.clone()),
+            DiffItem::Remove(name, _) => Change::RemoveMethod(name.clone()),
         }));
         changes.extend(self.tenants.diff(&other.tenants).map(|item| match item {
             DiffItem::Add(name, rate) | DiffItem::Update { new: (name, rate), .. } => {
                 Change::PutTenant(name.clone(), *rate)
             }
-            DiffItem::Remove(name, _) => Change::TakeTenant(name.clone()),
+            DiffItem::Remove(name, _) => Change::RemoveTenant(name.clone()),
         }));
         changes
     }
@@ -286,35 +288,35 @@
     /// The version that says just this, in whatever order it was told; what is the same in `running` is shared with it.
     ///
     /// # Errors
-    /// [`Refused`], as [`Content::apply`]; and where there is no method.
-    pub fn whole(
-        running: Option<&Content>, frame: Frame, mut methods: Vec<(Name, Method)>,
+    /// [`ConfigError`], as [`Configuration::apply`]; and where there is no method.
+    pub fn from_entries(
+        running: Option<&Configuration>, frame: GlobalSettings, mut methods: Vec<(Name, Method)>,
         mut tenants: Vec<(Name, f64)>,
-    ) -> Result<Content, Refused> {
+    ) -> Result<Configuration, ConfigError> {
         if methods.is_empty() {
-            return Err(Refused::Field("Categories"));
+            return Err(ConfigError::InvalidField("Categories"));
         }
-        if methods.len() > METHODS {
-            return Err(Refused::full(Kind::Method));
+        if methods.len() > MAX_METHODS {
+            return Err(ConfigError::too_many_entries(EntryKind::Method));
         }
-        if tenants.len() > TENANTS {
-            return Err(Refused::full(Kind::Tenant));
+        if tenants.len() > MAX_TENANTS {
+            return Err(ConfigError::too_many_entries(EntryKind::Tenant));
         }
         frame.check()?;
         methods.sort_by(|(a, _), (b, _)| by_name(a, b));
         tenants.sort_by(|(a, _), (b, _)| by_name(a, b));
-        distinct(Kind::Method, &methods)?;
-        distinct(Kind::Tenant, &tenants)?;
+        distinct(EntryKind::Method, &methods)?;
+        distinct(EntryKind::Tenant, &tenants)?;
         let mut changes = Vec::new();
         let Some(running) = running else {
-            let mut next = Content::new(frame);
+            let mut next = Configuration::new(frame);
             changes.extend(methods.into_iter().map(|(name, method)| Change::PutMethod(name, method)));
             changes.extend(tenants.into_iter().map(|(name, rate)| Change::PutTenant(name, rate)));
             changes.iter().try_for_each(|change| next.change(change))?;
             return Ok(next);
         };
-        compare(running.methods.iter(), methods, Change::PutMethod, Change::TakeMethod, &mut changes);
-        compare(running.tenants.iter(), tenants, Change::PutTenant, Change::TakeTenant, &mut changes);
+        compare(running.methods.iter(), methods, Change::PutMethod, Change::RemoveMethod, &mut changes);
+        compare(running.tenants.iter(), tenants, Change::PutTenant, Change::RemoveTenant, &mut changes);
         let mut next = running.clone();
         next.put_frame(&Arc::new(frame));
         next.change_all(&changes)?;
@@ -323,24 +325,24 @@
 }
 
 /// Finds names as a version holds them: a step further where they are asked for in their order, a search where not.
-pub struct Finder<'c> {
-    of: &'c Content,
+pub struct NameLookup<'c> {
+    of: &'c Configuration,
     methods: Names<'c>,
     tenants: Names<'c>,
 }
 type Names<'c> = Peekable<Box<dyn Iterator<Item = &'c Name> + 'c>>;
 
-impl<'c> Finder<'c> {
-    pub fn new(of: &'c Content) -> Finder<'c> {
+impl<'c> NameLookup<'c> {
+    pub fn new(of: &'c Configuration) -> NameLookup<'c> {
         let methods: Box<dyn Iterator<Item = &Name>> = Box::new(of.methods.keys());
         let tenants: Box<dyn Iterator<Item = &Name>> = Box::new(of.tenants.keys());
-        Finder { of, methods: methods.peekable(), tenants: tenants.peekable() }
+        NameLookup { of, methods: methods.peekable(), tenants: tenants.peekable() }
     }
-    /// As [`Content::shared`].
-    pub fn shared(&mut self, kind: Kind, name: &str) -> Name {
+    /// As [`Configuration::shared`].
+    pub fn shared_name(&mut self, kind: EntryKind, name: &str) -> Name {
         let next = match kind {
-            Kind::Method => &mut self.methods,
-            Kind::Tenant => &mut self.tenants,
+            EntryKind::Method => &mut self.methods,
+            EntryKind::Tenant => &mut self.tenants,
         };
         while let Some(known) = next.peek() {
             match (***known).cmp(name) {
@@ -349,7 +351,7 @@
                 Ordering::Greater => break,
             }
         }
-        self.of.shared(kind, name)
+        self.of.shared_name(kind, name)
     }
 }
 
@@ -363,16 +365,16 @@
 }
 
 /// No two of one name, in order.
-fn distinct<V>(kind: Kind, entries: &[(Name, V)]) -> Result<(), Refused> {
+fn distinct<V>(kind: EntryKind, entries: &[(Name, V)]) -> Result<(), ConfigError> {
     let mut pairs = entries.iter().zip(entries.iter().skip(1));
     match pairs.find(|((a, _), (b, _))| by_name(a, b) == Ordering::Equal) {
-        Some(((name, _), _)) => Err(Refused::Twice { kind, name: name.clone() }),
+        Some(((name, _), _)) => Err(ConfigError::DuplicateName { kind, name: name.clone() }),
         None => Ok(()),
     }
 }
 
-/// Each key once at most: known without a set where the changes come in order, as from [`Content::changes_to`].
-fn once(changes: &[Change]) -> Result<(), Refused> {
+/// Each key once at most: known without a set where the changes come in order, as from [`Configuration::changes_to`].
+fn once(changes: &[Change]) -> Result<(), ConfigError> {
     let mut pairs = changes.iter().zip(changes.iter().skip(1));
     if pairs.all(|(a, b)| a.key() < b.key()) {
         return Ok(());
@@ -380,8 +382,8 @@
     let mut known = HashSet::with_capacity(changes.len());
     match changes.iter().find(|change| !known.insert(change.key())) {
         Some(twice) => Err(twice.key().map_or_else(
-            || Refused::Again("frame".into()),
-            |(kind, name)| Refused::Twice { kind, name: name.clone() },
+            || ConfigError::DuplicateField("frame".into()),
+            |(kind, name)| ConfigError::DuplicateName { kind, name: name.clone() },
         )),
         None => Ok(()),
     }
--- a/entries/src/fields.rs
+++ b/entries/src/fields.rs
@@ -2,9 +2,12 @@
 //! else is passed over. What they mean is worked out afterwards, with refusals that name the field.
 
 use crate::content::{check_method, check_name};
-use crate::fault::{Kind, Refused};
-use crate::frame::{Frame, Tier};
-use crate::{Name, GAUGES, GREATEST, LONGEST, MACHINE, MEMORY, METHODS, SOCKETS};
+use crate::fault::{ConfigError, EntryKind};
+use crate::frame::{GlobalSettings, UpstreamKind};
+use crate::{
+    Name, MAX_DURATION, MAX_FIGURE, MAX_GAUGES, MAX_MACHINE_LIMIT, MAX_METHODS, MEMORY_LIMIT_KEY,
+    SOCKET_LIMIT_KEY,
+};
 use asterrill::{Effect, Method, Say, StopMode, Us};
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde::Deserialize;
@@ -138,7 +141,7 @@
         let known = self.names.iter().position(|name| *name == key);
         if known.is_none() && self.reading == Reading::Step {
             let key = key.chars().take(64).collect();
-            return Err(E::custom(Refused::Unheard(key)));
+            return Err(E::custom(ConfigError::UnknownField(key)));
         }
         Ok(known)
     }
@@ -160,7 +163,7 @@
             Some(place) => {
                 if seen & 1 << place != 0 {
                     let name = names.get(place).copied().unwrap_or_default();
-                    return Err(A::Error::custom(Refused::Again(name.into())));
+                    return Err(A::Error::custom(ConfigError::DuplicateField(name.into())));
                 }
                 seen |= 1 << place;
                 each(place, &mut object)?;
@@ -213,72 +216,72 @@
     }
 
     /// # Errors
-    /// [`Refused::Field`]: it is absent, or no text.
-    pub fn text(&self, name: &'static str) -> Result<&str, Refused> {
+    /// [`ConfigError::Field`]: it is absent, or no text.
+    pub fn text(&self, name: &'static str) -> Result<&str, ConfigError> {
         match self.given(name) {
             Some(Scalar::Text(text)) => Ok(text),
-            _ => Err(Refused::Field(name)),
+            _ => Err(ConfigError::InvalidField(name)),
         }
     }
     /// Nothing where it is absent or null.
     ///
     /// # Errors
-    /// [`Refused::Field`]: it is no number, or below zero.
-    pub fn maybe(&self, name: &'static str) -> Result<Option<f64>, Refused> {
+    /// [`ConfigError::Field`]: it is no number, or below zero.
+    pub fn maybe(&self, name: &'static str) -> Result<Option<f64>, ConfigError> {
         match self.told(name) {
             None => Ok(None),
             // -0 is 0.
             Some(Scalar::Number(n)) if *n >= 0.0 => Ok(Some(*n + 0.0)),
-            Some(_) => Err(Refused::Field(name)),
+            Some(_) => Err(ConfigError::InvalidField(name)),
         }
     }
     /// # Errors
-    /// [`Refused::Field`]: it is absent, no number, or below zero.
-    pub fn number(&self, name: &'static str) -> Result<f64, Refused> {
-        self.maybe(name)?.ok_or(Refused::Field(name))
+    /// [`ConfigError::Field`]: it is absent, no number, or below zero.
+    pub fn number(&self, name: &'static str) -> Result<f64, ConfigError> {
+        self.maybe(name)?.ok_or(ConfigError::InvalidField(name))
     }
     /// # Errors
-    /// As [`Fields::maybe`], and [`Refused::Bounds`] above [`GREATEST`].
-    pub fn maybe_bounded(&self, name: &'static str) -> Result<Option<f64>, Refused> {
+    /// As [`Fields::maybe`], and [`ConfigError::Bounds`] above [`MAX_FIGURE`].
+    pub fn maybe_bounded(&self, name: &'static str) -> Result<Option<f64>, ConfigError> {
         match self.maybe(name)? {
-            Some(value) if value > GREATEST => Err(Refused::Bounds { key: name, value }),
+            Some(value) if value > MAX_FIGURE => Err(ConfigError::OutOfBounds { key: name, value }),
             value => Ok(value),
         }
     }
     /// # Errors
-    /// As [`Fields::number`], and [`Refused::Bounds`] above [`GREATEST`].
-    pub fn bounded(&self, name: &'static str) -> Result<f64, Refused> {
-        self.maybe_bounded(name)?.ok_or(Refused::Field(name))
+    /// As [`Fields::number`], and [`ConfigError::Bounds`] above [`MAX_FIGURE`].
+    pub fn bounded(&self, name: &'static str) -> Result<f64, ConfigError> {
+        self.maybe_bounded(name)?.ok_or(ConfigError::InvalidField(name))
     }
     /// Told in milliseconds, in whole microseconds; more than 31 years are as much.
     ///
     /// # Errors
     /// As [`Fields::maybe`].
-    pub fn maybe_time(&self, name: &'static str) -> Result<Option<Us>, Refused> {
+    pub fn maybe_time(&self, name: &'static str) -> Result<Option<Us>, ConfigError> {
         Ok(self.maybe(name)?.map(us))
     }
     /// # Errors
     /// As [`Fields::number`].
-    pub fn time(&self, name: &'static str) -> Result<Us, Refused> {
+    pub fn time(&self, name: &'static str) -> Result<Us, ConfigError> {
         self.number(name).map(us)
     }
     /// Nothing where it is absent; a file may have any other form for "no".
-    fn flag(&self, name: &'static str) -> Result<Option<bool>, Refused> {
+    fn flag(&self, name: &'static str) -> Result<Option<bool>, ConfigError> {
         match (self.given(name), self.reading) {
             (Some(Scalar::Flag(value)), _) => Ok(Some(*value)),
             (None, _) => Ok(None),
             (Some(Scalar::Null), _) | (Some(_), Reading::File) => Ok(Some(false)),
-            (Some(_), Reading::Step) => Err(Refused::Field(name)),
+            (Some(_), Reading::Step) => Err(ConfigError::InvalidField(name)),
         }
     }
     /// One of several words.
-    fn choice<T: Copy>(&self, name: &'static str, words: &[(&str, T)]) -> Result<Option<T>, Refused> {
+    fn choice<T: Copy>(&self, name: &'static str, words: &[(&str, T)]) -> Result<Option<T>, ConfigError> {
         if self.told(name).is_none() {
             return Ok(None);
         }
         let word = self.text(name)?;
         let found = words.iter().find(|(known, _)| *known == word);
-        let odd = || Refused::Word { key: name, word: word.chars().take(64).collect() };
+        let odd = || ConfigError::UnknownWord { key: name, word: word.chars().take(64).collect() };
         found.map(|(_, meant)| Some(*meant)).ok_or_else(odd)
     }
 }
@@ -300,13 +303,13 @@
 
 /// Milliseconds outside, whole microseconds inside.
 pub fn us(ms: f64) -> Us {
-    ((ms * 1000.0).round() as Us).min(LONGEST)
+    ((ms * 1000.0).round() as Us).min(MAX_DURATION)
 }
 
 pub(crate) const EFFECTS: [(&str, Effect); 3] =
     [("free", Effect::Idempotent), ("guarded", Effect::Tokened), ("single_shot", Effect::NonIdempotent)];
-pub(crate) const TIERS: [(&str, Tier); 3] =
-    [("off", Tier::Off), ("shared", Tier::Shared), ("tier", Tier::Tier)];
+pub(crate) const TIERS: [(&str, UpstreamKind); 3] =
+    [("off", UpstreamKind::None), ("shared", UpstreamKind::Shared), ("tier", UpstreamKind::Tier)];
 pub(crate) const STOPS: [(&str, StopMode); 3] =
     [("off", StopMode::Off), ("abort", StopMode::Abort), ("suspend", StopMode::Suspend)];
 pub(crate) const SAYS: [(&str, Say); 4] =
@@ -322,8 +325,8 @@
     /// The name of an entry.
     ///
     /// # Errors
-    /// [`Refused`]: it is absent, or no name.
-    pub fn name(&self, kind: Kind) -> Result<&str, Refused> {
+    /// [`ConfigError`]: it is absent, or no name.
+    pub fn name(&self, kind: EntryKind) -> Result<&str, ConfigError> {
         let name = self.text("Name")?;
         check_name(kind, name)?;
         Ok(name)
@@ -331,15 +334,17 @@
     /// The figures of a method; `skip_share` where its fields don't tell.
     ///
     /// # Errors
-    /// [`Refused`] names the field that is absent, of the wrong form or out of bounds.
-    pub fn method(&self, skip_share: f64) -> Result<Method, Refused> {
+    /// [`ConfigError`] names the field that is absent, of the wrong form or out of bounds.
+    pub fn method(&self, skip_share: f64) -> Result<Method, ConfigError> {
         let word = self.text("Effect")?;
         let effect = EFFECTS.iter().find(|(known, _)| *known == word).map(|(_, effect)| *effect);
         let method = Method {
             latency_target: self.time("AimMs")?,
             deadline: self.time("DeadlineMs")?,
-            effect: effect
-                .ok_or_else(|| Refused::Word { key: "Effect", word: word.chars().take(64).collect() })?,
+            effect: effect.ok_or_else(|| ConfigError::UnknownWord {
+                key: "Effect",
+                word: word.chars().take(64).collect(),
+            })?,
             criticality: self.bounded("Worth")?,
             late_share: self.maybe_bounded("LateWorth")?.unwrap_or(0.0),
             window: self.maybe_time("WindowMs")?.unwrap_or(0),
@@ -351,8 +356,8 @@
     /// The quota of a tenant, RPCs a second over the whole fleet; 0 is one.
     ///
     /// # Errors
-    /// [`Refused`]: it is absent, of the wrong form or out of bounds.
-    pub fn quota(&self) -> Result<f64, Refused> {
+    /// [`ConfigError`]: it is absent, of the wrong form or out of bounds.
+    pub fn quota(&self) -> Result<f64, ConfigError> {
         self.bounded("QuotaRps")
     }
 }
@@ -441,7 +446,7 @@
     fn found<E: Error>(&mut self, place: usize, object: bool) -> Result<bool, E> {
         let part = OBJECTS.get(place).copied().unwrap_or_default();
         if !object && self.reading == Reading::Step {
-            return Err(E::custom(Refused::Field(part)));
+            return Err(E::custom(ConfigError::InvalidField(part)));
         }
         self.there.get_mut(place).into_iter().for_each(|there| *there = object);
         Ok(object)
@@ -458,18 +463,18 @@
 
     /// What the deployment grants, in megabytes and descriptors; what is not told stays, and 0 stands where nobody ever
     /// told.
-    fn granted(&self, memory_mb: u64, sockets: u64) -> Result<(u64, u64), Refused> {
+    fn granted(&self, memory_mb: u64, sockets: u64) -> Result<(u64, u64), ConfigError> {
         let granted = |field: &'static str, key, before| match self.machine.maybe(field) {
-            Err(_) => Err(Refused::Field(key)),
-            Ok(Some(value)) if (1.0..=MACHINE).contains(&value) => Ok(value),
-            Ok(Some(value)) => Err(Refused::Bounds { key, value }),
-            Ok(None) if before > 0 && self.machine.has(field) => Err(Refused::Field(key)),
+            Err(_) => Err(ConfigError::InvalidField(key)),
+            Ok(Some(value)) if (1.0..=MAX_MACHINE_LIMIT).contains(&value) => Ok(value),
+            Ok(Some(value)) => Err(ConfigError::OutOfBounds { key, value }),
+            Ok(None) if before > 0 && self.machine.has(field) => Err(ConfigError::InvalidField(key)),
             Ok(None) => Ok(before as f64),
         };
-        let memory = granted("memory_mb", MEMORY, memory_mb)?;
-        let sockets = granted("sockets", SOCKETS, sockets)?;
+        let memory = granted("memory_mb", MEMORY_LIMIT_KEY, memory_mb)?;
+        let sockets = granted("sockets", SOCKET_LIMIT_KEY, sockets)?;
         if sockets.fract() != 0.0 {
-            return Err(Refused::Field(SOCKETS));
+            return Err(ConfigError::InvalidField(SOCKET_LIMIT_KEY));
         }
         Ok((memory as u64, sockets as u64))
     }
@@ -477,12 +482,12 @@
     /// The frame: what is not told stays as it is in `on`, or has its default where there is none.
     ///
     /// # Errors
-    /// [`Refused`] names the field that is needed and absent, of the wrong form or out of bounds.
-    pub fn frame(&self, on: Option<&Frame>) -> Result<Frame, Refused> {
+    /// [`ConfigError`] names the field that is needed and absent, of the wrong form or out of bounds.
+    pub fn frame(&self, on: Option<&GlobalSettings>) -> Result<GlobalSettings, ConfigError> {
         if on.is_none() {
             let parts = OBJECTS.iter().zip(self.there).take(3);
             if let Some((part, _)) = parts.into_iter().find(|(_, there)| !there) {
-                return Err(Refused::Field(part));
+                return Err(ConfigError::InvalidField(part));
             }
         }
         let (family, safety, limits, top) = (&self.family, &self.safety, &self.limits, &self.top);
@@ -506,19 +511,19 @@
             false => Ok(before),
         };
         // A file may give any form of what has no effect.
-        let idle = |read: Result<Option<f64>, Refused>, needed: bool| match read {
+        let idle = |read: Result<Option<f64>, ConfigError>, needed: bool| match read {
             Err(_) if !needed && self.reading == Reading::File => Ok(None),
             read => read,
         };
         let choice_told = |key| told(family, key);
         let below = match choice_told("Below") {
             true => family.choice("Below", &TIERS)?.unwrap_or_default(),
-            false => before.below,
+            false => before.upstream,
         };
-        let shared = below == Tier::Shared;
+        let shared = below == UpstreamKind::Shared;
         let cold = match told(family, "Cold") {
             true => family.flag("Cold")?.unwrap_or(false),
-            false => before.cold,
+            false => before.cold_start,
         };
         let retry_after = match told(limits, "RetryAfter") {
             true => limits.flag("RetryAfter")?.unwrap_or(false),
@@ -528,59 +533,59 @@
             true => {
                 let cores = family.bounded("NCores")?;
                 if cores.fract() != 0.0 {
-                    return Err(Refused::Field("NCores"));
+                    return Err(ConfigError::InvalidField("NCores"));
                 }
                 cores as u64
             }
             false => before.cores,
         };
         let (memory_mb, sockets) = self.granted(before.memory_mb, before.sockets)?;
-        let frame = Frame {
+        let frame = GlobalSettings {
             cores,
             ram_kb: number(family, "RamKb", before.ram_kb)?,
             run_factor: maybe(family, "RunFactor", before.run_factor, 1.0)?,
             kb_per_key: maybe(family, "KbPerKey", before.kb_per_key, 0.0)?,
-            below,
-            call_share: match told(family, "CallShare") {
+            upstream: below,
+            upstream_call_quota: match told(family, "CallShare") {
                 true => idle(family.maybe_bounded("CallShare"), shared)?,
-                false => before.call_share,
+                false => before.upstream_call_quota,
             },
-            call_window: match told(family, "DepWindowMs") {
+            upstream_call_window: match told(family, "DepWindowMs") {
                 true => idle(family.maybe("DepWindowMs"), shared)?.map(us),
-                false => before.call_window,
+                false => before.upstream_call_window,
             },
-            linger: maybe_time(family, "LingerMs", before.linger)?,
-            say: match choice_told("Say") {
+            abandoned_call_linger: maybe_time(family, "LingerMs", before.abandoned_call_linger)?,
+            load_report: match choice_told("Say") {
                 true => family.choice("Say", &SAYS)?.unwrap_or(Say::Off),
-                false => before.say,
+                false => before.load_report,
             },
             stop_mode: match choice_told("StopMode") {
                 true => family.choice("StopMode", &STOPS)?.unwrap_or(StopMode::Off),
                 false => before.stop_mode,
             },
-            fresh: maybe_time(family, "FreshMs", before.fresh)?,
-            idle: maybe_time(family, "IdleMs", before.idle)?,
+            response_ttl: maybe_time(family, "FreshMs", before.response_ttl)?,
+            idle_timeout: maybe_time(family, "IdleMs", before.idle_timeout)?,
             callers: maybe(family, "Callers", before.callers as f64, 1.0)? as u64,
-            cold,
+            cold_start: cold,
             gauges: self.gauges.clone().unwrap_or(before.gauges),
-            tip: match told(safety, "TipMultiple") {
+            max_running_per_core: match told(safety, "TipMultiple") {
                 true => safety.bounded("TipMultiple")?,
-                false => before.tip,
+                false => before.max_running_per_core,
             },
-            cold_from: match told(safety, "ColdFrom") {
+            slow_start_from: match told(safety, "ColdFrom") {
                 true => idle(safety.maybe_bounded("ColdFrom"), cold)?,
-                false => before.cold_from,
+                false => before.slow_start_from,
             },
-            ramp: time(safety, "RampTimeMs", before.ramp)?,
-            heed: time(safety, "StopSendingWithinMs", before.heed)?,
+            slow_start_duration: time(safety, "RampTimeMs", before.slow_start_duration)?,
+            health_propagation_delay: time(safety, "StopSendingWithinMs", before.health_propagation_delay)?,
             retry_after,
             max_retry_after: match told(limits, "MaxRetryAfterMs") {
                 true => idle(limits.maybe("MaxRetryAfterMs"), retry_after)?.map_or(0, us),
                 false => before.max_retry_after,
             },
-            step: maybe_time(top, "StepMs", before.step)?,
+            min_event_interval: maybe_time(top, "StepMs", before.min_event_interval)?,
             replicas: maybe(top, "ReplicasOfMe", before.replicas as f64, 1.0)? as u64,
-            over_share: maybe(top, "OverShareWorth", before.over_share, 1.0)?,
+            over_quota_weight: maybe(top, "OverShareWorth", before.over_quota_weight, 1.0)?,
             memory_mb,
             sockets,
         };
@@ -604,7 +609,9 @@
             match place {
                 GAUGE_PLACE => *gauges = Some(object.next_value_seed(Any(Gauges(reading)))?),
                 SKIP_PLACE if reading == Reading::File => *skips = object.next_value_seed(Any(Skips))?,
-                SKIP_PLACE => return Err(A::Error::custom(Refused::Unheard("ClassSkipWorth".into()))),
+                SKIP_PLACE => {
+                    return Err(A::Error::custom(ConfigError::UnknownField("ClassSkipWorth".into())))
+                }
                 _ => fields.put(place, object.next_value_seed(reading)?),
             }
             Ok(())
@@ -620,7 +627,7 @@
     type Made = Vec<Name>;
     fn scalar<E: Error>(self, value: Scalar) -> Result<Vec<Name>, E> {
         match self.0 {
-            Reading::Step if value != Scalar::Null => Err(E::custom(Refused::Field("Gauges"))),
+            Reading::Step if value != Scalar::Null => Err(E::custom(ConfigError::InvalidField("Gauges"))),
             _ => Ok(Vec::new()),
         }
     }
@@ -629,11 +636,13 @@
         while let Some(value) = list.next_element_seed(Any(Plain))? {
             match value {
                 Scalar::Text(name) => names.push(name.into()),
-                _ if self.0 == Reading::Step => return Err(A::Error::custom(Refused::Field("Gauges"))),
+                _ if self.0 == Reading::Step => {
+                    return Err(A::Error::custom(ConfigError::InvalidField("Gauges")))
+                }
                 _ => {}
             }
-            if names.len() > GAUGES {
-                let many = Refused::Many { list: "Gauges", bound: "GAUGES", most: GAUGES };
+            if names.len() > MAX_GAUGES {
+                let many = ConfigError::TooManyEntries { list: "Gauges", bound: "GAUGES", most: MAX_GAUGES };
                 return Err(A::Error::custom(many));
             }
         }
@@ -653,8 +662,8 @@
         let mut shares = Vec::new();
         while let Some(value) = list.next_element_seed(Any(Plain))? {
             // There are no methods beyond the bound; what is listed for them is passed over.
-            if shares.len() < METHODS {
-                let share = if let Scalar::Number(n) = value { n.clamp(0.0, GREATEST) + 0.0 } else { 0.0 };
+            if shares.len() < MAX_METHODS {
+                let share = if let Scalar::Number(n) = value { n.clamp(0.0, MAX_FIGURE) + 0.0 } else { 0.0 };
                 shares.push(share);
             }
         }
--- a/entries/src/lib.rs
+++ b/entries/src/lib.rs
@@ -1,25 +1,25 @@
 //! What a version of a backend's settings says, entry by entry, and the steps that lead from one version to the next. Free of
 //! I/O: text comes in and goes out, files and sockets are the callers'.
 //!
-//! A [`Content`] is one version: its [`Frame`] (the few scalars), its methods and its tenants by name. Versions are values:
-//! one is never changed, [`Content::apply`] makes the next one, and the two share all that they have in common, so that a
+//! A [`Configuration`] is one version: its [`GlobalSettings`] (the few scalars), its methods and its tenants by name. Versions are values:
+//! one is never changed, [`Configuration::apply`] makes the next one, and the two share all that they have in common, so that a
 //! history costs its differences. Names are held once, by whoever knows them.
 //!
-//! * In: a [`Step`] as text ([`read_step`]), a whole version as text ([`read_content`]), or the platform's JSON, which
+//! * In: a [`Step`] as text ([`read_step`]), a whole version as text ([`read_configuration`]), or the platform's JSON, which
 //!   `asterrill-settings` reads by [`fields`].
-//! * Out: what differs between two versions ([`Content::changes_to`]), and text of either kind.
+//! * Out: what differs between two versions ([`Configuration::changes_to`]), and text of either kind.
 //!
 //! Promises:
 //! * A step is in force whole or not at all; a refusal names the key at fault, and the version stays what it was.
 //! * The same meaning has the same [`Digest`], whatever steps or files led there.
 //! * `a.apply(&a.changes_to(&b))` is `b`, and `changes_to` costs what differs.
-//! * Every list has a bound, and one that is too long is refused by the bound's name: [`METHODS`], [`TENANTS`],
-//!   [`GAUGES`], [`CHANGES`].
+//! * Every list has a bound, and one that is too long is refused by the bound's name: [`MAX_METHODS`], [`MAX_TENANTS`],
+//!   [`MAX_GAUGES`], [`MAX_CHANGES`].
 //!
 //! ```
-//! use asterrill_entries::{read_step, Content, Frame};
+//! use asterrill_entries::{read_step, Configuration, GlobalSettings};
 //!
-//! let empty = Content::new(Frame { cores: 4, ..Frame::default() });
+//! let empty = Configuration::new(GlobalSettings { cores: 4, ..GlobalSettings::default() });
 //! let first = read_step(
 //!     r#"{"put":"method","Name":"look-up","AimMs":800,"DeadlineMs":2000,"Effect":"free","Worth":1}
 //!        {"put":"tenant","Name":"acme","QuotaRps":100}"#,
@@ -44,32 +44,32 @@
 mod text;
 
 pub use asterrill::Method;
-pub use content::{check_method, check_name, Change, Content, Digest, Finder};
-pub use fault::{Kind, Refused, StepFault};
-pub use frame::{Frame, Tier};
-pub use text::{read_content, read_step, write_content, write_step, Step};
+pub use content::{check_method, check_name, Change, Configuration, Digest, NameLookup};
+pub use fault::{ConfigError, EntryKind, StepError};
+pub use frame::{GlobalSettings, UpstreamKind};
+pub use text::{read_configuration, read_step, write_configuration, write_step, Step};
 
-/// The name of a method or tenant, 1 to [`NAME`] bytes, shared by all who know it.
+/// The name of a method or tenant, 1 to [`MAX_NAME_BYTES`] bytes, shared by all who know it.
 pub type Name = std::sync::Arc<str>;
 
 /// Bytes of a name at the most.
-pub const NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Methods of a version at the most.
-pub const METHODS: usize = 20_000;
+pub const MAX_METHODS: usize = 20_000;
 /// Tenants of a version at the most.
-pub const TENANTS: usize = 200_000;
+pub const MAX_TENANTS: usize = 200_000;
 /// Gauges of a frame at the most.
-pub const GAUGES: usize = 64;
+pub const MAX_GAUGES: usize = 64;
 /// Changes of a step at the most: all that there may be, each put or taken.
-pub const CHANGES: usize = 2 * (METHODS + TENANTS) + 1;
+pub const MAX_CHANGES: usize = 2 * (MAX_METHODS + MAX_TENANTS) + 1;
 /// Greater numbers of cores, servers and callers, and greater worths and rates, are refused.
-pub const GREATEST: f64 = 1e9;
+pub const MAX_FIGURE: f64 = 1e9;
 /// Longer spans are taken for this one, 31 years in microseconds: sums of them and of moments stay far from their type's
 /// end.
-pub const LONGEST: asterrill::Us = 1_000_000_000_000_000;
+pub const MAX_DURATION: asterrill::Us = 1_000_000_000_000_000;
 /// A terabyte, in megabytes, or a million descriptors, at the most.
-pub const MACHINE: f64 = 1_048_576.0;
+pub const MAX_MACHINE_LIMIT: f64 = 1_048_576.0;
 /// What the deployment grants, as messages name it.
-pub const MEMORY: &str = "limits.memory_mb";
-/// As [`MEMORY`].
-pub const SOCKETS: &str = "limits.sockets";
+pub const MEMORY_LIMIT_KEY: &str = "limits.memory_mb";
+/// As [`MEMORY_LIMIT_KEY`].
+pub const SOCKET_LIMIT_KEY: &str = "limits.sockets";
--- a/entries/src/tests.rs
+++ b/entries/src/tests.rs
@@ -13,7 +13,7 @@
 /// A version as plainly as can be.
 #[derive(Clone, Debug, PartialEq)]
 struct Model {
-    frame: Frame,
+    frame: GlobalSettings,
     methods: BTreeMap<String, Method>,
     tenants: BTreeMap<String, f64>,
 }
@@ -29,14 +29,14 @@
     match chance.random_range(0..5) {
         0 => 0.0,
         1 => f64::from(chance.random_range(0..1_000_u32)),
-        2 => f64::from_bits(chance.random_range(0..=GREATEST.to_bits())),
-        3 => chance.random_range(0.0..=GREATEST),
-        _ => GREATEST,
+        2 => f64::from_bits(chance.random_range(0..=MAX_FIGURE.to_bits())),
+        3 => chance.random_range(0.0..=MAX_FIGURE),
+        _ => MAX_FIGURE,
     }
 }
 
 fn time(chance: &mut StdRng) -> u64 {
-    let most = *[1_000, 10_000_000, LONGEST].choose(chance).unwrap();
+    let most = *[1_000, 10_000_000, MAX_DURATION].choose(chance).unwrap();
     chance.random_range(0..=most)
 }
 
@@ -48,32 +48,32 @@
     Method { latency_target, deadline, effect, criticality, late_share, window, skip_share }
 }
 
-fn frame(chance: &mut StdRng) -> Frame {
-    Frame {
-        cores: chance.random_range(0..=GREATEST as u64),
+fn frame(chance: &mut StdRng) -> GlobalSettings {
+    GlobalSettings {
+        cores: chance.random_range(0..=MAX_FIGURE as u64),
         ram_kb: rate(chance) * 1e200,
-        below: *[Tier::Off, Tier::Shared, Tier::Tier].choose(chance).unwrap(),
-        call_share: Some(rate(chance)),
-        call_window: Some(time(chance)),
-        cold: chance.random(),
-        cold_from: Some(rate(chance)),
-        idle: time(chance),
-        say: *[asterrill::Say::Off, asterrill::Say::Threshold].choose(chance).unwrap(),
+        upstream: *[UpstreamKind::None, UpstreamKind::Shared, UpstreamKind::Tier].choose(chance).unwrap(),
+        upstream_call_quota: Some(rate(chance)),
+        upstream_call_window: Some(time(chance)),
+        cold_start: chance.random(),
+        slow_start_from: Some(rate(chance)),
+        idle_timeout: time(chance),
+        load_report: *[asterrill::Say::Off, asterrill::Say::Threshold].choose(chance).unwrap(),
         gauges: names().sample(chance, 3).map(|name| name.as_str().into()).collect(),
         retry_after: chance.random(),
         max_retry_after: time(chance),
-        over_share: rate(chance),
+        over_quota_weight: rate(chance),
         run_factor: rate(chance),
         kb_per_key: rate(chance),
-        linger: time(chance),
+        abandoned_call_linger: time(chance),
         stop_mode: *[asterrill::StopMode::Abort, asterrill::StopMode::Suspend].choose(chance).unwrap(),
-        fresh: time(chance),
-        callers: chance.random_range(0..=GREATEST as u64),
-        tip: rate(chance),
-        ramp: time(chance),
-        heed: time(chance),
-        step: time(chance),
-        replicas: chance.random_range(0..=GREATEST as u64),
+        response_ttl: time(chance),
+        callers: chance.random_range(0..=MAX_FIGURE as u64),
+        max_running_per_core: rate(chance),
+        slow_start_duration: time(chance),
+        health_propagation_delay: time(chance),
+        min_event_interval: time(chance),
+        replicas: chance.random_range(0..=MAX_FIGURE as u64),
         memory_mb: chance.random_range(1..=1_048_576),
         sockets: chance.random_range(1..=1_048_576),
     }
@@ -83,37 +83,37 @@
 fn step(chance: &mut StdRng, model: &Model) -> (Vec<Change>, bool) {
     let (mut changes, mut fault, mut keys) = (Vec::new(), false, BTreeSet::new());
     for _ in 0..chance.random_range(1..10) {
-        let kind = *[Kind::Method, Kind::Tenant].choose(chance).unwrap();
+        let kind = *[EntryKind::Method, EntryKind::Tenant].choose(chance).unwrap();
         let name = names().choose(chance).unwrap().clone();
         if !keys.insert((kind, name.clone())) {
             continue;
         }
         let known = match kind {
-            Kind::Method => model.methods.contains_key(&name),
-            Kind::Tenant => model.tenants.contains_key(&name),
+            EntryKind::Method => model.methods.contains_key(&name),
+            EntryKind::Tenant => model.tenants.contains_key(&name),
         };
         let name: Name = name.into();
         changes.push(match (kind, known && chance.random_ratio(1, 3)) {
-            (Kind::Method, false) => Change::PutMethod(name, method(chance)),
-            (Kind::Method, true) => Change::TakeMethod(name),
-            (Kind::Tenant, false) => Change::PutTenant(name, rate(chance)),
-            (Kind::Tenant, true) => Change::TakeTenant(name),
+            (EntryKind::Method, false) => Change::PutMethod(name, method(chance)),
+            (EntryKind::Method, true) => Change::RemoveMethod(name),
+            (EntryKind::Tenant, false) => Change::PutTenant(name, rate(chance)),
+            (EntryKind::Tenant, true) => Change::RemoveTenant(name),
         });
     }
     if chance.random_ratio(1, 6) {
-        changes.push(Change::Frame(frame(chance).into()));
+        changes.push(Change::SetGlobals(frame(chance).into()));
     }
     if chance.random_ratio(1, 4) {
         fault = true;
         let odd = match chance.random_range(0..9) {
-            0 => Change::TakeTenant("nobody".into()),
-            1 => Change::TakeMethod("nothing".into()),
-            2 => Change::PutTenant("n".repeat(NAME + 1).as_str().into(), 1.0),
+            0 => Change::RemoveTenant("nobody".into()),
+            1 => Change::RemoveMethod("nothing".into()),
+            2 => Change::PutTenant("n".repeat(MAX_NAME_BYTES + 1).as_str().into(), 1.0),
             3 => Change::PutMethod("two words".into(), method(chance)),
             4 => Change::PutTenant("fine".into(), -1e-300),
             5 => Change::PutTenant("fine".into(), f64::NAN),
-            6 => Change::PutMethod("fine".into(), Method { late_share: GREATEST * 2.0, ..method(chance) }),
-            7 => Change::PutMethod("fine".into(), Method { deadline: LONGEST + 1, ..method(chance) }),
+            6 => Change::PutMethod("fine".into(), Method { late_share: MAX_FIGURE * 2.0, ..method(chance) }),
+            7 => Change::PutMethod("fine".into(), Method { deadline: MAX_DURATION + 1, ..method(chance) }),
             _ => changes.choose(chance).unwrap().clone(),
         };
         changes.push(odd);
@@ -127,11 +127,11 @@
         let mut next = self.clone();
         for change in changes {
             match change.clone() {
-                Change::Frame(frame) => next.frame = Frame::clone(&frame),
+                Change::SetGlobals(frame) => next.frame = GlobalSettings::clone(&frame),
                 Change::PutMethod(name, method) => drop(next.methods.insert(name.to_string(), method)),
-                Change::TakeMethod(name) => drop(next.methods.remove(&*name)),
+                Change::RemoveMethod(name) => drop(next.methods.remove(&*name)),
                 Change::PutTenant(name, rate) => drop(next.tenants.insert(name.to_string(), rate)),
-                Change::TakeTenant(name) => drop(next.tenants.remove(&*name)),
+                Change::RemoveTenant(name) => drop(next.tenants.remove(&*name)),
             }
         }
         next
@@ -142,7 +142,7 @@
         methods.chain(tenants).collect()
     }
     /// As a reader of whole files makes it, entries in any order.
-    fn file(&self, chance: &mut StdRng, running: Option<&Content>) -> Content {
+    fn file(&self, chance: &mut StdRng, running: Option<&Configuration>) -> Configuration {
         let (mut methods, mut tenants) = (Vec::new(), Vec::new());
         let mut puts = self.puts();
         puts.shuffle(chance);
@@ -153,13 +153,13 @@
                 _ => {}
             }
         }
-        Content::whole(running, self.frame.clone(), methods, tenants).unwrap()
+        Configuration::from_entries(running, self.frame.clone(), methods, tenants).unwrap()
     }
-    fn check(&self, content: &Content, at: &str) {
+    fn check(&self, content: &Configuration, at: &str) {
         let methods = content.methods().map(|(name, m)| (name.to_string(), m.clone()));
         let tenants = content.tenants().map(|(name, rate)| (name.to_string(), rate));
         let (methods, tenants) = (methods.collect(), tenants.collect());
-        let found = Model { frame: Frame::clone(content.frame()), methods, tenants };
+        let found = Model { frame: GlobalSettings::clone(content.globals()), methods, tenants };
         assert_eq!(&found, self, "{at}");
     }
 }
@@ -223,8 +223,8 @@
             history.push((content.clone(), model.clone()));
         }
         let mut text = String::new();
-        write_content(&content, &mut text).unwrap();
-        assert_eq!(read_content(&text).as_ref(), Ok(&content), "seed {seed}");
+        write_configuration(&content, &mut text).unwrap();
+        assert_eq!(read_configuration(&text).as_ref(), Ok(&content), "seed {seed}");
         // From any version to any other.
         let [(a, _), (b, was)] = [0, 1].map(|_| history.choose(chance).unwrap());
         was.check(&a.apply(&a.changes_to(b)).unwrap(), "between versions");
@@ -233,11 +233,11 @@
 }
 
 /// Two methods and two tenants.
-fn small(seed: u64) -> Content {
+fn small(seed: u64) -> Configuration {
     let chance = &mut StdRng::seed_from_u64(seed);
     let methods = ["look", "pay"].map(|name| (name.into(), method(chance)));
     let tenants = [("acme".into(), 10.0), ("zeta".into(), 20.0)];
-    Content::whole(None, frame(chance), methods.into(), tenants.into()).unwrap()
+    Configuration::from_entries(None, frame(chance), methods.into(), tenants.into()).unwrap()
 }
 
 #[test]
@@ -245,18 +245,23 @@
     (0..20).for_each(|seed| partial(&small(seed)));
 }
 
-fn partial(running: &Content) {
+fn partial(running: &Configuration) {
     let merged = |text: &str| match read_step(text, running).map(|step| step.changes) {
-        Ok(changes) => Ok(Frame::clone(running.apply(&changes).unwrap().frame())),
+        Ok(changes) => Ok(GlobalSettings::clone(running.apply(&changes).unwrap().globals())),
         Err(why) => Err(why.to_string()),
     };
-    let was = Frame::clone(running.frame());
+    let was = GlobalSettings::clone(running.globals());
     let first = merged(r#"{"frame":{"FamilyInfo":{"NCores":7,"Say":"window"},"limits":{"memory_mb":96}}}"#);
     let say = asterrill::Say::Credit;
-    assert_eq!(first, Ok(Frame { cores: 7, say, memory_mb: 96, ..was.clone() }));
+    assert_eq!(first, Ok(GlobalSettings { cores: 7, load_report: say, memory_mb: 96, ..was.clone() }));
     let rest = r#"{"frame":{"StepMs":2.5,"Limits":{"RetryAfter":true},"Safety":{"ColdFrom":0.25},"OverShareWorth":null}}"#;
-    let expected =
-        Frame { step: 2_500, retry_after: true, cold_from: Some(0.25), over_share: 1.0, ..was.clone() };
+    let expected = GlobalSettings {
+        min_event_interval: 2_500,
+        retry_after: true,
+        slow_start_from: Some(0.25),
+        over_quota_weight: 1.0,
+        ..was.clone()
+    };
     assert_eq!(merged(rest), Ok(expected));
     assert_eq!(merged(r#"{"frame":{}}"#), Ok(was));
     for (odd, key) in [
@@ -283,7 +288,7 @@
 #[test]
 fn what_is_wrong_with_a_step_is_told_by_line_and_key() {
     let running = small(9);
-    let long = format!(r#"{{"take":"tenant","Name":"{}"}}"#, "n".repeat(NAME + 1));
+    let long = format!(r#"{{"take":"tenant","Name":"{}"}}"#, "n".repeat(MAX_NAME_BYTES + 1));
     let look = r#"{"put":"method","Name":"look","AimMs":1,"DeadlineMs":2,"Effect":"free","Worth":1}"#;
     let twice =
         "{\"take\":\"tenant\",\"Name\":\"acme\"}\n{\"put\":\"tenant\",\"Name\":\"acme\",\"QuotaRps\":1}";
@@ -331,37 +336,38 @@
 fn every_list_has_its_bound_and_a_version_keeps_a_method() {
     let running = small(9);
     let puts = |n: usize| (0..n).map(|i| Change::PutTenant(format!("t{i}").as_str().into(), 1.0)).collect();
-    let mut most: Vec<Change> = puts(TENANTS - 2);
+    let mut most: Vec<Change> = puts(MAX_TENANTS - 2);
     let full = running.apply(&most).unwrap();
     most.push(Change::PutTenant("one more".into(), 1.0));
     assert!(running.apply(&most).unwrap_err().to_string().contains("TENANTS"));
     // Another in the place of one that goes.
-    let change = [Change::PutTenant("one more".into(), 1.0), Change::TakeTenant("t7".into())];
-    assert_eq!(full.apply(&change).unwrap().count(Kind::Tenant), TENANTS);
-    let methods = (0..METHODS)
+    let change = [Change::PutTenant("one more".into(), 1.0), Change::RemoveTenant("t7".into())];
+    assert_eq!(full.apply(&change).unwrap().count(EntryKind::Tenant), MAX_TENANTS);
+    let methods = (0..MAX_METHODS)
         .map(|i| Change::PutMethod(i.to_string().as_str().into(), running.method("pay").unwrap().clone()));
     assert!(running.apply(&methods.collect::<Vec<_>>()).unwrap_err().to_string().contains("METHODS"));
-    let gauges = vec!["g".into(); GAUGES + 1];
-    let frame = Change::Frame(Frame { gauges, ..Frame::clone(running.frame()) }.into());
+    let gauges = vec!["g".into(); MAX_GAUGES + 1];
+    let frame =
+        Change::SetGlobals(GlobalSettings { gauges, ..GlobalSettings::clone(running.globals()) }.into());
     assert!(running.apply(&[frame]).unwrap_err().to_string().contains("GAUGES"));
-    let last = ["look", "pay"].map(|name| Change::TakeMethod(name.into()));
-    assert_eq!(running.apply(&last), Err(Refused::Last));
+    let last = ["look", "pay"].map(|name| Change::RemoveMethod(name.into()));
+    assert_eq!(running.apply(&last), Err(ConfigError::LastMethod));
 }
 
 #[test]
 fn a_whole_text_without_frame_methods_or_with_another_hash_is_refused() {
     let (running, mut text) = (small(9), String::new());
-    write_content(&running, &mut text).unwrap();
+    write_configuration(&running, &mut text).unwrap();
     let hash = format!("{{\"hash\":\"{}\"}}\n{text}", running.digest());
-    assert_eq!(read_content(&hash).as_ref(), Ok(&running));
+    assert_eq!(read_configuration(&hash).as_ref(), Ok(&running));
     let other = hash.replace("\"QuotaRps\":10", "\"QuotaRps\":11");
-    assert!(read_content(&other).unwrap_err().to_string().contains("hash"));
+    assert!(read_configuration(&other).unwrap_err().to_string().contains("hash"));
     let without = |what: &str| {
         let lines: Vec<&str> = text.lines().filter(|line| !line.contains(what)).collect();
-        read_content(&lines.join("\n")).unwrap_err().to_string()
+        read_configuration(&lines.join("\n")).unwrap_err().to_string()
     };
     assert!(without("frame").contains("frame") && without("method").contains("Categories"));
-    assert!(read_content(&format!("{text}{}", text.lines().last().unwrap()))
+    assert!(read_configuration(&format!("{text}{}", text.lines().last().unwrap()))
         .unwrap_err()
         .to_string()
         .contains("zeta"));
@@ -375,15 +381,15 @@
     let methods: Vec<(Name, Method)> = methods.collect();
     let tenants: Vec<(Name, f64)> = tenants.collect();
     let frame = frame(chance);
-    let made = |running: Option<&Content>, odd: f64| {
+    let made = |running: Option<&Configuration>, odd: f64| {
         let mut tenants = tenants.clone();
         tenants[777].1 = odd;
-        Content::whole(running, frame.clone(), methods.clone(), tenants).unwrap()
+        Configuration::from_entries(running, frame.clone(), methods.clone(), tenants).unwrap()
     };
     let running = made(None, 10.0);
     let change = [Change::PutTenant("t777".into(), 11.0)];
     // The least of some: the machine has other work.
-    let least = |a: &Content, b: &Content| -> Duration {
+    let least = |a: &Configuration, b: &Configuration| -> Duration {
         let once = |_| {
             let start = Instant::now();
             assert_eq!(black_box(a.changes_to(b)), change);
@@ -394,10 +400,10 @@
     let apart = least(&running, &made(None, 11.0));
     for next in [running.apply(&change).unwrap(), made(Some(&running), 11.0)] {
         assert!(Arc::ptr_eq(
-            next.name(Kind::Tenant, "t777").unwrap(),
-            running.name(Kind::Tenant, "t777").unwrap()
+            next.name(EntryKind::Tenant, "t777").unwrap(),
+            running.name(EntryKind::Tenant, "t777").unwrap()
         ));
-        assert!(Arc::ptr_eq(next.frame(), running.frame()));
+        assert!(Arc::ptr_eq(next.globals(), running.globals()));
         let shared = least(&running, &next);
         assert!(shared * 20 < apart, "{shared:?} for one entry, {apart:?} where nothing is shared");
     }
--- a/entries/src/text.rs
+++ b/entries/src/text.rs
@@ -1,12 +1,12 @@
 //! Steps and whole versions as text: one entry a line, each a JSON object in the platform's own field names.
 
-use crate::content::{Change, Content, Digest};
-use crate::fault::{Kind, Refused, StepFault};
+use crate::content::{Change, Configuration, Digest};
+use crate::fault::{ConfigError, EntryKind, StepError};
 use crate::fields::{
     walk, Any, Fields, Form, FrameFields, Reading, Scalar, EFFECTS, METHOD, SAYS, STOPS, TENANT, TIERS,
 };
-use crate::frame::Frame;
-use crate::CHANGES;
+use crate::frame::GlobalSettings;
+use crate::MAX_CHANGES;
 use asterrill::{Method, Us};
 use serde::de::{Error, MapAccess};
 use std::collections::HashSet;
@@ -85,7 +85,7 @@
 }
 
 /// A frame in full, as it stands in a step: what is not told is null.
-pub(crate) fn frame_text(f: &Frame) -> String {
+pub(crate) fn frame_text(f: &GlobalSettings) -> String {
     let gauges: Vec<String> = f.gauges.iter().map(|gauge| Quoted(gauge).to_string()).collect();
     let granted = |n: u64| Maybe((n > 0).then_some(n));
     let family = format!(
@@ -94,28 +94,28 @@
         Number(f.ram_kb),
         Number(f.run_factor),
         Number(f.kb_per_key),
-        word(&TIERS, f.below),
-        Maybe(f.call_share.map(Number)),
-        Maybe(f.call_window.map(ms)),
-        ms(f.linger),
-        word(&SAYS, f.say),
+        word(&TIERS, f.upstream),
+        Maybe(f.upstream_call_quota.map(Number)),
+        Maybe(f.upstream_call_window.map(ms)),
+        ms(f.abandoned_call_linger),
+        word(&SAYS, f.load_report),
         word(&STOPS, f.stop_mode),
-        ms(f.fresh),
-        ms(f.idle),
+        ms(f.response_ttl),
+        ms(f.idle_timeout),
         f.callers,
-        f.cold,
+        f.cold_start,
         gauges.join(","),
     );
     let safety = format!(
         r#""TipMultiple":{},"ColdFrom":{},"RampTimeMs":{},"StopSendingWithinMs":{}"#,
-        Number(f.tip),
-        Maybe(f.cold_from.map(Number)),
-        ms(f.ramp),
-        ms(f.heed),
+        Number(f.max_running_per_core),
+        Maybe(f.slow_start_from.map(Number)),
+        ms(f.slow_start_duration),
+        ms(f.health_propagation_delay),
     );
-    let (limits, step) = (ms(f.max_retry_after), ms(f.step));
+    let (limits, step) = (ms(f.max_retry_after), ms(f.min_event_interval));
     let (memory, sockets) = (granted(f.memory_mb), granted(f.sockets));
-    let (retry, replicas, over) = (f.retry_after, f.replicas, Number(f.over_share));
+    let (retry, replicas, over) = (f.retry_after, f.replicas, Number(f.over_quota_weight));
     format!(
         r#"{{"FamilyInfo":{{{family}}},"Safety":{{{safety}}},"Limits":{{"RetryAfter":{retry},"MaxRetryAfterMs":{limits}}},"StepMs":{step},"ReplicasOfMe":{replicas},"OverShareWorth":{over},"limits":{{"memory_mb":{memory},"sockets":{sockets}}}}}"#
     )
@@ -138,13 +138,13 @@
 
 fn write_change(change: &Change, to: &mut dyn fmt::Write) -> fmt::Result {
     match change {
-        Change::Frame(frame) => writeln!(to, r#"{{"frame":{}}}"#, frame_text(frame)),
+        Change::SetGlobals(frame) => writeln!(to, r#"{{"frame":{}}}"#, frame_text(frame)),
         Change::PutMethod(name, method) => write_method(name, method, to),
         Change::PutTenant(name, rate) => {
             writeln!(to, r#"{{"put":"tenant","Name":{},"QuotaRps":{}}}"#, Quoted(name), Number(*rate))
         }
-        Change::TakeMethod(name) => writeln!(to, r#"{{"take":"method","Name":{}}}"#, Quoted(name)),
-        Change::TakeTenant(name) => writeln!(to, r#"{{"take":"tenant","Name":{}}}"#, Quoted(name)),
+        Change::RemoveMethod(name) => writeln!(to, r#"{{"take":"method","Name":{}}}"#, Quoted(name)),
+        Change::RemoveTenant(name) => writeln!(to, r#"{{"take":"tenant","Name":{}}}"#, Quoted(name)),
     }
 }
 
@@ -162,12 +162,12 @@
     text
 }
 
-/// A whole version as lines, its frame first: what [`read_content`] makes the same version of.
+/// A whole version as lines, its frame first: what [`read_configuration`] makes the same version of.
 ///
 /// # Errors
 /// Those of `to`.
-pub fn write_content(content: &Content, to: &mut dyn fmt::Write) -> fmt::Result {
-    write_change(&Change::Frame(content.frame().clone()), to)?;
+pub fn write_configuration(content: &Configuration, to: &mut dyn fmt::Write) -> fmt::Result {
+    write_change(&Change::SetGlobals(content.globals().clone()), to)?;
     content.methods().try_for_each(|(name, method)| write_method(name, method, to))?;
     content.tenants().try_for_each(|(name, rate)| write_change(&Change::PutTenant(name.clone(), rate), to))
 }
@@ -199,7 +199,7 @@
             }
             let mut told = FrameFields::new(Reading::Step);
             if !object.next_value_seed(Any(Part(&mut told)))? {
-                return Err(A::Error::custom(Refused::Field("frame")));
+                return Err(A::Error::custom(ConfigError::InvalidField("frame")));
             }
             *frame = Some(told);
             Ok(())
@@ -230,35 +230,39 @@
         Told { fields: Fields::new(LINE, Reading::Step), frame: None }
     }
 
-    fn read(&mut self, line: usize, text: &str) -> Result<(), StepFault> {
+    fn read(&mut self, line: usize, text: &str) -> Result<(), StepError> {
         self.frame = None;
         self.fields.clear();
         let mut from = serde_json::Deserializer::from_str(text);
         let read = serde::de::DeserializeSeed::deserialize(Any(Object(self)), &mut from);
         match read.and_then(|object| from.end().map(|()| object)) {
             Ok(true) => Ok(()),
-            Ok(false) => Err(StepFault::Form { line }),
+            Ok(false) => Err(StepError::UnexpectedLine { line }),
             Err(e) => {
                 let why = e.to_string().replace(" at line 1 column ", " at column ");
-                Err(if e.is_data() { StepFault::Field { line, why } } else { StepFault::Json { line, why } })
+                Err(if e.is_data() {
+                    StepError::InvalidField { line, why }
+                } else {
+                    StepError::Json { line, why }
+                })
             }
         }
     }
 
     /// What the fields mean; all that are there have to belong to it.
-    fn line(&self, line: usize, on: &Content) -> Result<Line, StepFault> {
-        let entry = |why| StepFault::Entry { line, why };
+    fn line(&self, line: usize, on: &Configuration) -> Result<Line, StepError> {
+        let entry = |why| StepError::InvalidEntry { line, why };
         let verbs: Vec<&str> = ["put", "take"].into_iter().filter(|verb| self.fields.has(verb)).collect();
         let only = |names: &[&str]| {
             let verb = |name| verbs.contains(name);
             let odd = LINE.iter().find(|name| self.fields.has(name) && !names.contains(name) && !verb(name));
-            odd.map_or(Ok(()), |odd| Err(entry(Refused::Unheard(odd.to_string()))))
+            odd.map_or(Ok(()), |odd| Err(entry(ConfigError::UnknownField(odd.to_string()))))
         };
         match (verbs.as_slice(), &self.frame) {
             ([], Some(frame)) => {
                 only(&[])?;
-                let frame = frame.frame(Some(on.frame())).map_err(entry)?;
-                Ok(Line::Change(Change::Frame(Arc::new(frame))))
+                let frame = frame.frame(Some(on.globals())).map_err(entry)?;
+                Ok(Line::Change(Change::SetGlobals(Arc::new(frame))))
             }
             ([], None) if self.fields.has("base") || self.fields.has("hash") => {
                 only(&["base", "hash"])?;
@@ -267,15 +271,15 @@
             }
             (["put"], None) => {
                 let kind = self.kind("put").map_err(entry)?;
-                only(if kind == Kind::Method { METHOD } else { TENANT })?;
-                let name = on.shared(kind, self.fields.name(kind).map_err(entry)?);
-                let of = |why: Refused| entry(why.of(kind, &name));
+                only(if kind == EntryKind::Method { METHOD } else { TENANT })?;
+                let name = on.shared_name(kind, self.fields.name(kind).map_err(entry)?);
+                let of = |why: ConfigError| entry(why.in_entry(kind, &name));
                 Ok(Line::Change(match kind {
-                    Kind::Method => {
+                    EntryKind::Method => {
                         let method = self.fields.method(0.0).map_err(of)?;
                         Change::PutMethod(name, method)
                     }
-                    Kind::Tenant => {
+                    EntryKind::Tenant => {
                         let rate = self.fields.quota().map_err(of)?;
                         Change::PutTenant(name, rate)
                     }
@@ -284,29 +288,29 @@
             (["take"], None) => {
                 let kind = self.kind("take").map_err(entry)?;
                 only(&["Name"])?;
-                let name = on.shared(kind, self.fields.name(kind).map_err(entry)?);
+                let name = on.shared_name(kind, self.fields.name(kind).map_err(entry)?);
                 Ok(Line::Change(match kind {
-                    Kind::Method => Change::TakeMethod(name),
-                    Kind::Tenant => Change::TakeTenant(name),
+                    EntryKind::Method => Change::RemoveMethod(name),
+                    EntryKind::Tenant => Change::RemoveTenant(name),
                 }))
             }
-            _ => Err(StepFault::Form { line }),
+            _ => Err(StepError::UnexpectedLine { line }),
         }
     }
 }
 
 impl Told {
-    fn kind(&self, verb: &'static str) -> Result<Kind, Refused> {
+    fn kind(&self, verb: &'static str) -> Result<EntryKind, ConfigError> {
         match self.fields.text(verb)? {
-            "method" => Ok(Kind::Method),
-            "tenant" => Ok(Kind::Tenant),
-            other => Err(Refused::Word { key: verb, word: other.chars().take(64).collect() }),
+            "method" => Ok(EntryKind::Method),
+            "tenant" => Ok(EntryKind::Tenant),
+            other => Err(ConfigError::UnknownWord { key: verb, word: other.chars().take(64).collect() }),
         }
     }
-    fn head(&self) -> Result<(Option<u64>, Option<Digest>), Refused> {
+    fn head(&self) -> Result<(Option<u64>, Option<Digest>), ConfigError> {
         let base = match self.fields.maybe("base")? {
-            Some(n) if n.fract() != 0.0 => return Err(Refused::Field("base")),
-            Some(value) if value >= BASE => return Err(Refused::Bounds { key: "base", value }),
+            Some(n) if n.fract() != 0.0 => return Err(ConfigError::InvalidField("base")),
+            Some(value) if value >= BASE => return Err(ConfigError::OutOfBounds { key: "base", value }),
             base => base.map(|n| n as u64),
         };
         let hash = if self.fields.has("hash") { Some(self.fields.text("hash")?.parse()?) } else { None };
@@ -323,24 +327,24 @@
 /// the step's base and hash are that version's is for the caller to see to.
 ///
 /// # Errors
-/// [`StepFault`] names the line, the key and the mistake; the step is refused whole.
-pub fn read_step(text: &str, on: &Content) -> Result<Step, StepFault> {
+/// [`StepError`] names the line, the key and the mistake; the step is refused whole.
+pub fn read_step(text: &str, on: &Configuration) -> Result<Step, StepError> {
     let (mut step, mut told, mut first) = (Step::default(), Told::new(), true);
     let (mut known, mut framed) = (HashSet::new(), false);
     for (line, text) in lines(text) {
         told.read(line, text)?;
         match told.line(line, on)? {
             Line::Head { base, hash } if first => (step.base, step.hash) = (base, hash),
-            Line::Head { .. } => return Err(StepFault::Form { line }),
-            Line::Change(_) if step.changes.len() >= CHANGES => return Err(StepFault::Many),
+            Line::Head { .. } => return Err(StepError::UnexpectedLine { line }),
+            Line::Change(_) if step.changes.len() >= MAX_CHANGES => return Err(StepError::TooManyChanges),
             Line::Change(change) => {
-                let entry = |why| StepFault::Entry { line, why };
+                let entry = |why| StepError::InvalidEntry { line, why };
                 match change.key() {
                     None if std::mem::replace(&mut framed, true) => {
-                        return Err(entry(Refused::Again("frame".into())));
+                        return Err(entry(ConfigError::DuplicateField("frame".into())));
                     }
                     Some((kind, name)) if !known.insert((kind, name.clone())) => {
-                        return Err(entry(Refused::Twice { kind, name: name.clone() }));
+                        return Err(entry(ConfigError::DuplicateName { kind, name: name.clone() }));
                     }
                     _ => step.changes.push(change),
                 }
@@ -351,36 +355,36 @@
     Ok(step)
 }
 
-/// Reads a whole version, as [`write_content`] writes it; a hash in its first line has to be that of what was read.
+/// Reads a whole version, as [`write_configuration`] writes it; a hash in its first line has to be that of what was read.
 ///
 /// # Errors
-/// [`StepFault`] names the line, the key and the mistake; a version has a frame and a method.
-pub fn read_content(text: &str) -> Result<Content, StepFault> {
-    let (mut content, mut told, mut last) = (Content::new(Frame::default()), Told::new(), 0);
+/// [`StepError`] names the line, the key and the mistake; a version has a frame and a method.
+pub fn read_configuration(text: &str) -> Result<Configuration, StepError> {
+    let (mut content, mut told, mut last) = (Configuration::new(GlobalSettings::default()), Told::new(), 0);
     let (mut hash, mut framed) = (None, false);
     for (line, text) in lines(text) {
         told.read(line, text)?;
-        let entry = |why| StepFault::Entry { line, why };
+        let entry = |why| StepError::InvalidEntry { line, why };
         match told.line(line, &content)? {
             Line::Head { hash: told, .. } if last == 0 => hash = told,
-            Line::Head { .. } => return Err(StepFault::Form { line }),
+            Line::Head { .. } => return Err(StepError::UnexpectedLine { line }),
             Line::Change(change) => match change.key() {
                 None if std::mem::replace(&mut framed, true) => {
-                    return Err(entry(Refused::Again("frame".into())));
+                    return Err(entry(ConfigError::DuplicateField("frame".into())));
                 }
                 Some((kind, name)) if content.name(kind, name).is_some() => {
-                    return Err(entry(Refused::Twice { kind, name: name.clone() }));
+                    return Err(entry(ConfigError::DuplicateName { kind, name: name.clone() }));
                 }
                 _ => content.change(&change).map_err(entry)?,
             },
         }
         last = line;
     }
-    let absent = |key| Err(StepFault::Entry { line: last, why: Refused::Field(key) });
+    let absent = |key| Err(StepError::InvalidEntry { line: last, why: ConfigError::InvalidField(key) });
     match hash.filter(|told| *told != content.digest()) {
         _ if !framed => absent("frame"),
-        _ if content.count(Kind::Method) == 0 => absent("Categories"),
-        Some(told) => Err(StepFault::Hash { told, found: content.digest() }),
+        _ if content.count(EntryKind::Method) == 0 => absent("Categories"),
+        Some(told) => Err(StepError::HashMismatch { told, found: content.digest() }),
         None => Ok(content),
     }
 }
--- a/operator-config/src/changes.rs
+++ b/operator-config/src/changes.rs
@@ -1,6 +1,6 @@
 //! The sections `[changes]` and `[log]`.
 
-use crate::lines::{Directive, Mistake};
+use crate::lines::{Directive, ParseError};
 use crate::units::{count_in, time_in};
 use crate::Directives;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 
 /// The form of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum LogFormat {
     #[default]
     Plain,
     Json,
@@ -17,69 +17,69 @@
 
 /// How changes of the configuration are taken. Times are microseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Changes {
+pub struct ChangesConfig {
     /// Where operators are listened to; none for nowhere.
-    pub control: Option<PathBuf>,
+    pub control_socket: Option<PathBuf>,
     /// Where versions are kept over restarts; none for nowhere.
-    pub state: Option<PathBuf>,
+    pub state_dir: Option<PathBuf>,
     pub probation: u64,
     /// By how much a figure may differ from the running one unless forced.
-    pub factor: u64,
-    pub form: Form,
+    pub max_change_factor: u64,
+    pub log_format: LogFormat,
     control_line: usize,
 }
 
-impl Default for Changes {
-    fn default() -> Changes {
-        Changes {
-            control: None,
-            state: None,
+impl Default for ChangesConfig {
+    fn default() -> ChangesConfig {
+        ChangesConfig {
+            control_socket: None,
+            state_dir: None,
             probation: 30 * S,
-            factor: 10,
-            form: Form::Plain,
+            max_change_factor: 10,
+            log_format: LogFormat::Plain,
             control_line: 0,
         }
     }
 }
 
-fn path(of: &Directive<'_>) -> Result<PathBuf, Mistake> {
+fn path(of: &Directive<'_>) -> Result<PathBuf, ParseError> {
     let word = of.one()?;
     if !word.starts_with('/') {
         let name = of.name();
-        return Err(of.mistake(format!("{name} wants a path from the root, not {word:?}")));
+        return Err(of.error(format!("{name} wants a path from the root, not {word:?}")));
     }
     Ok(word.into())
 }
 
-impl Changes {
-    pub(crate) fn read(&mut self, mut section: Directives<'_>) -> Result<(), Mistake> {
+impl ChangesConfig {
+    pub(crate) fn read(&mut self, mut section: Directives<'_>) -> Result<(), ParseError> {
         if self.control_line > 0 {
             let line = self.control_line;
-            return Err(section.mistake(&format!("[changes] stands in line {line} already")));
+            return Err(section.error(&format!("[changes] stands in line {line} already")));
         }
         self.control_line = section.line();
         for directive in section.take() {
             section.once(&directive)?;
             match directive.name() {
-                "control" => self.control = Some(path(&directive)?),
-                "state" => self.state = Some(path(&directive)?),
+                "control" => self.control_socket = Some(path(&directive)?),
+                "state" => self.state_dir = Some(path(&directive)?),
                 "probation" => self.probation = time_in(&directive, directive.one()?, S, 3600 * S)?,
-                "factor" => self.factor = count_in(&directive, directive.one()?, 2, 1000)?,
-                other => return Err(directive.mistake(format!("[changes] has no directive {other}"))),
+                "factor" => self.max_change_factor = count_in(&directive, directive.one()?, 2, 1000)?,
+                other => return Err(directive.error(format!("[changes] has no directive {other}"))),
             }
         }
         Ok(())
     }
-    pub(crate) fn read_log(&mut self, mut section: Directives<'_>) -> Result<(), Mistake> {
+    pub(crate) fn read_log(&mut self, mut section: Directives<'_>) -> Result<(), ParseError> {
         for directive in section.take() {
             section.once(&directive)?;
             match (directive.name(), directive.one()?) {
-                ("format", "plain") => self.form = Form::Plain,
-                ("format", "json") => self.form = Form::Json,
+                ("format", "plain") => self.log_format = LogFormat::Plain,
+                ("format", "json") => self.log_format = LogFormat::Json,
                 ("format", other) => {
-                    return Err(directive.mistake(format!("format is plain or json, not {other}")))
+                    return Err(directive.error(format!("format is plain or json, not {other}")))
                 }
-                (other, _) => return Err(directive.mistake(format!("[log] has no directive {other}"))),
+                (other, _) => return Err(directive.error(format!("[log] has no directive {other}"))),
             }
         }
         Ok(())
--- a/operator-config/src/lines.rs
+++ b/operator-config/src/lines.rs
@@ -5,7 +5,7 @@
 /// What is wrong with a file, and where. Line 0 stands for the file as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {text}")]
-pub struct Mistake {
+pub struct ParseError {
     pub file: String,
     pub line: usize,
     pub text: String,
@@ -23,27 +23,27 @@
 }
 
 impl<'a> Directive<'a> {
-    pub(crate) fn mistake(&self, text: impl Into<String>) -> Mistake {
-        Mistake { file: self.file.into(), line: self.line, text: text.into() }
+    pub(crate) fn error(&self, text: impl Into<String>) -> ParseError {
+        ParseError { file: self.file.into(), line: self.line, text: text.into() }
     }
     pub(crate) fn name(&self) -> &'a str {
         self.words.first().copied().unwrap_or("")
     }
     /// The one word after the name.
-    pub(crate) fn one(&self) -> Result<&'a str, Mistake> {
+    pub(crate) fn one(&self) -> Result<&'a str, ParseError> {
         match self.words[..] {
             [_, word] => Ok(word),
-            [name] => Err(self.mistake(format!("{name} wants a value"))),
-            _ => Err(self.mistake(format!("{} wants one value, not {}", self.name(), self.words.len() - 1))),
+            [name] => Err(self.error(format!("{name} wants a value"))),
+            _ => Err(self.error(format!("{} wants one value, not {}", self.name(), self.words.len() - 1))),
         }
     }
     /// The two words after the name.
-    pub(crate) fn two(&self) -> Result<(&'a str, &'a str), Mistake> {
+    pub(crate) fn two(&self) -> Result<(&'a str, &'a str), ParseError> {
         match self.words[..] {
             [_, one, two] => Ok((one, two)),
             _ => {
                 let (name, given) = (self.name(), self.words.len() - 1);
-                Err(self.mistake(format!("{name} wants two values, not {given}")))
+                Err(self.error(format!("{name} wants two values, not {given}")))
             }
         }
     }
@@ -56,18 +56,18 @@
 }
 
 impl<'a> Lines<'a> {
-    pub(crate) fn new(file: &'a str, text: &'a str) -> Result<Lines<'a>, Mistake> {
+    pub(crate) fn new(file: &'a str, text: &'a str) -> Result<Lines<'a>, ParseError> {
         let mut lines = Vec::new();
         for (i, line) in text.lines().enumerate() {
             let mut directive = Directive { file, line: i + 1, words: Vec::new() };
             if i >= MOST {
-                return Err(directive.mistake(format!("a file has {MOST} lines at most")));
+                return Err(directive.error(format!("a file has {MOST} lines at most")));
             }
             if line.len() > LONGEST {
-                return Err(directive.mistake(format!("a line has {LONGEST} bytes at most")));
+                return Err(directive.error(format!("a line has {LONGEST} bytes at most")));
             }
             if let Some(odd) = line.chars().find(|c| c.is_control() && *c != '\t') {
-                return Err(directive.mistake(format!("the character {odd:?} does not belong in a line")));
+                return Err(directive.error(format!("the character {odd:?} does not belong in a line")));
             }
             directive.words = line.split('#').next().unwrap_or("").split_whitespace().collect();
             if !directive.words.is_empty() {
@@ -77,12 +77,12 @@
         Ok(Lines { file, lines: lines.into_iter().peekable() })
     }
 
-    pub(crate) fn mistake(&self, text: &str) -> Mistake {
-        Mistake { file: self.file.into(), line: 0, text: text.into() }
+    pub(crate) fn error(&self, text: &str) -> ParseError {
+        ParseError { file: self.file.into(), line: 0, text: text.into() }
     }
 
     /// The next section, with all its directives.
-    pub(crate) fn section(&mut self) -> Result<Option<Section<'a>>, Mistake> {
+    pub(crate) fn section(&mut self) -> Result<Option<Section<'a>>, ParseError> {
         let Some(head) = self.lines.next() else { return Ok(None) };
         let inner = |word: &'a str| word.strip_prefix('[').and_then(|word| word.strip_suffix(']'));
         let (kind, name) = match head.words[..] {
@@ -97,10 +97,10 @@
             } else {
                 format!("{} stands before any section", head.name())
             };
-            return Err(head.mistake(text));
+            return Err(head.error(text));
         };
         if name == Some("") {
-            return Err(head.mistake("a section's name is empty"));
+            return Err(head.error("a section's name is empty"));
         }
         let mut directives = Vec::new();
         while let Some(next) = self.lines.next_if(|next| !next.name().starts_with('[')) {
@@ -129,20 +129,20 @@
     pub(crate) fn line(&self) -> usize {
         self.head.line
     }
-    pub(crate) fn mistake(&self, text: &str) -> Mistake {
-        self.head.mistake(text)
+    pub(crate) fn error(&self, text: &str) -> ParseError {
+        self.head.error(text)
     }
     /// Its directives, one after the other.
     pub(crate) fn take(&mut self) -> Vec<Directive<'a>> {
         std::mem::take(&mut self.directives)
     }
     /// A directive that may stand once.
-    pub(crate) fn once(&mut self, directive: &Directive<'a>) -> Result<(), Mistake> {
+    pub(crate) fn once(&mut self, directive: &Directive<'a>) -> Result<(), ParseError> {
         match self.seen.insert(directive.name(), directive.line) {
             None => Ok(()),
             Some(line) => {
                 let name = directive.name();
-                Err(directive.mistake(format!("{name} stands in line {line} already")))
+                Err(directive.error(format!("{name} stands in line {line} already")))
             }
         }
     }
--- a/operator-config/src/secret.rs
+++ b/operator-config/src/secret.rs
@@ -8,7 +8,7 @@
 
 /// Why a secret can't be used. None of these says anything of what the file holds.
 #[derive(Debug, thiserror::Error)]
-pub enum SecretFault {
+pub enum SecretError {
     #[error("{0}: {1}")]
     Unreadable(String, std::io::Error),
     #[error("{0} is no regular file")]
@@ -22,29 +22,29 @@
 }
 
 /// Reads the first line of a file that only its owner may read or write.
-pub fn read_secret(path: &Path) -> Result<String, SecretFault> {
+pub fn read_secret(path: &Path) -> Result<String, SecretError> {
     let name = path.display().to_string();
-    let unreadable = |e| SecretFault::Unreadable(path.display().to_string(), e);
+    let unreadable = |e| SecretError::Unreadable(path.display().to_string(), e);
     let mut file = std::fs::File::open(path).map_err(unreadable)?;
     // Of the open file, so that it can't be another one that is read.
     let about = file.metadata().map_err(unreadable)?;
     if !about.is_file() {
-        return Err(SecretFault::NoFile(name));
+        return Err(SecretError::NoFile(name));
     }
     if about.mode() & 0o077 != 0 {
-        return Err(SecretFault::Open(name, about.mode() & 0o777));
+        return Err(SecretError::Open(name, about.mode() & 0o777));
     }
     if about.len() > LONGEST {
-        return Err(SecretFault::Long(name));
+        return Err(SecretError::Long(name));
     }
     let mut text = String::new();
     file.by_ref()
         .take(LONGEST)
         .read_to_string(&mut text)
-        .map_err(|_| SecretFault::Empty(path.display().to_string()))?;
+        .map_err(|_| SecretError::Empty(path.display().to_string()))?;
     let secret = text.lines().next().unwrap_or("").to_string();
     if secret.is_empty() {
-        return Err(SecretFault::Empty(name));
+        return Err(SecretError::Empty(name));
     }
     Ok(secret)
 }
--- a/operator-config/src/tests.rs
+++ b/operator-config/src/tests.rs
@@ -1,6 +1,6 @@
 //! Broken files, each with the message it must give, and whole ones.
 
-use crate::{parse, read_secret, Redelivered};
+use crate::{parse, read_secret, Backoff, DedupWindow, RedeliveryPolicy};
 use quickcheck::{Gen, QuickCheck};
 use std::os::unix::fs::PermissionsExt;
 
@@ -19,14 +19,23 @@
          [queue b]\nmethod-header x-kind\nmethod-means p price\nmethod other\ntenant-header org\ncaller 7\n"
     );
     let broker = parse("x.conf", &text).unwrap().broker.unwrap();
-    assert_eq!((broker.addresses.len(), broker.heartbeat, broker.body), (2, 5_000_000, 1024));
-    assert_eq!((broker.reconnect, broker.virtual_host.as_str()), ((50_000, 2_000_000), "/stock"));
+    assert_eq!((broker.addresses.len(), broker.heartbeat, broker.max_body_bytes), (2, 5_000_000, 1024));
+    assert_eq!(
+        (broker.reconnect_backoff, broker.virtual_host.as_str()),
+        (Backoff { min: 50_000, max: 2_000_000 }, "/stock")
+    );
     let [a, b] = &broker.queues[..] else { panic!("{broker:?}") };
-    assert_eq!((a.prefetch, a.bound, a.attempts, a.pause), (7, 120_000_000, 3, (10_000, 1_000_000)));
-    assert_eq!((a.size_kb, a.remember, a.redelivered), (24.0, (3_600_000_000, 500), Redelivered::Run));
-    assert_eq!(a.method.otherwise.as_deref(), Some("look"));
-    assert_eq!((b.method.means["p"].as_str(), b.method.otherwise.as_deref()), ("price", Some("other")));
-    assert_eq!((b.tenant.header.as_deref(), b.caller.otherwise.as_deref()), (Some("org"), Some("7")));
+    assert_eq!(
+        (a.prefetch, a.processing_timeout, a.max_attempts, a.retry_backoff),
+        (7, 120_000_000, 3, Backoff { min: 10_000, max: 1_000_000 })
+    );
+    assert_eq!(
+        (a.memory_kb, a.dedup_window, a.redelivery_policy),
+        (24.0, DedupWindow { duration: 3_600_000_000, max_entries: 500 }, RedeliveryPolicy::Run)
+    );
+    assert_eq!(a.method.default_value.as_deref(), Some("look"));
+    assert_eq!((b.method.values["p"].as_str(), b.method.default_value.as_deref()), ("price", Some("other")));
+    assert_eq!((b.tenant.header.as_deref(), b.caller.default_value.as_deref()), (Some("org"), Some("7")));
     assert!(parse("x.conf", "# nothing\n\n").unwrap().broker.is_none());
 }
 
@@ -192,10 +201,19 @@
 fn a_server_comes_back_as_the_section_recovery_says_and_as_on_the_platform_without_it() {
     let parse = |text: &str| crate::parse("x.conf", text).unwrap().recovery;
     assert_eq!(parse(""), None);
-    assert_eq!(parse("[recovery]"), Some(crate::Recovery::default()));
+    assert_eq!(parse("[recovery]"), Some(crate::RecoverySettings::default()));
     let told = parse("[recovery]\nsnapshot 2s\ntrust 1h\nfirst-calls 3\nrepeats 0\nspread 100").unwrap();
     let (snapshot, trust) = (2_000_000, 3_600_000_000);
-    assert_eq!(told, crate::Recovery { snapshot, trust, first_calls: 3, repeats: 0, spread: 100 });
+    assert_eq!(
+        told,
+        crate::RecoverySettings {
+            snapshot_interval: snapshot,
+            max_snapshot_age: trust,
+            initial_calls: 3,
+            retry_percent: 0,
+            jitter_percent: 100
+        }
+    );
 }
 
 const MEMBERS: &str = "[members]\ncluster c\nlisten 127.0.0.1:7946\nkey-file /k\nexpect 5\n";
@@ -205,12 +223,15 @@
     let parse = |text: &str| crate::parse("x.conf", text).unwrap().members;
     assert_eq!(parse("[recovery]"), None);
     let plain = parse(MEMBERS).unwrap();
-    assert_eq!((plain.advertise, plain.expect, plain.probe), (plain.listen, 5, 200_000));
+    assert_eq!((plain.advertise, plain.expected_members, plain.probe_interval), (plain.listen, 5, 200_000));
     let told = parse(&format!(
         "{MEMBERS}advertise 10.0.0.1:1\ncontact 10.0.0.2:1\ncontact 10.0.0.3:1\nzone a\ncapacity 4\nprobe 1s\n\
          suspicion 5s\ngreet 2s\nsettle 3s\nforget 1d\ncalm 2m"
     ));
     let told = told.unwrap();
-    assert_eq!((told.contacts.len(), told.zone.as_str(), told.capacity), (2, "a", 4));
-    assert_eq!((told.suspicion, told.forget, told.calm), (5_000_000, 86_400_000_000, 120_000_000));
+    assert_eq!((told.seed_addresses.len(), told.zone.as_str(), told.capacity), (2, "a", 4));
+    assert_eq!(
+        (told.suspicion_timeout, told.forget_after, told.flap_window),
+        (5_000_000, 86_400_000_000, 120_000_000)
+    );
 }
--- a/operator-config/src/units.rs
+++ b/operator-config/src/units.rs
@@ -1,6 +1,6 @@
 //! Values with their units: times in whole microseconds, sizes in bytes, counts and addresses.
 
-use crate::lines::{Directive, Mistake};
+use crate::lines::{Directive, ParseError};
 use std::net::SocketAddr;
 
 /// A word as a number and its unit.
@@ -11,10 +11,9 @@
 }
 
 /// A time such as `250ms`, in microseconds.
-pub(crate) fn time(of: &Directive<'_>, word: &str) -> Result<u64, Mistake> {
+pub(crate) fn time(of: &Directive<'_>, word: &str) -> Result<u64, ParseError> {
     let name = of.name();
-    let wrong =
-        || of.mistake(format!("{name} wants a time with its unit, such as 10s or 250ms, not {word:?}"));
+    let wrong = || of.error(format!("{name} wants a time with its unit, such as 10s or 250ms, not {word:?}"));
     let (number, unit) = split(word).ok_or_else(wrong)?;
     let factor = match unit {
         "us" => 1,
@@ -25,17 +24,17 @@
         "d" => 86_400_000_000,
         _ => return Err(wrong()),
     };
-    number.checked_mul(factor).ok_or_else(|| of.mistake(format!("{name}: {word} is too long a time")))
+    number.checked_mul(factor).ok_or_else(|| of.error(format!("{name}: {word} is too long a time")))
 }
 
 /// A time within bounds, in microseconds.
-pub(crate) fn time_in(of: &Directive<'_>, word: &str, least: u64, most: u64) -> Result<u64, Mistake> {
+pub(crate) fn time_in(of: &Directive<'_>, word: &str, least: u64, most: u64) -> Result<u64, ParseError> {
     let span = time(of, word)?;
     if (least..=most).contains(&span) {
         return Ok(span);
     }
     let (name, least, most) = (of.name(), shown(least), shown(most));
-    Err(of.mistake(format!("{name} lies between {least} and {most}, not at {word}")))
+    Err(of.error(format!("{name} lies between {least} and {most}, not at {word}")))
 }
 
 fn shown(us: u64) -> String {
@@ -46,10 +45,9 @@
 }
 
 /// A size such as `16k`, in bytes, within bounds.
-pub(crate) fn size_in(of: &Directive<'_>, word: &str, least: u64, most: u64) -> Result<u64, Mistake> {
+pub(crate) fn size_in(of: &Directive<'_>, word: &str, least: u64, most: u64) -> Result<u64, ParseError> {
     let name = of.name();
-    let wrong =
-        || of.mistake(format!("{name} wants a size with its unit, such as 512b or 16k, not {word:?}"));
+    let wrong = || of.error(format!("{name} wants a size with its unit, such as 512b or 16k, not {word:?}"));
     let (number, unit) = split(word).ok_or_else(wrong)?;
     let factor = match unit {
         "b" => 1,
@@ -60,23 +58,23 @@
     };
     match number.checked_mul(factor) {
         Some(size) if (least..=most).contains(&size) => Ok(size),
-        _ => Err(of.mistake(format!("{name} lies between {least}b and {most}b, not at {word}"))),
+        _ => Err(of.error(format!("{name} lies between {least}b and {most}b, not at {word}"))),
     }
 }
 
 /// A whole number within bounds.
-pub(crate) fn count_in(of: &Directive<'_>, word: &str, least: u64, most: u64) -> Result<u64, Mistake> {
+pub(crate) fn count_in(of: &Directive<'_>, word: &str, least: u64, most: u64) -> Result<u64, ParseError> {
     let name = of.name();
     let number: u64 =
-        word.parse().map_err(|_| of.mistake(format!("{name} wants a whole number, not {word:?}")))?;
+        word.parse().map_err(|_| of.error(format!("{name} wants a whole number, not {word:?}")))?;
     if (least..=most).contains(&number) {
         return Ok(number);
     }
-    Err(of.mistake(format!("{name} lies between {least} and {most}, not at {word}")))
+    Err(of.error(format!("{name} lies between {least} and {most}, not at {word}")))
 }
 
-pub(crate) fn address(of: &Directive<'_>, word: &str) -> Result<SocketAddr, Mistake> {
+pub(crate) fn address(of: &Directive<'_>, word: &str) -> Result<SocketAddr, ParseError> {
     let name = of.name();
-    let wrong = || of.mistake(format!("{name} wants ADDRESS:PORT, such as 10.0.0.7:5672, not {word:?}"));
+    let wrong = || of.error(format!("{name} wants ADDRESS:PORT, such as 10.0.0.7:5672, not {word:?}"));
     word.parse().ok().filter(|at: &SocketAddr| at.port() > 0).ok_or_else(wrong)
 }
--- a/rollout/examples/figures.rs
+++ b/rollout/examples/figures.rs
@@ -3,7 +3,7 @@
 //! its own; and what the watch takes for a sample. One JSON object; times in milliseconds, memory in kB, medians of the steps.
 
 use asterrill::{Effect, Method};
-use asterrill_entries::{write_step, Change, Content, Frame, Name, Step};
+use asterrill_entries::{write_step, Change, Configuration, GlobalSettings, Name, Step};
 use asterrill_rollout::{
     recover, write_whole, Before, Kept, MethodCounts, ServiceSample, State, Verdict, Watch,
 };
@@ -29,7 +29,7 @@
 fn ms(since: Instant) -> f64 {
     since.elapsed().as_secs_f64() * 1e3
 }
-fn content(methods: usize, tenants: usize) -> Content {
+fn content(methods: usize, tenants: usize) -> Configuration {
     let method = Method {
         criticality: 1.0,
         latency_target: 800_000,
@@ -39,7 +39,12 @@
         effect: Effect::Idempotent,
         window: 0,
     };
-    let mut content = Content::new(Frame { cores: 4, ram_kb: 9e4, tip: 8.0, ..Frame::default() });
+    let mut content = Configuration::new(GlobalSettings {
+        cores: 4,
+        ram_kb: 9e4,
+        max_running_per_core: 8.0,
+        ..GlobalSettings::default()
+    });
     for i in 0..methods {
         let put = [Change::PutMethod(format!("service-{}.method-{i:05}", i / 40).into(), method.clone())];
         content = content.apply(&put).expect("a method");
@@ -52,7 +57,7 @@
 }
 
 /// Microseconds that the watch takes for a sample of nine RPCs, each of another method: 84 a second, each 100 ms.
-fn watch(content: &Content) -> f64 {
+fn watch(content: &Configuration) -> f64 {
     let names: Vec<Name> = content.methods().map(|(name, _)| name.clone()).collect();
     let sample = |at: usize| {
         let counted = MethodCounts { answered: 1.0, in_time: 1.0, upstream_failed: 0.0, work_us: 5_000.0 };
--- a/rollout/src/check.rs
+++ b/rollout/src/check.rs
@@ -2,7 +2,7 @@
 //! Both look at what differs, and cost that, however much a version holds.
 
 use asterrill::{Effect, Method};
-use asterrill_entries::{Change, Content, Frame, Kind, Name, Tier};
+use asterrill_entries::{Change, Configuration, EntryKind, GlobalSettings, Name, UpstreamKind};
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -90,23 +90,23 @@
     call_share: Option<f64>,
 }
 
-fn figures(frame: &Frame) -> Figures {
+fn figures(frame: &GlobalSettings) -> Figures {
     Figures {
         cores: frame.cores as f64,
-        crowd: frame.tip,
+        crowd: frame.max_running_per_core,
         memory_kb: frame.ram_kb,
-        call_share: frame.call_share.filter(|_| frame.below == Tier::Shared),
+        call_share: frame.upstream_call_quota.filter(|_| frame.upstream == UpstreamKind::Shared),
     }
 }
 
 /// Cores of one server.
-pub(crate) fn cores(content: &Content) -> f64 {
-    figures(content.frame()).cores
+pub(crate) fn cores(content: &Configuration) -> f64 {
+    figures(content.globals()).cores
 }
 
 /// What the changes touch, each key once and in the order of names, and whether the frame is among it.
 struct Touched<'a> {
-    frame: Option<&'a Frame>,
+    frame: Option<&'a GlobalSettings>,
     methods: BTreeMap<&'a Name, Option<&'a Method>>,
     tenants: BTreeMap<&'a Name, Option<f64>>,
 }
@@ -116,11 +116,11 @@
     let mut all = Touched { frame: None, methods: BTreeMap::new(), tenants: BTreeMap::new() };
     for change in changes {
         match change {
-            Change::Frame(frame) => all.frame = Some(frame),
+            Change::SetGlobals(frame) => all.frame = Some(frame),
             Change::PutMethod(name, method) => drop(all.methods.insert(name, Some(method))),
-            Change::TakeMethod(name) => drop(all.methods.insert(name, None)),
+            Change::RemoveMethod(name) => drop(all.methods.insert(name, None)),
             Change::PutTenant(name, rate) => drop(all.tenants.insert(name, Some(*rate))),
-            Change::TakeTenant(name) => drop(all.tenants.insert(name, None)),
+            Change::RemoveTenant(name) => drop(all.tenants.insert(name, None)),
         }
     }
     all
@@ -132,13 +132,13 @@
 /// or more. What the changes do not touch is not looked at again, but for the memory that is held now. To check a
 /// version by itself, hand it in as both, with the changes that lead to it from nothing.
 pub fn check(
-    running: &Content, staged: &Content, changes: &[Change], seen: &ObservedLoad, factor: f64,
+    running: &Configuration, staged: &Configuration, changes: &[Change], seen: &ObservedLoad, factor: f64,
 ) -> Vec<Problem> {
     let touched = touched(changes);
-    let (old, new) = (figures(running.frame()), figures(staged.frame()));
+    let (old, new) = (figures(running.globals()), figures(staged.globals()));
     let mut problems = List::new();
     let mut wrong = |text: &dyn Fn() -> String| problems.put(|| Problem::Wrong(text()));
-    if staged.count(Kind::Method) == 0 {
+    if staged.count(EntryKind::Method) == 0 {
         wrong(&|| "there is no method".into());
     }
     for (name, m) in touched.methods.keys().filter_map(|name| Some((name, staged.method(name)?))) {
@@ -229,7 +229,7 @@
 /// The share of the last minute's RPCs that a version would have turned away: those of methods that it does not
 /// know, those whose mean work leaves no time within the deadline, and of the rest what is beyond its cores, the
 /// least critical first. Costs what was seen.
-pub fn dry_run(new: &Content, seen: &ObservedLoad) -> f64 {
+pub fn dry_run(new: &Configuration, seen: &ObservedLoad) -> f64 {
     let all: f64 = seen.methods.values().map(|load| load.requests).sum();
     if all <= 0.0 || seen.seconds <= 0.0 {
         return 0.0;
@@ -254,7 +254,7 @@
 
 /// What the changes make of the running version, a line each, [`LISTED`] at most and then how many more there are;
 /// nothing where they mean what runs.
-pub fn difference(running: &Content, changes: &[Change]) -> Vec<String> {
+pub fn difference(running: &Configuration, changes: &[Change]) -> Vec<String> {
     let touched = touched(changes);
     let mut lines = List::new();
     let mut differs = |what: &dyn Fn() -> String, old: f64, new: f64, unit: &str| {
@@ -263,7 +263,7 @@
         }
     };
     if let Some(frame) = touched.frame {
-        let (old, new) = (figures(running.frame()), figures(frame));
+        let (old, new) = (figures(running.globals()), figures(frame));
         differs(&|| "cores".into(), old.cores, new.cores, "");
         differs(&|| "crowd survived a core".into(), old.crowd, new.crowd, "");
         differs(&|| "memory".into(), old.memory_kb, new.memory_kb, " kB");
--- a/rollout/src/record.rs
+++ b/rollout/src/record.rs
@@ -25,7 +25,8 @@
 
 use crate::{Hash, Marked, UNDONE};
 use asterrill_entries::{
-    read_step, write_content, write_step, Change, Content, Frame, Kind as Entry, Step, StepFault, CHANGES,
+    read_step, write_configuration, write_step, Change, Configuration, EntryKind as Entry, GlobalSettings,
+    Step, StepError, MAX_CHANGES,
 };
 use std::fmt::{self, Write};
 use std::io::{self, BufRead, Read};
@@ -46,7 +47,7 @@
 
 /// The hash of a version: the 32 hex digits of its entries' digest, and where there is an operator's file a `-` and 16
 /// digits of that. The same for the same meaning of the entries.
-pub fn hash(content: &Content, file: &str) -> Hash {
+pub fn hash(content: &Configuration, file: &str) -> Hash {
     let digest = content.digest();
     if file.is_empty() {
         digest.to_string().into()
@@ -60,7 +61,7 @@
 pub struct Kept {
     /// From 1 up.
     pub number: u64,
-    pub content: Content,
+    pub content: Configuration,
     /// The operator's file, as it was written; empty where there is none.
     pub file: Arc<str>,
 }
@@ -284,7 +285,7 @@
     write!(summed, "{HEAD}{head}")?;
     undone.iter().try_for_each(|(hash, number)| writeln!(summed, "undone {hash} {number}"))?;
     summed.write_str(&good.file)?;
-    write_content(&good.content, &mut summed)?;
+    write_configuration(&good.content, &mut summed)?;
     let (methods, tenants) = (good.content.count(Entry::Method), good.content.count(Entry::Tenant));
     let (sum, entries) = (summed.sum.digest(), 1 + methods + tenants);
     let end = format!("end {entries} {sum:016x}\n");
@@ -370,7 +371,7 @@
 
 /// Entries that are taken in, their text a piece at a time; after a mistake nothing more is, and it is kept.
 struct Taking {
-    content: Result<Content, String>,
+    content: Result<Configuration, String>,
     piece: Vec<u8>,
     /// Of a step, which is taken whole or not at all.
     changes: Option<Vec<Change>>,
@@ -379,10 +380,14 @@
 impl Taking {
     /// A whole version: each entry is put, so that pieces can go in one after the other.
     fn whole() -> Taking {
-        Taking { content: Ok(Content::new(Frame::default())), piece: Vec::new(), changes: None }
+        Taking {
+            content: Ok(Configuration::new(GlobalSettings::default())),
+            piece: Vec::new(),
+            changes: None,
+        }
     }
     /// A step.
-    fn onto(content: Content) -> Taking {
+    fn onto(content: Configuration) -> Taking {
         Taking { content: Ok(content), piece: Vec::new(), changes: Some(Vec::new()) }
     }
     fn line(&mut self, line: &[u8]) {
@@ -397,18 +402,18 @@
             let read = read.and_then(|text| read_step(text, content).map_err(|e| e.to_string()));
             let taken = match (read, &mut self.changes) {
                 (Ok(step), None) => Some(content.apply(&step.changes).map_err(|refused| refused.to_string())),
-                (Ok(step), Some(changes)) if changes.len() + step.changes.len() <= CHANGES => {
+                (Ok(step), Some(changes)) if changes.len() + step.changes.len() <= MAX_CHANGES => {
                     changes.extend(step.changes);
                     None
                 }
-                (Ok(_), Some(_)) => Some(Err(StepFault::Many.to_string())),
+                (Ok(_), Some(_)) => Some(Err(StepError::TooManyChanges.to_string())),
                 (Err(why), _) => Some(Err(why)),
             };
             self.content = taken.unwrap_or_else(|| self.content.clone());
         }
         self.piece.clear();
     }
-    fn end(mut self) -> Result<Content, String> {
+    fn end(mut self) -> Result<Configuration, String> {
         self.take();
         let changes = self.changes.unwrap_or_default();
         self.content?.apply(&changes).map_err(|refused| refused.to_string())
--- a/rollout/src/tests.rs
+++ b/rollout/src/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::*;
 use asterrill::{Effect, Method};
-use asterrill_entries::{Change as Entry, Content, Frame, Tier};
+use asterrill_entries::{Change as Entry, Configuration, GlobalSettings, UpstreamKind};
 use quickcheck::{Gen, QuickCheck};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -139,28 +139,28 @@
 struct Facts {
     methods: BTreeMap<&'static str, Method>,
     tenants: BTreeMap<&'static str, f64>,
-    frame: Frame,
+    frame: GlobalSettings,
 }
 impl Facts {
-    fn content(&self) -> Content {
+    fn content(&self) -> Configuration {
         let mut all = Vec::new();
         all.extend(self.methods.iter().map(|(name, m)| Entry::PutMethod((*name).into(), m.clone())));
         all.extend(self.tenants.iter().map(|(name, rate)| Entry::PutTenant((*name).into(), *rate)));
-        Content::new(self.frame.clone()).apply(&all).unwrap()
+        Configuration::new(self.frame.clone()).apply(&all).unwrap()
     }
 }
 fn facts() -> Facts {
     Facts {
         methods: [("price", method(5.0, 100)), ("look", method(1.0, 200))].into(),
         tenants: [("nile", 50.0)].into(),
-        frame: Frame {
+        frame: GlobalSettings {
             cores: 4,
-            tip: 8.0,
+            max_running_per_core: 8.0,
             ram_kb: 90_000.0,
-            below: Tier::Shared,
-            call_share: Some(20.0),
-            call_window: Some(S),
-            ..Frame::default()
+            upstream: UpstreamKind::Shared,
+            upstream_call_quota: Some(20.0),
+            upstream_call_window: Some(S),
+            ..GlobalSettings::default()
         },
     }
 }
@@ -201,13 +201,13 @@
         ),
         (|f| f.methods.clear(), "wrong: there is no method"),
         (|f| f.frame.cores = 0, "wrong: there is no core"),
-        (|f| f.frame.tip = 0.5, "wrong: the crowd survived is 0.5, under 1 a core"),
-        (|f| f.frame.call_share = Some(0.0), "wrong: the share of the calls below is nothing"),
+        (|f| f.frame.max_running_per_core = 0.5, "wrong: the crowd survived is 0.5, under 1 a core"),
+        (|f| f.frame.upstream_call_quota = Some(0.0), "wrong: the share of the calls below is nothing"),
         (|f| f.frame.ram_kb = 4_000.0, "wrong: memory of 4000 kB is under the 5000 kB held now"),
         (|f| f.frame.ram_kb = 200_000.0, "wrong: memory of 200000 kB is more than the 100000 kB there are"),
         (|f| f.frame.cores = 1, "risky: cores goes from 4 to 1, by more than 3 times (may be forced)"),
         (
-            |f| f.frame.tip = 80.0,
+            |f| f.frame.max_running_per_core = 80.0,
             "risky: the crowd survived goes from 8 to 80, by more than 3 times (may be forced)",
         ),
         (
@@ -239,7 +239,7 @@
     let mut bad = facts();
     bad.methods.get_mut("look").unwrap().deadline = 1;
     let bad = bad.content();
-    let all = Content::new((**bad.frame()).clone()).changes_to(&bad);
+    let all = Configuration::new((**bad.globals()).clone()).changes_to(&bad);
     let said = |changes: &[Entry]| check(&bad, &bad, changes, &ObservedLoad::default(), f64::INFINITY).len();
     // What a change does not touch is not held against it.
     assert_eq!((said(&all), said(&[]), said(&[Entry::PutTenant("nile".into(), 1.0)])), (1, 0, 0));
@@ -249,7 +249,7 @@
 fn what_changes_is_said_by_meaning_a_line_each() {
     let old = facts();
     let mut new = facts();
-    (new.frame.cores, new.frame.ram_kb, new.frame.call_share) = (2, 80_000.0, Some(10.0));
+    (new.frame.cores, new.frame.ram_kb, new.frame.upstream_call_quota) = (2, 80_000.0, Some(10.0));
     let price = new.methods.get_mut("price").unwrap();
     (price.criticality, price.latency_target, price.window) = (4.0, 90_500, 1_000);
     new.methods.remove("look");
@@ -272,7 +272,7 @@
             "method pay: new",
         ]
     );
-    let gone = difference(&new, &[Entry::TakeTenant("oder".into())]);
+    let gone = difference(&new, &[Entry::RemoveTenant("oder".into())]);
     assert_eq!(gone, ["tenant oder: removed"]);
     // What means what runs is no difference, also where a step says it.
     assert_eq!(difference(&old, &[Entry::PutTenant("nile".into(), 50.0)]), [""; 0]);
@@ -444,8 +444,8 @@
 }
 
 /// A version with one core and no method.
-fn nothing() -> Content {
-    Content::new(Frame { cores: 1, ..Frame::default() })
+fn nothing() -> Configuration {
+    Configuration::new(GlobalSettings { cores: 1, ..GlobalSettings::default() })
 }
 
 #[test]
--- a/rollout/src/tests/lasting.rs
+++ b/rollout/src/tests/lasting.rs
@@ -25,7 +25,7 @@
         let put =
             self.tenants.iter().map(|(name, rate)| Entry::PutTenant(name.as_str().into(), f64::from(*rate)));
         let put: Vec<Entry> = put.chain([Entry::PutMethod("look".into(), method(1.0, 100))]).collect();
-        let content = Content::new(Frame::default()).apply(&put).unwrap();
+        let content = Configuration::new(GlobalSettings::default()).apply(&put).unwrap();
         Kept { number: self.number, content, file: self.file.as_str().into() }
     }
     fn of(kept: &Kept) -> Plain {
--- a/rollout/src/watch.rs
+++ b/rollout/src/watch.rs
@@ -25,7 +25,7 @@
 //! a failure that lasts, and that only this server sees, is undone though it was good.
 
 use crate::Us;
-use asterrill_entries::{Content, Name};
+use asterrill_entries::{Configuration, Name};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Slots of half a second that must all be bad.
@@ -137,7 +137,7 @@
 #[derive(Clone, Debug)]
 pub struct Watch {
     /// The version before: its methods' criticality is looked up, not copied.
-    weights: Content,
+    weights: Configuration,
     /// Work that the old version could do in a second, in microseconds.
     room: f64,
     before: ServiceSample,
@@ -157,7 +157,7 @@
 
 impl Watch {
     /// `old`: the version before, by whose criticality and cores the change is judged. It is kept until the watch ends.
-    pub fn new(now: Us, before: &Before, old: Content, probation: Us) -> Watch {
+    pub fn new(now: Us, before: &Before, old: Configuration, probation: Us) -> Watch {
         let mut all = before.open.clone();
         before.slots.iter().for_each(|slot| all.add(slot));
         let slots = before.slots.iter().map(ServiceSample::work).fold(0.0, f64::max);
--- a/settings/examples/size.rs
+++ b/settings/examples/size.rs
@@ -1,7 +1,7 @@
 //! What a version costs: memory, and the time of reading, reading again, comparing and changing it.
 //! `cargo run --release -p asterrill-settings --example size -- 4700 49000`
 
-use asterrill_entries::{Change, Content};
+use asterrill_entries::{Change, Configuration};
 use asterrill_settings::read_from;
 use std::fmt::Write;
 use std::hint::black_box;
@@ -56,7 +56,9 @@
     let size = |n: usize, default| std::env::args().nth(n).map_or(default, |n| n.parse().unwrap());
     let (methods, tenants) = (size(1, 4_700), size(2, 49_000));
     let text = file(methods, tenants, 10.0, false);
-    let read = |text: &str, running: Option<&Content>| read_from(text.as_bytes(), running).unwrap().content;
+    let read = |text: &str, running: Option<&Configuration>| {
+        read_from(text.as_bytes(), running).unwrap().configuration
+    };
     drop(read(&file(5, 0, 0.0, false), None));
     let before = resident();
     let running = read(&text, None);
--- a/settings/src/deployment.rs
+++ b/settings/src/deployment.rs
@@ -1,15 +1,15 @@
 //! What a backend is told at its start.
 
-use crate::lists::{fault, Lists, Told};
-use crate::Fault;
+use crate::lists::{Lists, Told};
+use crate::SettingsError;
 use asterrill_entries::fields::{walk, Any, Fields, Form, Reading, Scalar};
-use asterrill_entries::{Content, MEMORY, SOCKETS};
+use asterrill_entries::{Configuration, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY};
 use serde::de::{DeserializeSeed, Error, MapAccess};
 use std::io::{self, BufReader, Read};
 use std::net::SocketAddr;
 
 /// Bytes of a file at the most: all that the bounds of its lists allow, by names of a usual length, and half as much again.
-pub const FILE: u64 = 16 * 1024 * 1024;
+pub const MAX_FILE_BYTES: u64 = 16 * 1024 * 1024;
 
 /// The place of this backend among the others.
 #[derive(Clone, Debug)]
@@ -17,18 +17,18 @@
     pub name: String,
     pub listen: SocketAddr,
     pub agent: SocketAddr,
-    pub naming: SocketAddr,
+    pub name_service: SocketAddr,
     /// Left out where nothing lies below.
-    pub records: Option<SocketAddr>,
+    pub upstream: Option<SocketAddr>,
     pub seed: u64,
     /// From the notice to leave to the kill.
-    pub stop: asterrill::Us,
+    pub shutdown_grace: asterrill::Us,
     /// As `content.frame()` has it.
     pub memory_mb: u64,
     /// As `content.frame()` has it.
     pub sockets: u64,
     /// The settings of the decision module, and what the deployment grants.
-    pub content: Content,
+    pub configuration: Configuration,
 }
 
 const OWN: &[&str] =
@@ -67,9 +67,9 @@
 ///
 /// # Errors
 /// As [`read_from`].
-pub fn read(json: &str) -> Result<Deployment, Fault> {
-    if json.len() as u64 > FILE {
-        return Err(Fault::new(too_long()));
+pub fn read(json: &str) -> Result<Deployment, SettingsError> {
+    if json.len() as u64 > MAX_FILE_BYTES {
+        return Err(SettingsError::FileTooLong);
     }
     deployment(&mut serde_json::Deserializer::from_str(json), None)
 }
@@ -80,45 +80,53 @@
 /// Keys may come in any order; those not known are passed over, and one that is known and stands twice is refused.
 ///
 /// # Errors
-/// The message names what is wrong: the reader's own error, more than [`FILE`] bytes, no JSON, or the key at fault.
-pub fn read_from(reader: impl Read, running: Option<&Content>) -> Result<Deployment, Fault> {
-    let bounded = BufReader::with_capacity(16 * 1024, Bounded { reader, left: FILE });
+/// The message names what is wrong: the reader's own error, more than [`MAX_FILE_BYTES`] bytes, no JSON, or the key at fault.
+pub fn read_from(reader: impl Read, running: Option<&Configuration>) -> Result<Deployment, SettingsError> {
+    let bounded = BufReader::with_capacity(16 * 1024, Bounded { reader, left: MAX_FILE_BYTES });
     deployment(&mut serde_json::Deserializer::from_reader(bounded), running)
 }
 
 fn deployment<'d, R: serde_json::de::Read<'d>>(
-    from: &mut serde_json::Deserializer<R>, running: Option<&Content>,
-) -> Result<Deployment, Fault> {
+    from: &mut serde_json::Deserializer<R>, running: Option<&Configuration>,
+) -> Result<Deployment, SettingsError> {
     let own = Fields::new(SCALARS, Reading::File);
     let mut file = File { own, lists: Lists::new(running), limits: false, settings: false };
-    Any(&mut file).deserialize(&mut *from).map_err(fault)?;
-    from.end().map_err(fault)?;
+    Any(&mut file).deserialize(&mut *from)?;
+    from.end()?;
     let File { own, lists, limits, settings } = file;
-    let address = |name| own.text(name)?.parse().map_err(|_| Fault::missing(name));
+    let address = |name| own.text(name)?.parse().map_err(|_| SettingsError::invalid_field(name));
     if !limits {
-        return Err(Fault::missing("limits"));
+        return Err(SettingsError::invalid_field("limits"));
     }
     let (name, listen, agent, naming) =
         (own.text("name")?.to_string(), address("listen")?, address("agent")?, address("naming")?);
     let records = if own.told("records").is_some() { Some(address("records")?) } else { None };
-    let seed = u64::from_str_radix(own.text("seed")?, 16).map_err(|_| Fault::missing("seed"))?;
+    let seed =
+        u64::from_str_radix(own.text("seed")?, 16).map_err(|_| SettingsError::invalid_field("seed"))?;
     let stop = own.time("stop_ms")?;
     if !settings {
-        return Err(Fault::missing("settings"));
+        return Err(SettingsError::invalid_field("settings"));
     }
     let Told { frame, methods, tenants } = lists.told()?;
     let (memory_mb, sockets) = (frame.memory_mb, frame.sockets);
-    for (granted, key) in [(memory_mb, MEMORY), (sockets, SOCKETS)] {
+    for (granted, key) in [(memory_mb, MEMORY_LIMIT_KEY), (sockets, SOCKET_LIMIT_KEY)] {
         if granted == 0 {
-            return Err(Fault::missing(key));
+            return Err(SettingsError::invalid_field(key));
         }
     }
-    let content = Content::whole(running, frame, methods, tenants)?;
-    Ok(Deployment { name, listen, agent, naming, records, seed, stop, memory_mb, sockets, content })
-}
-
-fn too_long() -> String {
-    format!("the file has more than {FILE} bytes, the bound FILE")
+    let content = Configuration::from_entries(running, frame, methods, tenants)?;
+    Ok(Deployment {
+        name,
+        listen,
+        agent,
+        name_service: naming,
+        upstream: records,
+        seed,
+        shutdown_grace: stop,
+        memory_mb,
+        sockets,
+        configuration: content,
+    })
 }
 
 /// Fails as soon as there is more than is left.
@@ -130,7 +138,8 @@
 impl<R: Read> Read for Bounded<R> {
     fn read(&mut self, to: &mut [u8]) -> io::Result<usize> {
         let n = self.reader.read(to)?;
-        self.left = self.left.checked_sub(n as u64).ok_or_else(|| io::Error::other(too_long()))?;
+        self.left =
+            self.left.checked_sub(n as u64).ok_or_else(|| io::Error::other(SettingsError::FileTooLong))?;
         Ok(n)
     }
 }
--- a/settings/src/lists.rs
+++ b/settings/src/lists.rs
@@ -1,16 +1,18 @@
 //! The platform's settings, read as a stream into entries: no tree of the whole is made, and no copy of its text.
 
-use crate::Fault;
+use crate::SettingsError;
 use asterrill_entries::fields::{
     walk, Any, Fields, Form, FrameFields, Reading, Scalar, METHOD, SETTINGS, TENANT,
 };
-use asterrill_entries::{Content, Finder, Frame, Kind, Method, Name, Refused, METHODS, TENANTS};
+use asterrill_entries::{
+    ConfigError, Configuration, EntryKind, GlobalSettings, Method, Name, NameLookup, MAX_METHODS, MAX_TENANTS,
+};
 use serde::de::{Error, MapAccess, SeqAccess};
 
 /// What settings say, with methods and tenants in the order of the file.
 pub(crate) struct Lists<'r> {
     /// Whose names are shared.
-    running: Option<Finder<'r>>,
+    running: Option<NameLookup<'r>>,
     pub frame: FrameFields,
     methods: Vec<(Name, Method)>,
     tenants: Vec<(Name, f64)>,
@@ -20,16 +22,16 @@
 
 /// What was read, made out.
 pub(crate) struct Told {
-    pub frame: Frame,
+    pub frame: GlobalSettings,
     pub methods: Vec<(Name, Method)>,
     pub tenants: Vec<(Name, f64)>,
 }
 
 impl<'r> Lists<'r> {
-    pub fn new(running: Option<&'r Content>) -> Lists<'r> {
+    pub fn new(running: Option<&'r Configuration>) -> Lists<'r> {
         let frame = FrameFields::new(Reading::File);
         Lists {
-            running: running.map(Finder::new),
+            running: running.map(NameLookup::new),
             frame,
             methods: Vec::new(),
             tenants: Vec::new(),
@@ -37,18 +39,18 @@
         }
     }
 
-    fn name(&mut self, kind: Kind, name: &str) -> Name {
+    fn name(&mut self, kind: EntryKind, name: &str) -> Name {
         match &mut self.running {
-            Some(running) => running.shared(kind, name),
+            Some(running) => running.shared_name(kind, name),
             None => name.into(),
         }
     }
 
     /// What was read, or the key at fault.
-    pub fn told(mut self) -> Result<Told, Fault> {
+    pub fn told(mut self) -> Result<Told, SettingsError> {
         let frame = self.frame.frame(None)?;
         if !self.listed || self.methods.is_empty() {
-            return Err(Fault::missing("Categories"));
+            return Err(SettingsError::invalid_field("Categories"));
         }
         let shares = self.frame.skips.iter().copied().chain(std::iter::repeat(0.0));
         self.methods.iter_mut().zip(shares).for_each(|((_, method), share)| method.skip_share = share);
@@ -65,10 +67,12 @@
     fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
         walk(object, SETTINGS, Reading::File, |place, object| match SETTINGS.get(place) {
             Some(&"Categories") => {
-                self.listed = object.next_value_seed(Any(Entries { of: Kind::Method, to: self }))?;
+                self.listed = object.next_value_seed(Any(Entries { of: EntryKind::Method, to: self }))?;
                 Ok(())
             }
-            Some(&"Tenants") => object.next_value_seed(Any(Entries { of: Kind::Tenant, to: self })).map(drop),
+            Some(&"Tenants") => {
+                object.next_value_seed(Any(Entries { of: EntryKind::Tenant, to: self })).map(drop)
+            }
             _ => self.frame.read(place, object),
         })?;
         Ok(true)
@@ -77,7 +81,7 @@
 
 /// A list of methods or tenants; hands back whether it was one.
 struct Entries<'l, 'r> {
-    of: Kind,
+    of: EntryKind,
     to: &'l mut Lists<'r>,
 }
 
@@ -90,7 +94,7 @@
         let (kind, lists) = (self.of, self.to);
         // A file has no SkipWorth of a method: it lists them in FamilyInfo.
         let method = METHOD.split_last().map_or(METHOD, |(_, before)| before);
-        let mut fields = Fields::new(if kind == Kind::Method { method } else { TENANT }, Reading::File);
+        let mut fields = Fields::new(if kind == EntryKind::Method { method } else { TENANT }, Reading::File);
         while list.next_element_seed(Any(&mut fields))?.is_some() {
             lists.take(kind, &fields).map_err(A::Error::custom)?;
         }
@@ -100,17 +104,21 @@
 
 impl Lists<'_> {
     /// One more entry: too many are found as they come, before they take room.
-    fn take(&mut self, kind: Kind, fields: &Fields) -> Result<(), Refused> {
+    fn take(&mut self, kind: EntryKind, fields: &Fields) -> Result<(), ConfigError> {
         let name = self.name(kind, fields.name(kind)?);
-        let of = |why: Refused| why.of(kind, &name);
+        let of = |why: ConfigError| why.in_entry(kind, &name);
         match kind {
-            Kind::Method if self.methods.len() >= METHODS => return Err(Refused::full(kind)),
-            Kind::Tenant if self.tenants.len() >= TENANTS => return Err(Refused::full(kind)),
-            Kind::Method => {
+            EntryKind::Method if self.methods.len() >= MAX_METHODS => {
+                return Err(ConfigError::too_many_entries(kind))
+            }
+            EntryKind::Tenant if self.tenants.len() >= MAX_TENANTS => {
+                return Err(ConfigError::too_many_entries(kind))
+            }
+            EntryKind::Method => {
                 let method = fields.method(0.0).map_err(of)?;
                 self.methods.push((name, method));
             }
-            Kind::Tenant => {
+            EntryKind::Tenant => {
                 let rate = fields.quota().map_err(of)?;
                 self.tenants.push((name, rate));
             }
@@ -118,12 +126,3 @@
         Ok(())
     }
 }
-
-/// A fault of the reading, told apart: what was read is no JSON, or it is and says what can't be.
-pub(crate) fn fault(e: serde_json::Error) -> Fault {
-    if e.is_syntax() || e.is_eof() {
-        Fault::new(format!("not JSON: {e}"))
-    } else {
-        Fault::new(e.to_string())
-    }
-}
--- a/settings/tests/customers.rs
+++ b/settings/tests/customers.rs
@@ -37,8 +37,8 @@
 
 /// Plays a few RPCs through a server, with all that may come of them.
 fn play(settings: &Value) -> Result<(), String> {
-    let mut server =
-        asterrill_settings::server_of(NOW, 7, settings, None).map_err(|fault| fault.to_string())?;
+    let mut server = asterrill_settings::server_parts_from_json(NOW, 7, settings, None)
+        .map_err(|fault| fault.to_string())?;
     let control = &mut server.control;
     let fine = |out: &Outcome| {
         assert!(out.credit.is_none_or(|credit| credit.is_finite() && credit >= 0.0), "{out:?}")
@@ -184,7 +184,7 @@
     }
     let mut last = told.clone();
     last.as_object_mut().unwrap().remove("records");
-    assert!(read(&last).unwrap().records.is_none());
+    assert!(read(&last).unwrap().upstream.is_none());
     for cut in [0, 1, 40, told.to_string().len() - 1] {
         assert!(asterrill_settings::read(&told.to_string()[..cut]).unwrap_err().to_string().contains("JSON"));
     }
--- a/settings/tests/files.rs
+++ b/settings/tests/files.rs
@@ -1,8 +1,11 @@
 //! Files of a deployment, read as a stream: the same whatever their order, shared with the version that runs, and refused
 //! by the name of the key at fault.
 
-use asterrill_entries::{Change, Content, Kind};
-use asterrill_settings::{content_of, read, read_from, server, server_of, Deployment, Fault, FILE};
+use asterrill_entries::{Change, Configuration, EntryKind};
+use asterrill_settings::{
+    configuration_from_json, read, read_from, server_parts, server_parts_from_json, Deployment,
+    SettingsError, MAX_FILE_BYTES,
+};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -53,7 +56,7 @@
     for seed in 0..2_000 {
         let chance = &mut StdRng::seed_from_u64(seed);
         let mut tenants: Vec<(String, f64)> = (0..8).map(|i| (format!("t{i}"), quota(chance))).collect();
-        let mut running: Option<Content> = None;
+        let mut running: Option<Configuration> = None;
         for round in 0..3 {
             let (at, before) = (format!("seed {seed} round {round}"), tenants.clone());
             tenants.shuffle(chance);
@@ -64,9 +67,9 @@
             }
             let told = whole(settings(&tenants));
             let json = text(&told, chance);
-            let plain = read(&json).unwrap().content;
-            let shared = read_from(json.as_bytes(), running.as_ref()).unwrap().content;
-            let tree = content_of(&told["settings"], 64, 64).unwrap();
+            let plain = read(&json).unwrap().configuration;
+            let shared = read_from(json.as_bytes(), running.as_ref()).unwrap().configuration;
+            let tree = configuration_from_json(&told["settings"], 64, 64).unwrap();
             assert_eq!((&shared, shared.digest()), (&plain, plain.digest()), "{at}");
             assert_eq!((&tree, tree.digest()), (&plain, plain.digest()), "{at}");
             let mut found: Vec<(String, f64)> =
@@ -88,10 +91,10 @@
 #[test]
 fn a_file_that_changes_one_quota_is_one_change_and_names_are_held_once() {
     let mut tenants: Vec<(String, f64)> = (0..500).map(|i| (format!("tenant-{i}"), 10.0)).collect();
-    let running = read(&whole(settings(&tenants)).to_string()).unwrap().content;
+    let running = read(&whole(settings(&tenants)).to_string()).unwrap().configuration;
     tenants[77].1 = 11.0;
     let told = whole(settings(&tenants)).to_string();
-    let next = read_from(told.as_bytes(), Some(&running)).unwrap().content;
+    let next = read_from(told.as_bytes(), Some(&running)).unwrap().configuration;
     assert_eq!(running.changes_to(&next), [Change::PutTenant("tenant-77".into(), 11.0)]);
     let pairs = running.tenants().zip(next.tenants());
     assert!(pairs.into_iter().all(|((a, _), (b, _))| Arc::ptr_eq(a, b)));
@@ -103,32 +106,35 @@
     let tenants: Vec<(String, f64)> = ["zeta", "acme"].map(|name| (name.to_string(), 5.0)).into();
     let told = settings(&tenants);
     let names = |list: &[Arc<str>]| list.iter().map(|name| name.to_string()).collect::<Vec<_>>();
-    let listed = server_of(0, 1, &told, None).unwrap();
+    let listed = server_parts_from_json(0, 1, &told, None).unwrap();
     assert_eq!(
-        (names(&listed.methods), listed.targets),
+        (names(&listed.methods), listed.latency_targets),
         (vec!["pay".into(), "look".into()], vec![500_000, 400_000])
     );
     assert_eq!(names(&listed.tenants), ["zeta", "acme"]);
-    let content = content_of(&told, 64, 64).unwrap();
-    let named = server(0, 1, &content, None).unwrap();
+    let content = configuration_from_json(&told, 64, 64).unwrap();
+    let named = server_parts(0, 1, &content, None).unwrap();
     assert_eq!(
-        (names(&named.methods), named.targets),
+        (names(&named.methods), named.latency_targets),
         (vec!["look".into(), "pay".into()], vec![400_000, 500_000])
     );
-    assert_eq!((names(&named.tenants), named.longest), (vec!["acme".into(), "zeta".into()], 1_000_000));
-    let bare = asterrill_settings::frame(0, 1, &content).unwrap();
     assert_eq!(
-        (bare.longest, bare.cores, bare.gauges, bare.step),
+        (names(&named.tenants), named.longest_deadline),
+        (vec!["acme".into(), "zeta".into()], 1_000_000)
+    );
+    let bare = asterrill_settings::global_parts(0, 1, &content).unwrap();
+    assert_eq!(
+        (bare.longest_deadline, bare.cores, bare.gauges, bare.min_event_interval),
         (1_000_000, 2.0, vec!["links".into()], 4_000)
     );
     let mut cold = whole(told);
     cold["settings"]["FamilyInfo"]["Cold"] = json!(true);
     assert!(fault(read(&cold.to_string())).contains("ColdFrom"));
     // It was not told how a cold one opens.
-    assert!(server(0, 1, &content, Some(true)).err().unwrap().to_string().contains("ColdFrom"));
+    assert!(server_parts(0, 1, &content, Some(true)).err().unwrap().to_string().contains("ColdFrom"));
 }
 
-fn fault(read: Result<Deployment, Fault>) -> String {
+fn fault(read: Result<Deployment, SettingsError>) -> String {
     read.map(|deployment| deployment.name).unwrap_err().to_string()
 }
 
@@ -148,8 +154,8 @@
     for length in [1, 64, 128] {
         let name = "n".repeat(length);
         let made = read(&told(&format!(r#"{{"Name":"{name}","QuotaRps":3}}"#))).unwrap();
-        assert_eq!(made.content.tenant(&name), Some(3.0));
-        assert!(made.content.name(Kind::Tenant, &name).is_some());
+        assert_eq!(made.configuration.tenant(&name), Some(3.0));
+        assert!(made.configuration.name(EntryKind::Tenant, &name).is_some());
     }
     let long = format!(r#"{{"Name":"{}","QuotaRps":3}}"#, "n".repeat(129));
     for (odd, keys) in [
@@ -164,7 +170,8 @@
         (&long, ["Name", "1 to 128 bytes"]),
         ("7", ["Name", "missing"]),
     ] {
-        let (json, running) = (told(odd), read(&told(r#"{"Name":"acme","QuotaRps":9}"#)).unwrap().content);
+        let (json, running) =
+            (told(odd), read(&told(r#"{"Name":"acme","QuotaRps":9}"#)).unwrap().configuration);
         for why in [fault(read(&json)), fault(read_from(json.as_bytes(), Some(&running)))] {
             assert!(keys.iter().all(|key| why.contains(key)), "{odd}: {why}");
         }
@@ -181,14 +188,14 @@
 fn a_file_cut_off_anywhere_or_that_goes_on_is_refused() {
     let json =
         text(&whole(settings(&[("acme".into(), 5.0), ("查價".into(), 7.5)])), &mut StdRng::seed_from_u64(3));
-    let running = read(&json).unwrap().content;
+    let running = read(&json).unwrap().configuration;
     for cut in 0..json.len() {
         let why = fault(read_from(&json.as_bytes()[..cut], Some(&running)));
         assert!(why.contains("not JSON"), "{cut}: {why}");
     }
     assert!(fault(read(&format!("{json} x"))).contains("not JSON"));
     assert!(fault(read_from(format!("{json}{{}}").as_bytes(), None)).contains("not JSON"));
-    let long = format!("{json}{}", " ".repeat(FILE as usize));
+    let long = format!("{json}{}", " ".repeat(MAX_FILE_BYTES as usize));
     assert!([read(&long), read_from(long.as_bytes(), None)]
         .into_iter()
         .all(|read| fault(read).contains("bound FILE")));
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -8,13 +8,15 @@
 use std::io::{self, BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
-use wire::{Fault, Instance};
+use wire::{Instance, SettingsError};
 
-fn answer(line: &str, instances: &mut BTreeMap<u64, Instance>) -> Result<Value, Fault> {
-    let batch: Value = serde_json::from_str(line).map_err(|e| Fault::new(format!("not JSON: {e}")))?;
+fn answer(line: &str, instances: &mut BTreeMap<u64, Instance>) -> Result<Value, SettingsError> {
+    let batch: Value =
+        serde_json::from_str(line).map_err(|e| SettingsError::new(format!("not JSON: {e}")))?;
     let number = wire::integer(&batch, "n")?;
     let now = wire::time(&batch, "TimeMs")?;
-    let items = batch.get("items").and_then(Value::as_array).ok_or_else(|| Fault::missing("items"))?;
+    let items =
+        batch.get("items").and_then(Value::as_array).ok_or_else(|| SettingsError::invalid_field("items"))?;
     let mut output = Vec::new();
     for item in items {
         let kind = wire::text(item, "kind")?;
@@ -31,9 +33,9 @@
             }
             _ => {}
         }
-        let instance = instances
-            .get_mut(&number)
-            .ok_or_else(|| Fault::new(format!("{kind} for instance {number}, which was not started")))?;
+        let instance = instances.get_mut(&number).ok_or_else(|| {
+            SettingsError::new(format!("{kind} for instance {number}, which was not started"))
+        })?;
         // A panic in the module must not look like a silent adapter.
         let done = catch_unwind(AssertUnwindSafe(|| wire::feed(now, kind, item, instance)));
         match done {
@@ -48,7 +50,7 @@
     Ok(json!({"n": number, "output": output}))
 }
 
-fn serve() -> Result<(), Fault> {
+fn serve() -> Result<(), SettingsError> {
     let mut instances: BTreeMap<u64, Instance> = BTreeMap::new();
     let mut out = io::BufWriter::new(io::stdout().lock());
     for line in io::stdin().lock().lines() {
--- a/simulator/src/wire.rs
+++ b/simulator/src/wire.rs
@@ -2,8 +2,11 @@
 
 use asterrill::{Answer, Arrival, CallEnd, CallerId, Control, Gauges, MethodId, Outcome, RpcId, RunEnd, Us};
 use asterrill_entries::Name;
-use asterrill_settings::{flag, maybe, maybe_time, number, part, us, whole};
-pub use asterrill_settings::{integer, text, time, Fault};
+use asterrill_settings::json::{
+    flag, micros_from_millis, number, object, optional_number, optional_time, whole_number,
+};
+pub use asterrill_settings::json::{integer, text, time};
+pub use asterrill_settings::SettingsError;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
@@ -11,8 +14,8 @@
     us as f64 / 1000.0
 }
 
-fn id(v: &Value, name: &str) -> Result<RpcId, Fault> {
-    RpcId::new(text(v, name)?).ok_or_else(|| Fault::missing(name))
+fn id(v: &Value, name: &str) -> Result<RpcId, SettingsError> {
+    RpcId::new(text(v, name)?).ok_or_else(|| SettingsError::invalid_field(name))
 }
 
 /// One server and the places of the names that the wire gives.
@@ -23,28 +26,34 @@
 }
 
 /// Makes an instance from its first message.
-pub fn start(now: Us, item: &Value) -> Result<Instance, Fault> {
-    let server = asterrill_settings::server_of(now, integer(item, "Nonce64")?, part(item, "Params")?, None)?;
+pub fn start(now: Us, item: &Value) -> Result<Instance, SettingsError> {
+    let server = asterrill_settings::server_parts_from_json(
+        now,
+        integer(item, "Nonce64")?,
+        object(item, "Params")?,
+        None,
+    )?;
     let methods = server.methods.into_iter().enumerate().map(|(i, name)| (name, MethodId(i)));
     let tenants = server.tenants.into_iter().enumerate().map(|(i, name)| (name, i));
     Ok(Instance { control: server.control, methods: methods.collect(), tenants: tenants.collect() })
 }
 
-fn arrival(item: &Value, methods: &BTreeMap<Name, MethodId>) -> Result<Arrival, Fault> {
+fn arrival(item: &Value, methods: &BTreeMap<Name, MethodId>) -> Result<Arrival, SettingsError> {
     let name = text(item, "Cls")?;
-    let method =
-        methods.get(name).ok_or_else(|| Fault::new(format!("Cls {name} is not among the settings")))?;
+    let method = methods
+        .get(name)
+        .ok_or_else(|| SettingsError::new(format!("Cls {name} is not among the settings")))?;
     let prior = item.get("Prior").and_then(Value::as_str).and_then(RpcId::new);
     Ok(Arrival {
         id: id(item, "Id")?,
         method: *method,
-        caller: CallerId(maybe(item, "Sender")?.unwrap_or(0.0) as u64),
-        due: maybe(item, "NotAfterMs")?.filter(|at| *at > 0.0).map(us),
+        caller: CallerId(optional_number(item, "Sender")?.unwrap_or(0.0) as u64),
+        due: optional_number(item, "NotAfterMs")?.filter(|at| *at > 0.0).map(micros_from_millis),
         size_kb: number(item, "SizeKb")?,
-        unread: maybe_time(item, "UnreadForMs")?,
+        unread: optional_time(item, "UnreadForMs")?,
         repeat: flag(item, "Repeat"),
         prior,
-        key: item.get("Key").and_then(whole),
+        key: item.get("Key").and_then(whole_number),
     })
 }
 
@@ -54,7 +63,7 @@
 }
 
 /// Decodes one event into a call of the module.
-pub fn feed(now: Us, kind: &str, item: &Value, instance: &mut Instance) -> Result<Outcome, Fault> {
+pub fn feed(now: Us, kind: &str, item: &Value, instance: &mut Instance) -> Result<Outcome, SettingsError> {
     let control = &mut instance.control;
     Ok(match kind {
         "NewInstance" => control.started(),
@@ -70,7 +79,7 @@
                 "server_error" => RunEnd::Aborted,
                 "called_off" => RunEnd::Stopped,
                 "not_sent" => RunEnd::NotStarted,
-                other => return Err(Fault::new(format!("StateCode {other} of Done is not known"))),
+                other => return Err(SettingsError::new(format!("StateCode {other} of Done is not known"))),
             };
             control.run_ended(now, id(item, "Id")?, end)
         }
@@ -81,13 +90,15 @@
                 "server_error" | "connection_lost" | "called_off" => CallEnd::Aborted,
                 "no_answer" => CallEnd::TimedOut,
                 "turned_away" | "no_connection" | "not_sent" => CallEnd::PushedBack,
-                other => return Err(Fault::new(format!("StateCode {other} of CallResult is not known"))),
+                other => {
+                    return Err(SettingsError::new(format!("StateCode {other} of CallResult is not known")))
+                }
             };
             control.call_ended(now, id(item, "Id")?, end)
         }
         "TerminateSoon" => control.drain(now, now, time(item, "NotAfterMs")?),
         "TimeoutFired" => control.woken(now, gauges(item)),
-        other => return Err(Fault::new(format!("kind {other} is not known"))),
+        other => return Err(SettingsError::new(format!("kind {other} is not known"))),
     })
 }
 
