--- a/consumer/src/deadline.rs
+++ b/consumer/src/deadline.rs
@@ -3,16 +3,28 @@
 use asterrill::Us;
 use asterrill_protocol::amqp::Headers;
 
-/// The earliest of: its `timestamp` plus its `expiration`; without a timestamp its expiration from now on, as
-/// the time in the queue is not told; and the queue's own bound from now on. A timestamp that lies ahead counts
-/// as now: clocks differ. None if it is over already.
-pub fn due(now: Us, headers: &Headers, bound: Us) -> Option<Us> {
-    let expiration = headers.expiration.as_deref().and_then(|ms| ms.parse::<u64>().ok());
-    let expiration = expiration.map(|ms| ms.saturating_mul(1000));
-    let since = headers.timestamp.map_or(now, |s| s.saturating_mul(1_000_000).min(now));
-    let last = now.saturating_add(bound);
-    let due = expiration.map_or(last, |span| since.saturating_add(span).min(last));
-    // A timestamp has whole seconds: what was sent in the second of its end is given the rest of that.
-    let grace = if headers.timestamp.is_some() && expiration.is_some() { 1_000_000 } else { 0 };
-    Some(due.saturating_add(grace).min(last)).filter(|due| *due > now)
+const US_PER_MS: Us = 1_000;
+const US_PER_S: Us = 1_000_000;
+
+/// The deadline of a delivery that was read `now`; none if it has passed already.
+///
+/// It is the earliest of: the message's `timestamp` plus its `expiration`; without a timestamp the expiration from now
+/// on, as the time spent in the queue is not on the message; and `processing_timeout` from now on. A timestamp in the
+/// future counts as now, because clocks differ.
+pub(crate) fn deadline(now: Us, headers: &Headers, processing_timeout: Us) -> Option<Us> {
+    let latest = now.saturating_add(processing_timeout);
+    let Some(time_to_live) = time_to_live(headers) else {
+        return Some(latest).filter(|deadline| *deadline > now);
+    };
+    let published_at = headers.timestamp.map_or(now, |seconds| seconds.saturating_mul(US_PER_S).min(now));
+    // A timestamp has whole seconds: what was sent in the second of its end is given the rest of that second.
+    let rounding = if headers.timestamp.is_some() { US_PER_S } else { 0 };
+    let expires_at = published_at.saturating_add(time_to_live).min(latest).saturating_add(rounding);
+    Some(expires_at.min(latest)).filter(|deadline| *deadline > now)
+}
+
+/// The message's `expiration` in microseconds; none if it has none or it is not a number.
+fn time_to_live(headers: &Headers) -> Option<Us> {
+    let milliseconds = headers.expiration.as_deref()?.parse::<u64>().ok()?;
+    Some(milliseconds.saturating_mul(US_PER_MS))
 }
--- a/consumer/src/dedup.rs
+++ b/consumer/src/dedup.rs
@@ -1,109 +1,153 @@
-//! Whether a delivery is one that was read before, and what became of that.
+//! Whether a delivery repeats an earlier one, and how that one was settled.
 
 use asterrill::Us;
 use asterrill_protocol::amqp::{Delivery, Settle};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::Xxh3;
 
-/// By what a message is known again.
+/// By what a redelivery of a message is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Identity {
-    /// Its publisher named it: two messages of this name are one.
+pub(crate) enum MessageIdentity {
+    /// The hash of its `message-id`: two deliveries with one id are one message.
     Named(u128),
-    /// All that it carries: two that are alike are told apart only by how many there are.
-    Alike(u128),
+    /// The hash of all its content, where it has no id: equal messages are told apart only by how many there are.
+    Content(u128),
 }
 
-impl Identity {
-    /// `message-id` names a message within its queue; else all that it carries tells it.
-    pub fn of(delivery: &Delivery) -> Identity {
+impl MessageIdentity {
+    /// The identity of a delivery within its queue.
+    pub(crate) fn of(delivery: &Delivery) -> MessageIdentity {
         let mut hash = Xxh3::new();
-        let mut part = |bytes: &[u8]| {
-            hash.update(&(bytes.len() as u64).to_le_bytes());
-            hash.update(bytes);
-        };
         if let Some(id) = delivery.headers.message_id.as_ref().filter(|id| !id.is_empty()) {
-            part(id.as_bytes());
-            return Identity::Named(hash.digest128());
+            hash_part(&mut hash, id.as_bytes());
+            return MessageIdentity::Named(hash.digest128());
         }
-        part(delivery.exchange.as_bytes());
-        part(delivery.routing_key.as_bytes());
-        part(delivery.headers.correlation_id.as_deref().unwrap_or("").as_bytes());
-        part(delivery.headers.reply_to.as_deref().unwrap_or("").as_bytes());
-        part(&delivery.headers.timestamp.unwrap_or(0).to_le_bytes());
-        for (name, value) in &delivery.headers.fields {
-            part(name.as_bytes());
-            part(value.as_bytes());
+        let headers = &delivery.headers;
+        hash_part(&mut hash, delivery.exchange.as_bytes());
+        hash_part(&mut hash, delivery.routing_key.as_bytes());
+        hash_part(&mut hash, headers.correlation_id.as_deref().unwrap_or("").as_bytes());
+        hash_part(&mut hash, headers.reply_to.as_deref().unwrap_or("").as_bytes());
+        hash_part(&mut hash, &headers.timestamp.unwrap_or(0).to_le_bytes());
+        for (name, value) in &headers.fields {
+            hash_part(&mut hash, name.as_bytes());
+            hash_part(&mut hash, value.as_bytes());
         }
-        part(delivery.body.as_deref().unwrap_or(&[]));
-        Identity::Alike(hash.digest128())
+        hash_part(&mut hash, delivery.body.as_deref().unwrap_or(&[]));
+        MessageIdentity::Content(hash.digest128())
     }
+
+    /// Whether the publisher named the message.
+    pub(crate) fn is_named(self) -> bool {
+        matches!(self, MessageIdentity::Named(_))
+    }
+}
+
+/// Hashes a part with its length before it, so that parts can't run into one another.
+fn hash_part(hash: &mut Xxh3, bytes: &[u8]) {
+    hash.update(&(bytes.len() as u64).to_le_bytes());
+    hash.update(bytes);
+}
+
+/// One remembered settlement.
+#[derive(Clone, Copy, Debug)]
+struct SettledEntry {
+    sequence: u64,
+    expires_at: Us,
+    settlement: Settle,
+}
+
+/// The place of a remembered settlement in the order of expiry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ExpiryKey {
+    expires_at: Us,
+    sequence: u64,
+    identity: MessageIdentity,
 }
 
-/// What became of messages, for a while: at most so many, the oldest go first.
+/// How messages were settled, for a limited time and in a limited number; the oldest go first.
 #[derive(Debug)]
-pub struct Ended {
-    span: Us,
-    most: usize,
-    next: u64,
-    of: BTreeMap<Identity, Vec<(u64, Us, Settle)>>,
-    order: BTreeSet<(Us, u64, Identity)>,
+pub(crate) struct SettledMessages {
+    ttl: Us,
+    capacity: usize,
+    last_sequence: u64,
+    by_identity: BTreeMap<MessageIdentity, Vec<SettledEntry>>,
+    by_expiry: BTreeSet<ExpiryKey>,
 }
 
-impl Ended {
-    pub fn new(span: Us, most: usize) -> Ended {
-        Ended { span, most, next: 0, of: BTreeMap::new(), order: BTreeSet::new() }
+impl SettledMessages {
+    /// Remembers at most `capacity` settlements, each for `ttl` microseconds.
+    pub(crate) fn new(ttl: Us, capacity: usize) -> SettledMessages {
+        SettledMessages {
+            ttl,
+            capacity,
+            last_sequence: 0,
+            by_identity: BTreeMap::new(),
+            by_expiry: BTreeSet::new(),
+        }
     }
-    /// Other bounds from now on; the span counts for what is remembered from now on.
-    pub fn bound(&mut self, span: Us, most: usize) {
-        (self.span, self.most) = (span, most);
-        while self.order.len() > most {
-            self.drop_first();
+
+    /// Changes the limits. The time to live applies to what is remembered from now on.
+    pub(crate) fn set_limits(&mut self, ttl: Us, capacity: usize) {
+        self.ttl = ttl;
+        self.capacity = capacity;
+        while self.by_expiry.len() > capacity {
+            self.remove_oldest();
         }
     }
-    pub fn len(&self) -> usize {
-        self.order.len()
+
+    /// Settlements remembered now.
+    pub(crate) fn len(&self) -> usize {
+        self.by_expiry.len()
     }
-    /// A message has ended. A name is kept once, with its first end.
-    pub fn keep(&mut self, now: Us, identity: Identity, how: Settle) {
-        self.age(now);
-        if self.most == 0 || matches!(identity, Identity::Named(_)) && self.of.contains_key(&identity) {
+
+    /// A message was settled. A named one is remembered once, with its first settlement.
+    pub(crate) fn insert(&mut self, now: Us, identity: MessageIdentity, settlement: Settle) {
+        self.expire(now);
+        let already_remembered = identity.is_named() && self.by_identity.contains_key(&identity);
+        if self.capacity == 0 || already_remembered {
             return;
         }
-        if self.order.len() >= self.most {
-            self.drop_first();
+        if self.by_expiry.len() >= self.capacity {
+            self.remove_oldest();
         }
-        self.next += 1;
-        let until = now.saturating_add(self.span);
-        self.of.entry(identity).or_default().push((self.next, until, how));
-        self.order.insert((until, self.next, identity));
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        let expires_at = now.saturating_add(self.ttl);
+        self.by_identity.entry(identity).or_default().push(SettledEntry { sequence, expires_at, settlement });
+        self.by_expiry.insert(ExpiryKey { expires_at, sequence, identity });
     }
-    /// What became of a message. One that is only alike is used up: the next alike is another.
-    pub fn find(&mut self, now: Us, identity: Identity) -> Option<Settle> {
-        self.age(now);
-        let (number, until, how) = self.of.get(&identity)?.first().copied()?;
-        if matches!(identity, Identity::Alike(_)) {
-            self.forget((until, number, identity));
+
+    /// How a message was settled. The entry of one without a name is used up by this: the next equal delivery is
+    /// another message.
+    pub(crate) fn take(&mut self, now: Us, identity: MessageIdentity) -> Option<Settle> {
+        self.expire(now);
+        let SettledEntry { sequence, expires_at, settlement } =
+            self.by_identity.get(&identity)?.first().copied()?;
+        if !identity.is_named() {
+            self.remove(ExpiryKey { expires_at, sequence, identity });
         }
-        Some(how)
+        Some(settlement)
     }
-    fn age(&mut self, now: Us) {
-        while self.order.first().is_some_and(|(until, ..)| *until <= now) {
-            self.drop_first();
+
+    fn expire(&mut self, now: Us) {
+        while self.by_expiry.first().is_some_and(|oldest| oldest.expires_at <= now) {
+            self.remove_oldest();
         }
     }
-    fn drop_first(&mut self) {
-        if let Some(first) = self.order.first().copied() {
-            self.forget(first);
+
+    fn remove_oldest(&mut self) {
+        if let Some(oldest) = self.by_expiry.first().copied() {
+            self.remove(oldest);
         }
     }
-    /// The one place where what is remembered is given back.
-    fn forget(&mut self, at: (Us, u64, Identity)) {
-        self.order.remove(&at);
-        if let Some(all) = self.of.get_mut(&at.2) {
-            all.retain(|(number, ..)| *number != at.1);
-            if all.is_empty() {
-                self.of.remove(&at.2);
+
+    /// The one place where an entry is removed from both indexes.
+    fn remove(&mut self, key: ExpiryKey) {
+        self.by_expiry.remove(&key);
+        if let Some(entries) = self.by_identity.get_mut(&key.identity) {
+            entries.retain(|entry| entry.sequence != key.sequence);
+            if entries.is_empty() {
+                self.by_identity.remove(&key.identity);
             }
         }
     }
--- /dev/null
+++ b/consumer/src/execution.rs
@@ -0,0 +1,85 @@
+//! Inputs from the engine: runs, withdrawals and final answers.
+
+use crate::action::InFlightId;
+use crate::message::MessageState;
+use crate::queue::QueueConsumer;
+use crate::settlement::{AttemptHistory, Disposition, RetryPolicy};
+use asterrill::{Effect, Final, Us};
+use asterrill_protocol::amqp::Settle;
+
+impl QueueConsumer {
+    /// A run of a message was started.
+    pub fn run_started(&mut self, id: InFlightId) {
+        if let Some(message) = self.messages.get_mut(&id) {
+            message.state = MessageState::Submitted { run_started: true };
+            message.runs = message.runs.saturating_add(1);
+        }
+    }
+
+    /// A submission was withdrawn from the engine before it ran. The message waits for its redelivery.
+    pub fn withdrawn(&mut self, now: Us, id: InFlightId) {
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        if message.is_submitted_unstarted() {
+            message.state = MessageState::Waiting { retry_at: now };
+            self.set_timer(now, id);
+        }
+    }
+
+    /// The engine gave its final answer.
+    pub fn answered(&mut self, now: Us, id: InFlightId, answer: Final<'_>) {
+        let Some(message) = self.messages.get(&id) else { return };
+        let MessageState::Submitted { run_started } = message.state else { return };
+        let history = AttemptHistory {
+            effect: message.effect,
+            deadline: message.submission.deadline,
+            runs: message.runs,
+            consecutive_rejections: message.consecutive_rejections,
+            ran: run_started,
+        };
+        let policy = RetryPolicy {
+            max_attempts: self.config.max_attempts,
+            backoff: self.config.backoff,
+            draining: self.draining,
+        };
+        match policy.decide(now, &answer, history) {
+            Disposition::Retry { delay } => self.retry_later(now + delay, id, run_started),
+            Disposition::Settle(settlement) => {
+                self.count_unsuccessful(id, settlement, history);
+                let result = match answer {
+                    Final::Ok(result) => result,
+                    _ => &[],
+                };
+                self.reply_and_settle(now, id, settlement, result);
+            }
+        }
+    }
+
+    fn retry_later(&mut self, retry_at: Us, id: InFlightId, ran: bool) {
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        message.state = MessageState::Waiting { retry_at };
+        if ran {
+            message.consecutive_rejections = 0;
+            self.stats.retries_after_abort += 1;
+        } else {
+            message.consecutive_rejections = message.consecutive_rejections.saturating_add(1);
+            self.stats.retries_after_rejection += 1;
+        }
+        self.set_timer(retry_at, id);
+    }
+
+    /// Counts why the deliveries of a message are rejected, if they are.
+    fn count_unsuccessful(&mut self, id: InFlightId, settlement: Settle, history: AttemptHistory) {
+        if settlement != Settle::Reject {
+            return;
+        }
+        let Some(message) = self.messages.get(&id) else { return };
+        let attempts_used_up =
+            history.effect == Effect::Idempotent && history.runs >= self.config.max_attempts;
+        let count = match history.ran {
+            true if attempts_used_up => &mut self.stats.poisoned,
+            true => &mut self.stats.failed,
+            false => &mut self.stats.expired,
+        };
+        *count += message.delivery_tags.len() as u64;
+    }
+}
--- /dev/null
+++ b/consumer/src/intake.rs
@@ -0,0 +1,167 @@
+//! The intake of deliveries: each is submitted to the engine, joined to a message in flight, or settled at once.
+
+use crate::action::{Action, InFlightId, Submission};
+use crate::deadline::deadline;
+use crate::dedup::MessageIdentity;
+use crate::message::{Message, MessageState, ReplyAddress};
+use crate::queue::{QueueConsumer, MIN_REOPEN_DELAY};
+use crate::routes::{route, Catalog, Route, RouteError};
+use crate::subscription::Subscription;
+use asterrill::{Effect, Us};
+use asterrill_protocol::amqp::{Delivery, DeliveryTag, Headers, Settle};
+
+/// The reply code of AMQP 0-9-1 for a precondition that failed.
+const PRECONDITION_FAILED: u16 = 406;
+
+impl QueueConsumer {
+    /// A message was delivered. Its route is found among the methods and tenants that are in force now.
+    pub fn delivered(&mut self, now: Us, delivery: Delivery, catalog: &dyn Catalog) {
+        self.stats.deliveries += 1;
+        self.stats.redelivered += u64::from(delivery.redelivered);
+        self.reopen_delay = MIN_REOPEN_DELAY;
+        let tag = delivery.tag;
+        if self.draining {
+            self.settle_delivery(tag, Settle::Requeue);
+            return;
+        }
+        if delivery.body.is_none() {
+            self.stats.too_long += 1;
+            self.settle_delivery(tag, Settle::Reject);
+            return;
+        }
+        let route = match route(&delivery.headers, &self.config, catalog) {
+            Ok(route) => route,
+            Err(error) => return self.reject_unrouted(tag, &error),
+        };
+        let identity = MessageIdentity::of(&delivery);
+        if self.absorb_duplicate(now, identity, &delivery, route.effect) {
+            return;
+        }
+        let prior_runs = prior_runs(&delivery);
+        let Some(deadline) = self.runnable_until(now, &delivery.headers, route.effect, prior_runs) else {
+            self.settle_delivery(tag, Settle::Reject);
+            return;
+        };
+        if self.messages.len() >= self.config.max_in_flight() {
+            self.close_overrun_channel(now);
+            return;
+        }
+        self.take_in(delivery, identity, route, deadline, prior_runs);
+    }
+
+    /// Counts the reason if a message must not be run; else says until when it may run.
+    fn runnable_until(&mut self, now: Us, headers: &Headers, effect: Effect, prior_runs: u32) -> Option<Us> {
+        let may_have_run = prior_runs > 0 && effect == Effect::NonIdempotent;
+        if may_have_run && !self.config.run_unverified_redeliveries {
+            self.stats.unverified += 1;
+            return None;
+        }
+        if prior_runs >= self.config.max_attempts {
+            self.stats.poisoned += 1;
+            return None;
+        }
+        let deadline = deadline(now, headers, self.config.processing_timeout);
+        self.stats.expired += u64::from(deadline.is_none());
+        deadline
+    }
+
+    /// The broker delivered more than the prefetch allows.
+    fn close_overrun_channel(&mut self, now: Us) {
+        self.stats.overrun += 1;
+        let delay = self.next_reopen_delay();
+        self.channel_lost(Subscription::ChannelClosed { reopen_at: now + delay });
+        self.actions.push_back(Action::CloseChannel {
+            code: PRECONDITION_FAILED,
+            reason: "more deliveries than the prefetch allows",
+        });
+    }
+
+    fn take_in(
+        &mut self, delivery: Delivery, identity: MessageIdentity, route: Route, deadline: Us, prior_runs: u32,
+    ) {
+        self.last_id += 1;
+        let id = InFlightId(self.last_id);
+        let submission = Submission {
+            id,
+            method: route.method,
+            tenant: route.tenant,
+            caller: route.caller,
+            deadline,
+            size_kb: self.config.size_kb,
+        };
+        let Delivery { tag, headers, body, .. } = delivery;
+        let correlation_id = headers.correlation_id;
+        let message = Message {
+            identity,
+            effect: route.effect,
+            submission: submission.clone(),
+            body: body.unwrap_or_default(),
+            delivery_tags: vec![tag],
+            state: MessageState::Submitted { run_started: false },
+            runs: prior_runs,
+            consecutive_rejections: 0,
+            reply_address: headers.reply_to.map(|queue| ReplyAddress { queue, correlation_id }),
+        };
+        self.unsettled += 1;
+        self.messages.insert(id, message);
+        self.by_identity.entry(identity).or_default().insert(id);
+        self.actions.push_back(Action::Submit(submission));
+    }
+
+    /// If a delivery is of a message that is in flight or was settled, it is settled like that one; true then. A
+    /// message without a name must be marked as redelivered for this, and is joined only to one whose own delivery was
+    /// lost.
+    fn absorb_duplicate(
+        &mut self, now: Us, identity: MessageIdentity, delivery: &Delivery, effect: Effect,
+    ) -> bool {
+        if !delivery.redelivered && (!identity.is_named() || effect == Effect::Idempotent) {
+            return false;
+        }
+        if let Some(id) = self.in_flight_duplicate(identity) {
+            self.join(now, id, delivery.tag);
+            return true;
+        }
+        let Some(settlement) = self.settled.take(now, identity) else { return false };
+        self.stats.deduplicated += 1;
+        self.settle_delivery(delivery.tag, settlement);
+        true
+    }
+
+    /// The message in flight that a delivery with this identity belongs to.
+    fn in_flight_duplicate(&self, identity: MessageIdentity) -> Option<InFlightId> {
+        let lost_its_delivery =
+            |id: &InFlightId| self.messages.get(id).is_some_and(|message| message.delivery_tags.is_empty());
+        let candidates = self.by_identity.get(&identity)?;
+        candidates.iter().find(|id| identity.is_named() || lost_its_delivery(id)).copied()
+    }
+
+    /// Joins a delivery to a message in flight: both are settled together.
+    fn join(&mut self, now: Us, id: InFlightId, tag: DeliveryTag) {
+        let Some(message) = self.messages.get_mut(&id) else { return };
+        message.delivery_tags.push(tag);
+        self.unsettled += 1;
+        self.stats.joined += 1;
+        if let MessageState::Waiting { retry_at } = message.state {
+            self.set_timer(retry_at.max(now), id);
+            self.advance(now);
+        }
+    }
+
+    fn reject_unrouted(&mut self, tag: DeliveryTag, error: &RouteError) {
+        // Logged at the 1st, 2nd, 3rd, 5th, 9th and so on: a misconfigured queue must not flood the log.
+        let logged = self.stats.unrouted == 0 || self.stats.unrouted.is_power_of_two();
+        if logged {
+            let line = format!("rejected a delivery of queue {} without a route: {error}", self.config.name);
+            self.actions.push_back(Action::Log(line));
+        }
+        self.stats.unrouted += 1;
+        self.settle_delivery(tag, Settle::Reject);
+    }
+}
+
+/// How often a message was run before, as far as the broker says: a queue that counts says how often it was delivered;
+/// else a redelivered message was delivered once at least.
+fn prior_runs(delivery: &Delivery) -> u32 {
+    let deliveries = delivery.headers.delivery_count.unwrap_or(u64::from(delivery.redelivered));
+    u32::try_from(deliveries).unwrap_or(u32::MAX)
+}
--- a/consumer/src/routes.rs
+++ b/consumer/src/routes.rs
@@ -1,89 +1,99 @@
 //! The method, tenant and caller of a delivery.
 
+use crate::config::ConsumerConfig;
 use asterrill::{CallerId, Effect, MethodId};
 use asterrill_protocol::amqp::Headers;
 use std::collections::BTreeMap;
-use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Who knows the methods and tenants that there are: one for all queues, asked by name at each delivery.
-pub trait Known {
+/// Set in the numbers of callers that are made from a name, apart from those that sidecars give as 32 bits.
+const NAMED_CALLER_BIT: u64 = 1 << 63;
+/// Characters of an unknown name that are shown in a log line.
+const MAX_NAME_SHOWN: usize = 64;
+
+/// The methods and tenants in force, looked up by name for each delivery. One serves all queues.
+pub trait Catalog {
     /// A method that is in force, with its effect.
     fn method(&self, name: &str) -> Option<(MethodId, Effect)>;
-    /// The place of a tenant that is in force.
+    /// The index of a tenant that is in force.
     fn tenant(&self, name: &str) -> Option<usize>;
-    /// Tenants are told apart: what is of none of them goes nowhere.
-    fn tells_tenants(&self) -> bool;
+    /// Whether tenants are told apart: a delivery of none of them has no route then.
+    fn requires_tenant(&self) -> bool;
 }
 
-/// Where a value comes from: a header, whose texts may stand for others, or what is said for the whole queue.
+/// Where a value of a delivery is read from: a header, or a default for the whole queue.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Select {
+pub struct FieldSource {
+    /// The header's name; none to use the default always.
     pub header: Option<String>,
-    /// What a text of the header stands for; one that is not listed stands for itself.
-    pub means: BTreeMap<String, String>,
-    /// Without the header.
-    pub otherwise: Option<String>,
+    /// Values of the header that stand for others; one that is not listed stands for itself.
+    pub aliases: BTreeMap<String, String>,
+    /// The value without the header.
+    pub default: Option<String>,
 }
 
-impl Select {
-    pub fn fixed(value: &str) -> Select {
-        Select { otherwise: Some(value.into()), ..Select::default() }
-    }
-    fn of<'a>(&'a self, headers: &'a Headers) -> Option<&'a str> {
-        let told = self.header.as_ref().and_then(|name| headers.fields.get(name)).map(String::as_str);
-        match told {
-            Some(told) => Some(self.means.get(told).map_or(told, String::as_str)),
-            None => self.otherwise.as_deref(),
+impl FieldSource {
+    fn read<'a>(&'a self, headers: &'a Headers) -> Option<&'a str> {
+        let value = self.header.as_ref().and_then(|name| headers.fields.get(name));
+        match value {
+            Some(value) => Some(self.aliases.get(value).unwrap_or(value)),
+            None => self.default.as_deref(),
         }
     }
 }
 
 /// Where a delivery goes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Route {
-    pub method: MethodId,
-    pub effect: Effect,
-    pub tenant: Option<usize>,
-    pub caller: CallerId,
+pub(crate) struct Route {
+    pub(crate) method: MethodId,
+    pub(crate) effect: Effect,
+    pub(crate) tenant: Option<usize>,
+    pub(crate) caller: CallerId,
 }
 
-/// Why a delivery goes nowhere.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Unrouted {
-    Method(Option<String>),
-    Tenant(Option<String>),
+/// Why a delivery has no route.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum RouteError {
+    #[error("no method given")]
+    NoMethod,
+    #[error("unknown method {0:?}")]
+    UnknownMethod(String),
+    #[error("no tenant given")]
+    NoTenant,
+    #[error("unknown tenant {0:?}")]
+    UnknownTenant(String),
 }
 
-impl fmt::Display for Unrouted {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (what, name) = match self {
-            Unrouted::Method(name) => ("method", name),
-            Unrouted::Tenant(name) => ("tenant", name),
-        };
-        match name {
-            Some(name) => {
-                write!(f, "the {what} {:?} is not known", name.chars().take(64).collect::<String>())
-            }
-            None => write!(f, "it names no {what}"),
-        }
-    }
+/// Finds the route of a delivery. A caller that is not a number is numbered by its name, and that of a queue for which
+/// none is configured by the queue's name.
+pub(crate) fn route(
+    headers: &Headers, config: &ConsumerConfig, catalog: &dyn Catalog,
+) -> Result<Route, RouteError> {
+    let method_name = config.method.read(headers).ok_or(RouteError::NoMethod)?;
+    let (method, effect) =
+        catalog.method(method_name).ok_or_else(|| RouteError::UnknownMethod(shown(method_name)))?;
+    let tenant = tenant_of(headers, config, catalog)?;
+    let caller = caller_number(config.caller.read(headers).unwrap_or(&config.name));
+    Ok(Route { method, effect, tenant, caller })
 }
 
-/// Routes a delivery. Where tenants are told apart, it is of one of them. A caller that is no number, and that
-/// of a queue for which none is set, is numbered by its name, apart from the numbers of sidecars.
-pub fn route(
-    headers: &Headers, queue: &str, (method, tenant, caller): (&Select, &Select, &Select), known: &dyn Known,
-) -> Result<Route, Unrouted> {
-    let name = method.of(headers);
-    let (method, effect) =
-        name.and_then(|name| known.method(name)).ok_or_else(|| Unrouted::Method(name.map(str::to_string)))?;
-    let name = tenant.of(headers);
-    let tenant = name.and_then(|name| known.tenant(name));
-    if tenant.is_none() && known.tells_tenants() {
-        return Err(Unrouted::Tenant(name.map(str::to_string)));
+fn tenant_of(
+    headers: &Headers, config: &ConsumerConfig, catalog: &dyn Catalog,
+) -> Result<Option<usize>, RouteError> {
+    let name = config.tenant.read(headers);
+    let tenant = name.and_then(|name| catalog.tenant(name));
+    if tenant.is_none() && catalog.requires_tenant() {
+        return Err(name.map_or(RouteError::NoTenant, |name| RouteError::UnknownTenant(shown(name))));
     }
-    let told = caller.of(headers).unwrap_or(queue);
-    let caller = told.parse::<u32>().map_or_else(|_| xxh3_64(told.as_bytes()) | 1 << 63, u64::from);
-    Ok(Route { method, effect, tenant, caller: CallerId(caller) })
+    Ok(tenant)
+}
+
+fn caller_number(text: &str) -> CallerId {
+    let number = text.parse::<u32>().map_or_else(|_| xxh3_64(text.as_bytes()) | NAMED_CALLER_BIT, u64::from);
+    CallerId(number)
+}
+
+/// As much of a name that a publisher chose as goes into a log line.
+fn shown(name: &str) -> String {
+    name.chars().take(MAX_NAME_SHOWN).collect()
 }
--- a/consumer/src/settlement.rs
+++ b/consumer/src/settlement.rs
@@ -1,59 +1,76 @@
-//! What an answer makes of a delivery.
+//! What an answer of the engine makes of a delivery.
 
+use crate::config::Backoff;
 use asterrill::{Effect, Final, Us};
 use asterrill_protocol::amqp::Settle;
 
 /// What becomes of a delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It is over; whoever asked for an answer gets one.
+pub(crate) enum Disposition {
+    /// It is settled; whoever asked for a reply gets one.
     Settle(Settle),
-    /// It is offered again after so long.
-    Again(Us),
+    /// It is submitted again after this delay, in microseconds.
+    Retry { delay: Us },
 }
 
-/// How a delivery was tried so far.
+/// How a message was run so far.
 #[derive(Clone, Copy, Debug)]
-pub struct Tried {
-    /// Whether it may run again, and when it is due.
-    pub effect: Effect,
-    pub due: Us,
-    /// Runs that were made, here or before, the last one included.
-    pub runs: u32,
-    /// Pushbacks in a row.
-    pub pushed_back: u32,
-    /// A run was made for the last offer.
-    pub ran: bool,
+pub(crate) struct AttemptHistory {
+    /// Whether its method may run again.
+    pub(crate) effect: Effect,
+    /// When it must be answered, in microseconds.
+    pub(crate) deadline: Us,
+    /// Runs that were made, here or before a redelivery, the last one included.
+    pub(crate) runs: u32,
+    /// Rejections in a row.
+    pub(crate) consecutive_rejections: u32,
+    /// Whether the last submission was run.
+    pub(crate) ran: bool,
 }
 
-/// The rules, in order:
-///
-/// 1. ok: acknowledged.
-/// 2. It never ran and the server leaves: back into the queue, for another server.
-/// 3. It never ran: offered again when it was told to come back, or after a pause that doubles with every
-///    pushback. What would be due before that is rejected now. Nothing is sent back to the broker for it, or it
-///    would come again at once, as fast as the line carries it.
-/// 4. It ran and may run again, and has runs left: back into the queue if the server leaves, else offered again
-///    after a pause that doubles with every run. Guards against a poison message that ends every run; the harm
-///    is that its place in the window is taken meanwhile.
-/// 5. It ran: rejected, for the dead-letter side. A run that was aborted may have had its effect, and what must
-///    not take effect twice is not tried again.
-pub fn verdict(
-    now: Us, answer: &Final<'_>, tried: Tried, attempts: u32, pause: (Us, Us), leaving: bool,
-) -> Verdict {
-    let grown = |times: u32| pause.0.saturating_mul(1 << times.min(20)).min(pause.1);
-    let again = |wait: Us| match now.saturating_add(wait) < tried.due {
-        true => Verdict::Again(wait),
-        false => Verdict::Settle(Settle::Reject),
-    };
-    let again_runs = tried.effect == Effect::Idempotent && tried.runs < attempts;
-    match answer {
-        Final::Ok(_) => Verdict::Settle(Settle::Ack),
-        _ if !tried.ran && leaving => Verdict::Settle(Settle::Requeue),
-        Final::PushedBack { come_back, .. } => again(grown(tried.pushed_back).max(*come_back)),
-        Final::Aborted if !tried.ran => again(grown(tried.pushed_back)),
-        Final::Aborted if again_runs && leaving => Verdict::Settle(Settle::Requeue),
-        Final::Aborted if again_runs => again(grown(tried.runs.saturating_sub(1))),
-        Final::Aborted => Verdict::Settle(Settle::Reject),
+/// When a message is retried.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RetryPolicy {
+    /// Runs after which a message is not retried.
+    pub(crate) max_attempts: u32,
+    /// The delay before a retry.
+    pub(crate) backoff: Backoff,
+    /// The server drains: what may run elsewhere goes back to the broker.
+    pub(crate) draining: bool,
+}
+
+impl RetryPolicy {
+    /// Decides about a message that was answered `now`, in this order:
+    ///
+    /// 1. Ok: acknowledged.
+    /// 2. It never ran and the server drains: requeued, for another server.
+    /// 3. It never ran: retried after the answer's Retry-After or a delay that doubles with each rejection, whichever is
+    ///    longer. What would then be past its deadline is rejected now. It is not requeued: the broker would redeliver
+    ///    it at once, as fast as the connection carries it.
+    /// 4. It ran, is idempotent and has attempts left: requeued if the server drains, else retried after a delay that
+    ///    doubles with each run. This bounds the cost of a poison message; it takes its place in the window meanwhile.
+    /// 5. It ran: rejected, for the dead-letter side. An aborted run may have had its effect, and what must not take
+    ///    effect twice is not run again.
+    pub(crate) fn decide(&self, now: Us, answer: &Final<'_>, history: AttemptHistory) -> Disposition {
+        let may_run_again = history.effect == Effect::Idempotent && history.runs < self.max_attempts;
+        let after_rejection = self.backoff.delay(history.consecutive_rejections);
+        let retry = |delay| retry_before_deadline(now, delay, history.deadline);
+        match answer {
+            Final::Ok(_) => Disposition::Settle(Settle::Ack),
+            _ if !history.ran && self.draining => Disposition::Settle(Settle::Requeue),
+            Final::PushedBack { come_back, .. } => retry(after_rejection.max(*come_back)),
+            Final::Aborted if !history.ran => retry(after_rejection),
+            Final::Aborted if may_run_again && self.draining => Disposition::Settle(Settle::Requeue),
+            Final::Aborted if may_run_again => retry(self.backoff.delay(history.runs.saturating_sub(1))),
+            Final::Aborted => Disposition::Settle(Settle::Reject),
+        }
+    }
+}
+
+fn retry_before_deadline(now: Us, delay: Us, deadline: Us) -> Disposition {
+    if now.saturating_add(delay) < deadline {
+        Disposition::Retry { delay }
+    } else {
+        Disposition::Settle(Settle::Reject)
     }
 }
--- /dev/null
+++ b/consumer/src/tests/harness.rs
@@ -0,0 +1,305 @@
+//! A broker and an engine played by the test, which record every delivery tag and every run.
+
+use crate::{Action, Backoff, Catalog, ConsumerConfig, FieldSource, InFlightId, QueueConsumer};
+use asterrill::{Effect, Final, MethodId, Us};
+use asterrill_protocol::amqp::{Channel, Delivery, DeliveryTag, Headers, Settle};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+pub(super) const MS: Us = 1_000;
+pub(super) const S: Us = 1_000_000;
+
+pub(super) fn config(method: &str) -> ConsumerConfig {
+    ConsumerConfig {
+        name: "q".into(),
+        method: FieldSource {
+            header: Some("kind".into()),
+            default: Some(method.into()),
+            ..FieldSource::default()
+        },
+        tenant: FieldSource::default(),
+        caller: FieldSource::default(),
+        prefetch: 64,
+        processing_timeout: 10 * S,
+        max_attempts: 3,
+        backoff: Backoff { min: 100 * MS, max: 2 * S },
+        size_kb: 4.0,
+        dedup_ttl: 600 * S,
+        dedup_capacity: 10_000,
+        run_unverified_redeliveries: false,
+    }
+}
+
+/// One method of each effect; tenants are not told apart.
+pub(super) struct TestCatalog;
+
+impl Catalog for TestCatalog {
+    fn method(&self, name: &str) -> Option<(MethodId, Effect)> {
+        let all = [("read", Effect::Idempotent), ("keyed", Effect::Tokened), ("pay", Effect::NonIdempotent)];
+        let index = all.iter().position(|(method, _)| *method == name)?;
+        Some((MethodId(index), all[index].1))
+    }
+    fn tenant(&self, _: &str) -> Option<usize> {
+        None
+    }
+    fn requires_tenant(&self) -> bool {
+        false
+    }
+}
+
+/// A message in the broker.
+#[derive(Clone, Debug)]
+pub(super) struct QueuedMessage {
+    pub(super) name: u64,
+    pub(super) named: bool,
+    pub(super) prior_deliveries: u64,
+    pub(super) wants_reply: bool,
+}
+
+/// The consumer under test with its broker and engine, and what these have recorded.
+pub(super) struct Harness {
+    pub(super) queue: QueueConsumer,
+    pub(super) now: Us,
+    pub(super) ready: VecDeque<QueuedMessage>,
+    /// Delivered on the present channel and not settled, by tag.
+    pub(super) unsettled: BTreeMap<DeliveryTag, QueuedMessage>,
+    pub(super) settled_tags: BTreeSet<DeliveryTag>,
+    pub(super) settlements: BTreeMap<u64, Vec<Settle>>,
+    pub(super) last_tag: u64,
+    pub(super) submitted: BTreeMap<InFlightId, u64>,
+    pub(super) running: BTreeMap<InFlightId, u64>,
+    pub(super) runs: BTreeMap<u64, u64>,
+    pub(super) reply_requests: Vec<InFlightId>,
+    pub(super) publish_sequence: u64,
+    pub(super) prefetch: Option<u16>,
+    pub(super) actions: Vec<Action>,
+    pub(super) violations: Vec<String>,
+    pub(super) tag_source: TagSource,
+}
+
+/// Makes delivery tags. Only a session can, so a delivery is played to one for each.
+pub(super) struct TagSource(asterrill_protocol::amqp::Session);
+
+impl TagSource {
+    pub(super) fn new() -> TagSource {
+        use asterrill_protocol::amqp::{Credentials, Login, Session};
+        let credentials = Credentials { user: "u".into(), password: "p".into() };
+        let login = Login { credentials, virtual_host: "/".into(), heartbeat: 0, max_body_bytes: 64 };
+        TagSource(Session::new(login))
+    }
+    /// The tag of a delivery with this number on the present channel.
+    pub(super) fn tag(&mut self, number: u64) -> DeliveryTag {
+        let name = [1, b'c'];
+        let mut payload = vec![0, 60, 0, 60];
+        payload.extend_from_slice(&name);
+        payload.extend_from_slice(&number.to_be_bytes());
+        payload.extend_from_slice(&[0, 0, 0]); // not redelivered, no exchange, no routing key
+        let header = [0, 60, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0];
+        let bytes = [frame(1, 2, &payload), frame(2, 2, &header)].concat();
+        match self.0.read(1, &mut &bytes[..]) {
+            Ok(Some(asterrill_protocol::amqp::Event::Delivered(delivery))) => delivery.tag,
+            other => panic!("{other:?}"),
+        }
+    }
+    /// A new connection with a new channel.
+    pub(super) fn renew(&mut self) {
+        self.0.connected(1);
+        let start = [&[0, 10, 0, 10, 0, 9, 0, 0, 0, 0, 0, 0, 0, 5][..], b"PLAIN", &[0, 0, 0, 0]].concat();
+        let tune = [0, 10, 0, 30, 0, 0, 0, 0, 0, 0, 0, 0];
+        let bytes = [frame(1, 0, &start), frame(1, 0, &tune), frame(1, 0, &[0, 10, 0, 41, 0])].concat();
+        let mut input = &bytes[..];
+        while self.0.read(1, &mut input).unwrap().is_some() {}
+        assert!(self.0.open(Channel(2)));
+        let ok = frame(1, 2, &[0, 20, 0, 11, 0, 0, 0, 0]);
+        assert!(self.0.read(1, &mut &ok[..]).unwrap().is_some());
+        self.0.out.clear();
+    }
+}
+
+pub(super) fn frame(kind: u8, channel: u16, payload: &[u8]) -> Vec<u8> {
+    let mut bytes = vec![kind];
+    bytes.extend_from_slice(&channel.to_be_bytes());
+    bytes.extend_from_slice(&(payload.len() as u32).to_be_bytes());
+    bytes.extend_from_slice(payload);
+    bytes.push(206);
+    bytes
+}
+
+impl Harness {
+    pub(super) fn new(config: ConsumerConfig) -> Harness {
+        let queue = QueueConsumer::new(S, 1, 5, config);
+        let mut harness = Harness {
+            queue,
+            now: S,
+            ready: VecDeque::new(),
+            unsettled: BTreeMap::new(),
+            settled_tags: BTreeSet::new(),
+            settlements: BTreeMap::new(),
+            last_tag: 0,
+            submitted: BTreeMap::new(),
+            running: BTreeMap::new(),
+            runs: BTreeMap::new(),
+            reply_requests: Vec::new(),
+            publish_sequence: 0,
+            prefetch: None,
+            actions: Vec::new(),
+            violations: Vec::new(),
+            tag_source: TagSource::new(),
+        };
+        harness.connect();
+        harness
+    }
+    pub(super) fn connect(&mut self) {
+        self.tag_source.renew();
+        self.queue.connection_up(self.now);
+        self.carry_out_actions();
+        self.update_prefetch(8.0);
+    }
+    pub(super) fn update_prefetch(&mut self, credit: f64) {
+        self.queue.update_prefetch(self.now, Some(credit), 2.0, 100.0);
+        self.carry_out_actions();
+    }
+    pub(super) fn publish(&mut self, name: u64, named: bool, reply: bool) {
+        self.ready.push_back(QueuedMessage { name, named, prior_deliveries: 0, wants_reply: reply });
+    }
+
+    pub(super) fn carry_out_actions(&mut self) {
+        while let Some(action) = self.queue.next_action() {
+            self.actions.push(action.clone());
+            match action {
+                Action::OpenChannel => self.queue.channel_opened(self.now),
+                Action::Consume { prefetch } => {
+                    self.prefetch = Some(prefetch);
+                    self.queue.consume_ok(self.now);
+                }
+                Action::Cancel => {
+                    self.prefetch = None;
+                    self.queue.cancelled(self.now, false);
+                }
+                Action::Submit(submission) => {
+                    let name =
+                        self.queue.body(submission.id).map(|body| std::str::from_utf8(body).unwrap().parse());
+                    let name: u64 = name.unwrap().unwrap();
+                    if self.submitted.insert(submission.id, name).is_some()
+                        || self.running.contains_key(&submission.id)
+                    {
+                        self.violations.push(format!("{name} was submitted twice at a time"));
+                    }
+                }
+                Action::Withdraw(id) => {
+                    if self.submitted.remove(&id).is_some() {
+                        self.queue.withdrawn(self.now, id);
+                    }
+                }
+                Action::Settle { tag, settlement } => self.settle(tag, settlement),
+                Action::PublishReply(id) => self.reply_requests.push(id),
+                Action::CloseChannel { .. } => self.redeliver_unsettled(),
+                Action::Log(_) => {}
+            }
+        }
+    }
+    pub(super) fn settle(&mut self, tag: DeliveryTag, settlement: Settle) {
+        if !self.settled_tags.insert(tag) {
+            self.violations.push(format!("{tag:?} was settled twice"));
+        }
+        // The session does not write the settlement of a delivery whose channel is gone.
+        let Some(mut message) = self.unsettled.remove(&tag) else {
+            if self.tag_source.0.is_current(tag) {
+                self.violations.push(format!("{tag:?} was never delivered"));
+            }
+            return;
+        };
+        if settlement == Settle::Requeue {
+            message.prior_deliveries += 1;
+            self.ready.push_back(message);
+        } else {
+            self.settlements.entry(message.name).or_default().push(settlement);
+        }
+    }
+    /// What is not settled goes back into the queue, to be delivered again.
+    pub(super) fn redeliver_unsettled(&mut self) {
+        self.prefetch = None;
+        for (_, mut message) in std::mem::take(&mut self.unsettled) {
+            message.prior_deliveries += 1;
+            self.ready.push_front(message);
+        }
+    }
+    pub(super) fn disconnect(&mut self) {
+        self.tag_source.0.disconnected();
+        self.queue.connection_down();
+        self.redeliver_unsettled();
+        self.carry_out_actions();
+    }
+    /// Delivers what the prefetch allows; `twice` sends the first of it under a second tag as well.
+    pub(super) fn deliver(&mut self, limit: usize, twice: bool) {
+        for n in 0..limit {
+            let allowed = self.prefetch.is_some_and(|prefetch| self.unsettled.len() < usize::from(prefetch));
+            if !allowed {
+                return;
+            }
+            let Some(message) = self.ready.pop_front() else { return };
+            for _ in 0..if twice && n == 0 && message.prior_deliveries > 0 { 2 } else { 1 } {
+                self.last_tag += 1;
+                let tag = self.tag_source.tag(self.last_tag);
+                let headers = Headers {
+                    message_id: message.named.then(|| format!("m{}", message.name)),
+                    reply_to: message.wants_reply.then(|| "r".to_string()),
+                    ..Headers::default()
+                };
+                self.unsettled.insert(tag, message.clone());
+                let delivery = Delivery {
+                    tag,
+                    redelivered: message.prior_deliveries > 0,
+                    exchange: String::new(),
+                    routing_key: "q".into(),
+                    headers,
+                    size: 1,
+                    body: Some(message.name.to_string().into_bytes()),
+                };
+                self.queue.delivered(self.now, delivery, &TestCatalog);
+                self.carry_out_actions();
+            }
+        }
+    }
+    pub(super) fn start_run(&mut self) -> Option<u64> {
+        let (id, name) = self.submitted.pop_first()?;
+        self.queue.run_started(id);
+        self.running.insert(id, name);
+        *self.runs.entry(name).or_default() += 1;
+        Some(name)
+    }
+    pub(super) fn end_run(&mut self, ok: bool) {
+        if let Some((id, _)) = self.running.pop_first() {
+            let answer = if ok { Final::Ok(b"result") } else { Final::Aborted };
+            self.queue.answered(self.now, id, answer);
+            self.carry_out_actions();
+        }
+    }
+    pub(super) fn reject(&mut self, come_back: Us) {
+        if let Some((id, _)) = self.submitted.pop_first() {
+            self.queue.answered(self.now, id, Final::PushedBack { terminal: false, come_back });
+            self.carry_out_actions();
+        }
+    }
+    pub(super) fn confirm_replies(&mut self, arrived: bool) {
+        for id in std::mem::take(&mut self.reply_requests) {
+            if self.queue.pending_reply(id).is_some() {
+                self.publish_sequence += 1;
+                self.queue.reply_published(id, self.publish_sequence);
+            }
+        }
+        self.queue.reply_confirmed(self.now, self.publish_sequence, true, arrived);
+        self.carry_out_actions();
+    }
+    pub(super) fn advance(&mut self, span: Us) {
+        let until = self.now + span;
+        while let Some(at) = self.queue.next_timer().filter(|at| *at <= until) {
+            self.now = self.now.max(at);
+            self.update_prefetch(8.0);
+        }
+        self.now = until;
+    }
+    pub(super) fn check(&self) {
+        assert_eq!(self.violations, Vec::<String>::new());
+        assert!(self.queue.in_flight() <= self.queue.config().max_in_flight());
+    }
+}
--- /dev/null
+++ b/consumer/src/tests/mod.rs
@@ -0,0 +1,5 @@
+//! Tests of the consumer.
+
+mod harness;
+mod parts;
+mod queue;
--- /dev/null
+++ b/consumer/src/tests/parts.rs
@@ -0,0 +1,88 @@
+//! Deadlines, the prefetch window and the memory of settlements, each by itself.
+
+use super::harness::{MS, S};
+use crate::dedup::{MessageIdentity, SettledMessages};
+use crate::prefetch::{PrefetchSignals, PrefetchWindow};
+use asterrill::Us;
+use asterrill_protocol::amqp::{Headers, Settle};
+
+#[test]
+fn deadline_is_the_earliest_bound_and_tolerates_clock_skew() {
+    use crate::deadline::deadline;
+    let now = 1_000 * S;
+    let deadline_with = |expiration: &str, timestamp| {
+        let expiration = Some(expiration.to_string()).filter(|text| !text.is_empty());
+        deadline(now, &Headers { expiration, timestamp, ..Headers::default() }, 30 * S)
+    };
+    assert_eq!(deadline_with("", None), Some(now + 30 * S));
+    assert_eq!(deadline_with("5000", None), Some(now + 5 * S));
+    assert_eq!(deadline_with("60000", None), Some(now + 30 * S));
+    assert_eq!(deadline_with("5000", Some(998)), Some(now + 4 * S));
+    assert_eq!(deadline_with("5000", Some(5_000)), Some(now + 6 * S)); // the clock of its publisher is ahead
+    assert_eq!(deadline_with("5000", Some(900)), None);
+    assert_eq!(deadline_with("99999999999999999999", Some(900)), Some(now + 30 * S));
+    assert_eq!(deadline_with("soon", None), Some(now + 30 * S));
+    assert_eq!(deadline_with("0", None), None);
+}
+
+#[test]
+fn prefetch_window_doubles_and_limits_its_rate_of_change() {
+    let signals = |credit: f64| PrefetchSignals {
+        credit: Some(credit),
+        cores: 2.0,
+        memory_capacity: 1e3,
+        unsettled: 0,
+        waiting: 0,
+    };
+    let mut window = PrefetchWindow::new(0, 64);
+    let mut sizes = Vec::new();
+    for n in 0..100 {
+        if window.update(S + n * 100 * MS, signals(20.0)) {
+            sizes.push(window.get());
+        }
+    }
+    assert_eq!(sizes, [1, 2, 4, 8, 16, 32]);
+    // A credit that alternates at every update: a few changes a second at most.
+    let mut changes = 0;
+    for n in 0..100 {
+        changes += usize::from(window.update(20 * S + n * 100 * MS, signals([0.0, 20.0][n as usize % 2])));
+    }
+    assert!(changes <= 20, "{changes}");
+    let mut window = PrefetchWindow::new(0, 64);
+    assert!(window.update(S, signals(0.4)) && window.get() == 1, "a credit below one lets one out");
+    assert!(window.update(S + 1, signals(0.0)) && window.get() == 0, "down to none at once");
+    assert!(!window.update(S + 500 * MS, signals(9.0)), "and back a second later");
+    assert!(window.update(2 * S + 1, signals(9.0)) && window.get() == 1);
+    let mut window = PrefetchWindow::new(0, 64);
+    for n in 1..8 {
+        window.update(n * S, signals(20.0));
+    }
+    let many_waiting = PrefetchSignals { unsettled: 30, waiting: 20, ..signals(20.0) };
+    assert!(window.update(20 * S, many_waiting) && window.get() == 16, "half while more than half wait");
+    let little_memory = PrefetchSignals { memory_capacity: 3.0, ..signals(20.0) };
+    assert!(window.update(30 * S, little_memory) && window.get() == 2);
+}
+
+#[test]
+fn settled_messages_are_bounded_in_number_and_time() {
+    let mut settled = SettledMessages::new(10 * S, 100);
+    for n in 0..1_000_u128 {
+        settled.insert(n as Us, MessageIdentity::Named(n), Settle::Ack);
+    }
+    assert_eq!(settled.len(), 100);
+    assert_eq!(
+        (settled.take(999, MessageIdentity::Named(0)), settled.take(999, MessageIdentity::Named(950))),
+        (None, Some(Settle::Ack))
+    );
+    settled.insert(999, MessageIdentity::Named(950), Settle::Reject);
+    assert_eq!(
+        settled.take(999, MessageIdentity::Named(950)),
+        Some(Settle::Ack),
+        "the first settlement counts"
+    );
+    assert_eq!((settled.take(11 * S, MessageIdentity::Named(999)), settled.len()), (None, 0));
+    settled.insert(0, MessageIdentity::Content(1), Settle::Ack);
+    settled.insert(0, MessageIdentity::Content(1), Settle::Reject);
+    let all = [(); 3].map(|()| settled.take(1, MessageIdentity::Content(1)));
+    assert_eq!((all, settled.len()), ([Some(Settle::Ack), Some(Settle::Reject), None], 0));
+}
--- /dev/null
+++ b/consumer/src/tests/queue.rs
@@ -0,0 +1,465 @@
+//! A queue's consumer against a broker and an engine that the harness plays.
+
+use super::harness::{config, Harness, QueuedMessage, TestCatalog, MS, S};
+use crate::{Action, ConsumerConfig};
+use asterrill::Us;
+use asterrill_protocol::amqp::{Delivery, DeliveryTag, Headers, Settle};
+use quickcheck::Gen;
+use std::collections::BTreeSet;
+
+/// Plays random inputs: each tag is settled once, what must not run twice runs once, and every message is settled.
+fn any_order(method: &'static str) {
+    let holds = move |steps: Vec<(u8, u16)>| {
+        let mut harness =
+            Harness::new(ConsumerConfig { run_unverified_redeliveries: true, ..config(method) });
+        let mut names = 0;
+        for (step, n) in steps {
+            match step % 12 {
+                0 | 1 => {
+                    names += 1;
+                    harness.publish(names, true, n % 3 == 0);
+                }
+                2 | 3 => harness.deliver(1 + n as usize % 4, n % 5 == 0),
+                4 | 5 => drop(harness.start_run()),
+                6 => harness.end_run(n % 4 != 0),
+                7 => harness.reject(n as Us % 300 * MS),
+                8 => harness.confirm_replies(n % 4 != 0),
+                9 if n % 4 == 0 => {
+                    harness.disconnect();
+                    harness.connect();
+                }
+                10 if n % 6 == 0 => {
+                    harness.queue.channel_closed(harness.now, 406, "unknown tag");
+                    harness.tag_source.renew();
+                    harness.redeliver_unsettled();
+                    harness.carry_out_actions();
+                }
+                11 if n % 6 == 0 => {
+                    harness.prefetch = None;
+                    harness.queue.cancelled(harness.now, true);
+                    harness.carry_out_actions();
+                }
+                _ => harness.advance(n as Us % 400 * MS),
+            }
+            harness.check();
+        }
+        for _ in 0..3_000 {
+            harness.deliver(4, false);
+            while harness.start_run().is_some() {}
+            harness.end_run(true);
+            harness.confirm_replies(true);
+            harness.advance(20 * MS);
+        }
+        harness.check();
+        assert!(
+            harness.ready.is_empty() && harness.unsettled.is_empty(),
+            "{} {}",
+            harness.ready.len(),
+            harness.unsettled.len()
+        );
+        assert_eq!((harness.queue.unsettled(), harness.queue.in_flight()), (0, 0));
+        if method != "read" {
+            assert!(harness.runs.values().all(|runs| *runs == 1), "{:?}", harness.runs);
+            // However often it was delivered, it was settled in one way.
+            assert!(harness.settlements.values().all(|all| all.iter().all(|one| *one == all[0])));
+        }
+        assert!(harness.settlements.len() as u64 == names, "a message was never settled");
+        true
+    };
+    // quickcheck takes plain functions only.
+    let mut gen = Gen::from_size_and_seed(120, 17 + method.len() as u64);
+    for _ in 0..60 {
+        assert!(holds(quickcheck::Arbitrary::arbitrary(&mut gen)));
+    }
+}
+
+#[test]
+fn settles_each_idempotent_delivery_once_in_any_order() {
+    any_order("read");
+}
+#[test]
+fn settles_and_runs_messages_with_idempotency_keys_once_in_any_order() {
+    any_order("keyed");
+}
+#[test]
+fn settles_and_runs_non_idempotent_messages_once_in_any_order() {
+    any_order("pay");
+}
+
+#[test]
+fn runs_none_of_5000_redelivered_messages_again() {
+    let mut harness = Harness::new(ConsumerConfig { prefetch: 8192, ..config("keyed") });
+    for name in 0..5_000 {
+        harness.publish(name, true, false);
+    }
+    // The prefetch doubles once a second.
+    for _ in 0..16 {
+        harness.now += S;
+        harness.queue.update_prefetch(harness.now, Some(1e9), 1e9, 1e9);
+        harness.carry_out_actions();
+    }
+    harness.deliver(5_000, false);
+    assert_eq!(harness.unsettled.len(), 5_000);
+    for n in 0..3_000 {
+        harness.start_run();
+        if n % 3 == 0 {
+            harness.end_run(n % 2 == 0); // the broker never reads these settlements
+        }
+    }
+    let settled: Vec<(DeliveryTag, Settle)> = harness
+        .actions
+        .iter()
+        .filter_map(|action| match action {
+            Action::Settle { tag, settlement } => Some((*tag, *settlement)),
+            _ => None,
+        })
+        .collect();
+    assert_eq!(settled.len(), 1_000);
+    harness.settlements.clear();
+    harness.ready.clear();
+    harness.unsettled.clear();
+    harness.disconnect();
+    (0..5_000).for_each(|name| {
+        harness.ready.push_back(QueuedMessage { name, named: true, prior_deliveries: 1, wants_reply: false })
+    });
+    harness.connect();
+    for _ in 0..16 {
+        harness.now += S / 100;
+        harness.queue.update_prefetch(harness.now, Some(1e9), 1e9, 1e9);
+        harness.carry_out_actions();
+    }
+    while !harness.ready.is_empty() {
+        harness.deliver(10, true);
+        harness.start_run();
+        harness.end_run(true);
+        harness.now += MS;
+        harness.queue.update_prefetch(harness.now, Some(1e9), 1e9, 1e9);
+        harness.carry_out_actions();
+        harness.check();
+    }
+    while harness.start_run().is_some() || !harness.running.is_empty() {
+        harness.end_run(true);
+    }
+    harness.check();
+    assert!(
+        harness.runs.values().all(|runs| *runs == 1) && harness.runs.len() == 5_000,
+        "{}",
+        harness.runs.len()
+    );
+    assert_eq!(
+        (harness.unsettled.len(), harness.queue.unsettled(), harness.settlements.len()),
+        (0, 0, 5_000)
+    );
+    assert!(
+        harness.queue.stats.deduplicated >= 1_000 && harness.queue.stats.joined > 500,
+        "{:?}",
+        harness.queue.stats
+    );
+}
+
+#[test]
+fn settles_a_run_by_the_new_tag_after_its_channel_was_lost() {
+    for ends_first in [false, true] {
+        let mut harness = Harness::new(config("pay"));
+        harness.publish(1, true, false);
+        harness.deliver(1, false);
+        harness.start_run();
+        harness.disconnect();
+        if ends_first {
+            harness.end_run(true);
+        }
+        harness.connect();
+        harness.deliver(1, false);
+        if !ends_first {
+            assert!(harness.settlements.is_empty());
+            harness.end_run(true);
+        }
+        harness.check();
+        assert_eq!((harness.settlements[&1].as_slice(), harness.runs[&1]), (&[Settle::Ack][..], 1));
+    }
+}
+
+#[test]
+fn withdraws_unstarted_messages_and_submits_their_redelivery_at_once() {
+    let mut harness = Harness::new(config("read"));
+    harness.publish(1, true, false);
+    harness.deliver(1, false);
+    harness.disconnect();
+    assert!(harness.submitted.is_empty());
+    harness.connect();
+    harness.deliver(1, false);
+    assert_eq!(harness.submitted.len(), 1);
+    harness.start_run();
+    harness.end_run(true);
+    assert_eq!(harness.settlements[&1], [Settle::Ack]);
+}
+
+#[test]
+fn rejects_unverified_redeliveries_of_non_idempotent_messages() {
+    for (method, run_unverified_redeliveries, runs) in
+        [("pay", false, 0), ("pay", true, 1), ("keyed", false, 1), ("read", false, 1)]
+    {
+        let mut harness = Harness::new(ConsumerConfig { run_unverified_redeliveries, ..config(method) });
+        harness.ready.push_back(QueuedMessage {
+            name: 1,
+            named: true,
+            prior_deliveries: 1,
+            wants_reply: false,
+        });
+        harness.deliver(1, false);
+        harness.start_run();
+        harness.end_run(true);
+        assert_eq!(harness.runs.len(), runs, "{method}");
+        let settlement = if runs == 0 { Settle::Reject } else { Settle::Ack };
+        assert_eq!(
+            (harness.settlements[&1].as_slice(), harness.queue.stats.unverified),
+            (&[settlement][..], 1 - runs as u64)
+        );
+    }
+}
+
+#[test]
+fn tells_equal_messages_without_an_id_apart_by_their_count() {
+    let mut harness = Harness::new(config("keyed"));
+    harness.publish(1, false, false);
+    harness.publish(1, false, false);
+    harness.update_prefetch(8.0);
+    harness.now += 2 * S;
+    harness.update_prefetch(8.0);
+    harness.deliver(2, false);
+    assert_eq!(harness.submitted.len(), 2, "two equal messages are two");
+    harness.start_run();
+    harness.disconnect();
+    harness.connect();
+    harness.now += 2 * S;
+    harness.update_prefetch(8.0);
+    harness.deliver(2, false);
+    assert_eq!((harness.submitted.len(), harness.running.len()), (1, 1));
+    while harness.start_run().is_some() {}
+    harness.end_run(true);
+    harness.end_run(true);
+    assert_eq!((harness.settlements[&1].len(), harness.runs[&1]), (2, 2));
+    harness.check();
+}
+
+#[test]
+fn holds_a_rejected_message_until_its_retry() {
+    let mut harness = Harness::new(config("read"));
+    harness.publish(1, true, false);
+    harness.deliver(1, false);
+    harness.reject(700 * MS);
+    harness.advance(690 * MS);
+    assert!(harness.submitted.is_empty() && harness.unsettled.len() == 1 && harness.queue.unsettled() == 1);
+    harness.advance(20 * MS);
+    assert_eq!(harness.submitted.len(), 1);
+    // Without a Retry-After the delay doubles, up to the deadline.
+    let start = harness.now;
+    while harness.settlements.is_empty() {
+        harness.reject(0);
+        harness.advance(10 * MS);
+    }
+    assert!((5 * S..11 * S).contains(&(harness.now - start + S)), "{}", harness.now - start);
+    assert_eq!((harness.settlements[&1].as_slice(), harness.queue.stats.expired), (&[Settle::Reject][..], 1));
+    assert!(
+        harness.queue.stats.retries_after_rejection < 12,
+        "{}",
+        harness.queue.stats.retries_after_rejection
+    );
+}
+
+#[test]
+fn rejects_a_poison_message_after_its_attempts_with_backoff() {
+    let mut harness = Harness::new(config("read"));
+    harness.publish(1, true, false);
+    harness.deliver(1, false);
+    let start = harness.now;
+    while harness.settlements.is_empty() {
+        harness.start_run();
+        harness.end_run(false);
+        harness.advance(10 * MS);
+    }
+    assert_eq!((harness.runs[&1], harness.queue.stats.poisoned), (3, 1));
+    assert!(harness.now - start >= 300 * MS, "delays of 100 and 200 ms");
+    for method in ["keyed", "pay"] {
+        let mut harness = Harness::new(config(method));
+        harness.publish(1, true, false);
+        harness.deliver(1, false);
+        harness.start_run();
+        harness.end_run(false);
+        assert_eq!(
+            (harness.settlements[&1].as_slice(), harness.queue.stats.failed),
+            (&[Settle::Reject][..], 1)
+        );
+    }
+}
+
+#[test]
+fn drain_requeues_what_never_ran_and_settles_what_runs() {
+    let mut harness = Harness::new(config("read"));
+    harness.now += 4 * S;
+    for name in 0..5 {
+        harness.publish(name, true, name == 4);
+        harness.update_prefetch(64.0);
+        harness.now += S + 1;
+        harness.update_prefetch(64.0);
+    }
+    harness.deliver(5, false);
+    assert_eq!(harness.submitted.len(), 5);
+    harness.reject(50 * MS); // the first waits
+    harness.start_run();
+    harness.start_run();
+    harness.queue.drain(harness.now);
+    harness.carry_out_actions();
+    assert!(harness.prefetch.is_none() && !harness.queue.is_drained());
+    // What is delivered before the cancel is read is requeued at once.
+    harness.prefetch = Some(9);
+    harness.publish(9, true, false);
+    harness.deliver(9, false);
+    assert!(harness.submitted.len() == 2 && harness.ready.iter().any(|message| message.name == 9));
+    harness.reject(0);
+    harness.end_run(true);
+    harness.end_run(false); // idempotent: it may run again, on another server
+    harness.start_run();
+    harness.end_run(true); // asks for a reply that the broker does not confirm
+    assert!(!harness.queue.is_drained());
+    harness.advance(600 * MS);
+    harness.check();
+    assert!(harness.queue.is_drained(), "{} unsettled", harness.queue.unsettled());
+    assert_eq!((harness.queue.stats.acked, harness.queue.stats.replies_lost), (2, 1));
+    assert_eq!(
+        harness.ready.iter().map(|message| message.name).collect::<BTreeSet<_>>(),
+        [0, 2, 3, 9].into()
+    );
+}
+
+#[test]
+fn applies_a_new_configuration_from_the_next_delivery_and_resumes_a_drained_queue() {
+    let mut harness = Harness::new(config("read"));
+    harness.publish(1, true, false);
+    harness.publish(2, true, false);
+    harness.deliver(1, false);
+    harness.start_run();
+    let mut other = config("keyed");
+    (other.max_attempts, other.prefetch, other.processing_timeout) = (1, 4, S);
+    harness.queue.reconfigure(other.clone());
+    harness.end_run(false); // idempotent by its old route, and without attempts by the new configuration
+    assert_eq!(
+        (harness.settlements[&1].as_slice(), harness.queue.stats.poisoned),
+        (&[Settle::Reject][..], 1)
+    );
+    harness.deliver(1, false);
+    assert!(harness.submitted.len() == 1 && harness.queue.config().processing_timeout == S);
+    // Drained with one message in flight that still ends, and consumed again on the same channel.
+    harness.queue.drain(harness.now);
+    harness.carry_out_actions();
+    assert!(harness.prefetch.is_none() && !harness.queue.is_drained());
+    harness.start_run();
+    harness.end_run(true);
+    assert!(harness.queue.is_drained() && harness.settlements[&2] == [Settle::Ack]);
+    harness.queue.reconfigure(other);
+    harness.now += 2 * S;
+    harness.update_prefetch(8.0);
+    harness.publish(3, true, false);
+    harness.deliver(1, false);
+    harness.start_run();
+    harness.end_run(true);
+    assert_eq!(harness.settlements[&3], [Settle::Ack]);
+    harness.check();
+}
+
+#[test]
+fn republishes_a_reply_and_settles_the_delivery_after_it() {
+    let mut harness = Harness::new(config("keyed"));
+    harness.publish(1, true, true);
+    harness.deliver(1, false);
+    harness.start_run();
+    harness.end_run(true);
+    assert!(harness.settlements.is_empty() && harness.reply_requests.len() == 1);
+    harness.confirm_replies(false);
+    harness.advance(200 * MS);
+    // The connection is lost in between: the result is retained, and published on the next one.
+    harness.confirm_replies(false);
+    harness.disconnect();
+    harness.connect();
+    harness.deliver(1, false);
+    harness.advance(200 * MS);
+    assert!(harness.settlements.is_empty());
+    harness.confirm_replies(true);
+    harness.check();
+    assert_eq!(
+        (harness.settlements[&1].as_slice(), harness.runs[&1], harness.queue.stats.replies),
+        (&[Settle::Ack][..], 1, 1)
+    );
+}
+
+#[test]
+fn closes_the_channel_of_a_broker_that_exceeds_the_prefetch() {
+    let mut harness = Harness::new(ConsumerConfig { prefetch: 1, ..config("read") });
+    harness.prefetch = Some(100);
+    (0..40).for_each(|name| harness.publish(name, true, false));
+    harness.deliver(40, false);
+    assert_eq!(harness.queue.stats.overrun, 1);
+    assert!(harness.queue.in_flight() <= harness.queue.config().max_in_flight());
+    let closed =
+        harness.actions.iter().any(|action| matches!(action, Action::CloseChannel { code: 406, .. }));
+    assert!(closed);
+}
+
+#[test]
+fn rejects_unroutable_and_too_long_deliveries_with_a_reason() {
+    let mut harness = Harness::new(config("riddle"));
+    harness.publish(1, true, false);
+    harness.deliver(1, false);
+    assert_eq!(
+        (harness.settlements[&1].as_slice(), harness.queue.stats.unrouted),
+        (&[Settle::Reject][..], 1)
+    );
+    let logged = harness
+        .actions
+        .iter()
+        .any(|action| matches!(action, Action::Log(line) if line.contains("unknown method \"riddle\"")));
+    assert!(logged);
+    let tag = harness.tag_source.tag(77);
+    let delivery = Delivery {
+        tag,
+        redelivered: false,
+        exchange: String::new(),
+        routing_key: String::new(),
+        headers: Headers::default(),
+        size: 60_000_000,
+        body: None,
+    };
+    harness.queue.delivered(harness.now, delivery, &TestCatalog);
+    assert_eq!(
+        (harness.queue.next_action(), harness.queue.stats.too_long),
+        (Some(Action::Settle { tag, settlement: Settle::Reject }), 1)
+    );
+}
+
+#[test]
+fn tolerates_a_clock_set_back() {
+    let mut harness = Harness::new(config("read"));
+    harness.publish(1, true, false);
+    harness.deliver(1, false);
+    harness.reject(100 * MS);
+    harness.now -= S; // the engine's time never goes back; a consumer driven without one only waits longer
+    harness.update_prefetch(8.0);
+    assert!(harness.submitted.is_empty() && harness.unsettled.len() == 1);
+    harness.advance(2 * S);
+    assert_eq!(harness.submitted.len(), 1);
+    harness.check();
+}
+
+#[test]
+fn prints_statistics_under_their_published_names() {
+    let mut harness = Harness::new(config("read"));
+    harness.publish(1, true, false);
+    harness.deliver(1, false);
+    harness.start_run();
+    harness.end_run(true);
+    let expected = "Counts { deliveries: 1, redelivered: 0, acked: 1, rejected: 0, requeued: 0, lost: 0, joined: 0, \
+        known: 0, pushed_back: 0, tried_again: 0, unrouted: 0, too_long: 0, expired: 0, poisoned: 0, failed: 0, \
+        unknown: 0, replies: 0, replies_unrouted: 0, replies_lost: 0, subscribed: 1, channels_closed: 0, \
+        cancelled: 0, overrun: 0 }";
+    assert_eq!(harness.queue.stats.to_string(), expected);
+}
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -103,7 +103,7 @@
     }
 }
 
-impl asterrill_consumer::Known for ActiveNames<'_> {
+impl asterrill_consumer::Catalog for ActiveNames<'_> {
     fn method(&self, name: &str) -> Option<(MethodId, Effect)> {
         let place = self.of_method(name)?;
         Some((place, self.names.effect(place)?))
@@ -111,7 +111,7 @@
     fn tenant(&self, name: &str) -> Option<usize> {
         self.names.tenant(name).filter(|place| self.engine.has_tenant(*place))
     }
-    fn tells_tenants(&self) -> bool {
+    fn requires_tenant(&self) -> bool {
         self.names.tells_tenants
     }
 }
@@ -138,7 +138,7 @@
         self.of_method(method)
     }
     fn tenant(&self, name: &str) -> Option<usize> {
-        asterrill_consumer::Known::tenant(self, name)
+        asterrill_consumer::Catalog::tenant(self, name)
     }
     fn tenants(&self) -> Vec<(&Name, usize)> {
         self.names.tenants().filter(|(_, place)| self.engine.has_tenant(*place)).collect()
@@ -152,7 +152,7 @@
     pub bare: Option<GlobalParts>,
     /// The longest latency target, in the same case.
     pub longest: Us,
-    pub queues: Vec<asterrill_consumer::Terms>,
+    pub queues: Vec<asterrill_consumer::ConsumerConfig>,
     /// Tenants are told apart.
     pub tells_tenants: bool,
 }
@@ -408,7 +408,7 @@
 
     /// Whether a change could be staged, and these queues be taken up with it.
     pub fn check_capacity_for(
-        &self, changes: &[Change], terms: &[asterrill_consumer::Terms],
+        &self, changes: &[Change], terms: &[asterrill_consumer::ConsumerConfig],
     ) -> Result<(), String> {
         if self.around.queues.as_ref().is_some_and(|queues| !queues.could_take(terms)) {
             return Err("there were too many queues since the start: start anew".into());
@@ -510,7 +510,7 @@
     #[cfg(test)]
     pub fn knows_tenant(&self, name: &str) -> bool {
         let known = ActiveNames { names: &self.around.server, engine: &self.engine };
-        asterrill_consumer::Known::tenant(&known, name).is_some()
+        asterrill_consumer::Catalog::tenant(&known, name).is_some()
     }
     /// Places of tenants that there ever were.
     #[cfg(test)]
@@ -573,7 +573,7 @@
         }
         let server = &self.around.server;
         let in_force = ActiveNames { names: server, engine: &self.engine };
-        let tenant = asterrill_consumer::Known::tenant(&in_force, &ask.tenant);
+        let tenant = asterrill_consumer::Catalog::tenant(&in_force, &ask.tenant);
         // Where tenants are told apart, an RPC is of one of them.
         let known = tenant.is_some() || !server.tells_tenants;
         let (Some(method), true) = (in_force.of_method(&ask.method), known) else {
--- a/daemon/src/operator.rs
+++ b/daemon/src/operator.rs
@@ -2,7 +2,7 @@
 
 use crate::queues::{QueueConfig, QueueConsumers};
 use asterrill::{Say, Us};
-use asterrill_consumer::{Select, Terms};
+use asterrill_consumer::{Backoff, ConsumerConfig, FieldSource};
 use asterrill_entries::{Configuration, EntryKind};
 use asterrill_net::Address;
 use asterrill_operator_config::{BrokerConfig, OperatorConfig, RedeliveryPolicy};
@@ -21,16 +21,18 @@
     Ok((file, text))
 }
 
-fn select(from: &asterrill_operator_config::ValueSource) -> Select {
-    let (header, means) = (from.header.clone(), from.values.clone());
-    Select { header, means, otherwise: from.default_value.clone() }
+fn select(from: &asterrill_operator_config::ValueSource) -> FieldSource {
+    let (header, aliases) = (from.header.clone(), from.values.clone());
+    FieldSource { header, aliases, default: from.default_value.clone() }
 }
 
 /// The queues, where their broker is, and the least and longest pause between connections, in microseconds.
 pub type Consumption = (QueueConsumers, Address, (Us, Us));
 
 /// The terms of each queue. What the version does not know is named.
-pub fn terms(broker: Option<&BrokerConfig>, content: &Configuration) -> Result<Vec<Terms>, SettingsError> {
+pub fn terms(
+    broker: Option<&BrokerConfig>, content: &Configuration,
+) -> Result<Vec<ConsumerConfig>, SettingsError> {
     let mut terms = Vec::new();
     for queue in broker.iter().flat_map(|broker| &broker.queues) {
         let mut known = queue.method.default_value.iter().chain(queue.method.values.values());
@@ -47,19 +49,19 @@
             let text = "tenants are told apart here: it wants tenant or tenant-header";
             return Err(SettingsError::new(format!("queue {}: {text}", queue.name)));
         }
-        terms.push(Terms {
-            queue: queue.name.clone(),
+        terms.push(ConsumerConfig {
+            name: queue.name.clone(),
             method: select(&queue.method),
             tenant: select(&queue.tenant),
             caller: select(&queue.caller),
             prefetch: queue.prefetch,
-            bound: queue.processing_timeout,
-            attempts: queue.max_attempts,
-            pause: (queue.retry_backoff.min, queue.retry_backoff.max),
+            processing_timeout: queue.processing_timeout,
+            max_attempts: queue.max_attempts,
+            backoff: Backoff { min: queue.retry_backoff.min, max: queue.retry_backoff.max },
             size_kb: queue.memory_kb,
-            remember: queue.dedup_window.duration,
-            remembered: queue.dedup_window.max_entries,
-            trusting: queue.redelivery_policy == RedeliveryPolicy::Run,
+            dedup_ttl: queue.dedup_window.duration,
+            dedup_capacity: queue.dedup_window.max_entries,
+            run_unverified_redeliveries: queue.redelivery_policy == RedeliveryPolicy::Run,
         });
     }
     Ok(terms)
--- a/daemon/src/queues.rs
+++ b/daemon/src/queues.rs
@@ -2,7 +2,9 @@
 //! What the queues want of the engine is handed on to the core; all else is carried out here.
 
 use asterrill::{Final, RpcId, Us};
-use asterrill_consumer::{Do, Known, Offer, Queue, Terms, WorkId};
+use asterrill_consumer::{
+    Action, Catalog, ConsumerConfig, InFlightId, PendingReply, QueueConsumer, Submission,
+};
 use asterrill_engine::IncomingRpc;
 use asterrill_protocol::amqp::{Channel, Delivery, Event, Login, Reply, Session, State};
 use nanorand::{Rng, WyRand};
@@ -17,7 +19,7 @@
 /// What the queues are made from.
 pub struct QueueConfig {
     pub login: Login,
-    pub terms: Vec<Terms>,
+    pub terms: Vec<ConsumerConfig>,
     pub seed: u64,
     pub cores: f64,
     /// Deliveries of one queue for which there is memory.
@@ -42,14 +44,14 @@
 
 /// What the core is asked for.
 pub enum QueueRequest {
-    Offer(IncomingRpc, WorkId, Vec<u8>),
-    Withdraw(WorkId),
+    Offer(IncomingRpc, InFlightId, Vec<u8>),
+    Withdraw(InFlightId),
     Log(String),
 }
 
 pub struct QueueConsumers {
     session: Session,
-    queues: Vec<Queue>,
+    queues: Vec<QueueConsumer>,
     cores: f64,
     room: f64,
     credit: bool,
@@ -65,7 +67,9 @@
 impl QueueConsumers {
     pub fn new(now: Us, setup: QueueConfig) -> QueueConsumers {
         let mut chance = WyRand::new_seed(setup.seed);
-        let queue = |(i, terms): (usize, Terms)| Queue::new(now, i as u16 + 1, chance.generate(), terms);
+        let queue = |(i, terms): (usize, ConsumerConfig)| {
+            QueueConsumer::new(now, i as u16 + 1, chance.generate(), terms)
+        };
         let queues = setup.terms.into_iter().enumerate().map(queue).collect();
         QueueConsumers {
             session: Session::new(setup.login),
@@ -82,39 +86,39 @@
     }
 
     /// Whether these terms could be taken up.
-    pub fn could_take(&self, terms: &[Terms]) -> bool {
-        let fresh = |t: &&Terms| !self.queues.iter().any(|queue| queue.terms().queue == t.queue);
+    pub fn could_take(&self, terms: &[ConsumerConfig]) -> bool {
+        let fresh = |t: &&ConsumerConfig| !self.queues.iter().any(|queue| queue.config().name == t.name);
         self.queues.len() + terms.iter().filter(fresh).count() <= QUEUES
     }
     /// Other queues and terms from now on: what is not named is left, and what is new is consumed.
-    pub fn change(&mut self, now: Us, terms: Vec<Terms>) {
+    pub fn change(&mut self, now: Us, terms: Vec<ConsumerConfig>) {
         if self.leaving {
             return;
         }
         for queue in &mut self.queues {
-            if !terms.iter().any(|t| t.queue == queue.terms().queue) {
-                queue.leave(now);
+            if !terms.iter().any(|t| t.name == queue.config().name) {
+                queue.drain(now);
             }
         }
         for terms in terms {
-            let known = self.queues.iter_mut().find(|queue| queue.terms().queue == terms.queue);
+            let known = self.queues.iter_mut().find(|queue| queue.config().name == terms.name);
             if let Some(queue) = known {
-                queue.change(terms);
+                queue.reconfigure(terms);
                 continue;
             }
             let (number, seed) = (self.queues.len() as u16 + 1, self.chance.generate());
-            let mut queue = Queue::new(now, number, seed, terms);
+            let mut queue = QueueConsumer::new(now, number, seed, terms);
             if self.session.state() == State::Open {
-                queue.up(now);
+                queue.connection_up(now);
             }
             self.queues.push(queue);
         }
     }
 
-    fn of(&mut self, work: WorkId) -> Option<&mut Queue> {
+    fn of(&mut self, work: InFlightId) -> Option<&mut QueueConsumer> {
         self.queues.get_mut((work.0 >> 48).checked_sub(1)? as usize)
     }
-    fn at(&mut self, channel: Channel) -> Option<&mut Queue> {
+    fn at(&mut self, channel: Channel) -> Option<&mut QueueConsumer> {
         self.queues.get_mut(channel.0.checked_sub(FIRST)? as usize)
     }
     fn channel(queue: usize) -> Channel {
@@ -132,7 +136,7 @@
         self.counts.down += u64::from(useful);
         self.session.disconnected();
         self.answers = false;
-        self.queues.iter_mut().for_each(Queue::down);
+        self.queues.iter_mut().for_each(QueueConsumer::connection_down);
         useful
     }
     /// No connection is wanted any more.
@@ -143,7 +147,7 @@
     /// Takes what the broker sent; `known`: what is in force, by which deliveries find their way. The error is why the
     /// connection is of no more use.
     pub fn read(
-        &mut self, now: Us, mut bytes: &[u8], logs: &mut Vec<String>, known: &dyn Known,
+        &mut self, now: Us, mut bytes: &[u8], logs: &mut Vec<String>, known: &dyn Catalog,
     ) -> Result<(), String> {
         loop {
             match self.session.read(now, &mut bytes) {
@@ -159,31 +163,33 @@
     }
 
     fn take(
-        &mut self, now: Us, event: Event, logs: &mut Vec<String>, known: &dyn Known,
+        &mut self, now: Us, event: Event, logs: &mut Vec<String>, known: &dyn Catalog,
     ) -> Result<(), String> {
         match event {
             Event::Connected => {
                 self.counts.up += 1;
                 logs.push("the broker took the connection".into());
                 self.session.open(ANSWERS);
-                self.queues.iter_mut().for_each(|queue| queue.up(now));
+                self.queues.iter_mut().for_each(|queue| queue.connection_up(now));
             }
             Event::ChannelOpen(ANSWERS) => self.session.select_confirms(ANSWERS),
             Event::ConfirmsSelected(_) => self.answers = true,
-            Event::ChannelOpen(at) => self.at(at).into_iter().for_each(|queue| queue.channel_open(now)),
-            Event::Consuming(at) => self.at(at).into_iter().for_each(|queue| queue.consuming(now)),
+            Event::ChannelOpen(at) => self.at(at).into_iter().for_each(|queue| queue.channel_opened(now)),
+            Event::Consuming(at) => self.at(at).into_iter().for_each(|queue| queue.consume_ok(now)),
             Event::Cancelled { channel, by_broker } => {
                 self.at(channel).into_iter().for_each(|queue| queue.cancelled(now, by_broker));
             }
             Event::Delivered(delivery) => self.delivered(now, *delivery, known),
             Event::Confirmed { number, multiple, accepted } => {
-                self.queues.iter_mut().for_each(|queue| queue.confirmed(now, number, multiple, accepted));
+                self.queues
+                    .iter_mut()
+                    .for_each(|queue| queue.reply_confirmed(now, number, multiple, accepted));
             }
             Event::Returned { message_id, code } => {
-                let work = message_id.and_then(|id| u64::from_str_radix(&id, 16).ok()).map(WorkId);
+                let work = message_id.and_then(|id| u64::from_str_radix(&id, 16).ok()).map(InFlightId);
                 logs.push(format!("an answer came back from the broker: {code}"));
                 if let Some(work) = work {
-                    self.of(work).into_iter().for_each(|queue| queue.returned(work));
+                    self.of(work).into_iter().for_each(|queue| queue.reply_returned(work));
                 }
             }
             Event::Blocked { reason } => {
@@ -194,7 +200,7 @@
             Event::ChannelClosed { channel: ANSWERS, code, text } => {
                 logs.push(format!("the broker closed the channel for answers: {code} {}", short(&text)));
                 self.answers = false;
-                self.queues.iter_mut().for_each(Queue::numbers_lost);
+                self.queues.iter_mut().for_each(QueueConsumer::reply_channel_lost);
                 self.session.open(ANSWERS);
             }
             Event::ChannelClosed { channel, code, text } => {
@@ -209,31 +215,31 @@
         Ok(())
     }
 
-    fn delivered(&mut self, now: Us, delivery: Delivery, known: &dyn Known) {
+    fn delivered(&mut self, now: Us, delivery: Delivery, known: &dyn Catalog) {
         if let Some(queue) = self.at(delivery.tag.channel) {
             queue.delivered(now, delivery, known);
         }
     }
 
-    pub fn launched(&mut self, work: WorkId) {
-        self.of(work).into_iter().for_each(|queue| queue.launched(work));
+    pub fn launched(&mut self, work: InFlightId) {
+        self.of(work).into_iter().for_each(|queue| queue.run_started(work));
     }
-    pub fn answered(&mut self, now: Us, work: WorkId, answer: Final<'_>) {
+    pub fn answered(&mut self, now: Us, work: InFlightId, answer: Final<'_>) {
         self.of(work).into_iter().for_each(|queue| queue.answered(now, work, answer));
     }
-    pub fn withdrawn(&mut self, now: Us, work: WorkId) {
+    pub fn withdrawn(&mut self, now: Us, work: InFlightId) {
         self.of(work).into_iter().for_each(|queue| queue.withdrawn(now, work));
     }
 
     /// The notice to leave.
     pub fn leave(&mut self, now: Us) {
         self.leaving = true;
-        self.queues.iter_mut().for_each(|queue| queue.leave(now));
+        self.queues.iter_mut().for_each(|queue| queue.drain(now));
     }
 
     /// When `tick` is wanted next.
     pub fn next(&self) -> Option<Us> {
-        self.queues.iter().filter_map(Queue::next).chain(self.session.next_tick()).min()
+        self.queues.iter().filter_map(QueueConsumer::next_timer).chain(self.session.next_tick()).min()
     }
 
     /// Time has passed. `credit`: the number published to callers; none while nothing can be run. The error is
@@ -241,7 +247,7 @@
     pub fn tick(&mut self, now: Us, credit: Option<f64>, runs: bool) -> Result<(), String> {
         let credit = if runs { credit.filter(|_| self.credit) } else { Some(0.0) };
         let (cores, room) = (self.cores, self.room / self.queues.len().max(1) as f64);
-        self.queues.iter_mut().for_each(|queue| queue.look(now, credit, cores, room));
+        self.queues.iter_mut().for_each(|queue| queue.update_prefetch(now, credit, cores, room));
         self.session.tick(now).map_err(|fault| {
             self.counts.bad_broker += 1;
             fault.to_string()
@@ -252,56 +258,62 @@
     /// offer and a new id.
     pub fn ask(&mut self, now: Us) -> Option<QueueRequest> {
         for i in 0..self.queues.len() {
-            while let Some(todo) = self.queues[i].todo() {
+            while let Some(todo) = self.queues[i].next_action() {
                 let (channel, queue) = (QueueConsumers::channel(i), &mut self.queues[i]);
                 match todo {
-                    Do::Offer(offer) => {
-                        let body = queue.body(offer.work).unwrap_or(&[]).to_vec();
-                        return Some(QueueRequest::Offer(self.read_of(&offer), offer.work, body));
+                    Action::Submit(offer) => {
+                        let body = queue.body(offer.id).unwrap_or(&[]).to_vec();
+                        return Some(QueueRequest::Offer(self.read_of(&offer), offer.id, body));
                     }
-                    Do::Withdraw(work) => return Some(QueueRequest::Withdraw(work)),
-                    Do::Log(line) => return Some(QueueRequest::Log(line)),
-                    Do::OpenChannel => {
+                    Action::Withdraw(work) => return Some(QueueRequest::Withdraw(work)),
+                    Action::Log(line) => return Some(QueueRequest::Log(line)),
+                    Action::OpenChannel => {
                         if !self.session.open(channel) {
-                            queue.not_opened(now);
+                            queue.channel_open_failed(now);
                         }
                     }
-                    Do::CloseChannel(code, why) => self.session.close_channel(channel, code, why),
-                    Do::Consume(window) => {
-                        let name = queue.terms().queue.clone();
-                        self.session.consume(channel, &name, "asterrill", window);
+                    Action::CloseChannel { code, reason } => {
+                        self.session.close_channel(channel, code, reason)
                     }
-                    Do::Cancel => {
+                    Action::Consume { prefetch } => {
+                        let name = queue.config().name.clone();
+                        self.session.consume(channel, &name, "asterrill", prefetch);
+                    }
+                    Action::Cancel => {
                         self.session.cancel(channel, "asterrill");
                     }
-                    Do::Settle(tag, how) => {
-                        self.counts.late += u64::from(!self.session.settle(tag, how));
+                    Action::Settle { tag, settlement } => {
+                        self.counts.late += u64::from(!self.session.settle(tag, settlement));
                     }
-                    Do::Publish(work) => {
-                        let Some((to, correlation_id, ok, body)) = queue.reply(work) else { continue };
+                    Action::PublishReply(work) => {
+                        let Some(PendingReply { reply_to: to, correlation_id, ok, body }) =
+                            queue.pending_reply(work)
+                        else {
+                            continue;
+                        };
                         let (message_id, kind) =
                             (format!("{:016x}", work.0), if ok { "ok" } else { "aborted" });
                         let reply = Reply { to, correlation_id, message_id: &message_id, kind, body };
                         let number = if self.answers { self.session.publish(ANSWERS, &reply) } else { None };
-                        number.into_iter().for_each(|number| queue.published(work, number));
+                        number.into_iter().for_each(|number| queue.reply_published(work, number));
                     }
                 }
             }
         }
-        let all_left = self.queues.iter().all(Queue::left);
+        let all_left = self.queues.iter().all(QueueConsumer::is_drained);
         if self.leaving && all_left && self.session.state() == State::Open {
             self.session.close(now, LEAVING, "leaving");
         }
         None
     }
 
-    fn read_of(&mut self, offer: &Offer) -> IncomingRpc {
+    fn read_of(&mut self, offer: &Submission) -> IncomingRpc {
         IncomingRpc {
             id: RpcId::of(self.chance.generate()),
             method: offer.method,
             tenant: offer.tenant,
             caller: offer.caller,
-            deadline: Some(offer.due),
+            deadline: Some(offer.deadline),
             time_unread: 0,
             size_kb: offer.size_kb,
             cache_key: None,
@@ -326,10 +338,10 @@
         write!(f, "broker_up={up} broker_down={down} bad_broker={bad_broker} broker_closed={closed} ")?;
         write!(f, "broker_blocked={blocked} settled_late={late} ")?;
         for queue in &self.queues {
-            let name = &queue.terms().queue;
-            write!(f, "queue={name} {:?} ", queue.counts)?;
-            write!(f, "out={} open={} window={} ", queue.out(), queue.open(), queue.window())?;
-            write!(f, "remembered={} ", queue.remembered())?;
+            let name = &queue.config().name;
+            write!(f, "queue={name} {} ", queue.stats)?;
+            write!(f, "out={} open={} window={} ", queue.unsettled(), queue.in_flight(), queue.prefetch())?;
+            write!(f, "remembered={} ", queue.dedup_entries())?;
         }
         Ok(())
     }
--- a/daemon/src/wire.rs
+++ b/daemon/src/wire.rs
@@ -2,7 +2,7 @@
 //! theirs.
 
 use asterrill::{Final, RpcId, Us};
-use asterrill_consumer::WorkId;
+use asterrill_consumer::InFlightId;
 use asterrill_protocol::agent::NoticeId;
 use asterrill_protocol::sidecar::StreamId;
 
@@ -26,7 +26,7 @@
 pub enum Requester {
     Sidecar(Place),
     /// A message of a queue.
-    Queue(WorkId),
+    Queue(InFlightId),
 }
 
 /// What the core has written. Each message is put out whole, at once; nothing here waits.
