--- a/daemon/src/change.rs
+++ b/daemon/src/change.rs
@@ -590,7 +590,7 @@
         let counted = dispatcher.stats();
         let back = dispatcher.with(|core, _, _| {
             let (stages, outages) = core.recovery_stages()?;
-            let (why, since) = stages.why();
+            let (why, since) = (stages.reason().as_str(), stages.since());
             Some(json!({"name": stages.stage().name(), "why": why, "since": since, "outages": outages}))
         });
         json!({"ok": true, "version": running.number, "hash": &*running.hash, "base": running.base,
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -20,7 +20,7 @@
 use asterrill_net::{Buf, Pool};
 use asterrill_protocol::agent::{self, NoticeId};
 use asterrill_protocol::sidecar::{RpcRequest, StreamId, MAX_STREAMS};
-use asterrill_recovery::{Learned, Moment, Stages};
+use asterrill_recovery::{ClockReading, Snapshot, StageTracker};
 use asterrill_rollout::{ObservedLoad, ServiceSample};
 use asterrill_settings::{GlobalParts, ServerParts};
 use nanorand::{Rng, WyRand};
@@ -116,7 +116,7 @@
     }
 }
 
-impl asterrill_recovery::Targets for ActiveNames<'_> {
+impl asterrill_recovery::LatencyTargets for ActiveNames<'_> {
     fn target(&self, name: &str) -> Option<Us> {
         self.names.target(self.of_method(name)?)
     }
@@ -127,7 +127,7 @@
 }
 
 impl ActiveTerms for ActiveNames<'_> {
-    fn targets(&self) -> &dyn asterrill_recovery::Targets {
+    fn targets(&self) -> &dyn asterrill_recovery::LatencyTargets {
         self
     }
     fn named(&self, method: MethodId) -> Option<(&Name, Us)> {
@@ -495,7 +495,7 @@
         let Some(returning) = &mut self.around.returning else { return };
         let (care, entered) = returning.look(now, &self.engine.stats, self.engine.standing());
         if let Some(stage) = entered {
-            let (why, _) = returning.stages().why();
+            let why = returning.stages().reason().as_str();
             wire.log(&format!("stage {}: {why}", stage.name()));
         }
         if let Some(care) = care {
@@ -522,7 +522,9 @@
         self.around.returning.iter_mut().for_each(|returning| returning.change(hash));
     }
     /// What is to be kept now, if a snapshot is due or the server leaves.
-    pub fn take_snapshot(&mut self, now: Us, moment: impl Fn() -> Moment, leaving: bool) -> Option<Learned> {
+    pub fn take_snapshot(
+        &mut self, now: Us, moment: impl Fn() -> ClockReading, leaving: bool,
+    ) -> Option<Snapshot> {
         let returning = self.around.returning.as_mut()?;
         if !returning.snapshot_due(now, leaving) {
             return None;
@@ -532,7 +534,7 @@
         Some(returning.snapshot(moment(), engine.learned(), &ActiveNames { names, engine }))
     }
     /// How far it is back, and the outages of the layer below that were noticed; none where nobody attends to it.
-    pub fn recovery_stages(&self) -> Option<(&Stages, u64)> {
+    pub fn recovery_stages(&self) -> Option<(&StageTracker, u64)> {
         self.around.returning.as_ref().map(|returning| (returning.stages(), returning.outages()))
     }
 
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -38,7 +38,7 @@
 };
 use asterrill_operator_config::{LogFormat, OperatorConfig};
 use asterrill_protocol::{agent, sidecar};
-use asterrill_recovery::{phase, Moment};
+use asterrill_recovery::{phase, ClockReading};
 use asterrill_rollout::{start_with, Marked, Start, Wish};
 use asterrill_settings::{Deployment, SettingsError};
 use nanorand::{Rng, WyRand};
@@ -331,13 +331,13 @@
 }
 
 /// Now, by all clocks that there are. What can't be read counts as not told.
-fn moment() -> Moment {
+fn moment() -> ClockReading {
     let read = |path: &str| std::fs::read_to_string(path).unwrap_or_default();
     let up = read("/proc/uptime").split(' ').next().and_then(|s| s.parse::<f64>().ok()).unwrap_or(0.0);
     let boot = read("/proc/sys/kernel/random/boot_id");
     let boot =
         if boot.trim().is_empty() || up <= 0.0 { 0 } else { asterrill_recovery::seed(0, boot.trim(), 0, 0) };
-    Moment { wall: now(), up: (up * 1e6) as Us, boot }
+    ClockReading { wall: now(), uptime: (up * 1e6) as Us, boot_id: boot }
 }
 
 fn ms(n: u64) -> Duration {
--- a/daemon/src/recovery.rs
+++ b/daemon/src/recovery.rs
@@ -6,8 +6,9 @@
 use asterrill_entries::Name;
 use asterrill_operator_config::RecoverySettings;
 use asterrill_recovery::{
-    weigh, Beat, Evidence, Kept, Learned, Moment, Opening, Present, Seen, Stage, Stages, Targets, Terms,
-    METHODS, TENANTS,
+    assess, AccountBalance, CallSample, ClockReading, CurrentServer, JitteredInterval, LatencyTargets,
+    MethodCost, RestoredCost, SlowStart, SlowStartConfig, Snapshot, Stage, StageEvidence, StageTracker,
+    TenantAllowance, MAX_METHODS, MAX_TENANTS,
 };
 
 const LOOK: Us = 100_000; // between looks at what was served and called
@@ -19,9 +20,9 @@
     pub settings: u64,
     pub cores: f64,
     pub memory_mb: u64,
-    pub moment: Moment,
+    pub moment: ClockReading,
     pub terms: RecoverySettings,
-    pub snapshot: Option<Learned>,
+    pub snapshot: Option<Snapshot>,
     pub seed: u64,
     /// There is a place where snapshots are kept.
     pub persistent: bool,
@@ -29,7 +30,7 @@
 
 /// Who knows the names of what the module numbers, as far as it is in force.
 pub trait ActiveTerms {
-    fn targets(&self) -> &dyn Targets;
+    fn targets(&self) -> &dyn LatencyTargets;
     /// The name of a method, and its latency target.
     fn named(&self, method: MethodId) -> Option<(&Name, Us)>;
     fn place(&self, method: &str) -> Option<MethodId>;
@@ -40,20 +41,28 @@
 
 pub struct RecoveryTracker {
     config: RecoveryConfig,
-    stages: Stages,
-    opening: Option<Opening>,
-    weighed: bool,
+    stages: StageTracker,
+    slow_start: Option<SlowStart>,
+    assessed: bool,
     next: Us,
-    snapshot: Beat,
+    snapshot: JitteredInterval,
     /// What the engine had counted at the last look.
     before: EngineStats,
 }
 
 impl RecoveryTracker {
     pub fn new(now: Us, config: RecoveryConfig) -> RecoveryTracker {
-        let snapshot = Beat::new(now, config.terms.snapshot_interval, config.seed, "snapshot");
-        let (stages, before) = (Stages::new(now), EngineStats::default());
-        RecoveryTracker { config, stages, opening: None, weighed: false, next: now + LOOK, snapshot, before }
+        let snapshot = JitteredInterval::new(now, config.terms.snapshot_interval, config.seed, "snapshot");
+        let (stages, before) = (StageTracker::new(now), EngineStats::default());
+        RecoveryTracker {
+            config,
+            stages,
+            slow_start: None,
+            assessed: false,
+            next: now + LOOK,
+            snapshot,
+            before,
+        }
     }
     pub fn next(&self) -> Us {
         self.next
@@ -62,47 +71,64 @@
     pub fn change(&mut self, settings: u64) {
         self.config.settings = settings;
     }
-    pub fn stages(&self) -> &Stages {
+    pub fn stages(&self) -> &StageTracker {
         &self.stages
     }
 
     /// How carefully the module is to go about it now.
     pub fn care(&self) -> Care {
         let RecoverySettings { retry_percent: repeats, jitter_percent: spread, .. } = self.config.terms;
-        let calls = self.opening.as_ref().map_or(f64::INFINITY, Opening::bound);
+        let calls = self.slow_start.as_ref().map_or(f64::INFINITY, SlowStart::limit);
         Care { calls, repeats: repeats as f64 / 100.0, spread: spread as f64 / 100.0 }
     }
 
-    /// The agent has greeted for the first time: what was kept is weighed. Hands back what the module is to recall,
+    /// The agent has greeted for the first time: what was kept is assessed. Hands back what the module is to restored,
     /// and what became of each value, in words.
     pub fn greeted(
         &mut self, now: Us, empty: bool, standing: Standing, known: &dyn ActiveTerms,
     ) -> Option<(Experience, String)> {
-        if std::mem::replace(&mut self.weighed, true) {
+        if std::mem::replace(&mut self.assessed, true) {
             return None;
         }
         if standing.most_calls.is_finite() {
             let first = self.config.terms.initial_calls as f64;
-            let terms = Terms { most: standing.most_calls.max(1.0), first, step: LOOK };
-            self.opening = Some(Opening::new(now, terms));
+            let config = SlowStartConfig {
+                max_calls: standing.most_calls.max(1.0),
+                initial_calls: first,
+                update_interval: LOOK,
+            };
+            self.slow_start = Some(SlowStart::new(now, config));
         }
         let kept = self.config.snapshot.take()?;
         let RecoveryConfig { name, settings, cores, memory_mb, moment, terms, .. } = &self.config;
         let (settings, cores, memory_mb, moment) = (*settings, *cores, *memory_mb, *moment);
         let (trust, targets) = (terms.max_snapshot_age, known.targets());
-        let present = Present { name, settings, cores, memory_mb, moment, empty, trust, targets };
-        let recall = weigh(&kept, &present);
-        let told = format!("{} (age {} ms)", recall.told(), recall.age / 1000);
-        let cost = |(name, mean, runs): &(String, f64, f64)| Some((known.place(name)?, *mean, *runs));
-        let tenant = |(name, room): &(String, f64)| Some((known.tenant(name)?, *room));
+        let present = CurrentServer {
+            name,
+            settings_hash: settings,
+            cores,
+            memory_mb,
+            now: moment,
+            agent_empty: empty,
+            max_snapshot_age: trust,
+            targets,
+        };
+        let restored = assess(&kept, &present);
+        let told = format!("{} (age {} ms)", restored.summary(), restored.age / 1000);
+        let cost = |cost: &RestoredCost| Some((known.place(&cost.method)?, cost.mean, cost.runs));
+        let tenant = |tenant: &TenantAllowance| Some((known.tenant(&tenant.name)?, tenant.rpcs));
         let experience = Experience {
-            costs: recall.costs.iter().filter_map(cost).collect(),
-            target: recall.target,
-            pace: recall.pace,
-            failures: if recall.careful { u32::MAX } else { 0 },
-            accounts: recall.accounts.iter().map(|(caller, share)| (CallerId(*caller), *share)).collect(),
-            tenants: recall.tenants.iter().filter_map(tenant).collect(),
-            age: recall.age,
+            costs: restored.costs.iter().filter_map(cost).collect(),
+            target: restored.concurrency_target,
+            pace: restored.slowdown,
+            failures: if restored.careful { u32::MAX } else { 0 },
+            accounts: restored
+                .accounts
+                .iter()
+                .map(|account| (CallerId(account.caller), account.fraction))
+                .collect(),
+            tenants: restored.tenants.iter().filter_map(tenant).collect(),
+            age: restored.age,
         };
         Some((experience, told))
     }
@@ -117,70 +143,74 @@
         self.next = now + LOOK;
         let before = std::mem::replace(&mut self.before, counts.clone());
         let failed = |c: &EngineStats| c.calls_aborted + c.calls_timed_out + c.calls_rejected;
-        let seen = Seen {
+        let sample = CallSample {
             ok: counts.calls_ok - before.calls_ok,
             failed: failed(counts) - failed(&before),
-            in_hand: standing.calls,
+            in_flight: standing.calls,
             waiting: standing.at_call,
         };
-        let moved = self.opening.as_mut().is_some_and(|opening| opening.look(now, seen));
-        let evidence = Evidence {
-            weighed: self.weighed,
-            runs: counts.runs_ok - before.runs_ok,
-            read: counts.requests - before.requests,
-            turned_away: counts.rejected - before.rejected,
-            pace: standing.pace,
-            ramped: standing.warm,
-            calls_open: self.opening.as_ref().is_none_or(|o| o.is_open() || standing.at_call == 0),
-            troubled: standing.shut || standing.still,
+        let moved = self.slow_start.as_mut().is_some_and(|slow_start| slow_start.update(now, sample));
+        let evidence = StageEvidence {
+            snapshot_assessed: self.assessed,
+            runs_ok: counts.runs_ok - before.runs_ok,
+            received: counts.requests - before.requests,
+            rejected: counts.rejected - before.rejected,
+            slowdown: standing.pace,
+            ramp_complete: standing.warm,
+            calls_open: self.slow_start.as_ref().is_none_or(|o| o.is_fully_open() || standing.at_call == 0),
+            unhealthy: standing.shut || standing.still,
         };
-        (moved.then(|| self.care()), self.stages.look(now, evidence))
+        (moved.then(|| self.care()), self.stages.update(now, evidence))
     }
 
     /// A snapshot is wanted now: at its beat, or since the server leaves.
     pub fn snapshot_due(&mut self, now: Us, leaving: bool) -> bool {
-        self.config.persistent && self.weighed && (self.snapshot.due(now) || leaving)
+        self.config.persistent && self.assessed && (self.snapshot.expired(now) || leaving)
     }
 
     /// What is to be kept. Methods of which nothing was learned, and those that are gone, are left out. In the order of
     /// names, as many as a snapshot holds.
-    pub fn snapshot(&self, moment: Moment, learned: Experience, known: &dyn ActiveTerms) -> Learned {
+    pub fn snapshot(&self, moment: ClockReading, learned: Experience, known: &dyn ActiveTerms) -> Snapshot {
         let of_method = |(method, mean, runs): &(MethodId, f64, f64)| {
             let (name, target) = known.named(*method).filter(|_| *runs > 0.0)?;
             Some((name, target, *mean, *runs))
         };
         let mut methods: Vec<_> = learned.costs.iter().filter_map(of_method).collect();
-        first(&mut methods, METHODS, |(name, ..)| name);
-        let kept = |(name, target, mean, runs): (&Name, Us, f64, f64)| Kept {
+        first(&mut methods, MAX_METHODS, |(name, ..)| name);
+        let cost = |(name, latency_target, mean, runs): (&Name, Us, f64, f64)| MethodCost {
             name: name.to_string(),
-            target,
+            latency_target,
             mean,
             runs,
         };
         let mut tenants = known.tenants();
-        first(&mut tenants, TENANTS, |(name, _)| name);
-        let room = |(name, place): (&Name, usize)| {
+        first(&mut tenants, MAX_TENANTS, |(name, _)| name);
+        let allowance = |(name, place): (&Name, usize)| {
             let at = learned.tenants.binary_search_by_key(&place, |(place, _)| *place).ok()?;
-            Some((name.to_string(), learned.tenants.get(at)?.1))
+            Some(TenantAllowance { name: name.to_string(), rpcs: learned.tenants.get(at)?.1 })
         };
-        Learned {
+        Snapshot {
             name: self.config.name.clone(),
-            settings: self.config.settings,
+            settings_hash: self.config.settings,
             cores: self.config.cores,
             memory_mb: self.config.memory_mb,
-            moment,
-            methods: methods.into_iter().map(kept).collect(),
-            target: learned.target.unwrap_or(0.0),
-            pace: learned.pace.unwrap_or(0.0),
-            failures: learned.failures,
-            accounts: learned.accounts.iter().map(|(caller, share)| (caller.0, *share)).collect(),
-            tenants: tenants.into_iter().filter_map(room).collect(),
+            taken_at: moment,
+            methods: methods.into_iter().map(cost).collect(),
+            concurrency_target: learned.target.unwrap_or(0.0),
+            slowdown: learned.pace.unwrap_or(0.0),
+            call_failures: learned.failures,
+            accounts: learned
+                .accounts
+                .iter()
+                .map(|(caller, fraction)| AccountBalance { caller: caller.0, fraction: *fraction })
+                .collect(),
+            tenants: tenants.into_iter().filter_map(allowance).collect(),
         }
     }
 
     /// Outages of the layer below that were noticed.
     pub fn outages(&self) -> u64 {
-        self.opening.as_ref().map_or(0, |opening| opening.outages)
+        self.slow_start.as_ref().map_or(0, |slow_start| slow_start.outages)
     }
 }
 
--- a/daemon/src/store.rs
+++ b/daemon/src/store.rs
@@ -4,7 +4,7 @@
 
 use asterrill_consensus::Write as Bytes;
 use asterrill_membership::PersistedState;
-use asterrill_recovery::{Learned, MOST};
+use asterrill_recovery::{Snapshot, MAX_TEXT_BYTES};
 use asterrill_rollout::{recover, write_whole, Kept as Version, Standing, State};
 use slog::{warn, Logger};
 use std::fmt;
@@ -28,7 +28,7 @@
 #[derive(Default)]
 struct Wanted {
     versions: Option<State>,
-    learned: Option<Learned>,
+    learned: Option<Snapshot>,
     members: Option<String>,
     /// What a keeper has to have on disk, in this order, and who is told once it stands there.
     agreed: Vec<Bytes>,
@@ -47,18 +47,19 @@
 pub struct Store(Arc<Desk>);
 
 /// Reads what an earlier process had learned. What can't be used is told, and is as if it were not there.
-pub fn read_learned(dir: &Path, log: &Logger) -> Option<Learned> {
+pub fn read_learned(dir: &Path, log: &Logger) -> Option<Snapshot> {
     let path = dir.join(LEARNED);
     let text = match File::open(&path) {
         Ok(file) => {
             let mut text = String::new();
-            file.take(MOST as u64 + 1).read_to_string(&mut text).map(|_| text)
+            file.take(MAX_TEXT_BYTES as u64 + 1).read_to_string(&mut text).map(|_| text)
         }
         Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
         Err(e) => Err(e),
     };
-    let read =
-        text.map_err(|e| e.to_string()).and_then(|text| Learned::read(&text).map_err(|e| e.to_string()));
+    let read = text
+        .map_err(|e| e.to_string())
+        .and_then(|text| Snapshot::from_text(&text).map_err(|e| e.to_string()));
     if let Err(why) = &read {
         warn!(log, "what was learned is not used"; "path" => %path.display(), "why" => why);
     }
@@ -69,7 +70,7 @@
 pub fn read_members(dir: &Path, log: &Logger) -> Option<PersistedState> {
     let path = dir.join(MEMBERS);
     let mut text = String::new();
-    match File::open(&path).and_then(|file| file.take(MOST as u64 + 1).read_to_string(&mut text)) {
+    match File::open(&path).and_then(|file| file.take(MAX_TEXT_BYTES as u64 + 1).read_to_string(&mut text)) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
         Err(e) => {
             warn!(log, "who was there before is not known"; "path" => %path.display(), "why" => %e);
@@ -77,7 +78,7 @@
         }
         Ok(_) => {}
     }
-    let body = asterrill_recovery::open(MEMBERS, FORMAT, &text).map_err(|e| e.to_string());
+    let body = asterrill_recovery::decode_checksummed(MEMBERS, FORMAT, &text).map_err(|e| e.to_string());
     let read = body.and_then(|body| PersistedState::from_text(body).map_err(|e| e.to_string()));
     if let Err(why) = &read {
         warn!(log, "who was there before is not known"; "path" => %path.display(), "why" => why);
@@ -117,12 +118,14 @@
 fn read_former_versions(dir: &Path, log: &Logger) -> Option<State> {
     let read = |name: &str| -> Result<Option<Version>, String> {
         let mut text = String::new();
-        match File::open(dir.join(name)).and_then(|file| file.take(MOST as u64 + 1).read_to_string(&mut text))
+        match File::open(dir.join(name))
+            .and_then(|file| file.take(MAX_TEXT_BYTES as u64 + 1).read_to_string(&mut text))
         {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
             read => read.map_err(|e| e.to_string())?,
         };
-        let body = asterrill_recovery::open("state", FORMAT, &text).map_err(|fault| fault.to_string())?;
+        let body = asterrill_recovery::decode_checksummed("state", FORMAT, &text)
+            .map_err(|fault| fault.to_string())?;
         former(body).map(Some)
     };
     let read = |name: &str| {
@@ -167,7 +170,7 @@
         self.0.news.notify_one();
     }
     /// The same for what was learned.
-    pub fn save_learned(&self, learned: Learned) {
+    pub fn save_learned(&self, learned: Snapshot) {
         self.0.wanted().learned = Some(learned);
         self.0.news.notify_one();
     }
@@ -214,9 +217,9 @@
         let (agreed, told_of) = (std::mem::take(&mut wanted.agreed), wanted.stands.clone());
         drop(wanted);
         let versions = versions.map_or(Ok(()), |state| write_versions(dir, &mut stands, state));
-        let learned = learned.map_or(Ok(()), |learned| put(dir, &dir.join(LEARNED), &learned.write()));
+        let learned = learned.map_or(Ok(()), |learned| put(dir, &dir.join(LEARNED), &learned.to_text()));
         let members = members.map_or(Ok(()), |text| {
-            let sealed = asterrill_recovery::seal(MEMBERS, FORMAT, &text);
+            let sealed = asterrill_recovery::encode_checksummed(MEMBERS, FORMAT, &text);
             put(dir, &dir.join(MEMBERS), &sealed)
         });
         // After a failure nothing more is said to stand: what is there may end in the middle. A restart reads it anew.
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -1102,10 +1102,10 @@
     use super::*;
     use crate::recovery::{RecoveryConfig, RecoveryTracker};
     use asterrill_operator_config::RecoverySettings;
-    use asterrill_recovery::{Learned, Moment, Stage};
+    use asterrill_recovery::{ClockReading, Snapshot, Stage};
 
-    fn start(now: Us, kept: Option<Learned>) -> RecoveryTracker {
-        let moment = Moment { wall: now, up: now / 2, boot: 9 };
+    fn start(now: Us, kept: Option<Snapshot>) -> RecoveryTracker {
+        let moment = ClockReading { wall: now, uptime: now / 2, boot_id: 9 };
         let terms = RecoverySettings { snapshot_interval: 1_000 * MS, ..RecoverySettings::default() };
         let (name, settings, cores, memory_mb) = ("n1".to_string(), 77, 2.0, 64);
         let (seed, lasting) = (5, true);
@@ -1124,7 +1124,7 @@
             },
         )
     }
-    fn world(seed: u64, kept: Option<Learned>) -> World {
+    fn world(seed: u64, kept: Option<Snapshot>) -> World {
         let mut core = Core::new(START, made(START, seed, &server(), None), Pool::new(500), 4);
         let mut out = Out::default();
         core.start(START, &mut out);
@@ -1154,7 +1154,7 @@
         w.pass(200 * MS);
         assert_eq!(stage(&w), Stage::Cold);
         serve(&mut w, 40);
-        let then = Moment { wall: START, up: START / 2, boot: 9 };
+        let then = ClockReading { wall: START, uptime: START / 2, boot_id: 9 };
         let kept = w.core.take_snapshot(w.now, || then, false).unwrap();
         assert!(w.core.take_snapshot(w.now, || then, false).is_none(), "its beat is over");
         assert!(
@@ -1165,7 +1165,7 @@
         let look = kept.methods.iter().find(|m| m.name == "look").unwrap();
         assert!((look.mean - 30_000.0).abs() < 15_000.0 && look.runs > 20.0, "{look:?}");
         assert!(kept.methods.iter().all(|m| m.name != "book"), "of that nothing was learned");
-        let again = Learned::read(&kept.write()).unwrap();
+        let again = Snapshot::from_text(&kept.to_text()).unwrap();
         let w = world(2, Some(again));
         // Places are in the order of names: "book" stands before it.
         let recalled = w.core.learned().costs[1];
@@ -1177,7 +1177,7 @@
         let fresh = world(3, None).core.learned();
         let mut w = world(3, None);
         serve(&mut w, 30);
-        let mut kept = w.core.take_snapshot(w.now, Moment::default, true).unwrap();
+        let mut kept = w.core.take_snapshot(w.now, ClockReading::default, true).unwrap();
         kept.name = "n2".into();
         assert_eq!(world(3, Some(kept)).core.learned(), fresh);
     }
--- a/daemon/src/tests/store.rs
+++ b/daemon/src/tests/store.rs
@@ -185,7 +185,7 @@
         format!("{{\"limits\":{{\"memory_mb\":64,\"sockets\":100}},\"settings\":{settings}}}\n---\na file\n")
     };
     let sealed = |number: u64, undone: &str, text: &str| {
-        asterrill_recovery::seal(
+        asterrill_recovery::encode_checksummed(
             "state",
             1,
             &format!("version {number}\n{undone}text {}\n{text}", text.len()),
--- a/lab/src/fleet/script.rs
+++ b/lab/src/fleet/script.rs
@@ -403,7 +403,7 @@
         .map(|line| if line.starts_with(begins) { change(line) } else { line.into() })
         .map(|line| line + "\n")
         .collect();
-    asterrill_recovery::seal("learned", 1, &body)
+    asterrill_recovery::encode_checksummed("learned", 1, &body)
 }
 
 #[cfg(test)]
--- a/recovery/src/slow_start.rs
+++ b/recovery/src/slow_start.rs
@@ -1,121 +1,163 @@
-//! How many calls the layer below is given. After a start and after an outage nobody knows what it bears: it may be
-//! cold itself, and all its callers come back together. So calls open slowly, by what it really answers.
+//! The number of upstream calls in flight after a start or an outage. Nobody knows then what the upstream tier bears: its
+//! caches may be cold, and all its callers come back together. So the limit grows slowly, by what is really answered.
 
 use asterrill::Us;
 
-/// The ratios of an opening, each to what the settings say.
+/// The limits of a slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
-    /// Calls in hand at the most, as the settings have it; endless where nothing bounds them.
-    pub most: f64,
-    /// Calls in hand to begin with, 1 or more.
-    pub first: f64,
-    /// The least time between two looks, in microseconds: about one call.
-    pub step: Us,
+pub struct SlowStartConfig {
+    /// Calls in flight at the most, as configured; infinite where nothing bounds them.
+    pub max_calls: f64,
+    /// Calls in flight to begin with, 1 or more.
+    pub initial_calls: f64,
+    /// The least time between two updates, in microseconds: about that of one call.
+    pub update_interval: Us,
 }
 
-/// What became of calls since the last look.
+/// What became of upstream calls since the last update.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct CallSample {
+    /// Calls that were answered.
     pub ok: u64,
-    /// Aborted, timed out, or turned away by the layer below.
+    /// Calls that were aborted, timed out, or were rejected upstream.
     pub failed: u64,
-    /// Calls in hand now.
-    pub in_hand: usize,
-    /// RPCs that wait for leave to call.
+    /// Calls in flight now.
+    pub in_flight: usize,
+    /// RPCs that wait to make a call.
     pub waiting: usize,
 }
 
-const GROWTH: f64 = 1.5; // a look, while all is ok and the bound is what holds calls back
-const CREEP: f64 = 0.1; // the same above the last bound at which calls failed, in calls a look
-const BACK: f64 = 0.5; // of the bound after a look with failures
-const SOME: f64 = 0.1; // share of failures up to which a look counts as ok: one call in ten may fail by itself
-const OUT: u32 = 3; // looks in a row with nothing but failures: an outage, all begins anew
-const WHOLE: u32 = 50; // looks in a row that were ok, at the most that was wanted: it is open for good
+/// Growth of the limit at an update, while calls are answered and the limit is what withholds more.
+const GROWTH_FACTOR: f64 = 1.5;
+/// The same above the threshold, in calls.
+const GROWTH_STEP: f64 = 0.1;
+/// Of the limit, what stays after an update with failures.
+const BACKOFF_FACTOR: f64 = 0.5;
+/// Of the limit, the part of which calls in flight show that it is needed.
+const USED_FRACTION: f64 = 0.5;
+/// The fraction of failed calls up to which an update counts as ok: one call in ten may fail by itself.
+const TOLERATED_FAILURES: f64 = 0.1;
+/// Updates in a row with nothing but failures that are an outage.
+const OUTAGE_UPDATES: u32 = 3;
+/// Updates in a row that were ok, at the maximum, until the limit is lifted.
+const UPDATES_UNTIL_LIFTED: u32 = 50;
 
-/// A bound on calls in hand that opens slowly.
+/// A limit on calls in flight that grows slowly.
 ///
-/// Guards against a fleet that starts together, or comes back together after an outage, and gives the layer below at
-/// once all that each of them is allowed. Harm: after a start some calls wait for a few round trips.
+/// Guards against a fleet that starts together, or comes back together after an outage, and sends the upstream tier at
+/// once all that each of them may. The cost: after a start some calls wait for a few round trips.
 #[derive(Clone, Debug)]
-pub struct Opening {
-    terms: Terms,
-    bound: f64,
-    /// The bound at which calls failed last: below it growth is quick, above it slow.
-    knee: f64,
-    looked: Us,
-    failing: u32,
-    fine: u32,
-    open: bool,
+pub struct SlowStart {
+    config: SlowStartConfig,
+    limit: f64,
+    /// The limit at which calls failed last: below it growth is quick, above it slow.
+    threshold: f64,
+    updated: Us,
+    /// Updates in a row with nothing but failures.
+    failed_updates: u32,
+    /// Updates in a row that were ok.
+    ok_updates: u32,
+    /// Only the configured maximum applies, until an outage.
+    lifted: bool,
     /// Outages since the start.
     pub outages: u64,
 }
 
-impl Opening {
-    /// A server has started, or the layer below was away.
-    pub fn new(now: Us, terms: Terms) -> Opening {
-        let bound = terms.first.max(1.0).min(terms.most);
-        let (knee, looked) = (terms.most, now);
-        Opening { terms, bound, knee, looked, failing: 0, fine: 0, open: false, outages: 0 }
+impl SlowStart {
+    /// A server has started, or the upstream tier was away.
+    pub fn new(now: Us, config: SlowStartConfig) -> SlowStart {
+        SlowStart {
+            config,
+            limit: config.initial_calls.max(1.0).min(config.max_calls),
+            threshold: config.max_calls,
+            updated: now,
+            failed_updates: 0,
+            ok_updates: 0,
+            lifted: false,
+            outages: 0,
+        }
     }
-    /// Other settings from now on; what is open stays open.
-    pub fn change(&mut self, terms: Terms) {
-        self.terms = terms;
-        (self.bound, self.knee) = (self.bound.min(terms.most), terms.most);
+
+    /// Another configuration from now on; a limit that is lifted stays so.
+    pub fn set_config(&mut self, config: SlowStartConfig) {
+        self.config = config;
+        self.limit = self.limit.min(config.max_calls);
+        self.threshold = config.max_calls;
     }
-    /// Calls in hand at the most, now; endless once it is open for good.
-    pub fn bound(&self) -> f64 {
-        if self.open {
+
+    /// Calls in flight at the most, now; infinite once the limit is lifted.
+    pub fn limit(&self) -> f64 {
+        if self.lifted {
             f64::INFINITY
         } else {
-            self.bound
+            self.limit
         }
     }
-    /// All that the settings allow is allowed.
-    pub fn is_open(&self) -> bool {
-        self.open || self.bound >= self.terms.most
+
+    /// All that the configuration allows is allowed.
+    pub fn is_fully_open(&self) -> bool {
+        self.lifted || self.limit >= self.config.max_calls
     }
-    /// When it is looked at next, in microseconds.
-    pub fn next(&self) -> Us {
-        self.looked + self.terms.step
+
+    /// When the next update is due, in microseconds.
+    pub fn next_update(&self) -> Us {
+        self.updated + self.config.update_interval
     }
 
-    /// Looks at what became of calls; true if the bound has moved. The rules, in order:
+    /// Takes in what became of calls; true if the limit has changed. The rules, in order:
     ///
-    /// 1. Nothing ended: the bound stays.
-    /// 2. Nothing but failures, [`OUT`] looks in a row: an outage; it begins anew, with a knee at half of where it was.
-    /// 3. More than a tenth failed: half of the bound, one at the least; the knee is there.
-    /// 4. All is ok and the bound holds calls back, or is nearly used: it grows by half up to the knee, then creeps.
-    /// 5. Ok for long at all that is allowed: open for good, until an outage.
-    pub fn look(&mut self, now: Us, seen: Seen) -> bool {
-        if now < self.next() {
+    /// 1. No call ended: the limit stays.
+    /// 2. Nothing but failures, three updates in a row: an outage. It begins anew, with the threshold at half of the limit.
+    /// 3. More than a tenth failed: half of the limit, one at the least; the threshold is there.
+    /// 4. Else, if the limit withholds calls or half of it is used: it grows by half up to the threshold, then slowly.
+    /// 5. Ok for long at the maximum: the limit is lifted until an outage.
+    pub fn update(&mut self, now: Us, sample: CallSample) -> bool {
+        if now < self.next_update() {
             return false;
         }
-        self.looked = now;
-        let (before, ended) = (self.bound(), seen.ok + seen.failed);
+        self.updated = now;
+        let before = self.limit();
+        let ended = sample.ok + sample.failed;
         if ended == 0 {
             return false;
         }
-        let fails = seen.failed as f64 > SOME * ended as f64;
-        self.failing = if seen.ok == 0 { self.failing + 1 } else { 0 };
-        self.fine = if fails { 0 } else { self.fine + 1 };
-        if self.failing >= OUT {
-            let knee = (self.bound * BACK).max(1.0);
-            let outages = self.outages + u64::from(self.failing == OUT);
-            *self = Opening { knee, failing: self.failing, outages, ..Opening::new(now, self.terms) };
-        } else if fails && !self.open {
-            self.knee = (self.bound * BACK).max(1.0);
-            self.bound = self.knee;
-        } else if !fails {
-            let used = seen.waiting > 0 || seen.in_hand as f64 + 1.0 >= self.bound * BACK;
-            if used && self.bound < self.knee {
-                self.bound = (self.bound * GROWTH).min(self.knee);
-            } else if used {
-                self.bound += CREEP;
-            }
-            self.bound = self.bound.min(self.terms.most);
-            self.open |= self.bound >= self.terms.most && self.fine >= WHOLE;
+        let failing = sample.failed as f64 > TOLERATED_FAILURES * ended as f64;
+        self.failed_updates = if sample.ok == 0 { self.failed_updates + 1 } else { 0 };
+        self.ok_updates = if failing { 0 } else { self.ok_updates + 1 };
+        if self.failed_updates >= OUTAGE_UPDATES {
+            self.begin_anew(now);
+        } else if failing && !self.lifted {
+            self.limit = self.backed_off_limit();
+            self.threshold = self.limit;
+        } else if !failing {
+            self.grow(sample);
+        }
+        self.limit() != before
+    }
+
+    fn backed_off_limit(&self) -> f64 {
+        (self.limit * BACKOFF_FACTOR).max(1.0)
+    }
+
+    fn begin_anew(&mut self, now: Us) {
+        let is_new_outage = self.failed_updates == OUTAGE_UPDATES;
+        *self = SlowStart {
+            threshold: self.backed_off_limit(),
+            failed_updates: self.failed_updates,
+            outages: self.outages + u64::from(is_new_outage),
+            ..SlowStart::new(now, self.config)
+        };
+    }
+
+    fn grow(&mut self, sample: CallSample) {
+        let is_needed = sample.waiting > 0 || sample.in_flight as f64 + 1.0 >= self.limit * USED_FRACTION;
+        if is_needed && self.limit < self.threshold {
+            self.limit = (self.limit * GROWTH_FACTOR).min(self.threshold);
+        } else if is_needed {
+            self.limit += GROWTH_STEP;
         }
-        self.bound() != before
+        self.limit = self.limit.min(self.config.max_calls);
+        let at_maximum = self.limit >= self.config.max_calls;
+        self.lifted |= at_maximum && self.ok_updates >= UPDATES_UNTIL_LIFTED;
     }
 }
--- a/recovery/src/staleness.rs
+++ b/recovery/src/staleness.rs
@@ -1,37 +1,51 @@
-//! What of a snapshot still holds after this start. One table; the docs have it in words
-//! (`docs/design/recovery.md`).
+//! What of a snapshot still holds after this start. This is the one table; `docs/design/recovery.md` describes it.
 
-use crate::snapshot::{age, Learned, Moment};
+use crate::assessment::{Assessment, DiscardReason, RestoredCost, ValueKind, Verdict};
+use crate::clock::{age, ClockReading};
+use crate::snapshot::Snapshot;
 use asterrill::Us;
 use std::collections::BTreeMap;
 
-/// Beyond this time after a start nothing that was kept withholds an RPC or a call, unless fresh evidence says the
+/// Beyond this time after a start nothing that was restored withholds an RPC or a call, unless fresh evidence says the
 /// same. In microseconds.
-pub const STATED: Us = 10_000_000;
-/// A kept cost counts for so many runs at the most, so that as many fresh ones outweigh it.
-pub const KEPT_RUNS: f64 = 8.0;
-/// A kept cost is at most this share of its latency target: twice what a server takes that knows nothing.
-pub const DEAREST: f64 = 0.4;
-
-const HALF: f64 = 86_400_000_000.0; // the age at which a cost counts for half: methods change with releases
-const LEAST: f64 = 0.5; // runs below which a cost is not worth taking
-const TARGET: Us = STATED; // a target is of its minute's load: older than this it is thrown away
-const PACE: Us = 2_000_000; // a slow spell, likewise
-const TROUBLE: Us = 60_000_000; // failures of the layer below are a reason for care so long
-const FULL: f64 = 0.5; // shortest latency targets in which an account fills up (buf_limit over mrr)
-
-/// The latency targets of the methods that there are, in microseconds.
-pub trait Targets {
-    /// None for a method that is not known.
-    fn target(&self, name: &str) -> Option<Us>;
+pub const MAX_EFFECT_TIME: Us = 10_000_000;
+/// A restored cost counts for so many runs at the most, so that as many fresh ones outweigh it.
+pub const MAX_RESTORED_RUNS: f64 = 8.0;
+/// A restored cost is at most this fraction of its latency target: twice that of a server that has learned nothing.
+pub const MAX_COST_FRACTION: f64 = 0.4;
+
+/// The age at which a cost counts for half, in microseconds: methods change with releases.
+const COST_HALF_LIFE: f64 = 86_400_000_000.0;
+/// Runs below which a cost is not worth restoring.
+const MIN_RUNS: f64 = 0.5;
+/// The weight from which a cost counts as not discounted.
+const FULL_WEIGHT: f64 = 0.999;
+/// A concurrency target is of its minute's load. Microseconds.
+const MAX_TARGET_AGE: Us = MAX_EFFECT_TIME;
+/// A slowdown may have been a short one. Microseconds.
+const MAX_SLOWDOWN_AGE: Us = 2_000_000;
+/// Failures of upstream calls are a reason for care so long. Microseconds.
+const MAX_FAILURE_AGE: Us = 60_000_000;
+/// The weight of a breaker that is restored as careful.
+const CAREFUL_WEIGHT: f64 = 0.5;
+/// The shortest latency targets in which an empty account fills up (`buf_limit` over `mrr`).
+const ACCOUNT_FILL_TARGETS: f64 = 0.5;
+/// Tenants' allowances are full again after this time at the latest. Microseconds.
+const MAX_ALLOWANCE_AGE: Us = MAX_EFFECT_TIME;
+
+/// The latency targets of the methods in force, in microseconds.
+pub trait LatencyTargets {
+    /// None for a method that is not in force.
+    fn target(&self, method: &str) -> Option<Us>;
     /// The shortest of all; 0 where there is no method.
     fn shortest(&self) -> Us;
 }
 
-impl Targets for BTreeMap<String, Us> {
-    fn target(&self, name: &str) -> Option<Us> {
-        self.get(name).copied()
+impl LatencyTargets for BTreeMap<String, Us> {
+    fn target(&self, method: &str) -> Option<Us> {
+        self.get(method).copied()
     }
+
     fn shortest(&self) -> Us {
         self.values().min().copied().unwrap_or(0)
     }
@@ -39,158 +53,156 @@
 
 /// What this start is like.
 #[derive(Clone)]
-pub struct Present<'a> {
+pub struct CurrentServer<'a> {
+    /// The backend's name.
     pub name: &'a str,
-    pub settings: u64,
+    /// The hash of the settings in force.
+    pub settings_hash: u64,
+    /// Cores of the machine.
     pub cores: f64,
+    /// Memory of the machine, in MB.
     pub memory_mb: u64,
-    pub moment: Moment,
-    /// The agent greeted as empty: what makes it quick is not there yet.
-    pub empty: bool,
+    /// Now.
+    pub now: ClockReading,
+    /// The agent has started without a warm cache.
+    pub agent_empty: bool,
     /// How old a snapshot may be at all, in microseconds.
-    pub trust: Us,
-    pub targets: &'a dyn Targets,
+    pub max_snapshot_age: Us,
+    /// The latency targets in force.
+    pub targets: &'a dyn LatencyTargets,
 }
 
-/// The kinds of values.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Value {
-    Costs,
-    Target,
-    Pace,
-    Breaker,
-    Accounts,
-    Tenants,
+/// Assesses a snapshot against this start. The rules, in order:
+///
+/// 1. Another backend's snapshot, or one whose age can't be trusted or is beyond `max_snapshot_age`: all is discarded.
+/// 2. Costs are discounted by half a day, by half under other settings, on other cores and while the agent is empty;
+///    they count for at most [`MAX_RESTORED_RUNS`] runs and [`MAX_COST_FRACTION`] of their latency target. A method whose
+///    target changed is new.
+/// 3. The concurrency target is accepted with a warm agent under the same settings on the same machine within
+///    [`MAX_EFFECT_TIME`] only.
+/// 4. The slowdown likewise, within 2 s: a slow spell from before is no reason to reject anything.
+/// 5. An open breaker never comes back open. Within a minute one failure opens it again.
+/// 6. Accounts are accepted within the time in which an empty one fills up anyway, tenants' allowances within
+///    [`MAX_EFFECT_TIME`].
+pub fn assess(snapshot: &Snapshot, server: &CurrentServer<'_>) -> Assessment {
+    let age = match age(&server.now, &snapshot.taken_at) {
+        _ if snapshot.name != server.name => return Assessment::discard_all(DiscardReason::OtherBackend),
+        None => return Assessment::discard_all(DiscardReason::AgeUnknown),
+        Some(age) if age > server.max_snapshot_age => return Assessment::discard_all(DiscardReason::TooOld),
+        Some(age) => age,
+    };
+    let assessor = Assessor { snapshot, server, age };
+    let mut assessment = Assessment { age, ..Assessment::default() };
+    assessor.assess_costs(&mut assessment);
+    assessor.assess_load(&mut assessment);
+    assessor.assess_breaker(&mut assessment);
+    assessor.assess_balances(&mut assessment);
+    assessment
 }
 
-/// Why a value is thrown away.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
-    AgeUnknown,
-    TooOld,
-    OtherBackend,
-    OtherSettings,
-    OtherMachine,
-    AgentEmpty,
-    /// Nothing of that kind stands in it, or of nothing that there is now.
-    Nothing,
+/// A snapshot of this backend, and its age.
+struct Assessor<'a> {
+    snapshot: &'a Snapshot,
+    server: &'a CurrentServer<'a>,
+    age: Us,
 }
 
-/// What becomes of a value.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
-    Taken,
-    /// It counts for this share, above 0 and below 1.
-    Faded(f64),
-    Thrown(Why),
-}
+impl Assessor<'_> {
+    fn same_settings(&self) -> bool {
+        self.snapshot.settings_hash == self.server.settings_hash
+    }
 
-/// What the module is to recall. Whatever is not in it begins as on a server that knows nothing.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Recall {
-    /// Of each method by name: the cost in microseconds, and the runs that it counts for.
-    pub costs: Vec<(String, f64, f64)>,
-    pub target: Option<f64>,
-    pub pace: Option<f64>,
-    /// One failure of a call opens the breaker; until then nothing is withheld.
-    pub careful: bool,
-    pub accounts: Vec<(u64, f64)>,
-    /// With the time that passed since, in which their room grew.
-    pub tenants: Vec<(String, f64)>,
-    pub age: Us,
-    /// What became of each kind, for the log and for operators.
-    pub verdicts: Vec<(Value, Verdict)>,
-}
+    fn same_machine(&self) -> bool {
+        self.snapshot.cores == self.server.cores && self.snapshot.memory_mb == self.server.memory_mb
+    }
 
-/// Weighs what was kept against this start. The rules, in order:
-///
-/// 1. Another backend's snapshot, or one whose age can't be trusted or is beyond `trust`: all is thrown away.
-/// 2. Costs fade by half a day, by half under other settings, on other cores and while the agent is empty; they count
-///    for at most [`KEPT_RUNS`] runs and [`DEAREST`] of their latency target. A method whose target moved is new.
-/// 3. The target is taken by a warm agent under the same settings on the same machine within [`STATED`] only.
-/// 4. The pace likewise, within 2 s: a slow spell from before is no reason to turn anything away.
-/// 5. An open breaker never comes back open. Within a minute one failure opens it again.
-/// 6. Accounts are taken within the time in which an empty one fills up anyway, tenants' rooms within [`STATED`].
-pub fn weigh(kept: &Learned, now: &Present<'_>) -> Recall {
-    let mut recall = Recall::default();
-    let age = match age(&now.moment, &kept.moment) {
-        _ if kept.name != now.name => return recall.nothing(Why::OtherBackend),
-        None => return recall.nothing(Why::AgeUnknown),
-        Some(age) if age > now.trust => return recall.nothing(Why::TooOld),
-        Some(age) => age,
-    };
-    recall.age = age;
-    let settings = kept.settings == now.settings;
-    let machine = kept.cores == now.cores && kept.memory_mb == now.memory_mb;
-    let within = |span: Us, warm: bool| match () {
-        _ if !settings => Some(Why::OtherSettings),
-        _ if !machine => Some(Why::OtherMachine),
-        _ if warm && now.empty => Some(Why::AgentEmpty),
-        _ => Some(Why::TooOld).filter(|_| age > span),
-    };
+    /// Of a value that holds only under the same settings on the same machine and up to some age.
+    fn verdict(&self, max_age: Us, needs_warm_agent: bool, has_value: bool) -> Verdict {
+        let reason = if !self.same_settings() {
+            DiscardReason::OtherSettings
+        } else if !self.same_machine() {
+            DiscardReason::OtherMachine
+        } else if needs_warm_agent && self.server.agent_empty {
+            DiscardReason::AgentEmpty
+        } else if self.age > max_age {
+            DiscardReason::TooOld
+        } else if !has_value {
+            DiscardReason::NoValue
+        } else {
+            return Verdict::Accepted;
+        };
+        Verdict::Discarded(reason)
+    }
 
-    let halves = [!settings, !machine, now.empty].into_iter().filter(|so| *so).count() as i32;
-    let weight = 0.5_f64.powf(age as f64 / HALF + f64::from(halves));
-    for method in &kept.methods {
-        let runs = method.runs.min(KEPT_RUNS) * weight;
-        if now.targets.target(&method.name) == Some(method.target) && runs >= LEAST && method.mean > 0.0 {
-            let mean = method.mean.min(method.target as f64 * DEAREST);
-            recall.costs.push((method.name.clone(), mean, runs));
-        }
+    fn assess_costs(&self, assessment: &mut Assessment) {
+        let weight = self.cost_weight();
+        assessment.costs = self.restored_costs(weight);
+        let verdict = if assessment.costs.is_empty() {
+            Verdict::Discarded(DiscardReason::NoValue)
+        } else if weight >= FULL_WEIGHT {
+            Verdict::Accepted
+        } else {
+            Verdict::Discounted(weight)
+        };
+        assessment.record(ValueKind::Costs, verdict);
     }
-    let costs = match recall.costs.is_empty() {
-        true => Verdict::Thrown(Why::Nothing),
-        false if weight >= 0.999 => Verdict::Taken,
-        false => Verdict::Faded(weight),
-    };
-    recall.verdicts.push((Value::Costs, costs));
 
-    let verdict = |thrown: Option<Why>, some: bool| match thrown {
-        Some(why) => Verdict::Thrown(why),
-        None if some => Verdict::Taken,
-        None => Verdict::Thrown(Why::Nothing),
-    };
-    let target = verdict(within(TARGET, true), kept.target > 0.0);
-    recall.target = Some(kept.target).filter(|_| target == Verdict::Taken);
-    recall.verdicts.push((Value::Target, target));
-    let pace = verdict(within(PACE, true), kept.pace > 0.0);
-    recall.pace = Some(kept.pace).filter(|_| pace == Verdict::Taken);
-    recall.verdicts.push((Value::Pace, pace));
-    recall.careful = kept.failures > 0 && age <= TROUBLE;
-    let breaker = match (kept.failures, recall.careful) {
-        (0, _) => Verdict::Thrown(Why::Nothing),
-        (_, true) => Verdict::Faded(0.5),
-        (_, false) => Verdict::Thrown(Why::TooOld),
-    };
-    recall.verdicts.push((Value::Breaker, breaker));
-    let shortest = now.targets.shortest();
-    let accounts = verdict(within((shortest as f64 * FULL) as Us, false), !kept.accounts.is_empty());
-    if accounts == Verdict::Taken {
-        recall.accounts = kept.accounts.clone();
+    fn cost_weight(&self) -> f64 {
+        let halvings = [!self.same_settings(), !self.same_machine(), self.server.agent_empty];
+        let halvings = halvings.into_iter().filter(|applies| *applies).count() as i32;
+        0.5_f64.powf(self.age as f64 / COST_HALF_LIFE + f64::from(halvings))
     }
-    recall.verdicts.push((Value::Accounts, accounts));
-    let tenants = verdict(within(STATED, false), !kept.tenants.is_empty());
-    if tenants == Verdict::Taken {
-        recall.tenants = kept.tenants.clone();
+
+    fn restored_costs(&self, weight: f64) -> Vec<RestoredCost> {
+        let mut costs = Vec::new();
+        for method in &self.snapshot.methods {
+            let runs = method.runs.min(MAX_RESTORED_RUNS) * weight;
+            let same_target = self.server.targets.target(&method.name) == Some(method.latency_target);
+            if same_target && runs >= MIN_RUNS && method.mean > 0.0 {
+                let mean = method.mean.min(method.latency_target as f64 * MAX_COST_FRACTION);
+                costs.push(RestoredCost { method: method.name.clone(), mean, runs });
+            }
+        }
+        costs
     }
-    recall.verdicts.push((Value::Tenants, tenants));
-    recall
-}
 
-impl Recall {
-    fn nothing(mut self, why: Why) -> Recall {
-        use Value::{Accounts, Breaker, Costs, Pace, Target, Tenants};
-        let all = [Costs, Target, Pace, Breaker, Accounts, Tenants];
-        self.verdicts = all.into_iter().map(|value| (value, Verdict::Thrown(why))).collect();
-        self
+    /// The concurrency target and the slowdown.
+    fn assess_load(&self, assessment: &mut Assessment) {
+        let (target, slowdown) = (self.snapshot.concurrency_target, self.snapshot.slowdown);
+        let verdict = self.verdict(MAX_TARGET_AGE, true, target > 0.0);
+        assessment.concurrency_target = (verdict == Verdict::Accepted).then_some(target);
+        assessment.record(ValueKind::ConcurrencyTarget, verdict);
+        let verdict = self.verdict(MAX_SLOWDOWN_AGE, true, slowdown > 0.0);
+        assessment.slowdown = (verdict == Verdict::Accepted).then_some(slowdown);
+        assessment.record(ValueKind::Slowdown, verdict);
     }
-    /// In words, such as `costs faded to 0.50, target thrown away: TooOld`.
-    pub fn told(&self) -> String {
-        let word = |(value, verdict): &(Value, Verdict)| match verdict {
-            Verdict::Taken => format!("{value:?} taken"),
-            Verdict::Faded(share) => format!("{value:?} faded to {share:.2}"),
-            Verdict::Thrown(why) => format!("{value:?} thrown away: {why:?}"),
+
+    fn assess_breaker(&self, assessment: &mut Assessment) {
+        let failed = self.snapshot.call_failures > 0;
+        assessment.careful = failed && self.age <= MAX_FAILURE_AGE;
+        let verdict = if !failed {
+            Verdict::Discarded(DiscardReason::NoValue)
+        } else if assessment.careful {
+            Verdict::Discounted(CAREFUL_WEIGHT)
+        } else {
+            Verdict::Discarded(DiscardReason::TooOld)
         };
-        self.verdicts.iter().map(word).collect::<Vec<_>>().join(", ")
+        assessment.record(ValueKind::Breaker, verdict);
+    }
+
+    /// Callers' accounts and tenants' allowances.
+    fn assess_balances(&self, assessment: &mut Assessment) {
+        let Snapshot { accounts, tenants, .. } = self.snapshot;
+        let fill_time = (self.server.targets.shortest() as f64 * ACCOUNT_FILL_TARGETS) as Us;
+        let verdict = self.verdict(fill_time, false, !accounts.is_empty());
+        if verdict == Verdict::Accepted {
+            assessment.accounts = accounts.clone();
+        }
+        assessment.record(ValueKind::Accounts, verdict);
+        let verdict = self.verdict(MAX_ALLOWANCE_AGE, false, !tenants.is_empty());
+        if verdict == Verdict::Accepted {
+            assessment.tenants = tenants.clone();
+        }
+        assessment.record(ValueKind::Tenants, verdict);
     }
 }
--- /dev/null
+++ b/recovery/tests/staleness.rs
@@ -0,0 +1,112 @@
+//! What of a snapshot is accepted, discounted or discarded.
+
+mod common;
+
+use asterrill_recovery::{
+    age, assess, Assessment, ClockReading, CurrentServer, DiscardReason, Snapshot, ValueKind, Verdict,
+    MAX_COST_FRACTION, MAX_EFFECT_TIME, MAX_RESTORED_RUNS,
+};
+use common::{server, snapshot, targets, S};
+use quickcheck::{Arbitrary, Gen, QuickCheck};
+
+fn verdict(assessment: &Assessment, kind: ValueKind) -> Verdict {
+    assessment.verdicts.iter().find(|value| value.kind == kind).unwrap().verdict
+}
+
+#[test]
+fn each_value_is_assessed_as_the_table_says() {
+    let (snapshot, targets) = (snapshot(), targets());
+    let soon = assess(&snapshot, &server(&targets, 100_000));
+    for kind in [
+        ValueKind::Costs,
+        ValueKind::ConcurrencyTarget,
+        ValueKind::Slowdown,
+        ValueKind::Accounts,
+        ValueKind::Tenants,
+    ] {
+        assert_eq!(verdict(&soon, kind), Verdict::Accepted, "{kind:?}");
+    }
+    assert!(soon.careful && soon.concurrency_target == Some(4.2));
+    assert!(soon.costs.iter().all(|cost| cost.runs <= MAX_RESTORED_RUNS));
+
+    let later = assess(&snapshot, &server(&targets, 60 * S));
+    assert_eq!((later.concurrency_target, later.slowdown), (None, None));
+    assert_eq!((later.accounts.len(), later.careful), (0, true));
+    assert_eq!(verdict(&later, ValueKind::ConcurrencyTarget), Verdict::Discarded(DiscardReason::TooOld));
+    assert!(!assess(&snapshot, &server(&targets, 61 * S)).careful);
+
+    let empty = assess(&snapshot, &CurrentServer { agent_empty: true, ..server(&targets, S) });
+    assert_eq!(verdict(&empty, ValueKind::ConcurrencyTarget), Verdict::Discarded(DiscardReason::AgentEmpty));
+    assert!(
+        matches!(verdict(&empty, ValueKind::Costs), Verdict::Discounted(weight) if (weight - 0.5).abs() < 0.01)
+    );
+
+    let other = assess(&snapshot, &CurrentServer { cores: 4.0, ..server(&targets, S) });
+    assert_eq!(
+        verdict(&other, ValueKind::ConcurrencyTarget),
+        Verdict::Discarded(DiscardReason::OtherMachine)
+    );
+    let other = assess(&snapshot, &CurrentServer { settings_hash: 1, ..server(&targets, S) });
+    assert_eq!(verdict(&other, ValueKind::Tenants), Verdict::Discarded(DiscardReason::OtherSettings));
+    let all = |assessment: &Assessment, reason| {
+        assessment.verdicts.iter().all(|value| value.verdict == Verdict::Discarded(reason))
+    };
+    let other = CurrentServer { name: "n2", ..server(&targets, S) };
+    assert!(all(&assess(&snapshot, &other), DiscardReason::OtherBackend));
+    assert!(all(&assess(&snapshot, &server(&targets, 7 * 86_400 * S)), DiscardReason::TooOld));
+    let set_back = ClockReading { wall: 1, uptime: 5 * S, boot_id: 6 };
+    let unknown = CurrentServer { now: set_back, ..server(&targets, S) };
+    assert!(all(&assess(&snapshot, &unknown), DiscardReason::AgeUnknown));
+
+    // A method whose target changed, or that is gone, has no cost to be restored.
+    let changed = [("till price".to_string(), 300_000)].into();
+    let costs = verdict(&assess(&snapshot, &server(&changed, S)), ValueKind::Costs);
+    assert_eq!(costs, Verdict::Discarded(DiscardReason::NoValue));
+}
+
+#[derive(Clone, Debug)]
+struct AnySnapshot(Snapshot, [u64; 4]);
+
+impl Arbitrary for AnySnapshot {
+    fn arbitrary(g: &mut Gen) -> AnySnapshot {
+        let mut any = snapshot();
+        let number = |g: &mut Gen| {
+            (u32::arbitrary(g) % 3_000_000) as f64 * if bool::arbitrary(g) { 1.0 } else { 1e-4 }
+        };
+        for method in &mut any.methods {
+            (method.mean, method.runs) = (number(g), number(g));
+        }
+        (any.concurrency_target, any.slowdown, any.call_failures) = (number(g), number(g), u32::arbitrary(g));
+        any.taken_at = ClockReading {
+            wall: u64::arbitrary(g),
+            uptime: u64::arbitrary(g),
+            boot_id: u64::arbitrary(g) % 3,
+        };
+        AnySnapshot(any, [u64::arbitrary(g), u64::arbitrary(g), u64::arbitrary(g) % 3, u64::arbitrary(g)])
+    }
+}
+
+/// Whatever stands in a file, however old it is, whatever the clocks say.
+#[test]
+fn no_restored_value_exceeds_its_bound_or_the_effect_time() {
+    fn holds(AnySnapshot(snapshot, [wall, uptime, boot_id, max_snapshot_age]): AnySnapshot) -> bool {
+        let targets = targets();
+        let now = ClockReading { wall, uptime, boot_id };
+        let server = CurrentServer { now, max_snapshot_age, ..server(&targets, 0) };
+        let restored = assess(&snapshot, &server);
+        let cheap = restored.costs.iter().all(|cost| {
+            cost.mean <= targets[&cost.method] as f64 * MAX_COST_FRACTION
+                && cost.mean > 0.0
+                && cost.runs <= MAX_RESTORED_RUNS
+        });
+        let age = age(&server.now, &snapshot.taken_at);
+        let withholds = restored.concurrency_target.is_some()
+            || restored.slowdown.is_some()
+            || !restored.accounts.is_empty();
+        let young = age.is_some_and(|age| age <= MAX_EFFECT_TIME && age <= max_snapshot_age) || !withholds;
+        let nothing = Assessment { verdicts: restored.verdicts.clone(), ..Assessment::default() };
+        let none = age.is_some() || restored == nothing;
+        cheap && young && none && restored.verdicts.len() == 6
+    }
+    QuickCheck::new().tests(5_000).quickcheck(holds as fn(AnySnapshot) -> bool);
+}
