--- a/consumer/src/execution.rs
+++ b/consumer/src/execution.rs
@@ -4,7 +4,7 @@
 use crate::message::MessageState;
 use crate::queue::QueueConsumer;
 use crate::settlement::{AttemptHistory, Disposition, RetryPolicy};
-use asterrill::{Effect, Final, Us};
+use asterrill::{FinalAnswer, Idempotency, Us};
 use asterrill_protocol::amqp::Settle;
 
 impl QueueConsumer {
@@ -26,7 +26,7 @@
     }
 
     /// The engine gave its final answer.
-    pub fn answered(&mut self, now: Us, id: InFlightId, answer: Final<'_>) {
+    pub fn answered(&mut self, now: Us, id: InFlightId, answer: FinalAnswer<'_>) {
         let Some(message) = self.messages.get(&id) else { return };
         let MessageState::Submitted { run_started } = message.state else { return };
         let history = AttemptHistory {
@@ -46,7 +46,7 @@
             Disposition::Settle(settlement) => {
                 self.count_unsuccessful(id, settlement, history);
                 let result = match answer {
-                    Final::Ok(result) => result,
+                    FinalAnswer::Ok(result) => result,
                     _ => &[],
                 };
                 self.reply_and_settle(now, id, settlement, result);
@@ -74,7 +74,7 @@
         }
         let Some(message) = self.messages.get(&id) else { return };
         let attempts_used_up =
-            history.effect == Effect::Idempotent && history.runs >= self.config.max_attempts;
+            history.effect == Idempotency::Idempotent && history.runs >= self.config.max_attempts;
         let count = match history.ran {
             true if attempts_used_up => &mut self.stats.poisoned,
             true => &mut self.stats.failed,
--- a/consumer/src/intake.rs
+++ b/consumer/src/intake.rs
@@ -7,7 +7,7 @@
 use crate::queue::{QueueConsumer, MIN_REOPEN_DELAY};
 use crate::routes::{route, Catalog, Route, RouteError};
 use crate::subscription::Subscription;
-use asterrill::{Effect, Us};
+use asterrill::{Idempotency, Us};
 use asterrill_protocol::amqp::{Delivery, DeliveryTag, Headers, Settle};
 
 /// The reply code of AMQP 0-9-1 for a precondition that failed.
@@ -50,8 +50,10 @@
     }
 
     /// Counts the reason if a message must not be run; else says until when it may run.
-    fn runnable_until(&mut self, now: Us, headers: &Headers, effect: Effect, prior_runs: u32) -> Option<Us> {
-        let may_have_run = prior_runs > 0 && effect == Effect::NonIdempotent;
+    fn runnable_until(
+        &mut self, now: Us, headers: &Headers, effect: Idempotency, prior_runs: u32,
+    ) -> Option<Us> {
+        let may_have_run = prior_runs > 0 && effect == Idempotency::NonIdempotent;
         if may_have_run && !self.config.run_unverified_redeliveries {
             self.stats.unverified += 1;
             return None;
@@ -112,9 +114,9 @@
     /// message without a name must be marked as redelivered for this, and is joined only to one whose own delivery was
     /// lost.
     fn absorb_duplicate(
-        &mut self, now: Us, identity: MessageIdentity, delivery: &Delivery, effect: Effect,
+        &mut self, now: Us, identity: MessageIdentity, delivery: &Delivery, effect: Idempotency,
     ) -> bool {
-        if !delivery.redelivered && (!identity.is_named() || effect == Effect::Idempotent) {
+        if !delivery.redelivered && (!identity.is_named() || effect == Idempotency::Idempotent) {
             return false;
         }
         if let Some(id) = self.in_flight_duplicate(identity) {
--- a/consumer/src/message.rs
+++ b/consumer/src/message.rs
@@ -2,13 +2,13 @@
 
 use crate::action::Submission;
 use crate::dedup::MessageIdentity;
-use asterrill::{Effect, Us};
+use asterrill::{Idempotency, Us};
 use asterrill_protocol::amqp::{DeliveryTag, Settle};
 
 /// A message that was taken in and is not settled.
 pub(crate) struct Message {
     pub(crate) identity: MessageIdentity,
-    pub(crate) effect: Effect,
+    pub(crate) effect: Idempotency,
     pub(crate) submission: Submission,
     pub(crate) body: Vec<u8>,
     /// The tags of all its unsettled deliveries; empty while its channel is lost and it was not redelivered.
--- a/consumer/src/routes.rs
+++ b/consumer/src/routes.rs
@@ -1,7 +1,7 @@
 //! The method, tenant and caller of a delivery.
 
 use crate::config::ConsumerConfig;
-use asterrill::{CallerId, Effect, MethodId};
+use asterrill::{CallerId, Idempotency, MethodId};
 use asterrill_protocol::amqp::Headers;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -14,7 +14,7 @@
 /// The methods and tenants in force, looked up by name for each delivery. One serves all queues.
 pub trait Catalog {
     /// A method that is in force, with its effect.
-    fn method(&self, name: &str) -> Option<(MethodId, Effect)>;
+    fn method(&self, name: &str) -> Option<(MethodId, Idempotency)>;
     /// The index of a tenant that is in force.
     fn tenant(&self, name: &str) -> Option<usize>;
     /// Whether tenants are told apart: a delivery of none of them has no route then.
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Route {
     pub(crate) method: MethodId,
-    pub(crate) effect: Effect,
+    pub(crate) effect: Idempotency,
     pub(crate) tenant: Option<usize>,
     pub(crate) caller: CallerId,
 }
--- a/consumer/src/settlement.rs
+++ b/consumer/src/settlement.rs
@@ -1,7 +1,7 @@
 //! What an answer of the engine makes of a delivery.
 
 use crate::config::Backoff;
-use asterrill::{Effect, Final, Us};
+use asterrill::{FinalAnswer, Idempotency, Us};
 use asterrill_protocol::amqp::Settle;
 
 /// What becomes of a delivery.
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptHistory {
     /// Whether its method may run again.
-    pub(crate) effect: Effect,
+    pub(crate) effect: Idempotency,
     /// When it must be answered, in microseconds.
     pub(crate) deadline: Us,
     /// Runs that were made, here or before a redelivery, the last one included.
@@ -51,18 +51,20 @@
     ///    doubles with each run. This bounds the cost of a poison message; it takes its place in the window meanwhile.
     /// 5. It ran: rejected, for the dead-letter side. An aborted run may have had its effect, and what must not take
     ///    effect twice is not run again.
-    pub(crate) fn decide(&self, now: Us, answer: &Final<'_>, history: AttemptHistory) -> Disposition {
-        let may_run_again = history.effect == Effect::Idempotent && history.runs < self.max_attempts;
+    pub(crate) fn decide(&self, now: Us, answer: &FinalAnswer<'_>, history: AttemptHistory) -> Disposition {
+        let may_run_again = history.effect == Idempotency::Idempotent && history.runs < self.max_attempts;
         let after_rejection = self.backoff.delay(history.consecutive_rejections);
         let retry = |delay| retry_before_deadline(now, delay, history.deadline);
         match answer {
-            Final::Ok(_) => Disposition::Settle(Settle::Ack),
+            FinalAnswer::Ok(_) => Disposition::Settle(Settle::Ack),
             _ if !history.ran && self.draining => Disposition::Settle(Settle::Requeue),
-            Final::PushedBack { come_back, .. } => retry(after_rejection.max(*come_back)),
-            Final::Aborted if !history.ran => retry(after_rejection),
-            Final::Aborted if may_run_again && self.draining => Disposition::Settle(Settle::Requeue),
-            Final::Aborted if may_run_again => retry(self.backoff.delay(history.runs.saturating_sub(1))),
-            Final::Aborted => Disposition::Settle(Settle::Reject),
+            FinalAnswer::Rejected { retry_after, .. } => retry(after_rejection.max(*retry_after)),
+            FinalAnswer::Aborted if !history.ran => retry(after_rejection),
+            FinalAnswer::Aborted if may_run_again && self.draining => Disposition::Settle(Settle::Requeue),
+            FinalAnswer::Aborted if may_run_again => {
+                retry(self.backoff.delay(history.runs.saturating_sub(1)))
+            }
+            FinalAnswer::Aborted => Disposition::Settle(Settle::Reject),
         }
     }
 }
--- a/consumer/src/tests/harness.rs
+++ b/consumer/src/tests/harness.rs
@@ -1,7 +1,7 @@
 //! A broker and an engine played by the test, which record every delivery tag and every run.
 
 use crate::{Action, Backoff, Catalog, ConsumerConfig, FieldSource, InFlightId, QueueConsumer};
-use asterrill::{Effect, Final, MethodId, Us};
+use asterrill::{FinalAnswer, Idempotency, MethodId, Us};
 use asterrill_protocol::amqp::{Channel, Delivery, DeliveryTag, Headers, Settle};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -33,8 +33,12 @@
 pub(super) struct TestCatalog;
 
 impl Catalog for TestCatalog {
-    fn method(&self, name: &str) -> Option<(MethodId, Effect)> {
-        let all = [("read", Effect::Idempotent), ("keyed", Effect::Tokened), ("pay", Effect::NonIdempotent)];
+    fn method(&self, name: &str) -> Option<(MethodId, Idempotency)> {
+        let all = [
+            ("read", Idempotency::Idempotent),
+            ("keyed", Idempotency::Keyed),
+            ("pay", Idempotency::NonIdempotent),
+        ];
         let index = all.iter().position(|(method, _)| *method == name)?;
         Some((MethodId(index), all[index].1))
     }
@@ -269,14 +273,14 @@
     }
     pub(super) fn end_run(&mut self, ok: bool) {
         if let Some((id, _)) = self.running.pop_first() {
-            let answer = if ok { Final::Ok(b"result") } else { Final::Aborted };
+            let answer = if ok { FinalAnswer::Ok(b"result") } else { FinalAnswer::Aborted };
             self.queue.answered(self.now, id, answer);
             self.carry_out_actions();
         }
     }
-    pub(super) fn reject(&mut self, come_back: Us) {
+    pub(super) fn reject(&mut self, retry_after: Us) {
         if let Some((id, _)) = self.submitted.pop_first() {
-            self.queue.answered(self.now, id, Final::PushedBack { terminal: false, come_back });
+            self.queue.answered(self.now, id, FinalAnswer::Rejected { terminal: false, retry_after });
             self.carry_out_actions();
         }
     }
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -10,7 +10,7 @@
 use crate::stats::Stats;
 use crate::upstream::UpstreamLinks;
 use crate::wire::{ConnId, LinkId, Place, Requester, Wire};
-use asterrill::{CallEnd, Effect, Final, MethodId, RpcId, RunEnd, Us};
+use asterrill::{CallEnd, FinalAnswer, Idempotency, MethodId, RpcId, RunEnd, Us};
 use asterrill_consensus::{caller_key, Gate, Kind};
 use asterrill_engine::{
     Command, Engine, EngineConfig, IdempotencyKey, IncomingRpc, Outputs, RetentionLimits, Served,
@@ -104,7 +104,7 @@
 }
 
 impl asterrill_consumer::Catalog for ActiveNames<'_> {
-    fn method(&self, name: &str) -> Option<(MethodId, Effect)> {
+    fn method(&self, name: &str) -> Option<(MethodId, Idempotency)> {
         let place = self.of_method(name)?;
         Some((place, self.names.effect(place)?))
     }
@@ -178,11 +178,11 @@
 }
 
 impl Outputs<Requester> for EngineOutputs<'_> {
-    fn answer(&mut self, to: Requester, answer: Final<'_>, credit: Option<f64>, of: Option<Served>) {
+    fn answer(&mut self, to: Requester, answer: FinalAnswer<'_>, credit: Option<f64>, of: Option<Served>) {
         let AppliedVersions { module, names, queues } = self.around.stamps;
         self.around.counters.half_applied += u64::from(module != names || names != queues);
         if let Some(of) = of {
-            self.around.service.answered(of, matches!(answer, Final::Ok(_)));
+            self.around.service.answered(of, matches!(answer, FinalAnswer::Ok(_)));
         }
         match to {
             Requester::Sidecar(place) => self.wire.answer(place, answer, credit),
@@ -321,10 +321,10 @@
                     let mut taken = false;
                     for _ in 0..IDS {
                         taken = taken || self.engine.request_received(now, at, read.clone(), &body, &mut out);
-                        read.id = RpcId::of(self.chance.generate());
+                        read.id = RpcId::from_number(self.chance.generate());
                     }
                     if !taken {
-                        let answer = Final::PushedBack { terminal: false, come_back: 0 };
+                        let answer = FinalAnswer::Rejected { terminal: false, retry_after: 0 };
                         out.answer(at, answer, None, None);
                     }
                 }
@@ -504,7 +504,7 @@
     }
     /// What the module has learned.
     #[cfg(test)]
-    pub fn learned(&self) -> asterrill::Experience {
+    pub fn learned(&self) -> asterrill::LearnedState {
         self.engine.learned()
     }
     #[cfg(test)]
@@ -584,7 +584,7 @@
         };
         // What the agent may never have heard of is not joined to anything, and nothing to it.
         let shares = self.around.sidecars.proven(place.conn);
-        let tokened = server.effect(method) == Some(Effect::Tokened);
+        let tokened = server.effect(method) == Some(Idempotency::Keyed);
         let known = (tokened || ask.key.is_some() && shares && self.engine.is_coalescible(method))
             .then(|| idempotency_key(&ask.method, &ask.tenant, body));
         // An answer carries what a run made for this RPC: of reads with one key, only tries of the same one share.
@@ -837,7 +837,7 @@
 
     /// A link below is gone with all calls on it. `refused` proves that none of them ran.
     pub fn link_ended(&mut self, now: Us, by: LinkId, refused: bool, wire: &mut dyn Wire) {
-        let end = if refused { CallEnd::PushedBack } else { CallEnd::Aborted };
+        let end = if refused { CallEnd::Rejected } else { CallEnd::Aborted };
         let some = self.around.links.busy(by);
         self.around.links.ends(by);
         if some {
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -5,7 +5,7 @@
 use crate::queues::QueueConsumers;
 use crate::stats::Stats;
 use crate::wire::{ConnId, LinkId, Place, Wire};
-use asterrill::{Final, RpcId, Us};
+use asterrill::{FinalAnswer, RpcId, Us};
 use asterrill_consensus::Gate;
 use asterrill_net::{elapsed, now, Bell, Door, Outbox, Pool, Room, SIZE};
 use asterrill_protocol::agent::{self, NoticeId};
@@ -500,7 +500,7 @@
 }
 
 impl Wire for Ports {
-    fn answer(&mut self, to: Place, answer: Final<'_>, credit: Option<f64>) {
+    fn answer(&mut self, to: Place, answer: FinalAnswer<'_>, credit: Option<f64>) {
         self.scratch.reserve(ANSWER_OVERHEAD_BYTES + asterrill_protocol::MAX_BODY_BYTES);
         self.to(to, |bytes| sidecar::answer(bytes, to.stream, answer, credit));
     }
--- a/daemon/src/name_table.rs
+++ b/daemon/src/name_table.rs
@@ -2,7 +2,7 @@
 //! are known. Which of them are in force is the module's to say: a name whose terms are staged is found here already,
 //! and one that was taken still is, until the change that took it is settled.
 
-use asterrill::{Effect, MethodId, Term, Us};
+use asterrill::{Idempotency, MethodId, SettingsUpdate, Us};
 use asterrill_entries::{Change, Name, MAX_METHODS};
 use asterrill_settings::ServerParts;
 use rustc_hash::FxHashMap;
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 struct Of {
     name: Name,
-    effect: Effect,
+    effect: Idempotency,
     target: Us,
 }
 
@@ -27,7 +27,7 @@
     /// Tenants that were taken by a change that is not settled yet.
     taken: Vec<Name>,
     /// Of methods whose terms are staged: what comes into force with them.
-    staged: Vec<(MethodId, Effect, Us)>,
+    staged: Vec<(MethodId, Idempotency, Us)>,
     /// Tenants are told apart, by the version in force.
     pub tells_tenants: bool,
     pub gauges: Vec<String>,
@@ -37,8 +37,11 @@
     pub fn new(server: &mut ServerParts) -> NameTable {
         let (names, tenants) = (std::mem::take(&mut server.methods), std::mem::take(&mut server.tenants));
         let of_methods = names.iter().cloned().zip((0..).map(MethodId)).collect();
-        let of =
-            |((name, effect), target): ((Name, &Effect), &Us)| Of { name, effect: *effect, target: *target };
+        let of = |((name, effect), target): ((Name, &Idempotency), &Us)| Of {
+            name,
+            effect: *effect,
+            target: *target,
+        };
         let methods = names.into_iter().zip(&server.effects).zip(&server.latency_targets).map(of).collect();
         let (places, tells_tenants) = (tenants.len(), !tenants.is_empty());
         let tenants = tenants.into_iter().zip(0..).collect();
@@ -58,7 +61,7 @@
     pub fn name(&self, method: MethodId) -> Option<&Name> {
         self.methods.get(method.0).map(|of| &of.name)
     }
-    pub fn effect(&self, method: MethodId) -> Option<Effect> {
+    pub fn effect(&self, method: MethodId) -> Option<Idempotency> {
         self.methods.get(method.0).map(|of| of.effect)
     }
     pub fn target(&self, method: MethodId) -> Option<Us> {
@@ -95,15 +98,15 @@
 
     /// NameTable of a change get their places; hands back the terms that are to be staged there. None of them is in force
     /// by that.
-    pub fn stage(&mut self, changes: &[Change]) -> Vec<Term> {
+    pub fn stage(&mut self, changes: &[Change]) -> Vec<SettingsUpdate> {
         changes.iter().filter_map(|change| self.place(change)).collect()
     }
 
-    fn place(&mut self, change: &Change) -> Option<Term> {
+    fn place(&mut self, change: &Change) -> Option<SettingsUpdate> {
         Some(match change {
             Change::SetGlobals(_) => return None,
             Change::PutMethod(name, method) => {
-                let (effect, target) = (method.effect, method.latency_target);
+                let (effect, target) = (method.idempotency, method.latency_target);
                 let place = match self.method(name) {
                     Some(place) => place,
                     None => {
@@ -114,9 +117,9 @@
                     }
                 };
                 self.staged.push((place, effect, target));
-                Term::Method(place, Some(method.clone()))
+                SettingsUpdate::Method(place, Some(method.clone()))
             }
-            Change::RemoveMethod(name) => Term::Method(self.method(name)?, None),
+            Change::RemoveMethod(name) => SettingsUpdate::Method(self.method(name)?, None),
             Change::PutTenant(name, rate) => {
                 let place = match self.tenant(name) {
                     Some(place) => place,
@@ -129,11 +132,11 @@
                         place
                     }
                 };
-                Term::Tenant(place, Some(*rate))
+                SettingsUpdate::Tenant(place, Some(*rate))
             }
             Change::RemoveTenant(name) => {
                 self.taken.push(name.clone());
-                Term::Tenant(self.tenant(name)?, None)
+                SettingsUpdate::Tenant(self.tenant(name)?, None)
             }
         })
     }
--- a/daemon/src/operator.rs
+++ b/daemon/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's file, made into what is switched on by it.
 
 use crate::queues::{QueueConfig, QueueConsumers};
-use asterrill::{Say, Us};
+use asterrill::{FeedbackMode, Us};
 use asterrill_consumer::{Backoff, ConsumerConfig, FieldSource};
 use asterrill_entries::{Configuration, EntryKind};
 use asterrill_net::Address;
@@ -86,7 +86,7 @@
         seed,
         cores: content.globals().cores as f64,
         room: (bodies / SHARE) as f64,
-        credit: content.globals().load_report == Say::Credit,
+        credit: content.globals().load_report == FeedbackMode::Credit,
     };
     let Some(addresses) = Address::first_of(&broker.addresses) else { return Ok(None) };
     Ok(Some((
--- a/daemon/src/queues.rs
+++ b/daemon/src/queues.rs
@@ -1,7 +1,7 @@
 //! The front of the queues: the session with the broker on one side, each queue's state machine on the other.
 //! What the queues want of the engine is handed on to the core; all else is carried out here.
 
-use asterrill::{Final, RpcId, Us};
+use asterrill::{FinalAnswer, RpcId, Us};
 use asterrill_consumer::{
     Action, Catalog, ConsumerConfig, InFlightId, PendingReply, QueueConsumer, Submission,
 };
@@ -224,7 +224,7 @@
     pub fn launched(&mut self, work: InFlightId) {
         self.of(work).into_iter().for_each(|queue| queue.run_started(work));
     }
-    pub fn answered(&mut self, now: Us, work: InFlightId, answer: Final<'_>) {
+    pub fn answered(&mut self, now: Us, work: InFlightId, answer: FinalAnswer<'_>) {
         self.of(work).into_iter().for_each(|queue| queue.answered(now, work, answer));
     }
     pub fn withdrawn(&mut self, now: Us, work: InFlightId) {
@@ -309,7 +309,7 @@
 
     fn read_of(&mut self, offer: &Submission) -> IncomingRpc {
         IncomingRpc {
-            id: RpcId::of(self.chance.generate()),
+            id: RpcId::from_number(self.chance.generate()),
             method: offer.method,
             tenant: offer.tenant,
             caller: offer.caller,
--- a/daemon/src/recovery.rs
+++ b/daemon/src/recovery.rs
@@ -1,7 +1,10 @@
 //! How this server comes back: what `asterrill-recovery` decides, joined to the engine's figures. No I/O: what was
 //! kept comes in, what is to be kept goes out, moments are passed in.
 
-use asterrill::{CallerId, Care, Experience, MethodId, Standing, Us};
+use asterrill::{
+    CallerId, LearnedAllowance, LearnedBalance, LearnedCost, LearnedState, MethodId, RecoveryLimits, Status,
+    Us,
+};
 use asterrill_engine::EngineStats;
 use asterrill_entries::Name;
 use asterrill_operator_config::RecoverySettings;
@@ -76,24 +79,28 @@
     }
 
     /// How carefully the module is to go about it now.
-    pub fn care(&self) -> Care {
+    pub fn care(&self) -> RecoveryLimits {
         let RecoverySettings { retry_percent: repeats, jitter_percent: spread, .. } = self.config.terms;
         let calls = self.slow_start.as_ref().map_or(f64::INFINITY, SlowStart::limit);
-        Care { calls, repeats: repeats as f64 / 100.0, spread: spread as f64 / 100.0 }
+        RecoveryLimits {
+            calls_in_flight: calls,
+            retry_ratio: repeats as f64 / 100.0,
+            retry_after_jitter: spread as f64 / 100.0,
+        }
     }
 
     /// The agent has greeted for the first time: what was kept is assessed. Hands back what the module is to restored,
     /// and what became of each value, in words.
     pub fn greeted(
-        &mut self, now: Us, empty: bool, standing: Standing, known: &dyn ActiveTerms,
-    ) -> Option<(Experience, String)> {
+        &mut self, now: Us, empty: bool, standing: Status, known: &dyn ActiveTerms,
+    ) -> Option<(LearnedState, String)> {
         if std::mem::replace(&mut self.assessed, true) {
             return None;
         }
-        if standing.most_calls.is_finite() {
+        if standing.call_limit.is_finite() {
             let first = self.config.terms.initial_calls as f64;
             let config = SlowStartConfig {
-                max_calls: standing.most_calls.max(1.0),
+                max_calls: standing.call_limit.max(1.0),
                 initial_calls: first,
                 update_interval: LOOK,
             };
@@ -115,19 +122,23 @@
         };
         let restored = assess(&kept, &present);
         let told = format!("{} (age {} ms)", restored.summary(), restored.age / 1000);
-        let cost = |cost: &RestoredCost| Some((known.place(&cost.method)?, cost.mean, cost.runs));
-        let tenant = |tenant: &TenantAllowance| Some((known.tenant(&tenant.name)?, tenant.rpcs));
-        let experience = Experience {
+        let cost = |cost: &RestoredCost| {
+            Some(LearnedCost { method: known.place(&cost.method)?, mean: cost.mean, runs: cost.runs })
+        };
+        let balance = |account: &AccountBalance| LearnedBalance {
+            caller: CallerId(account.caller),
+            ratio: account.fraction,
+        };
+        let allowance = |tenant: &TenantAllowance| {
+            Some(LearnedAllowance { tenant: known.tenant(&tenant.name)?, rpcs: tenant.rpcs })
+        };
+        let experience = LearnedState {
             costs: restored.costs.iter().filter_map(cost).collect(),
-            target: restored.concurrency_target,
-            pace: restored.slowdown,
-            failures: if restored.careful { u32::MAX } else { 0 },
-            accounts: restored
-                .accounts
-                .iter()
-                .map(|account| (CallerId(account.caller), account.fraction))
-                .collect(),
-            tenants: restored.tenants.iter().filter_map(tenant).collect(),
+            concurrency_target: restored.concurrency_target,
+            slowdown: restored.slowdown,
+            call_failures: if restored.careful { u32::MAX } else { 0 },
+            accounts: restored.accounts.iter().map(balance).collect(),
+            tenants: restored.tenants.iter().filter_map(allowance).collect(),
             age: restored.age,
         };
         Some((experience, told))
@@ -135,8 +146,8 @@
 
     /// Time has passed. Hands back the care that is to be taken, if that has changed, and the stage that was entered.
     pub fn look(
-        &mut self, now: Us, counts: &EngineStats, standing: Standing,
-    ) -> (Option<Care>, Option<Stage>) {
+        &mut self, now: Us, counts: &EngineStats, standing: Status,
+    ) -> (Option<RecoveryLimits>, Option<Stage>) {
         if now < self.next {
             return (None, None);
         }
@@ -146,8 +157,8 @@
         let sample = CallSample {
             ok: counts.calls_ok - before.calls_ok,
             failed: failed(counts) - failed(&before),
-            in_flight: standing.calls,
-            waiting: standing.at_call,
+            in_flight: standing.calls_in_flight,
+            waiting: standing.waiting_to_call,
         };
         let moved = self.slow_start.as_mut().is_some_and(|slow_start| slow_start.update(now, sample));
         let evidence = StageEvidence {
@@ -155,10 +166,13 @@
             runs_ok: counts.runs_ok - before.runs_ok,
             received: counts.requests - before.requests,
             rejected: counts.rejected - before.rejected,
-            slowdown: standing.pace,
+            slowdown: standing.slowdown,
             ramp_complete: standing.warm,
-            calls_open: self.slow_start.as_ref().is_none_or(|o| o.is_fully_open() || standing.at_call == 0),
-            unhealthy: standing.shut || standing.still,
+            calls_open: self
+                .slow_start
+                .as_ref()
+                .is_none_or(|o| o.is_fully_open() || standing.waiting_to_call == 0),
+            unhealthy: standing.breaker_open || standing.stalled,
         };
         (moved.then(|| self.care()), self.stages.update(now, evidence))
     }
@@ -170,10 +184,10 @@
 
     /// What is to be kept. Methods of which nothing was learned, and those that are gone, are left out. In the order of
     /// names, as many as a snapshot holds.
-    pub fn snapshot(&self, moment: ClockReading, learned: Experience, known: &dyn ActiveTerms) -> Snapshot {
-        let of_method = |(method, mean, runs): &(MethodId, f64, f64)| {
-            let (name, target) = known.named(*method).filter(|_| *runs > 0.0)?;
-            Some((name, target, *mean, *runs))
+    pub fn snapshot(&self, moment: ClockReading, learned: LearnedState, known: &dyn ActiveTerms) -> Snapshot {
+        let of_method = |cost: &LearnedCost| {
+            let (name, target) = known.named(cost.method).filter(|_| cost.runs > 0.0)?;
+            Some((name, target, cost.mean, cost.runs))
         };
         let mut methods: Vec<_> = learned.costs.iter().filter_map(of_method).collect();
         first(&mut methods, MAX_METHODS, |(name, ..)| name);
@@ -186,8 +200,8 @@
         let mut tenants = known.tenants();
         first(&mut tenants, MAX_TENANTS, |(name, _)| name);
         let allowance = |(name, place): (&Name, usize)| {
-            let at = learned.tenants.binary_search_by_key(&place, |(place, _)| *place).ok()?;
-            Some(TenantAllowance { name: name.to_string(), rpcs: learned.tenants.get(at)?.1 })
+            let at = learned.tenants.binary_search_by_key(&place, |allowance| allowance.tenant).ok()?;
+            Some(TenantAllowance { name: name.to_string(), rpcs: learned.tenants.get(at)?.rpcs })
         };
         Snapshot {
             name: self.config.name.clone(),
@@ -196,13 +210,13 @@
             memory_mb: self.config.memory_mb,
             taken_at: moment,
             methods: methods.into_iter().map(cost).collect(),
-            concurrency_target: learned.target.unwrap_or(0.0),
-            slowdown: learned.pace.unwrap_or(0.0),
-            call_failures: learned.failures,
+            concurrency_target: learned.concurrency_target.unwrap_or(0.0),
+            slowdown: learned.slowdown.unwrap_or(0.0),
+            call_failures: learned.call_failures,
             accounts: learned
                 .accounts
                 .iter()
-                .map(|(caller, fraction)| AccountBalance { caller: caller.0, fraction: *fraction })
+                .map(|account| AccountBalance { caller: account.caller.0, fraction: account.ratio })
                 .collect(),
             tenants: tenants.into_iter().filter_map(allowance).collect(),
         }
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -3,7 +3,7 @@
 
 use crate::core::{Core, VersionSwitch};
 use crate::wire::{ConnId, LinkId, Place, Wire};
-use asterrill::{CallEnd, CallerId, Final, RpcId, RunEnd, Us};
+use asterrill::{CallEnd, CallerId, FinalAnswer, RpcId, RunEnd, Us};
 use asterrill_entries::{Change as Entry, Configuration as Entries, EntryKind};
 use asterrill_net::Pool;
 use asterrill_protocol::agent::NoticeId;
@@ -111,12 +111,12 @@
 }
 
 impl Wire for Out {
-    fn answer(&mut self, to: Place, answer: Final<'_>, credit: Option<f64>) {
+    fn answer(&mut self, to: Place, answer: FinalAnswer<'_>, credit: Option<f64>) {
         self.credit = credit;
         let (what, body) = match answer {
-            Final::Ok(result) => ("ok", result.to_vec()),
-            Final::PushedBack { .. } => ("pushed back", vec![]),
-            Final::Aborted => ("aborted", vec![]),
+            FinalAnswer::Ok(result) => ("ok", result.to_vec()),
+            FinalAnswer::Rejected { .. } => ("pushed back", vec![]),
+            FinalAnswer::Aborted => ("aborted", vec![]),
         };
         if self.answers.insert(to, (what, body)).is_some() {
             self.faults.push(format!("answered twice {to:?}"));
@@ -453,7 +453,7 @@
             4 | 5 => self.play(n, false),
             6 => self.play(n, true),
             7 | 8 => self.read_notices(1 + n % 3),
-            9 => self.reply(n, [CallEnd::Ok, CallEnd::Ok, CallEnd::TimedOut, CallEnd::PushedBack][n % 4]),
+            9 => self.reply(n, [CallEnd::Ok, CallEnd::Ok, CallEnd::TimedOut, CallEnd::Rejected][n % 4]),
             10 => {
                 let count = self.asks.len().max(1);
                 if let Some(place) = self.asks.keys().nth(n % count).copied().filter(|_| n.is_multiple_of(3))
@@ -658,7 +658,8 @@
     let mut w = World::of(3, &settings);
     let try_of = |w: &mut World, conn: u64, method: &str, body: &[u8]| {
         w.next += 1;
-        let (id, place) = (RpcId::of(w.next), Place { conn: ConnId(conn), stream: StreamId(w.next as u32) });
+        let (id, place) =
+            (RpcId::from_number(w.next), Place { conn: ConnId(conn), stream: StreamId(w.next as u32) });
         let (method, tenant, caller) = (method.to_string(), "acme".to_string(), CallerId(conn));
         let (born, due, size_kb) = (w.now, Some(w.now + 800 * MS), 20.0 + conn as f64);
         w.out.bodies.insert(id, body.to_vec());
@@ -932,7 +933,7 @@
     let mut w = World::new(11);
     w.pass(500 * MS);
     let (method, tenant, caller) = ("look".to_string(), "acme".to_string(), CallerId(1));
-    let (id, place) = (RpcId::of(9), Place { conn: ConnId(1), stream: StreamId(1) });
+    let (id, place) = (RpcId::from_number(9), Place { conn: ConnId(1), stream: StreamId(1) });
     let born = w.now - 20 * MS;
     let ask = RpcRequest { id, method, tenant, caller, born, due: None, size_kb: 20.0, key: None };
     w.core.rpc_read(w.now, place, ask, b"", &mut w.out);
@@ -1056,7 +1057,7 @@
     core.agent_up(START, None, &mut out);
     for n in 0..1_000_u64 {
         let place = Place { conn: ConnId(n), stream: StreamId(1) };
-        let (id, caller) = (RpcId::of(n + 1), CallerId(n));
+        let (id, caller) = (RpcId::from_number(n + 1), CallerId(n));
         let (method, tenant, due) = ("look".to_string(), "acme".to_string(), Some(START + 900_000 * MS));
         out.bodies.insert(id, Vec::new());
         let ask = RpcRequest { id, method, tenant, caller, born: START, due, size_kb: 1.0, key: None };
@@ -1169,7 +1170,7 @@
         let w = world(2, Some(again));
         // Places are in the order of names: "book" stands before it.
         let recalled = w.core.learned().costs[1];
-        assert!((recalled.1 - look.mean).abs() < 1.0 && recalled.2 <= 8.0, "{recalled:?} of {look:?}");
+        assert!((recalled.mean - look.mean).abs() < 1.0 && recalled.runs <= 8.0, "{recalled:?} of {look:?}");
     }
 
     #[test]
@@ -1267,7 +1268,7 @@
     let mut w = World::new(41);
     let asks = |w: &mut World, method: &str, tenant: &str| {
         w.next += 1;
-        let (id, place) = (RpcId::of(w.next), Place { conn: ConnId(w.next), stream: StreamId(1) });
+        let (id, place) = (RpcId::from_number(w.next), Place { conn: ConnId(w.next), stream: StreamId(1) });
         let (method, tenant, caller) = (method.to_string(), tenant.to_string(), CallerId(1));
         let (born, due) = (w.now, Some(w.now + 800 * MS));
         w.out.bodies.insert(id, b"body".to_vec());
--- a/daemon/src/tests/store.rs
+++ b/daemon/src/tests/store.rs
@@ -1,7 +1,7 @@
 //! Tests of `store.rs`.
 
 use super::*;
-use asterrill::{Effect, Method};
+use asterrill::{Idempotency, Method};
 use asterrill_entries::{Change, Configuration, EntryKind, GlobalSettings};
 use asterrill_rollout::Kept;
 use std::os::unix::fs::symlink;
@@ -19,11 +19,11 @@
     let method = Method {
         latency_target: 1_000,
         deadline: 3_000,
-        effect: Effect::Idempotent,
+        idempotency: Idempotency::Idempotent,
         criticality: 1.0,
-        late_share: 0.0,
-        window: 0,
-        skip_share: 0.0,
+        late_value_ratio: 0.0,
+        idempotency_window: 0,
+        skip_value_ratio: 0.0,
     };
     let put = [Change::PutMethod("look".into(), method), Change::PutTenant("nile".into(), number as f64)];
     Kept {
--- a/daemon/src/wire.rs
+++ b/daemon/src/wire.rs
@@ -1,7 +1,7 @@
 //! Ids of what is around the core, and what the core has written. Everything else here may use it; it uses nothing of
 //! theirs.
 
-use asterrill::{Final, RpcId, Us};
+use asterrill::{FinalAnswer, RpcId, Us};
 use asterrill_consumer::InFlightId;
 use asterrill_protocol::agent::NoticeId;
 use asterrill_protocol::sidecar::StreamId;
@@ -31,7 +31,7 @@
 
 /// What the core has written. Each message is put out whole, at once; nothing here waits.
 pub trait Wire {
-    fn answer(&mut self, to: Place, answer: Final<'_>, credit: Option<f64>);
+    fn answer(&mut self, to: Place, answer: FinalAnswer<'_>, credit: Option<f64>);
     fn health(&mut self, to: Place, good: bool, credit: Option<f64>);
     fn launch(&mut self, id: RpcId, method: &str, body: &[u8]);
     fn stop(&mut self, id: RpcId);
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -5,8 +5,8 @@
 use crate::outputs::{EngineStats, Outputs, Served, UpstreamLinkId};
 use crate::response_cache::Kept;
 use asterrill::{
-    Answer, Arrival, CallEnd, CallerId, Care, Control, Effect, Experience, Final, Gauges, MethodId, Outcome,
-    RpcId, RunEnd, Staged, Standing, Term, Us,
+    Answer, Arrival, CallEnd, CallerId, Control, FinalAnswer, Gauges, Idempotency, LearnedState, MethodId,
+    Outcome, RecoveryLimits, RpcId, RunEnd, SettingsUpdate, StagedTable, Status, Us,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::RangeBounds;
@@ -110,7 +110,7 @@
 /// See the package's page.
 pub struct Engine<P, B> {
     control: Control,
-    shares: Staged<bool>, // by method
+    shares: StagedTable<bool>, // by method
     fresh: Us,
     hold: Hold<B>,
     now: Us,
@@ -140,7 +140,7 @@
             IdempotencyKeys::new(terms.limits.idempotency_result_bytes, terms.limits.max_rpc_lifetime);
         Engine {
             control,
-            shares: Staged::new(terms.coalescible_methods),
+            shares: StagedTable::new(terms.coalescible_methods),
             fresh: terms.limits.result_ttl,
             hold,
             now,
@@ -165,14 +165,14 @@
     /// The start: the module says what to publish.
     pub fn start(&mut self, now: Us, out: &mut dyn Outputs<P>) {
         self.advance_to(now);
-        let outcome = self.control.started();
+        let outcome = self.control.start();
         self.carry(outcome, out);
     }
 
     /// The same for a module made anew, before any RPC was read.
     pub fn restart(&mut self, now: Us, control: Control, terms: EngineConfig, out: &mut dyn Outputs<P>) {
         self.take_bounds(terms.limits);
-        self.shares = Staged::new(terms.coalescible_methods);
+        self.shares = StagedTable::new(terms.coalescible_methods);
         self.control = control;
         self.wakes.clear();
         self.start(now, out);
@@ -184,10 +184,10 @@
 
     /// Takes terms in beside those in force: nothing of them shows until [`Engine::apply_staged`]. See
     /// [`Control::stage`].
-    pub fn stage(&mut self, terms: &[Term]) {
+    pub fn stage(&mut self, terms: &[SettingsUpdate]) {
         for term in terms {
-            if let Term::Method(MethodId(at), method) = term {
-                let shares = method.as_ref().map(|method| method.effect == Effect::Idempotent);
+            if let SettingsUpdate::Method(MethodId(at), method) = term {
+                let shares = method.as_ref().map(|method| method.idempotency == Idempotency::Idempotent);
                 self.shares.stage(*at, shares);
             }
         }
@@ -200,10 +200,10 @@
         &mut self, now: Us, frame: Option<Control>, bounds: Option<RetentionLimits>, out: &mut dyn Outputs<P>,
     ) {
         self.advance_to(now);
-        self.shares.change();
+        self.shares.commit();
         bounds.into_iter().for_each(|bounds| self.take_bounds(bounds));
         self.kept.forget_ended();
-        let outcome = self.control.change(self.now, frame);
+        let outcome = self.control.commit(self.now, frame);
         self.carry(outcome, out);
     }
     fn take_bounds(&mut self, bounds: RetentionLimits) {
@@ -212,45 +212,45 @@
     }
     /// RPCs of this method can be read now.
     pub fn has_method(&self, method: MethodId) -> bool {
-        self.control.knows_method(method)
+        self.control.has_method(method)
     }
     /// This tenant has a share now.
     pub fn has_tenant(&self, tenant: usize) -> bool {
-        self.control.knows_tenant(tenant)
+        self.control.has_tenant(tenant)
     }
     /// What serving an RPC of a method takes, as learned so far, in microseconds.
     pub fn cost(&self, method: MethodId) -> f64 {
-        self.control.cost(method)
+        self.control.mean_cost(method)
     }
     /// Memory of what is held and runs, in kB.
     pub fn memory_in_use_kb(&self) -> f64 {
-        self.control.held_kb()
+        self.control.memory_used_kb()
     }
 
     /// What the module has learned, and where it stands.
-    pub fn learned(&self) -> Experience {
-        self.control.learned()
+    pub fn learned(&self) -> LearnedState {
+        self.control.learned_state()
     }
-    pub fn standing(&self) -> Standing {
-        self.control.standing()
+    pub fn standing(&self) -> Status {
+        self.control.status()
     }
     /// What the module is to recall of what was learned before this start.
-    pub fn recall(&mut self, now: Us, told: Experience, out: &mut dyn Outputs<P>) {
+    pub fn recall(&mut self, now: Us, told: LearnedState, out: &mut dyn Outputs<P>) {
         self.advance_to(now);
-        let outcome = self.control.recall(self.now, told);
+        let outcome = self.control.restore(self.now, told);
         self.carry(outcome, out);
     }
     /// How carefully the module comes back, from now on.
-    pub fn careful(&mut self, now: Us, care: Care, out: &mut dyn Outputs<P>) {
+    pub fn careful(&mut self, now: Us, care: RecoveryLimits, out: &mut dyn Outputs<P>) {
         self.advance_to(now);
-        let outcome = self.control.careful(self.now, care);
+        let outcome = self.control.set_recovery_limits(self.now, care);
         self.carry(outcome, out);
     }
 
     /// This server's part of what the settings divide among servers: see [`Control::share`].
     pub fn share(&mut self, now: Us, part: f64, out: &mut dyn Outputs<P>) {
         self.advance_to(now);
-        let outcome = self.control.share(self.now, part);
+        let outcome = self.control.set_quota_fraction(self.now, part);
         self.carry(outcome, out);
     }
 
@@ -319,12 +319,12 @@
             id,
             method: read.method,
             caller: read.caller,
-            due: read.deadline,
+            deadline: read.deadline,
             size_kb: read.size_kb,
-            unread: self.now.saturating_sub(rpc.since),
-            repeat: false,
-            prior,
-            key: read.cache_key,
+            unread_for: self.now.saturating_sub(rpc.since),
+            retry_or_hedge: false,
+            original: prior,
+            cache_key: read.cache_key,
         };
         let outcome = self.control.rpc_read(self.now, arrival, read.tenant);
         self.carry(outcome, out);
@@ -335,7 +335,7 @@
         self.advance_to(now);
         self.stats.requests += 1;
         self.stats.aborted += 1;
-        out.answer(place, Final::Aborted, self.credit, None);
+        out.answer(place, FinalAnswer::Aborted, self.credit, None);
     }
 
     /// An RPC of somebody who is not to be served here: it never runs, and is told so at once.
@@ -343,7 +343,7 @@
         self.advance_to(now);
         self.stats.requests += 1;
         self.stats.rejected += 1;
-        out.answer(place, Final::PushedBack { terminal: true, come_back: 0 }, self.credit, None);
+        out.answer(place, FinalAnswer::Rejected { terminal: true, retry_after: 0 }, self.credit, None);
     }
 
     /// Nobody waits for the answer at this place any more. False if none was owed.
@@ -352,7 +352,7 @@
         let Some(id) = self.owed.remove(&place) else { return false };
         self.stats.callers_gone += 1;
         self.settle(id, out);
-        let outcome = self.control.caller_gone(self.now, id);
+        let outcome = self.control.caller_cancelled(self.now, id);
         self.carry(outcome, out);
         true
     }
@@ -418,7 +418,7 @@
             out.call_finished(route, false);
         }
         let ok = end == RunEnd::Ok;
-        self.answer(id, if ok { Final::Ok(result) } else { Final::Aborted }, out);
+        self.answer(id, if ok { FinalAnswer::Ok(result) } else { FinalAnswer::Aborted }, out);
         self.close(id, out);
         let (hold, until) = (&self.hold, self.now + self.fresh);
         self.kept.ended(id, until, || Some(result).filter(|_| ok).and_then(hold));
@@ -448,12 +448,12 @@
 
     /// The RPCs that wait for this one.
     fn joined_to(&self, id: RpcId) -> Vec<RpcId> {
-        self.joined.range((id, RpcId::LEAST)..=(id, RpcId::MOST)).map(|(_, next)| *next).collect()
+        self.joined.range((id, RpcId::MIN)..=(id, RpcId::MAX)).map(|(_, next)| *next).collect()
     }
 
     /// A joined RPC gets its own answer, with the result of the run that it waited for.
     fn end_join(&mut self, id: RpcId, result: Option<&[u8]>, out: &mut dyn Outputs<P>) {
-        self.answer(id, result.map_or(Final::Aborted, Final::Ok), out);
+        self.answer(id, result.map_or(FinalAnswer::Aborted, FinalAnswer::Ok), out);
         self.close(id, out);
         let end = if result.is_some() { RunEnd::Ok } else { RunEnd::Aborted };
         let outcome = self.control.run_ended(self.now, id, end);
@@ -519,7 +519,7 @@
         rpc.spoilt |= matches!(end, CallEnd::Aborted | CallEnd::TimedOut);
         match end {
             CallEnd::Ok => self.stats.calls_ok += 1,
-            CallEnd::PushedBack => self.stats.calls_rejected += 1,
+            CallEnd::Rejected => self.stats.calls_rejected += 1,
             CallEnd::Aborted => self.stats.calls_aborted += 1,
             CallEnd::TimedOut => self.stats.calls_timed_out += 1,
         }
@@ -581,18 +581,18 @@
             let gauges = self.gauges.take().filter(|(at, _)| at + FRESH > self.now).map(|(_, g)| g);
             self.stats.wakeups += 1;
             self.stats.wakeups_without_gauges += u64::from(gauges.is_none());
-            let outcome = self.control.woken(self.now, gauges.unwrap_or_default());
+            let outcome = self.control.timer_fired(self.now, gauges.unwrap_or_default());
             self.carry(outcome, out);
         }
     }
 
     /// Gives the final answer that is owed; nothing if none is.
-    fn answer(&mut self, id: RpcId, answer: Final<'_>, out: &mut dyn Outputs<P>) {
+    fn answer(&mut self, id: RpcId, answer: FinalAnswer<'_>, out: &mut dyn Outputs<P>) {
         let Some(rpc) = self.open.get(&id).filter(|rpc| rpc.owed) else { return };
         match answer {
-            Final::Ok(_) => self.stats.ok += 1,
-            Final::PushedBack { .. } => self.stats.rejected += 1,
-            Final::Aborted => self.stats.aborted += 1,
+            FinalAnswer::Ok(_) => self.stats.ok += 1,
+            FinalAnswer::Rejected { .. } => self.stats.rejected += 1,
+            FinalAnswer::Aborted => self.stats.aborted += 1,
         }
         let took = self.now.saturating_sub(rpc.since);
         let of = Served { method: rpc.read.method, latency: took, upstream_failed: rpc.spoilt };
@@ -628,30 +628,30 @@
     fn carry(&mut self, outcome: Outcome, out: &mut dyn Outputs<P>) {
         for (id, answer) in outcome.answers {
             let answer = match answer {
-                Answer::PushedBack { terminal, come_back } => Final::PushedBack { terminal, come_back },
-                Answer::Aborted => Final::Aborted,
+                Answer::Rejected { terminal, retry_after } => FinalAnswer::Rejected { terminal, retry_after },
+                Answer::Aborted => FinalAnswer::Aborted,
             };
             self.answer(id, answer, out);
         }
-        for id in outcome.stops {
+        for id in outcome.cancellations {
             if self.open.contains_key(&id) {
                 out.stop(id);
             }
         }
-        for (id, span) in outcome.keeps {
+        for (id, span) in outcome.retained_keys {
             self.kept.keep_until(id, self.now + span);
             if let Some(token) = self.open.get(&id).and_then(|rpc| rpc.read.idempotency_key) {
                 self.idempotency.record(token, id, self.now + span);
             }
         }
-        for id in outcome.forgets {
+        for id in outcome.released_keys {
             self.kept.forget(id);
             self.idempotency.forget(id);
         }
-        for id in outcome.joins {
+        for id in outcome.coalesced {
             self.join(id);
         }
-        for id in outcome.runs {
+        for id in outcome.starts {
             let Some(rpc) = self.open.get_mut(&id) else { continue };
             rpc.stage = Stage::Running(Sent::Launch);
             self.stats.runs += 1;
@@ -660,20 +660,20 @@
         for (id, wait) in outcome.calls {
             self.call(id, wait, out);
         }
-        for id in outcome.skips {
+        for id in outcome.skipped_calls {
             let Some(rpc) = self.open.get_mut(&id).filter(|rpc| rpc.stage == Stage::AtCall) else { continue };
             rpc.stage = Stage::Running(Sent::Skip);
             self.stats.calls_skipped += 1;
             out.skip(id);
         }
         self.credit = outcome.credit.or(self.credit);
-        if let Some(healthy) = outcome.health {
+        if let Some(healthy) = outcome.healthy {
             out.set_health(healthy);
         }
-        if let Some(span) = outcome.close_idle {
+        if let Some(span) = outcome.close_idle_after {
             out.close_idle(span);
         }
-        if let Some(span) = outcome.wake {
+        if let Some(span) = outcome.wake_after {
             let at = self.now + span;
             self.sampled &= self.wakes.first().is_some_and(|first| *first <= at);
             self.wakes.insert(at);
@@ -689,7 +689,7 @@
             match later {
                 Later::CallRefused(id) => {
                     if let Some(Stage::Calling(..)) = self.open.get(&id).map(|r| r.stage) {
-                        self.end_call(id, CallEnd::PushedBack, &[], out);
+                        self.end_call(id, CallEnd::Rejected, &[], out);
                     }
                 }
                 Later::JoinEnds(id) => {
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -27,10 +27,10 @@
 //! use asterrill_engine::{Engine, EngineConfig, RetentionLimits};
 //! # use asterrill::*;
 //! # let control = Control::new(0, 1, 4_000, StopMode::Off, vec![Method { latency_target: 400_000,
-//! #     deadline: 900_000, effect: Effect::Idempotent, criticality: 1.0, late_share: 0.0, window: 0,
-//! #     skip_share: 0.0 }], Accounts::new(400_000, 1), Target::new(0, 1, 8.0, 1.0, 1),
-//! #     Calls::new(Below::Nothing, 1, 0, 400_000), Keys::new(0.0, 0), Memory::new(9e9, 1.0), Drain::new(0),
-//! #     Credit::new(Say::Off, 0, 400_000, 0), Shares::new(&[], 1, 1.0));
+//! #     deadline: 900_000, idempotency: Idempotency::Idempotent, criticality: 1.0, late_value_ratio: 0.0, idempotency_window: 0,
+//! #     skip_value_ratio: 0.0 }], CallerAccounts::new(400_000, 1), ConcurrencyLimit::new(0, 1, 8.0, 1.0, 1),
+//! #     UpstreamCalls::new(Upstream::Absent, 1, 0, 400_000), IdempotencyKeys::new(0.0, 0), MemoryBudget::new(9e9, 1.0), Drain::new(0),
+//! #     CallerFeedback::new(FeedbackMode::Off, 0, 400_000, 0), TenantQuotas::new(&[], 1, 1.0));
 //! let limits = RetentionLimits { result_ttl: 0, idempotency_result_bytes: 0, max_rpc_lifetime: 900_000 };
 //! let config = EngineConfig { coalescible_methods: vec![true], limits };
 //! let engine: Engine<u64, Vec<u8>> = Engine::new(0, control, config, Box::new(|bytes| Some(bytes.to_vec())));
--- a/engine/src/outputs.rs
+++ b/engine/src/outputs.rs
@@ -1,6 +1,6 @@
 //! What the engine hands back, and what it stats.
 
-use asterrill::{Final, MethodId, RpcId, Us};
+use asterrill::{FinalAnswer, MethodId, RpcId, Us};
 
 /// The way to the layer below that a call goes by, as the layer's owner numbers them; nothing is read into it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,7 +20,7 @@
 pub trait Outputs<P> {
     /// The one final answer to the RPC that was read at this place. `credit`: the number published to callers,
     /// where there is one; `of`: what is known of the RPC, none of one that could never be run.
-    fn answer(&mut self, to: P, answer: Final<'_>, credit: Option<f64>, of: Option<Served>);
+    fn answer(&mut self, to: P, answer: FinalAnswer<'_>, credit: Option<f64>, of: Option<Served>);
     /// The RPC is over: nothing is owed, nothing runs. Its id may come again.
     fn closed(&mut self, id: RpcId);
     /// Start the run of the RPC that was read at this place.
--- a/engine/src/tests.rs
+++ b/engine/src/tests.rs
@@ -13,20 +13,20 @@
 const WINDOW: Us = 700 * MS; // of the tokened method
 const TOKENED: usize = 2;
 
-fn control(below: Below) -> Control {
-    let method = |effect, criticality, skip_share| Method {
+fn control(below: Upstream) -> Control {
+    let method = |effect, criticality, skip_value_ratio| Method {
         latency_target: 400 * MS,
         deadline: 900 * MS,
-        effect,
+        idempotency: effect,
         criticality,
-        late_share: 0.0,
-        window: WINDOW,
-        skip_share,
+        late_value_ratio: 0.0,
+        idempotency_window: WINDOW,
+        skip_value_ratio,
     };
     let methods = vec![
-        method(Effect::Idempotent, 1.0, 0.5),
-        method(Effect::NonIdempotent, 3.0, 0.0),
-        method(Effect::Tokened, 2.0, 0.0),
+        method(Idempotency::Idempotent, 1.0, 0.5),
+        method(Idempotency::NonIdempotent, 3.0, 0.0),
+        method(Idempotency::Keyed, 2.0, 0.0),
     ];
     Control::new(
         0,
@@ -34,14 +34,14 @@
         4 * MS,
         StopMode::Abort,
         methods,
-        Accounts::new(400 * MS, 2),
-        Target::new(0, 2, 8.0, 1.0, 1),
-        Calls::new(below, 2, 50 * MS, 400 * MS),
-        Keys::new(0.0, 0),
-        Memory::new(4_000.0, 4.0),
+        CallerAccounts::new(400 * MS, 2),
+        ConcurrencyLimit::new(0, 2, 8.0, 1.0, 1),
+        UpstreamCalls::new(below, 2, 50 * MS, 400 * MS),
+        IdempotencyKeys::new(0.0, 0),
+        MemoryBudget::new(4_000.0, 4.0),
         Drain::new(400 * MS),
-        Credit::new(Say::Credit, 0, 400 * MS, 0),
-        Shares::new(&[], 1, 1.0),
+        CallerFeedback::new(FeedbackMode::Credit, 0, 400 * MS, 0),
+        TenantQuotas::new(&[], 1, 1.0),
     )
 }
 
@@ -70,23 +70,25 @@
 }
 
 impl Outputs<u64> for Ledger {
-    fn answer(&mut self, to: u64, answer: Final<'_>, _: Option<f64>, of: Option<Served>) {
+    fn answer(&mut self, to: u64, answer: FinalAnswer<'_>, _: Option<f64>, of: Option<Served>) {
         if of.is_none() {
             self.faults.push(format!("{to}: nothing is known of it"));
         }
         let what = match answer {
-            Final::Ok(result) => {
+            FinalAnswer::Ok(result) => {
                 let made = self.asked.get(&to).is_some_and(|id| id.as_str().as_bytes() == result);
                 if !made && !self.of_a_try(to, result) {
                     self.faults.push(format!("{to}: a result of another run"));
                 }
                 "ok"
             }
-            Final::PushedBack { .. } if self.asked.get(&to).is_some_and(|id| self.launched.contains(id)) => {
+            FinalAnswer::Rejected { .. }
+                if self.asked.get(&to).is_some_and(|id| self.launched.contains(id)) =>
+            {
                 self.faults.push(format!("{to}: pushed back though it ran"));
                 "pushed back"
             }
-            Final::PushedBack { .. } => {
+            FinalAnswer::Rejected { .. } => {
                 let of = self.asked.get(&to).and_then(|id| self.tries.get(id));
                 let ran =
                     of.and_then(|(token, at)| self.ran.get(token).filter(|(_, ran)| *at < ran + WINDOW));
@@ -95,7 +97,7 @@
                 }
                 "pushed back"
             }
-            Final::Aborted => "aborted",
+            FinalAnswer::Aborted => "aborted",
         };
         if self.answers.insert(to, what).is_some() {
             self.faults.push(format!("{to}: answered twice"));
@@ -154,7 +156,7 @@
 }
 
 impl World {
-    fn new(below: Below) -> World {
+    fn new(below: Upstream) -> World {
         let terms = EngineConfig {
             coalescible_methods: vec![true, false, false],
             limits: RetentionLimits {
@@ -237,7 +239,7 @@
                 let first = self.ledger.calls.iter().next().map(|(id, by)| (*id, *by));
                 if let Some((id, by)) = first {
                     self.ledger.calls.remove(&id);
-                    let end = [CallEnd::Ok, CallEnd::Aborted, CallEnd::PushedBack][n % 3];
+                    let end = [CallEnd::Ok, CallEnd::Aborted, CallEnd::Rejected][n % 3];
                     self.engine.call_ended(self.now, by, id, end, b"reply", &mut self.ledger);
                 }
             }
@@ -251,7 +253,7 @@
 #[test]
 fn each_is_answered_once_in_time_whatever_the_order() {
     fn holds(steps: Vec<(u8, u16)>) -> bool {
-        let mut world = World::new(Below::Tier);
+        let mut world = World::new(Upstream::Tier);
         for (what, n) in steps {
             world.step(what, n as usize);
         }
@@ -280,7 +282,7 @@
         (Before::Ended(RunEnd::Aborted), "aborted"),
         (Before::Ended(RunEnd::Stopped), "aborted"),
     ] {
-        let mut w = World::new(Below::Nothing);
+        let mut w = World::new(Upstream::Absent);
         if let Before::Held = before {
             (0..4).for_each(|_| _ = w.ask(1, 900 * MS)); // nothing more starts beside these
         }
@@ -310,7 +312,7 @@
 
 #[test]
 fn the_window_of_a_tokened_rpc_is_reckoned_from_the_arrival_of_the_try_that_ran() {
-    let mut w = World::new(Below::Nothing);
+    let mut w = World::new(Upstream::Absent);
     w.pass(100 * MS);
     let first = w.ask_again(TOKENED, 900 * MS, Some(1), 40 * MS); // it arrived at 60 ms
     w.end(0, RunEnd::Ok);
@@ -334,7 +336,7 @@
 
 #[test]
 fn a_repeat_of_a_try_that_never_ran_takes_its_place_and_hundreds_of_them_do_so_one_by_one() {
-    let mut w = World::new(Below::Nothing);
+    let mut w = World::new(Upstream::Absent);
     (0..2).for_each(|_| _ = w.ask(1, 900 * MS)); // nothing more starts beside these
     let tries: Vec<u64> = (0..200).map(|_| w.ask_again(TOKENED, 900 * MS, Some(4), 0)).collect();
     // The caller of each leaves in turn; what was waited for is another's then.
@@ -359,7 +361,7 @@
 
 #[test]
 fn a_result_that_had_to_go_leaves_its_token_known() {
-    let mut w = World::new(Below::Nothing);
+    let mut w = World::new(Upstream::Absent);
     let mut places = Vec::new();
     for token in 0..100 {
         // Ids have one or two digits, and there is room for 64 bytes of results.
@@ -376,7 +378,7 @@
 
 #[test]
 fn where_no_more_tokens_can_be_known_new_ones_are_pushed_back_and_repeats_are_not() {
-    let mut w = World::new(Below::Nothing);
+    let mut w = World::new(Upstream::Absent);
     let token = |n: u32| {
         Some(IdempotencyKey(
             [[0; 12], [0; 12]].concat()[..12]
@@ -389,7 +391,7 @@
         ))
     };
     let read = |n: u32| IncomingRpc {
-        id: RpcId::of(n.into()),
+        id: RpcId::from_number(n.into()),
         method: MethodId(TOKENED),
         tenant: None,
         caller: CallerId(n.into()),
@@ -404,21 +406,24 @@
     while w.engine.stats.idempotency_keys_full == 0 {
         assert!(n < 20_000, "no bound");
         w.engine.request_received(w.now, n.into(), read(n), b"", &mut w.ledger);
-        w.engine.run_ended(w.now, RpcId::of(n.into()), RunEnd::Ok, b"", &mut w.ledger);
+        w.engine.run_ended(w.now, RpcId::from_number(n.into()), RunEnd::Ok, b"", &mut w.ledger);
         n += 1;
     }
     assert_eq!(w.ledger.answers[&u64::from(n - 1)], "pushed back");
-    let again = IncomingRpc { id: RpcId::of(1 << 40), ..read(7) };
+    let again = IncomingRpc { id: RpcId::from_number(1 << 40), ..read(7) };
     w.engine.request_received(w.now, 1 << 40, again, b"", &mut w.ledger);
     assert_eq!(w.ledger.answers[&(1 << 40)], "ok", "known all the time");
     w.pass(2 * WINDOW + 900 * MS);
     w.engine.request_received(w.now, u64::from(n), read(n), b"", &mut w.ledger);
-    assert!(w.ledger.launched.contains(&RpcId::of(n.into())), "room again once the windows are over");
+    assert!(
+        w.ledger.launched.contains(&RpcId::from_number(n.into())),
+        "room again once the windows are over"
+    );
 }
 
 #[test]
 fn the_last_command_can_be_said_again_until_the_run_is_over() {
-    let mut w = World::new(Below::Tier);
+    let mut w = World::new(Upstream::Tier);
     let place = w.ask(0, 900 * MS);
     let id = w.ledger.asked[&place];
     assert!(w.engine.is_launched(place));
@@ -435,7 +440,7 @@
 
 #[test]
 fn an_open_id_or_place_is_not_taken_again_and_nothing_of_the_first_is_lost() {
-    let mut w = World::new(Below::Nothing);
+    let mut w = World::new(Upstream::Absent);
     let place = w.ask(1, 900 * MS);
     let id = w.ledger.asked[&place];
     let read = |id, caller| IncomingRpc {
@@ -459,7 +464,7 @@
 
 #[test]
 fn what_cannot_be_launched_is_aborted_at_its_place_and_a_late_report_of_it_counts_as_stale() {
-    let mut w = World::new(Below::Nothing);
+    let mut w = World::new(Upstream::Absent);
     let place = w.ask(1, 900 * MS);
     let id = w.ledger.asked[&place];
     assert_eq!(w.engine.launch_failed(w.now, id, &mut w.ledger), Some(place));
--- a/entries/src/content.rs
+++ b/entries/src/content.rs
@@ -5,7 +5,7 @@
 use crate::{
     text, Name, MAX_FIGURE, MAX_METHODS, MAX_NAME_BYTES, MAX_TENANTS, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY,
 };
-use asterrill::{Effect, Method};
+use asterrill::{Idempotency, Method};
 use imbl::ordmap::{DiffItem, OrdMap};
 use std::cmp::Ordering;
 use std::collections::HashSet;
@@ -79,14 +79,14 @@
     mark(0, &[], &text::frame_text(frame))
 }
 fn mark_method(name: &str, m: &Method) -> u128 {
-    let effect = match m.effect {
-        Effect::Idempotent => 0,
-        Effect::Tokened => 1,
-        Effect::NonIdempotent => 2,
+    let effect = match m.idempotency {
+        Idempotency::Idempotent => 0,
+        Idempotency::Keyed => 1,
+        Idempotency::NonIdempotent => 2,
     };
-    let shares = [m.criticality, m.late_share, m.skip_share].map(f64::to_bits);
+    let shares = [m.criticality, m.late_value_ratio, m.skip_value_ratio].map(f64::to_bits);
     let [criticality, late, skip] = shares;
-    mark(1, &[m.latency_target, m.deadline, effect, criticality, late, m.window, skip], name)
+    mark(1, &[m.latency_target, m.deadline, effect, criticality, late, m.idempotency_window, skip], name)
 }
 fn mark_tenant(name: &str, rate: f64) -> u128 {
     mark(2, &[rate.to_bits()], name)
@@ -111,18 +111,18 @@
 /// # Errors
 /// [`ConfigError::Bounds`] names the field.
 pub fn check_method(m: &Method) -> Result<(), ConfigError> {
-    [("AimMs", m.latency_target), ("DeadlineMs", m.deadline), ("WindowMs", m.window)]
+    [("AimMs", m.latency_target), ("DeadlineMs", m.deadline), ("WindowMs", m.idempotency_window)]
         .into_iter()
         .try_for_each(|(key, value)| time_within(key, value))?;
-    [("Worth", m.criticality), ("LateWorth", m.late_share), ("SkipWorth", m.skip_share)]
+    [("Worth", m.criticality), ("LateWorth", m.late_value_ratio), ("SkipWorth", m.skip_value_ratio)]
         .into_iter()
         .try_for_each(|(key, value)| within(key, value, MAX_FIGURE))
 }
 
 /// -0 is 0: the same meaning has one form.
 fn plain(mut m: Method) -> Method {
-    (m.criticality, m.late_share, m.skip_share) =
-        (m.criticality + 0.0, m.late_share + 0.0, m.skip_share + 0.0);
+    (m.criticality, m.late_value_ratio, m.skip_value_ratio) =
+        (m.criticality + 0.0, m.late_value_ratio + 0.0, m.skip_value_ratio + 0.0);
     m
 }
 
--- a/entries/src/fields.rs
+++ b/entries/src/fields.rs
@@ -8,7 +8,7 @@
     Name, MAX_DURATION, MAX_FIGURE, MAX_GAUGES, MAX_MACHINE_LIMIT, MAX_METHODS, MEMORY_LIMIT_KEY,
     SOCKET_LIMIT_KEY,
 };
-use asterrill::{Effect, Method, Say, StopMode, Us};
+use asterrill::{FeedbackMode, Idempotency, Method, StopMode, Us};
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -306,14 +306,21 @@
     ((ms * 1000.0).round() as Us).min(MAX_DURATION)
 }
 
-pub(crate) const EFFECTS: [(&str, Effect); 3] =
-    [("free", Effect::Idempotent), ("guarded", Effect::Tokened), ("single_shot", Effect::NonIdempotent)];
+pub(crate) const EFFECTS: [(&str, Idempotency); 3] = [
+    ("free", Idempotency::Idempotent),
+    ("guarded", Idempotency::Keyed),
+    ("single_shot", Idempotency::NonIdempotent),
+];
 pub(crate) const TIERS: [(&str, UpstreamKind); 3] =
     [("off", UpstreamKind::None), ("shared", UpstreamKind::Shared), ("tier", UpstreamKind::Tier)];
 pub(crate) const STOPS: [(&str, StopMode); 3] =
     [("off", StopMode::Off), ("abort", StopMode::Abort), ("suspend", StopMode::Suspend)];
-pub(crate) const SAYS: [(&str, Say); 4] =
-    [("off", Say::Off), ("window", Say::Credit), ("threshold", Say::Threshold), ("share_of", Say::ShareOf)];
+pub(crate) const SAYS: [(&str, FeedbackMode); 4] = [
+    ("off", FeedbackMode::Off),
+    ("window", FeedbackMode::Credit),
+    ("threshold", FeedbackMode::Threshold),
+    ("share_of", FeedbackMode::AcceptProbability),
+];
 
 /// The fields of a method; `SkipWorth` stands here in steps only, the platform's file lists it in `FamilyInfo`.
 pub const METHOD: &[&str] =
@@ -331,24 +338,24 @@
         check_name(kind, name)?;
         Ok(name)
     }
-    /// The figures of a method; `skip_share` where its fields don't tell.
+    /// The figures of a method; `skip_value_ratio` where its fields don't tell.
     ///
     /// # Errors
     /// [`ConfigError`] names the field that is absent, of the wrong form or out of bounds.
-    pub fn method(&self, skip_share: f64) -> Result<Method, ConfigError> {
+    pub fn method(&self, skip_value_ratio: f64) -> Result<Method, ConfigError> {
         let word = self.text("Effect")?;
         let effect = EFFECTS.iter().find(|(known, _)| *known == word).map(|(_, effect)| *effect);
         let method = Method {
             latency_target: self.time("AimMs")?,
             deadline: self.time("DeadlineMs")?,
-            effect: effect.ok_or_else(|| ConfigError::UnknownWord {
+            idempotency: effect.ok_or_else(|| ConfigError::UnknownWord {
                 key: "Effect",
                 word: word.chars().take(64).collect(),
             })?,
             criticality: self.bounded("Worth")?,
-            late_share: self.maybe_bounded("LateWorth")?.unwrap_or(0.0),
-            window: self.maybe_time("WindowMs")?.unwrap_or(0),
-            skip_share: self.maybe_bounded("SkipWorth")?.unwrap_or(skip_share),
+            late_value_ratio: self.maybe_bounded("LateWorth")?.unwrap_or(0.0),
+            idempotency_window: self.maybe_time("WindowMs")?.unwrap_or(0),
+            skip_value_ratio: self.maybe_bounded("SkipWorth")?.unwrap_or(skip_value_ratio),
         };
         check_method(&method)?;
         Ok(method)
@@ -556,7 +563,7 @@
             },
             abandoned_call_linger: maybe_time(family, "LingerMs", before.abandoned_call_linger)?,
             load_report: match choice_told("Say") {
-                true => family.choice("Say", &SAYS)?.unwrap_or(Say::Off),
+                true => family.choice("Say", &SAYS)?.unwrap_or(FeedbackMode::Off),
                 false => before.load_report,
             },
             stop_mode: match choice_told("StopMode") {
--- a/entries/src/frame.rs
+++ b/entries/src/frame.rs
@@ -4,7 +4,7 @@
 use crate::{
     Name, MAX_DURATION, MAX_FIGURE, MAX_GAUGES, MAX_MACHINE_LIMIT, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY,
 };
-use asterrill::{Below, Say, StopMode, Us};
+use asterrill::{FeedbackMode, StopMode, Upstream, Us};
 
 /// What lies below the server, as told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     /// `FamilyInfo.LingerMs`: how long an abandoned call may stay below.
     pub abandoned_call_linger: Us,
     /// `FamilyInfo.Say`: what callers make of the number published to them.
-    pub load_report: Say,
+    pub load_report: FeedbackMode,
     /// `FamilyInfo.StopMode`.
     pub stop_mode: StopMode,
     /// `FamilyInfo.FreshMs`: how long a read's answer may serve others, 0 for never.
@@ -87,7 +87,7 @@
             upstream_call_quota: None,
             upstream_call_window: None,
             abandoned_call_linger: 0,
-            load_report: Say::Off,
+            load_report: FeedbackMode::Off,
             stop_mode: StopMode::Off,
             response_ttl: 0,
             idle_timeout: 0,
@@ -132,11 +132,11 @@
     ///
     /// # Errors
     /// [`ConfigError::Field`] where the tier is shared and its share or window was not told.
-    pub fn upstream_limits(&self) -> Result<Below, ConfigError> {
+    pub fn upstream_limits(&self) -> Result<Upstream, ConfigError> {
         Ok(match self.upstream {
-            UpstreamKind::None => Below::Nothing,
-            UpstreamKind::Tier => Below::Tier,
-            UpstreamKind::Shared => Below::Shared {
+            UpstreamKind::None => Upstream::Absent,
+            UpstreamKind::Tier => Upstream::Tier,
+            UpstreamKind::Shared => Upstream::Shared {
                 share: self.upstream_call_quota.ok_or(ConfigError::InvalidField("CallShare"))?,
                 window: self.upstream_call_window.ok_or(ConfigError::InvalidField("DepWindowMs"))?,
             },
--- a/entries/src/tests.rs
+++ b/entries/src/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the package.
 
 use super::*;
-use asterrill::Effect;
+use asterrill::Idempotency;
 use rand::rngs::StdRng;
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{RngExt, SeedableRng};
@@ -41,11 +41,19 @@
 }
 
 fn method(chance: &mut StdRng) -> Method {
-    let effects = [Effect::Idempotent, Effect::Tokened, Effect::NonIdempotent];
+    let effects = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NonIdempotent];
     let (latency_target, deadline, window) = (time(chance), time(chance), time(chance));
     let effect = *effects.choose(chance).unwrap();
-    let (criticality, late_share, skip_share) = (rate(chance), rate(chance), rate(chance));
-    Method { latency_target, deadline, effect, criticality, late_share, window, skip_share }
+    let (criticality, late_value_ratio, skip_value_ratio) = (rate(chance), rate(chance), rate(chance));
+    Method {
+        latency_target,
+        deadline,
+        idempotency: effect,
+        criticality,
+        late_value_ratio,
+        idempotency_window: window,
+        skip_value_ratio,
+    }
 }
 
 fn frame(chance: &mut StdRng) -> GlobalSettings {
@@ -58,7 +66,9 @@
         cold_start: chance.random(),
         slow_start_from: Some(rate(chance)),
         idle_timeout: time(chance),
-        load_report: *[asterrill::Say::Off, asterrill::Say::Threshold].choose(chance).unwrap(),
+        load_report: *[asterrill::FeedbackMode::Off, asterrill::FeedbackMode::Threshold]
+            .choose(chance)
+            .unwrap(),
         gauges: names().sample(chance, 3).map(|name| name.as_str().into()).collect(),
         retry_after: chance.random(),
         max_retry_after: time(chance),
@@ -112,7 +122,10 @@
             3 => Change::PutMethod("two words".into(), method(chance)),
             4 => Change::PutTenant("fine".into(), -1e-300),
             5 => Change::PutTenant("fine".into(), f64::NAN),
-            6 => Change::PutMethod("fine".into(), Method { late_share: MAX_FIGURE * 2.0, ..method(chance) }),
+            6 => Change::PutMethod(
+                "fine".into(),
+                Method { late_value_ratio: MAX_FIGURE * 2.0, ..method(chance) },
+            ),
             7 => Change::PutMethod("fine".into(), Method { deadline: MAX_DURATION + 1, ..method(chance) }),
             _ => changes.choose(chance).unwrap().clone(),
         };
@@ -252,7 +265,7 @@
     };
     let was = GlobalSettings::clone(running.globals());
     let first = merged(r#"{"frame":{"FamilyInfo":{"NCores":7,"Say":"window"},"limits":{"memory_mb":96}}}"#);
-    let say = asterrill::Say::Credit;
+    let say = asterrill::FeedbackMode::Credit;
     assert_eq!(first, Ok(GlobalSettings { cores: 7, load_report: say, memory_mb: 96, ..was.clone() }));
     let rest = r#"{"frame":{"StepMs":2.5,"Limits":{"RetryAfter":true},"Safety":{"ColdFrom":0.25},"OverShareWorth":null}}"#;
     let expected = GlobalSettings {
--- a/entries/src/text.rs
+++ b/entries/src/text.rs
@@ -128,11 +128,11 @@
         Quoted(name),
         ms(m.latency_target),
         ms(m.deadline),
-        word(&EFFECTS, m.effect),
+        word(&EFFECTS, m.idempotency),
         Number(m.criticality),
-        Number(m.late_share),
-        ms(m.window),
-        Number(m.skip_share),
+        Number(m.late_value_ratio),
+        ms(m.idempotency_window),
+        Number(m.skip_value_ratio),
     )
 }
 
--- a/protocol/src/agent.rs
+++ b/protocol/src/agent.rs
@@ -125,7 +125,7 @@
 /// The gauges that the decision module reads, out of the sampled `values`, which are in the order of `names`.
 pub fn gauges(names: &[String], values: &[f64]) -> Gauges {
     let gauge = |name: &str| names.iter().position(|n| n == name).and_then(|i| values.get(i)).copied();
-    Gauges { on_cores: gauge("on_cores"), heap_share: gauge("heap_share"), links: gauge("links") }
+    Gauges { runnable: gauge("on_cores"), memory_ratio: gauge("heap_share"), connections: gauge("links") }
 }
 
 /// Writing into memory can't fail.
--- a/protocol/src/sidecar/writer.rs
+++ b/protocol/src/sidecar/writer.rs
@@ -1,7 +1,7 @@
 //! Writes the frames that a backend sends to sidecars. Writing into memory can't fail.
 
 use super::message::{StreamId, TYPE_ANSWER, TYPE_GOAWAY, TYPE_HEALTH};
-use asterrill::Final;
+use asterrill::FinalAnswer;
 
 /// The most bytes that a final answer takes besides its body.
 pub const ANSWER_OVERHEAD_BYTES: usize = 128;
@@ -16,19 +16,19 @@
 const CODE_REJECTED: u8 = 11;
 
 /// Writes a final answer; `credit` is the figure that is published to callers, if any.
-pub fn answer(to: &mut Vec<u8>, stream: StreamId, answer: Final<'_>, credit: Option<f64>) {
+pub fn answer(to: &mut Vec<u8>, stream: StreamId, answer: FinalAnswer<'_>, credit: Option<f64>) {
     let (code, body): (u8, &[u8]) = match answer {
-        Final::Ok(result) => (CODE_OK, result),
-        Final::PushedBack { .. } => (CODE_REJECTED, &[]),
-        Final::Aborted => (CODE_ABORTED, &[]),
+        FinalAnswer::Ok(result) => (CODE_OK, result),
+        FinalAnswer::Rejected { .. } => (CODE_REJECTED, &[]),
+        FinalAnswer::Aborted => (CODE_ABORTED, &[]),
     };
     let start = start_frame(to, TYPE_ANSWER, stream);
     to.push(code);
     let mut fields = Fields::new(to);
     fields.add_credit(credit);
-    if let Final::PushedBack { terminal, come_back } = answer {
-        if come_back > 0 {
-            fields.add("pause", &come_back.div_ceil(1000).to_string());
+    if let FinalAnswer::Rejected { terminal, retry_after } = answer {
+        if retry_after > 0 {
+            fields.add("pause", &retry_after.div_ceil(1000).to_string());
         }
         if terminal {
             fields.add("terminal", "1");
--- a/protocol/src/tests.rs
+++ b/protocol/src/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::sidecar::{self, StreamId};
 use crate::{agent, name_service, upstream, ProtocolError, MAX_BODY_BYTES};
-use asterrill::Final;
+use asterrill::FinalAnswer;
 use asterrill::RpcId;
 use quickcheck::{Gen, QuickCheck};
 
@@ -230,14 +230,14 @@
 #[test]
 fn written_messages_have_the_documented_form() {
     let mut to = Vec::new();
-    sidecar::answer(&mut to, StreamId(9), Final::Ok(b"r\r\n"), Some(2.5));
+    sidecar::answer(&mut to, StreamId(9), FinalAnswer::Ok(b"r\r\n"), Some(2.5));
     let payload = [&[0][..], &fields(&[("advice", "2.5000")]), b"r\r\n"].concat();
     assert_eq!(to, frame(2, 9, &payload));
     to.clear();
-    sidecar::answer(&mut to, StreamId(9), Final::PushedBack { terminal: true, come_back: 1_500 }, None);
+    sidecar::answer(&mut to, StreamId(9), FinalAnswer::Rejected { terminal: true, retry_after: 1_500 }, None);
     assert_eq!(to, frame(2, 9, &[&[11][..], &fields(&[("pause", "2"), ("terminal", "1")])].concat()));
     to.clear();
-    sidecar::answer(&mut to, StreamId(9), Final::Aborted, None);
+    sidecar::answer(&mut to, StreamId(9), FinalAnswer::Aborted, None);
     sidecar::health(&mut to, StreamId(1), false, None);
     sidecar::goaway(&mut to);
     assert_eq!(to, [frame(2, 9, &[5, 0]), frame(5, 1, &[1, 0]), frame(6, 0, &[])].concat());
--- a/protocol/src/upstream.rs
+++ b/protocol/src/upstream.rs
@@ -36,7 +36,7 @@
         let id = words.next().filter(|id| !id.is_empty()).and_then(RpcId::new);
         let end = match words.next() {
             Some("DONE") if body.is_some() => Some(CallEnd::Ok),
-            Some("WAIT" | "EMPTY") => Some(CallEnd::PushedBack),
+            Some("WAIT" | "EMPTY") => Some(CallEnd::Rejected),
             Some("ERROR") => Some(CallEnd::Aborted),
             Some("PAST") => Some(CallEnd::TimedOut),
             _ => None,
--- a/rollout/examples/figures.rs
+++ b/rollout/examples/figures.rs
@@ -2,7 +2,7 @@
 //! version, then 200 steps of one entry, each synced, then a change of every quota, and reads them back in a process of
 //! its own; and what the watch takes for a sample. One JSON object; times in milliseconds, memory in kB, medians of the steps.
 
-use asterrill::{Effect, Method};
+use asterrill::{Idempotency, Method};
 use asterrill_entries::{write_step, Change, Configuration, GlobalSettings, Name, Step};
 use asterrill_rollout::{
     recover, write_whole, Before, Kept, MethodCounts, ServiceSample, State, Verdict, Watch,
@@ -34,10 +34,10 @@
         criticality: 1.0,
         latency_target: 800_000,
         deadline: 2_000_000,
-        late_share: 0.2,
-        skip_share: 0.0,
-        effect: Effect::Idempotent,
-        window: 0,
+        late_value_ratio: 0.2,
+        skip_value_ratio: 0.0,
+        idempotency: Idempotency::Idempotent,
+        idempotency_window: 0,
     };
     let mut content = Configuration::new(GlobalSettings {
         cores: 4,
--- a/rollout/src/check.rs
+++ b/rollout/src/check.rs
@@ -1,7 +1,7 @@
 //! What a change must not do, from its figures alone and from what the server sees now; and what it changes, in lines.
 //! Both look at what differs, and cost that, however much a version holds.
 
-use asterrill::{Effect, Method};
+use asterrill::{Idempotency, Method};
 use asterrill_entries::{Change, Configuration, EntryKind, GlobalSettings, Name, UpstreamKind};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -153,10 +153,10 @@
                 )
             });
         }
-        if m.late_share > 1.0 || m.skip_share > 1.0 {
+        if m.late_value_ratio > 1.0 || m.skip_value_ratio > 1.0 {
             wrong(&|| format!("method {name}: a share is above 1"));
         }
-        if m.effect == Effect::Tokened && m.window == 0 {
+        if m.idempotency == Idempotency::Keyed && m.idempotency_window == 0 {
             wrong(&|| format!("method {name}: it is tokened, but has no window"));
         }
     }
@@ -279,9 +279,9 @@
         differs("criticality", o.criticality, n.criticality, "");
         differs("latency target", ms(o.latency_target), ms(n.latency_target), " ms");
         differs("deadline", ms(o.deadline), ms(n.deadline), " ms");
-        differs("late share", o.late_share, n.late_share, "");
-        differs("skip share", o.skip_share, n.skip_share, "");
-        differs("window", ms(o.window), ms(n.window), " ms");
+        differs("late share", o.late_value_ratio, n.late_value_ratio, "");
+        differs("skip share", o.skip_value_ratio, n.skip_value_ratio, "");
+        differs("window", ms(o.idempotency_window), ms(n.idempotency_window), " ms");
     }
     for (name, n) in touched.tenants.iter().filter_map(|(name, n)| Some((name, (*n)?))) {
         let old = running.tenant(name).unwrap_or(0.0);
--- a/rollout/src/tests.rs
+++ b/rollout/src/tests.rs
@@ -1,7 +1,7 @@
 //! Transactions in any order, records cut at every byte, checks, and the watch on seeded cases.
 
 use crate::*;
-use asterrill::{Effect, Method};
+use asterrill::{Idempotency, Method};
 use asterrill_entries::{Change as Entry, Configuration, GlobalSettings, UpstreamKind};
 use quickcheck::{Gen, QuickCheck};
 use rand::rngs::StdRng;
@@ -128,10 +128,10 @@
         criticality,
         latency_target: target_ms * 1_000,
         deadline: target_ms * 3_000,
-        late_share: 0.0,
-        skip_share: 0.0,
-        effect: Effect::Idempotent,
-        window: 0,
+        late_value_ratio: 0.0,
+        skip_value_ratio: 0.0,
+        idempotency: Idempotency::Idempotent,
+        idempotency_window: 0,
     }
 }
 /// What a version says, as a test edits it.
@@ -194,9 +194,12 @@
             |f| f.methods.get_mut("look").unwrap().latency_target = 0,
             "wrong: method look: its latency target is nothing",
         ),
-        (|f| f.methods.get_mut("look").unwrap().late_share = 1.5, "wrong: method look: a share is above 1"),
         (
-            |f| f.methods.get_mut("look").unwrap().effect = Effect::Tokened,
+            |f| f.methods.get_mut("look").unwrap().late_value_ratio = 1.5,
+            "wrong: method look: a share is above 1",
+        ),
+        (
+            |f| f.methods.get_mut("look").unwrap().idempotency = Idempotency::Keyed,
             "wrong: method look: it is tokened, but has no window",
         ),
         (|f| f.methods.clear(), "wrong: there is no method"),
@@ -251,7 +254,7 @@
     let mut new = facts();
     (new.frame.cores, new.frame.ram_kb, new.frame.upstream_call_quota) = (2, 80_000.0, Some(10.0));
     let price = new.methods.get_mut("price").unwrap();
-    (price.criticality, price.latency_target, price.window) = (4.0, 90_500, 1_000);
+    (price.criticality, price.latency_target, price.idempotency_window) = (4.0, 90_500, 1_000);
     new.methods.remove("look");
     new.methods.insert("pay", method(1.0, 5));
     new.tenants.insert("nile", 60.0);
@@ -288,7 +291,7 @@
     let mut changes = new.changes_to(&old);
     changes.push(Entry::PutMethod(
         "look".into(),
-        Method { window: 0, effect: Effect::Tokened, ..method(1.0, 200) },
+        Method { idempotency_window: 0, idempotency: Idempotency::Keyed, ..method(1.0, 200) },
     ));
     let staged = new.apply(&changes).unwrap();
     let problems = check(&new, &staged, &changes, &ObservedLoad::default(), 3.0);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -9,7 +9,10 @@
 pub use deployment::{read, read_from, Deployment, MAX_FILE_BYTES};
 pub use error::SettingsError;
 
-use asterrill::{Accounts, Calls, Control, Credit, Drain, Effect, Keys, Memory, Say, Shares, Target, Us};
+use asterrill::{
+    CallerAccounts, CallerFeedback, ConcurrencyLimit, Control, Drain, FeedbackMode, Idempotency,
+    IdempotencyKeys, MemoryBudget, TenantQuotas, UpstreamCalls, Us,
+};
 use asterrill_entries::fields::Any;
 use asterrill_entries::{Configuration, GlobalSettings, Method, Name};
 use lists::{Lists, Told};
@@ -24,7 +27,7 @@
     /// By place.
     pub tenants: Vec<Name>,
     /// Of each method, in order.
-    pub effects: Vec<Effect>,
+    pub effects: Vec<Idempotency>,
     /// Of each method, in order, in microseconds.
     pub latency_targets: Vec<Us>,
     /// The longest deadline of any method.
@@ -110,7 +113,7 @@
         control: control(now, seed, frame, shortest, Vec::new(), &[], None)?,
         longest_deadline: longest,
         cores: frame.cores as f64,
-        publishes_credit: frame.load_report == Say::Credit,
+        publishes_credit: frame.load_report == FeedbackMode::Credit,
         gauges: gauges(frame),
         response_ttl: frame.response_ttl,
         min_event_interval: frame.min_event_interval,
@@ -135,14 +138,14 @@
         frame.min_event_interval,
         frame.stop_mode,
         methods,
-        Accounts::new(shortest, frame.callers as usize),
-        Target::new(now, cores, frame.max_running_per_core, cold, frame.slow_start_duration),
-        Calls::new(frame.upstream_limits()?, cores, frame.abandoned_call_linger, shortest),
-        Keys::new(frame.kb_per_key, frame.response_ttl),
-        Memory::new(frame.ram_kb, frame.run_factor),
+        CallerAccounts::new(shortest, frame.callers as usize),
+        ConcurrencyLimit::new(now, cores, frame.max_running_per_core, cold, frame.slow_start_duration),
+        UpstreamCalls::new(frame.upstream_limits()?, cores, frame.abandoned_call_linger, shortest),
+        IdempotencyKeys::new(frame.kb_per_key, frame.response_ttl),
+        MemoryBudget::new(frame.ram_kb, frame.run_factor),
         Drain::new(frame.health_propagation_delay),
-        Credit::new(frame.load_report, relayed, shortest, frame.idle_timeout),
-        Shares::new(rates, frame.replicas as usize, frame.over_quota_weight),
+        CallerFeedback::new(frame.load_report, relayed, shortest, frame.idle_timeout),
+        TenantQuotas::new(rates, frame.replicas as usize, frame.over_quota_weight),
     ))
 }
 
@@ -157,10 +160,10 @@
         .map(|m| m.latency_target)
         .min()
         .ok_or_else(|| SettingsError::invalid_field("Categories"))?;
-    let effects: Vec<Effect> = methods.iter().map(|m| m.effect).collect();
+    let effects: Vec<Idempotency> = methods.iter().map(|m| m.idempotency).collect();
     let targets = methods.iter().map(|m| m.latency_target).collect();
     let longest = methods.iter().map(|m| m.deadline).max().unwrap_or(0);
-    let shares = effects.iter().map(|effect| *effect == Effect::Idempotent).collect();
+    let shares = effects.iter().map(|effect| *effect == Idempotency::Idempotent).collect();
     Ok(ServerParts {
         control: control(now, seed, frame, shortest, methods, &rates, cold)?,
         methods: names,
@@ -169,7 +172,7 @@
         latency_targets: targets,
         longest_deadline: longest,
         cores: frame.cores as f64,
-        publishes_credit: frame.load_report == Say::Credit,
+        publishes_credit: frame.load_report == FeedbackMode::Credit,
         gauges: gauges(frame),
         coalescable: shares,
         response_ttl: frame.response_ttl,
--- a/settings/src/lists.rs
+++ b/settings/src/lists.rs
@@ -53,7 +53,7 @@
             return Err(SettingsError::invalid_field("Categories"));
         }
         let shares = self.frame.skips.iter().copied().chain(std::iter::repeat(0.0));
-        self.methods.iter_mut().zip(shares).for_each(|((_, method), share)| method.skip_share = share);
+        self.methods.iter_mut().zip(shares).for_each(|((_, method), share)| method.skip_value_ratio = share);
         Ok(Told { frame, methods: self.methods, tenants: self.tenants })
     }
 }
--- a/settings/tests/customers.rs
+++ b/settings/tests/customers.rs
@@ -43,31 +43,41 @@
     let fine = |out: &Outcome| {
         assert!(out.credit.is_none_or(|credit| credit.is_finite() && credit >= 0.0), "{out:?}")
     };
-    fine(&control.started());
+    fine(&control.start());
     let (mut now, mut running) = (NOW, Vec::new());
     for n in 0..120_u64 {
         now += 7 * MS;
         let method = MethodId(n as usize % server.effects.len());
         let due = (n % 3 > 0).then_some(now + 300 * MS);
-        let prior = (n % 11 == 10).then(|| RpcId::of(n - 1));
-        let (id, caller, unread) = (RpcId::of(n), CallerId(n % 5), n % 4 * MS);
+        let prior = (n % 11 == 10).then(|| RpcId::from_number(n - 1));
+        let (id, caller, unread) = (RpcId::from_number(n), CallerId(n % 5), n % 4 * MS);
         let tenant = (n % 2 == 0 && !server.tenants.is_empty()).then_some(0);
-        let a =
-            Arrival { id, method, caller, due, size_kb: 9.0, unread, repeat: false, prior, key: Some(n % 7) };
+        let a = Arrival {
+            id,
+            method,
+            caller,
+            deadline: due,
+            size_kb: 9.0,
+            unread_for: unread,
+            retry_or_hedge: false,
+            original: prior,
+            cache_key: Some(n % 7),
+        };
         let out = control.rpc_read(now, a, tenant);
         fine(&out);
-        running.extend(out.runs);
+        running.extend(out.starts);
         if n % 3 == 0 {
             if let Some(id) = running.pop() {
                 fine(&control.call_needed(now, id));
                 fine(&control.call_ended(now, id, [CallEnd::Ok, CallEnd::TimedOut][n as usize % 2]));
                 let out = control.run_ended(now, id, RunEnd::Ok);
                 fine(&out);
-                running.extend(out.runs);
+                running.extend(out.starts);
             }
         }
-        let gauges = Gauges { on_cores: Some(n as f64 % 5.0), heap_share: Some(0.5), links: Some(n as f64) };
-        fine(&control.woken(now, gauges));
+        let gauges =
+            Gauges { runnable: Some(n as f64 % 5.0), memory_ratio: Some(0.5), connections: Some(n as f64) };
+        fine(&control.timer_fired(now, gauges));
         if n == 90 {
             fine(&control.drain(now, now, now + 500 * MS));
         }
--- a/settings/tests/files.rs
+++ b/settings/tests/files.rs
@@ -76,7 +76,7 @@
                 shared.tenants().map(|(name, rate)| (name.to_string(), rate)).collect();
             tenants.sort_by(|a, b| a.0.cmp(&b.0));
             assert_eq!(found, tenants, "{at}");
-            let skips = ["look", "pay"].map(|name| shared.method(name).unwrap().skip_share);
+            let skips = ["look", "pay"].map(|name| shared.method(name).unwrap().skip_value_ratio);
             assert_eq!(skips, [0.25, 0.5], "{at}");
             if let Some(running) = &running {
                 found.retain(|known| !before.contains(known));
--- a/simulator/src/wire.rs
+++ b/simulator/src/wire.rs
@@ -48,31 +48,31 @@
         id: id(item, "Id")?,
         method: *method,
         caller: CallerId(optional_number(item, "Sender")?.unwrap_or(0.0) as u64),
-        due: optional_number(item, "NotAfterMs")?.filter(|at| *at > 0.0).map(micros_from_millis),
+        deadline: optional_number(item, "NotAfterMs")?.filter(|at| *at > 0.0).map(micros_from_millis),
         size_kb: number(item, "SizeKb")?,
-        unread: optional_time(item, "UnreadForMs")?,
-        repeat: flag(item, "Repeat"),
-        prior,
-        key: item.get("Key").and_then(whole_number),
+        unread_for: optional_time(item, "UnreadForMs")?,
+        retry_or_hedge: flag(item, "Repeat"),
+        original: prior,
+        cache_key: item.get("Key").and_then(whole_number),
     })
 }
 
 fn gauges(item: &Value) -> Gauges {
     let metric = |name| item.get("Metrics").and_then(|m| m.get(name)).and_then(Value::as_f64);
-    Gauges { on_cores: metric("on_cores"), heap_share: metric("heap_share"), links: metric("links") }
+    Gauges { runnable: metric("on_cores"), memory_ratio: metric("heap_share"), connections: metric("links") }
 }
 
 /// Decodes one event into a call of the module.
 pub fn feed(now: Us, kind: &str, item: &Value, instance: &mut Instance) -> Result<Outcome, SettingsError> {
     let control = &mut instance.control;
     Ok(match kind {
-        "NewInstance" => control.started(),
+        "NewInstance" => control.start(),
         "JobIn" => {
             let tenant =
                 item.get("Party").and_then(Value::as_str).and_then(|p| instance.tenants.get(p)).copied();
             control.rpc_read(now, arrival(item, &instance.methods)?, tenant)
         }
-        "Dropped" => control.caller_gone(now, id(item, "Id")?),
+        "Dropped" => control.caller_cancelled(now, id(item, "Id")?),
         "Done" => {
             let end = match text(item, "StateCode")? {
                 "served" => RunEnd::Ok,
@@ -89,7 +89,7 @@
                 "served" => CallEnd::Ok,
                 "server_error" | "connection_lost" | "called_off" => CallEnd::Aborted,
                 "no_answer" => CallEnd::TimedOut,
-                "turned_away" | "no_connection" | "not_sent" => CallEnd::PushedBack,
+                "turned_away" | "no_connection" | "not_sent" => CallEnd::Rejected,
                 other => {
                     return Err(SettingsError::new(format!("StateCode {other} of CallResult is not known")))
                 }
@@ -97,7 +97,7 @@
             control.call_ended(now, id(item, "Id")?, end)
         }
         "TerminateSoon" => control.drain(now, now, time(item, "NotAfterMs")?),
-        "TimeoutFired" => control.woken(now, gauges(item)),
+        "TimeoutFired" => control.timer_fired(now, gauges(item)),
         other => return Err(SettingsError::new(format!("kind {other} is not known"))),
     })
 }
@@ -106,8 +106,8 @@
 pub fn encode(i: u64, o: Outcome, to: &mut Vec<Value>) {
     for (id, answer) in &o.answers {
         to.push(match answer {
-            Answer::PushedBack { terminal, come_back } => {
-                let (id, wait) = (id.as_str(), ms(*come_back));
+            Answer::Rejected { terminal, retry_after } => {
+                let (id, wait) = (id.as_str(), ms(*retry_after));
                 json!({"kind": "Shed", "I": i, "Id": id, "Terminal": terminal, "BackoffMs": wait})
             }
             Answer::Aborted => json!({"kind": "DropRequest", "I": i, "Id": id.as_str()}),
@@ -116,32 +116,32 @@
     let mut named = |kind: &str, ids: &[RpcId]| {
         to.extend(ids.iter().map(|id| json!({"kind": kind, "I": i, "Id": id.as_str()})));
     };
-    named("Stop", &o.stops);
-    for (id, span) in &o.keeps {
+    named("Stop", &o.cancellations);
+    for (id, span) in &o.retained_keys {
         to.push(json!({"kind": "RecordKey", "I": i, "Id": id.as_str(), "ForTimeMs": ms(*span)}));
     }
     let mut named = |kind: &str, ids: &[RpcId]| {
         to.extend(ids.iter().map(|id| json!({"kind": kind, "I": i, "Id": id.as_str()})));
     };
-    named("Unpin", &o.forgets);
-    named("Join", &o.joins);
-    named("Launch", &o.runs);
+    named("Unpin", &o.released_keys);
+    named("Join", &o.coalesced);
+    named("Launch", &o.starts);
     for (id, wait) in &o.calls {
         to.push(json!({"kind": "Invoke", "I": i, "Id": id.as_str(), "MaxWaitMs": ms(*wait)}));
     }
-    for id in &o.skips {
+    for id in &o.skipped_calls {
         to.push(json!({"kind": "Bypass", "I": i, "Id": id.as_str()}));
     }
     if let Some(amount) = o.credit {
         to.push(json!({"kind": "Announce", "I": i, "Amount": amount}));
     }
-    if let Some(enable) = o.health {
+    if let Some(enable) = o.healthy {
         to.push(json!({"kind": "MarkHealth", "I": i, "FromState": true, "Enable": enable}));
     }
-    if let Some(span) = o.close_idle {
+    if let Some(span) = o.close_idle_after {
         to.push(json!({"kind": "CloseIdle", "I": i, "ForTimeMs": ms(span)}));
     }
-    if let Some(span) = o.wake {
+    if let Some(span) = o.wake_after {
         to.push(json!({"kind": "NotifyMe", "I": i, "AfterMs": ms(span), "Name": 1}));
     }
     for words in &o.log {
--- a/src/control.rs
+++ b/src/control.rs
@@ -7,7 +7,7 @@
 #[path = "snapshot.rs"]
 mod snapshot;
 
-use crate::terms::{Ranked, Staged, Term};
+use crate::terms::{Ranked, SettingsUpdate, StagedTable};
 use crate::types::*;
 use nanorand::{Rng, WyRand};
 use std::cmp::Reverse;
@@ -79,9 +79,9 @@
     served: f64,      // serving time before that
     penalty: f64,     // congestion_penalty before that, without its factor
     answered: bool,
-    tries: u32,     // failures left for its call
-    effect: Effect, // these three as they were when it was read
-    skip_share: f64,
+    tries: u32,          // failures left for its call
+    effect: Idempotency, // these three as they were when it was read
+    skip_value_ratio: f64,
     booked: f64,
 }
 
@@ -146,7 +146,7 @@
 }
 
 /// The accounts of the callers, in nanoseconds of serving time.
-pub struct Accounts {
+pub struct CallerAccounts {
     pub(crate) of: BTreeMap<CallerId, Account>,
     heard: BTreeSet<(Us, CallerId)>,
     span: f64,
@@ -156,11 +156,11 @@
     pub(crate) buf_limit: f64,
 }
 
-impl Accounts {
+impl CallerAccounts {
     /// `shortest`: the shortest latency target; `callers`: those known at the start.
-    pub fn new(shortest: Us, callers: usize) -> Accounts {
+    pub fn new(shortest: Us, callers: usize) -> CallerAccounts {
         let (known, span) = (callers.max(1) as f64, shortest as f64 / 1e3 * BUF_SPAN);
-        Accounts {
+        CallerAccounts {
             of: BTreeMap::new(),
             heard: BTreeSet::new(),
             span,
@@ -220,7 +220,7 @@
 }
 
 /// target_parallel_reqs and max_parallel_reqs.
-pub struct Target {
+pub struct ConcurrencyLimit {
     cores: f64,
     pub(crate) target: f64,
     tip: f64,
@@ -229,12 +229,12 @@
     start: Us,
 }
 
-impl Target {
+impl ConcurrencyLimit {
     /// `tip`: running RPCs a core that a warm server survives. A cold one opens at `cold_from` of its speed
     /// and is warm after `ramp`; `cold_from` is 1 for one that starts warm.
-    pub fn new(now: Us, cores: usize, tip: f64, cold_from: f64, ramp: Us) -> Target {
+    pub fn new(now: Us, cores: usize, tip: f64, cold_from: f64, ramp: Us) -> ConcurrencyLimit {
         let (cores, ramp) = (cores.max(1) as f64, ramp.max(1) as f64);
-        Target { cores, target: cores, tip, cold_from, ramp, start: now }
+        ConcurrencyLimit { cores, target: cores, tip, cold_from, ramp, start: now }
     }
     /// Its least speed now over the warm one.
     fn speed(&self, now: Us) -> f64 {
@@ -247,7 +247,7 @@
         (self.target * HEADROOM).min(self.survives(now)).max(1.0)
     }
     pub(crate) fn adjust(&mut self, now: Us, gauges: Gauges, parallel: f64, pace: f64) {
-        let idle = gauges.on_cores.is_some_and(|n| n < self.cores);
+        let idle = gauges.runnable.is_some_and(|n| n < self.cores);
         if pace > VARIES {
             self.target /= RISE.sqrt();
         } else if idle && parallel + 1.0 >= self.target {
@@ -262,12 +262,12 @@
 
 /// Held RPCs by criticality, then relative buffer, then age.
 #[derive(Default)]
-pub struct Hold {
+pub struct AdmissionQueue {
     order: BTreeSet<Place>,
     work: BTreeMap<Reverse<u64>, f64>,
 }
 
-impl Hold {
+impl AdmissionQueue {
     fn drop(&mut self, place: Place, work: f64) {
         if self.order.remove(&place) {
             *self.work.entry(place.0).or_default() -= work;
@@ -279,7 +279,7 @@
 }
 
 /// Calls below: the bound on those in hand, and the breaker.
-pub struct Calls {
+pub struct UpstreamCalls {
     bound: f64,
     divided: bool, // the bound is this server's part of what all servers share
     part: f64,
@@ -296,19 +296,19 @@
     repeats: Fading,
 }
 
-impl Calls {
+impl UpstreamCalls {
     /// `linger`: how long an abandoned call may stay below; `shortest`: the shortest latency target.
-    pub fn new(below: Below, cores: usize, linger: Us, shortest: Us) -> Calls {
+    pub fn new(below: Upstream, cores: usize, linger: Us, shortest: Us) -> UpstreamCalls {
         let (bound, window, divided) = match below {
-            Below::Nothing => (f64::INFINITY, 1, false),
-            Below::Shared { share, window } => (share * SAFE, window, true),
-            Below::Tier => ((CALLS_PER_CORE * cores as f64).floor(), 1, false),
+            Upstream::Absent => (f64::INFINITY, 1, false),
+            Upstream::Shared { share, window } => (share * SAFE, window, true),
+            Upstream::Tier => ((CALLS_PER_CORE * cores as f64).floor(), 1, false),
         };
         let (pause, mean, window) = (shortest as f64 * BREAK, Fading::new(window), window as f64);
         let (placed, lingering, failures, open_until, trial) = (0, Vec::new(), 0, 0, None);
         let (firsts, repeats) = (Fading::new(BUDGET), Fading::new(BUDGET));
         #[rustfmt::skip]
-        let calls = Calls {
+        let calls = UpstreamCalls {
             bound, divided, part: 1.0, window, linger, pause, placed, lingering, mean, failures, open_until, trial,
             firsts, repeats,
         };
@@ -356,16 +356,16 @@
 }
 
 /// The table of keys: what each entry needs, and until when it lives.
-pub struct Keys {
+pub struct IdempotencyKeys {
     kb: f64,
     fresh: Us,
     until: BTreeMap<RpcId, Us>,
 }
 
-impl Keys {
+impl IdempotencyKeys {
     /// `kb`: memory of one entry; `fresh`: how long a read's answer may serve others, 0 for never.
-    pub fn new(kb: f64, fresh: Us) -> Keys {
-        Keys { kb, fresh, until: BTreeMap::new() }
+    pub fn new(kb: f64, fresh: Us) -> IdempotencyKeys {
+        IdempotencyKeys { kb, fresh, until: BTreeMap::new() }
     }
     fn used(&self) -> f64 {
         self.until.len() as f64 * self.kb
@@ -373,16 +373,16 @@
 }
 
 /// Memory of held and running RPCs, counted before anything is done.
-pub struct Memory {
+pub struct MemoryBudget {
     ram: f64,
     factor: f64,
     used: f64,
 }
 
-impl Memory {
+impl MemoryBudget {
     /// `ram` in kB; a running RPC takes `factor` times what it takes while held.
-    pub fn new(ram: f64, factor: f64) -> Memory {
-        Memory { ram, factor: factor.max(1.0), used: 0.0 }
+    pub fn new(ram: f64, factor: f64) -> MemoryBudget {
+        MemoryBudget { ram, factor: factor.max(1.0), used: 0.0 }
     }
     fn fits(&self, keys: f64, more: f64) -> bool {
         self.used + more + keys <= self.ram * SAFE
@@ -404,9 +404,9 @@
 }
 
 /// What callers hear: the free number, health, and how long a connection may idle.
-pub struct Credit {
-    say: Say,
-    come_back: Us,
+pub struct CallerFeedback {
+    say: FeedbackMode,
+    retry_after: Us,
     unread: Fading,
     read: Fading,
     fine: f64,
@@ -416,12 +416,22 @@
     idle: Us,
 }
 
-impl Credit {
-    /// `come_back`: the longest time to come back that is relayed, 0 where none is; `longest`: when callers
+impl CallerFeedback {
+    /// `retry_after`: the longest time to come back that is relayed, 0 where none is; `longest`: when callers
     /// close an idle connection by themselves.
-    pub fn new(say: Say, come_back: Us, shortest: Us, longest: Us) -> Credit {
+    pub fn new(say: FeedbackMode, retry_after: Us, shortest: Us, longest: Us) -> CallerFeedback {
         let (unread, read, fine) = (Fading::new(ACTIVE), Fading::new(ACTIVE), shortest as f64 * UNREAD);
-        Credit { say, come_back, unread, read, fine, said: -1.0, healthy: None, longest, idle: longest }
+        CallerFeedback {
+            say,
+            retry_after,
+            unread,
+            read,
+            fine,
+            said: -1.0,
+            healthy: None,
+            longest,
+            idle: longest,
+        }
     }
     /// Guards against a table full of connections that bring nothing: they tax the cores and leave callers
     /// without one. While more are open than twice the active callers need, idle ones close sooner. It also
@@ -438,19 +448,19 @@
 }
 
 /// Tenants' shares here: what exceeds them is worth less, so it waits behind the rest.
-pub struct Shares {
-    rates: Staged<f64>, // over the whole fleet
+pub struct TenantQuotas {
+    rates: StagedTable<f64>, // over the whole fleet
     rooms: Vec<(f64, Us)>,
     replicas: f64,
     worth: f64,
     pub(crate) part: f64,
 }
 
-impl Shares {
+impl TenantQuotas {
     /// `rates`: RPCs a second of each tenant over the whole fleet; `worth`: of what exceeds them.
-    pub fn new(rates: &[f64], replicas: usize, worth: f64) -> Shares {
-        let (rates, rooms) = (Staged::new(rates.iter().copied()), vec![(TENANT_RPCS, 0); rates.len()]);
-        Shares { rates, rooms, replicas: replicas.max(1) as f64, worth, part: 1.0 }
+    pub fn new(rates: &[f64], replicas: usize, worth: f64) -> TenantQuotas {
+        let (rates, rooms) = (StagedTable::new(rates.iter().copied()), vec![(TENANT_RPCS, 0); rates.len()]);
+        TenantQuotas { rates, rooms, replicas: replicas.max(1) as f64, worth, part: 1.0 }
     }
     /// One that is new here has a full room: time that passes adds nothing to that.
     fn stage(&mut self, tenant: usize, rate: Option<f64>) {
@@ -479,16 +489,16 @@
     stop_mode: StopMode,
     methods: Ranked<Method>, // by criticality
     costs: Ranked<Cost>,     // by mean
-    pub(crate) accounts: Accounts,
-    target: Target,
-    hold: Hold,
-    pub(crate) calls: Calls,
-    keys: Keys,
-    memory: Memory,
+    pub(crate) accounts: CallerAccounts,
+    target: ConcurrencyLimit,
+    hold: AdmissionQueue,
+    pub(crate) calls: UpstreamCalls,
+    keys: IdempotencyKeys,
+    memory: MemoryBudget,
     drain: Drain,
-    pub(crate) credit: Credit,
-    pub(crate) shares: Shares,
-    care: Care,
+    pub(crate) credit: CallerFeedback,
+    pub(crate) shares: TenantQuotas,
+    care: RecoveryLimits,
     rpcs: BTreeMap<RpcId, Rpc>,
     alarms: BTreeSet<(Us, RpcId)>,
     at_call: BTreeSet<Place>,
@@ -504,15 +514,19 @@
     /// `step` is the least time between two inputs; answers keep two of them clear of their due time.
     #[allow(clippy::too_many_arguments)] // each part takes its own few figures; no record holds them all
     pub fn new(
-        now: Us, seed: u64, step: Us, stop_mode: StopMode, methods: Vec<Method>, accounts: Accounts,
-        target: Target, calls: Calls, keys: Keys, memory: Memory, drain: Drain, credit: Credit,
-        shares: Shares,
+        now: Us, seed: u64, step: Us, stop_mode: StopMode, methods: Vec<Method>, accounts: CallerAccounts,
+        target: ConcurrencyLimit, calls: UpstreamCalls, keys: IdempotencyKeys, memory: MemoryBudget,
+        drain: Drain, credit: CallerFeedback, shares: TenantQuotas,
     ) -> Control {
         let costs = Ranked::new(methods.iter().map(Cost::new).collect(), |cost| cost.mean);
         let methods = Ranked::new(methods, |method| method.criticality);
-        let (alarms, at_call, hold) = (BTreeSet::new(), BTreeSet::new(), Hold::default());
+        let (alarms, at_call, hold) = (BTreeSet::new(), BTreeSet::new(), AdmissionQueue::default());
         let (chance, cores, out) = (WyRand::new_seed(seed), Cores::default(), Outcome::default());
-        let care = Care { calls: f64::INFINITY, repeats: f64::INFINITY, spread: 0.0 };
+        let care = RecoveryLimits {
+            calls_in_flight: f64::INFINITY,
+            retry_ratio: f64::INFINITY,
+            retry_after_jitter: 0.0,
+        };
         #[rustfmt::skip]
         let mut control = Control {
             now, chance, step, stop_mode, methods, costs, accounts, target, hold, calls, keys, memory, drain,
@@ -524,7 +538,7 @@
     }
 
     /// The start: what to publish and when to wake first.
-    pub fn started(&mut self) -> Outcome {
+    pub fn start(&mut self) -> Outcome {
         self.after(self.now, |_| ())
     }
 
@@ -534,7 +548,7 @@
     }
 
     /// No one waits for this RPC any longer. Held ones are over; the rest end with `run_ended`.
-    pub fn caller_gone(&mut self, now: Us, id: RpcId) -> Outcome {
+    pub fn caller_cancelled(&mut self, now: Us, id: RpcId) -> Outcome {
         self.after(now, |c| c.answered(id))
     }
 
@@ -552,8 +566,8 @@
     pub fn call_ended(&mut self, now: Us, id: RpcId, end: CallEnd) -> Outcome {
         self.after(now, |c| {
             let Some(r) = c.rpcs.get_mut(&id).filter(|r| r.stage == Stage::Calling) else { return };
-            let again = r.effect == Effect::Idempotent || end == CallEnd::PushedBack;
-            let again = again && (end == CallEnd::Ok || c.calls.may_repeat(c.now, c.care.repeats));
+            let again = r.effect == Idempotency::Idempotent || end == CallEnd::Rejected;
+            let again = again && (end == CallEnd::Ok || c.calls.may_repeat(c.now, c.care.retry_ratio));
             r.tries = if again { r.tries - 1 } else { 0 };
             c.calls.ended(c.now, id, end, c.chance.generate::<f64>());
             if end == CallEnd::Ok {
@@ -582,11 +596,11 @@
     /// Takes terms in beside those in force, in place of what was staged at their places before: nothing of them
     /// shows until `change`. A method that is over stays at its place for what is in hand, with criticality 0,
     /// and what was learned of its cost is there when it is taken up again; a tenant then starts anew.
-    pub fn stage(&mut self, terms: &[Term]) {
+    pub fn stage(&mut self, terms: &[SettingsUpdate]) {
         for term in terms {
             match term {
-                Term::Tenant(tenant, rate) => self.shares.stage(*tenant, *rate),
-                Term::Method(MethodId(at), method) => {
+                SettingsUpdate::Tenant(tenant, rate) => self.shares.stage(*tenant, *rate),
+                SettingsUpdate::Method(MethodId(at), method) => {
                     if self.costs.get(*at).is_none() {
                         self.costs.stage(*at, method.as_ref().map(Cost::new));
                     }
@@ -597,13 +611,13 @@
     }
 
     /// All that was staged is in force from now on, at once, with the settings of `frame`, of whose methods and
-    /// tenants nothing is taken. Accounts, learned costs, target, breaker, what tenants have left, and the terms
+    /// tenants nothing is taken. CallerAccounts, learned costs, target, breaker, what tenants have left, and the terms
     /// under which each RPC was read go on.
-    pub fn change(&mut self, now: Us, frame: Option<Control>) -> Outcome {
+    pub fn commit(&mut self, now: Us, frame: Option<Control>) -> Outcome {
         self.after(now, |c| {
-            c.methods.change();
-            c.costs.change();
-            c.shares.rates.change();
+            c.methods.commit();
+            c.costs.commit();
+            c.shares.rates.commit();
             if let Some(frame) = &frame {
                 c.take_frame(frame);
             }
@@ -621,7 +635,7 @@
         (self.keys.kb, self.keys.fresh) = (frame.keys.kb, frame.keys.fresh);
         (self.memory.ram, self.memory.factor) = (frame.memory.ram, frame.memory.factor);
         self.drain.grace = frame.drain.grace;
-        (self.credit.say, self.credit.come_back) = (credit.say, credit.come_back);
+        (self.credit.say, self.credit.retry_after) = (credit.say, credit.retry_after);
         (self.credit.fine, self.credit.longest) = (credit.fine, credit.longest);
         self.credit.idle = self.credit.idle.min(self.credit.longest);
         (self.shares.replicas, self.shares.worth) = (frame.shares.replicas, frame.shares.worth);
@@ -629,26 +643,26 @@
     }
 
     /// How carefully it comes back, from now on.
-    pub fn careful(&mut self, now: Us, care: Care) -> Outcome {
+    pub fn set_recovery_limits(&mut self, now: Us, care: RecoveryLimits) -> Outcome {
         self.after(now, |c| c.care = care)
     }
 
     /// Of what the settings divide among servers, this one's part from now on, over what they give it.
-    pub fn share(&mut self, now: Us, part: f64) -> Outcome {
+    pub fn set_quota_fraction(&mut self, now: Us, part: f64) -> Outcome {
         self.after(now, |c| (c.shares.part, c.calls.part) = (part, part))
     }
 
     /// What serving an RPC of a method takes, as learned so far, in microseconds; 0 for an unknown one.
-    pub fn cost(&self, method: MethodId) -> f64 {
+    pub fn mean_cost(&self, method: MethodId) -> f64 {
         self.costs.get(method.0).map_or(0.0, |cost| cost.mean)
     }
     /// Memory of what is held and runs, in kB.
-    pub fn held_kb(&self) -> f64 {
+    pub fn memory_used_kb(&self) -> f64 {
         self.memory.used
     }
 
     /// A wake asked for has come.
-    pub fn woken(&mut self, now: Us, gauges: Gauges) -> Outcome {
+    pub fn timer_fired(&mut self, now: Us, gauges: Gauges) -> Outcome {
         self.after(now, |c| {
             c.woken_at = if c.now >= c.woken_at { Us::MAX } else { c.woken_at };
             if c.now < c.beat {
@@ -659,7 +673,7 @@
             c.target.adjust(c.now, gauges, c.cores.running as f64, c.pace);
             c.share_out();
             let close_idle = |open| c.credit.close_idle(open, c.accounts.active, c.target.cores);
-            c.out.close_idle = gauges.links.and_then(close_idle);
+            c.out.close_idle_after = gauges.connections.and_then(close_idle);
             // With nothing to run, nothing tells of a recovery: the pace is forgiven step by step.
             if c.cores.running == 0 {
                 c.pace += (1.0 - c.pace) / PACE_MEMORY / BEATS as f64;
@@ -680,7 +694,7 @@
         let next = self.alarms.first().map_or(self.beat, |(t, _)| self.beat.min(*t)).max(self.now + 1);
         if next < self.woken_at {
             self.woken_at = next;
-            self.out.wake = Some(next - self.now);
+            self.out.wake_after = Some(next - self.now);
         }
         std::mem::take(&mut self.out)
     }
@@ -705,37 +719,39 @@
         let (m, cost) = (self.methods.last(a.method.0), self.costs.get(a.method.0));
         let (Some(m), Some(cost)) = (m, cost) else { return self.push_back(id, true, 0.0) };
         let (max_cost, work, whole) = (cost.max_cost() * 1e3 * pace, cost.mean, cost.mean * pace);
-        self.credit.unread.add(now, a.unread as f64);
+        self.credit.unread.add(now, a.unread_for as f64);
         self.credit.read.add(now, 1.0);
         let buf_value = self.accounts.hear(now, a.caller);
-        let arrived = now.saturating_sub(a.unread);
+        let arrived = now.saturating_sub(a.unread_for);
         let (late, last) = (arrived >= self.drain.ends, self.drain.last);
-        let due = a.due.unwrap_or(arrived + m.deadline).saturating_sub(2 * self.step).min(last);
+        let due = a.deadline.unwrap_or(arrived + m.deadline).saturating_sub(2 * self.step).min(last);
         // While RPCs wait, one that would be late is not worth the cores that one in time could have.
         let good = due.min(arrived + m.latency_target);
-        let last_good = if m.late_share > 0.0 { due } else { good };
-        let criticality = if self.knows_method(a.method) { m.criticality } else { 0.0 };
+        let last_good = if m.late_value_ratio > 0.0 { due } else { good };
+        let criticality = if self.has_method(a.method) { m.criticality } else { 0.0 };
         let worth = criticality * self.shares.worth(now, tenant);
         self.seq += 1;
         let mut place = (Reverse((worth * 1e6) as u64), Reverse(0), self.seq, id);
-        let keep = match m.effect {
-            Effect::Tokened => m.window.saturating_sub(a.unread) + self.step,
-            Effect::Idempotent if a.key.is_some() && self.keys.fresh > 0 => whole as Us + self.keys.fresh,
+        let keep = match m.idempotency {
+            Idempotency::Keyed => m.idempotency_window.saturating_sub(a.unread_for) + self.step,
+            Idempotency::Idempotent if a.cache_key.is_some() && self.keys.fresh > 0 => {
+                whole as Us + self.keys.fresh
+            }
             _ => 0,
         };
         // A repeat waits for the one it repeats. That one may have run, so a repeat is never pushed back.
-        let joins = a.prior.is_some() && m.effect != Effect::NonIdempotent;
-        let (effect, skip_share, booked) = (m.effect, m.skip_share, a.size_kb);
+        let joins = a.original.is_some() && m.idempotency != Idempotency::NonIdempotent;
+        let (effect, skip_value_ratio, booked) = (m.idempotency, m.skip_value_ratio, a.size_kb);
         let (caller, stage) = (a.caller, if joins { Stage::Joined } else { Stage::Held });
         self.memory.used += a.size_kb;
         #[rustfmt::skip]
         self.rpcs.insert(id, Rpc {
             a, stage, place, due, last_good, alarm: Us::MAX, work, taken: 0.0, since: (now, 0.0), served: 0.0,
-            penalty: 0.0, answered: false, tries: TRIES, effect, skip_share, booked,
+            penalty: 0.0, answered: false, tries: TRIES, effect, skip_value_ratio, booked,
         });
         if joins {
             let room = now < due && self.memory.fits(self.keys.used(), 0.0);
-            self.out.joins.extend(Some(id).filter(|_| room));
+            self.out.coalesced.extend(Some(id).filter(|_| room));
             return self.set_alarm(id, if room { due } else { now });
         }
         let fits = self.memory.fits(self.keys.used() + if keep > 0 { self.keys.kb } else { 0.0 }, 0.0);
@@ -757,7 +773,7 @@
         *self.hold.work.entry(place.0).or_default() += work;
         if keep > 0 {
             self.keys.until.insert(id, now + keep);
-            self.out.keeps.push((id, keep));
+            self.out.retained_keys.push((id, keep));
         }
         // With nothing on the cores this one is a trial, whatever the estimates say.
         let start = if self.cores.running > 0 { good.saturating_sub(whole as Us) } else { good };
@@ -805,7 +821,7 @@
         self.at_call.remove(&r.place);
         match r.stage {
             Stage::Held | Stage::Joined => self.end_unrun(id),
-            Stage::Running if self.stop_mode != StopMode::Off => self.out.stops.push(id),
+            Stage::Running if self.stop_mode != StopMode::Off => self.out.cancellations.push(id),
             Stage::Calling => {
                 r.stage = Stage::AtCall;
                 // A caller that left says nothing of the layer below: it lingers there, but is no failure.
@@ -827,16 +843,20 @@
             self.accounts.correct(self.now, r.a.caller, r.taken, 0.0, 0.0);
         }
         if self.keys.until.remove(&id).is_some() {
-            self.out.forgets.push(id);
+            self.out.released_keys.push(id);
         }
     }
 
     /// `wait`: from now until an RPC like it could be taken. Waiting for long costs clients their target.
     fn push_back(&mut self, id: RpcId, terminal: bool, wait: f64) {
         // Guards against callers who were turned away together and come back so. Harm: some wait longer.
-        let far = if self.care.spread > 0.0 { self.care.spread * self.chance.generate::<f64>() } else { 0.0 };
-        let come_back = ((wait.min(self.credit.fine) * (1.0 + far)) as Us).min(self.credit.come_back);
-        self.out.answers.push((id, Answer::PushedBack { terminal, come_back }));
+        let far = if self.care.retry_after_jitter > 0.0 {
+            self.care.retry_after_jitter * self.chance.generate::<f64>()
+        } else {
+            0.0
+        };
+        let retry_after = ((wait.min(self.credit.fine) * (1.0 + far)) as Us).min(self.credit.retry_after);
+        self.out.answers.push((id, Answer::Rejected { terminal, retry_after }));
         self.answered(id);
     }
 
@@ -868,13 +888,13 @@
         let still = self.still();
         let healthy = self.drain.ends == Us::MAX && !still;
         if self.credit.healthy.replace(healthy) != Some(healthy) {
-            self.out.health = Some(healthy);
+            self.out.healthy = Some(healthy);
             self.out.log.extend(still.then(|| "health off: work stopped finishing".into()));
         }
         // Leaving, it takes what comes within the grace: those who stay may not have room for all at once.
         let over = self.now >= self.drain.ends.saturating_sub(ACTIVE / BEATS);
         if over && std::mem::take(&mut self.drain.open) {
-            self.out.close_idle = Some(0);
+            self.out.close_idle_after = Some(0);
         }
         let idle = (self.cores.running as f64) < target && self.hold.order.is_empty() && crowd <= 1.0;
         let share =
@@ -886,12 +906,12 @@
         let callers = self.accounts.known.max(self.accounts.active);
         let most = if speed < 1.0 { self.target.survives(self.now) / callers } else { f64::INFINITY };
         let value = match self.credit.say {
-            Say::Off => return,
-            Say::Threshold => 1.0 - share.min(speed),
-            Say::ShareOf => share.min(speed),
-            Say::Credit if over || still => 0.0,
-            Say::Credit if idle => self.target.max_parallel_reqs(self.now).min(most),
-            Say::Credit => (part * (1.0 + SPARE_PART * part.min(1.0)) / crowd).min(most),
+            FeedbackMode::Off => return,
+            FeedbackMode::Threshold => 1.0 - share.min(speed),
+            FeedbackMode::AcceptProbability => share.min(speed),
+            FeedbackMode::Credit if over || still => 0.0,
+            FeedbackMode::Credit if idle => self.target.max_parallel_reqs(self.now).min(most),
+            FeedbackMode::Credit => (part * (1.0 + SPARE_PART * part.min(1.0)) / crowd).min(most),
         };
         if (value - self.credit.said).abs() > CREDIT_STEP * self.credit.said.max(0.0) {
             self.credit.said = value;
@@ -908,7 +928,7 @@
             Some(r) if r.stage == Stage::Held => self.push_back(id, true, 0.0),
             Some(r) if r.stage == Stage::AtCall && self.skippable(r) => {
                 self.at_call.remove(&r.place);
-                self.out.skips.push(id);
+                self.out.skipped_calls.push(id);
                 self.on_cores(id);
             }
             _ => {
@@ -920,13 +940,13 @@
     }
 
     fn skippable(&self, r: &Rpc) -> bool {
-        r.skip_share > 0.0 && self.now < r.last_good
+        r.skip_value_ratio > 0.0 && self.now < r.last_good
     }
 
     /// A call is placed within the bound; it is skipped, or the RPC given up, once calling has no prospect.
     fn rule_call(&mut self) -> bool {
         let shut = self.calls.shut(self.now);
-        let room = !shut && self.calls.room(self.now, self.care.calls);
+        let room = !shut && self.calls.room(self.now, self.care.calls_in_flight);
         let ready = |p: &&Place| {
             self.rpcs.get(&p.3).is_some_and(|r| room || r.tries == 0 || shut && self.skippable(r))
         };
@@ -963,7 +983,7 @@
         self.rpcs.entry(place.3).and_modify(|r| r.booked += more);
         self.hold.drop(place, work);
         self.on_cores(place.3);
-        self.out.runs.push(place.3);
+        self.out.starts.push(place.3);
         true
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,6 +14,9 @@
 mod tests;
 mod types;
 
-pub use control::{Accounts, Calls, Control, Credit, Drain, Hold, Keys, Memory, Shares, Target};
-pub use terms::{Staged, Term};
+pub use control::{
+    AdmissionQueue, CallerAccounts, CallerFeedback, ConcurrencyLimit, Control, Drain, IdempotencyKeys,
+    MemoryBudget, TenantQuotas, UpstreamCalls,
+};
+pub use terms::{SettingsUpdate, StagedTable};
 pub use types::*;
--- a/src/peak.rs
+++ b/src/peak.rs
@@ -51,7 +51,7 @@
     }
 
     /// All numbers to come are in force from now on.
-    pub fn change(&mut self) {
+    pub fn commit(&mut self) {
         self.version += 1;
     }
 
--- a/src/terms.rs
+++ b/src/terms.rs
@@ -5,7 +5,7 @@
 
 /// What is to hold at one place from the next change on.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Term {
+pub enum SettingsUpdate {
     /// A method as the operators describe it; none where it is over.
     Method(MethodId, Option<Method>),
     /// A tenant's RPCs a second over the whole fleet, 0 or more; none where it is over.
@@ -31,17 +31,17 @@
 /// Values by place. Those that are staged come into force all at once, by a count, whatever their number: each
 /// place holds two values and the version from which the second one holds.
 #[derive(Clone, Debug)]
-pub struct Staged<T> {
+pub struct StagedTable<T> {
     slots: Vec<Slot<T>>,
     version: u64,
 }
 
-impl<T: Clone> Staged<T> {
+impl<T: Clone> StagedTable<T> {
     /// In force from the start, in the order of their places.
-    pub fn new(values: impl IntoIterator<Item = T>) -> Staged<T> {
+    pub fn new(values: impl IntoIterator<Item = T>) -> StagedTable<T> {
         let states = (State::InForce, State::InForce);
         let slot = |value: T| Slot { now: value.clone(), next: value, states, from: 0 };
-        Staged { slots: values.into_iter().map(slot).collect(), version: 0 }
+        StagedTable { slots: values.into_iter().map(slot).collect(), version: 0 }
     }
 
     /// What is in force there.
@@ -89,7 +89,7 @@
     }
 
     /// All that was staged is in force from now on.
-    pub fn change(&mut self) {
+    pub fn commit(&mut self) {
         self.version += 1;
     }
 
@@ -102,7 +102,7 @@
 
 /// Staged values whose greatest is known at any moment, by a number that each has.
 pub(crate) struct Ranked<T> {
-    values: Staged<T>,
+    values: StagedTable<T>,
     peak: Peak,
     number: fn(&T) -> f64,
 }
@@ -110,7 +110,7 @@
 impl<T: Clone> Ranked<T> {
     pub(crate) fn new(values: Vec<T>, number: fn(&T) -> f64) -> Ranked<T> {
         let peak = Peak::new(values.iter().map(number));
-        Ranked { values: Staged::new(values), peak, number }
+        Ranked { values: StagedTable::new(values), peak, number }
     }
     /// The greatest number of those in force, or the least given.
     pub(crate) fn greatest(&self, least: f64) -> f64 {
@@ -136,9 +136,9 @@
         self.values.stage(place, value);
         self.rank(place);
     }
-    pub(crate) fn change(&mut self) {
-        self.values.change();
-        self.peak.change();
+    pub(crate) fn commit(&mut self) {
+        self.values.commit();
+        self.peak.commit();
     }
     fn rank(&mut self, place: usize) {
         let (now, next) = (self.values.get(place), self.values.next(place));
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -13,12 +13,12 @@
 /// One server as drawn for a run.
 #[derive(Clone, Debug)]
 struct Drawn {
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     skip: f64,
     late: f64,
     stop_mode: StopMode,
-    below: Below,
-    say: Say,
+    below: Upstream,
+    say: FeedbackMode,
     cold: f64,
     tip: f64,
     ram: f64,
@@ -27,8 +27,8 @@
 
 impl Default for Drawn {
     fn default() -> Drawn {
-        let (effects, below) = (vec![Effect::Idempotent; 2], Below::Nothing);
-        let (stop_mode, say, ram) = (StopMode::Abort, Say::Credit, 1e6);
+        let (effects, below) = (vec![Idempotency::Idempotent; 2], Upstream::Absent);
+        let (stop_mode, say, ram) = (StopMode::Abort, FeedbackMode::Credit, 1e6);
         Drawn {
             effects,
             skip: 0.0,
@@ -46,7 +46,7 @@
 
 impl Drawn {
     fn from(g: &mut Gen) -> Drawn {
-        let effects = [Effect::Idempotent, Effect::Tokened, Effect::NonIdempotent];
+        let effects = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NonIdempotent];
         let share = *g.choose(&[0.7, 2.0, 5.5]).unwrap();
         Drawn {
             effects: vec![*g.choose(&effects).unwrap(), *g.choose(&effects).unwrap()],
@@ -54,9 +54,16 @@
             late: *g.choose(&[0.0, 0.2]).unwrap(),
             stop_mode: *g.choose(&[StopMode::Off, StopMode::Abort, StopMode::Suspend]).unwrap(),
             below: *g
-                .choose(&[Below::Nothing, Below::Tier, Below::Shared { share, window: 5_000 * MS }])
+                .choose(&[Upstream::Absent, Upstream::Tier, Upstream::Shared { share, window: 5_000 * MS }])
+                .unwrap(),
+            say: *g
+                .choose(&[
+                    FeedbackMode::Off,
+                    FeedbackMode::Credit,
+                    FeedbackMode::Threshold,
+                    FeedbackMode::AcceptProbability,
+                ])
                 .unwrap(),
-            say: *g.choose(&[Say::Off, Say::Credit, Say::Threshold, Say::ShareOf]).unwrap(),
             cold: *g.choose(&[0.2, 1.0]).unwrap(),
             tip: *g.choose(&[3.0, 8.0]).unwrap(),
             ram: *g.choose(&[150.0, 400.0, 1e6]).unwrap(),
@@ -110,14 +117,14 @@
 impl World {
     fn new(drawn: Drawn, seed: u64) -> World {
         let now = 5_000 * MS;
-        let method = |(i, effect): (usize, &Effect)| Method {
+        let method = |(i, effect): (usize, &Idempotency)| Method {
             latency_target: 500 * MS,
             deadline: 1_500 * MS,
-            effect: *effect,
+            idempotency: *effect,
             criticality: 1.0 + 2.0 * i as f64,
-            late_share: drawn.late,
-            window: 2_000 * MS,
-            skip_share: drawn.skip,
+            late_value_ratio: drawn.late,
+            idempotency_window: 2_000 * MS,
+            skip_value_ratio: drawn.skip,
         };
         let methods: Vec<Method> = drawn.effects.iter().enumerate().map(method).collect();
         let control = Control::new(
@@ -126,14 +133,14 @@
             STEP,
             drawn.stop_mode,
             methods,
-            Accounts::new(500 * MS, 3),
-            Target::new(now, CORES, drawn.tip, drawn.cold, 3_000 * MS),
-            Calls::new(drawn.below, CORES, 200 * MS, 500 * MS),
-            Keys::new(KEY_KB, 0),
-            Memory::new(drawn.ram, FACTOR),
+            CallerAccounts::new(500 * MS, 3),
+            ConcurrencyLimit::new(now, CORES, drawn.tip, drawn.cold, 3_000 * MS),
+            UpstreamCalls::new(drawn.below, CORES, 200 * MS, 500 * MS),
+            IdempotencyKeys::new(KEY_KB, 0),
+            MemoryBudget::new(drawn.ram, FACTOR),
             Drain::new(GRACE),
-            Credit::new(drawn.say, 1_000 * MS, 500 * MS, 30_000 * MS),
-            Shares::new(&[], 3, 1.0),
+            CallerFeedback::new(drawn.say, 1_000 * MS, 500 * MS, 30_000 * MS),
+            TenantQuotas::new(&[], 3, 1.0),
         );
         let (wakes, rpcs, keys) = (BTreeSet::new(), BTreeMap::new(), BTreeMap::new());
         let (lingering, load, last) = (Vec::new(), Vec::new(), Outcome::default());
@@ -152,7 +159,7 @@
             last,
             next: 0,
         };
-        let first = world.control.started();
+        let first = world.control.start();
         world.apply(first);
         world
     }
@@ -181,8 +188,17 @@
         self.rpcs.insert(id, Seen { at: At::Held, ..seen });
         let due = self.drawn.passes_due.then_some(due);
         let (caller, size_kb) = (CallerId(caller), KB);
-        let a =
-            Arrival { id, method: method_id, caller, due, size_kb, unread, repeat: false, prior, key: None };
+        let a = Arrival {
+            id,
+            method: method_id,
+            caller,
+            deadline: due,
+            size_kb,
+            unread_for: unread,
+            retry_or_hedge: false,
+            original: prior,
+            cache_key: None,
+        };
         let out = self.control.rpc_read(self.now, a, None);
         self.apply(out);
         id
@@ -194,8 +210,8 @@
             let r = self.rpcs.get_mut(id).expect("an RPC that was read");
             assert!(r.owed, "{id:?} answered twice");
             r.owed = false;
-            let single = self.drawn.effects[r.method] != Effect::Idempotent;
-            if let Answer::PushedBack { .. } = answer {
+            let single = self.drawn.effects[r.method] != Idempotency::Idempotent;
+            if let Answer::Rejected { .. } = answer {
                 assert!(!(single && r.ran), "{id:?} pushed back after it ran");
             }
             r.over = matches!(r.at, At::Held | At::Joined(_));
@@ -206,27 +222,27 @@
                 r.at = At::Stalled;
             }
         }
-        for id in &out.stops {
+        for id in &out.cancellations {
             assert!(self.drawn.stop_mode != StopMode::Off);
             assert!(!self.rpcs[id].owed, "{id:?} stopped with its answer owed");
         }
-        for (id, span) in &out.keeps {
+        for (id, span) in &out.retained_keys {
             self.keys.insert(*id, self.now + span);
         }
-        for id in &out.forgets {
+        for id in &out.released_keys {
             self.keys.remove(id);
         }
-        for id in &out.joins {
+        for id in &out.coalesced {
             self.rpcs.get_mut(id).unwrap().at = At::Joined(*id);
         }
-        for id in &out.runs {
+        for id in &out.starts {
             let r = self.rpcs.get_mut(id).unwrap();
             assert!(r.at == At::Held && r.owed && !r.ran, "{id:?} started out of turn");
             assert!(
                 self.drain.is_none_or(|(notice, _)| r.arrived < notice + GRACE),
                 "{id:?} run after the grace"
             );
-            let tokened = self.drawn.effects[r.method] == Effect::Tokened;
+            let tokened = self.drawn.effects[r.method] == Idempotency::Keyed;
             assert!(!tokened || self.keys.contains_key(id), "{id:?} run without its key kept");
             (r.at, r.ran) = (At::Running, true);
         }
@@ -236,16 +252,16 @@
             assert!(!r.unsafe_call, "{id:?} calls again after a call that may have run");
             r.at = At::Calling(self.now + wait);
         }
-        for id in &out.skips {
+        for id in &out.skipped_calls {
             let r = self.rpcs.get_mut(id).unwrap();
             assert!(r.at == At::Stalled && self.drawn.skip > 0.0);
             r.at = At::Running;
         }
         self.credit = out.credit.or(self.credit);
-        self.health = out.health.or(self.health);
-        assert!(out.credit.is_none() || self.drawn.say != Say::Off);
+        self.health = out.healthy.or(self.health);
+        assert!(out.credit.is_none() || self.drawn.say != FeedbackMode::Off);
         assert!(out.credit.is_none_or(|c| c >= 0.0 && c.is_finite()));
-        self.wakes.extend(out.wake.map(|span| self.now + span));
+        self.wakes.extend(out.wake_after.map(|span| self.now + span));
         self.last = out;
         let now = self.now;
         self.keys.retain(|_, until| *until > now);
@@ -286,7 +302,7 @@
             self.drawn.cold + (1.0 - self.drawn.cold) * (self.now as f64 / 1e3 - 5_000.0).min(3_000.0) / 3e3;
         let survives = (1.0 + (self.drawn.tip - 1.0) * speed) * CORES as f64;
         assert!(self.mean(2_000 * MS, |p| p.1) <= survives, "the cores are crowded");
-        if let Below::Shared { share, window } = self.drawn.below {
+        if let Upstream::Shared { share, window } = self.drawn.below {
             assert!(self.mean(window, |p| p.2) <= share.max(1.0), "the dependency is loaded past our share");
         }
     }
@@ -310,8 +326,9 @@
                 Some((at, id)) if at <= wake => self.end_call(id, CallEnd::TimedOut),
                 _ => {
                     self.wakes.remove(&wake);
-                    let out =
-                        self.control.woken(self.now, Gauges { on_cores: Some(1.0), ..Gauges::default() });
+                    let out = self
+                        .control
+                        .timer_fired(self.now, Gauges { runnable: Some(1.0), ..Gauges::default() });
                     self.apply(out);
                 }
             }
@@ -337,7 +354,7 @@
     fn end_call(&mut self, id: RpcId, end: CallEnd) {
         let r = self.rpcs.get_mut(&id).unwrap();
         r.at = if end == CallEnd::Ok { At::Running } else { At::Stalled };
-        r.unsafe_call |= self.drawn.effects[r.method] != Effect::Idempotent
+        r.unsafe_call |= self.drawn.effects[r.method] != Idempotency::Idempotent
             && matches!(end, CallEnd::Aborted | CallEnd::TimedOut);
         if end == CallEnd::TimedOut {
             self.lingering.push(self.now + 200 * MS);
@@ -354,7 +371,7 @@
             self.lingering.push(self.now + 200 * MS);
             r.at = At::Stalled;
         }
-        let out = self.control.caller_gone(self.now, id);
+        let out = self.control.caller_cancelled(self.now, id);
         self.apply(out);
     }
 
@@ -371,7 +388,8 @@
                 self.read(n % 2, n as u64 % 3, span.min(30 * MS), patience, None);
             }
             5 => {
-                let tokened = |r: &Seen| self.drawn.effects[r.method] == Effect::Tokened && r.at == At::Held;
+                let tokened =
+                    |r: &Seen| self.drawn.effects[r.method] == Idempotency::Keyed && r.at == At::Held;
                 if let Some(prior) = self.pick(n, tokened).filter(|id| self.keys.contains_key(id)) {
                     let method = self.rpcs[&prior].method;
                     self.read(method, n as u64 % 3, 0, 1_000 * MS, Some(prior));
@@ -386,7 +404,7 @@
             }
             9 | 10 => {
                 if let Some(id) =
-                    self.pick(n, |r| r.at == At::Running).filter(|_| self.drawn.below != Below::Nothing)
+                    self.pick(n, |r| r.at == At::Running).filter(|_| self.drawn.below != Upstream::Absent)
                 {
                     self.need_call(id);
                 }
@@ -394,7 +412,7 @@
             11 => {
                 if let Some(id) = self.pick(n, |r| matches!(r.at, At::Calling(_))) {
                     let ends =
-                        [CallEnd::Ok, CallEnd::Ok, CallEnd::Aborted, CallEnd::TimedOut, CallEnd::PushedBack];
+                        [CallEnd::Ok, CallEnd::Ok, CallEnd::Aborted, CallEnd::TimedOut, CallEnd::Rejected];
                     self.end_call(id, ends[n % 5]);
                 }
             }
@@ -444,7 +462,7 @@
 
 #[test]
 fn an_account_recharges_by_mrr_and_is_corrected_in_the_order_of_the_source() {
-    let (caller, mut accounts) = (CallerId(1), Accounts::new(500 * MS, 1));
+    let (caller, mut accounts) = (CallerId(1), CallerAccounts::new(500 * MS, 1));
     accounts.share_out(0, 4.0, 1.6e3);
     assert_eq!((accounts.mrr, accounts.buf_limit), (4e6, 1e9));
     assert_eq!(accounts.take(0, caller, 6e8), (6e8, 0.4));
@@ -488,27 +506,27 @@
     let early = world.rpcs.values().filter(|r| !r.owed).count();
     assert!(early > 0);
     let answer = world.last.answers.last().expect("the last one is short").1;
-    let told = matches!(answer, Answer::PushedBack { come_back: 1..=50_000, .. });
+    let told = matches!(answer, Answer::Rejected { retry_after: 1..=50_000, .. });
     assert!(told, "a tenth of the shortest latency target at most");
 }
 
 #[test]
 fn the_target_rises_while_cores_idle_and_never_falls_below_cores() {
-    let mut target = Target::new(0, 4, 8.0, 1.0, MS);
-    let idle = Gauges { on_cores: Some(2.0), ..Gauges::default() };
+    let mut target = ConcurrencyLimit::new(0, 4, 8.0, 1.0, MS);
+    let idle = Gauges { runnable: Some(2.0), ..Gauges::default() };
     target.adjust(MS, idle, 4.0, 1.0);
     assert!(target.target > 4.0);
     (0..50).for_each(|_| target.adjust(MS, idle, 99.0, 1.0));
     assert!(target.max_parallel_reqs(MS) <= target.survives(MS) + 1e-9);
     (0..500).for_each(|_| target.adjust(MS, idle, 99.0, 9.0));
     assert_eq!(target.target, 4.0);
-    let cold = Target::new(0, 4, 8.0, 0.2, 1_000 * MS);
+    let cold = ConcurrencyLimit::new(0, 4, 8.0, 0.2, 1_000 * MS);
     assert!(cold.survives(0) < cold.survives(500 * MS) && cold.survives(500 * MS) < cold.survives(MS * MS));
 }
 
 #[test]
 fn calls_stop_after_failures_in_a_row_and_return_by_a_single_trial() {
-    let mut calls = Calls::new(Below::Tier, 4, 0, 500 * MS);
+    let mut calls = UpstreamCalls::new(Upstream::Tier, 4, 0, 500 * MS);
     let id = RpcId::new("a").unwrap();
     for _ in 0..20 {
         calls.ended(0, id, CallEnd::Aborted, 0.5);
@@ -540,7 +558,10 @@
     world.read(0, 0, 0, 1_500 * MS, None);
     let mut beat = |links| {
         world.now += 100 * MS;
-        world.control.woken(world.now, Gauges { links: Some(links), ..Gauges::default() }).close_idle
+        world
+            .control
+            .timer_fired(world.now, Gauges { connections: Some(links), ..Gauges::default() })
+            .close_idle_after
     };
     assert_eq!(beat(10.0 * CORES as f64), None, "a few for each core are no crowd");
     assert_eq!((beat(90.0), beat(90.0)), (Some(15_000 * MS), Some(7_500 * MS)));
@@ -585,7 +606,7 @@
 
 #[test]
 fn thousands_of_callers_share_the_target_by_those_heard_in_the_last_second() {
-    let mut accounts = Accounts::new(500 * MS, 3_000);
+    let mut accounts = CallerAccounts::new(500 * MS, 3_000);
     for caller in 0..3_000 {
         accounts.hear(caller * MS, CallerId(caller));
     }
@@ -597,8 +618,9 @@
 
 #[test]
 fn a_tenant_ranks_lower_only_well_above_its_share() {
-    let mut shares = Shares::new(&[10.0], 5, 0.1);
-    let taken = |shares: &mut Shares, now| (0..20).filter(|_| shares.worth(now, Some(0)) == 1.0).count();
+    let mut shares = TenantQuotas::new(&[10.0], 5, 0.1);
+    let taken =
+        |shares: &mut TenantQuotas, now| (0..20).filter(|_| shares.worth(now, Some(0)) == 1.0).count();
     assert_eq!(taken(&mut shares, 0), 10, "ten at once are chance where two a second are its share");
     assert_eq!(taken(&mut shares, 2_000 * MS), 4);
     assert_eq!(shares.worth(2_000 * MS, None), 1.0, "no tenant, no share");
@@ -654,7 +676,7 @@
 
 #[test]
 fn a_call_that_can_be_skipped_leaves_time_to_finish_without_it() {
-    let drawn = Drawn { below: Below::Tier, skip: 0.5, ..Drawn::default() };
+    let drawn = Drawn { below: Upstream::Tier, skip: 0.5, ..Drawn::default() };
     let mut world = World::new(drawn, 1);
     let id = world.read(0, 0, 0, 1_500 * MS, None);
     world.need_call(id);
@@ -665,7 +687,7 @@
 
 #[test]
 fn what_calls_counts_by_half_as_running() {
-    let mut world = World::new(Drawn { below: Below::Tier, ..Drawn::default() }, 1);
+    let mut world = World::new(Drawn { below: Upstream::Tier, ..Drawn::default() }, 1);
     let running = busy(&mut world, CORES + 1);
     let held = [world.read(0, 1, 0, 1_500 * MS, None), world.read(0, 2, 0, 1_500 * MS, None)];
     world.need_call(running[0]);
@@ -677,7 +699,7 @@
 
 #[test]
 fn callers_that_leave_do_not_stop_the_calls() {
-    let mut world = World::new(Drawn { below: Below::Tier, ..Drawn::default() }, 1);
+    let mut world = World::new(Drawn { below: Upstream::Tier, ..Drawn::default() }, 1);
     for _ in 0..8 {
         let id = world.read(0, 0, 0, 1_500 * MS, None);
         world.need_call(id);
@@ -719,11 +741,11 @@
         Method {
             latency_target: 400 * MS,
             deadline: 900 * MS,
-            effect: Effect::Idempotent,
+            idempotency: Idempotency::Idempotent,
             criticality,
-            late_share: 0.0,
-            window: 0,
-            skip_share: 0.5,
+            late_value_ratio: 0.0,
+            idempotency_window: 0,
+            skip_value_ratio: 0.5,
         }
     }
     fn with(now: Us, criticality: &[f64], cores: usize, ram: f64, factor: f64) -> Control {
@@ -733,29 +755,29 @@
             4 * MS,
             StopMode::Abort,
             criticality.iter().copied().map(method).collect(),
-            Accounts::new(400 * MS, 1),
-            Target::new(now, cores, 8.0, 1.0, 1),
-            Calls::new(Below::Tier, cores, 0, 400 * MS),
-            Keys::new(0.0, 0),
-            Memory::new(ram, factor),
+            CallerAccounts::new(400 * MS, 1),
+            ConcurrencyLimit::new(now, cores, 8.0, 1.0, 1),
+            UpstreamCalls::new(Upstream::Tier, cores, 0, 400 * MS),
+            IdempotencyKeys::new(0.0, 0),
+            MemoryBudget::new(ram, factor),
             Drain::new(400 * MS),
-            Credit::new(Say::Credit, 0, 400 * MS, 0),
-            Shares::new(&[1.0], 1, 0.5),
+            CallerFeedback::new(FeedbackMode::Credit, 0, 400 * MS, 0),
+            TenantQuotas::new(&[1.0], 1, 0.5),
         )
     }
     fn ask(c: &mut Control, now: Us, n: u64, method: usize) -> Outcome {
-        let (id, caller) = (RpcId::of(n), CallerId(n % 2));
+        let (id, caller) = (RpcId::from_number(n), CallerId(n % 2));
         let (method, due) = (MethodId(method), Some(now + 900 * MS));
         let arrival = Arrival {
             id,
             method,
             caller,
-            due,
+            deadline: due,
             size_kb: 10.0,
-            unread: 0,
-            repeat: false,
-            prior: None,
-            key: None,
+            unread_for: 0,
+            retry_or_hedge: false,
+            original: None,
+            cache_key: None,
         };
         c.rpc_read(now, arrival, Some(0))
     }
@@ -763,36 +785,41 @@
     #[test]
     fn a_change_keeps_what_runs_and_is_held_and_counts_from_the_next_rpc_on() {
         let mut c = made(0, &[1.0, 2.0], 1, 1_000.0);
-        assert_eq!(ask(&mut c, 0, 1, 0).runs, [RpcId::of(1)]);
-        assert!(ask(&mut c, 0, 2, 1).runs.is_empty());
+        assert_eq!(ask(&mut c, 0, 1, 0).starts, [RpcId::from_number(1)]);
+        assert!(ask(&mut c, 0, 2, 1).starts.is_empty());
         // Four cores, and a method more in front: the known ones stay at their places.
-        let at = |place, worth: Option<f64>| Term::Method(MethodId(place), worth.map(method));
-        c.stage(&[at(2, Some(9.0)), at(0, Some(1.0)), at(1, Some(2.0)), Term::Tenant(0, Some(1.0))]);
-        let out = c.change(MS, Some(made(MS, &[], 4, 1_000.0)));
-        assert_eq!(out.runs, [RpcId::of(2)], "there is room for what was held");
-        assert!(ask(&mut c, 2 * MS, 3, 2).runs == [RpcId::of(3)]);
+        let at = |place, worth: Option<f64>| SettingsUpdate::Method(MethodId(place), worth.map(method));
+        c.stage(&[
+            at(2, Some(9.0)),
+            at(0, Some(1.0)),
+            at(1, Some(2.0)),
+            SettingsUpdate::Tenant(0, Some(1.0)),
+        ]);
+        let out = c.commit(MS, Some(made(MS, &[], 4, 1_000.0)));
+        assert_eq!(out.starts, [RpcId::from_number(2)], "there is room for what was held");
+        assert!(ask(&mut c, 2 * MS, 3, 2).starts == [RpcId::from_number(3)]);
         // Back to one method: what runs of the others is finished and given back like any other.
         c.stage(&[at(0, None), at(1, Some(2.0)), at(2, None)]);
-        let out = c.change(3 * MS, Some(made(3 * MS, &[], 1, 1_000.0)));
-        assert!(out.answers.is_empty() && out.stops.is_empty());
+        let out = c.commit(3 * MS, Some(made(3 * MS, &[], 1, 1_000.0)));
+        assert!(out.answers.is_empty() && out.cancellations.is_empty());
         for n in 1..=3 {
-            assert!(c.run_ended(10 * MS, RpcId::of(n), RunEnd::Ok).answers.is_empty());
+            assert!(c.run_ended(10 * MS, RpcId::from_number(n), RunEnd::Ok).answers.is_empty());
         }
-        assert_eq!(ask(&mut c, 11 * MS, 4, 1).runs, [RpcId::of(4)]);
+        assert_eq!(ask(&mut c, 11 * MS, 4, 1).starts, [RpcId::from_number(4)]);
     }
 
     #[test]
     fn a_call_for_what_does_not_run_is_none() {
         let mut c = made(0, &[1.0], 1, 1_000.0);
-        assert_eq!(ask(&mut c, 0, 1, 0).runs, [RpcId::of(1)]);
-        assert!(ask(&mut c, 0, 2, 0).runs.is_empty());
-        let out = c.call_needed(MS, RpcId::of(2));
-        assert!(out.calls.is_empty() && out.skips.is_empty() && out.answers.is_empty(), "{out:?}");
-        assert_eq!(c.standing().at_call, 0);
-        assert_eq!(c.run_ended(2 * MS, RpcId::of(1), RunEnd::Ok).runs, [RpcId::of(2)]);
-        let answers = c.woken(900 * MS, Gauges::default()).answers;
-        assert_eq!(answers, [(RpcId::of(2), Answer::Aborted)], "once, and it is over");
-        assert!(c.woken(901 * MS, Gauges::default()).answers.is_empty());
+        assert_eq!(ask(&mut c, 0, 1, 0).starts, [RpcId::from_number(1)]);
+        assert!(ask(&mut c, 0, 2, 0).starts.is_empty());
+        let out = c.call_needed(MS, RpcId::from_number(2));
+        assert!(out.calls.is_empty() && out.skipped_calls.is_empty() && out.answers.is_empty(), "{out:?}");
+        assert_eq!(c.status().waiting_to_call, 0);
+        assert_eq!(c.run_ended(2 * MS, RpcId::from_number(1), RunEnd::Ok).starts, [RpcId::from_number(2)]);
+        let answers = c.timer_fired(900 * MS, Gauges::default()).answers;
+        assert_eq!(answers, [(RpcId::from_number(2), Answer::Aborted)], "once, and it is over");
+        assert!(c.timer_fired(901 * MS, Gauges::default()).answers.is_empty());
     }
 
     #[test]
@@ -800,15 +827,15 @@
         let cold = |now: Us, tip: f64| {
             let mut c = made(now, &[1.0], 4, 100_000.0);
             c = {
-                let fresh = Target::new(now, 4, tip, 0.25, 1_000 * MS);
+                let fresh = ConcurrencyLimit::new(now, 4, tip, 0.25, 1_000 * MS);
                 let method = Method {
                     latency_target: 400 * MS,
                     deadline: 900 * MS,
-                    effect: Effect::Idempotent,
+                    idempotency: Idempotency::Idempotent,
                     criticality: 1.0,
-                    late_share: 0.0,
-                    window: 0,
-                    skip_share: 0.0,
+                    late_value_ratio: 0.0,
+                    idempotency_window: 0,
+                    skip_value_ratio: 0.0,
                 };
                 drop(c);
                 Control::new(
@@ -817,32 +844,33 @@
                     4 * MS,
                     StopMode::Abort,
                     vec![method],
-                    Accounts::new(400 * MS, 1),
+                    CallerAccounts::new(400 * MS, 1),
                     fresh,
-                    Calls::new(Below::Nothing, 4, 0, 400 * MS),
-                    Keys::new(0.0, 0),
-                    Memory::new(100_000.0, 2.0),
+                    UpstreamCalls::new(Upstream::Absent, 4, 0, 400 * MS),
+                    IdempotencyKeys::new(0.0, 0),
+                    MemoryBudget::new(100_000.0, 2.0),
                     Drain::new(400 * MS),
-                    Credit::new(Say::Credit, 0, 400 * MS, 0),
-                    Shares::new(&[1.0], 1, 0.5),
+                    CallerFeedback::new(FeedbackMode::Credit, 0, 400 * MS, 0),
+                    TenantQuotas::new(&[1.0], 1, 0.5),
                 )
             };
             c
         };
         // Two that began together; one has its settings changed to the same half way up.
         let (mut kept, mut changed) = (cold(0, 1.5), cold(0, 1.5));
-        kept.started();
-        changed.started();
-        let same = Method { skip_share: 0.0, ..method(1.0) };
-        changed.stage(&[Term::Method(MethodId(0), Some(same)), Term::Tenant(0, Some(1.0))]);
-        changed.change(500 * MS, Some(cold(500 * MS, 1.5)));
+        kept.start();
+        changed.start();
+        let same = Method { skip_value_ratio: 0.0, ..method(1.0) };
+        changed
+            .stage(&[SettingsUpdate::Method(MethodId(0), Some(same)), SettingsUpdate::Tenant(0, Some(1.0))]);
+        changed.commit(500 * MS, Some(cold(500 * MS, 1.5)));
         let count = |c: &mut Control, now: Us, from: u64| {
-            (from..from + 40).map(|n| ask(c, now, n, 0).runs.len()).sum::<usize>()
+            (from..from + 40).map(|n| ask(c, now, n, 0).starts.len()).sum::<usize>()
         };
         let [kept, changed] = [&mut kept, &mut changed].map(|c| count(c, 600 * MS, 1));
         assert_eq!(kept, changed, "it would be colder if the change had begun the warming anew");
         let mut anew = cold(590 * MS, 1.5);
-        anew.started();
+        anew.start();
         assert!(count(&mut anew, 600 * MS, 1) < kept);
     }
 
@@ -850,38 +878,42 @@
     fn memory_is_given_back_as_it_was_booked_whatever_was_changed_meanwhile() {
         let mut c = made(0, &[1.0], 8, 100.0); // room for 80 kB: four that run
         for n in 0..3 {
-            assert_eq!(ask(&mut c, 0, n, 0).runs.len(), 1);
+            assert_eq!(ask(&mut c, 0, n, 0).starts.len(), 1);
         }
-        c.change(MS, Some(with(MS, &[], 8, 100.0, 8.0)));
+        c.commit(MS, Some(with(MS, &[], 8, 100.0, 8.0)));
         for n in 0..3 {
-            c.run_ended(2 * MS, RpcId::of(n), RunEnd::Ok);
+            c.run_ended(2 * MS, RpcId::from_number(n), RunEnd::Ok);
         }
         // All of it is free again: one that takes the whole of 80 kB by the new factor runs.
-        assert_eq!(ask(&mut c, 3 * MS, 9, 0).runs.len(), 1);
-        assert!(ask(&mut c, 3 * MS, 10, 0).runs.is_empty(), "and no second one");
+        assert_eq!(ask(&mut c, 3 * MS, 9, 0).starts.len(), 1);
+        assert!(ask(&mut c, 3 * MS, 10, 0).starts.is_empty(), "and no second one");
     }
 
-    const NONE: Care = Care { calls: f64::INFINITY, repeats: f64::INFINITY, spread: 0.0 };
+    const NONE: RecoveryLimits = RecoveryLimits {
+        calls_in_flight: f64::INFINITY,
+        retry_ratio: f64::INFINITY,
+        retry_after_jitter: 0.0,
+    };
 
     /// So many RPCs run and want their call; how many are placed at once.
     fn calls_placed(c: &mut Control, now: Us, rpcs: std::ops::Range<u64>) -> usize {
         for n in rpcs.clone() {
             ask(c, now, n, 0);
         }
-        rpcs.map(|n| c.call_needed(now, RpcId::of(n)).calls.len()).sum()
+        rpcs.map(|n| c.call_needed(now, RpcId::from_number(n)).calls.len()).sum()
     }
 
     #[test]
     fn calls_below_are_placed_within_what_is_opened_and_go_on_as_it_opens() {
         let mut c = made(0, &[1.0], 8, 1e6);
-        c.careful(0, Care { calls: 2.0, ..NONE });
+        c.set_recovery_limits(0, RecoveryLimits { calls_in_flight: 2.0, ..NONE });
         assert_eq!(calls_placed(&mut c, 0, 1..7), 2);
-        assert_eq!((c.standing().calls, c.standing().at_call), (2, 4));
-        assert_eq!(c.careful(MS, Care { calls: 3.5, ..NONE }).calls.len(), 1);
-        assert_eq!(c.careful(2 * MS, NONE).calls.len(), 3);
+        assert_eq!((c.status().calls_in_flight, c.status().waiting_to_call), (2, 4));
+        assert_eq!(c.set_recovery_limits(MS, RecoveryLimits { calls_in_flight: 3.5, ..NONE }).calls.len(), 1);
+        assert_eq!(c.set_recovery_limits(2 * MS, NONE).calls.len(), 3);
         // Never none at all, or nothing could tell that the layer below is back.
         let mut c = made(0, &[1.0], 8, 1e6);
-        c.careful(0, Care { calls: 0.0, ..NONE });
+        c.set_recovery_limits(0, RecoveryLimits { calls_in_flight: 0.0, ..NONE });
         assert_eq!(calls_placed(&mut c, 0, 1..3), 1);
     }
 
@@ -889,24 +921,24 @@
     fn repeats_of_calls_stay_within_their_budget_and_what_is_left_is_done_without() {
         let repeats = |budget: f64| {
             let mut c = made(0, &[1.0], 8, 1e6);
-            c.careful(0, Care { repeats: budget, ..NONE });
+            c.set_recovery_limits(0, RecoveryLimits { retry_ratio: budget, ..NONE });
             let mut again = 0;
             for n in 1..=40 {
                 // One whose call goes well comes first, so that the breaker stays closed.
-                let (now, other) = (n * 10 * MS, RpcId::of(100 + n));
+                let (now, other) = (n * 10 * MS, RpcId::from_number(100 + n));
                 ask(&mut c, now, 100 + n, 0);
                 c.call_needed(now, other);
                 c.call_ended(now, other, CallEnd::Ok);
                 c.run_ended(now, other, RunEnd::Ok);
                 ask(&mut c, now, n, 0);
-                c.call_needed(now, RpcId::of(n));
-                let out = c.call_ended(now + MS, RpcId::of(n), CallEnd::PushedBack);
+                c.call_needed(now, RpcId::from_number(n));
+                let out = c.call_ended(now + MS, RpcId::from_number(n), CallEnd::Rejected);
                 again += out.calls.len();
-                assert_eq!(out.calls.len() + out.skips.len(), 1, "placed again, or done without");
+                assert_eq!(out.calls.len() + out.skipped_calls.len(), 1, "placed again, or done without");
                 if out.calls.len() == 1 {
-                    c.call_ended(now + 2 * MS, RpcId::of(n), CallEnd::Ok);
+                    c.call_ended(now + 2 * MS, RpcId::from_number(n), CallEnd::Ok);
                 }
-                c.run_ended(now + 3 * MS, RpcId::of(n), RunEnd::Ok);
+                c.run_ended(now + 3 * MS, RpcId::from_number(n), RunEnd::Ok);
             }
             again
         };
@@ -921,59 +953,66 @@
         for n in 0..60 {
             let now = n * 20 * MS;
             ask(&mut c, now, n, 0);
-            c.run_ended(now + 8 * MS, RpcId::of(n), RunEnd::Ok);
+            c.run_ended(now + 8 * MS, RpcId::from_number(n), RunEnd::Ok);
         }
-        let mut learned = c.learned();
-        assert!((learned.costs[0].1 - 8_000.0).abs() < 3_500.0 && learned.costs[0].2 > 30.0, "{learned:?}");
-        assert_eq!((learned.costs[1].2, learned.accounts.len()), (0.0, 2), "the second was never run");
-        learned.failures = 9;
-        learned.accounts = vec![(CallerId(5), 0.25)];
-        learned.tenants = vec![(0, 2.0)];
+        let mut learned = c.learned_state();
+        assert!(
+            (learned.costs[0].mean - 8_000.0).abs() < 3_500.0 && learned.costs[0].runs > 30.0,
+            "{learned:?}"
+        );
+        assert_eq!((learned.costs[1].runs, learned.accounts.len()), (0.0, 2), "the second was never run");
+        learned.call_failures = 9;
+        learned.accounts = vec![LearnedBalance { caller: CallerId(5), ratio: 0.25 }];
+        learned.tenants = vec![LearnedAllowance { tenant: 0, rpcs: 2.0 }];
         let mut fresh = made(0, &[1.0, 2.0], 2, 1e6);
-        fresh.recall(0, learned.clone());
-        let again = fresh.learned();
+        fresh.restore(0, learned.clone());
+        let again = fresh.learned_state();
         assert_eq!(again.costs[0], learned.costs[0]);
-        assert_eq!((again.accounts.len(), again.accounts[0].0), (1, CallerId(5)));
-        assert!((again.accounts[0].1 - 0.25).abs() < 0.01 && again.tenants[0].1 == 2.0, "{again:?}");
-        assert!(!fresh.standing().shut);
+        assert_eq!((again.accounts.len(), again.accounts[0].caller), (1, CallerId(5)));
+        assert!((again.accounts[0].ratio - 0.25).abs() < 0.01 && again.tenants[0].rpcs == 2.0, "{again:?}");
+        assert!(!fresh.status().breaker_open);
         ask(&mut fresh, MS, 1, 0);
-        assert_eq!(fresh.call_needed(2 * MS, RpcId::of(1)).calls.len(), 1, "calls are placed at once");
-        fresh.call_ended(3 * MS, RpcId::of(1), CallEnd::TimedOut);
-        assert!(fresh.standing().shut, "and one failure shuts it again");
+        assert_eq!(
+            fresh.call_needed(2 * MS, RpcId::from_number(1)).calls.len(),
+            1,
+            "calls are placed at once"
+        );
+        fresh.call_ended(3 * MS, RpcId::from_number(1), CallEnd::TimedOut);
+        assert!(fresh.status().breaker_open, "and one failure shuts it again");
     }
 
     #[test]
     fn a_part_of_what_servers_divide_bounds_calls_and_tenants_and_goes_on_over_a_change() {
-        let shared = |calls: Below| {
+        let shared = |calls: Upstream| {
             let mut c = made(0, &[1.0], 4, 1e6);
-            c.calls = Calls::new(calls, 4, 0, 400 * MS);
-            c.shares = Shares::new(&[100.0], 1, 0.0);
+            c.calls = UpstreamCalls::new(calls, 4, 0, 400 * MS);
+            c.shares = TenantQuotas::new(&[100.0], 1, 0.0);
             c
         };
-        let below = Below::Shared { share: 5.0, window: 1_000 * MS };
+        let below = Upstream::Shared { share: 5.0, window: 1_000 * MS };
         let placed = |c: &mut Control, from: u64| calls_placed(c, from * MS, from..from + 20);
         assert_eq!(placed(&mut shared(below), 0), 4, "0.8 of the share");
         for (part, calls) in [(0.5, 2), (0.25, 1), (1.5, 6)] {
             let mut c = shared(below);
-            c.share(0, part);
+            c.set_quota_fraction(0, part);
             assert_eq!(placed(&mut c, 0), calls, "at a part of {part}");
         }
-        let mut c = shared(Below::Tier);
-        c.share(0, 0.25);
-        let whole = placed(&mut shared(Below::Tier), 0);
+        let mut c = shared(Upstream::Tier);
+        c.set_quota_fraction(0, 0.25);
+        let whole = placed(&mut shared(Upstream::Tier), 0);
         assert_eq!((placed(&mut c, 0), whole > 6), (whole, true), "what is not divided stays");
         // Of a tenant's 100 a second ten at once, and then its part.
         let inside = |part: f64| {
-            let mut shares = Shares::new(&[100.0], 1, 0.0);
+            let mut shares = TenantQuotas::new(&[100.0], 1, 0.0);
             shares.part = part;
             (0..400).filter(|n| shares.worth(n * 5 * MS, Some(0)) > 0.0).count()
         };
         assert!((inside(1.0) as i64 - 208).abs() < 4, "{}", inside(1.0));
         assert!((inside(0.25) as i64 - 59).abs() < 4, "{}", inside(0.25));
         let mut c = shared(below);
-        c.share(0, 0.5);
-        c.stage(&[Term::Tenant(0, Some(100.0))]);
-        c.change(MS, Some(shared(below)));
+        c.set_quota_fraction(0, 0.5);
+        c.stage(&[SettingsUpdate::Tenant(0, Some(100.0))]);
+        c.commit(MS, Some(shared(below)));
         assert_eq!(placed(&mut c, 2), 2, "other settings divide the same");
     }
 
@@ -981,10 +1020,10 @@
     fn times_to_come_back_are_spread_and_stay_within_what_is_relayed() {
         let waits = |spread: f64| -> Vec<Us> {
             let mut c = made(0, &[1.0], 1, 1e6);
-            c.credit = Credit::new(Say::Credit, 60 * MS, 400 * MS, 0);
-            c.careful(0, Care { spread, ..NONE });
+            c.credit = CallerFeedback::new(FeedbackMode::Credit, 60 * MS, 400 * MS, 0);
+            c.set_recovery_limits(0, RecoveryLimits { retry_after_jitter: spread, ..NONE });
             let wait = |(_, answer): &(RpcId, Answer)| match answer {
-                Answer::PushedBack { come_back, .. } => *come_back,
+                Answer::Rejected { retry_after, .. } => *retry_after,
                 Answer::Aborted => 0,
             };
             (0..60).flat_map(|n| ask(&mut c, 0, n, 0).answers.iter().map(wait).collect::<Vec<_>>()).collect()
@@ -1004,14 +1043,14 @@
     use nanorand::{Rng, WyRand};
     for seed in 0..2_000 {
         let mut chance = WyRand::new_seed(seed);
-        let (mut staged, mut peak) = (Staged::new([1.0, 2.0]), Peak::new([1.0, 2.0]));
+        let (mut staged, mut peak) = (StagedTable::new([1.0, 2.0]), Peak::new([1.0, 2.0]));
         let mut now = BTreeMap::from([(0, 1.0), (1, 2.0)]);
         let (mut last, mut next) = (now.clone(), now.clone());
         for _ in 0..60 {
             let place = chance.generate_range(0..12_usize);
             if chance.generate_range(0..8) == 0 {
-                staged.change();
-                peak.change();
+                staged.commit();
+                peak.commit();
                 now = next.clone();
                 last.extend(now.clone());
             } else {
@@ -1049,37 +1088,37 @@
         let method = |n: u64| Method {
             latency_target: (1 + n) * 300 * MS,
             deadline: 3_000 * MS,
-            effect: Effect::Idempotent,
+            idempotency: Idempotency::Idempotent,
             criticality: n as f64 * 5.0,
-            late_share: 0.0,
-            window: 0,
-            skip_share: 0.0,
+            late_value_ratio: 0.0,
+            idempotency_window: 0,
+            skip_value_ratio: 0.0,
         };
         for n in 0..200 {
-            let term = Term::Method(MethodId(n as usize % 5), (n % 3 > 0).then(|| method(n % 4)));
-            staged.control.stage(&[term, Term::Tenant(n as usize % 7, Some(0.1))]);
+            let term = SettingsUpdate::Method(MethodId(n as usize % 5), (n % 3 > 0).then(|| method(n % 4)));
+            staged.control.stage(&[term, SettingsUpdate::Tenant(n as usize % 7, Some(0.1))]);
             let now = 5_000 * MS + n * 7 * MS;
-            let ended = RpcId::of(n.saturating_sub(6));
+            let ended = RpcId::from_number(n.saturating_sub(6));
             let [one, other] = [&mut plain, &mut staged].map(|world| {
                 let arrival = Arrival {
-                    id: RpcId::of(n),
+                    id: RpcId::from_number(n),
                     method: MethodId(n as usize % 2),
                     caller: CallerId(n % 3),
-                    due: None,
+                    deadline: None,
                     size_kb: 10.0,
-                    unread: 0,
-                    repeat: false,
-                    prior: None,
-                    key: None,
+                    unread_for: 0,
+                    retry_or_hedge: false,
+                    original: None,
+                    cache_key: None,
                 };
                 let read = world.control.rpc_read(now, arrival, Some(n as usize % 7));
                 let ended = world.control.run_ended(now + MS, ended, RunEnd::Ok);
-                let woken = world.control.woken(now + 2 * MS, Gauges::default());
-                format!("{read:?} {ended:?} {woken:?} {:?}", world.control.learned())
+                let woken = world.control.timer_fired(now + 2 * MS, Gauges::default());
+                format!("{read:?} {ended:?} {woken:?} {:?}", world.control.learned_state())
             });
             assert_eq!(one, other, "seed {seed}, input {n}");
         }
-        staged.control.change(9_000 * MS, None);
-        assert!(staged.control.knows_tenant(6) && !plain.control.knows_tenant(6));
+        staged.control.commit(9_000 * MS, None);
+        assert!(staged.control.has_tenant(6) && !plain.control.has_tenant(6));
     }
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -28,11 +28,11 @@
         let method = Method {
             latency_target: 800 * MS,
             deadline: 2_000 * MS,
-            effect: Effect::Idempotent,
+            idempotency: Idempotency::Idempotent,
             criticality: 1.0,
-            late_share: 0.0,
-            window: 0,
-            skip_share: 0.0,
+            late_value_ratio: 0.0,
+            idempotency_window: 0,
+            skip_value_ratio: 0.0,
         };
         Control::new(
             0,
@@ -40,14 +40,14 @@
             4 * MS,
             StopMode::Abort,
             vec![method],
-            Accounts::new(800 * MS, callers),
-            Target::new(0, self.cores, self.tip, self.cold_from, self.ramp),
-            Calls::new(Below::Nothing, self.cores, 0, 800 * MS),
-            Keys::new(0.0, 0),
-            Memory::new(1e9, 4.0),
+            CallerAccounts::new(800 * MS, callers),
+            ConcurrencyLimit::new(0, self.cores, self.tip, self.cold_from, self.ramp),
+            UpstreamCalls::new(Upstream::Absent, self.cores, 0, 800 * MS),
+            IdempotencyKeys::new(0.0, 0),
+            MemoryBudget::new(1e9, 4.0),
             Drain::new(1_000 * MS),
-            Credit::new(Say::Credit, 1_000 * MS, 800 * MS, 30_000 * MS),
-            Shares::new(&[], 3, 1.0),
+            CallerFeedback::new(FeedbackMode::Credit, 1_000 * MS, 800 * MS, 30_000 * MS),
+            TenantQuotas::new(&[], 3, 1.0),
         )
     }
 }
@@ -65,8 +65,8 @@
     /// Carries an outcome out; hands back the callers that got an answer.
     fn apply(&mut self, now: Us, chance: &mut WyRand, out: Outcome) -> Vec<usize> {
         self.credit = out.credit.unwrap_or(self.credit);
-        self.wakes.extend(out.wake.map(|span| now + span));
-        for id in out.runs {
+        self.wakes.extend(out.wake_after.map(|span| now + span));
+        for id in out.starts {
             let work = 60 * MS + chance.generate_range(0..400 * MS);
             self.ends.insert((now + work, chance.generate()), id);
         }
@@ -98,7 +98,7 @@
             let control = ramp.server(seed * 10 + n as u64, known);
             let (ends, wakes, of) = (BTreeMap::new(), Vec::new(), BTreeMap::new());
             let mut server = Server { control, credit: 0.0, ends, wakes, of };
-            let first = server.control.started();
+            let first = server.control.start();
             server.apply(0, &mut chance, first);
             server
         })
@@ -118,8 +118,8 @@
             }
             if server.wakes.iter().any(|at| *at <= now) {
                 server.wakes.retain(|at| *at > now);
-                let gauges = Gauges { on_cores: Some(server.ends.len() as f64), ..Gauges::default() };
-                let out = server.control.woken(now, gauges);
+                let gauges = Gauges { runnable: Some(server.ends.len() as f64), ..Gauges::default() };
+                let out = server.control.timer_fired(now, gauges);
                 answered.extend(server.apply(now, &mut chance, out));
             }
             for caller in answered {
@@ -144,19 +144,19 @@
                     Some(_) => k.out += 1,
                     None => k.untold += 1,
                 }
-                let (id, due) = (RpcId::of(next), Some(now + 1_500 * MS));
+                let (id, due) = (RpcId::from_number(next), Some(now + 1_500 * MS));
                 server.of.insert(id, caller);
                 let (method, caller, size_kb) = (MethodId(0), CallerId(caller as u64), 1.0);
                 let a = Arrival {
                     id,
                     method,
                     caller,
-                    due,
+                    deadline: due,
                     size_kb,
-                    unread: 0,
-                    repeat: false,
-                    prior: None,
-                    key: None,
+                    unread_for: 0,
+                    retry_or_hedge: false,
+                    original: None,
+                    cache_key: None,
                 };
                 let out = server.control.rpc_read(now, a, None);
                 for caller in server.apply(now, &mut chance, out) {
