--- /dev/null
+++ b/entries/src/digest.rs
@@ -0,0 +1,96 @@
+//! The 128-bit digest of a version.
+
+use asterrill::{Idempotency, Method};
+use std::fmt;
+use std::str::FromStr;
+use xxhash_rust::xxh3::xxh3_128;
+
+/// Hexadecimal digits of a digest's text.
+const HEX_DIGITS: usize = 32;
+
+/// What distinguishes the contributions of different kinds of entries. Stored digests depend on these values.
+const GLOBALS_TAG: u8 = 0;
+const METHOD_TAG: u8 = 1;
+const TENANT_TAG: u8 = 2;
+
+/// A digest of what a version says: equal for equal meaning, whatever order of changes led there. It detects mistakes and
+/// lost updates; it does not protect against forgery.
+///
+/// It is the sum, modulo 2^128, of the hashes of all entries, so that a change costs only the entries that it touches.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct Digest(u128);
+
+/// A text that is not 32 hexadecimal digits.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("a digest has 32 hexadecimal digits")]
+pub struct InvalidDigest;
+
+impl fmt::Display for Digest {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:032x}", self.0)
+    }
+}
+
+impl FromStr for Digest {
+    type Err = InvalidDigest;
+
+    fn from_str(text: &str) -> Result<Digest, InvalidDigest> {
+        // The standard parser would also take a sign.
+        let well_formed = text.len() == HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        if !well_formed {
+            return Err(InvalidDigest);
+        }
+        u128::from_str_radix(text, 16).map(Digest).map_err(|_| InvalidDigest)
+    }
+}
+
+impl Digest {
+    /// The contribution of the global settings, given as their canonical text.
+    pub(crate) fn of_globals(text: &str) -> Digest {
+        hash_entry(GLOBALS_TAG, &[], text)
+    }
+
+    /// The contribution of a method.
+    pub(crate) fn of_method(name: &str, method: &Method) -> Digest {
+        let effect = match method.idempotency {
+            Idempotency::Idempotent => 0,
+            Idempotency::Keyed => 1,
+            Idempotency::NonIdempotent => 2,
+        };
+        let figures = [
+            method.latency_target,
+            method.deadline,
+            effect,
+            method.criticality.to_bits(),
+            method.late_value_ratio.to_bits(),
+            method.idempotency_window,
+            method.skip_value_ratio.to_bits(),
+        ];
+        hash_entry(METHOD_TAG, &figures, name)
+    }
+
+    /// The contribution of a tenant with its quota in RPCs a second.
+    pub(crate) fn of_tenant(name: &str, quota: f64) -> Digest {
+        hash_entry(TENANT_TAG, &[quota.to_bits()], name)
+    }
+
+    /// The digest with an entry's contribution.
+    pub(crate) fn with(self, entry: Digest) -> Digest {
+        Digest(self.0.wrapping_add(entry.0))
+    }
+
+    /// The digest without an entry's contribution.
+    pub(crate) fn without(self, entry: Digest) -> Digest {
+        Digest(self.0.wrapping_sub(entry.0))
+    }
+}
+
+fn hash_entry(tag: u8, figures: &[u64], name: &str) -> Digest {
+    let mut bytes = Vec::with_capacity(1 + size_of_val(figures) + name.len());
+    bytes.push(tag);
+    for figure in figures {
+        bytes.extend_from_slice(&figure.to_le_bytes());
+    }
+    bytes.extend_from_slice(name.as_bytes());
+    Digest(xxh3_128(&bytes))
+}
--- /dev/null
+++ b/entries/src/entry.rs
@@ -0,0 +1,34 @@
+//! What the entries of a version are called.
+
+use std::sync::Arc;
+
+/// The name of a method or tenant, 1 to [`MAX_NAME_BYTES`](crate::MAX_NAME_BYTES) bytes, shared by all versions that
+/// contain it.
+pub type Name = Arc<str>;
+
+/// The kind of an entry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum EntryKind {
+    /// A method that clients call.
+    Method,
+    /// A tenant with a quota.
+    Tenant,
+}
+
+impl EntryKind {
+    /// The word for it in steps: `method` or `tenant`.
+    pub fn word(self) -> &'static str {
+        match self {
+            EntryKind::Method => "method",
+            EntryKind::Tenant => "tenant",
+        }
+    }
+
+    /// The key of the platform's settings that lists such entries.
+    pub fn list_key(self) -> &'static str {
+        match self {
+            EntryKind::Method => "Categories",
+            EntryKind::Tenant => "Tenants",
+        }
+    }
+}
--- /dev/null
+++ b/entries/src/fields/entry.rs
@@ -0,0 +1,55 @@
+//! The fields of methods and tenants.
+
+use crate::entry::EntryKind;
+use crate::error::ConfigError;
+use crate::fields::object::ObjectFields;
+use crate::validation::{check_method, check_name};
+use crate::vocabulary::EFFECTS;
+use asterrill::Method;
+
+/// The fields of a method. `SkipWorth` stands here in steps only; the platform's files list it in `FamilyInfo`.
+pub const METHOD_KEYS: &[&str] =
+    &["Name", "AimMs", "DeadlineMs", "Effect", "Worth", "LateWorth", "WindowMs", "SkipWorth"];
+
+/// The fields of a tenant.
+pub const TENANT_KEYS: &[&str] = &["Name", "QuotaRps"];
+
+impl ObjectFields {
+    /// The name of an entry.
+    ///
+    /// # Errors
+    /// [`ConfigError`]: it is absent, or not a valid name.
+    pub fn entry_name(&self, kind: EntryKind) -> Result<&str, ConfigError> {
+        let name = self.text("Name")?;
+        check_name(kind, name)?;
+        Ok(name)
+    }
+
+    /// The figures of a method, without its name.
+    ///
+    /// # Errors
+    /// [`ConfigError`] names the field that is absent, of the wrong type or out of bounds.
+    pub fn method(&self) -> Result<Method, ConfigError> {
+        // A wrong type of `Effect` comes before faults of other fields, a wrong word of it after those before it.
+        self.text("Effect")?;
+        let method = Method {
+            latency_target: self.duration("AimMs")?,
+            deadline: self.duration("DeadlineMs")?,
+            idempotency: self.word("Effect", EFFECTS)?,
+            criticality: self.figure("Worth")?,
+            late_value_ratio: self.optional_figure("LateWorth")?.unwrap_or(0.0),
+            idempotency_window: self.optional_duration("WindowMs")?.unwrap_or(0),
+            skip_value_ratio: self.optional_figure("SkipWorth")?.unwrap_or(0.0),
+        };
+        check_method(&method)?;
+        Ok(method)
+    }
+
+    /// The quota of a tenant, in RPCs a second over the whole fleet; 0 is valid.
+    ///
+    /// # Errors
+    /// [`ConfigError`]: it is absent, of the wrong type or out of bounds.
+    pub fn quota(&self) -> Result<f64, ConfigError> {
+        self.figure("QuotaRps")
+    }
+}
--- /dev/null
+++ b/entries/src/fields/family_info.rs
@@ -0,0 +1,133 @@
+//! `FamilyInfo`: scalars and two lists.
+
+use crate::entry::Name;
+use crate::error::ConfigError;
+use crate::fields::object::{read_known_fields, ObjectFields};
+use crate::fields::value::{FieldValue, JsonHandler, JsonSeed, StoreValue, Strictness};
+use crate::limits::{MAX_FIGURE, MAX_GAUGES, MAX_METHODS};
+use serde::de::{Error, MapAccess, SeqAccess};
+
+const GAUGES_KEY: &str = "Gauges";
+const SKIP_WEIGHTS_KEY: &str = "ClassSkipWorth";
+
+const FAMILY_INFO_KEYS: &[&str] = &[
+    "NCores",
+    "RamKb",
+    "RunFactor",
+    "KbPerKey",
+    "Below",
+    "CallShare",
+    "DepWindowMs",
+    "LingerMs",
+    "Say",
+    "StopMode",
+    "FreshMs",
+    "IdleMs",
+    "Callers",
+    "Cold",
+    GAUGES_KEY,
+    SKIP_WEIGHTS_KEY,
+];
+
+/// What `FamilyInfo` says.
+#[derive(Clone, Debug)]
+pub(crate) struct FamilyInfoFields {
+    pub(crate) scalars: ObjectFields,
+    /// The names of the gauges; `None` where they were not given.
+    pub(crate) gauges: Option<Vec<Name>>,
+    /// Of each method in the order of their list, the fraction of its weight that an answer without the upstream call
+    /// earns; empty where it was not given.
+    pub(crate) skip_weights: Vec<f64>,
+}
+
+impl FamilyInfoFields {
+    pub(crate) fn new(strictness: Strictness) -> FamilyInfoFields {
+        FamilyInfoFields {
+            scalars: ObjectFields::new(FAMILY_INFO_KEYS, strictness),
+            gauges: None,
+            skip_weights: Vec::new(),
+        }
+    }
+}
+
+/// Reads an object; returns whether it was one.
+impl JsonHandler for &mut FamilyInfoFields {
+    type Output = bool;
+
+    fn scalar<E: Error>(self, _: FieldValue) -> Result<bool, E> {
+        Ok(false)
+    }
+
+    fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
+        let strictness = self.scalars.strictness();
+        read_known_fields(object, FAMILY_INFO_KEYS, strictness, |key, object| {
+            match key.name {
+                GAUGES_KEY => self.gauges = Some(object.next_value_seed(JsonSeed(GaugeNames(strictness)))?),
+                SKIP_WEIGHTS_KEY if strictness == Strictness::Strict => {
+                    return Err(A::Error::custom(ConfigError::UnknownField(key.name.into())));
+                }
+                SKIP_WEIGHTS_KEY => self.skip_weights = object.next_value_seed(JsonSeed(SkipWeights))?,
+                _ => self.scalars.read_value(key.index, object)?,
+            }
+            Ok(())
+        })?;
+        Ok(true)
+    }
+}
+
+/// A list of strings; lenient reading skips anything else.
+struct GaugeNames(Strictness);
+
+impl JsonHandler for GaugeNames {
+    type Output = Vec<Name>;
+
+    fn scalar<E: Error>(self, value: FieldValue) -> Result<Vec<Name>, E> {
+        if self.0 == Strictness::Strict && value != FieldValue::Null {
+            return Err(E::custom(ConfigError::InvalidField(GAUGES_KEY)));
+        }
+        Ok(Vec::new())
+    }
+
+    fn array<'d, A: SeqAccess<'d>>(self, mut array: A) -> Result<Vec<Name>, A::Error> {
+        let mut names: Vec<Name> = Vec::new();
+        while let Some(value) = array.next_element_seed(JsonSeed(StoreValue))? {
+            match value {
+                FieldValue::Text(name) => names.push(name.into()),
+                _ if self.0 == Strictness::Strict => {
+                    return Err(A::Error::custom(ConfigError::InvalidField(GAUGES_KEY)));
+                }
+                _ => {}
+            }
+            if names.len() > MAX_GAUGES {
+                return Err(A::Error::custom(ConfigError::too_many_gauges()));
+            }
+        }
+        Ok(names)
+    }
+}
+
+/// A list of numbers; anything else counts as 0.
+struct SkipWeights;
+
+impl JsonHandler for SkipWeights {
+    type Output = Vec<f64>;
+
+    fn scalar<E: Error>(self, _: FieldValue) -> Result<Vec<f64>, E> {
+        Ok(Vec::new())
+    }
+
+    fn array<'d, A: SeqAccess<'d>>(self, mut array: A) -> Result<Vec<f64>, A::Error> {
+        let mut weights = Vec::new();
+        while let Some(value) = array.next_element_seed(JsonSeed(StoreValue))? {
+            // There are no methods beyond the bound; what is listed for them is skipped.
+            if weights.len() >= MAX_METHODS {
+                continue;
+            }
+            weights.push(match value {
+                FieldValue::Number(weight) => weight.clamp(0.0, MAX_FIGURE) + 0.0,
+                _ => 0.0,
+            });
+        }
+        Ok(weights)
+    }
+}
--- /dev/null
+++ b/entries/src/fields/global.rs
@@ -0,0 +1,101 @@
+//! The fields of the global settings, as they are read.
+
+use crate::error::ConfigError;
+use crate::fields::family_info::FamilyInfoFields;
+use crate::fields::object::{KnownKey, ObjectFields};
+use crate::fields::value::{JsonSeed, Strictness};
+use serde::de::{Error, MapAccess};
+
+/// The keys of the platform's settings that are read. `Categories` lists the methods and `Tenants` the tenants; the
+/// others are global settings.
+pub const SETTINGS_KEYS: &[&str] =
+    &["FamilyInfo", "Safety", "Limits", "StepMs", "ReplicasOfMe", "OverShareWorth", "Categories", "Tenants"];
+
+const SAFETY_KEYS: &[&str] = &["TipMultiple", "ColdFrom", "RampTimeMs", "StopSendingWithinMs"];
+const LIMITS_KEYS: &[&str] = &["RetryAfter", "MaxRetryAfterMs"];
+const TOP_LEVEL_KEYS: &[&str] = &["StepMs", "ReplicasOfMe", "OverShareWorth"];
+const MACHINE_LIMIT_KEYS: &[&str] = &["memory_mb", "sockets"];
+
+/// Which of the required objects were read.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct PresentObjects {
+    pub(crate) family_info: bool,
+    pub(crate) safety: bool,
+    pub(crate) limits: bool,
+}
+
+/// Global settings as they are read, complete or in part.
+#[derive(Clone, Debug)]
+pub struct GlobalFields {
+    pub(crate) strictness: Strictness,
+    pub(crate) family_info: FamilyInfoFields,
+    pub(crate) safety: ObjectFields,
+    pub(crate) limits: ObjectFields,
+    pub(crate) top_level: ObjectFields,
+    pub(crate) machine_limits: ObjectFields,
+    pub(crate) present: PresentObjects,
+}
+
+impl GlobalFields {
+    /// No fields yet.
+    pub fn new(strictness: Strictness) -> GlobalFields {
+        GlobalFields {
+            strictness,
+            family_info: FamilyInfoFields::new(strictness),
+            safety: ObjectFields::new(SAFETY_KEYS, strictness),
+            limits: ObjectFields::new(LIMITS_KEYS, strictness),
+            top_level: ObjectFields::new(TOP_LEVEL_KEYS, strictness),
+            machine_limits: ObjectFields::new(MACHINE_LIMIT_KEYS, strictness),
+            present: PresentObjects::default(),
+        }
+    }
+
+    /// Of each method in the order of their list, the fraction of its weight, 0 to 1, that an answer without the
+    /// upstream call earns (`FamilyInfo.ClassSkipWorth`).
+    pub fn skip_weights(&self) -> &[f64] {
+        &self.family_info.skip_weights
+    }
+
+    /// Reads the value of one of [`SETTINGS_KEYS`].
+    ///
+    /// # Errors
+    /// Those of the deserializer.
+    pub fn read<'d, A: MapAccess<'d>>(&mut self, key: KnownKey, object: &mut A) -> Result<(), A::Error> {
+        match key.name {
+            "FamilyInfo" => {
+                let found = object.next_value_seed(JsonSeed(&mut self.family_info))?;
+                self.present.family_info = self.check_object(key.name, found)?;
+            }
+            "Safety" => {
+                let found = object.next_value_seed(JsonSeed(&mut self.safety))?;
+                self.present.safety = self.check_object(key.name, found)?;
+            }
+            "Limits" => {
+                let found = object.next_value_seed(JsonSeed(&mut self.limits))?;
+                self.present.limits = self.check_object(key.name, found)?;
+            }
+            name => {
+                let index = TOP_LEVEL_KEYS.iter().position(|candidate| *candidate == name);
+                self.top_level.read_value(index.unwrap_or(usize::MAX), object)?;
+            }
+        }
+        Ok(())
+    }
+
+    /// Reads the limits that the deployment grants, `memory_mb` and `sockets`; returns whether there was an object.
+    ///
+    /// # Errors
+    /// Those of the deserializer.
+    pub fn read_machine_limits<'d, A: MapAccess<'d>>(&mut self, object: &mut A) -> Result<bool, A::Error> {
+        let found = object.next_value_seed(JsonSeed(&mut self.machine_limits))?;
+        self.check_object("limits", found)
+    }
+
+    /// Strict reading refuses anything but an object.
+    fn check_object<E: Error>(&self, key: &'static str, found: bool) -> Result<bool, E> {
+        if !found && self.strictness == Strictness::Strict {
+            return Err(E::custom(ConfigError::InvalidField(key)));
+        }
+        Ok(found)
+    }
+}
--- /dev/null
+++ b/entries/src/fields/merge.rs
@@ -0,0 +1,195 @@
+//! Fields made into global settings: fields that are given replace those of a base, or all are read where there is none.
+
+use crate::error::ConfigError;
+use crate::fields::global::GlobalFields;
+use crate::fields::object::ObjectFields;
+use crate::fields::value::Strictness;
+use crate::globals::{GlobalSettings, UpstreamKind};
+use crate::limits::{MAX_MACHINE_LIMIT, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY};
+use crate::time::micros_from_millis;
+use crate::vocabulary::{LOAD_REPORTS, STOP_MODES, UPSTREAM_KINDS};
+use asterrill::{FeedbackMode, StopMode, Us};
+
+impl GlobalFields {
+    /// The global settings: those that are not given stay as in `base`, or have their defaults where there is none.
+    ///
+    /// # Errors
+    /// [`ConfigError`] names the field that is required and absent, of the wrong type or out of bounds.
+    pub fn settings(&self, base: Option<&GlobalSettings>) -> Result<GlobalSettings, ConfigError> {
+        if base.is_none() {
+            self.check_required_objects()?;
+        }
+        let merge = Merge { fields: self, complete: base.is_none() };
+        let mut settings = base.cloned().unwrap_or_default();
+        // What other fields depend on comes first.
+        merge.switches(&mut settings)?;
+        merge.machine(&mut settings)?;
+        merge.family_info(&mut settings)?;
+        merge.safety(&mut settings)?;
+        merge.limits(&mut settings)?;
+        merge.top_level(&mut settings)?;
+        settings.check()?;
+        Ok(settings)
+    }
+
+    fn check_required_objects(&self) -> Result<(), ConfigError> {
+        let required = [
+            ("FamilyInfo", self.present.family_info),
+            ("Safety", self.present.safety),
+            ("Limits", self.present.limits),
+        ];
+        match required.into_iter().find(|(_, present)| !present) {
+            Some((key, _)) => Err(ConfigError::InvalidField(key)),
+            None => Ok(()),
+        }
+    }
+}
+
+/// Puts fields into settings.
+struct Merge<'f> {
+    fields: &'f GlobalFields,
+    /// There is no base: all fields are read, also those that are absent.
+    complete: bool,
+}
+
+impl Merge<'_> {
+    /// Sets a setting by `read`, if its field is to be read.
+    fn update<T>(
+        &self, setting: &mut T, object: &ObjectFields, key: &'static str,
+        read: impl FnOnce(&ObjectFields, &'static str) -> Result<T, ConfigError>,
+    ) -> Result<(), ConfigError> {
+        if self.complete || object.contains(key) {
+            *setting = read(object, key)?;
+        }
+        Ok(())
+    }
+
+    /// The value of a field that may have any form where it is unused, in lenient reading.
+    fn ignore_unused(
+        &self, value: Result<Option<f64>, ConfigError>, used: bool,
+    ) -> Result<Option<f64>, ConfigError> {
+        if value.is_err() && !used && self.fields.strictness == Strictness::Lenient {
+            return Ok(None);
+        }
+        value
+    }
+
+    /// The settings that decide whether others are used.
+    fn switches(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
+        let (family_info, limits) = (&self.fields.family_info.scalars, &self.fields.limits);
+        self.update(&mut settings.upstream, family_info, "Below", |object, key| {
+            Ok(object.optional_word(key, UPSTREAM_KINDS)?.unwrap_or_default())
+        })?;
+        self.update(&mut settings.cold_start, family_info, "Cold", ObjectFields::flag)?;
+        self.update(&mut settings.retry_after, limits, "RetryAfter", ObjectFields::flag)
+    }
+
+    fn machine(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
+        self.update(&mut settings.cores, &self.fields.family_info.scalars, "NCores", |object, key| {
+            let cores = object.figure(key)?;
+            if cores.fract() != 0.0 {
+                return Err(ConfigError::InvalidField(key));
+            }
+            Ok(cores as u64)
+        })?;
+        let memory_mb = self.machine_limit("memory_mb", MEMORY_LIMIT_KEY, settings.memory_mb)?;
+        let sockets = self.machine_limit("sockets", SOCKET_LIMIT_KEY, settings.sockets)?;
+        if sockets.fract() != 0.0 {
+            return Err(ConfigError::InvalidField(SOCKET_LIMIT_KEY));
+        }
+        settings.memory_mb = memory_mb as u64;
+        settings.sockets = sockets as u64;
+        Ok(())
+    }
+
+    /// A limit that the deployment grants; `before` where it is not given. `key` is its name in messages.
+    fn machine_limit(&self, field: &'static str, key: &'static str, before: u64) -> Result<f64, ConfigError> {
+        let fields = &self.fields.machine_limits;
+        match fields.optional_number(field) {
+            Err(_) => Err(ConfigError::InvalidField(key)),
+            Ok(Some(value)) if (1.0..=MAX_MACHINE_LIMIT).contains(&value) => Ok(value),
+            Ok(Some(value)) => Err(ConfigError::OutOfBounds { key, value }),
+            // A limit that was set once is never unset again.
+            Ok(None) if before > 0 && fields.contains(field) => Err(ConfigError::InvalidField(key)),
+            Ok(None) => Ok(before as f64),
+        }
+    }
+
+    fn family_info(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
+        let fields = &self.fields.family_info.scalars;
+        self.update(&mut settings.ram_kb, fields, "RamKb", ObjectFields::number)?;
+        self.update(&mut settings.run_factor, fields, "RunFactor", figure_or_one)?;
+        self.update(&mut settings.kb_per_key, fields, "KbPerKey", figure_or_zero)?;
+        self.upstream(settings)?;
+        self.update(&mut settings.load_report, fields, "Say", |object, key| {
+            Ok(object.optional_word(key, LOAD_REPORTS)?.unwrap_or(FeedbackMode::Off))
+        })?;
+        self.update(&mut settings.stop_mode, fields, "StopMode", |object, key| {
+            Ok(object.optional_word(key, STOP_MODES)?.unwrap_or(StopMode::Off))
+        })?;
+        self.update(&mut settings.response_ttl, fields, "FreshMs", duration_or_zero)?;
+        self.update(&mut settings.idle_timeout, fields, "IdleMs", duration_or_zero)?;
+        self.update(&mut settings.callers, fields, "Callers", count_or_one)?;
+        if let Some(gauges) = &self.fields.family_info.gauges {
+            settings.gauges = gauges.clone();
+        }
+        Ok(())
+    }
+
+    fn upstream(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
+        let fields = &self.fields.family_info.scalars;
+        let shared = settings.upstream == UpstreamKind::Shared;
+        self.update(&mut settings.upstream_call_quota, fields, "CallShare", |object, key| {
+            self.ignore_unused(object.optional_figure(key), shared)
+        })?;
+        self.update(&mut settings.upstream_call_window, fields, "DepWindowMs", |object, key| {
+            let window = self.ignore_unused(object.optional_number(key), shared)?;
+            Ok(window.map(micros_from_millis))
+        })?;
+        self.update(&mut settings.abandoned_call_linger, fields, "LingerMs", duration_or_zero)
+    }
+
+    fn safety(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
+        let fields = &self.fields.safety;
+        let cold_start = settings.cold_start;
+        self.update(&mut settings.max_running_per_core, fields, "TipMultiple", ObjectFields::figure)?;
+        self.update(&mut settings.slow_start_from, fields, "ColdFrom", |object, key| {
+            self.ignore_unused(object.optional_figure(key), cold_start)
+        })?;
+        self.update(&mut settings.slow_start_duration, fields, "RampTimeMs", ObjectFields::duration)?;
+        let delay = &mut settings.health_propagation_delay;
+        self.update(delay, fields, "StopSendingWithinMs", ObjectFields::duration)
+    }
+
+    fn limits(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
+        let retry_after = settings.retry_after;
+        self.update(&mut settings.max_retry_after, &self.fields.limits, "MaxRetryAfterMs", |object, key| {
+            let longest = self.ignore_unused(object.optional_number(key), retry_after)?;
+            Ok(longest.map_or(0, micros_from_millis))
+        })
+    }
+
+    fn top_level(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
+        let fields = &self.fields.top_level;
+        self.update(&mut settings.min_event_interval, fields, "StepMs", duration_or_zero)?;
+        self.update(&mut settings.replicas, fields, "ReplicasOfMe", count_or_one)?;
+        self.update(&mut settings.over_quota_weight, fields, "OverShareWorth", figure_or_one)
+    }
+}
+
+fn figure_or_one(object: &ObjectFields, key: &'static str) -> Result<f64, ConfigError> {
+    Ok(object.optional_figure(key)?.unwrap_or(1.0))
+}
+
+fn figure_or_zero(object: &ObjectFields, key: &'static str) -> Result<f64, ConfigError> {
+    Ok(object.optional_figure(key)?.unwrap_or(0.0))
+}
+
+/// The integer part of a number, or 1.
+fn count_or_one(object: &ObjectFields, key: &'static str) -> Result<u64, ConfigError> {
+    Ok(figure_or_one(object, key)? as u64)
+}
+
+fn duration_or_zero(object: &ObjectFields, key: &'static str) -> Result<Us, ConfigError> {
+    Ok(object.optional_duration(key)?.unwrap_or(0))
+}
--- /dev/null
+++ b/entries/src/fields/object.rs
@@ -0,0 +1,250 @@
+//! The scalars of one JSON object, by key.
+
+use crate::error::ConfigError;
+use crate::fields::value::{FieldValue, JsonHandler, Strictness};
+use crate::limits::{MAX_FIGURE, MAX_QUOTED_CHARS};
+use crate::time::micros_from_millis;
+use crate::vocabulary::{meaning_of, Words};
+use asterrill::Us;
+use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, Visitor};
+use std::fmt;
+
+/// A key that may stand in an object.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KnownKey {
+    /// Its place in the list of known keys.
+    pub index: usize,
+    /// The key itself.
+    pub name: &'static str,
+}
+
+/// Reads a key, as one of the known ones.
+struct KeySeed {
+    names: &'static [&'static str],
+    strictness: Strictness,
+}
+
+impl<'d> DeserializeSeed<'d> for KeySeed {
+    type Value = Option<KnownKey>;
+
+    fn deserialize<D: Deserializer<'d>>(self, from: D) -> Result<Option<KnownKey>, D::Error> {
+        from.deserialize_str(self)
+    }
+}
+
+impl Visitor<'_> for KeySeed {
+    type Value = Option<KnownKey>;
+
+    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str("a key")
+    }
+
+    fn visit_str<E: Error>(self, key: &str) -> Result<Option<KnownKey>, E> {
+        let mut names = self.names.iter().enumerate();
+        match names.find(|(_, name)| **name == key) {
+            Some((index, name)) => Ok(Some(KnownKey { index, name })),
+            None if self.strictness == Strictness::Strict => {
+                let start = key.chars().take(MAX_QUOTED_CHARS).collect();
+                Err(E::custom(ConfigError::UnknownField(start)))
+            }
+            None => Ok(None),
+        }
+    }
+}
+
+/// Reads an object: `read_value` is called for each key that is one of at most 64 `names`, and has to read its value.
+///
+/// # Errors
+/// Those of the deserializer and of `read_value`, and [`ConfigError::DuplicateField`]: nobody could tell which of the
+/// two is meant.
+pub fn read_known_fields<'d, A: MapAccess<'d>>(
+    mut object: A, names: &'static [&'static str], strictness: Strictness,
+    mut read_value: impl FnMut(KnownKey, &mut A) -> Result<(), A::Error>,
+) -> Result<(), A::Error> {
+    let mut seen = 0_u64;
+    while let Some(key) = object.next_key_seed(KeySeed { names, strictness })? {
+        let Some(key) = key else {
+            object.next_value::<IgnoredAny>()?;
+            continue;
+        };
+        let bit = 1 << key.index;
+        if seen & bit != 0 {
+            return Err(A::Error::custom(ConfigError::DuplicateField(key.name.into())));
+        }
+        seen |= bit;
+        read_value(key, &mut object)?;
+    }
+    Ok(())
+}
+
+/// The scalars of one object, by key.
+#[derive(Clone, Debug)]
+pub struct ObjectFields {
+    names: &'static [&'static str],
+    values: Vec<Option<FieldValue>>,
+    strictness: Strictness,
+}
+
+impl ObjectFields {
+    /// Storage for the fields of at most 64 names.
+    pub fn new(names: &'static [&'static str], strictness: Strictness) -> ObjectFields {
+        ObjectFields { names, values: vec![None; names.len()], strictness }
+    }
+
+    /// How strictly it reads.
+    pub(crate) fn strictness(&self) -> Strictness {
+        self.strictness
+    }
+
+    /// Removes all values.
+    pub fn clear(&mut self) {
+        self.values.fill(None);
+    }
+
+    /// Reads the value of the name with this index.
+    ///
+    /// # Errors
+    /// Those of the deserializer.
+    pub fn read_value<'d, A: MapAccess<'d>>(&mut self, index: usize, object: &mut A) -> Result<(), A::Error> {
+        let value = object.next_value_seed(self.strictness)?;
+        if let Some(slot) = self.values.get_mut(index) {
+            *slot = Some(value);
+        }
+        Ok(())
+    }
+
+    /// Whether the field was given, null included.
+    pub fn contains(&self, name: &str) -> bool {
+        self.get(name).is_some()
+    }
+
+    fn get(&self, name: &str) -> Option<&FieldValue> {
+        let index = self.names.iter().position(|candidate| *candidate == name)?;
+        self.values.get(index)?.as_ref()
+    }
+
+    /// The value of a field; null counts as absent.
+    pub fn value(&self, name: &str) -> Option<&FieldValue> {
+        self.get(name).filter(|value| **value != FieldValue::Null)
+    }
+
+    /// A string.
+    ///
+    /// # Errors
+    /// [`ConfigError::InvalidField`]: it is absent, or no string.
+    pub fn text(&self, name: &'static str) -> Result<&str, ConfigError> {
+        match self.get(name) {
+            Some(FieldValue::Text(text)) => Ok(text),
+            _ => Err(ConfigError::InvalidField(name)),
+        }
+    }
+
+    /// A number from 0 up, or `None` where it is absent or null.
+    ///
+    /// # Errors
+    /// [`ConfigError::InvalidField`]: it is no number, or below zero.
+    pub fn optional_number(&self, name: &'static str) -> Result<Option<f64>, ConfigError> {
+        match self.value(name) {
+            None => Ok(None),
+            // Adding 0 makes 0 of -0.
+            Some(FieldValue::Number(number)) if *number >= 0.0 => Ok(Some(*number + 0.0)),
+            Some(_) => Err(ConfigError::InvalidField(name)),
+        }
+    }
+
+    /// A number from 0 up.
+    ///
+    /// # Errors
+    /// [`ConfigError::InvalidField`]: it is absent, no number, or below zero.
+    pub fn number(&self, name: &'static str) -> Result<f64, ConfigError> {
+        self.optional_number(name)?.ok_or(ConfigError::InvalidField(name))
+    }
+
+    /// A number from 0 to [`MAX_FIGURE`], or `None` where it is absent or null.
+    ///
+    /// # Errors
+    /// As [`ObjectFields::optional_number`], and [`ConfigError::OutOfBounds`].
+    pub fn optional_figure(&self, name: &'static str) -> Result<Option<f64>, ConfigError> {
+        match self.optional_number(name)? {
+            Some(value) if value > MAX_FIGURE => Err(ConfigError::OutOfBounds { key: name, value }),
+            value => Ok(value),
+        }
+    }
+
+    /// A number from 0 to [`MAX_FIGURE`].
+    ///
+    /// # Errors
+    /// As [`ObjectFields::number`], and [`ConfigError::OutOfBounds`].
+    pub fn figure(&self, name: &'static str) -> Result<f64, ConfigError> {
+        self.optional_figure(name)?.ok_or(ConfigError::InvalidField(name))
+    }
+
+    /// A duration, given in milliseconds, in whole microseconds up to
+    /// [`MAX_DURATION`](crate::MAX_DURATION), or `None` where it is absent or null.
+    ///
+    /// # Errors
+    /// As [`ObjectFields::optional_number`].
+    pub fn optional_duration(&self, name: &'static str) -> Result<Option<Us>, ConfigError> {
+        Ok(self.optional_number(name)?.map(micros_from_millis))
+    }
+
+    /// A duration, given in milliseconds, in whole microseconds up to [`MAX_DURATION`](crate::MAX_DURATION).
+    ///
+    /// # Errors
+    /// As [`ObjectFields::number`].
+    pub fn duration(&self, name: &'static str) -> Result<Us, ConfigError> {
+        self.number(name).map(micros_from_millis)
+    }
+
+    /// A boolean; `false` where it is absent or null, and in lenient reading also where it is anything else.
+    ///
+    /// # Errors
+    /// [`ConfigError::InvalidField`] in strict reading: it is no boolean.
+    pub(crate) fn flag(&self, name: &'static str) -> Result<bool, ConfigError> {
+        match self.value(name) {
+            Some(FieldValue::Flag(value)) => Ok(*value),
+            Some(_) if self.strictness == Strictness::Strict => Err(ConfigError::InvalidField(name)),
+            _ => Ok(false),
+        }
+    }
+
+    /// The meaning of a word.
+    ///
+    /// # Errors
+    /// As [`ObjectFields::text`], and [`ConfigError::UnknownWord`].
+    pub(crate) fn word<T: Copy>(&self, name: &'static str, words: &Words<T>) -> Result<T, ConfigError> {
+        let word = self.text(name)?;
+        meaning_of(words, word).ok_or_else(|| ConfigError::unknown_word(name, word))
+    }
+
+    /// The meaning of a word, or `None` where it is absent or null.
+    ///
+    /// # Errors
+    /// [`ConfigError::InvalidField`]: it is no string; and [`ConfigError::UnknownWord`].
+    pub(crate) fn optional_word<T: Copy>(
+        &self, name: &'static str, words: &Words<T>,
+    ) -> Result<Option<T>, ConfigError> {
+        match self.value(name) {
+            None => Ok(None),
+            Some(_) => self.word(name, words).map(Some),
+        }
+    }
+}
+
+/// Replaces all values by those of an object; returns whether it was one.
+impl JsonHandler for &mut ObjectFields {
+    type Output = bool;
+
+    fn scalar<E: Error>(self, _: FieldValue) -> Result<bool, E> {
+        self.clear();
+        Ok(false)
+    }
+
+    fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
+        self.clear();
+        read_known_fields(object, self.names, self.strictness, |key, object| {
+            self.read_value(key.index, object)
+        })?;
+        Ok(true)
+    }
+}
--- /dev/null
+++ b/entries/src/fields/value.rs
@@ -0,0 +1,151 @@
+//! Single JSON values: what is stored of them, and how strictly they are read.
+
+use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
+use serde::Deserialize;
+use serde_json::value::RawValue;
+use std::fmt;
+
+/// The value of a field.
+#[derive(Clone, Debug, PartialEq)]
+pub enum FieldValue {
+    /// `null`.
+    Null,
+    /// `true` or `false`.
+    Flag(bool),
+    /// A number.
+    Number(f64),
+    /// A string.
+    Text(String),
+    /// An array or an object; what it contains is not stored.
+    Nested,
+}
+
+/// How strictly fields are read.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Strictness {
+    /// For the platform's files: unknown fields are skipped, and so are optional ones of a wrong type that have no effect.
+    #[default]
+    Lenient,
+    /// For steps, from a text in memory: every field has to be known and well-formed, and numbers are read exactly.
+    Strict,
+}
+
+/// What is made of a JSON value, whatever its type.
+pub trait JsonHandler: Sized {
+    /// The result.
+    type Output;
+
+    /// Handles a scalar, and by default also anything nested, as [`FieldValue::Nested`].
+    ///
+    /// # Errors
+    /// The value is refused.
+    fn scalar<E: Error>(self, value: FieldValue) -> Result<Self::Output, E>;
+
+    /// Handles an array; skips it by default.
+    ///
+    /// # Errors
+    /// Those of the deserializer, and where the value is refused.
+    fn array<'d, A: SeqAccess<'d>>(self, mut array: A) -> Result<Self::Output, A::Error> {
+        while array.next_element::<IgnoredAny>()?.is_some() {}
+        self.scalar(FieldValue::Nested)
+    }
+
+    /// Handles an object; skips it by default.
+    ///
+    /// # Errors
+    /// Those of the deserializer, and where the value is refused.
+    fn object<'d, A: MapAccess<'d>>(self, mut object: A) -> Result<Self::Output, A::Error> {
+        while object.next_entry::<IgnoredAny, IgnoredAny>()?.is_some() {}
+        self.scalar(FieldValue::Nested)
+    }
+}
+
+/// Lets a handler read a value from any deserializer.
+pub struct JsonSeed<H>(pub H);
+
+impl<'d, H: JsonHandler> DeserializeSeed<'d> for JsonSeed<H> {
+    type Value = H::Output;
+
+    fn deserialize<D: Deserializer<'d>>(self, from: D) -> Result<H::Output, D::Error> {
+        from.deserialize_any(self)
+    }
+}
+
+impl<'d, H: JsonHandler> Visitor<'d> for JsonSeed<H> {
+    type Value = H::Output;
+
+    fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str("a JSON value")
+    }
+
+    fn visit_unit<E: Error>(self) -> Result<H::Output, E> {
+        self.0.scalar(FieldValue::Null)
+    }
+
+    fn visit_bool<E: Error>(self, value: bool) -> Result<H::Output, E> {
+        self.0.scalar(FieldValue::Flag(value))
+    }
+
+    fn visit_u64<E: Error>(self, value: u64) -> Result<H::Output, E> {
+        self.0.scalar(FieldValue::Number(value as f64))
+    }
+
+    fn visit_i64<E: Error>(self, value: i64) -> Result<H::Output, E> {
+        self.0.scalar(FieldValue::Number(value as f64))
+    }
+
+    fn visit_f64<E: Error>(self, value: f64) -> Result<H::Output, E> {
+        self.0.scalar(FieldValue::Number(value))
+    }
+
+    fn visit_str<E: Error>(self, value: &str) -> Result<H::Output, E> {
+        self.0.scalar(FieldValue::Text(value.into()))
+    }
+
+    fn visit_string<E: Error>(self, value: String) -> Result<H::Output, E> {
+        self.0.scalar(FieldValue::Text(value))
+    }
+
+    fn visit_seq<A: SeqAccess<'d>>(self, array: A) -> Result<H::Output, A::Error> {
+        self.0.array(array)
+    }
+
+    fn visit_map<A: MapAccess<'d>>(self, object: A) -> Result<H::Output, A::Error> {
+        self.0.object(object)
+    }
+}
+
+/// Stores a value as it is.
+pub(crate) struct StoreValue;
+
+impl JsonHandler for StoreValue {
+    type Output = FieldValue;
+
+    fn scalar<E: Error>(self, value: FieldValue) -> Result<FieldValue, E> {
+        Ok(value)
+    }
+}
+
+/// Reads the value of a field.
+impl<'d> DeserializeSeed<'d> for Strictness {
+    type Value = FieldValue;
+
+    fn deserialize<D: Deserializer<'d>>(self, from: D) -> Result<FieldValue, D::Error> {
+        match self {
+            Strictness::Lenient => JsonSeed(StoreValue).deserialize(from),
+            Strictness::Strict => {
+                let text = <&RawValue>::deserialize(from)?.get();
+                read_exactly(text).map_err(D::Error::custom)
+            }
+        }
+    }
+}
+
+/// Reads a value from its text. Numbers are parsed here, as those of the JSON parser may be off by the last bit.
+fn read_exactly(text: &str) -> Result<FieldValue, serde_json::Error> {
+    let is_number = text.starts_with(|c: char| c == '-' || c.is_ascii_digit());
+    match text.parse::<f64>() {
+        Ok(number) if is_number && number.is_finite() => Ok(FieldValue::Number(number)),
+        _ => JsonSeed(StoreValue).deserialize(&mut serde_json::Deserializer::from_str(text)),
+    }
+}
--- a/entries/src/frame.rs
+++ b/entries/src/globals.rs
@@ -1,81 +1,83 @@
-//! The few scalars of a version.
+//! The settings of a version that are neither methods nor tenants.
 
-use crate::fault::ConfigError;
-use crate::{
-    Name, MAX_DURATION, MAX_FIGURE, MAX_GAUGES, MAX_MACHINE_LIMIT, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY,
-};
+use crate::entry::Name;
+use crate::error::ConfigError;
+use crate::limits::{MAX_FIGURE, MAX_GAUGES, MAX_MACHINE_LIMIT, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY};
+use crate::validation::{check_at_most, check_duration};
 use asterrill::{FeedbackMode, StopMode, Upstream, Us};
 
-/// What lies below the server, as told.
+/// What this server calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UpstreamKind {
+    /// It calls nothing.
     #[default]
     None,
-    /// One dependency of all servers; `call_share` and `call_window` are told.
+    /// One dependency that all servers share; a quota of calls and its window are required.
     Shared,
     /// A tier of servers that run the same decisions.
     Tier,
 }
 
-/// What a version says besides its methods and tenants. Times in microseconds; what the platform leaves out
-/// stands as its default.
+/// The settings that are neither methods nor tenants. Durations are in microseconds. Settings that the platform leaves
+/// out have their defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GlobalSettings {
-    /// `FamilyInfo.NCores`: whole, up to a thousand million.
+    /// `FamilyInfo.NCores`: 0 to [`MAX_FIGURE`] cores.
     pub cores: u64,
-    /// `FamilyInfo.RamKb`.
+    /// `FamilyInfo.RamKb`: memory in kB.
     pub ram_kb: f64,
-    /// `FamilyInfo.RunFactor`: memory of a running RPC over that of a held one.
+    /// `FamilyInfo.RunFactor`: memory of a running RPC, as a multiple of that of a queued one.
     pub run_factor: f64,
-    /// `FamilyInfo.KbPerKey`.
+    /// `FamilyInfo.KbPerKey`: memory of a remembered idempotency key, in kB.
     pub kb_per_key: f64,
     /// `FamilyInfo.Below`.
     pub upstream: UpstreamKind,
-    /// `FamilyInfo.CallShare`: calls below in hand, a mean over the window; needed where the tier is shared.
+    /// `FamilyInfo.CallShare`: this server's quota of upstream calls in flight, as a mean over the window. Required where
+    /// the upstream is shared.
     pub upstream_call_quota: Option<f64>,
-    /// `FamilyInfo.DepWindowMs`; needed where the tier is shared.
+    /// `FamilyInfo.DepWindowMs`: the window of that mean. Required where the upstream is shared.
     pub upstream_call_window: Option<Us>,
-    /// `FamilyInfo.LingerMs`: how long an abandoned call may stay below.
+    /// `FamilyInfo.LingerMs`: the longest that an abandoned call still occupies the upstream.
     pub abandoned_call_linger: Us,
-    /// `FamilyInfo.Say`: what callers make of the number published to them.
+    /// `FamilyInfo.Say`: how callers use the load report published to them.
     pub load_report: FeedbackMode,
-    /// `FamilyInfo.StopMode`.
+    /// `FamilyInfo.StopMode`: what stopping does to running work.
     pub stop_mode: StopMode,
-    /// `FamilyInfo.FreshMs`: how long a read's answer may serve others, 0 for never.
+    /// `FamilyInfo.FreshMs`: how long the response of a read may serve other requests; 0 for never.
     pub response_ttl: Us,
-    /// `FamilyInfo.IdleMs`: after which callers close idle connections by themselves, 0 for never.
+    /// `FamilyInfo.IdleMs`: after which callers close idle connections themselves; 0 for never.
     pub idle_timeout: Us,
-    /// `FamilyInfo.Callers` known at the start.
+    /// `FamilyInfo.Callers`: how many there are at the start.
     pub callers: u64,
     /// `FamilyInfo.Cold`: the server has only just been started.
     pub cold_start: bool,
-    /// `FamilyInfo.Gauges`, in their order.
+    /// `FamilyInfo.Gauges`, in their order; [`MAX_GAUGES`] at most.
     pub gauges: Vec<Name>,
     /// `Safety.TipMultiple`: running RPCs a core that a warm server survives.
     pub max_running_per_core: f64,
-    /// `Safety.ColdFrom`: the share of its speed that a cold server opens at; needed where it is cold.
+    /// `Safety.ColdFrom`: the fraction of its full speed that a cold server starts with. Required for a cold start.
     pub slow_start_from: Option<f64>,
-    /// `Safety.RampTimeMs`: until a cold server is warm.
+    /// `Safety.RampTimeMs`: how long a cold server takes to reach its full speed.
     pub slow_start_duration: Us,
-    /// `Safety.StopSendingWithinMs`: until callers heed a change of health.
+    /// `Safety.StopSendingWithinMs`: how long callers take to react to a change of health.
     pub health_propagation_delay: Us,
-    /// `Limits.RetryAfter`: callers may be told when to come back.
+    /// `Limits.RetryAfter`: rejections may carry a time after which to retry.
     pub retry_after: bool,
-    /// `Limits.MaxRetryAfterMs`.
+    /// `Limits.MaxRetryAfterMs`: the longest such time.
     pub max_retry_after: Us,
-    /// `StepMs`: the least time between two inputs of the module.
+    /// `StepMs`: the least time between two inputs of the decision module.
     pub min_event_interval: Us,
     /// `ReplicasOfMe`: servers of this kind in the whole fleet.
     pub replicas: u64,
-    /// `OverShareWorth`: of an RPC that exceeds its tenant's share.
+    /// `OverShareWorth`: weight of an RPC beyond its tenant's quota, as a fraction of its method's.
     pub over_quota_weight: f64,
-    /// `limits.memory_mb`, 1 to 1,048,576; 0 where nobody told.
+    /// `limits.memory_mb`: megabytes, 1 to 1,048,576; 0 where it was never set.
     pub memory_mb: u64,
-    /// `limits.sockets`, 1 to 1,048,576; 0 where nobody told.
+    /// `limits.sockets`: file descriptors, 1 to 1,048,576; 0 where it was never set.
     pub sockets: u64,
 }
 
-/// What stands where nothing is told: no cores and no memory, which only a test or a reader starts from.
+/// The defaults of optional settings, and zeros for required ones: a starting point for readers and tests.
 impl Default for GlobalSettings {
     fn default() -> GlobalSettings {
         GlobalSettings {
@@ -109,29 +111,11 @@
     }
 }
 
-/// Within 0 and `most`, ends included.
-pub(crate) fn within(key: &'static str, value: f64, most: f64) -> Result<(), ConfigError> {
-    if (0.0..=most).contains(&value) {
-        Ok(())
-    } else {
-        Err(ConfigError::OutOfBounds { key, value })
-    }
-}
-
-pub(crate) fn time_within(key: &'static str, value: Us) -> Result<(), ConfigError> {
-    // A time is told in milliseconds.
-    if value <= MAX_DURATION {
-        Ok(())
-    } else {
-        Err(ConfigError::OutOfBounds { key, value: value as f64 / 1e3 })
-    }
-}
-
 impl GlobalSettings {
-    /// What lies below, for the module.
+    /// The upstream and its limits, for the decision module.
     ///
     /// # Errors
-    /// [`ConfigError::Field`] where the tier is shared and its share or window was not told.
+    /// [`ConfigError::InvalidField`] where the upstream is shared and its quota or window is missing.
     pub fn upstream_limits(&self) -> Result<Upstream, ConfigError> {
         Ok(match self.upstream {
             UpstreamKind::None => Upstream::Absent,
@@ -143,23 +127,35 @@
         })
     }
 
-    /// The share of its speed that a cold server opens at; 1 for one that starts warm.
+    /// The fraction of its full speed, 0 to 1, that the server starts with; 1 unless it starts cold.
     ///
     /// # Errors
-    /// [`ConfigError::Field`] where it is cold and that was not told.
-    pub fn initial_speed(&self, cold: bool) -> Result<f64, ConfigError> {
-        if !cold {
+    /// [`ConfigError::InvalidField`] where it starts cold and the fraction is missing.
+    pub fn initial_speed(&self, cold_start: bool) -> Result<f64, ConfigError> {
+        if !cold_start {
             return Ok(1.0);
         }
-        Ok(self.slow_start_from.ok_or(ConfigError::InvalidField("ColdFrom"))?.min(1.0))
+        let fraction = self.slow_start_from.ok_or(ConfigError::InvalidField("ColdFrom"))?;
+        Ok(fraction.min(1.0))
     }
 
-    /// What a version's frame must hold.
+    /// Checks all settings.
     ///
     /// # Errors
-    /// [`ConfigError`] names the field that is out of bounds, or needed and not told.
+    /// [`ConfigError`] names the field that is out of bounds, or required and missing.
     pub fn check(&self) -> Result<(), ConfigError> {
-        let rates = [
+        self.check_figures()?;
+        self.check_durations()?;
+        if self.gauges.len() > MAX_GAUGES {
+            return Err(ConfigError::too_many_gauges());
+        }
+        self.upstream_limits()?;
+        self.initial_speed(self.cold_start)?;
+        Ok(())
+    }
+
+    fn check_figures(&self) -> Result<(), ConfigError> {
+        let figures = [
             ("NCores", self.cores as f64),
             ("RunFactor", self.run_factor),
             ("KbPerKey", self.kb_per_key),
@@ -170,11 +166,16 @@
             ("ReplicasOfMe", self.replicas as f64),
             ("OverShareWorth", self.over_quota_weight),
         ];
-        rates.into_iter().try_for_each(|(key, value)| within(key, value, MAX_FIGURE))?;
-        within("RamKb", self.ram_kb, f64::MAX)?;
-        let machine = [(MEMORY_LIMIT_KEY, self.memory_mb), (SOCKET_LIMIT_KEY, self.sockets)];
-        machine.into_iter().try_for_each(|(key, value)| within(key, value as f64, MAX_MACHINE_LIMIT))?;
-        let times = [
+        for (key, value) in figures {
+            check_at_most(key, value, MAX_FIGURE)?;
+        }
+        check_at_most("RamKb", self.ram_kb, f64::MAX)?;
+        check_at_most(MEMORY_LIMIT_KEY, self.memory_mb as f64, MAX_MACHINE_LIMIT)?;
+        check_at_most(SOCKET_LIMIT_KEY, self.sockets as f64, MAX_MACHINE_LIMIT)
+    }
+
+    fn check_durations(&self) -> Result<(), ConfigError> {
+        let durations = [
             ("DepWindowMs", self.upstream_call_window.unwrap_or(0)),
             ("LingerMs", self.abandoned_call_linger),
             ("FreshMs", self.response_ttl),
@@ -184,11 +185,9 @@
             ("MaxRetryAfterMs", self.max_retry_after),
             ("StepMs", self.min_event_interval),
         ];
-        times.into_iter().try_for_each(|(key, value)| time_within(key, value))?;
-        if self.gauges.len() > MAX_GAUGES {
-            return Err(ConfigError::TooManyEntries { list: "Gauges", bound: "GAUGES", most: MAX_GAUGES });
+        for (key, value) in durations {
+            check_duration(key, value)?;
         }
-        self.upstream_limits()?;
-        self.initial_speed(self.cold_start).map(drop)
+        Ok(())
     }
 }
--- a/entries/src/lib.rs
+++ b/entries/src/lib.rs
@@ -1,17 +1,17 @@
-//! What a version of a backend's settings says, entry by entry, and the steps that lead from one version to the next. Free of
-//! I/O: text comes in and goes out, files and sockets are the callers'.
+//! Versions of a backend's settings, entry by entry, and the steps that lead from one version to the next. Free of I/O:
+//! text comes in and goes out, files and sockets are the callers'.
 //!
-//! A [`Configuration`] is one version: its [`GlobalSettings`] (the few scalars), its methods and its tenants by name. Versions are values:
-//! one is never changed, [`Configuration::apply`] makes the next one, and the two share all that they have in common, so that a
-//! history costs its differences. Names are held once, by whoever knows them.
+//! A [`Configuration`] is one version: its [`GlobalSettings`], and its methods and tenants by name. Versions are values:
+//! one is never changed; [`Configuration::apply`] makes the next one. The two share all that they have in common, so that
+//! a history costs its differences. Each name is stored once, shared by all versions that contain it.
 //!
-//! * In: a [`Step`] as text ([`read_step`]), a whole version as text ([`read_configuration`]), or the platform's JSON, which
-//!   `asterrill-settings` reads by [`fields`].
+//! * In: a [`Step`] as text ([`read_step`]), a complete version as text ([`read_configuration`]), or the platform's JSON,
+//!   which `asterrill-settings` reads with the help of [`fields`].
 //! * Out: what differs between two versions ([`Configuration::changes_to`]), and text of either kind.
 //!
-//! Promises:
-//! * A step is in force whole or not at all; a refusal names the key at fault, and the version stays what it was.
-//! * The same meaning has the same [`Digest`], whatever steps or files led there.
+//! Guarantees:
+//! * A step is applied completely or not at all; an error names the key at fault, and the version stays what it was.
+//! * Equal meaning has an equal [`Digest`], whatever steps or files led there.
 //! * `a.apply(&a.changes_to(&b))` is `b`, and `changes_to` costs what differs.
 //! * Every list has a bound, and one that is too long is refused by the bound's name: [`MAX_METHODS`], [`MAX_TENANTS`],
 //!   [`MAX_GAUGES`], [`MAX_CHANGES`].
@@ -29,47 +29,48 @@
 //! let step = read_step(r#"{"put":"tenant","Name":"acme","QuotaRps":120}"#, &running)?;
 //! let next = running.apply(&step.changes)?;
 //! assert_eq!((running.tenant("acme"), next.tenant("acme")), (Some(100.0), Some(120.0)));
-//! // Undone, it is exactly what it was.
-//! let undone = next.apply(&next.changes_to(&running))?;
-//! assert_eq!(undone.digest(), running.digest());
+//! // Rolled back, it is exactly what it was.
+//! let rolled_back = next.apply(&next.changes_to(&running))?;
+//! assert_eq!(rolled_back.digest(), running.digest());
 //! # Ok::<(), Box<dyn std::error::Error>>(())
 //! ```
 
-mod content;
-mod fault;
+#![warn(missing_docs)]
+
+mod apply;
+mod change;
+mod configuration;
+mod diff;
+mod digest;
+mod encode;
+mod entry;
+mod error;
 pub mod fields;
-mod frame;
+mod globals;
+mod limits;
+mod name_lookup;
+mod read;
+mod step_line;
 #[cfg(test)]
 mod tests;
-mod text;
+mod time;
+mod validation;
+mod vocabulary;
+mod write;
 
 pub use asterrill::Method;
-pub use content::{check_method, check_name, Change, Configuration, Digest, NameLookup};
-pub use fault::{ConfigError, EntryKind, StepError};
-pub use frame::{GlobalSettings, UpstreamKind};
-pub use text::{read_configuration, read_step, write_configuration, write_step, Step};
-
-/// The name of a method or tenant, 1 to [`MAX_NAME_BYTES`] bytes, shared by all who know it.
-pub type Name = std::sync::Arc<str>;
-
-/// Bytes of a name at the most.
-pub const MAX_NAME_BYTES: usize = 128;
-/// Methods of a version at the most.
-pub const MAX_METHODS: usize = 20_000;
-/// Tenants of a version at the most.
-pub const MAX_TENANTS: usize = 200_000;
-/// Gauges of a frame at the most.
-pub const MAX_GAUGES: usize = 64;
-/// Changes of a step at the most: all that there may be, each put or taken.
-pub const MAX_CHANGES: usize = 2 * (MAX_METHODS + MAX_TENANTS) + 1;
-/// Greater numbers of cores, servers and callers, and greater worths and rates, are refused.
-pub const MAX_FIGURE: f64 = 1e9;
-/// Longer spans are taken for this one, 31 years in microseconds: sums of them and of moments stay far from their type's
-/// end.
-pub const MAX_DURATION: asterrill::Us = 1_000_000_000_000_000;
-/// A terabyte, in megabytes, or a million descriptors, at the most.
-pub const MAX_MACHINE_LIMIT: f64 = 1_048_576.0;
-/// What the deployment grants, as messages name it.
-pub const MEMORY_LIMIT_KEY: &str = "limits.memory_mb";
-/// As [`MEMORY_LIMIT_KEY`].
-pub const SOCKET_LIMIT_KEY: &str = "limits.sockets";
+pub use change::{Change, Step};
+pub use configuration::Configuration;
+pub use digest::{Digest, InvalidDigest};
+pub use entry::{EntryKind, Name};
+pub use error::{ConfigError, StepError};
+pub use globals::{GlobalSettings, UpstreamKind};
+pub use limits::{
+    MAX_CHANGES, MAX_DURATION, MAX_FIGURE, MAX_GAUGES, MAX_MACHINE_LIMIT, MAX_METHODS, MAX_NAME_BYTES,
+    MAX_TENANTS, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY,
+};
+pub use name_lookup::NameLookup;
+pub use read::{read_configuration, read_step};
+pub use time::micros_from_millis;
+pub use validation::{check_method, check_name};
+pub use write::{write_configuration, write_step};
--- /dev/null
+++ b/entries/src/step_line.rs
@@ -0,0 +1,226 @@
+//! One line of a step or version: a JSON object that names the step's base, or is a change.
+
+use crate::change::Change;
+use crate::configuration::Configuration;
+use crate::digest::Digest;
+use crate::entry::EntryKind;
+use crate::error::{ConfigError, StepError};
+use crate::fields::{
+    read_known_fields, FieldValue, GlobalFields, JsonHandler, JsonSeed, ObjectFields, Strictness,
+    METHOD_KEYS, TENANT_KEYS,
+};
+use serde::de::{DeserializeSeed, Error, MapAccess};
+use std::sync::Arc;
+
+const PUT_KEY: &str = "put";
+const REMOVE_KEY: &str = "take";
+const BASE_KEY: &str = "base";
+const HASH_KEY: &str = "hash";
+const GLOBALS_KEY: &str = "frame";
+
+/// All keys of a line.
+const LINE_KEYS: &[&str] = &[
+    PUT_KEY,
+    REMOVE_KEY,
+    "Name",
+    "AimMs",
+    "DeadlineMs",
+    "Effect",
+    "Worth",
+    "LateWorth",
+    "WindowMs",
+    "SkipWorth",
+    "QuotaRps",
+    BASE_KEY,
+    HASH_KEY,
+    GLOBALS_KEY,
+];
+
+const MACHINE_LIMITS_KEY: &str = "limits";
+
+/// All keys of the global settings in a line.
+const GLOBALS_KEYS: &[&str] =
+    &["FamilyInfo", "Safety", "Limits", "StepMs", "ReplicasOfMe", "OverShareWorth", MACHINE_LIMITS_KEY];
+
+/// Versions from 2^53 up can't be told apart in JSON.
+const BASE_BOUND: f64 = 9_007_199_254_740_992.0;
+
+/// What a line says.
+pub(crate) enum Line {
+    /// The version that a step applies to, or the digest of a complete version.
+    Head {
+        /// The version's number.
+        base: Option<u64>,
+        /// The version's digest.
+        hash: Option<Digest>,
+    },
+    /// One change.
+    Change(Change),
+}
+
+/// Reads lines, one after the other, into the same storage.
+pub(crate) struct LineReader {
+    fields: ObjectFields,
+    globals: Option<GlobalFields>,
+}
+
+impl LineReader {
+    pub(crate) fn new() -> LineReader {
+        LineReader { fields: ObjectFields::new(LINE_KEYS, Strictness::Strict), globals: None }
+    }
+
+    /// Reads the line with this number, from 1. Global settings in part are completed from `base`, and names are shared
+    /// with it.
+    ///
+    /// # Errors
+    /// [`StepError`] names the line and the mistake.
+    pub(crate) fn read(
+        &mut self, number: usize, text: &str, base: &Configuration,
+    ) -> Result<Line, StepError> {
+        self.parse(number, text)?;
+        let is_head = self.fields.contains(BASE_KEY) || self.fields.contains(HASH_KEY);
+        let line = match (self.fields.contains(PUT_KEY), self.fields.contains(REMOVE_KEY), &self.globals) {
+            (false, false, Some(globals)) => self.globals_line(globals, base),
+            (false, false, None) if is_head => self.head(),
+            (true, false, None) => self.put(base),
+            (false, true, None) => self.removal(base),
+            _ => return Err(StepError::UnexpectedLine { line: number }),
+        };
+        line.map_err(|why| StepError::InvalidEntry { line: number, why })
+    }
+
+    /// Reads the fields of a line.
+    fn parse(&mut self, number: usize, text: &str) -> Result<(), StepError> {
+        self.globals = None;
+        self.fields.clear();
+        let mut from = serde_json::Deserializer::from_str(text);
+        let parsed = JsonSeed(LineFields(self)).deserialize(&mut from);
+        match parsed.and_then(|is_object| from.end().map(|()| is_object)) {
+            Ok(true) => Ok(()),
+            Ok(false) => Err(StepError::UnexpectedLine { line: number }),
+            Err(error) => Err(parse_error(number, &error)),
+        }
+    }
+
+    /// Refuses all fields but `allowed` ones and `verb`.
+    fn allow_only(&self, verb: Option<&str>, allowed: &[&str]) -> Result<(), ConfigError> {
+        let is_allowed = |key: &str| Some(key) == verb || allowed.contains(&key);
+        match LINE_KEYS.iter().find(|key| self.fields.contains(key) && !is_allowed(key)) {
+            Some(key) => Err(ConfigError::UnknownField(key.to_string())),
+            None => Ok(()),
+        }
+    }
+
+    fn globals_line(&self, globals: &GlobalFields, base: &Configuration) -> Result<Line, ConfigError> {
+        self.allow_only(None, &[])?;
+        let globals = globals.settings(Some(base.globals()))?;
+        Ok(Line::Change(Change::SetGlobals(Arc::new(globals))))
+    }
+
+    fn head(&self) -> Result<Line, ConfigError> {
+        self.allow_only(None, &[BASE_KEY, HASH_KEY])?;
+        let base = match self.fields.optional_number(BASE_KEY)? {
+            Some(number) if number.fract() != 0.0 => return Err(ConfigError::InvalidField(BASE_KEY)),
+            Some(value) if value >= BASE_BOUND => {
+                return Err(ConfigError::OutOfBounds { key: BASE_KEY, value });
+            }
+            number => number.map(|number| number as u64),
+        };
+        let hash = match self.fields.contains(HASH_KEY) {
+            true => Some(self.fields.text(HASH_KEY)?.parse()?),
+            false => None,
+        };
+        Ok(Line::Head { base, hash })
+    }
+
+    fn put(&self, base: &Configuration) -> Result<Line, ConfigError> {
+        let kind = self.kind(PUT_KEY)?;
+        let allowed = if kind == EntryKind::Method { METHOD_KEYS } else { TENANT_KEYS };
+        self.allow_only(Some(PUT_KEY), allowed)?;
+        let name = base.shared_name(kind, self.fields.entry_name(kind)?);
+        let change = match kind {
+            EntryKind::Method => {
+                let method = self.fields.method().map_err(|why| why.in_entry(kind, &name))?;
+                Change::PutMethod(name, method)
+            }
+            EntryKind::Tenant => {
+                let quota = self.fields.quota().map_err(|why| why.in_entry(kind, &name))?;
+                Change::PutTenant(name, quota)
+            }
+        };
+        Ok(Line::Change(change))
+    }
+
+    fn removal(&self, base: &Configuration) -> Result<Line, ConfigError> {
+        let kind = self.kind(REMOVE_KEY)?;
+        self.allow_only(Some(REMOVE_KEY), &["Name"])?;
+        let name = base.shared_name(kind, self.fields.entry_name(kind)?);
+        Ok(Line::Change(match kind {
+            EntryKind::Method => Change::RemoveMethod(name),
+            EntryKind::Tenant => Change::RemoveTenant(name),
+        }))
+    }
+
+    fn kind(&self, verb: &'static str) -> Result<EntryKind, ConfigError> {
+        let word = self.fields.text(verb)?;
+        let kinds = [EntryKind::Method, EntryKind::Tenant];
+        let kind = kinds.into_iter().find(|kind| kind.word() == word);
+        kind.ok_or_else(|| ConfigError::unknown_word(verb, word))
+    }
+}
+
+/// The parser's error, by the number of the line in the whole text.
+fn parse_error(line: usize, error: &serde_json::Error) -> StepError {
+    let why = error.to_string().replace(" at line 1 column ", " at column ");
+    if error.is_data() {
+        StepError::InvalidField { line, why }
+    } else {
+        StepError::Json { line, why }
+    }
+}
+
+/// Reads the object of a line; returns whether it was one.
+struct LineFields<'r>(&'r mut LineReader);
+
+impl JsonHandler for LineFields<'_> {
+    type Output = bool;
+
+    fn scalar<E: Error>(self, _: FieldValue) -> Result<bool, E> {
+        Ok(false)
+    }
+
+    fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
+        let LineReader { fields, globals } = self.0;
+        read_known_fields(object, LINE_KEYS, Strictness::Strict, |key, object| {
+            if key.name != GLOBALS_KEY {
+                return fields.read_value(key.index, object);
+            }
+            let mut read = GlobalFields::new(Strictness::Strict);
+            if !object.next_value_seed(JsonSeed(GlobalsObject(&mut read)))? {
+                return Err(A::Error::custom(ConfigError::InvalidField(GLOBALS_KEY)));
+            }
+            *globals = Some(read);
+            Ok(())
+        })?;
+        Ok(true)
+    }
+}
+
+/// Reads the object of global settings in a line; returns whether it was one.
+struct GlobalsObject<'f>(&'f mut GlobalFields);
+
+impl JsonHandler for GlobalsObject<'_> {
+    type Output = bool;
+
+    fn scalar<E: Error>(self, _: FieldValue) -> Result<bool, E> {
+        Ok(false)
+    }
+
+    fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
+        read_known_fields(object, GLOBALS_KEYS, Strictness::Strict, |key, object| match key.name {
+            MACHINE_LIMITS_KEY => self.0.read_machine_limits(object).map(drop),
+            _ => self.0.read(key, object),
+        })?;
+        Ok(true)
+    }
+}
--- /dev/null
+++ b/entries/src/validation.rs
@@ -0,0 +1,60 @@
+//! Checks of single entries and figures.
+
+use crate::entry::EntryKind;
+use crate::error::ConfigError;
+use crate::limits::{MAX_DURATION, MAX_FIGURE, MAX_NAME_BYTES};
+use crate::time::millis_from_micros;
+use asterrill::{Method, Us};
+
+/// Checks the name of an entry: 1 to [`MAX_NAME_BYTES`] bytes without control characters. A method's name has no blanks
+/// either, as it stands in lines to the agent.
+///
+/// # Errors
+/// [`ConfigError::InvalidName`], with the start of the name.
+pub fn check_name(kind: EntryKind, name: &str) -> Result<(), ConfigError> {
+    let word = kind == EntryKind::Method;
+    let forbidden = |c: char| c.is_control() || word && c.is_whitespace();
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(forbidden) {
+        return Err(ConfigError::InvalidName { name: name.chars().take(MAX_NAME_BYTES).collect(), word });
+    }
+    Ok(())
+}
+
+/// Checks the figures of a method.
+///
+/// # Errors
+/// [`ConfigError::OutOfBounds`] names the field.
+pub fn check_method(method: &Method) -> Result<(), ConfigError> {
+    check_duration("AimMs", method.latency_target)?;
+    check_duration("DeadlineMs", method.deadline)?;
+    check_duration("WindowMs", method.idempotency_window)?;
+    check_at_most("Worth", method.criticality, MAX_FIGURE)?;
+    check_at_most("LateWorth", method.late_value_ratio, MAX_FIGURE)?;
+    check_at_most("SkipWorth", method.skip_value_ratio, MAX_FIGURE)
+}
+
+/// Checks the quota of a tenant, in RPCs a second.
+///
+/// # Errors
+/// [`ConfigError::OutOfBounds`].
+pub(crate) fn check_quota(quota: f64) -> Result<(), ConfigError> {
+    check_at_most("QuotaRps", quota, MAX_FIGURE)
+}
+
+/// Checks that a number is within 0 and `most`, ends included; NaN is not.
+pub(crate) fn check_at_most(key: &'static str, value: f64, most: f64) -> Result<(), ConfigError> {
+    if (0.0..=most).contains(&value) {
+        Ok(())
+    } else {
+        Err(ConfigError::OutOfBounds { key, value })
+    }
+}
+
+/// Checks that a duration is at most [`MAX_DURATION`]. The error has it in milliseconds, as its field does.
+pub(crate) fn check_duration(key: &'static str, value: Us) -> Result<(), ConfigError> {
+    if value <= MAX_DURATION {
+        Ok(())
+    } else {
+        Err(ConfigError::OutOfBounds { key, value: millis_from_micros(value) })
+    }
+}
--- /dev/null
+++ b/entries/src/write.rs
@@ -0,0 +1,42 @@
+//! Steps and complete versions as text: one entry a line, each a JSON object in the platform's field names.
+
+use crate::change::Step;
+use crate::configuration::Configuration;
+use crate::encode::{encode_change, encode_globals_line, encode_method, encode_tenant};
+use std::fmt;
+
+/// A step as text; [`read_step`](crate::read_step) makes the same step of it.
+pub fn write_step(step: &Step) -> String {
+    let mut text = step_head(step);
+    for change in &step.changes {
+        // Writing to a string can't fail.
+        encode_change(change, &mut text).unwrap_or_default();
+    }
+    text
+}
+
+/// The first line of a step, with the version that it applies to; empty where the step names none.
+fn step_head(step: &Step) -> String {
+    match (step.base, step.hash) {
+        (None, None) => String::new(),
+        (Some(base), None) => format!("{{\"base\":{base}}}\n"),
+        (None, Some(hash)) => format!("{{\"hash\":\"{hash}\"}}\n"),
+        (Some(base), Some(hash)) => format!("{{\"base\":{base},\"hash\":\"{hash}\"}}\n"),
+    }
+}
+
+/// Writes a complete version as lines, the global settings first;
+/// [`read_configuration`](crate::read_configuration) makes the same version of it.
+///
+/// # Errors
+/// Those of `to`.
+pub fn write_configuration(configuration: &Configuration, to: &mut dyn fmt::Write) -> fmt::Result {
+    encode_globals_line(configuration.globals(), to)?;
+    for (name, method) in configuration.methods() {
+        encode_method(name, method, to)?;
+    }
+    for (name, quota) in configuration.tenants() {
+        encode_tenant(name, quota, to)?;
+    }
+    Ok(())
+}
--- a/settings/src/deployment.rs
+++ b/settings/src/deployment.rs
@@ -1,69 +1,46 @@
-//! What a backend is told at its start.
+//! The file with which a backend is started.
 
-use crate::lists::{Lists, Told};
-use crate::SettingsError;
-use asterrill_entries::fields::{walk, Any, Fields, Form, Reading, Scalar};
+use crate::bounded_read::BoundedRead;
+use crate::error::{SettingsError, MAX_FILE_BYTES};
+use crate::platform_settings::{PlatformSettings, PlatformSettingsReader};
+use asterrill::Us;
+use asterrill_entries::fields::{
+    read_known_fields, FieldValue, JsonHandler, JsonSeed, ObjectFields, Strictness,
+};
 use asterrill_entries::{Configuration, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY};
 use serde::de::{DeserializeSeed, Error, MapAccess};
-use std::io::{self, BufReader, Read};
+use std::io::{BufReader, Read};
 use std::net::SocketAddr;
 
-/// Bytes of a file at the most: all that the bounds of its lists allow, by names of a usual length, and half as much again.
-pub const MAX_FILE_BYTES: u64 = 16 * 1024 * 1024;
+/// Bytes that are read from a file at a time.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// The place of this backend among the others.
+/// What the platform starts a backend with: its place among the others, and its settings.
 #[derive(Clone, Debug)]
 pub struct Deployment {
+    /// The backend's name (`name`).
     pub name: String,
+    /// Where sidecars connect (`listen`).
     pub listen: SocketAddr,
+    /// The agent's address (`agent`).
     pub agent: SocketAddr,
+    /// The name service's address (`naming`).
     pub name_service: SocketAddr,
-    /// Left out where nothing lies below.
+    /// The upstream's address (`records`); `None` where it calls nothing.
     pub upstream: Option<SocketAddr>,
+    /// The seed of all random decisions (`seed`, hexadecimal).
     pub seed: u64,
-    /// From the notice to leave to the kill.
-    pub shutdown_grace: asterrill::Us,
-    /// As `content.frame()` has it.
+    /// Microseconds from the notice of shutdown to the kill (`stop_ms`).
+    pub shutdown_grace: Us,
+    /// Memory in megabytes that the deployment grants, as in the configuration's global settings.
     pub memory_mb: u64,
-    /// As `content.frame()` has it.
+    /// File descriptors that the deployment grants, as in the configuration's global settings.
     pub sockets: u64,
     /// The settings of the decision module, and what the deployment grants.
     pub configuration: Configuration,
 }
 
-const OWN: &[&str] =
-    &["name", "listen", "agent", "naming", "records", "seed", "stop_ms", "limits", "settings"];
-const SCALARS: &[&str] = &["name", "listen", "agent", "naming", "records", "seed", "stop_ms"];
-
-struct File<'r> {
-    own: Fields,
-    lists: Lists<'r>,
-    limits: bool,
-    settings: bool,
-}
-
-impl Form for &mut File<'_> {
-    type Made = bool;
-    fn scalar<E: Error>(self, _: Scalar) -> Result<bool, E> {
-        Ok(false)
-    }
-    fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
-        walk(object, OWN, Reading::File, |place, object| match OWN.get(place) {
-            Some(&"limits") => {
-                self.limits = self.lists.frame.read_machine(object)?;
-                Ok(())
-            }
-            Some(&"settings") => {
-                self.settings = object.next_value_seed(Any(&mut self.lists))?;
-                Ok(())
-            }
-            _ => self.own.read(place, object),
-        })?;
-        Ok(true)
-    }
-}
-
-/// Reads the configuration, a JSON object.
+/// Reads a deployment's file, a JSON object.
 ///
 /// # Errors
 /// As [`read_from`].
@@ -71,75 +48,125 @@
     if json.len() as u64 > MAX_FILE_BYTES {
         return Err(SettingsError::FileTooLong);
     }
-    deployment(&mut serde_json::Deserializer::from_str(json), None)
+    parse(&mut serde_json::Deserializer::from_str(json), None)
 }
 
-/// Reads the configuration, a JSON object, as it comes: neither its text nor a tree of it is kept. What is the same in
-/// `running` is shared with it, so that a file which changes one quota costs one entry of new memory.
+/// Reads a deployment's file, a JSON object, as a stream: neither its text nor a tree of it is stored. What is the same
+/// in `running` is shared with it, so that a file which changes one quota costs one entry of new memory.
 ///
-/// Keys may come in any order; those not known are passed over, and one that is known and stands twice is refused.
+/// Keys may come in any order; unknown ones are skipped, and a known one that stands twice is refused.
 ///
 /// # Errors
-/// The message names what is wrong: the reader's own error, more than [`MAX_FILE_BYTES`] bytes, no JSON, or the key at fault.
+/// [`SettingsError`]: the reader's own error, more than [`MAX_FILE_BYTES`], no JSON, or the key at fault.
 pub fn read_from(reader: impl Read, running: Option<&Configuration>) -> Result<Deployment, SettingsError> {
-    let bounded = BufReader::with_capacity(16 * 1024, Bounded { reader, left: MAX_FILE_BYTES });
-    deployment(&mut serde_json::Deserializer::from_reader(bounded), running)
+    let bounded = BoundedRead::new(reader, MAX_FILE_BYTES);
+    let buffered = BufReader::with_capacity(READ_BUFFER_BYTES, bounded);
+    parse(&mut serde_json::Deserializer::from_reader(buffered), running)
 }
 
-fn deployment<'d, R: serde_json::de::Read<'d>>(
+fn parse<'d, R: serde_json::de::Read<'d>>(
     from: &mut serde_json::Deserializer<R>, running: Option<&Configuration>,
 ) -> Result<Deployment, SettingsError> {
-    let own = Fields::new(SCALARS, Reading::File);
-    let mut file = File { own, lists: Lists::new(running), limits: false, settings: false };
-    Any(&mut file).deserialize(&mut *from)?;
+    let mut file = FileReader::new(running);
+    JsonSeed(&mut file).deserialize(&mut *from)?;
     from.end()?;
-    let File { own, lists, limits, settings } = file;
-    let address = |name| own.text(name)?.parse().map_err(|_| SettingsError::invalid_field(name));
-    if !limits {
-        return Err(SettingsError::invalid_field("limits"));
+    file.finish(running)
+}
+
+const LIMITS_KEY: &str = "limits";
+const SETTINGS_KEY: &str = "settings";
+
+/// All keys of the file; those before `limits` are scalars.
+const FILE_KEYS: &[&str] =
+    &["name", "listen", "agent", "naming", "records", "seed", "stop_ms", LIMITS_KEY, SETTINGS_KEY];
+
+/// Reads the object of the file; used as a handler it returns whether there was one.
+struct FileReader<'r> {
+    scalars: ObjectFields,
+    settings: PlatformSettingsReader<'r>,
+    has_limits: bool,
+    has_settings: bool,
+}
+
+impl JsonHandler for &mut FileReader<'_> {
+    type Output = bool;
+
+    fn scalar<E: Error>(self, _: FieldValue) -> Result<bool, E> {
+        Ok(false)
     }
-    let (name, listen, agent, naming) =
-        (own.text("name")?.to_string(), address("listen")?, address("agent")?, address("naming")?);
-    let records = if own.told("records").is_some() { Some(address("records")?) } else { None };
-    let seed =
-        u64::from_str_radix(own.text("seed")?, 16).map_err(|_| SettingsError::invalid_field("seed"))?;
-    let stop = own.time("stop_ms")?;
-    if !settings {
-        return Err(SettingsError::invalid_field("settings"));
+
+    fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
+        read_known_fields(object, FILE_KEYS, Strictness::Lenient, |key, object| {
+            match key.name {
+                LIMITS_KEY => self.has_limits = self.settings.globals.read_machine_limits(object)?,
+                SETTINGS_KEY => self.has_settings = object.next_value_seed(JsonSeed(&mut self.settings))?,
+                _ => self.scalars.read_value(key.index, object)?,
+            }
+            Ok(())
+        })?;
+        Ok(true)
     }
-    let Told { frame, methods, tenants } = lists.told()?;
-    let (memory_mb, sockets) = (frame.memory_mb, frame.sockets);
-    for (granted, key) in [(memory_mb, MEMORY_LIMIT_KEY), (sockets, SOCKET_LIMIT_KEY)] {
-        if granted == 0 {
-            return Err(SettingsError::invalid_field(key));
+}
+
+impl<'r> FileReader<'r> {
+    fn new(running: Option<&'r Configuration>) -> FileReader<'r> {
+        FileReader {
+            scalars: ObjectFields::new(FILE_KEYS, Strictness::Lenient),
+            settings: PlatformSettingsReader::new(running),
+            has_limits: false,
+            has_settings: false,
         }
     }
-    let content = Configuration::from_entries(running, frame, methods, tenants)?;
-    Ok(Deployment {
-        name,
-        listen,
-        agent,
-        name_service: naming,
-        upstream: records,
-        seed,
-        shutdown_grace: stop,
-        memory_mb,
-        sockets,
-        configuration: content,
-    })
-}
 
-/// Fails as soon as there is more than is left.
-struct Bounded<R> {
-    reader: R,
-    left: u64,
-}
+    fn address(&self, key: &'static str) -> Result<SocketAddr, SettingsError> {
+        self.scalars.text(key)?.parse().map_err(|_| SettingsError::invalid_field(key))
+    }
+
+    fn optional_address(&self, key: &'static str) -> Result<Option<SocketAddr>, SettingsError> {
+        match self.scalars.value(key) {
+            Some(_) => self.address(key).map(Some),
+            None => Ok(None),
+        }
+    }
+
+    fn seed(&self) -> Result<u64, SettingsError> {
+        let digits = self.scalars.text("seed")?;
+        u64::from_str_radix(digits, 16).map_err(|_| SettingsError::invalid_field("seed"))
+    }
 
-impl<R: Read> Read for Bounded<R> {
-    fn read(&mut self, to: &mut [u8]) -> io::Result<usize> {
-        let n = self.reader.read(to)?;
-        self.left =
-            self.left.checked_sub(n as u64).ok_or_else(|| io::Error::other(SettingsError::FileTooLong))?;
-        Ok(n)
+    fn finish(self, running: Option<&Configuration>) -> Result<Deployment, SettingsError> {
+        if !self.has_limits {
+            return Err(SettingsError::invalid_field(LIMITS_KEY));
+        }
+        let name = self.scalars.text("name")?.to_string();
+        let listen = self.address("listen")?;
+        let agent = self.address("agent")?;
+        let name_service = self.address("naming")?;
+        let upstream = self.optional_address("records")?;
+        let seed = self.seed()?;
+        let shutdown_grace = self.scalars.duration("stop_ms")?;
+        if !self.has_settings {
+            return Err(SettingsError::invalid_field(SETTINGS_KEY));
+        }
+        let PlatformSettings { globals, methods, tenants } = self.settings.finish()?;
+        let (memory_mb, sockets) = (globals.memory_mb, globals.sockets);
+        for (limit, key) in [(memory_mb, MEMORY_LIMIT_KEY), (sockets, SOCKET_LIMIT_KEY)] {
+            if limit == 0 {
+                return Err(SettingsError::invalid_field(key));
+            }
+        }
+        let configuration = Configuration::from_entries(running, globals, methods, tenants)?;
+        Ok(Deployment {
+            name,
+            listen,
+            agent,
+            name_service,
+            upstream,
+            seed,
+            shutdown_grace,
+            memory_mb,
+            sockets,
+            configuration,
+        })
     }
 }
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -1,9 +1,12 @@
 //! Why settings cannot be used.
 
-use crate::MAX_FILE_BYTES;
 use asterrill_entries::ConfigError;
 use std::io;
 
+/// Most bytes of a deployment's file: all that the bounds of its lists allow, with names of a usual length, and half as
+/// much again.
+pub const MAX_FILE_BYTES: u64 = 16 * 1024 * 1024;
+
 /// Why settings or a deployment's file cannot be used. The message names the key at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
--- a/settings/src/json.rs
+++ b/settings/src/json.rs
@@ -3,9 +3,9 @@
 //! # Errors
 //! Each function returns [`SettingsError::InvalidField`] with the name of the field that is absent or has the wrong type.
 
-use crate::SettingsError;
+use crate::error::SettingsError;
 use asterrill::Us;
-pub use asterrill_entries::fields::us as micros_from_millis;
+pub use asterrill_entries::micros_from_millis;
 use serde_json::Value;
 
 /// A string.
--- /dev/null
+++ b/settings/src/platform_settings.rs
@@ -0,0 +1,160 @@
+//! The platform's settings, read as a stream into entries: without a tree of the whole, and without a copy of its text.
+
+use crate::error::SettingsError;
+use asterrill_entries::fields::{
+    read_known_fields, FieldValue, GlobalFields, JsonHandler, JsonSeed, ObjectFields, Strictness,
+    METHOD_KEYS, SETTINGS_KEYS, TENANT_KEYS,
+};
+use asterrill_entries::{
+    ConfigError, Configuration, EntryKind, GlobalSettings, Method, Name, NameLookup, MAX_METHODS, MAX_TENANTS,
+};
+use serde::de::{DeserializeSeed, Error, MapAccess, SeqAccess};
+use serde_json::Value;
+
+/// The platform's settings, with methods and tenants in the order of their lists.
+pub(crate) struct PlatformSettings {
+    pub(crate) globals: GlobalSettings,
+    pub(crate) methods: Vec<(Name, Method)>,
+    /// Quotas in RPCs a second.
+    pub(crate) tenants: Vec<(Name, f64)>,
+}
+
+impl PlatformSettings {
+    /// Reads settings from a tree.
+    ///
+    /// # Errors
+    /// [`SettingsError`] names the key at fault.
+    pub(crate) fn from_value(settings: &Value) -> Result<PlatformSettings, SettingsError> {
+        let mut reader = PlatformSettingsReader::new(None);
+        JsonSeed(&mut reader).deserialize(settings)?;
+        reader.finish()
+    }
+}
+
+/// Reads an object of settings; used as a handler it returns whether there was one.
+pub(crate) struct PlatformSettingsReader<'r> {
+    /// The names of the running version, to be shared.
+    running_names: Option<NameLookup<'r>>,
+    pub(crate) globals: GlobalFields,
+    methods: Vec<(Name, Method)>,
+    tenants: Vec<(Name, f64)>,
+    /// There was a list of methods.
+    has_method_list: bool,
+}
+
+impl<'r> PlatformSettingsReader<'r> {
+    /// Names are shared with `running`.
+    pub(crate) fn new(running: Option<&'r Configuration>) -> PlatformSettingsReader<'r> {
+        PlatformSettingsReader {
+            running_names: running.map(NameLookup::new),
+            globals: GlobalFields::new(Strictness::Lenient),
+            methods: Vec::new(),
+            tenants: Vec::new(),
+            has_method_list: false,
+        }
+    }
+
+    /// The settings that were read.
+    ///
+    /// # Errors
+    /// [`SettingsError`] names the key at fault.
+    pub(crate) fn finish(mut self) -> Result<PlatformSettings, SettingsError> {
+        let globals = self.globals.settings(None)?;
+        if !self.has_method_list || self.methods.is_empty() {
+            return Err(SettingsError::invalid_field(EntryKind::Method.list_key()));
+        }
+        let skip_weights = self.globals.skip_weights().iter().copied().chain(std::iter::repeat(0.0));
+        for ((_, method), skip_weight) in self.methods.iter_mut().zip(skip_weights) {
+            method.skip_value_ratio = skip_weight;
+        }
+        Ok(PlatformSettings { globals, methods: self.methods, tenants: self.tenants })
+    }
+
+    fn shared_name(&mut self, kind: EntryKind, name: &str) -> Name {
+        match &mut self.running_names {
+            Some(running) => running.shared_name(kind, name),
+            None => name.into(),
+        }
+    }
+
+    /// Adds one more entry. Too many are refused as they come, before they take memory.
+    fn add_entry(&mut self, kind: EntryKind, fields: &ObjectFields) -> Result<(), ConfigError> {
+        let name = self.shared_name(kind, fields.entry_name(kind)?);
+        let is_full = match kind {
+            EntryKind::Method => self.methods.len() >= MAX_METHODS,
+            EntryKind::Tenant => self.tenants.len() >= MAX_TENANTS,
+        };
+        if is_full {
+            return Err(ConfigError::too_many_entries(kind));
+        }
+        match kind {
+            EntryKind::Method => {
+                let method = fields.method().map_err(|why| why.in_entry(kind, &name))?;
+                self.methods.push((name, method));
+            }
+            EntryKind::Tenant => {
+                let quota = fields.quota().map_err(|why| why.in_entry(kind, &name))?;
+                self.tenants.push((name, quota));
+            }
+        }
+        Ok(())
+    }
+}
+
+impl JsonHandler for &mut PlatformSettingsReader<'_> {
+    type Output = bool;
+
+    fn scalar<E: Error>(self, _: FieldValue) -> Result<bool, E> {
+        Ok(false)
+    }
+
+    fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
+        read_known_fields(object, SETTINGS_KEYS, Strictness::Lenient, |key, object| {
+            match key.name {
+                "Categories" => {
+                    let list = EntryList { kind: EntryKind::Method, reader: self };
+                    self.has_method_list = object.next_value_seed(JsonSeed(list))?;
+                }
+                "Tenants" => {
+                    let list = EntryList { kind: EntryKind::Tenant, reader: self };
+                    object.next_value_seed(JsonSeed(list))?;
+                }
+                _ => self.globals.read(key, object)?,
+            }
+            Ok(())
+        })?;
+        Ok(true)
+    }
+}
+
+/// Reads a list of methods or tenants; returns whether it was one.
+struct EntryList<'l, 'r> {
+    kind: EntryKind,
+    reader: &'l mut PlatformSettingsReader<'r>,
+}
+
+impl EntryList<'_, '_> {
+    /// The fields of an entry. The platform lists `SkipWorth`, the last field of a method, in `FamilyInfo` instead.
+    fn entry_keys(&self) -> &'static [&'static str] {
+        match self.kind {
+            EntryKind::Method => METHOD_KEYS.split_last().map_or(METHOD_KEYS, |(_, others)| others),
+            EntryKind::Tenant => TENANT_KEYS,
+        }
+    }
+}
+
+impl JsonHandler for EntryList<'_, '_> {
+    type Output = bool;
+
+    fn scalar<E: Error>(self, _: FieldValue) -> Result<bool, E> {
+        Ok(false)
+    }
+
+    fn array<'d, A: SeqAccess<'d>>(self, mut array: A) -> Result<bool, A::Error> {
+        let mut fields = ObjectFields::new(self.entry_keys(), Strictness::Lenient);
+        while array.next_element_seed(JsonSeed(&mut fields))?.is_some() {
+            self.reader.add_entry(self.kind, &fields).map_err(A::Error::custom)?;
+        }
+        Ok(true)
+    }
+}
--- /dev/null
+++ b/settings/src/server_parts.rs
@@ -0,0 +1,179 @@
+//! The parts of the decision module, made from a configuration. No decision is taken here.
+
+use crate::error::SettingsError;
+use crate::platform_settings::PlatformSettings;
+use asterrill::{
+    CallerAccounts, CallerFeedback, ConcurrencyLimit, Control, Drain, FeedbackMode, Idempotency,
+    IdempotencyKeys, MemoryBudget, TenantQuotas, UpstreamCalls, Us,
+};
+use asterrill_entries::{Configuration, EntryKind, GlobalSettings, Method, Name};
+use serde_json::Value;
+
+/// The decision module of one server, with the names of what it numbers and what its surroundings have to know.
+pub struct ServerParts {
+    /// The decision module.
+    pub control: Control,
+    /// Names of the methods, by `MethodId`.
+    pub methods: Vec<Name>,
+    /// Names of the tenants, by the index that the decision module uses.
+    pub tenants: Vec<Name>,
+    /// By `MethodId`: whether an RPC may run again.
+    pub effects: Vec<Idempotency>,
+    /// By `MethodId`: the latency targets in microseconds.
+    pub latency_targets: Vec<Us>,
+    /// The longest deadline of any method, in microseconds.
+    pub longest_deadline: Us,
+    /// Cores of the server.
+    pub cores: f64,
+    /// The load report is the number of RPCs that each caller may have outstanding.
+    pub publishes_credit: bool,
+    /// The names of the gauges, in their order.
+    pub gauges: Vec<String>,
+    /// By `MethodId`: an RPC may get the response of another one.
+    pub coalescable: Vec<bool>,
+    /// How long the response of a read may serve other RPCs, in microseconds; 0 for never.
+    pub response_ttl: Us,
+    /// The least time between two inputs of the decision module, in microseconds.
+    pub min_event_interval: Us,
+}
+
+/// The parts of a server that its global settings make, without methods and tenants: what a change of them replaces.
+pub struct GlobalParts {
+    /// The decision module, without methods and tenants.
+    pub control: Control,
+    /// As [`ServerParts::longest_deadline`].
+    pub longest_deadline: Us,
+    /// As [`ServerParts::cores`].
+    pub cores: f64,
+    /// As [`ServerParts::publishes_credit`].
+    pub publishes_credit: bool,
+    /// As [`ServerParts::gauges`].
+    pub gauges: Vec<String>,
+    /// As [`ServerParts::response_ttl`].
+    pub response_ttl: Us,
+    /// As [`ServerParts::min_event_interval`].
+    pub min_event_interval: Us,
+}
+
+/// The server of a version, methods and tenants ordered by name. `cold_start` overrides the setting.
+///
+/// # Errors
+/// [`SettingsError`]: it is to start cold and the version does not say how, or it has no method.
+pub fn server_parts(
+    now: Us, seed: u64, configuration: &Configuration, cold_start: Option<bool>,
+) -> Result<ServerParts, SettingsError> {
+    let methods = configuration.methods().map(|(name, method)| (name.clone(), method.clone())).collect();
+    let tenants = configuration.tenants().map(|(name, quota)| (name.clone(), quota)).collect();
+    make_server(now, seed, configuration.globals(), methods, tenants, cold_start)
+}
+
+/// The server of the platform's settings, methods and tenants in the order of their lists. `cold_start` overrides the
+/// setting.
+///
+/// # Errors
+/// [`SettingsError`] names the key at fault.
+pub fn server_parts_from_json(
+    now: Us, seed: u64, settings: &Value, cold_start: Option<bool>,
+) -> Result<ServerParts, SettingsError> {
+    let PlatformSettings { globals, methods, tenants } = PlatformSettings::from_value(settings)?;
+    // Duplicate names are found by sorting them.
+    Configuration::from_entries(None, globals.clone(), methods.clone(), tenants.clone())?;
+    make_server(now, seed, &globals, methods, tenants, cold_start)
+}
+
+/// The version that the platform's settings make, with the limits that the deployment grants.
+///
+/// # Errors
+/// [`SettingsError`] names the key at fault.
+pub fn configuration_from_json(
+    settings: &Value, memory_mb: u64, sockets: u64,
+) -> Result<Configuration, SettingsError> {
+    let PlatformSettings { globals, methods, tenants } = PlatformSettings::from_value(settings)?;
+    let globals = GlobalSettings { memory_mb, sockets, ..globals };
+    Ok(Configuration::from_entries(None, globals, methods, tenants)?)
+}
+
+/// The parts that the global settings of a version make. The shortest latency target and the longest deadline are those
+/// of its methods.
+///
+/// # Errors
+/// [`SettingsError`]: it is to start cold and the version does not say how.
+pub fn global_parts(now: Us, seed: u64, configuration: &Configuration) -> Result<GlobalParts, SettingsError> {
+    let globals = configuration.globals();
+    let targets = configuration.methods().map(|(_, method)| method.latency_target);
+    let deadlines = configuration.methods().map(|(_, method)| method.deadline);
+    let shortest_target = targets.min().unwrap_or(1);
+    Ok(GlobalParts {
+        control: control(now, seed, globals, shortest_target, Vec::new(), &[], None)?,
+        longest_deadline: deadlines.max().unwrap_or(0),
+        cores: globals.cores as f64,
+        publishes_credit: globals.load_report == FeedbackMode::Credit,
+        gauges: gauge_names(globals),
+        response_ttl: globals.response_ttl,
+        min_event_interval: globals.min_event_interval,
+    })
+}
+
+fn gauge_names(globals: &GlobalSettings) -> Vec<String> {
+    globals.gauges.iter().map(|name| name.to_string()).collect()
+}
+
+/// The decision module; each of its parts gets only the figures that it needs.
+fn control(
+    now: Us, seed: u64, globals: &GlobalSettings, shortest_target: Us, methods: Vec<Method>, quotas: &[f64],
+    cold_start: Option<bool>,
+) -> Result<Control, SettingsError> {
+    let cores = globals.cores as usize;
+    let initial_speed = globals.initial_speed(cold_start.unwrap_or(globals.cold_start))?;
+    let max_retry_after = if globals.retry_after { globals.max_retry_after } else { 0 };
+    Ok(Control::new(
+        now,
+        seed,
+        globals.min_event_interval,
+        globals.stop_mode,
+        methods,
+        CallerAccounts::new(shortest_target, globals.callers as usize),
+        ConcurrencyLimit::new(
+            now,
+            cores,
+            globals.max_running_per_core,
+            initial_speed,
+            globals.slow_start_duration,
+        ),
+        UpstreamCalls::new(globals.upstream_limits()?, cores, globals.abandoned_call_linger, shortest_target),
+        IdempotencyKeys::new(globals.kb_per_key, globals.response_ttl),
+        MemoryBudget::new(globals.ram_kb, globals.run_factor),
+        Drain::new(globals.health_propagation_delay),
+        CallerFeedback::new(globals.load_report, max_retry_after, shortest_target, globals.idle_timeout),
+        TenantQuotas::new(quotas, globals.replicas as usize, globals.over_quota_weight),
+    ))
+}
+
+fn make_server(
+    now: Us, seed: u64, globals: &GlobalSettings, methods: Vec<(Name, Method)>, tenants: Vec<(Name, f64)>,
+    cold_start: Option<bool>,
+) -> Result<ServerParts, SettingsError> {
+    let (method_names, methods): (Vec<Name>, Vec<Method>) = methods.into_iter().unzip();
+    let (tenant_names, quotas): (Vec<Name>, Vec<f64>) = tenants.into_iter().unzip();
+    let shortest_target = methods.iter().map(|method| method.latency_target).min();
+    let shortest_target =
+        shortest_target.ok_or_else(|| SettingsError::invalid_field(EntryKind::Method.list_key()))?;
+    let effects: Vec<Idempotency> = methods.iter().map(|method| method.idempotency).collect();
+    let latency_targets = methods.iter().map(|method| method.latency_target).collect();
+    let longest_deadline = methods.iter().map(|method| method.deadline).max().unwrap_or(0);
+    let coalescable = effects.iter().map(|effect| *effect == Idempotency::Idempotent).collect();
+    Ok(ServerParts {
+        control: control(now, seed, globals, shortest_target, methods, &quotas, cold_start)?,
+        methods: method_names,
+        tenants: tenant_names,
+        effects,
+        latency_targets,
+        longest_deadline,
+        cores: globals.cores as f64,
+        publishes_credit: globals.load_report == FeedbackMode::Credit,
+        gauges: gauge_names(globals),
+        coalescable,
+        response_ttl: globals.response_ttl,
+        min_event_interval: globals.min_event_interval,
+    })
+}
