--- /dev/null
+++ b/lab/src/broker/channel.rs
@@ -0,0 +1,72 @@
+//! One channel of a connection: its consumer, its tags, and what is published on it.
+
+use super::state::Message;
+use amq_protocol::protocol::basic::{AMQPProperties, Publish};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A subscription.
+pub(super) struct Consumer {
+    pub(super) queue: String,
+    pub(super) tag: String,
+    pub(super) prefetch: usize,
+}
+
+/// A message that the client publishes, as far as it has come.
+pub(super) struct Publishing {
+    pub(super) publish: Publish,
+    pub(super) properties: Option<AMQPProperties>,
+    pub(super) body: Vec<u8>,
+    /// Bytes of the body, once its header has come.
+    pub(super) body_size: Option<u64>,
+}
+
+impl Publishing {
+    pub(super) fn new(publish: Publish) -> Publishing {
+        Publishing { publish, properties: None, body: Vec::new(), body_size: None }
+    }
+
+    fn is_complete(&self) -> bool {
+        self.body_size.is_some_and(|size| self.body.len() as u64 >= size)
+    }
+}
+
+/// One channel.
+#[derive(Default)]
+pub(super) struct Channel {
+    pub(super) prefetch: usize,
+    pub(super) consumer: Option<Consumer>,
+    pub(super) last_tag: u64,
+    /// Deliveries that are not settled, with their queue, by tag.
+    pub(super) unsettled: BTreeMap<u64, (String, Message)>,
+    pub(super) settled_tags: BTreeSet<u64>,
+    /// What was settled, with its queue, for a broker that forgets.
+    pub(super) settled_messages: Vec<(String, Message)>,
+    /// Publisher confirms so far, if they were selected.
+    pub(super) confirms: Option<u64>,
+    pub(super) publishing: Option<Publishing>,
+}
+
+impl Channel {
+    /// Takes the next tag for a message of a queue.
+    pub(super) fn assign_tag(&mut self, queue: String, message: Message) -> u64 {
+        self.last_tag += 1;
+        self.unsettled.insert(self.last_tag, (queue, message));
+        self.last_tag
+    }
+
+    /// Whether a consumer is there that may have one more delivery.
+    pub(super) fn has_capacity(&self) -> bool {
+        self.consumer.as_ref().is_some_and(|consumer| self.unsettled.len() < consumer.prefetch.max(1))
+    }
+
+    /// What is published, once it is complete.
+    pub(super) fn take_published(&mut self) -> Option<Publishing> {
+        self.publishing.take_if(|publishing| publishing.is_complete())
+    }
+
+    /// The delivery tag of the next publisher confirm, if those were selected.
+    pub(super) fn next_confirm(&mut self) -> Option<u64> {
+        self.confirms = self.confirms.map(|confirms| confirms + 1);
+        self.confirms
+    }
+}
--- /dev/null
+++ b/lab/src/broker/connection.rs
@@ -0,0 +1,194 @@
+//! One connection of the broker: its socket, its heartbeat and the loop that reads and writes.
+
+use super::channel::Channel;
+use super::state::BrokerState;
+use crate::sync::lock;
+use amq_protocol::frame::{AMQPFrame, ProtocolVersion};
+use amq_protocol::protocol::connection::{self, AMQPMethod as ConnectionMethod};
+use amq_protocol::protocol::AMQPClass;
+use amq_protocol::types::FieldTable;
+use asterrill_protocol::amqp::{write, Frames, Origin};
+use std::collections::BTreeMap;
+use std::io::{Error, ErrorKind, Read, Write};
+use std::net::TcpStream;
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::{Duration, Instant};
+
+const PROTOCOL_HEADER: &[u8; 8] = b"AMQP\x00\x00\x09\x01";
+const HEADER_WITHIN: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_millis(1); // deliveries go out between two reads
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+const SILENT_POLL: Duration = Duration::from_millis(20);
+const SILENT_FOR: Duration = Duration::from_secs(4); // at the most
+const MAX_FRAME: usize = 1 << 17; // bytes
+
+/// One connection.
+pub(super) struct Connection {
+    pub(super) stream: TcpStream,
+    pub(super) state: Arc<Mutex<BrokerState>>,
+    pub(super) channels: BTreeMap<u16, Channel>,
+    /// Bytes to be written.
+    pub(super) out: Vec<u8>,
+    /// The client has opened it.
+    pub(super) open: bool,
+    /// It sends nothing more, and reads nothing.
+    pub(super) silent: bool,
+    /// The client has closed it with code 200.
+    pub(super) closed_in_order: bool,
+    pub(super) heartbeat_s: u16,
+    last_write: Instant,
+    pub(super) unblock_at: Option<Instant>,
+}
+
+/// Whether the connection goes on.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Next {
+    GoOn,
+    Close,
+}
+
+fn is_timeout(error: &Error) -> bool {
+    matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
+}
+
+impl Connection {
+    /// Serves a connection to its end.
+    pub(super) fn serve(stream: TcpStream, state: Arc<Mutex<BrokerState>>) {
+        stream.set_nodelay(true).unwrap_or_default();
+        stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap_or_default();
+        let mut connection = Connection {
+            stream,
+            state,
+            channels: BTreeMap::new(),
+            out: Vec::new(),
+            open: false,
+            silent: false,
+            closed_in_order: false,
+            heartbeat_s: 0,
+            last_write: Instant::now(),
+            unblock_at: None,
+        };
+        connection.lock_state().ledger.connections += 1;
+        let ended = connection.run();
+        connection.end(ended.is_none());
+    }
+
+    pub(super) fn lock_state(&self) -> MutexGuard<'_, BrokerState> {
+        lock(&self.state)
+    }
+
+    pub(super) fn send(&mut self, channel: u16, method: AMQPClass) {
+        write(&mut self.out, &AMQPFrame::Method(channel, method));
+    }
+
+    pub(super) fn flush(&mut self) -> Option<()> {
+        if !self.out.is_empty() {
+            self.last_write = Instant::now();
+            let out = std::mem::take(&mut self.out);
+            self.stream.set_write_timeout(Some(WRITE_TIMEOUT)).ok()?;
+            self.stream.write_all(&out).ok()?;
+        }
+        Some(())
+    }
+
+    /// Until the end of the connection; none if it was cut.
+    fn run(&mut self) -> Option<()> {
+        let Some(header) = self.read_header() else { return Some(()) };
+        if &header != PROTOCOL_HEADER {
+            write(&mut self.out, &AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1()));
+            return self.flush();
+        }
+        let start = connection::Start {
+            version_major: 0,
+            version_minor: 9,
+            server_properties: FieldTable::default(),
+            mechanisms: "AMQPLAIN PLAIN".into(),
+            locales: "en_US".into(),
+        };
+        self.send(0, AMQPClass::Connection(ConnectionMethod::Start(start)));
+        self.flush()?;
+        let mut frames = Frames::new(Origin::Client, MAX_FRAME);
+        loop {
+            let next = if self.silent { self.stay_silent() } else { self.turn(&mut frames)? };
+            if next == Next::Close {
+                return Some(());
+            }
+        }
+    }
+
+    /// The first bytes of the client; what is there where they do not come in time, none at the end of the connection.
+    fn read_header(&mut self) -> Option<[u8; 8]> {
+        let mut header = [0; 8];
+        let until = Instant::now() + HEADER_WITHIN;
+        let mut read = 0;
+        while read < header.len() && Instant::now() < until {
+            match self.stream.read(&mut header[read..]) {
+                Ok(0) => return None,
+                Ok(n) => read += n,
+                Err(error) if is_timeout(&error) => {}
+                Err(_) => return None,
+            }
+        }
+        Some(header)
+    }
+
+    /// Reads what has come, delivers, and keeps the heartbeat. None if the connection breaks or is cut.
+    fn turn(&mut self, frames: &mut Frames) -> Option<Next> {
+        let mut bytes = [0; 16 * 1024];
+        match self.stream.read(&mut bytes) {
+            Ok(0) => return Some(Next::Close),
+            Ok(n) => {
+                let mut input = &bytes[..n];
+                while let Some(frame) = frames.next(&mut input).ok()? {
+                    if self.handle_frame(frame)? == Next::Close {
+                        self.flush()?;
+                        return Some(Next::Close);
+                    }
+                }
+            }
+            Err(error) if is_timeout(&error) => {}
+            Err(_) => return Some(Next::Close),
+        }
+        self.deliver()?;
+        if self.unblock_at.take_if(|at| *at <= Instant::now()).is_some() {
+            let unblocked = ConnectionMethod::Unblocked(connection::Unblocked {});
+            self.send(0, AMQPClass::Connection(unblocked));
+        }
+        let interval = Duration::from_secs(u64::from(self.heartbeat_s)) / 2;
+        if self.heartbeat_s > 0 && self.last_write.elapsed() > interval {
+            write(&mut self.out, &AMQPFrame::Heartbeat(0));
+        }
+        self.flush()?;
+        Some(Next::GoOn)
+    }
+
+    /// Reads nothing, until the client closes the connection or it has been silent for long.
+    fn stay_silent(&mut self) -> Next {
+        std::thread::sleep(SILENT_POLL);
+        match self.stream.peek(&mut [0]) {
+            // The end may lie behind what is not read.
+            Ok(n) if n > 0 && self.last_write.elapsed() < SILENT_FOR => Next::GoOn,
+            Err(error) if is_timeout(&error) => Next::GoOn,
+            _ => Next::Close,
+        }
+    }
+
+    /// A channel is over: what was not settled comes again.
+    pub(super) fn close_channel(&mut self, id: u16) {
+        if let Some(channel) = self.channels.remove(&id) {
+            self.lock_state().requeue(channel, false);
+        }
+    }
+
+    /// The connection is over.
+    fn end(&mut self, cut: bool) {
+        let channels = std::mem::take(&mut self.channels);
+        let mut state = lock(&self.state);
+        for channel in channels.into_values() {
+            let unsettled = if self.closed_in_order { channel.unsettled.len() as u64 } else { 0 };
+            state.requeue(channel, cut);
+            state.ledger.lost -= unsettled;
+            state.ledger.unsettled += unsettled;
+        }
+    }
+}
--- /dev/null
+++ b/lab/src/broker/delivery.rs
@@ -0,0 +1,218 @@
+//! Deliveries to consumers, and the faults that come with them.
+
+use super::channel::{Channel, Consumer};
+use super::connection::Connection;
+use super::faults::BrokerFault;
+use super::state::{BrokerState, Message};
+use crate::sync::lock;
+use amq_protocol::protocol::basic::{self, AMQPMethod as BasicMethod, AMQPProperties};
+use amq_protocol::protocol::connection::{self, AMQPMethod as ConnectionMethod};
+use amq_protocol::protocol::AMQPClass;
+use amq_protocol::types::{AMQPValue, FieldTable};
+use asterrill_protocol::amqp::write_content;
+use std::time::{Duration, Instant};
+
+/// Bytes of a body that go into one frame.
+pub(super) const CONTENT_FRAME: usize = 4096;
+const OUT_MAX: usize = 1 << 18; // bytes that wait to be written, beyond which nothing more is delivered
+const UNREAD_BEFORE_CUT: Duration = Duration::from_millis(20);
+const BLOCKED_FOR: Duration = Duration::from_millis(300);
+const HALF_TIME: Duration = Duration::from_millis(500); // between the halves of a delivery
+const HUGE_BODY: usize = 60_000_000; // bytes
+const GARBAGE_BYTES: u32 = 999;
+const PRECONDITION_FAILED: u16 = 406;
+const CONNECTION_FORCED: u16 = 320;
+
+/// What the script wants after a delivery.
+enum Interruption {
+    Cut,
+    Fault(BrokerFault),
+    /// Enough waits to be written.
+    Flush,
+}
+
+impl Connection {
+    /// Sends what the consumers have capacity for, and does what the script wants; none if the connection is cut.
+    pub(super) fn deliver(&mut self) -> Option<()> {
+        if !self.open {
+            return Some(());
+        }
+        match self.deliver_until_interrupted() {
+            None | Some(Interruption::Flush) => Some(()),
+            Some(Interruption::Cut) => {
+                self.flush()?;
+                // What is written to the broker now is never read.
+                std::thread::sleep(UNREAD_BEFORE_CUT);
+                None
+            }
+            Some(Interruption::Fault(fault)) => self.play_fault(fault),
+        }
+    }
+
+    fn deliver_until_interrupted(&mut self) -> Option<Interruption> {
+        let mut state = lock(&self.state);
+        for (id, channel) in &mut self.channels {
+            let mut duplicate = None;
+            while channel.has_capacity() || duplicate.is_some() {
+                let Some(consumer) = &channel.consumer else { break };
+                let next = duplicate.take().or_else(|| state.next_message(&consumer.queue));
+                let Some(message) = next else { break };
+                state.ledger.deliveries += 1;
+                if message.delivered > 0 {
+                    state.ledger.redeliveries += 1;
+                    let every = state.script.duplicate_every;
+                    if every > 0 && state.ledger.redeliveries.is_multiple_of(every) {
+                        duplicate = Some(message.clone());
+                    }
+                }
+                write_delivery(&mut self.out, *id, channel, message, state.script.counts_deliveries);
+                state.ledger.most_unsettled = state.ledger.most_unsettled.max(channel.unsettled.len());
+                if let Some(interruption) = next_interruption(&mut state) {
+                    return Some(interruption);
+                }
+                if self.out.len() > OUT_MAX {
+                    return Some(Interruption::Flush);
+                }
+            }
+        }
+        None
+    }
+
+    fn play_fault(&mut self, fault: BrokerFault) -> Option<()> {
+        let id = self.channels.iter().find(|(_, channel)| channel.consumer.is_some()).map(|(id, _)| *id)?;
+        match fault {
+            BrokerFault::CancelConsumer => {
+                let consumer = self.channels.get_mut(&id)?.consumer.take()?;
+                let cancel = basic::Cancel { consumer_tag: consumer.tag.as_str().into(), nowait: true };
+                self.send(id, AMQPClass::Basic(BasicMethod::Cancel(cancel)));
+            }
+            BrokerFault::Block => {
+                let blocked = connection::Blocked { reason: "low on memory".into() };
+                self.send(0, AMQPClass::Connection(ConnectionMethod::Blocked(blocked)));
+                self.unblock_at = Some(Instant::now() + BLOCKED_FOR);
+            }
+            BrokerFault::CloseChannel => {
+                self.close_channel_with(
+                    id,
+                    PRECONDITION_FAILED,
+                    "PRECONDITION_FAILED - unknown delivery tag",
+                );
+            }
+            BrokerFault::CloseConnection => {
+                let (reply_code, reply_text) = (CONNECTION_FORCED, "CONNECTION_FORCED - shutdown".into());
+                let close = connection::Close { reply_code, reply_text, class_id: 0, method_id: 0 };
+                self.send(0, AMQPClass::Connection(ConnectionMethod::Close(close)));
+            }
+            BrokerFault::Silence => {
+                self.flush()?;
+                self.silent = true;
+            }
+            BrokerFault::HugeBody => {
+                let bytes = self.extra_delivery(id, Vec::new(), &vec![b'x'; HUGE_BODY])?;
+                self.out.extend(bytes);
+            }
+            BrokerFault::UnknownMethod => {
+                self.out.extend_from_slice(&[1, 0, 0, 0, 0, 0, 4, 0, 10, 0, 99, 206]);
+            }
+            BrokerFault::Garbage => {
+                let byte = |n: u32| (n.wrapping_mul(2_654_435_761) >> 13) as u8;
+                self.out.extend((0..GARBAGE_BYTES).map(byte));
+            }
+            BrokerFault::HalfContent => {
+                self.flush()?;
+                self.deliver_in_halves(id)?;
+            }
+        }
+        Some(())
+    }
+
+    /// A delivery whose body comes in two halves, half a second apart.
+    fn deliver_in_halves(&mut self, id: u16) -> Option<()> {
+        let body = b"half and half".to_vec();
+        let bytes = self.extra_delivery(id, body.clone(), &body)?;
+        // All but the body's frame first.
+        let (first, rest) = bytes.split_at(bytes.len() - body.len() - 8);
+        self.out = first.to_vec();
+        self.flush()?;
+        std::thread::sleep(HALF_TIME);
+        self.out = rest.to_vec();
+        self.flush()
+    }
+
+    /// Encodes the delivery of a message of no queue; what comes back to the queue if it is not settled is `returned`.
+    fn extra_delivery(&mut self, id: u16, returned: Vec<u8>, body: &[u8]) -> Option<Vec<u8>> {
+        let channel = self.channels.get_mut(&id)?;
+        let queue = channel.consumer.as_ref()?.queue.clone();
+        let mut state = lock(&self.state);
+        state.ledger.deliveries += 1;
+        let number = state.number();
+        drop(state);
+        let delivery_tag =
+            channel.assign_tag(queue, Message { number, body: returned, ..Message::default() });
+        let deliver = basic::Deliver {
+            consumer_tag: "asterrill".into(),
+            delivery_tag,
+            redelivered: false,
+            exchange: "".into(),
+            routing_key: "".into(),
+        };
+        let mut bytes = Vec::new();
+        let method = AMQPClass::Basic(BasicMethod::Deliver(deliver));
+        write_content(&mut bytes, id, method, AMQPProperties::default(), body, CONTENT_FRAME);
+        Some(bytes)
+    }
+}
+
+/// What the script wants after so many deliveries, once each.
+fn next_interruption(state: &mut BrokerState) -> Option<Interruption> {
+    let deliveries = state.ledger.deliveries;
+    if state.script.cuts.front().is_some_and(|after| deliveries >= *after) {
+        state.script.cuts.pop_front();
+        state.ledger.cuts += 1;
+        return Some(Interruption::Cut);
+    }
+    if state.script.faults.front().is_some_and(|(after, _)| deliveries >= *after) {
+        let (_, fault) = state.script.faults.pop_front()?;
+        state.ledger.faults += 1;
+        return Some(Interruption::Fault(fault));
+    }
+    None
+}
+
+/// Writes the delivery of a message to the consumer of a channel.
+fn write_delivery(out: &mut Vec<u8>, id: u16, channel: &mut Channel, message: Message, counts: bool) {
+    let Some(Consumer { queue, tag, .. }) = &channel.consumer else { return };
+    let deliver = basic::Deliver {
+        consumer_tag: tag.as_str().into(),
+        delivery_tag: channel.last_tag + 1,
+        redelivered: message.delivered > 0,
+        exchange: "".into(),
+        routing_key: queue.as_str().into(),
+    };
+    let method = AMQPClass::Basic(BasicMethod::Deliver(deliver));
+    write_content(out, id, method, properties(&message, counts), &message.body, CONTENT_FRAME);
+    let queue = queue.clone();
+    channel.assign_tag(queue, message);
+}
+
+/// `counts`: with the count of deliveries.
+fn properties(message: &Message, counts: bool) -> AMQPProperties {
+    let mut properties = AMQPProperties::default();
+    if let Some(id) = &message.id {
+        properties = properties.with_message_id(id.as_str().into());
+    }
+    if let Some(to) = &message.reply_to {
+        properties = properties.with_reply_to(to.as_str().into());
+        properties = properties.with_correlation_id(format!("c{}", message.number).into());
+    }
+    if let Some(expiration) = &message.expiration {
+        properties = properties.with_expiration(expiration.as_str().into());
+    }
+    if counts {
+        let mut headers = FieldTable::default();
+        let count = AMQPValue::LongLongInt(message.delivered as i64);
+        headers.insert("x-delivery-count".into(), count);
+        properties = properties.with_headers(headers);
+    }
+    properties
+}
--- /dev/null
+++ b/lab/src/broker/mod.rs
@@ -0,0 +1,16 @@
+//! A stand-in broker: the server's side of AMQP 0-9-1 as far as a consumer needs it, with faults by script and
+//! its own ledger of every delivery.
+
+mod channel;
+mod connection;
+mod delivery;
+mod faults;
+mod ledger;
+mod methods;
+mod server;
+mod state;
+
+pub use faults::{BrokerFault, FaultScript};
+pub use ledger::{BrokerLedger, Settlement};
+pub use server::Broker;
+pub use state::{Endless, Message};
--- /dev/null
+++ b/lab/src/broker/server.rs
@@ -0,0 +1,68 @@
+//! The broker, and the threads that serve its connections.
+
+use super::connection::Connection;
+use super::faults::FaultScript;
+use super::ledger::BrokerLedger;
+use super::state::{BrokerState, Message};
+use crate::sync::lock;
+use std::collections::VecDeque;
+use std::net::{SocketAddr, TcpListener};
+use std::sync::{Arc, Mutex, MutexGuard};
+
+/// A broker.
+#[derive(Clone)]
+pub struct Broker {
+    /// Where it listens.
+    pub at: SocketAddr,
+    state: Arc<Mutex<BrokerState>>,
+}
+
+impl Broker {
+    /// Listens on a port that the system chooses.
+    pub fn start(script: FaultScript) -> std::io::Result<Broker> {
+        let listener = TcpListener::bind("127.0.0.1:0")?;
+        let at = listener.local_addr()?;
+        let state = Arc::new(Mutex::new(BrokerState::new(script)));
+        let broker = Broker { at, state: state.clone() };
+        std::thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                let state = state.clone();
+                std::thread::spawn(move || Connection::serve(stream, state));
+            }
+        });
+        Ok(broker)
+    }
+
+    /// The same broker by an address at which nobody listens.
+    pub fn unreachable(&self) -> std::io::Result<Broker> {
+        let at = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
+        Ok(Broker { at, state: self.state.clone() })
+    }
+
+    /// What its connections share.
+    pub fn state(&self) -> MutexGuard<'_, BrokerState> {
+        lock(&self.state)
+    }
+
+    /// Its account so far.
+    pub fn ledger(&self) -> BrokerLedger {
+        self.state().ledger.clone()
+    }
+
+    /// The password of each user.
+    pub fn password(&self) -> String {
+        self.state().password.clone()
+    }
+
+    /// Puts a message into a queue.
+    pub fn publish(&self, queue: &str, mut message: Message) {
+        let mut state = self.state();
+        message.number = state.number();
+        state.queues.entry(queue.into()).or_default().push_back(message);
+    }
+
+    /// Messages that are ready in a queue.
+    pub fn ready(&self, queue: &str) -> usize {
+        self.state().queues.get(queue).map_or(0, VecDeque::len)
+    }
+}
--- /dev/null
+++ b/lab/src/dispatch.rs
@@ -0,0 +1,87 @@
+//! Plays the scenario that the command line names.
+
+use crate::arguments::{Arguments, Scenario};
+use crate::fleet::{self, FleetOptions};
+use crate::load::RateSpan;
+use crate::queue::{self, ThroughputOptions};
+use crate::report::{Fault, Report};
+use crate::{rollout, scale};
+use std::time::Duration;
+
+const RATE: f64 = 200.0; // framed RPCs a second
+const NODES: std::ops::RangeInclusive<usize> = 3..=40;
+
+/// Plays a scenario; what it found goes into the report.
+///
+/// # Errors
+/// It could not be played.
+pub fn play(scenario: Scenario, report: &mut Report, arguments: &Arguments) -> Result<(), Fault> {
+    let seed = arguments.seed;
+    let rate = arguments.rate.unwrap_or(RATE);
+    let nodes = arguments.nodes.clamp(*NODES.start(), *NODES.end());
+    let other = arguments.other.as_deref();
+    let span = |seconds| Duration::from_secs(arguments.seconds.unwrap_or(seconds));
+    let load = |seconds| RateSpan::new(span(seconds), rate);
+    match scenario {
+        Scenario::Demo => queue::demo(report, seed, span(15)),
+        Scenario::AmqpFlood => queue::flood(report, seed, span(10), rate),
+        Scenario::AmqpRedeliver => queue::redelivery(report, seed, arguments.messages.unwrap_or(5_000)),
+        Scenario::AmqpDrain => queue::shutdown(report, seed),
+        Scenario::AmqpOdd => queue::broker_faults(report, seed),
+        Scenario::AmqpRate => queue::throughput(report, throughput_options(arguments, false, 100_000)),
+        Scenario::AmqpLost => queue::throughput(report, throughput_options(arguments, true, 20_000)),
+        Scenario::FramedCpu => queue::framed_cpu(report, seed, load(4), other),
+        Scenario::RecoveryCpu => queue::recovery_cpu(report, seed, load(4)),
+        Scenario::ConfigRollback => rollout::bad_change(report, seed, rate),
+        Scenario::ConfigGood => rollout::good_change(report, seed, rate),
+        Scenario::ConfigCrash => rollout::crash(report, seed),
+        Scenario::ConfigStorm => rollout::storm(report, seed, arguments.messages.unwrap_or(1_000), rate),
+        Scenario::FleetReturn => fleet::restart_recovery::scenario(report, &fleet_options(arguments, nodes)?),
+        Scenario::FleetMembers => fleet::members::scenario(report, &fleet_options(arguments, nodes)?),
+        Scenario::FleetAgree => fleet::agree::scenario(report, &fleet_options(arguments, nodes)?),
+        Scenario::FleetReady => fleet::ready(report, nodes),
+        Scenario::FleetCold => fleet::cold_start(report, seed, nodes),
+        Scenario::IdleFlood => fleet::idle_flood(report, seed),
+        Scenario::MembersCpu => fleet::members::cpu(report, seed, nodes, load(4)),
+        Scenario::ScaleMembers => {
+            let terms = scale::members::Terms::of(arguments, arguments.kind()?);
+            scale::members::scenario(report, &terms)
+        }
+        Scenario::ScaleAgree(wanted) => {
+            let wanted = scale::agree::Wanted { quick: arguments.scale.quick, ..wanted };
+            scale::agree::scenario(report, wanted, arguments.kind.as_deref(), seed)
+        }
+        Scenario::ScaleConfig => {
+            scale::config::scenario(report, seed, &arguments.scale, arguments.rate, other)
+        }
+        Scenario::ScaleRpc => {
+            let (sizes, seconds) = (&arguments.scale, arguments.seconds);
+            scale::rpc::scenario(report, seed, sizes, arguments.rate, seconds, other)
+        }
+        Scenario::Capacity => scale::capacity::scenario(report, &arguments.capacity),
+        Scenario::ScaleTool => scale::tool::scenario(report, other),
+        Scenario::ScaleCallers => scale::callers::scenario(report, other),
+        Scenario::ScaleForms => scale::forms::scenario(report, arguments.forms),
+    }
+}
+
+fn throughput_options(arguments: &Arguments, lost_launch: bool, messages: u64) -> ThroughputOptions<'_> {
+    ThroughputOptions {
+        seed: arguments.seed,
+        messages: arguments.messages.unwrap_or(messages),
+        lost_launch,
+        other: arguments.other.as_deref(),
+    }
+}
+
+fn fleet_options(arguments: &Arguments, nodes: usize) -> Result<FleetOptions, Fault> {
+    Ok(FleetOptions {
+        seed: arguments.seed,
+        kind: arguments.kind()?,
+        nodes,
+        script: arguments.script.clone(),
+        plot: arguments.plot.clone(),
+        other: arguments.other.clone(),
+        seconds: arguments.seconds,
+    })
+}
--- /dev/null
+++ b/lab/src/fleet/agree/judge.rs
@@ -0,0 +1,173 @@
+//! What the caller's answers and the nodes' versions say of the promises and the rules.
+
+use super::caller::{Call, CallLedger};
+use super::timing::{CALL_MS, CHANGES, IN_FORCE_MS};
+use crate::fleet::cluster::Fleet;
+use crate::fleet::members::setup::request;
+use crate::report::Report;
+use serde_json::{json, Value};
+
+const SERVED_BEFORE_MS: u64 = 500; // a node was served just before a change if it was within this time
+
+/// A version by its number and content.
+#[derive(Clone, Debug)]
+pub(super) struct VersionId {
+    pub(super) number: u64,
+    pub(super) hash: String,
+}
+
+/// A change that came about.
+#[derive(Clone, Debug)]
+pub(super) struct Change {
+    pub(super) version: VersionId,
+    pub(super) proposed_ms: u64,
+    pub(super) settled_ms: u64,
+    /// The caller is admitted by it, else barred.
+    pub(super) admitted: bool,
+}
+
+/// What a node says at the end.
+pub(super) struct NodeEnd {
+    /// The version that it acts on, and the newest that it has.
+    acting: u64,
+    newest: u64,
+    versions: Vec<Value>,
+}
+
+impl NodeEnd {
+    pub(super) fn read(fleet: &Fleet, n: usize) -> NodeEnd {
+        let answer = request(&fleet.members[n].node.dir, json!({"do": "fleet"})).unwrap_or_default();
+        NodeEnd {
+            acting: answer["version"].as_u64().unwrap_or(0),
+            newest: answer["newest"].as_u64().unwrap_or(0),
+            versions: answer["versions"].as_array().cloned().unwrap_or_default(),
+        }
+    }
+
+    /// It has a version of this number with other content.
+    fn contradicts(&self, version: &VersionId) -> bool {
+        let own = self.versions.iter().find(|own| own["version"] == json!(version.number));
+        own.is_some_and(|own| own["hash"] != json!(version.hash))
+    }
+}
+
+/// What one run has shown.
+pub(super) struct Recording {
+    pub(super) name: &'static str,
+    pub(super) changes: Vec<Change>,
+    /// Changes of which no version came.
+    pub(super) without_majority: usize,
+    pub(super) ends: Vec<NodeEnd>,
+    pub(super) ledger: CallLedger,
+    pub(super) unanswered: usize,
+}
+
+/// How long and how often the caller was served although it was barred.
+#[derive(Default)]
+struct ServedAlthoughBarred {
+    /// The longest time after another node had rejected it, in ms.
+    contradiction_ms: u64,
+    /// Calls that a node served after it had rejected one.
+    back: usize,
+    /// Calls that were served after the change had to be in force.
+    late: usize,
+}
+
+impl Recording {
+    fn nodes(&self) -> usize {
+        self.ends.len()
+    }
+
+    /// Calls of a node in a span.
+    fn calls(&self, node: usize, from_ms: u64, to_ms: u64) -> impl Iterator<Item = &Call> {
+        let calls = self.ledger.calls.iter();
+        calls.filter(move |call| call.node == node && call.at_ms >= from_ms && call.at_ms < to_ms)
+    }
+
+    /// When a node whose lease held, as it was served just before, first rejected the caller.
+    fn first_rejection(&self, change: &Change, over_ms: u64) -> Option<u64> {
+        let first = |node: usize| {
+            let served_before = self.ledger.calls.iter().any(|call| {
+                let just_before =
+                    call.at_ms < change.proposed_ms && call.at_ms + SERVED_BEFORE_MS > change.proposed_ms;
+                call.node == node && call.served && just_before
+            });
+            let mut calls = self.calls(node, change.proposed_ms, over_ms);
+            calls.find(|call| !call.served).filter(|_| served_before).map(|call| call.at_ms)
+        };
+        (0..self.nodes()).filter_map(first).min()
+    }
+
+    /// A node served the caller after another had rejected it by a change that was settled.
+    fn served_although_barred(&self) -> ServedAlthoughBarred {
+        let mut found = ServedAlthoughBarred::default();
+        for (i, change) in self.changes.iter().enumerate().filter(|(_, change)| !change.admitted) {
+            let over_ms = self.changes.get(i + 1).map_or(u64::MAX, |next| next.proposed_ms);
+            let Some(first_ms) = self.first_rejection(change, over_ms) else { continue };
+            for node in 0..self.nodes() {
+                let served = |from_ms: u64| self.calls(node, from_ms, over_ms).filter(|call| call.served);
+                let longest_ms = served(first_ms).map(|call| call.at_ms - first_ms).max();
+                found.contradiction_ms = found.contradiction_ms.max(longest_ms.unwrap_or(0));
+                let mut own = self.calls(node, change.proposed_ms, over_ms);
+                if let Some(rejection) = own.find(|call| !call.served) {
+                    found.back += served(rejection.at_ms).count();
+                }
+                found.late += served(change.settled_ms + IN_FORCE_MS + CALL_MS).count();
+            }
+        }
+        found
+    }
+}
+
+/// Reports what the recording says, and checks the rules.
+pub(super) fn judge(report: &mut Report, fleet: &mut Fleet, recording: &Recording) {
+    let barred = recording.served_although_barred();
+    let pairs = || {
+        let versions = recording.changes.iter().map(|change| &change.version);
+        versions.flat_map(|version| recording.ends.iter().map(move |end| (version, end)))
+    };
+    let lost = pairs().filter(|(version, end)| end.newest < version.number).count();
+    let other_histories = pairs().filter(|(version, end)| end.contradicts(version)).count();
+    let acting: Vec<u64> = recording.ends.iter().map(|end| end.acting).collect();
+    let mut took_ms: Vec<u64> =
+        recording.changes.iter().map(|change| change.settled_ms - change.proposed_ms).collect();
+    took_ms.sort_unstable();
+    let none_panicked = fleet.none_panicked();
+    let left = fleet.end();
+    let calls = &recording.ledger.calls;
+    for (name, value) in [
+        ("kind", json!(recording.name)),
+        ("nodes", json!(recording.nodes())),
+        ("versions", json!(recording.changes.len())),
+        ("wishes_without_majority", json!(recording.without_majority)),
+        ("stated_ms", json!(IN_FORCE_MS)),
+        ("contradiction_ms_max", json!(barred.contradiction_ms)),
+        ("served_after_the_stated_time", json!(barred.late)),
+        ("older_after_newer", json!(barred.back)),
+        ("lost_versions", json!(lost)),
+        ("other_histories", json!(other_histories)),
+        ("propose_ms_p50", json!(took_ms.get(took_ms.len() / 2))),
+        ("propose_ms_max", json!(took_ms.last())),
+        ("no_final_answer", json!(recording.unanswered)),
+        ("asked", json!(calls.len())),
+        ("served", json!(calls.iter().filter(|call| call.served).count())),
+        ("newest", json!(acting)),
+        ("left_processes", json!(left)),
+    ] {
+        report.set(name, value);
+    }
+    let last = recording.changes.last().map_or(1, |change| change.version.number);
+    let same = acting.iter().all(|number| *number == acting[0] && *number >= last);
+    report.rule("an RPC got no final answer", recording.unanswered == 0);
+    let in_time = barred.contradiction_ms <= IN_FORCE_MS + CALL_MS;
+    report.rule("answers contradicted each other for longer than is stated", in_time);
+    report.rule("a bar was not in force everywhere in the stated time", barred.late == 0);
+    report.rule("a node went back to an older version", barred.back == 0);
+    report.rule("a version that was reported as committed is gone", lost == 0);
+    report.rule("two histories of a version", other_histories == 0);
+    report.rule("not all act on the newest version at the end", same);
+    let enough = recording.changes.len() >= CHANGES / 2;
+    report.rule("too few versions came about to show anything", enough);
+    report.rule("a process was left behind", left == 0);
+    report.rule("a process panicked", none_panicked);
+}
--- /dev/null
+++ b/lab/src/fleet/callers/attempts.rs
@@ -0,0 +1,121 @@
+//! RPCs from their first attempt to their final answer.
+
+use super::caller::{Caller, Rpc, Timer};
+use super::connection::{Attempt, ConnectionId};
+use super::ledger::{Rejection, UnansweredAttempt};
+use crate::load::pick_weighted;
+use crate::sidecar::{Answer, RpcHeader, OK, REJECTED};
+use rand::Rng;
+use std::io::Write;
+use std::time::{Duration, Instant};
+
+const MAX_ATTEMPTS: u32 = 3; // of one RPC, where it may be retried
+const ANSWER_SLACK: Duration = Duration::from_millis(250); // beyond an attempt's patience until its answer counts as missing
+const LEAST_PATIENCE: Duration = Duration::from_millis(5); // that is worth an attempt
+
+impl Caller {
+    pub(super) fn start_rpc(&mut self, rpc: u64, at: Instant) {
+        let Some(method) = pick_weighted(&self.shared.profile.methods, &mut self.rng).copied() else {
+            return;
+        };
+        let body = format!("{} {} {rpc}", method.method, self.number).into_bytes();
+        self.rpcs.insert(rpc, Rpc { method, first_sent: at, body, attempts: 0 });
+        self.account_tenth(at, |tenth| tenth.called += method.criticality);
+        self.account(|ledger| ledger.rpcs += 1);
+        self.set_timer(at + method.patience, Timer::PatienceOver(rpc));
+        self.attempt(rpc);
+    }
+
+    pub(super) fn finish_rpc(&mut self, rpc: u64, ok: bool) {
+        let Some(rpc) = self.rpcs.remove(&rpc) else { return };
+        if ok && rpc.first_sent.elapsed() <= rpc.method.target {
+            self.account_tenth(rpc.first_sent, |tenth| tenth.in_time += rpc.method.criticality);
+        }
+    }
+
+    pub(super) fn attempt(&mut self, id: u64) {
+        let now = Instant::now();
+        let Some(rpc) = self.rpcs.get(&id) else { return };
+        let (method, attempts) = (rpc.method, rpc.attempts);
+        let patience = (rpc.first_sent + method.patience).saturating_duration_since(now);
+        if attempts >= MAX_ATTEMPTS || patience < LEAST_PATIENCE {
+            return self.finish_rpc(id, false);
+        }
+        let Some(node) = self.choose_backend() else {
+            // No backend is to be called just now: a little later, while there is patience.
+            let later = Duration::from_millis(self.rng.random_range(20..60));
+            return self.set_timer(now + later, Timer::Retry(id));
+        };
+        let Some(rpc) = self.rpcs.get_mut(&id) else { return };
+        rpc.attempts += 1;
+        let (trace, caller) = (self.rng.random(), self.number as u64);
+        let header = RpcHeader { method: method.method, trace, caller, patience, tenant: None };
+        let Some(connection) = self.connections.get_mut(&node) else { return };
+        connection.last_stream += 1;
+        let (connection_id, stream) = (connection.id, connection.last_stream);
+        connection.in_flight.insert(stream, Attempt { rpc: id, sent: now });
+        if connection.to.write_all(&header.encode(stream, &rpc.body)).is_err() {
+            connection.shut_down();
+        }
+        self.account_tenth(now, |tenth| tenth.attempts += 1);
+        let timer = Timer::AnswerDeadline { node, connection: connection_id, stream };
+        self.set_timer(now + patience + ANSWER_SLACK, timer);
+    }
+
+    /// An attempt that is still in flight has no answer.
+    pub(super) fn expect_answer(&mut self, node: usize, connection: ConnectionId, stream: u32) {
+        let Some(connection) = self.connection(node, connection) else { return };
+        if let Some(attempt) = connection.in_flight.remove(&stream) {
+            let unanswered = UnansweredAttempt { node, sent: attempt.sent };
+            self.account(|ledger| ledger.unanswered.push(unanswered));
+        }
+    }
+
+    /// An attempt came to nothing: another, unless it may have run and must not run twice.
+    pub(super) fn retry(&mut self, id: u64, may_have_run: bool) {
+        let Some(rpc) = self.rpcs.get(&id) else { return };
+        if may_have_run && self.shared.profile.unsafe_to_retry.contains(&rpc.method.method) {
+            return self.finish_rpc(id, false);
+        }
+        let jitter = Duration::from_millis(self.rng.random_range(1..10));
+        self.set_timer(Instant::now() + jitter, Timer::Retry(id));
+    }
+
+    pub(super) fn handle_answer(
+        &mut self, node: usize, connection: ConnectionId, stream: u32, answer: &Answer,
+    ) {
+        let Some(connection) = self.connection(node, connection) else { return };
+        let advice = answer.field("advice").and_then(|value| value.parse().ok());
+        connection.credit = advice.or(connection.credit);
+        connection.answered += 1;
+        let Some(attempt) = connection.in_flight.remove(&stream) else {
+            // One that came after its time was over is no second one, unless it was answered before.
+            let late = stream <= connection.last_stream && connection.answered <= connection.last_stream;
+            return self.account(|ledger| ledger.answered_twice += u64::from(!late));
+        };
+        match answer.code {
+            OK => {
+                let expected = self.rpcs.get(&attempt.rpc).map(|rpc| [b"did ", &rpc.body[..]].concat());
+                let wrong = expected.is_some_and(|expected| expected != answer.body);
+                self.account(|ledger| ledger.wrong_results += u64::from(wrong));
+                self.finish_rpc(attempt.rpc, true);
+            }
+            REJECTED => self.handle_rejection(node, attempt.rpc, answer),
+            _ => self.retry(attempt.rpc, true),
+        }
+    }
+
+    fn handle_rejection(&mut self, node: usize, rpc: u64, answer: &Answer) {
+        let now = Instant::now();
+        if let Some(ms) = answer.field("pause").and_then(|value| value.parse().ok()) {
+            self.paused_until.insert(node, now + Duration::from_millis(ms));
+        }
+        self.account(|ledger| ledger.rejections.push(Rejection { node, at: now }));
+        let terminal = answer.field("terminal") == Some("1") && !self.ignoring;
+        if terminal {
+            self.finish_rpc(rpc, false);
+        } else {
+            self.retry(rpc, false);
+        }
+    }
+}
--- /dev/null
+++ b/lab/src/fleet/callers/mod.rs
@@ -0,0 +1,14 @@
+//! Stand-in sidecars of a fleet: each sends RPCs by chance, chooses among the backends that a late list names, and
+//! retries elsewhere without a mark. A part of them ignores `pause` and credit.
+
+mod attempts;
+mod balancing;
+mod caller;
+mod connection;
+mod ledger;
+mod profile;
+mod spawn;
+
+pub use ledger::{in_time, CallerLedger, Rejection, Tenth, UnansweredAttempt, TENTH_MS};
+pub use profile::{CallerProfile, Targets};
+pub use spawn::Callers;
--- /dev/null
+++ b/lab/src/fleet/fault_script.rs
@@ -0,0 +1,233 @@
+//! Faults as lines: a moment in milliseconds since the load began, what, whom, how. Written by hand or drawn from a
+//! seed; printed with a failure, and played again with `--script`.
+//!
+//! ```text
+//! 6000 kill n0,n1,n2         # SIGKILL, with the machine: its agent forgets and its cores are cold
+//! 6400 start all             # those that are down
+//! 7000 pause n3 / resume n3  # SIGSTOP, SIGCONT
+//! 7000 term n4               # SIGTERM
+//! 7000 crash n5              # SIGKILL of the process alone, and a start: its agent goes on
+//! 6200 state n0 lost         # of its state directory: lost, torn, old, other, readonly, full
+//! 6200 state n0 swap n1
+//! 8000 below gone / below back 0.33
+//! 9000 agent n2 hang / agent n2 pass        # the link stands and carries nothing
+//! 9000 agent n2 deaf / agent n2 mute        # one way of it only: to the agent, from the agent
+//! 9000 agent n2 delay 20                    # milliseconds, each way
+//! 9000 naming gone / naming back
+//! 9000 callers reconnect
+//! 9000 net split n0,n1|n2,n3,n4             # who is in a group together hears each other; a bridge is in two
+//! 9000 net deaf n3 / net mute n3            # of datagrams between processes, one way only
+//! 9000 net lossy 15 / net late 300 / net double 20     # in 100, in ms at the most, in 100
+//! 9000 net heal                             # all of these
+//! 9000 net flood n0                         # garbage, another cluster's and recorded datagrams, for a second
+//! ```
+
+use crate::report::Fault;
+use std::fmt;
+
+/// What goes wrong, or ends.
+#[derive(Clone, Debug, PartialEq)]
+pub enum FaultKind {
+    /// SIGKILL, with the machine: its agent restarts, and its cores are cold.
+    Kill,
+    /// SIGKILL of the process alone, and a start: its agent goes on.
+    Crash,
+    /// Starts processes that are down.
+    Start,
+    /// SIGSTOP.
+    Pause,
+    /// SIGCONT.
+    Resume,
+    /// SIGTERM.
+    Term,
+    /// Something happens to a state directory.
+    State(StateFault),
+    /// The upstream is away.
+    UpstreamGone,
+    /// The upstream is back, empty and at a part of its speed.
+    UpstreamBack(f64),
+    /// The link to the agent carries nothing.
+    AgentHang,
+    /// It carries everything again.
+    AgentPass,
+    /// It carries nothing to the agent.
+    AgentDeaf,
+    /// It carries nothing from the agent.
+    AgentMute,
+    /// It is late by so many milliseconds, each way.
+    AgentDelay(u64),
+    /// The name service is away.
+    NamingGone,
+    /// The name service is back.
+    NamingBack,
+    /// All callers break off their connections.
+    Reconnect,
+    /// Members of a common group hear each other, others do not.
+    GossipSplit(Vec<Vec<usize>>),
+    /// Members take no datagrams.
+    GossipDeaf,
+    /// Members send no datagrams.
+    GossipMute,
+    /// Of 100 datagrams so many are lost.
+    GossipLoss(u64),
+    /// Datagrams are late by so many milliseconds at the most.
+    GossipDelay(u64),
+    /// Of 100 datagrams so many come twice.
+    GossipDuplication(u64),
+    /// The network is whole again.
+    GossipHeal,
+    /// Members take garbage for a second.
+    GossipFlood,
+}
+
+/// FaultKind becomes of a state directory.
+#[derive(Clone, Debug, PartialEq)]
+pub enum StateFault {
+    /// It is removed.
+    Lost,
+    /// Its snapshot is cut in half.
+    Torn,
+    /// As if written a week ago.
+    Old,
+    /// Of another deployment.
+    Other,
+    /// Nothing can be written there.
+    ReadOnly,
+    /// Whatever is written there finds a full disk.
+    Full,
+    /// It has the snapshot of another member, which has its own.
+    Swap(usize),
+}
+
+/// One fault.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ScheduledFault {
+    /// Milliseconds since the load began.
+    pub at_ms: u64,
+    /// What goes wrong.
+    pub kind: FaultKind,
+    /// Numbers of members; empty where none is meant.
+    pub nodes: Vec<usize>,
+}
+
+impl fmt::Display for ScheduledFault {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let names: Vec<String> = self.nodes.iter().map(|n| format!("n{n}")).collect();
+        let (at, nodes) = (self.at_ms, names.join(","));
+        match &self.kind {
+            FaultKind::Kill => write!(f, "{at} kill {nodes}"),
+            FaultKind::Crash => write!(f, "{at} crash {nodes}"),
+            FaultKind::Start => write!(f, "{at} start {nodes}"),
+            FaultKind::Pause => write!(f, "{at} pause {nodes}"),
+            FaultKind::Resume => write!(f, "{at} resume {nodes}"),
+            FaultKind::Term => write!(f, "{at} term {nodes}"),
+            FaultKind::State(StateFault::Lost) => write!(f, "{at} state {nodes} lost"),
+            FaultKind::State(StateFault::Torn) => write!(f, "{at} state {nodes} torn"),
+            FaultKind::State(StateFault::Old) => write!(f, "{at} state {nodes} old"),
+            FaultKind::State(StateFault::Other) => write!(f, "{at} state {nodes} other"),
+            FaultKind::State(StateFault::ReadOnly) => write!(f, "{at} state {nodes} readonly"),
+            FaultKind::State(StateFault::Full) => write!(f, "{at} state {nodes} full"),
+            FaultKind::State(StateFault::Swap(with)) => write!(f, "{at} state {nodes} swap n{with}"),
+            FaultKind::UpstreamGone => write!(f, "{at} below gone"),
+            FaultKind::UpstreamBack(speed) => write!(f, "{at} below back {speed}"),
+            FaultKind::AgentHang => write!(f, "{at} agent {nodes} hang"),
+            FaultKind::AgentPass => write!(f, "{at} agent {nodes} pass"),
+            FaultKind::AgentDeaf => write!(f, "{at} agent {nodes} deaf"),
+            FaultKind::AgentMute => write!(f, "{at} agent {nodes} mute"),
+            FaultKind::AgentDelay(ms) => write!(f, "{at} agent {nodes} delay {ms}"),
+            FaultKind::NamingGone => write!(f, "{at} naming gone"),
+            FaultKind::NamingBack => write!(f, "{at} naming back"),
+            FaultKind::Reconnect => write!(f, "{at} callers reconnect"),
+            FaultKind::GossipSplit(groups) => {
+                let group = |g: &Vec<usize>| g.iter().map(|n| format!("n{n}")).collect::<Vec<_>>().join(",");
+                write!(f, "{at} net split {}", groups.iter().map(group).collect::<Vec<_>>().join("|"))
+            }
+            FaultKind::GossipDeaf => write!(f, "{at} net deaf {nodes}"),
+            FaultKind::GossipMute => write!(f, "{at} net mute {nodes}"),
+            FaultKind::GossipLoss(n) => write!(f, "{at} net lossy {n}"),
+            FaultKind::GossipDelay(ms) => write!(f, "{at} net late {ms}"),
+            FaultKind::GossipDuplication(n) => write!(f, "{at} net double {n}"),
+            FaultKind::GossipHeal => write!(f, "{at} net heal"),
+            FaultKind::GossipFlood => write!(f, "{at} net flood {nodes}"),
+        }
+    }
+}
+
+impl ScheduledFault {
+    /// A fault of members, so many milliseconds after the load began.
+    pub fn new(at_ms: u64, kind: FaultKind, nodes: &[usize]) -> ScheduledFault {
+        ScheduledFault { at_ms, kind, nodes: nodes.to_vec() }
+    }
+}
+
+/// Reads a script for so many members; its faults in their order.
+///
+/// # Errors
+/// A line is not understood: the error has its number and text.
+pub fn parse(text: &str, nodes: usize) -> Result<Vec<ScheduledFault>, Fault> {
+    let mut lines = Vec::new();
+    for (i, line) in text.lines().enumerate() {
+        let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
+        if words.is_empty() {
+            continue;
+        }
+        let wrong = || format!("line {} of the script is not understood: {line:?}", i + 1);
+        lines.push(parse_line(&words, nodes).ok_or_else(wrong)?);
+    }
+    lines.sort_by_key(|line: &ScheduledFault| line.at_ms);
+    Ok(lines)
+}
+
+fn parse_line(words: &[&str], nodes: usize) -> Option<ScheduledFault> {
+    let at_ms = words.first()?.parse().ok()?;
+    let member = |name: &str| name.strip_prefix('n')?.parse().ok().filter(|n: &usize| *n < nodes);
+    let members = |list: &str| -> Option<Vec<usize>> {
+        match list {
+            "all" => Some((0..nodes).collect()),
+            list => list.split(',').map(member).collect(),
+        }
+    };
+    let (kind, nodes_hit) = match words[1..] {
+        ["kill", list] => (FaultKind::Kill, members(list)?),
+        ["crash", list] => (FaultKind::Crash, members(list)?),
+        ["start", list] => (FaultKind::Start, members(list)?),
+        ["pause", list] => (FaultKind::Pause, members(list)?),
+        ["resume", list] => (FaultKind::Resume, members(list)?),
+        ["term", list] => (FaultKind::Term, members(list)?),
+        ["state", list, "lost"] => (FaultKind::State(StateFault::Lost), members(list)?),
+        ["state", list, "torn"] => (FaultKind::State(StateFault::Torn), members(list)?),
+        ["state", list, "old"] => (FaultKind::State(StateFault::Old), members(list)?),
+        ["state", list, "other"] => (FaultKind::State(StateFault::Other), members(list)?),
+        ["state", list, "readonly"] => (FaultKind::State(StateFault::ReadOnly), members(list)?),
+        ["state", list, "full"] => (FaultKind::State(StateFault::Full), members(list)?),
+        ["state", list, "swap", with] => (FaultKind::State(StateFault::Swap(member(with)?)), members(list)?),
+        ["below", "gone"] => (FaultKind::UpstreamGone, vec![]),
+        ["below", "back", speed] => {
+            (FaultKind::UpstreamBack(speed.parse().ok().filter(|s| *s > 0.0 && *s <= 4.0)?), vec![])
+        }
+        ["agent", list, "hang"] => (FaultKind::AgentHang, members(list)?),
+        ["agent", list, "pass"] => (FaultKind::AgentPass, members(list)?),
+        ["agent", list, "deaf"] => (FaultKind::AgentDeaf, members(list)?),
+        ["agent", list, "mute"] => (FaultKind::AgentMute, members(list)?),
+        ["agent", list, "delay", ms] => (FaultKind::AgentDelay(ms.parse().ok()?), members(list)?),
+        ["naming", "gone"] => (FaultKind::NamingGone, vec![]),
+        ["naming", "back"] => (FaultKind::NamingBack, vec![]),
+        ["callers", "reconnect"] => (FaultKind::Reconnect, vec![]),
+        ["net", "split", groups] => {
+            (FaultKind::GossipSplit(groups.split('|').map(members).collect::<Option<_>>()?), vec![])
+        }
+        ["net", "deaf", list] => (FaultKind::GossipDeaf, members(list)?),
+        ["net", "mute", list] => (FaultKind::GossipMute, members(list)?),
+        ["net", "lossy", n] => (FaultKind::GossipLoss(n.parse().ok().filter(|n| *n <= 100)?), vec![]),
+        ["net", "late", ms] => (FaultKind::GossipDelay(ms.parse().ok().filter(|ms| *ms <= 60_000)?), vec![]),
+        ["net", "double", n] => (FaultKind::GossipDuplication(n.parse().ok().filter(|n| *n <= 100)?), vec![]),
+        ["net", "heal"] => (FaultKind::GossipHeal, vec![]),
+        ["net", "flood", list] => (FaultKind::GossipFlood, members(list)?),
+        _ => return None,
+    };
+    Some(ScheduledFault { at_ms, kind, nodes: nodes_hit })
+}
+
+#[cfg(test)]
+#[path = "tests/fault_script.rs"]
+mod tests;
--- /dev/null
+++ b/lab/src/fleet/members/play.rs
@@ -0,0 +1,90 @@
+//! The scenario: load, faults, and all members asked for their views all the time.
+
+use super::faults::{draw, FaultPlan, FIRST_FAULT_MS};
+use super::judge::judge;
+use super::observation::{Epoch, Observation, Promises, Recording};
+use super::reachability::Reachability;
+use super::setup::{member_setup, CALL, CALLS_EACH};
+use crate::fleet::cluster::{Fleet, Plan};
+use crate::fleet::fault_injection::InjectedFaults;
+use crate::fleet::fault_script;
+use crate::fleet::options::FleetOptions;
+use crate::fleet::workload::{caller_profile, mean_work, methods, ms, COLD, WEIGHTS};
+use crate::report::{Fault, Report};
+use crate::setup::Setup;
+use std::time::{Duration, Instant};
+
+const CORES: f64 = 2.0; // of each process
+const LOAD: f64 = 0.45; // of the cores; calls are then more than what there is to share
+const RESERVE: f64 = 4.0; // what is over the whole is served all the same, and seen
+const BEHIND_PROMISES_MS: u64 = 1_000;
+const LAST_ANSWERS: Duration = ms(3_400);
+const FEW: usize = 12; // members that are asked more often
+
+/// Plays it.
+pub fn scenario(report: &mut Report, options: &FleetOptions) -> Result<(), Fault> {
+    let nodes = options.nodes;
+    let promises = Promises::new(nodes);
+    let plan = match &options.script {
+        Some(path) => {
+            let faults = fault_script::parse(&std::fs::read_to_string(path)?, nodes)?;
+            FaultPlan { name: "script", faults }
+        }
+        None => draw(nodes, options.seed, promises.transition_ms),
+    };
+    let mut fleet = start_fleet(options)?;
+    let methods = methods();
+    let rate = nodes as f64 * CORES / mean_work(&methods, &WEIGHTS).as_secs_f64() * LOAD;
+    let offset_ms = fleet.at_ms();
+    let callers = fleet.start_callers(&caller_profile(rate, options.seed));
+    let last_fault_ms = plan.faults.last().map_or(FIRST_FAULT_MS, |fault| fault.at_ms);
+    let mut recording = Recording {
+        plan,
+        observations: Vec::new(),
+        epochs: vec![Epoch { since_ms: 0, reachability: Reachability::complete(nodes) }],
+        injected: InjectedFaults::default(),
+        offset_ms,
+        last_fault_ms,
+        promises,
+    };
+    record(&mut fleet, &mut recording)?;
+    callers.stop(LAST_ANSWERS);
+    judge(report, &mut fleet, &callers, &recording);
+    Ok(())
+}
+
+fn start_fleet(options: &FleetOptions) -> Result<Fleet, Fault> {
+    let nodes = options.nodes;
+    let setup = Setup { program: options.other.clone(), ..member_setup(&methods(), nodes) };
+    let slots = (CALLS_EACH * nodes as f64 * RESERVE) as usize;
+    let plan = Plan { nodes, setup, cold: COLD, slots, call: CALL, network: Some(options.seed) };
+    let fleet = Fleet::start(&plan)?;
+    fleet.wait_until_listed();
+    Ok(fleet)
+}
+
+/// Injects the faults, and asks all members that can answer for their views, until what is promised has to have come.
+fn record(fleet: &mut Fleet, recording: &mut Recording) -> Result<(), Fault> {
+    let nodes = fleet.members.len();
+    let promised_ms = recording.promises.healing_ms + recording.promises.transition_ms;
+    let end_ms = recording.offset_ms + recording.last_fault_ms + promised_ms + BEHIND_PROMISES_MS;
+    let pace = ms(if nodes <= FEW { 100 } else { 400 });
+    let mut next = 0;
+    let mut now = Reachability::complete(nodes);
+    while fleet.at_ms() < end_ms {
+        let turn = Instant::now();
+        while let Some(fault) = recording.plan.faults.get(next) {
+            if fault.at_ms + recording.offset_ms > fleet.at_ms() {
+                break;
+            }
+            fleet.inject(fault, &mut recording.injected)?;
+            now.apply(fault);
+            recording.epochs.push(Epoch { since_ms: fleet.at_ms(), reachability: now.clone() });
+            next += 1;
+        }
+        let able = (0..nodes).filter(|n| now.is_on(*n));
+        recording.observations.extend(able.filter_map(|n| Observation::read(fleet, n)));
+        std::thread::sleep(pace.saturating_sub(turn.elapsed()));
+    }
+    Ok(())
+}
--- /dev/null
+++ b/lab/src/fleet/members/reachability.rs
@@ -0,0 +1,86 @@
+//! Who can hear whom, as far as the injected faults say.
+
+use crate::fleet::datagram_network::cuts_between;
+use crate::fleet::fault_injection::{cuts_from, cuts_towards};
+use crate::fleet::fault_script::{FaultKind, ScheduledFault};
+use std::collections::BTreeSet;
+
+/// Who can hear whom.
+#[derive(Clone, PartialEq)]
+pub(super) struct Reachability {
+    up: Vec<bool>,
+    running: Vec<bool>,
+    /// Directions that carry nothing: from, to.
+    pub(super) cut: BTreeSet<(usize, usize)>,
+    /// The network is such that a view may be any of those that lead.
+    pub(super) lossy: bool,
+}
+
+impl Reachability {
+    /// All hear each other.
+    pub(super) fn complete(nodes: usize) -> Reachability {
+        Reachability { up: vec![true; nodes], running: vec![true; nodes], cut: BTreeSet::new(), lossy: false }
+    }
+
+    /// How many members there are.
+    pub(super) fn nodes(&self) -> usize {
+        self.up.len()
+    }
+
+    /// What a fault changes.
+    pub(super) fn apply(&mut self, fault: &ScheduledFault) {
+        let members = self.up.len();
+        let nodes = &fault.nodes;
+        match &fault.kind {
+            FaultKind::Kill | FaultKind::Term => nodes.iter().for_each(|n| self.up[*n] = false),
+            FaultKind::Start => nodes.iter().for_each(|n| self.up[*n] = true),
+            FaultKind::Pause => nodes.iter().for_each(|n| self.running[*n] = false),
+            FaultKind::Resume => nodes.iter().for_each(|n| self.running[*n] = true),
+            FaultKind::GossipSplit(groups) => self.cut = cuts_between(groups, members),
+            FaultKind::GossipDeaf => self.cut.extend(cuts_towards(nodes, members)),
+            FaultKind::GossipMute => self.cut.extend(cuts_from(nodes, members)),
+            FaultKind::GossipLoss(_) | FaultKind::GossipDelay(_) => self.lossy = true,
+            FaultKind::GossipHeal => (self.cut, self.lossy) = (BTreeSet::new(), false),
+            _ => {}
+        }
+    }
+
+    /// Whether a member can answer.
+    pub(super) fn is_on(&self, n: usize) -> bool {
+        self.up[n] && self.running[n]
+    }
+
+    /// Whether two members hear each other.
+    pub(super) fn connected(&self, a: usize, b: usize) -> bool {
+        self.is_on(a) && self.is_on(b) && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a))
+    }
+
+    /// Members that one is in touch with, both ways, directly or over others, itself among them.
+    pub(super) fn component(&self, n: usize) -> BTreeSet<usize> {
+        let mut seen = BTreeSet::from([n]);
+        let mut open = vec![n];
+        while let Some(a) = open.pop() {
+            for b in (0..self.up.len()).filter(|b| self.connected(a, *b)) {
+                if seen.insert(b) {
+                    open.push(b);
+                }
+            }
+        }
+        seen
+    }
+
+    /// The view that a member has to come to.
+    pub(super) fn expected_view(&self, n: usize) -> &'static str {
+        let (reached, all) = (self.component(n).len(), self.up.len());
+        match reached {
+            _ if reached == all => "whole",
+            _ if 2 * reached > all => "majority",
+            1 => "alone",
+            _ => "minority",
+        }
+    }
+}
+
+#[cfg(test)]
+#[path = "tests/reachability.rs"]
+mod tests;
--- /dev/null
+++ b/lab/src/fleet/members/tests/faults.rs
@@ -0,0 +1,17 @@
+//! Tests of `faults.rs`.
+
+use super::*;
+use crate::fleet::fault_script;
+
+const TRANSITION_MS: u64 = 3_120; // what is promised for five members
+
+#[test]
+fn faults_follow_from_the_seed_and_parse_again() {
+    for seed in 0..32 {
+        let FaultPlan { name, faults } = draw(5, seed, TRANSITION_MS);
+        let again = draw(5, seed, TRANSITION_MS);
+        assert_eq!((again.name, &again.faults), (name, &faults));
+        let text: String = faults.iter().map(|fault| format!("{fault}\n")).collect();
+        assert_eq!(fault_script::parse(&text, 5).unwrap(), faults, "{name}");
+    }
+}
--- /dev/null
+++ b/lab/src/fleet/options.rs
@@ -0,0 +1,40 @@
+//! How the scenarios of a fleet are played.
+
+use clap::ValueEnum;
+use std::path::PathBuf;
+
+/// What happens to the fleet in `fleet-return`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
+pub enum Kind {
+    /// All are killed within a moment and start again
+    All,
+    /// Seven in ten are, while the rest carry on; for odd seeds again while they are still warming
+    Most,
+    /// One after the other leaves and starts again, faster than they warm up
+    Rolling,
+    /// All are killed, and their state is lost, swapped, torn, old or another's
+    StateLost,
+    /// The upstream is away, and comes back empty and at a third of its speed
+    BelowLost,
+    /// Some stand still for ten seconds, or start anew beside an agent that goes on, or lose a way of their link to it
+    Odd,
+}
+
+/// How a scenario of a fleet is played.
+#[derive(Clone)]
+pub struct FleetOptions {
+    /// Seed of all chance.
+    pub seed: u64,
+    /// What happens, instead of what the seed draws.
+    pub kind: Option<Kind>,
+    /// Processes.
+    pub nodes: usize,
+    /// Faults written by hand, instead of what the seed draws.
+    pub script: Option<PathBuf>,
+    /// Where the curve of service is drawn, as SVG.
+    pub plot: Option<PathBuf>,
+    /// Another build.
+    pub other: Option<PathBuf>,
+    /// Seconds after which it ends; by default once service is full again.
+    pub seconds: Option<u64>,
+}
--- a/lab/src/fleet/plot.rs
+++ b/lab/src/fleet/plot.rs
@@ -4,12 +4,17 @@
 use plotters::prelude::*;
 use std::path::Path;
 
-/// One curve: its name, and points of seconds and shares.
-pub type Curve = (String, Vec<(f64, f64)>);
+/// One curve.
+pub struct Curve {
+    /// Its name.
+    pub name: String,
+    /// Seconds, and the part (0 to 1) that was in time.
+    pub points: Vec<(f64, f64)>,
+}
 
-/// Draws curves of shares (0 to 1) over seconds, with faults as upright lines.
-pub fn curves(path: &Path, title: &str, curves: &[Curve], faults: &[f64]) -> Result<(), Fault> {
-    let ends = curves.iter().flat_map(|(_, points)| points.iter().map(|(x, _)| *x));
+/// Draws curves over seconds, with faults as upright lines.
+pub fn draw_curves(path: &Path, title: &str, curves: &[Curve], faults: &[f64]) -> Result<(), Fault> {
+    let ends = curves.iter().flat_map(|curve| curve.points.iter().map(|(x, _)| *x));
     let end = ends.fold(1.0, f64::max);
     let root = SVGBackend::new(path, (900, 360)).into_drawing_area();
     root.fill(&WHITE)?;
@@ -24,7 +29,7 @@
         chart.draw_series(LineSeries::new([(*at, 0.0), (*at, 1.05)], RED.mix(0.4)))?;
     }
     let colours = [BLUE, RGBColor(200, 120, 0), BLACK];
-    for ((name, points), colour) in curves.iter().zip(colours) {
+    for (Curve { name, points }, colour) in curves.iter().zip(colours) {
         let line = LineSeries::new(points.iter().copied(), colour.stroke_width(2));
         let key = move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour);
         chart.draw_series(line)?.label(name).legend(key);
--- /dev/null
+++ b/lab/src/fleet/restart_recovery/tests/faults.rs
@@ -0,0 +1,16 @@
+//! Tests of `faults.rs`.
+
+use super::*;
+use crate::fleet::fault_script;
+
+#[test]
+fn faults_follow_from_the_seed_and_parse_again() {
+    for seed in 0..20 {
+        for kind in KINDS {
+            let faults = draw(kind, 5, seed);
+            assert_eq!(faults, draw(kind, 5, seed));
+            let text: String = faults.iter().map(|fault| format!("{fault}\n")).collect();
+            assert_eq!(fault_script::parse(&text, 5).unwrap(), faults);
+        }
+    }
+}
--- /dev/null
+++ b/lab/src/fleet/small_fleet.rs
@@ -0,0 +1,30 @@
+//! Fleets without gossip and without a shared upstream, for the scenarios of single moments.
+
+use super::cluster::{Fleet, Plan};
+use super::workload::{ms, COLD, WARM_UP};
+use crate::method::Method;
+use crate::report::Fault;
+use crate::setup::Setup;
+use std::time::Duration;
+
+const CORES: usize = 2;
+const SLOTS: usize = 400; // of the upstream
+
+/// A member with two cores, for so many callers.
+pub(super) fn member_setup(methods: &[Method], sockets: u64, callers: usize) -> Setup {
+    Setup {
+        memory_mb: 64,
+        sockets,
+        stop_ms: 1_500,
+        warm_up: WARM_UP,
+        skip_value: 0.5,
+        callers,
+        ..Setup::new(methods, CORES)
+    }
+}
+
+/// Starts a fleet of them.
+pub(super) fn start_fleet(nodes: usize, setup: Setup) -> Result<Fleet, Fault> {
+    let call: Duration = ms(10);
+    Fleet::start(&Plan { nodes, setup, cold: COLD, slots: SLOTS, call, network: None })
+}
--- /dev/null
+++ b/lab/src/fleet/tcp_proxy.rs
@@ -0,0 +1,154 @@
+//! Proxies between a process and what it depends on: each has one way in and one way out, and can delay, withhold,
+//! reset or refuse what passes; the first two for each direction by itself.
+
+use crate::sync::lock;
+use std::io::{Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::thread;
+use std::time::Duration;
+
+/// What a proxy does to what passes in one direction.
+#[derive(Clone, Debug, Default)]
+pub struct Direction {
+    /// Each piece is delayed by so long.
+    pub delay: Duration,
+    /// Nothing passes, and nothing breaks: what comes is withheld until it is healed.
+    pub hangs: bool,
+}
+
+#[derive(Default)]
+struct State {
+    forward: Direction,
+    backward: Direction,
+    /// Connections are refused, as by a port at which nobody listens.
+    refusing: bool,
+    connections: Vec<[TcpStream; 2]>,
+}
+
+/// A proxy for TCP. It ends when it is dropped.
+pub struct TcpProxy {
+    /// Where it listens.
+    pub at: SocketAddr,
+    state: Arc<Mutex<State>>,
+    stopped: Arc<AtomicBool>,
+}
+
+impl TcpProxy {
+    /// Listens on a port that the system chooses and passes on to `to`.
+    pub fn start(to: SocketAddr) -> std::io::Result<TcpProxy> {
+        let listener = TcpListener::bind("127.0.0.1:0")?;
+        let at = listener.local_addr()?;
+        let (state, stopped) = (Arc::new(Mutex::new(State::default())), Arc::new(AtomicBool::new(false)));
+        let (shared, stop_flag) = (state.clone(), stopped.clone());
+        thread::spawn(move || {
+            for from in listener.incoming().flatten() {
+                if stop_flag.load(Ordering::Acquire) {
+                    return;
+                }
+                let locked = lock(&shared);
+                if locked.refusing {
+                    drop(from); // at once, so that whoever connects learns of it by an end without a byte
+                    continue;
+                }
+                drop(locked);
+                let Ok(upstream) = TcpStream::connect(to) else { continue };
+                drop(join(from, upstream, &shared, &stop_flag));
+            }
+        });
+        Ok(TcpProxy { at, state, stopped })
+    }
+
+    fn state(&self) -> MutexGuard<'_, State> {
+        lock(&self.state)
+    }
+    /// Both directions hang, or pass again.
+    pub fn hang(&self, hangs: bool) {
+        let mut state = self.state();
+        (state.forward.hangs, state.backward.hangs) = (hangs, hangs);
+    }
+    /// Both directions are delayed by so much.
+    pub fn delay(&self, by: Duration) {
+        let mut state = self.state();
+        (state.forward.delay, state.backward.delay) = (by, by);
+    }
+    /// One direction hangs, or passes again: what the process sends (`forward`), or what comes back.
+    pub fn hang_direction(&self, forward: bool, hangs: bool) {
+        let mut state = self.state();
+        if forward {
+            state.forward.hangs = hangs;
+        } else {
+            state.backward.hangs = hangs;
+        }
+    }
+    /// All connections break off.
+    pub fn reset(&self) {
+        for [a, b] in self.state().connections.drain(..) {
+            a.shutdown(Shutdown::Both).unwrap_or_default();
+            b.shutdown(Shutdown::Both).unwrap_or_default();
+        }
+    }
+    /// The other side is away, with all connections, or is there again.
+    pub fn refuse(&self, refusing: bool) {
+        self.state().refusing = refusing;
+        if refusing {
+            self.reset();
+        }
+    }
+}
+
+impl Drop for TcpProxy {
+    fn drop(&mut self) {
+        self.stopped.store(true, Ordering::Release);
+        self.reset();
+        drop(TcpStream::connect(self.at)); // so that the acceptor looks
+    }
+}
+
+fn join(
+    from: TcpStream, to: TcpStream, state: &Arc<Mutex<State>>, stopped: &Arc<AtomicBool>,
+) -> std::io::Result<()> {
+    from.set_nodelay(true)?;
+    to.set_nodelay(true)?;
+    {
+        let mut state = lock(state);
+        state.connections.retain(|[a, _]| a.peer_addr().is_ok());
+        state.connections.push([from.try_clone()?, to.try_clone()?]);
+    }
+    for (a, b, forward) in [(from.try_clone()?, to.try_clone()?, true), (to, from, false)] {
+        let (state, stopped) = (state.clone(), stopped.clone());
+        thread::spawn(move || pass(a, b, forward, &state, &stopped));
+    }
+    Ok(())
+}
+
+fn pass(mut a: TcpStream, mut b: TcpStream, forward: bool, state: &Mutex<State>, stopped: &AtomicBool) {
+    let mut bytes = vec![0; 16 * 1024];
+    while let Ok(n) = a.read(&mut bytes) {
+        if n == 0 {
+            break;
+        }
+        loop {
+            let direction = if forward { lock(state).forward.clone() } else { lock(state).backward.clone() };
+            if stopped.load(Ordering::Acquire) {
+                return;
+            }
+            if !direction.hangs {
+                thread::sleep(direction.delay);
+                break;
+            }
+            thread::sleep(Duration::from_millis(2));
+        }
+        if b.write_all(&bytes[..n]).is_err() {
+            break;
+        }
+    }
+    // An end passes on as an end; what still comes the other direction passes.
+    b.shutdown(Shutdown::Write).unwrap_or_default();
+    a.shutdown(Shutdown::Read).unwrap_or_default();
+}
+
+#[cfg(test)]
+#[path = "tests/tcp_proxy.rs"]
+mod tests;
--- a/lab/src/fleet/tests/mesh.rs
+++ b/lab/src/fleet/tests/datagram_network.rs
@@ -1,24 +1,24 @@
-//! Tests of `mesh.rs`.
+//! Tests of `datagram_network.rs`.
 
 use super::*;
 
 #[test]
-fn each_direction_of_each_pair_is_cut_and_healed_on_its_own() {
+fn cuts_and_heals_each_direction_of_each_pair() {
     let sockets: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
     let own: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
     sockets.iter().for_each(|s| s.set_read_timeout(Some(Duration::from_millis(200))).unwrap());
-    let mesh = Mesh::start(&own, 1).unwrap();
+    let network = DatagramNetwork::start(&own, 1).unwrap();
     let passes = |from: usize, to: usize| {
-        sockets[from].send_to(b"x", mesh.at[to]).unwrap();
+        sockets[from].send_to(b"x", network.at[to]).unwrap();
         sockets[to].recv_from(&mut [0; 8]).is_ok()
     };
     assert!(passes(0, 1) && passes(1, 0));
-    mesh.weather(|w| w.cut = BTreeSet::from([(0, 1)]));
+    network.change_conditions(|w| w.cut = BTreeSet::from([(0, 1)]));
     assert!(!passes(0, 1) && passes(1, 0) && passes(0, 2));
-    mesh.weather(|w| (w.loss, w.cut) = (1.0, BTreeSet::new()));
+    network.change_conditions(|w| (w.loss, w.cut) = (1.0, BTreeSet::new()));
     assert!(!passes(0, 2));
-    mesh.weather(|w| (w.loss, w.doubles) = (0.0, 1.0));
+    network.change_conditions(|w| (w.loss, w.duplication) = (0.0, 1.0));
     assert!(passes(0, 2) && sockets[2].recv_from(&mut [0; 8]).is_ok(), "it comes twice");
-    let bridge = apart(&[vec![0, 1], vec![1, 2]], 3);
+    let bridge = cuts_between(&[vec![0, 1], vec![1, 2]], 3);
     assert_eq!(bridge, BTreeSet::from([(0, 2), (2, 0)]));
 }
--- a/lab/src/fleet/tests/relay.rs
+++ b/lab/src/fleet/tests/tcp_proxy.rs
@@ -1,4 +1,4 @@
-//! Tests of `relay.rs`.
+//! Tests of `tcp_proxy.rs`.
 
 use super::*;
 use std::time::Instant;
@@ -23,34 +23,34 @@
 
 #[test]
 fn a_relay_passes_delays_hangs_each_way_by_itself_resets_and_is_gone() {
-    let relay = Relay::start(echo()).unwrap();
-    let mut line = TcpStream::connect(relay.at).unwrap();
-    line.set_read_timeout(Some(Duration::from_millis(80))).unwrap();
+    let proxy = TcpProxy::start(echo()).unwrap();
+    let mut connection = TcpStream::connect(proxy.at).unwrap();
+    connection.set_read_timeout(Some(Duration::from_millis(80))).unwrap();
     let mut one = [0; 1];
-    line.write_all(b"a").unwrap();
-    line.read_exact(&mut one).unwrap();
+    connection.write_all(b"a").unwrap();
+    connection.read_exact(&mut one).unwrap();
     assert_eq!(&one, b"a");
-    relay.delay(Duration::from_millis(20));
+    proxy.delay(Duration::from_millis(20));
     let start = Instant::now();
-    line.write_all(b"b").unwrap();
-    line.read_exact(&mut one).unwrap();
+    connection.write_all(b"b").unwrap();
+    connection.read_exact(&mut one).unwrap();
     assert!(start.elapsed() >= Duration::from_millis(40));
-    relay.delay(Duration::ZERO);
-    for there in [true, false] {
-        relay.hang_one(there, true);
-        line.write_all(b"c").unwrap();
-        assert!(line.read_exact(&mut one).is_err(), "nothing comes while it hangs");
-        relay.hang_one(there, false);
-        line.read_exact(&mut one).unwrap();
+    proxy.delay(Duration::ZERO);
+    for forward in [true, false] {
+        proxy.hang_direction(forward, true);
+        connection.write_all(b"c").unwrap();
+        assert!(connection.read_exact(&mut one).is_err(), "nothing comes while it hangs");
+        proxy.hang_direction(forward, false);
+        connection.read_exact(&mut one).unwrap();
         assert_eq!(&one, b"c", "what was withheld comes");
     }
-    relay.reset();
-    assert!(matches!(line.read(&mut one), Ok(0) | Err(_)));
-    relay.gone(true);
-    let mut other = TcpStream::connect(relay.at).unwrap();
+    proxy.reset();
+    assert!(matches!(connection.read(&mut one), Ok(0) | Err(_)));
+    proxy.refuse(true);
+    let mut other = TcpStream::connect(proxy.at).unwrap();
     assert!(matches!(other.read(&mut one), Ok(0) | Err(_)));
-    relay.gone(false);
-    let mut other = TcpStream::connect(relay.at).unwrap();
+    proxy.refuse(false);
+    let mut other = TcpStream::connect(proxy.at).unwrap();
     other.write_all(b"d").unwrap();
     other.read_exact(&mut one).unwrap();
     assert_eq!(&one, b"d");
--- /dev/null
+++ b/lab/src/queue/cpu.rs
@@ -0,0 +1,93 @@
+//! `framed-cpu` and `recovery-cpu`: what a framed RPC costs the process, in turns with another build or another file.
+
+use super::rules::check_framed;
+use super::setup::backend_setup;
+use crate::backend::Backend;
+use crate::load::{p99_ms, run_load, sum, LoadStats, RateSpan};
+use crate::method::{FRAMED, LOOK, PRICE};
+use crate::report::{Fault, Report};
+use crate::setup::Setup;
+use serde_json::json;
+use std::path::Path;
+use std::sync::atomic::AtomicBool;
+use std::time::{Duration, Instant};
+
+const ROUNDS: u64 = 5;
+const WARM_UP: Duration = Duration::from_millis(500);
+const MS_PER_S: f64 = 1_000.0;
+
+type Figure = fn(&Run) -> f64;
+
+/// One run of a backend without work.
+struct Run {
+    cpu_us_per_rpc: f64,
+    stats: LoadStats,
+    start_ms: f64,
+}
+
+fn quick_setup(operator_file: Option<String>) -> Setup {
+    backend_setup(&[PRICE, LOOK].map(|method| method.without_work()), operator_file)
+}
+
+fn run(report: &mut Report, setup: &Setup, load: RateSpan, seed: u64) -> Result<Run, Fault> {
+    let never = AtomicBool::new(false);
+    let start = Instant::now();
+    let backend = Backend::start(setup, "")?;
+    let start_ms = start.elapsed().as_secs_f64() * MS_PER_S;
+    let at = backend.node.at;
+    run_load(at, &FRAMED, &[RateSpan::new(WARM_UP, load.rate)], seed + 50, &never)?;
+    let before = backend.node.cpu_us();
+    let stats = run_load(at, &FRAMED, &[load], seed, &never)?;
+    let cpu_us = (backend.node.cpu_us() - before) as f64;
+    check_framed(report, &stats);
+    Ok(Run { cpu_us_per_rpc: cpu_us / sum(&stats, |s| s.sent).max(1) as f64, stats, start_ms })
+}
+
+/// Sorts what it is given; of an even number the upper of the two in the middle.
+fn median(all: &mut [f64]) -> Option<f64> {
+    all.sort_by(f64::total_cmp);
+    all.get(all.len() / 2).copied()
+}
+
+/// CPU of a framed RPC with this build, and with another in turns if one is named: medians of five.
+pub fn framed_cpu(report: &mut Report, seed: u64, load: RateSpan, other: Option<&Path>) -> Result<(), Fault> {
+    let (mut this, mut that) = (Vec::new(), Vec::new());
+    for round in 0..ROUNDS {
+        this.push(run(report, &quick_setup(None), load, seed + round)?.cpu_us_per_rpc);
+        if let Some(program) = other {
+            let setup = Setup { program: Some(program.to_path_buf()), ..quick_setup(None) };
+            that.push(run(report, &setup, load, seed + round)?.cpu_us_per_rpc);
+        }
+    }
+    report.set("all_this", json!(this));
+    report.set("all_other", json!(that));
+    let (this, that) = (median(&mut this), median(&mut that));
+    report.set("cpu_us_per_rpc", json!(this));
+    report.set("cpu_us_per_rpc_other", json!(that));
+    report.set("ratio", json!(this.zip(that).map(|(this, that)| this / that)));
+    Ok(())
+}
+
+/// CPU and p99 of framed RPCs with snapshots each second and without `[recovery]`, in turns: medians of five.
+pub fn recovery_cpu(report: &mut Report, seed: u64, load: RateSpan) -> Result<(), Fault> {
+    let state = "[changes]\nstate {dir}/state\n";
+    let files = [("off", state.to_string()), ("on", format!("{state}[recovery]\nsnapshot 1s\n"))];
+    let mut runs = [Vec::new(), Vec::new()];
+    for round in 0..ROUNDS {
+        for ((_, file), runs) in files.iter().zip(&mut runs) {
+            runs.push(run(report, &quick_setup(Some(file.clone())), load, seed + round)?);
+        }
+    }
+    let figures: [(&str, Figure); 3] = [
+        ("cpu_us_per_rpc", |run| run.cpu_us_per_rpc),
+        ("p99_ms", |run| p99_ms(&run.stats)),
+        ("start_ms", |run| run.start_ms),
+    ];
+    for (name, figure) in figures {
+        for ((with, _), runs) in files.iter().zip(&runs) {
+            let mut all: Vec<f64> = runs.iter().map(figure).collect();
+            report.set(&format!("{name}_{with}"), json!(median(&mut all)));
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/lab/src/queue/demo.rs
@@ -0,0 +1,68 @@
+//! `demo`: the main job, to be looked at: load that jumps, a queue, progress on a terminal and a table at the end.
+
+use super::rules::{check_framed, report_broker_ledger, shut_down};
+use super::setup::{backend_setup, endless_stock, operator_file, QUEUE};
+use crate::backend::Backend;
+use crate::broker::{Broker, BrokerLedger, FaultScript};
+use crate::load::{run_load, LoadStats, RateSpan};
+use crate::method::{FRAMED, LOOK, PRICE, UPDATE};
+use crate::report::{Fault, Report};
+use serde_json::json;
+use std::sync::atomic::AtomicBool;
+use std::time::{Duration, Instant};
+
+const STEADY: f64 = 150.0; // RPCs a second
+const JUMP: f64 = 900.0;
+const LINE_EVERY: Duration = Duration::from_secs(1);
+
+/// Plays it for `span`, a third of it with a jump in load.
+pub fn demo(report: &mut Report, seed: u64, span: Duration) -> Result<(), Fault> {
+    let broker = Broker::start(FaultScript::default())?;
+    broker.state().endless = Some(endless_stock());
+    let file = operator_file(&[&broker], UPDATE.name, "caller 900\nprefetch 32\n");
+    let setup = backend_setup(&[PRICE, LOOK, UPDATE], Some(file));
+    let mut backend = Backend::start(&setup, &broker.password())?;
+    println!("asterrilld takes RPCs at {} and deliveries of the queue {QUEUE}.", backend.node.at);
+    let third = span / 3;
+    let rates = [STEADY, JUMP, STEADY].map(|rate| RateSpan::new(third, rate));
+    let (at, never) = (backend.node.at, AtomicBool::new(false));
+    let load =
+        std::thread::spawn(move || run_load(at, &FRAMED, &rates, seed, &never).map_err(|e| e.to_string()));
+    let start = Instant::now();
+    let mut runs_before = 0;
+    while !load.is_finished() {
+        std::thread::sleep(LINE_EVERY);
+        let (ledger, runs) = (broker.ledger(), backend.agent.state().started);
+        let steady = start.elapsed() < third || start.elapsed() > third * 2;
+        println!(
+            "{:3} s  {:6}  runs {:5} a second  deliveries settled {:6}",
+            start.elapsed().as_secs(),
+            if steady { "steady" } else { "jump" },
+            runs - runs_before,
+            ledger.acked + ledger.rejected
+        );
+        runs_before = runs;
+    }
+    let stats = load.join().map_err(|_| "the load ended badly")??;
+    let took_ms = shut_down(report, &mut backend, Some(&broker));
+    let ledger = broker.ledger();
+    print_table(&stats, &ledger);
+    check_framed(report, &stats);
+    report.set("drain_ms", json!(took_ms));
+    report_broker_ledger(report, &ledger);
+    Ok(())
+}
+
+fn print_table(stats: &LoadStats, ledger: &BrokerLedger) {
+    println!(
+        "\n{:14} {:>7} {:>7} {:>7} {:>11} {:>8}",
+        "method", "sent", "ok", "in time", "rejected", "aborted"
+    );
+    for (name, s) in stats {
+        println!("{name:14} {:7} {:7} {:7} {:11} {:8}", s.sent, s.ok, s.in_time, s.rejected, s.aborted);
+    }
+    println!(
+        "{:14} {:7} {:7} {:>7} {:11} {:8}   delivered, acknowledged, requeued, rejected\n",
+        UPDATE.name, ledger.deliveries, ledger.acked, "", ledger.requeued, ledger.rejected
+    );
+}
--- /dev/null
+++ b/lab/src/queue/flood.rs
@@ -0,0 +1,67 @@
+//! `amqp-flood`: framed RPCs alone, then beside a queue that never empties.
+
+use super::rules::{check_framed, report_broker_ledger, shut_down};
+use super::setup::{backend_setup, endless_stock, operator_file};
+use crate::backend::Backend;
+use crate::broker::{Broker, FaultScript};
+use crate::load::{in_time, p99_ms, run_load, sum, RateSpan};
+use crate::method::{FRAMED, LOOK, PRICE, UPDATE};
+use crate::report::{Fault, Report};
+use serde_json::json;
+use std::sync::atomic::AtomicBool;
+use std::time::Duration;
+
+const WARM_UP: Duration = Duration::from_millis(1_000);
+
+/// Service of framed RPCs in one run.
+struct Service {
+    in_time: f64,
+    p99_ms: f64,
+}
+
+/// Plays it: framed RPCs for `span` at `rate` a second.
+pub fn flood(report: &mut Report, seed: u64, span: Duration, rate: f64) -> Result<(), Fault> {
+    let alone = play(report, seed, RateSpan::new(span, rate), false)?;
+    let flooded = play(report, seed, RateSpan::new(span, rate), true)?;
+    report.set("framed_in_time_alone", json!(alone.in_time));
+    report.set("framed_in_time_flooded", json!(flooded.in_time));
+    report.set("p99_ms_alone", json!(alone.p99_ms));
+    report.set("p99_ms_flooded", json!(flooded.p99_ms));
+    report.rule("framed RPCs alone are not in time", alone.in_time > 0.9);
+    let difference = (alone.in_time - flooded.in_time).abs();
+    report.rule("the queue took time from framed RPCs", difference < 0.02);
+    Ok(())
+}
+
+fn play(report: &mut Report, seed: u64, load: RateSpan, flooded: bool) -> Result<Service, Fault> {
+    let never = AtomicBool::new(false);
+    let broker = Broker::start(FaultScript::default())?;
+    broker.state().endless = Some(endless_stock());
+    let file = flooded.then(|| operator_file(&[&broker], UPDATE.name, "caller 900\nprefetch 64\n"));
+    let setup = backend_setup(&[PRICE, LOOK, UPDATE], file);
+    let mut backend = Backend::start(&setup, &broker.password())?;
+    let at = backend.node.at;
+    let warm = run_load(at, &FRAMED, &[RateSpan::new(WARM_UP, load.rate)], seed + 100, &never)?;
+    report.rule("nothing is answered", sum(&warm, |s| s.ok) > 0);
+    let (cpu, before) = (backend.node.cpu_us(), broker.ledger());
+    let stats = run_load(at, &FRAMED, &[load], seed, &never)?;
+    let after = broker.ledger();
+    let cpu = backend.node.cpu_us() - cpu;
+    check_framed(report, &stats);
+    if flooded {
+        let deliveries = after.acked - before.acked;
+        report.set("deliveries_per_s", json!(deliveries as f64 / load.span.as_secs_f64()));
+        report.set("most_out", json!(after.most_unsettled));
+        report.set("subscriptions", json!(after.subscriptions));
+        report.set("memory_mb", json!(backend.node.memory_mb()));
+        report.rule("no delivery was taken", deliveries > 0);
+    } else {
+        report.set("cpu_us_per_rpc", json!(cpu / sum(&stats, |s| s.sent).max(1)));
+    }
+    let took_ms = shut_down(report, &mut backend, Some(&broker).filter(|_| flooded));
+    if flooded {
+        report.set("drain_ms", json!(took_ms));
+        report_broker_ledger(report, &broker.ledger());
+    }
+    Ok(Service { in_time: in_time(&stats, &FRAMED), p99_ms: p99_ms(&stats) })
+}
--- /dev/null
+++ b/lab/src/queue/mod.rs
@@ -0,0 +1,21 @@
+//! Scenarios of the queues, and of the CPU of framed RPCs beside them.
+
+mod broker_faults;
+mod cpu;
+mod demo;
+mod flood;
+mod redelivery;
+mod rules;
+mod setup;
+mod shutdown;
+mod throughput;
+
+pub use broker_faults::broker_faults;
+pub use cpu::{framed_cpu, recovery_cpu};
+pub use demo::demo;
+pub use flood::flood;
+pub use redelivery::redelivery;
+pub use rules::report_broker_ledger;
+pub use setup::endless_stock;
+pub use shutdown::shutdown;
+pub use throughput::{throughput, ThroughputOptions};
--- /dev/null
+++ b/lab/src/queue/redelivery.rs
@@ -0,0 +1,52 @@
+//! `amqp-redeliver`: thousands of redeliveries after cuts, some of them twice, by a broker that forgets settlements.
+
+use super::rules::{check_runs_once, report_broker_ledger, shut_down};
+use super::setup::{backend_setup, message, operator_file, QUEUE};
+use crate::backend::{wait_until, Backend};
+use crate::broker::{Broker, FaultScript};
+use crate::method::{LOOK, PRICE, UPDATE};
+use crate::report::{Fault, Report};
+use crate::setup::Setup;
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use serde_json::json;
+use std::time::Duration;
+
+const CORES: usize = 32; // without credit the window opens to so many to a core
+const SETTLED_WITHIN: Duration = Duration::from_secs(60);
+
+/// Plays it with so many messages.
+pub fn redelivery(report: &mut Report, seed: u64, messages: u64) -> Result<(), Fault> {
+    let mut rng = StdRng::seed_from_u64(seed);
+    let first = messages / 4 + rng.random_range(0..messages / 8);
+    let script = FaultScript {
+        cuts: [first, messages + first / 2].into(),
+        forgets_settlements: true,
+        duplicate_every: rng.random_range(5..15),
+        ..FaultScript::default()
+    };
+    let broker = Broker::start(script)?;
+    (0..messages).for_each(|n| broker.publish(QUEUE, message(n)));
+    let more = "prefetch 256\nbound 60s\nremember 10m 20000\n";
+    let methods = [PRICE, LOOK, UPDATE.without_work()];
+    let setup = backend_setup(&methods, Some(operator_file(&[&broker], UPDATE.name, more)));
+    let setup = Setup { advertise: "off", cores: CORES, ..setup };
+    let mut backend = Backend::start(&setup, &broker.password())?;
+    let complete = wait_until(SETTLED_WITHIN, || {
+        let ledger = broker.ledger();
+        ledger.cuts == 2 && ledger.settlements.len() as u64 == messages && broker.ready(QUEUE) == 0
+    });
+    report.rule("not every message was settled", complete);
+    let took_ms = shut_down(report, &mut backend, Some(&broker));
+    report.set("drain_ms", json!(took_ms));
+    let ledger = broker.ledger();
+    report.set("redeliveries", json!(ledger.redeliveries));
+    report.set("runs", json!(backend.agent.state().started));
+    check_runs_once(report, &backend);
+    report.rule("no message was redelivered", ledger.redeliveries > messages / 4);
+    // A message may be settled several times by this broker, but always in the same way.
+    let same = ledger.settlements.values().all(|all| all.iter().all(|one| *one == all[0]));
+    report.rule("a message was settled in two ways", same);
+    report_broker_ledger(report, &ledger);
+    Ok(())
+}
--- /dev/null
+++ b/lab/src/queue/setup.rs
@@ -0,0 +1,33 @@
+//! Backends with a queue, and the queue's messages.
+
+use crate::broker::{Broker, Endless, Message};
+use crate::method::Method;
+use crate::setup::Setup;
+
+/// The queue of all scenarios.
+pub(super) const QUEUE: &str = "stock";
+
+/// The operator's file of a backend that consumes the queue: `method` is called for each message, `more` are further
+/// lines of the queue's section.
+pub(super) fn operator_file(brokers: &[&Broker], method: &str, more: &str) -> String {
+    let addresses: String = brokers.iter().map(|broker| format!("address {}\n", broker.at)).collect();
+    format!(
+        "[broker]\n{addresses}user lookup\npassword-file {{password}}\nheartbeat 2s\nreconnect 20ms 200ms\n\
+         [queue {QUEUE}]\nmethod {method}\n{more}"
+    )
+}
+
+/// A backend with two cores.
+pub(super) fn backend_setup(methods: &[Method], operator_file: Option<String>) -> Setup {
+    Setup { operator_file, ..Setup::new(methods, 2) }
+}
+
+/// The message of a number, with an idempotency key.
+pub(super) fn message(n: u64) -> Message {
+    Message { id: Some(format!("id-{n}")), body: format!("job {n}").into_bytes(), ..Message::default() }
+}
+
+/// The queue, without an end.
+pub fn endless_stock() -> Endless {
+    Endless { queue: QUEUE.into(), make: message }
+}
--- /dev/null
+++ b/lab/src/rollout/stage.rs
@@ -0,0 +1,141 @@
+//! A backend that listens to operators, and what each scenario reports of it.
+
+use crate::backend::Backend;
+use crate::broker::Broker;
+use crate::control::{request_once, ANSWER_TIMEOUT};
+use crate::load::{sum, LoadStats, MethodStats};
+use crate::method::{Method, LOOK, PRICE, UPDATE};
+use crate::node::Node;
+use crate::report::{Fault, Report};
+use crate::setup::Setup;
+use serde_json::{json, Value};
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+const CORES: usize = 4;
+const PREFETCH: u64 = 32;
+const EXITS_WITHIN: Duration = Duration::from_secs(6);
+
+const fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
+/// A backend that listens to operators.
+pub(super) struct Stage {
+    pub(super) backend: Backend,
+    pub(super) setup: Setup,
+    /// Its control socket, in its state directory.
+    pub(super) socket: PathBuf,
+}
+
+/// The operator's file: where operators are listened to, and a queue if there is a broker, with its prefetch.
+pub(super) fn operator_file(socket: &Path, dir: &Path, broker: Option<(&Broker, u64)>) -> String {
+    let (socket, dir) = (socket.display(), dir.display());
+    let changes = format!("[changes]\ncontrol {socket}\nstate {dir}\n[log]\nformat json\n");
+    let queue = broker.map_or(String::new(), |(broker, prefetch)| {
+        let at = broker.at;
+        format!(
+            "[broker]\naddress {at}\nuser u\npassword-file {{password}}\n[queue stock]\nmethod stock-update\n\
+             prefetch {prefetch}\n"
+        )
+    });
+    changes + &queue
+}
+
+impl Stage {
+    /// A backend that a rate of 250 RPCs a second keeps busy to seven tenths. `thrashes`: its cores thrash when crowded.
+    pub(super) fn start(seed: u64, thrashes: bool) -> Result<Stage, Fault> {
+        Stage::start_with(seed, thrashes, None)
+    }
+
+    /// The same with a queue.
+    pub(super) fn start_with(seed: u64, thrashes: bool, broker: Option<&Broker>) -> Result<Stage, Fault> {
+        let dir = std::env::temp_dir().join(format!("asterrill-lab-{}-c{seed}", std::process::id()));
+        std::fs::create_dir_all(&dir)?;
+        let socket = dir.join("control");
+        std::fs::remove_file(&socket).unwrap_or_default();
+        let file = operator_file(&socket, &dir, broker.map(|broker| (broker, PREFETCH)));
+        let methods = [
+            Method { work: ms(8), calls_upstream: false, ..PRICE },
+            Method { work: ms(10), calls_upstream: true, ..LOOK },
+            Method { work: ms(4), ..UPDATE },
+        ];
+        let setup = Setup { operator_file: Some(file), ..Setup::new(&methods, CORES) };
+        let password = broker.map_or(String::new(), Broker::password);
+        let backend = Backend::start(&setup, &password)?;
+        backend.agent.state().thrashes = thrashes;
+        Ok(Stage { backend, setup, socket })
+    }
+
+    pub(super) fn node(&self) -> &Node {
+        &self.backend.node
+    }
+
+    /// Sends a request to the control socket.
+    pub(super) fn request(&self, request: Value) -> Result<Value, Fault> {
+        request_once(&self.socket, request, ANSWER_TIMEOUT)
+    }
+
+    /// What the process says of its configuration and counters.
+    pub(super) fn status(&self) -> Result<Value, Fault> {
+        self.request(json!({"do": "status"}))
+    }
+
+    /// Why the last event of the configuration's history happened.
+    pub(super) fn last_reason(&self) -> Result<Option<Value>, Fault> {
+        let history = self.request(json!({"do": "history"}))?;
+        let last = history["history"].as_array().and_then(|all| all.last());
+        Ok(last.map(|event| event["why"].clone()))
+    }
+
+    /// The platform's file with these settings.
+    pub(super) fn platform_file(&self, settings: Value) -> String {
+        let setup = &self.setup;
+        let limits = json!({"cores": 1.0, "memory_mb": setup.memory_mb, "sockets": setup.sockets});
+        json!({"name": "n1", "listen": "127.0.0.1:1", "agent": "127.0.0.1:1", "naming": "127.0.0.1:1", "seed": "1",
+            "stop_ms": setup.stop_ms, "limits": limits, "settings": settings})
+        .to_string()
+    }
+
+    /// Checks that no answer was decided under parts of two versions.
+    pub(super) fn check_versions(&self, report: &mut Report) -> Result<(), Fault> {
+        let half = self.status()?["counters"]["half_applied"].as_u64();
+        report.set("half_applied_seen", json!(half));
+        report.rule("an answer was decided under parts of two versions", half == Some(0));
+        Ok(())
+    }
+
+    /// Shuts the backend down, and checks that it exits in order and that changes were logged.
+    pub(super) fn end(mut self, report: &mut Report) {
+        self.backend.node.signal("TERM");
+        let code = self.backend.node.wait_for_exit(EXITS_WITHIN);
+        report.rule("the node did not end well", code == Some(0));
+        let log = self.node().read_log();
+        let is_change = |event: &Value| {
+            event["msg"] == json!("configuration") && event["hash"].is_string() && event["why"].is_string()
+        };
+        let events = log.lines().filter_map(|line| serde_json::from_str(line).ok()).filter(is_change);
+        let events = events.count();
+        report.set("events_logged", json!(events));
+        report.rule("no change was logged with its figures", events > 1);
+        if let Some(dir) = self.socket.parent() {
+            std::fs::remove_dir_all(dir).unwrap_or_default();
+        }
+    }
+}
+
+/// Whether an answer of the control socket agrees.
+pub(super) fn accepted(answer: &Value) -> bool {
+    answer["ok"] == json!(true)
+}
+
+/// Checks that each framed RPC was answered once, with its own result.
+pub(super) fn check_framed(report: &mut Report, all: &[&LoadStats]) {
+    let count = |of: fn(&MethodStats) -> u64| all.iter().map(|stats| sum(stats, of)).sum::<u64>();
+    let (unanswered, twice) = (count(|s| s.unanswered), count(|s| s.answered_twice));
+    report.set("no_final_answer", json!(unanswered));
+    report.set("answered_twice", json!(twice));
+    report.rule("a framed RPC got no final answer", unanswered == 0);
+    report.rule("a framed RPC was answered twice", twice == 0);
+    report.rule("a framed RPC got the result of another", count(|s| s.wrong_results) == 0);
+}
--- a/lab/src/scale/forms.rs
+++ b/lab/src/scale/forms.rs
@@ -1,6 +1,7 @@
 //! `scale-forms`: forms in which a version could be kept, side by side: memory of the first, memory of twenty more that differ in
 //! one entry each, CPU of making one, of finding what differs, of going back. Each form and size has a process to itself.
 
+use crate::process::{resident_kb, OWN};
 use crate::report::{Fault, Report};
 use clap::ValueEnum;
 use imbl::ordmap::DiffItem;
@@ -91,7 +92,7 @@
         let mut next = Vec::clone(last);
         let (at, value) = change(n, next.len());
         let name = format!("tenant-{at:05}");
-        if let Ok(at) = next.binary_search_by(|(known, _)| (**known).cmp(&name)) {
+        if let Ok(at) = next.binary_search_by(|(name_there, _)| (**name_there).cmp(&name)) {
             next[at].1 = value;
         }
         self.0.push(Arc::new(next));
@@ -117,8 +118,8 @@
     fn next(&mut self, n: usize) {
         let (at, value) = change(n, self.now.len());
         let name = format!("tenant-{at:05}");
-        let known = self.now.get_key_value(name.as_str()).map(|(name, before)| (name.clone(), *before));
-        if let Some((name, before)) = known {
+        let entry = self.now.get_key_value(name.as_str()).map(|(name, before)| (name.clone(), *before));
+        if let Some((name, before)) = entry {
             self.now.insert(name.clone(), value);
             self.changed.push((name, before));
         }
@@ -179,12 +180,6 @@
     }
 }
 
-fn resident_kb() -> f64 {
-    let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    line.and_then(|rest| rest.split_whitespace().next()?.parse().ok()).unwrap_or(0.0)
-}
-
 /// The middle of some turns, in microseconds of CPU for one of so many.
 fn cpu_us(times: usize, mut run: impl FnMut(usize)) -> Result<f64, Fault> {
     let used = || -> Result<f64, Fault> {
@@ -202,11 +197,11 @@
 }
 
 fn measure<V: Versions>(size: usize) -> Result<Value, Fault> {
-    let empty = resident_kb();
+    let empty = resident_kb(OWN);
     let mut versions = V::new(size);
-    let first = resident_kb();
+    let first = resident_kb(OWN);
     (0..VERSIONS).for_each(|n| versions.next(n));
-    let all = resident_kb();
+    let all = resident_kb(OWN);
     let differing = versions.differing();
     let times = (2_000_000 / size).clamp(5, 2_000);
     let differ = cpu_us(times, |_| {
@@ -251,10 +246,10 @@
         for size in SIZES {
             let mut command = Command::new(std::env::current_exe()?);
             command.args(["scale-forms", "--json", "--form", &name, "--of", &size.to_string()]);
-            let told = command.output()?;
-            let told: Value = serde_json::from_slice(&told.stdout)?;
-            report.rule("a change of one entry is not one difference", told["figures"]["differing"] == 1);
-            rows.push(told["figures"].clone());
+            let output = command.output()?;
+            let output: Value = serde_json::from_slice(&output.stdout)?;
+            report.rule("a change of one entry is not one difference", output["figures"]["differing"] == 1);
+            rows.push(output["figures"].clone());
         }
         report.set(&name, rows.into());
     }
--- a/lab/src/scale/members.rs
+++ b/lab/src/scale/members.rs
@@ -73,7 +73,7 @@
 }
 
 impl Terms {
-    pub fn of(to: &crate::Arguments, kind: Option<Kind>) -> Terms {
+    pub fn of(to: &crate::arguments::Arguments, kind: Option<Kind>) -> Terms {
         let nodes = to.nodes.clamp(SIZES.0, SIZES.1);
         let kind = kind.unwrap_or(Kind::Quiet);
         Terms {
--- a/lab/src/scale/members_real.rs
+++ b/lab/src/scale/members_real.rs
@@ -2,19 +2,24 @@
 //! the relays that the rig gives it; datagrams go over relays, which are in this process and cost it, not them.
 
 use super::members::{memory_kb, play, round, Kind, Terms};
-use crate::amqp::{LOOK, PRICE};
-use crate::fleet::members::{ask, setup, FILE, GREET, PROBE, SECTIONS, SETTLE, SUSPICION};
-use crate::fleet::restart_recovery::{ms, COLD};
-use crate::fleet::{Fleet, Plan};
+use crate::fleet::members::setup::{
+    operator_file, request_within, FILE_WITHOUT_MEMBERS, GREET_MS, PROBE_MS, SETTLE_MS, SUSPICION_MS,
+};
+use crate::fleet::members::start_idle_fleet;
+use crate::fleet::Fleet;
 use crate::report::{Fault, Report};
-use crate::world::{Method, Setup};
 use asterrill_membership::{LeaseTiming, MembershipConfig};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
+const fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
 const MOST: usize = 40; // processes
 const CALM: Duration = ms(15_000);
+const ANSWER_TIMEOUT: Duration = ms(400);
 const DEATHS: usize = 3;
 const ASKED: usize = 20; // times at the most
 const LOOKS: Duration = ms(20); // between rounds of asking
@@ -23,10 +28,10 @@
 fn intervals(expect: usize) -> MembershipConfig {
     let us = |ms: u64| ms * 1_000;
     MembershipConfig {
-        probe_interval: us(PROBE),
-        suspicion_timeout: us(SUSPICION),
-        announce_interval: us(GREET),
-        join_delay: us(SETTLE),
+        probe_interval: us(PROBE_MS),
+        suspicion_timeout: us(SUSPICION_MS),
+        announce_interval: us(GREET_MS),
+        join_delay: us(SETTLE_MS),
         forget_after: us(3_600_000),
         flap_window: us(60_000),
         expected_members: expect,
@@ -43,7 +48,7 @@
 }
 
 fn told(fleet: &Fleet, n: usize) -> Option<Told> {
-    let told = ask(&fleet.members.get(n)?.node.dir, &json!({"v": 1, "do": "members"}))?;
+    let told = request_within(&fleet.members.get(n)?.node.dir, json!({"do": "members"}), ANSWER_TIMEOUT)?;
     let members = told["members"].as_array()?;
     let failed = members.iter().filter(|m| m["standing"] == json!("failed"));
     Some(Told {
@@ -80,12 +85,6 @@
     took
 }
 
-fn start(file: String, nodes: usize, seed: u64) -> Result<Fleet, Fault> {
-    let quick = [PRICE, LOOK].map(|method| Method { work: ms(0), ..method });
-    let setup = Setup { file: Some(file), shared: None, ..setup(&quick, nodes) };
-    Fleet::start(&Plan { nodes, setup, cold: COLD, slots: 1_000, call: ms(0), mesh: Some(seed) })
-}
-
 /// Of each over a time in which nothing happens: CPU in ms a second, KB of memory of its own, datagrams, bytes and pauses a
 /// second.
 fn calm(fleet: &Fleet, members: bool) -> [f64; 5] {
@@ -115,19 +114,20 @@
     play(&mut hollow, &terms, intervals(nodes));
     hollow.broken().iter().for_each(|rule| report.rule(rule, false));
 
-    let mut off = start(SECTIONS.into(), nodes, seed)?;
+    let mut off = start_idle_fleet(nodes, FILE_WITHOUT_MEMBERS.into(), seed)?;
     std::thread::sleep(ms(3_000));
     let [cpu_off, memory_off, ..] = calm(&off, false);
     let mut left = off.end();
     drop(off);
 
-    let mut fleet = start(format!("{FILE}expect {nodes}\n"), nodes, seed)?;
+    let mut fleet = start_idle_fleet(nodes, operator_file(nodes), seed)?;
     let begun = fleet.members.iter().map(|m| m.since).max().unwrap_or(fleet.start);
     let mut all: Vec<usize> = (0..nodes).collect();
     let found = until(&fleet, begun, ms(60_000), &all, |told| told.alive + 1 >= nodes);
     std::thread::sleep(ms(3_000));
     let [cpu, memory, datagrams, bytes, pauses] = calm(&fleet, true);
-    let notice = LeaseTiming::from_intervals(PROBE * 1_000, SUSPICION * 1_000, nodes).detection_time / 1_000;
+    let notice =
+        LeaseTiming::from_intervals(PROBE_MS * 1_000, SUSPICION_MS * 1_000, nodes).detection_time / 1_000;
     let mut took = Vec::new();
     for death in 0..DEATHS.min(nodes - 2) {
         let n = nodes / 2 + death;
--- /dev/null
+++ b/lab/src/scale/test_bed/bed.rs
@@ -0,0 +1,121 @@
+//! The process among its stand-ins.
+
+use super::agent::TimedAgent;
+use super::meter::CpuMeter;
+use super::settings::SiteSettings;
+use crate::control::ControlClient;
+use crate::node::Node;
+use crate::process::status_kb;
+use crate::report::Fault;
+use crate::stand_ins::start_naming;
+use serde_json::{json, Value};
+use std::net::{TcpListener, TcpStream};
+use std::path::{Path, PathBuf};
+use std::thread;
+use std::time::{Duration, Instant};
+
+const LISTENS_WITHIN: Duration = Duration::from_secs(20);
+const EXITS_WITHIN: Duration = Duration::from_secs(30);
+
+/// One process with a [`TimedAgent`], a name service and a control socket.
+pub struct TestBed {
+    /// The process.
+    pub node: Node,
+    /// Its agent.
+    pub agent: TimedAgent,
+    /// Its CPU.
+    pub meter: CpuMeter,
+    /// From its start until it listened, in ms.
+    pub start_ms: f64,
+    config: Value,
+}
+
+/// How a process ended.
+#[derive(Clone, Copy, Debug)]
+pub struct Exit {
+    /// Its exit code; none if it was killed or did not end.
+    pub code: Option<i32>,
+    /// Processes that are still there: 0 or 1.
+    pub left: u64,
+}
+
+impl TestBed {
+    /// Starts a process of this build, or of `program`, and waits until it listens. Each run takes `work`.
+    pub fn start(site: &SiteSettings, program: Option<&Path>, work: Duration) -> Result<TestBed, Fault> {
+        TestBed::start_with(site, program, work, "")
+    }
+
+    /// The same with more sections in the operator's file.
+    pub fn start_with(
+        site: &SiteSettings, program: Option<&Path>, work: Duration, sections: &str,
+    ) -> Result<TestBed, Fault> {
+        let agent = TimedAgent::start(work)?;
+        let at = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
+        let naming = start_naming()?;
+        let mut config = json!({"name": "n1", "listen": at.to_string(), "agent": agent.at.to_string(),
+            "naming": naming.to_string(), "seed": "00000000000000a7", "stop_ms": 2_000,
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1_024}});
+        let file = format!(
+            "[changes]\ncontrol {{dir}}/control\nstate {{dir}}/state\n[log]\nformat json\n{sections}"
+        );
+        let text = config_text(&mut config, site);
+        let start = Instant::now();
+        let node = Node::with_files(at, &text, Some(&file), program.map(Path::to_path_buf), "none")?;
+        while TcpStream::connect(at).is_err() {
+            if start.elapsed() > LISTENS_WITHIN {
+                return Err(format!("it does not listen: {}", node.read_log()).into());
+            }
+            thread::sleep(Duration::from_micros(300));
+        }
+        let start_ms = start.elapsed().as_secs_f64() * 1e3;
+        let meter = CpuMeter::new(node.child.id());
+        Ok(TestBed { node, agent, meter, start_ms, config })
+    }
+
+    /// The platform's file for a site.
+    pub fn config_text(&mut self, site: &SiteSettings) -> String {
+        config_text(&mut self.config, site)
+    }
+
+    /// Where the process reads the platform's file.
+    pub fn config_path(&self) -> PathBuf {
+        self.node.dir.join("config.json")
+    }
+
+    /// An operator at the control socket.
+    pub fn control_client(&self) -> ControlClient {
+        ControlClient::new(&self.node.dir.join("control"))
+    }
+
+    /// The state directory.
+    pub fn state_dir(&self) -> PathBuf {
+        self.node.dir.join("state")
+    }
+
+    /// A line of the process's `/proc/PID/status`, in kB.
+    pub fn status_kb(&self, name: &str) -> Option<u64> {
+        status_kb(&self.node.process(), name)
+    }
+
+    /// Asks the process to shut down, and waits for its end.
+    pub fn shut_down(&mut self) -> Exit {
+        self.node.signal("TERM");
+        let code = self.node.wait_for_exit(EXITS_WITHIN);
+        let left = Path::new(&format!("/proc/{}", self.node.child.id())).exists();
+        Exit { code, left: u64::from(left) }
+    }
+}
+
+impl Drop for TestBed {
+    fn drop(&mut self) {
+        self.agent.stop();
+    }
+}
+
+/// The file's text; the settings are put in for that only, so that they are held in memory once.
+fn config_text(config: &mut Value, site: &SiteSettings) -> String {
+    config["settings"] = site.settings();
+    let text = config.to_string();
+    config["settings"] = Value::Null;
+    text
+}
--- a/lab/src/scale/tests/capacity.rs
+++ b/lab/src/scale/tests/capacity.rs
@@ -227,9 +227,3 @@
         assert_eq!(page::number(value), told);
     }
 }
-
-#[test]
-fn the_arguments_of_all_scenarios_go_together() {
-    use clap::CommandFactory;
-    crate::Arguments::command().debug_assert();
-}
--- a/lab/src/scale/tool.rs
+++ b/lab/src/scale/tool.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// Methods and tenants, growing: the memory of those that ended is known as the most of any.
+/// Methods and tenants, growing: the memory of those that ended is reported as the most of any.
 pub const SIZES: [(usize, usize); 4] = [(5, 0), (470, 4_900), (1_500, 16_000), (4_700, 49_000)];
 const TURNS: usize = 5;
 
@@ -90,7 +90,7 @@
 }
 
 pub fn scenario(report: &mut Report, other: Option<&Path>) -> Result<(), Fault> {
-    let own = crate::world::program().map(|daemon| daemon.with_file_name("asterrill"));
+    let own = crate::node::daemon_program().map(|daemon| daemon.with_file_name("asterrill"));
     let program = other.or(own.as_deref()).ok_or("asterrill is not built beside this program")?;
     let files = Files(std::env::temp_dir().join(format!("asterrill-lab-tool-{}", std::process::id())));
     std::fs::create_dir_all(&files.0)?;
--- /dev/null
+++ b/lab/src/tests/arguments.rs
@@ -0,0 +1,9 @@
+//! Tests of `arguments.rs`.
+
+use super::*;
+use clap::CommandFactory;
+
+#[test]
+fn arguments_of_all_scenarios_go_together() {
+    Arguments::command().debug_assert();
+}
