--- /dev/null
+++ b/membership/src/tests/cluster.rs
@@ -0,0 +1,188 @@
+//! Plain cases of a cluster: deaths, partitions, pauses, duplicate names, flapping.
+
+use super::network::Network;
+use super::*;
+
+const ROUNDING: f64 = 1e-9;
+
+/// All of the quota is used, and never more of it was.
+fn assert_all_used(network: &Network) {
+    let (sum, max) = (network.quota_sum(), network.max_quota_sum);
+    assert!((sum - 1.0).abs() < ROUNDING && max <= 1.0 + ROUNDING, "{sum} {max}");
+}
+
+fn assert_never_over(network: &Network) {
+    assert!(network.max_quota_sum <= 1.0 + ROUNDING, "{}", network.max_quota_sum);
+}
+
+/// One member as another sees it.
+fn seen_by(member: &Membership, n: usize) -> Option<MemberInfo> {
+    member.members().into_iter().find(|info| info.id.name == name(n))
+}
+
+fn has_status(member: &Membership, n: usize, status: MemberStatus) -> bool {
+    seen_by(member, n).is_some_and(|info| info.status == status)
+}
+
+#[test]
+fn members_find_each_other_from_three_contacts_and_divide_the_quota() {
+    for members in [2, 5, 12] {
+        let network = Network::complete(members, members as u64);
+        assert_never_over(&network);
+        assert_eq!(network.deaths.len(), 0);
+    }
+}
+
+#[test]
+fn killed_member_is_detected_and_its_quota_is_reassigned_after_the_transfer_time() {
+    let mut network = Network::complete(8, 3);
+    network.kill(5);
+    let start = network.now;
+    let detected = |network: &Network| network.alive().all(|m| has_status(m, 5, MemberStatus::Dead));
+    let took = network.run_until(20 * S, detected).expect("detected");
+    assert!(took < 6 * S, "{took}");
+    assert_eq!(network.member(0).quota_fraction(), 1.0 / 8.0, "not yet");
+    let taken = network.run_until(60 * S, |network| network.quota_sum() > 0.99).expect("used at last");
+    assert!(network.now - start >= network.quota_transfer_time(), "{taken}");
+    assert_eq!(network.member(0).quota_fraction(), 1.0 / 7.0);
+    // Back at the same name: a later start takes its place, and all shrink.
+    network.restart(5);
+    network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("complete again");
+    network.run(2 * network.quota_transfer_time());
+    assert_all_used(&network);
+}
+
+#[test]
+fn only_the_majority_side_of_a_partition_has_quota_and_both_sides_rejoin() {
+    let mut network = Network::complete(5, 4);
+    network.partition(&[&[0, 1, 2], &[3, 4]]);
+    let wait = network.quota_transfer_time();
+    network.run(wait + S);
+    let views: Vec<View> = network.views();
+    assert_eq!(views, [View::Majority, View::Majority, View::Majority, View::Minority, View::Minority]);
+    network.run(wait);
+    let fractions: Vec<f64> = network.alive().map(Membership::quota_fraction).collect();
+    let (majority, minority) = fractions.split_at(3);
+    assert!(majority.iter().all(|f| (f - 1.0 / 3.0).abs() < ROUNDING), "{fractions:?}");
+    assert_eq!(minority, [0.0, 0.0], "{fractions:?}");
+    network.blocked.clear();
+    let heal = network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("healed");
+    assert!(heal < 20 * S, "{heal}");
+    network.run(2 * wait);
+    assert_all_used(&network);
+}
+
+#[test]
+fn halves_thirds_and_single_members_never_have_a_quorum() {
+    let mut network = Network::complete(6, 5);
+    network.partition(&[&[0, 1, 2], &[3, 4, 5]]);
+    network.run(2 * network.quota_transfer_time());
+    assert!(network.all_see(View::Minority) && network.quota_sum() == 0.0, "{:?}", network.views());
+    network.blocked.clear();
+    network.partition(&[&[0, 1], &[2, 3], &[4], &[5]]);
+    network.run(2 * network.quota_transfer_time());
+    let views = (network.view(0), network.view(3), network.view(4));
+    assert_eq!(views, (View::Minority, View::Minority, View::Isolated));
+    assert_eq!(network.quota_sum(), 0.0);
+    network.blocked.clear();
+    network.run_until(120 * S, |network| network.all_see(View::Complete)).expect("healed");
+}
+
+#[test]
+fn member_that_nobody_hears_has_no_quota() {
+    let mut network = Network::complete(5, 6);
+    network.blocked.extend((0..4).map(|to| (4, to)));
+    network.run(2 * network.quota_transfer_time());
+    assert_eq!(network.member(4).quota_fraction(), 0.0);
+    assert_never_over(&network);
+}
+
+#[test]
+fn member_that_hears_both_sides_keeps_them_together() {
+    let mut network = Network::complete(5, 7);
+    for (a, b) in [(0, 2), (0, 3), (1, 2), (1, 3)] {
+        network.blocked.insert((a, b));
+        network.blocked.insert((b, a));
+    }
+    network.run(2 * network.quota_transfer_time());
+    assert_never_over(&network);
+    let all = network.alive().all(|member| member.view().has_quorum());
+    assert!(all, "4 forwards gossip and probes: {:?}", network.views());
+}
+
+#[test]
+fn paused_process_gives_up_its_quota_and_declares_nobody_dead() {
+    for pause in [S, 5 * S, 30 * S] {
+        let mut network = Network::complete(6, 8);
+        network.deaths.clear();
+        network.paused.insert(2, network.now + pause);
+        network.run(pause);
+        network.run(200 * MS);
+        if pause > 5 * S {
+            assert_eq!(network.member(2).quota_fraction(), 0.0, "it does not use its old quota");
+        }
+        network.run(20 * S);
+        let declared = network.deaths.iter().filter(|death| death.by == 2).count();
+        assert_eq!(declared, 0, "{pause}");
+        network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("complete again");
+        network.run(2 * network.quota_transfer_time());
+        assert_all_used(&network);
+    }
+}
+
+#[test]
+fn restarted_cluster_reassembles_and_leaving_member_is_never_suspected() {
+    let mut network = Network::complete(6, 9);
+    (0..6).for_each(|n| network.restart(n));
+    network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("all back");
+    network.run(2 * network.quota_transfer_time());
+    network.deaths.clear();
+    let now = network.now;
+    network.members[3].as_mut().unwrap().leave(now);
+    network.take_output(3);
+    network.run(S);
+    network.kill(3);
+    network.run(20 * S);
+    assert_eq!(network.deaths.len(), 0);
+    let complete = network.alive().all(|m| m.view() == View::Complete || m.agreed_size() == 6);
+    assert!(complete, "{:?}", network.views());
+    assert!(network.alive().all(|member| has_status(member, 3, MemberStatus::Left)));
+}
+
+#[test]
+fn later_start_displaces_an_earlier_one_with_the_same_name() {
+    let mut network = Network::complete(4, 10);
+    // A copy of n1 comes up at the address of a fifth.
+    let copy = MemberId { addr: addr(4), ..id(1, 99) };
+    let contacts = (0..CONTACTS).map(addr).collect();
+    let copy = Membership::new(network.now, copy, codec(1, 99), config(4), contacts, BTreeSet::new(), 5);
+    network.members.push(Some(copy));
+    network.run(15 * S);
+    assert!(network.member(1).is_displaced() && !network.member(4).is_displaced());
+    assert_eq!(network.member(1).quota_fraction(), 0.0);
+    let seen = seen_by(network.member(0), 1).unwrap();
+    assert_eq!((seen.id.generation, seen.id.addr), (99, addr(4)), "the others see the later one");
+}
+
+#[test]
+fn generation_grows_although_the_clock_was_set_back() {
+    assert_eq!(MemberId::next_generation(Some(500), 400), 501);
+    assert_eq!(MemberId::next_generation(None, 400), 400);
+}
+
+#[test]
+fn flapping_member_is_damped_until_it_is_stable() {
+    let mut network = Network::complete(4, 12);
+    let damped = |network: &Network| seen_by(network.member(0), 3).is_some_and(|info| info.flapping);
+    for _ in 0..8 {
+        network.blocked.extend((0..3).flat_map(|n| [(3, n), (n, 3)]));
+        network.run(4 * S);
+        network.blocked.clear();
+        network.run(4 * S);
+    }
+    assert!(damped(&network));
+    assert!(network.view(0) != View::Complete, "it does not count while it flaps");
+    network.run(60 * S);
+    assert!(!damped(&network));
+    network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("stable again");
+}
--- /dev/null
+++ b/membership/src/tests/incremental.rs
@@ -0,0 +1,111 @@
+//! The view and the quota cost what has changed since the last update. They have to be the same as worked out from whole
+//! sets.
+
+use super::network::Network;
+use super::reference::{Reference, ReferenceQuorum};
+use super::*;
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+use std::collections::BTreeMap;
+
+/// Members come, go, flap and leave beside a quorum and a lease that see only what has changed, and the references.
+#[test]
+fn incremental_updates_equal_full_recomputation_in_two_thousand_cases() {
+    let (mut with_quorum, mut with_quota) = (0, 0);
+    for seed in 0..2_000 {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let (others, expected) = (rng.random_range(1..9), rng.random_range(1..9));
+        let agreed: BTreeSet<MemberName> = (1..=others).filter(|_| rng.random::<bool>()).map(name).collect();
+        let mut quorum = Quorum::new(0, name(0), expected, agreed.clone(), 3, 12);
+        let mut reference = ReferenceQuorum::new(name(0), expected, agreed, 3, 12);
+        let timing = LeaseTiming { detection_time: 3, margin: 1 };
+        let (mut lease, mut reference_lease) = (QuotaLease::new(timing), QuotaLease::new(timing));
+        // Reachable members, and whether each flaps.
+        let mut flapping = BTreeMap::<MemberName, bool>::new();
+        let (mut now, mut changed) = (0, BTreeSet::new());
+        for _ in 0..rng.random_range(5..60) {
+            now += rng.random_range(0..3);
+            for _ in 0..rng.random_range(0..4) {
+                let one = name(rng.random_range(1..=others));
+                match rng.random_range(0..8) {
+                    0 => {
+                        flapping.remove(&one);
+                        quorum.remove_left(&one);
+                        reference.remove_left(&one);
+                    }
+                    1..4 => drop(flapping.remove(&one)),
+                    // One that flaps is reachable, and does not count.
+                    kind => drop(flapping.insert(one.clone(), kind == 4)),
+                }
+                changed.insert(one);
+            }
+            let present: BTreeSet<MemberName> =
+                flapping.iter().filter(|(_, flaps)| !**flaps).map(|(name, _)| name.clone()).collect();
+            let reachable: BTreeSet<MemberName> = flapping.keys().cloned().collect();
+            changed.iter().for_each(|name| quorum.set_present(name, present.contains(name)));
+            assert_eq!(quorum.advance(now), reference.update(now, &present), "seed {seed} at {now}");
+            let found = (quorum.view(), quorum.agreed_size(), quorum.agreed_members());
+            let expected = (reference.view, reference.agreed_size(), &reference.agreed);
+            assert_eq!(found, expected, "seed {seed} at {now}");
+            let evidence = quorum.evidence(&present);
+            assert!(evidence.missing.iter().eq(reference.absent.keys().take(5)), "seed {seed} at {now}");
+            changed.append(&mut quorum.take_agreement_changes());
+            for one in std::mem::take(&mut changed) {
+                let agreed = one != name(0) && quorum.agreed_members().contains(&one);
+                lease.set_lost(now, &one, agreed && !reachable.contains(&one));
+            }
+            let size = reference.agreed_size();
+            assert_eq!(
+                lease.advance(now, quorum.view(), quorum.agreed_size()),
+                reference_lease.update(now, reference.view, &reference.others(), &reachable, size)
+            );
+            assert_eq!(lease.fraction(), reference_lease.fraction(), "seed {seed} at {now}");
+            with_quorum += usize::from(reference.view.has_quorum());
+            with_quota += usize::from(lease.fraction() > 0.0);
+        }
+    }
+    let enough = with_quorum > 10_000 && with_quota > 5_000;
+    assert!(enough, "too little happened: {with_quorum} {with_quota}");
+}
+
+fn compare_members(seed: u64) {
+    let mut rng = StdRng::seed_from_u64(seed ^ 0x5ad0);
+    let members = rng.random_range(2..7);
+    let mut network = Network::new(members, seed);
+    network.references = (0..members).map(|n| Some(Reference::new(n, config(members)))).collect();
+    network.loss = [0.0, 0.15, 0.4][rng.random_range(0..3)];
+    network.duplicate_rate = 0.05;
+    for _ in 0..rng.random_range(2..7) {
+        let n = rng.random_range(0..members);
+        match rng.random_range(0..6) {
+            0 => network.kill(n),
+            1 => network.blocked.extend((0..members).filter(|to| *to != n).map(|to| (n, to))),
+            2 => network.blocked.clear(),
+            3 => drop(network.paused.insert(n, network.now + rng.random_range(1..4) * S)),
+            4 => {
+                if let Some(member) = &mut network.members[n] {
+                    member.leave(network.now);
+                    network.references[n] = None;
+                    network.take_output(n);
+                }
+                network.kill(n);
+            }
+            _ => {
+                network.restart(n);
+                network.references[n] = Some(Reference::new(n, config(members)));
+            }
+        }
+        network.run(rng.random_range(1..4) * S);
+    }
+}
+
+#[test]
+fn members_equal_full_recomputation_after_each_input() {
+    (0..80).for_each(compare_members);
+}
+
+#[test]
+#[ignore = "minutes: cargo test -p asterrill-membership --release -- --ignored --nocapture"]
+fn members_equal_full_recomputation_in_two_thousand_cases() {
+    (1_000..3_000).for_each(compare_members);
+}
