--- a/membership/src/refresh.rs
+++ b/membership/src/refresh.rs
@@ -39,6 +39,7 @@
     /// Probes and suspicions that run go on as they are; the next ones last as long as so many members need.
     fn configure_for_size(&mut self, agreed_size: usize) {
         self.configured_size = agreed_size;
+        // It fails only if a period changes; nothing but the suspicion timeout depends on the size.
         self.foca.set_config(self.config.swim_config(agreed_size)).unwrap_or_default();
         self.lease.set_timing(self.lease_timing(agreed_size));
     }
--- a/membership/src/tests/incremental.rs
+++ b/membership/src/tests/incremental.rs
@@ -8,7 +8,71 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Members come, go, flap and leave beside a quorum and a lease that see only what has changed, and the references.
+/// A quorum and a lease that see only what has changed, and the references beside them.
+struct Pair {
+    quorum: Quorum,
+    lease: QuotaLease,
+    reference: ReferenceQuorum,
+    reference_lease: QuotaLease,
+    /// Reachable members, and whether each flaps.
+    flapping: BTreeMap<MemberName, bool>,
+    changed: BTreeSet<MemberName>,
+}
+
+impl Pair {
+    fn new(expected: usize, agreed: BTreeSet<MemberName>) -> Pair {
+        let timing = LeaseTiming { detection_time: 3, margin: 1 };
+        Pair {
+            quorum: Quorum::new(0, name(0), expected, agreed.clone(), 3, 12),
+            lease: QuotaLease::new(timing),
+            reference: ReferenceQuorum::new(name(0), expected, agreed, 3, 12),
+            reference_lease: QuotaLease::new(timing),
+            flapping: BTreeMap::new(),
+            changed: BTreeSet::new(),
+        }
+    }
+
+    /// A member leaves, is gone, flaps, or is present.
+    fn change(&mut self, one: MemberName, kind: u32) {
+        match kind {
+            0 => {
+                self.flapping.remove(&one);
+                self.quorum.remove_left(&one);
+                self.reference.remove_left(&one);
+            }
+            1..4 => drop(self.flapping.remove(&one)),
+            // One that flaps is reachable, and does not count.
+            kind => drop(self.flapping.insert(one.clone(), kind == 4)),
+        }
+        self.changed.insert(one);
+    }
+
+    fn update_and_compare(&mut self, now: Us, seed: u64) {
+        let Pair { quorum, lease, reference, reference_lease, flapping, changed } = self;
+        let present: BTreeSet<MemberName> =
+            flapping.iter().filter(|(_, flaps)| !**flaps).map(|(name, _)| name.clone()).collect();
+        let reachable: BTreeSet<MemberName> = flapping.keys().cloned().collect();
+        changed.iter().for_each(|name| quorum.set_present(name, present.contains(name)));
+        assert_eq!(quorum.advance(now), reference.update(now, &present), "seed {seed} at {now}");
+        let found = (quorum.view(), quorum.agreed_size(), quorum.agreed_members());
+        let expected = (reference.view, reference.agreed_size(), &reference.agreed);
+        assert_eq!(found, expected, "seed {seed} at {now}");
+        let evidence = quorum.evidence(&present);
+        assert!(evidence.missing.iter().eq(reference.absent.keys().take(5)), "seed {seed} at {now}");
+        changed.append(&mut quorum.take_agreement_changes());
+        for one in std::mem::take(changed) {
+            let agreed = one != name(0) && quorum.agreed_members().contains(&one);
+            lease.set_lost(now, &one, agreed && !reachable.contains(&one));
+        }
+        let size = reference.agreed_size();
+        assert_eq!(
+            lease.advance(now, quorum.view(), quorum.agreed_size()),
+            reference_lease.update(now, reference.view, &reference.others(), &reachable, size)
+        );
+        assert_eq!(lease.fraction(), reference_lease.fraction(), "seed {seed} at {now}");
+    }
+}
+
 #[test]
 fn incremental_updates_equal_full_recomputation_in_two_thousand_cases() {
     let (mut with_quorum, mut with_quota) = (0, 0);
@@ -16,52 +80,17 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let (others, expected) = (rng.random_range(1..9), rng.random_range(1..9));
         let agreed: BTreeSet<MemberName> = (1..=others).filter(|_| rng.random::<bool>()).map(name).collect();
-        let mut quorum = Quorum::new(0, name(0), expected, agreed.clone(), 3, 12);
-        let mut reference = ReferenceQuorum::new(name(0), expected, agreed, 3, 12);
-        let timing = LeaseTiming { detection_time: 3, margin: 1 };
-        let (mut lease, mut reference_lease) = (QuotaLease::new(timing), QuotaLease::new(timing));
-        // Reachable members, and whether each flaps.
-        let mut flapping = BTreeMap::<MemberName, bool>::new();
-        let (mut now, mut changed) = (0, BTreeSet::new());
+        let mut pair = Pair::new(expected, agreed);
+        let mut now = 0;
         for _ in 0..rng.random_range(5..60) {
             now += rng.random_range(0..3);
             for _ in 0..rng.random_range(0..4) {
                 let one = name(rng.random_range(1..=others));
-                match rng.random_range(0..8) {
-                    0 => {
-                        flapping.remove(&one);
-                        quorum.remove_left(&one);
-                        reference.remove_left(&one);
-                    }
-                    1..4 => drop(flapping.remove(&one)),
-                    // One that flaps is reachable, and does not count.
-                    kind => drop(flapping.insert(one.clone(), kind == 4)),
-                }
-                changed.insert(one);
-            }
-            let present: BTreeSet<MemberName> =
-                flapping.iter().filter(|(_, flaps)| !**flaps).map(|(name, _)| name.clone()).collect();
-            let reachable: BTreeSet<MemberName> = flapping.keys().cloned().collect();
-            changed.iter().for_each(|name| quorum.set_present(name, present.contains(name)));
-            assert_eq!(quorum.advance(now), reference.update(now, &present), "seed {seed} at {now}");
-            let found = (quorum.view(), quorum.agreed_size(), quorum.agreed_members());
-            let expected = (reference.view, reference.agreed_size(), &reference.agreed);
-            assert_eq!(found, expected, "seed {seed} at {now}");
-            let evidence = quorum.evidence(&present);
-            assert!(evidence.missing.iter().eq(reference.absent.keys().take(5)), "seed {seed} at {now}");
-            changed.append(&mut quorum.take_agreement_changes());
-            for one in std::mem::take(&mut changed) {
-                let agreed = one != name(0) && quorum.agreed_members().contains(&one);
-                lease.set_lost(now, &one, agreed && !reachable.contains(&one));
+                pair.change(one, rng.random_range(0..8));
             }
-            let size = reference.agreed_size();
-            assert_eq!(
-                lease.advance(now, quorum.view(), quorum.agreed_size()),
-                reference_lease.update(now, reference.view, &reference.others(), &reachable, size)
-            );
-            assert_eq!(lease.fraction(), reference_lease.fraction(), "seed {seed} at {now}");
-            with_quorum += usize::from(reference.view.has_quorum());
-            with_quota += usize::from(lease.fraction() > 0.0);
+            pair.update_and_compare(now, seed);
+            with_quorum += usize::from(pair.reference.view.has_quorum());
+            with_quota += usize::from(pair.lease.fraction() > 0.0);
         }
     }
     let enough = with_quorum > 10_000 && with_quota > 5_000;
--- a/membership/src/tick.rs
+++ b/membership/src/tick.rs
@@ -79,6 +79,7 @@
         for _ in 0..ANNOUNCEMENTS {
             let addr = missing[self.rng.random_range(0..missing.len())];
             let mut actions = SwimActions::default();
+            // An announcement that could not be encoded is as one that was lost: others follow.
             self.foca.announce(MemberId::unknown_at(addr), &mut actions).unwrap_or_default();
             self.apply_swim_actions(actions);
         }
--- a/membership/src/timers.rs
+++ b/membership/src/timers.rs
@@ -1,4 +1,4 @@
-//! The timers that the SWIM implementation has asked for.
+//! The timers that the SWIM implementation has requested.
 
 use crate::config::MAX_MEMBERS;
 use crate::member_id::MemberId;
--- a/recovery/src/checksummed.rs
+++ b/recovery/src/checksummed.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChecksumError {
     /// It does not begin as texts of this kind do, or is longer than any of them. With the kind that was expected.
-    #[error("it is no {0} of this program")]
+    #[error("it is not a {0} file of this program")]
     UnknownKind(&'static str),
     /// Its format has another number. With the first line.
     #[error("it was written by another version of this program: {0:?}")]
--- a/recovery/src/snapshot.rs
+++ b/recovery/src/snapshot.rs
@@ -86,7 +86,7 @@
     #[error(transparent)]
     Checksum(#[from] ChecksumError),
     /// The checksum holds, and yet the line with this number, from 1, is none that this program writes.
-    #[error("its line {0} is odd")]
+    #[error("line {0} is not valid")]
     InvalidLine(usize),
     /// It has more methods, accounts or tenants than this program writes.
     #[error("it has too many methods, accounts or tenants")]
