--- a/daemon/src/change.rs
+++ b/daemon/src/change.rs
@@ -11,8 +11,9 @@
 use asterrill_net::now;
 use asterrill_operator_config::OperatorConfig;
 use asterrill_rollout::{
-    check, difference, hash, Before, Change, Event, Hash, Kept, Marked, ObservedLoad, Problem, Refusal,
-    Rollout, Stage, State, Verdict, Version, Watch, Wish,
+    check, difference, hash, Baseline, Event, ObservedLoad, PersistedState, PersistedVersion, Phase,
+    ProbationMonitor, Problem, Proposal, RolledBack, Rollout, RolloutError, StageOptions, Verdict, Version,
+    VersionHash,
 };
 use asterrill_settings::{Deployment, SettingsError};
 use serde_json::{json, Value};
@@ -38,18 +39,18 @@
         Content { entries, file: Arc::new(file), text: text.into() }
     }
     /// Its hash: the same for the same meaning of the entries.
-    pub fn hash(&self) -> Hash {
+    pub fn hash(&self) -> VersionHash {
         hash(&self.entries, &self.text)
     }
     /// The version as it lasts.
-    fn kept(&self, number: u64) -> Kept {
-        Kept { number, content: self.entries.clone(), file: self.text.clone() }
+    fn kept(&self, number: u64) -> PersistedVersion {
+        PersistedVersion { number, content: self.entries.clone(), operator_file: self.text.clone() }
     }
     /// The version that was kept.
-    pub fn recall(kept: &Kept) -> Result<Content, SettingsError> {
-        let file = asterrill_operator_config::parse("operator's file", &kept.file);
+    pub fn recall(kept: &PersistedVersion) -> Result<Content, SettingsError> {
+        let file = asterrill_operator_config::parse("operator's file", &kept.operator_file);
         let file = file.map_err(|mistake| SettingsError::new(mistake.to_string()))?;
-        Ok(Content { entries: kept.content.clone(), file: Arc::new(file), text: kept.file.clone() })
+        Ok(Content { entries: kept.content.clone(), file: Arc::new(file), text: kept.operator_file.clone() })
     }
     /// A hash of the entries alone.
     pub fn settings(&self) -> u64 {
@@ -93,7 +94,7 @@
     pub what: What,
     /// The version that it was made from, where that is told.
     pub base: Option<u64>,
-    pub wish: Wish,
+    pub options: StageOptions,
 }
 
 /// Bytes of a text up to which it may be held while it is read, to be read again.
@@ -122,11 +123,11 @@
     /// That version.
     against: u64,
     content: Content,
-    hash: Hash,
+    hash: VersionHash,
     /// What leads there from that version.
     step: Arc<Vec<Entry>>,
     base: Option<u64>,
-    wish: Wish,
+    options: StageOptions,
     /// What it means, a line each, and what is risky about it.
     meaning: Vec<String>,
     problems: Vec<String>,
@@ -147,7 +148,7 @@
     History,
     /// The others, as this backend knows them.
     Members,
-    /// What the backends have agreed on; a list of it; a wish about it.
+    /// What the backends have agreed on; a list of it; a options about it.
     Fleet,
     List(asterrill_consensus::Kind),
     Wish(asterrill_consensus::Wish),
@@ -167,10 +168,10 @@
 /// Reads a change and checks it against what runs. Costs what the change takes to read, and what differs; nothing of it
 /// is done on the worker. The error is the answer.
 pub fn prepare(glance: &Glance, asked: Asked, terms: Terms, seed: u64) -> Result<Prepared, Told> {
-    let Asked { what, base, wish } = asked;
+    let Asked { what, base, options } = asked;
     let running = &glance.running;
     let from = |base: Option<u64>| match base.filter(|given| *given != glance.number) {
-        Some(given) => Err(refused(&Refusal::OtherBase { given, running: glance.number }.to_string())),
+        Some(given) => Err(refused(&RolloutError::OtherBase { given, running: glance.number }.to_string())),
         None => Ok(()),
     };
     from(base)?;
@@ -216,14 +217,14 @@
         return Err(refused(&format!("it wants {more:.0} kB more for itself than there are free")));
     }
     let problems = check(&running.entries, &content.entries, &step, &seen, terms.factor);
-    let stops = |p: &Problem| matches!(p, Problem::Wrong(_)) || !wish.force;
+    let stops = |p: &Problem| matches!(p, Problem::Invalid(_)) || !options.force;
     let shown: Vec<String> = problems.iter().map(Problem::to_string).collect();
     if problems.iter().any(stops) {
         return Err(json!({"ok": false, "error": "it does not pass the checks", "problems": shown}));
     }
     could_carry_out(running, &content, &step, seed).map_err(|fault| refused(&fault.to_string()))?;
     let (meaning, hash) = (difference(&running.entries, &step), content.hash());
-    Ok(Prepared { against: glance.number, content, hash, step, base, wish, meaning, problems: shown })
+    Ok(Prepared { against: glance.number, content, hash, step, base, options, meaning, problems: shown })
 }
 
 impl Prepared {
@@ -302,10 +303,10 @@
     /// Of versions that are staged, wait or are on probation: what leads there from the one before.
     steps: BTreeMap<u64, Arc<Vec<Entry>>>,
     running: Arc<Running>,
-    before: Before,
+    before: Baseline,
     /// The same since the change that is watched: what the next one is measured by, if this one stays.
-    meanwhile: Before,
-    watch: Option<Watch>,
+    meanwhile: Baseline,
+    watch: Option<ProbationMonitor>,
     next: Us,
     terms: Terms,
     seed: u64,
@@ -314,11 +315,12 @@
 
 impl Changes {
     pub fn new(
-        start: Content, number: u64, undone: Vec<Marked>, terms: Terms, seed: u64, store: Option<Store>,
+        start: Content, number: u64, undone: Vec<RolledBack>, terms: Terms, seed: u64, store: Option<Store>,
     ) -> Changes {
         let (hash, running) = (start.hash(), Arc::new(Running::new(&start)));
-        let rollout = Rollout::after(start, hash, number, undone, now());
-        let (before, meanwhile, watch, steps) = (Before::default(), Before::default(), None, BTreeMap::new());
+        let rollout = Rollout::resume(start, hash, number, undone, now());
+        let (before, meanwhile, watch, steps) =
+            (Baseline::default(), Baseline::default(), None, BTreeMap::new());
         let changes =
             Changes { rollout, steps, running, before, meanwhile, watch, next: now(), terms, seed, store };
         changes.keep();
@@ -340,7 +342,7 @@
 
     /// The notice to leave came: nothing is applied any more, and nothing undone.
     pub fn leave(&mut self) {
-        self.rollout.leave();
+        self.rollout.begin_shutdown();
         self.watch = None;
     }
 
@@ -361,29 +363,31 @@
         let sample = dispatcher.with(|core, _, _| core.take_service_sample());
         let verdict = match &mut self.watch {
             Some(watch) => {
-                self.meanwhile.take(at, &sample);
-                watch.take(at, &sample)
+                self.meanwhile.record(at, &sample);
+                watch.observe(at, &sample)
             }
             None => {
-                self.before.take(at, &sample);
+                self.before.record(at, &sample);
                 Verdict::Wait
             }
         };
-        let figures = |expected: asterrill_rollout::Loss, seen: asterrill_rollout::Loss| {
+        let figures = |expected: asterrill_rollout::Loss, observed: asterrill_rollout::Loss| {
             format!(
                 "loss of {:.3} where {:.3} was to be expected, on {:.0} RPCs' worth",
-                seen.share, expected.share, seen.evidence
+                observed.fraction, expected.fraction, observed.evidence
             )
         };
         match verdict {
             Verdict::Wait => {}
-            Verdict::Undo { expected, seen } => {
-                let told = self.undo(dispatcher, &figures(expected, seen), pause);
+            Verdict::RollBack { expected, observed } => {
+                let told = self.undo(dispatcher, &figures(expected, observed), pause);
                 if told["ok"] != json!(true) {
                     warn!(dispatcher.log, "the change could not be undone"; "why" => %told["error"]);
                 }
             }
-            Verdict::Settle { expected, seen } => drop(self.settle(dispatcher, &figures(expected, seen))),
+            Verdict::Confirm { expected, observed } => {
+                drop(self.settle(dispatcher, &figures(expected, observed)))
+            }
         }
     }
 
@@ -403,8 +407,11 @@
                 Some(Ok(prepared)) if prepared.against == running.number => Ok(prepared),
                 Some(Err(told)) => Err(told),
                 _ => {
-                    let asked =
-                        Asked { what: What::Entries(to.configuration), base: None, wish: Wish::default() };
+                    let asked = Asked {
+                        what: What::Entries(to.configuration),
+                        base: None,
+                        options: StageOptions::default(),
+                    };
                     prepare(&self.glance(dispatcher), asked, self.terms, self.seed)
                 }
             };
@@ -445,7 +452,7 @@
             },
             Wanted::History => {
                 let event = |e: &Event| {
-                    json!({"at": e.at, "what": e.what, "version": e.version, "hash": &*e.hash, "base": e.base,
+                    json!({"at": e.at, "what": e.kind.as_str(), "version": e.version, "hash": &*e.hash, "base": e.base,
                         "why": e.why})
                 };
                 json!({"ok": true, "history": self.rollout.history().map(event).collect::<Vec<_>>()})
@@ -454,13 +461,13 @@
     }
 
     fn stage(&mut self, dispatcher: &Dispatcher, prepared: Prepared) -> Told {
-        let Prepared { against, content, hash, step, base, wish, meaning, problems } = prepared;
+        let Prepared { against, content, hash, step, base, options, meaning, problems } = prepared;
         let running = self.rollout.running().number;
         if against != running {
             let why = format!("version {running} came into force while it was read: hand it in again");
             return json!({"ok": false, "error": why, "crossed": true});
         }
-        match self.rollout.stage(now(), Change { content, hash: hash.clone(), base, wish }) {
+        match self.rollout.stage(now(), Proposal { content, hash: hash.clone(), base, options }) {
             Ok(number) => {
                 let entries = step.len();
                 self.steps.insert(number, step);
@@ -491,13 +498,13 @@
         let step = self.step_of(&version, &before);
         if let Err(fault) = self.carry_out(dispatcher, &version, &step, Entry::clone, pause) {
             // It passed all checks, so this is a defect, or places ran out; nothing of it was applied.
-            self.rollout.undo(at, &fault.to_string()).map(drop).unwrap_or_default();
+            self.rollout.roll_back(at, &fault.to_string()).map(drop).unwrap_or_default();
             self.keep();
             self.log(&dispatcher.log);
             return refused(&fault.to_string());
         }
         let took = start.elapsed().as_micros() as u64;
-        self.watch = Some(Watch::new(now(), &self.before, before.entries, probation));
+        self.watch = Some(ProbationMonitor::new(now(), &self.before, before.entries, probation));
         self.next = now();
         self.running.set(&version.content);
         self.log(&dispatcher.log);
@@ -544,7 +551,7 @@
     }
 
     fn settle(&mut self, dispatcher: &Dispatcher, why: &str) -> Told {
-        match self.rollout.settle(now(), why) {
+        match self.rollout.confirm(now(), why) {
             Ok(number) => {
                 self.watch = None;
                 self.before = std::mem::take(&mut self.meanwhile);
@@ -559,10 +566,10 @@
 
     fn undo(&mut self, dispatcher: &Dispatcher, why: &str, pause: &mut Pause<'_>) -> Told {
         let undone = self.rollout.running().clone();
-        match self.rollout.undo(now(), why) {
+        match self.rollout.roll_back(now(), why) {
             Ok(version) => {
                 self.watch = None;
-                self.meanwhile = Before::default();
+                self.meanwhile = Baseline::default();
                 let (step, before) =
                     (self.step_of(&undone, &version.content), version.content.entries.clone());
                 let done = self.carry_out(dispatcher, &version, &step, |entry| back(entry, &before), pause);
@@ -583,9 +590,9 @@
     fn status(&self, dispatcher: &Dispatcher) -> Told {
         let running = self.rollout.running();
         let entries = &running.content.entries;
-        let probation = match self.rollout.stage_now() {
-            Stage::Settled => Value::Null,
-            Stage::Probation(until) => json!({"until": until, "good": self.rollout.good().number}),
+        let probation = match self.rollout.phase() {
+            Phase::Confirmed => Value::Null,
+            Phase::Probation(until) => json!({"until": until, "good": self.rollout.last_good().number}),
         };
         let counted = dispatcher.stats();
         let back = dispatcher.with(|core, _, _| {
@@ -606,23 +613,23 @@
     /// Writes down what a restart needs, if there is a place for it.
     fn keep(&self) {
         let Some(store) = &self.store else { return };
-        let (good, running) = (self.rollout.good(), self.rollout.running());
+        let (good, running) = (self.rollout.last_good(), self.rollout.running());
         let on_probation = running.number != good.number;
-        store.save_versions(State {
+        store.save_versions(PersistedState {
             good: good.content.kept(good.number),
             probation: on_probation.then(|| running.content.kept(running.number)),
-            undone: self.rollout.undone().cloned().collect(),
+            rolled_back: self.rollout.rolled_back().cloned().collect(),
         });
     }
 
     /// Each event once, with all that decided it. What led to versions that are over is forgotten.
     fn log(&mut self, log: &Logger) {
-        for e in self.rollout.take_news() {
+        for e in self.rollout.take_events() {
             let entries = self.steps.get(&e.version).map_or(0, |step| step.len());
-            info!(log, "configuration"; "what" => e.what, "version" => e.version, "hash" => &*e.hash,
+            info!(log, "configuration"; "what" => e.kind.as_str(), "version" => e.version, "hash" => &*e.hash,
                 "base" => e.base, "entries" => entries, "why" => &e.why);
         }
-        let running = Some(self.rollout.running()).filter(|_| self.rollout.stage_now() != Stage::Settled);
+        let running = Some(self.rollout.running()).filter(|_| self.rollout.phase() != Phase::Confirmed);
         let kept = [running, self.rollout.staged(), self.rollout.queued()];
         let kept = kept.map(|version| version.map(|version| version.number));
         self.steps.retain(|number, _| kept.contains(&Some(*number)));
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -3,7 +3,7 @@
 
 use crate::change::{Asked, Told, Wanted, What};
 use asterrill_consensus::{Change, Entry, Kind, Standing, Wish as Wanting};
-use asterrill_rollout::Wish;
+use asterrill_rollout::StageOptions;
 use serde_json::{json, Value};
 use slog::{info, warn, Logger};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -182,8 +182,8 @@
     let wanted = match v.get("do").and_then(Value::as_str) {
         Some(todo @ ("stage" | "diff")) => {
             let what = what.ok_or_else(|| format!("{todo} wants text or step"))?;
-            let wish = Wish { force: flag("force"), queue: flag("queue") };
-            let asked = Asked { what, base: number("base")?, wish };
+            let options = StageOptions { force: flag("force"), queue: flag("queue") };
+            let asked = Asked { what, base: number("base")?, options };
             return Ok(if todo == "stage" { Request::Stage(asked) } else { Request::Diff(asked) });
         }
         Some("apply") => {
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -39,7 +39,7 @@
 use asterrill_operator_config::{LogFormat, OperatorConfig};
 use asterrill_protocol::{agent, sidecar};
 use asterrill_recovery::{phase, ClockReading};
-use asterrill_rollout::{start_with, Marked, Start, Wish};
+use asterrill_rollout::{choose_start, RolledBack, StageOptions, StartDecision};
 use asterrill_settings::{Deployment, SettingsError};
 use nanorand::{Rng, WyRand};
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
@@ -376,7 +376,7 @@
 const WANTS: usize = 16; // that wait at a time
 
 /// A version with its number, and what was undone.
-type Begin = (Content, u64, Vec<Marked>);
+type Begin = (Content, u64, Vec<RolledBack>);
 
 /// What a start begins with: the configuration as it was told, or the last good version if that was on probation
 /// when the process before ended, or had been undone.
@@ -386,9 +386,9 @@
     let told = Content::new(to.configuration.clone(), file, &text);
     let Some(dir) = told.file.changes.state_dir.clone() else { return Ok((told, 1, Vec::new())) };
     std::fs::create_dir_all(&dir).unwrap_or_default(); // one that can't be made shows when it is written
-    match start_with(&told.hash(), store::read_versions(&dir, log)) {
-        Start::Told { number, undone } => Ok((told, number, undone)),
-        Start::Good { good, undone, why } => match Content::recall(&good) {
+    match choose_start(&told.hash(), store::read_versions(&dir, log)) {
+        StartDecision::Configured { number, rolled_back: undone } => Ok((told, number, undone)),
+        StartDecision::LastGood { good, rolled_back: undone, why } => match Content::recall(&good) {
             Ok(content) => {
                 info!(log, "started on the last good version"; "version" => good.number, "why" => why);
                 let frame = content.entries.globals();
@@ -448,7 +448,7 @@
             return Reread { to, prepared: None };
         }
         let what = What::Entries(to.configuration.clone());
-        let asked = Asked { what, base: None, wish: Wish::default() };
+        let asked = Asked { what, base: None, options: StageOptions::default() };
         let glance = self.glance(|| dispatcher.clock.ring());
         let prepared = glance.map(|glance| prepare(&glance, asked, terms, to.seed));
         Reread { to, prepared }
--- a/daemon/src/store.rs
+++ b/daemon/src/store.rs
@@ -5,7 +5,9 @@
 use asterrill_consensus::Write as Bytes;
 use asterrill_membership::PersistedState;
 use asterrill_recovery::{Snapshot, MAX_TEXT_BYTES};
-use asterrill_rollout::{recover, write_whole, Kept as Version, Standing, State};
+use asterrill_rollout::{
+    recover, write_snapshot, PersistedState as VersionState, PersistedVersion as Version, WrittenRecord,
+};
 use slog::{warn, Logger};
 use std::fmt;
 use std::fs::File;
@@ -27,7 +29,7 @@
 /// What is to be written next.
 #[derive(Default)]
 struct Wanted {
-    versions: Option<State>,
+    versions: Option<VersionState>,
     learned: Option<Snapshot>,
     members: Option<String>,
     /// What a keeper has to have on disk, in this order, and who is told once it stands there.
@@ -87,7 +89,7 @@
 }
 
 /// Reads which versions an earlier process has left. What can't be used is told, and is as if it were not there.
-pub fn read_versions(dir: &Path, log: &Logger) -> Option<State> {
+pub fn read_versions(dir: &Path, log: &Logger) -> Option<VersionState> {
     let path = dir.join(VERSIONS);
     let read = match File::open(&path) {
         Ok(file) => recover(BufReader::new(file)).map_err(|fault| fault.to_string()),
@@ -96,9 +98,9 @@
     };
     match read {
         Ok(found) => {
-            if found.torn > 0 {
+            if found.torn_bytes > 0 {
                 warn!(log, "the last step of the state was not written whole and is left out";
-                    "path" => %path.display(), "bytes" => found.torn);
+                    "path" => %path.display(), "bytes" => found.torn_bytes);
             }
             if let Some(damage) = &found.damaged {
                 warn!(log, "the state is damaged: what stands before that is used";
@@ -115,7 +117,7 @@
 
 /// Reads versions as builds before the file of versions kept them, each a whole text in a file of its own. What was
 /// undone then is not known any more: it was named by a hash of the text.
-fn read_former_versions(dir: &Path, log: &Logger) -> Option<State> {
+fn read_former_versions(dir: &Path, log: &Logger) -> Option<VersionState> {
     let read = |name: &str| -> Result<Option<Version>, String> {
         let mut text = String::new();
         match File::open(dir.join(name))
@@ -135,7 +137,7 @@
         })
     };
     let [good, probation] = FORMER.map(read);
-    Some(State { good: good?, probation, undone: Vec::new() })
+    Some(VersionState { good: good?, probation, rolled_back: Vec::new() })
 }
 
 /// `version N`, what was undone, `text` with its length; then settings and limits in JSON, and the operator's file.
@@ -151,7 +153,7 @@
     let limit = |name| asterrill_settings::json::integer(limits, name).map_err(|fault| fault.to_string());
     let content =
         asterrill_settings::configuration_from_json(settings, limit("memory_mb")?, limit("sockets")?);
-    Ok(Version { number, content: content.map_err(|fault| fault.to_string())?, file: file.into() })
+    Ok(Version { number, content: content.map_err(|fault| fault.to_string())?, operator_file: file.into() })
 }
 
 impl Store {
@@ -165,7 +167,7 @@
     /// From now on this is to stand on disk. Of several wishes the last counts: what is appended leads to it from what
     /// stands there, so at most one waits, nothing is left out and nothing is written twice. Costs the caller nothing that
     /// grows with the version.
-    pub fn save_versions(&self, state: State) {
+    pub fn save_versions(&self, state: VersionState) {
         self.0.wanted().versions = Some(state);
         self.0.news.notify_one();
     }
@@ -238,18 +240,18 @@
 
 /// Writes what leads from what stands there to what is to. After a failure it is not known what stands there, so the
 /// next time a whole version takes its place: steps never follow a hole.
-fn write_versions(dir: &Path, standing: &mut Option<Standing>, state: State) -> io::Result<()> {
+fn write_versions(dir: &Path, standing: &mut Option<WrittenRecord>, state: VersionState) -> io::Result<()> {
     let path = dir.join(VERSIONS);
-    let steps = standing.as_ref().and_then(|standing| standing.steps_to(&state));
+    let steps = standing.as_ref().and_then(|standing| standing.update_to(&state));
     if let Some((old, steps)) = standing.take().zip(steps) {
         if !steps.is_empty() {
             // Not made where it is missing: steps are nothing without the version before them.
             write_text(File::options().append(true).open(&path)?, |to| steps.write(to))?;
         }
-        *standing = Some(old.with(state, &steps));
+        *standing = Some(old.after_update(state, &steps));
         return Ok(());
     }
-    *standing = Some(put_text(dir, &path, |to| write_whole(&state, to))?);
+    *standing = Some(put_text(dir, &path, |to| write_snapshot(&state, to))?);
     // What a build before left has had its day; where it can't be removed it is not looked at all the same.
     FORMER.iter().for_each(|name| std::fs::remove_file(dir.join(name)).unwrap_or_default());
     Ok(())
--- a/daemon/src/tests/change.rs
+++ b/daemon/src/tests/change.rs
@@ -4,7 +4,7 @@
 use crate::change::{prepare, Asked, Changes, Content, Prepared, Terms, Wanted, What};
 use crate::dispatcher::Dispatcher;
 use asterrill_net::{now, one_worker, spawn, Outbox};
-use asterrill_rollout::Wish;
+use asterrill_rollout::StageOptions;
 use std::sync::Arc;
 
 const TERMS: Terms = Terms { probation: 600_000 * MS, factor: 10.0 };
@@ -30,8 +30,8 @@
 }
 
 fn read(dispatcher: &Dispatcher, changes: &Changes, to: &Entries) -> Prepared {
-    let wish = Wish { force: true, queue: false };
-    let asked = Asked { what: What::Entries(to.clone()), base: None, wish };
+    let options = StageOptions { force: true, queue: false };
+    let asked = Asked { what: What::Entries(to.clone()), base: None, options };
     prepare(&changes.glance(dispatcher), asked, TERMS, 1).unwrap()
 }
 
@@ -122,8 +122,11 @@
     let (asking, of, step) =
         (orders.clone(), dispatcher.clone(), r#"{"put":"tenant","Name":"late","QuotaRps":7}"#);
     let asks = std::thread::spawn(move || {
-        let asked =
-            Asked { what: What::Step(step.into()), base: None, wish: Wish { force: true, queue: false } };
+        let asked = Asked {
+            what: What::Step(step.into()),
+            base: None,
+            options: StageOptions { force: true, queue: false },
+        };
         asking.request(crate::control::Request::Stage(asked), &of, TERMS, 1)
     });
     let until = std::time::Instant::now() + std::time::Duration::from_secs(10);
--- a/daemon/src/tests/store.rs
+++ b/daemon/src/tests/store.rs
@@ -3,7 +3,7 @@
 use super::*;
 use asterrill::{Idempotency, Method};
 use asterrill_entries::{Change, Configuration, EntryKind, GlobalSettings};
-use asterrill_rollout::Kept;
+use asterrill_rollout::{PersistedVersion, RolledBack};
 use std::os::unix::fs::symlink;
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 fn log() -> Logger {
     Logger::root(slog::Discard, slog::o!())
 }
-fn kept(number: u64) -> Kept {
+fn kept(number: u64) -> PersistedVersion {
     let method = Method {
         latency_target: 1_000,
         deadline: 3_000,
@@ -26,17 +26,21 @@
         skip_value_ratio: 0.0,
     };
     let put = [Change::PutMethod("look".into(), method), Change::PutTenant("nile".into(), number as f64)];
-    Kept {
+    PersistedVersion {
         number,
         content: Configuration::new(GlobalSettings::default()).apply(&put).unwrap(),
-        file: "a file\n".into(),
+        operator_file: "a file\n".into(),
     }
 }
-fn state(good: u64, probation: Option<u64>) -> State {
-    State { good: kept(good), probation: probation.map(kept), undone: vec![("f".repeat(32).into(), 9)] }
+fn state(good: u64, probation: Option<u64>) -> VersionState {
+    VersionState {
+        good: kept(good),
+        probation: probation.map(kept),
+        rolled_back: vec![RolledBack { hash: "f".repeat(32).into(), number: 9 }],
+    }
 }
 /// Writes states one after the other, as the thread does.
-fn keep_all(dir: &Path, standing: &mut Option<Standing>, states: &[State]) {
+fn keep_all(dir: &Path, standing: &mut Option<WrittenRecord>, states: &[VersionState]) {
     states.iter().for_each(|state| write_versions(dir, standing, state.clone()).unwrap());
 }
 fn wait(what: impl Fn() -> bool) {
@@ -57,7 +61,7 @@
     keep_all(&dir, &mut standing, &[state(1, None)]);
     let whole = length(&dir);
     let mut undone = state(2, None);
-    undone.undone.push((kept(3).hash(), 3));
+    undone.rolled_back.push(RolledBack { hash: kept(3).hash(), number: 3 });
     for next in [state(1, Some(2)), state(2, None), state(2, Some(3)), undone.clone()] {
         write_versions(&dir, &mut standing, next.clone()).unwrap();
         assert_eq!(read_versions(&dir, &log()), Some(next));
@@ -152,7 +156,7 @@
     let (mut longest, mut anew, mut before) = (0, 0, 0);
     for number in 1..100 {
         let mut next = state(number, None);
-        next.good.file = "a line\n".repeat(400 + number as usize).into();
+        next.good.operator_file = "a line\n".repeat(400 + number as usize).into();
         write_versions(&dir, &mut standing, next.clone()).unwrap();
         assert_eq!(read_versions(&dir, &log()), Some(next));
         let now = length(&dir);
@@ -197,13 +201,16 @@
     let found = read_versions(&dir, &log()).unwrap();
     assert_eq!((found.good.number, found.probation.as_ref().map(|on| on.number)), (4, Some(5)));
     let frame = found.good.content.globals();
-    assert_eq!((frame.memory_mb, frame.sockets, frame.cores, &*found.good.file), (64, 100, 4, "a file\n"));
+    assert_eq!(
+        (frame.memory_mb, frame.sockets, frame.cores, &*found.good.operator_file),
+        (64, 100, 4, "a file\n")
+    );
     assert_eq!(
         (found.good.content.tenant("nile"), found.good.content.count(EntryKind::Method)),
         (Some(5.0), 1)
     );
     assert_eq!(found.probation.as_ref().and_then(|on| on.content.tenant("nile")), Some(6.0));
-    assert_eq!(found.undone, []);
+    assert_eq!(found.rolled_back, []);
     // Once versions stand in their own file, the others are gone.
     keep_all(&dir, &mut None, &[state(1, None)]);
     assert_eq!(read_versions(&dir, &log()), Some(state(1, None)));
--- a/rollout/examples/figures.rs
+++ b/rollout/examples/figures.rs
@@ -1,11 +1,12 @@
-//! What lasting costs: `cargo run --release -p asterrill-rollout --example figures -- METHODS TENANTS`. Writes a whole
+//! What persistence costs: `cargo run --release -p asterrill-rollout --example figures -- METHODS TENANTS`. Writes a whole
 //! version, then 200 steps of one entry, each synced, then a change of every quota, and reads them back in a process of
-//! its own; and what the watch takes for a sample. One JSON object; times in milliseconds, memory in kB, medians of the steps.
+//! its own; and what the monitor takes for a sample. One JSON object; times in milliseconds, memory in kB, medians of the steps.
 
 use asterrill::{Idempotency, Method};
 use asterrill_entries::{write_step, Change, Configuration, GlobalSettings, Name, Step};
 use asterrill_rollout::{
-    recover, write_whole, Before, Kept, MethodCounts, ServiceSample, State, Verdict, Watch,
+    recover, write_snapshot, Baseline, MethodCounts, PersistedState, PersistedVersion, ProbationMonitor,
+    ServiceSample, Verdict,
 };
 use std::fmt;
 use std::fs::File;
@@ -56,21 +57,21 @@
     content
 }
 
-/// Microseconds that the watch takes for a sample of nine RPCs, each of another method: 84 a second, each 100 ms.
-fn watch(content: &Configuration) -> f64 {
+/// Microseconds that the monitor takes for a sample of nine RPCs, each of another method: 84 a second, each 100 ms.
+fn monitor(content: &Configuration) -> f64 {
     let names: Vec<Name> = content.methods().map(|(name, _)| name.clone()).collect();
     let sample = |at: usize| {
         let counted = MethodCounts { answered: 1.0, in_time: 1.0, upstream_failed: 0.0, work_us: 5_000.0 };
         let some = (0..9).filter_map(|i| Some((names.get((at * 9 + i) % names.len())?.clone(), counted)));
         ServiceSample { methods: some.collect() }
     };
-    let mut before = Before::default();
-    (1..=200).for_each(|at| before.take(at as u64 * 100_000, &sample(at)));
-    let mut watch = Watch::new(20_000_000, &before, content.clone(), 3_600_000_000);
+    let mut baseline = Baseline::default();
+    (1..=200).for_each(|at| baseline.record(at as u64 * 100_000, &sample(at)));
+    let mut monitor = ProbationMonitor::new(20_000_000, &baseline, content.clone(), 3_600_000_000);
     let samples: Vec<ServiceSample> = (201..=3_200).map(sample).collect();
     let start = Instant::now();
     for (i, sample) in samples.iter().enumerate() {
-        let verdict = watch.take((201 + i as u64) * 100_000, sample);
+        let verdict = monitor.observe((201 + i as u64) * 100_000, sample);
         assert_eq!(verdict, Verdict::Wait);
     }
     ms(start) * 1e3 / samples.len() as f64
@@ -96,10 +97,10 @@
     let methods = first.parse().unwrap_or(4_700);
     let tenants = args.next().and_then(|n| n.parse().ok()).unwrap_or(49_000);
     let path = std::env::temp_dir().join(format!("asterrill-figures-{}", std::process::id()));
-    let mut state = State {
-        good: Kept { number: 1, content: content(methods, tenants), file: "".into() },
+    let mut state = PersistedState {
+        good: PersistedVersion { number: 1, content: content(methods, tenants), operator_file: "".into() },
         probation: None,
-        undone: Vec::new(),
+        rolled_back: Vec::new(),
     };
     let (rss, top) = (kb("VmRSS:"), kb("VmHWM:"));
     let open =
@@ -109,36 +110,39 @@
     };
     let start = Instant::now();
     let mut to = open();
-    let mut standing = write_whole(&state, &mut to).expect("a whole version");
+    let mut written_record = write_snapshot(&state, &mut to).expect("a whole version");
     let written = ms(start);
     sync(to);
-    let (whole_ms, whole_bytes) = (ms(start), length(&path));
+    let (whole_ms, whole_bytes) = (ms(start), file_length(&path));
     let whole_peak = kb("VmHWM:").saturating_sub(top.max(rss));
     let whole_read = read(&path);
 
-    let (mut took, mut reckoned, mut above) = (Vec::new(), Vec::new(), 0);
+    let (mut took, mut encoded, mut above) = (Vec::new(), Vec::new(), 0);
     for i in 0..200 {
         let change =
             [Change::PutTenant(format!("tenant-{:05}", i * 7 % tenants.max(1)).into(), 120.0 + i as f64)];
         let entry = write_step(&Step { base: None, hash: None, changes: change.to_vec() }).len() as u64;
         let content = state.good.content.apply(&change).expect("a quota");
-        let next = State { good: Kept { number: i as u64 + 2, content, file: "".into() }, ..state.clone() };
+        let next = PersistedState {
+            good: PersistedVersion { number: i as u64 + 2, content, operator_file: "".into() },
+            ..state.clone()
+        };
         let start = Instant::now();
-        let steps = standing.steps_to(&next).expect("a step");
+        let update = written_record.update_to(&next).expect("a step");
         let mut to = open();
-        steps.write(&mut to).expect("a step");
-        reckoned.push(ms(start));
+        update.write(&mut to).expect("a step");
+        encoded.push(ms(start));
         sync(to);
         took.push(ms(start));
-        above = above.max(steps.bytes() - entry);
-        standing = standing.with(next.clone(), &steps);
+        above = above.max(update.bytes() - entry);
+        written_record = written_record.after_update(next.clone(), &update);
         state = next;
     }
     let median = |mut all: Vec<f64>| {
         all.sort_by(f64::total_cmp);
         all[all.len() / 2]
     };
-    let (bytes, steps_read) = (length(&path), read(&path));
+    let (bytes, steps_read) = (file_length(&path), read(&path));
 
     let all: Vec<Change> = state
         .good
@@ -149,30 +153,33 @@
     let content = state.good.content.apply(&all).expect("all quotas");
     drop(all);
     let (rss, top) = (kb("VmRSS:"), kb("VmHWM:"));
-    let next = State { probation: Some(Kept { number: 300, content, file: "".into() }), ..state.clone() };
+    let next = PersistedState {
+        probation: Some(PersistedVersion { number: 300, content, operator_file: "".into() }),
+        ..state.clone()
+    };
     let start = Instant::now();
-    let steps = standing.steps_to(&next);
-    let as_step = steps.is_some();
+    let update = written_record.update_to(&next);
+    let as_step = update.is_some();
     let mut to = open();
-    match &steps {
-        Some(steps) => steps.write(&mut to).expect("a step"),
-        None => drop(write_whole(&next, &mut to).expect("a whole version")),
+    match &update {
+        Some(update) => update.write(&mut to).expect("a step"),
+        None => drop(write_snapshot(&next, &mut to).expect("a whole version")),
     }
     sync(to);
-    let (all_ms, all_bytes) = (ms(start), length(&path) - bytes);
+    let (all_ms, all_bytes) = (ms(start), file_length(&path) - bytes);
     let all_peak = kb("VmHWM:").saturating_sub(top.max(rss));
     let all_read = read(&path);
     std::fs::remove_file(&path).unwrap_or_default();
     println!(
         "{{\"methods\":{methods},\"tenants\":{tenants},\"whole\":{{\"bytes\":{whole_bytes},\"ms_unsynced\":{written:.1},\"ms\":{whole_ms:.1},\"peak_kb\":{whole_peak},\"read\":{whole_read}}},\"step\":{{\"above_entry_bytes\":{above},\"ms_unsynced\":{:.3},\"ms\":{:.3},\"read\":{steps_read}}},\"every_quota\":{{\"as_step\":{as_step},\"bytes\":{all_bytes},\"ms\":{all_ms:.1},\"peak_kb\":{all_peak},\"read\":{all_read}}},\"watch_us\":{:.2}}}",
-        median(reckoned),
+        median(encoded),
         median(took),
-        watch(&state.good.content)
+        monitor(&state.good.content)
     );
 }
 
-fn length(path: &Path) -> u64 {
-    std::fs::metadata(path).map_or(0, |told| told.len())
+fn file_length(path: &Path) -> u64 {
+    std::fs::metadata(path).map_or(0, |metadata| metadata.len())
 }
 
 /// Reads it in a process of its own, so that its memory is its own.
--- /dev/null
+++ b/rollout/src/difference.rs
@@ -0,0 +1,78 @@
+//! What a change means, in lines for people. Costs what differs, however much a version holds.
+
+use crate::bounded_list::BoundedList;
+use crate::touched::{GlobalFigures, Touched};
+use asterrill::{Method, Us};
+use asterrill_entries::{Change, Configuration, Name};
+
+/// What the changes make of the running version, a line each, [`crate::MAX_LISTED`] at most and then how many more there
+/// are; nothing where they mean what runs.
+pub fn difference(running: &Configuration, changes: &[Change]) -> Vec<String> {
+    let touched = Touched::by(changes);
+    let mut lines = Lines(BoundedList::new());
+    if let Some(globals) = touched.globals {
+        lines.compare_globals(&GlobalFigures::of(running.globals()), &GlobalFigures::of(globals));
+    }
+    for (name, new) in &touched.methods {
+        if let (Some(old), Some(new)) = (running.method(name), new) {
+            lines.compare_methods(name, old, new);
+        }
+    }
+    for (name, new) in &touched.tenants {
+        if let Some(new) = new {
+            let old = running.tenant(name).unwrap_or(0.0);
+            lines.compare(&|| format!("tenant {name}: RPCs a second"), old, *new, "");
+        }
+    }
+    for (name, new) in &touched.methods {
+        if new.is_none() && running.method(name).is_some() {
+            lines.0.push_with(|| format!("method {name}: removed"));
+        }
+    }
+    for (name, new) in &touched.tenants {
+        if new.is_none() && running.tenant(name).is_some() {
+            lines.0.push_with(|| format!("tenant {name}: removed"));
+        }
+    }
+    for (name, new) in &touched.methods {
+        if new.is_some() && running.method(name).is_none() {
+            lines.0.push_with(|| format!("method {name}: new"));
+        }
+    }
+    lines.0.finish(|omitted| format!("and {omitted} more"))
+}
+
+struct Lines(BoundedList<String>);
+
+impl Lines {
+    fn compare(&mut self, figure: &dyn Fn() -> String, old: f64, new: f64, unit: &str) {
+        if old != new {
+            self.0.push_with(|| format!("{}: {old}{unit} -> {new}{unit}", figure()));
+        }
+    }
+
+    fn compare_globals(&mut self, old: &GlobalFigures, new: &GlobalFigures) {
+        let (crowd, new_crowd) = (old.concurrency_per_core, new.concurrency_per_core);
+        self.compare(&|| "cores".into(), old.cores, new.cores, "");
+        self.compare(&|| "crowd survived a core".into(), crowd, new_crowd, "");
+        self.compare(&|| "memory".into(), old.memory_kb, new.memory_kb, " kB");
+        let (quota, new_quota) = (old.call_quota.unwrap_or(0.0), new.call_quota.unwrap_or(0.0));
+        self.compare(&|| "share of the calls below".into(), quota, new_quota, "");
+    }
+
+    fn compare_methods(&mut self, name: &Name, old: &Method, new: &Method) {
+        let mut compare = |figure: &str, old: f64, new: f64, unit: &str| {
+            self.compare(&|| format!("method {name}: {figure}"), old, new, unit);
+        };
+        compare("criticality", old.criticality, new.criticality, "");
+        compare("latency target", milliseconds(old.latency_target), milliseconds(new.latency_target), " ms");
+        compare("deadline", milliseconds(old.deadline), milliseconds(new.deadline), " ms");
+        compare("late share", old.late_value_ratio, new.late_value_ratio, "");
+        compare("skip share", old.skip_value_ratio, new.skip_value_ratio, "");
+        compare("window", milliseconds(old.idempotency_window), milliseconds(new.idempotency_window), " ms");
+    }
+}
+
+fn milliseconds(us: Us) -> f64 {
+    us as f64 / 1e3
+}
--- a/rollout/src/lib.rs
+++ b/rollout/src/lib.rs
@@ -1,50 +1,71 @@
 //! Changes of the configuration as transactions.
 //!
-//! A [`Rollout`] owns the version that runs, the one that is staged, the one on probation and the history. It is
-//! told what operators want and what the server sees, with the time, and hands back what is to be done: which
-//! version to apply, whole, between two inputs of the server, and which to write down. It has no socket, no file
-//! and no clock. `T` is a version's content, already read, and cheap to copy; its owner names it by a hash, the same for
-//! the same meaning. Checks, watch and records work on entries and cost what differs, or what was asked for.
+//! A [`Rollout`] owns the version that runs, the one that is staged, the one on probation and the history. Its caller
+//! passes in what operators ask for and the time, and gets back what is to be done: which version to put in force,
+//! whole, between two inputs of the server. It has no socket, no file and no clock. `T` is a version's content, already
+//! read, and cheap to clone; its owner names it by a hash, the same for the same meaning. Checks, the probation monitor
+//! and records work on entries and cost what differs, or what was served.
 //!
-//! | file | job |
+//! | module | job |
 //! | --- | --- |
-//! | `transaction.rs` | stage, apply, settle, undo; who may do what when |
-//! | `check.rs` | what a change must not do, what it would have done in the last minute, and what it changes |
-//! | `watch.rs` | whether service drops because of the change |
-//! | `record.rs` | what lasts: a whole version in entries and the steps after it, in a file that a crash can't halve |
+//! | `version` | a numbered version, its hash, and those that were rolled back |
+//! | `transaction` | stage, apply, confirm, roll back; who may do what when |
+//! | `check`, `dry_run` | what a change must not do, and what it would have rejected in the last minute |
+//! | `difference` | what a change means, in lines for people |
+//! | `sample`, `baseline`, `probation` | whether service drops because of a change |
+//! | `record` | what persists: a snapshot in entries and the steps after it, in a file that a crash can't halve |
+//! | `command` | the commands of the control socket that take no arguments |
 //!
-//! Promises:
-//! - One version runs at a time, and at most one is on probation; another is refused, or waits if that was asked
+//! Guarantees:
+//! - One version runs at a time, and at most one is on probation; another is refused, or queued if that was asked
 //!   for. Changes are never merged.
-//! - Undo goes back to exactly the version before. What was undone is not taken again unless forced.
+//! - A roll back returns to exactly the version before. What was rolled back is not taken again unless forced.
 //! - What was on probation when the process ended is not what the next one starts with.
 //!
 //! ```
-//! use asterrill_rollout::{Change, Rollout, Wish};
+//! use asterrill_rollout::{Proposal, Rollout, StageOptions};
+//!
 //! let mut rollout = Rollout::new("old", "hash of old", 0);
-//! let change = Change { content: "new", hash: "hash of new".into(), base: Some(1), wish: Wish::default() };
-//! assert_eq!(rollout.stage(5, change).unwrap(), 2);
-//! assert_eq!(rollout.apply(6, Some(1), 30_000_000).unwrap().content, "new");
-//! assert_eq!(rollout.undo(7, "asked for").unwrap().content, "old");
+//! let proposal = Proposal {
+//!     content: "new",
+//!     hash: "hash of new".into(),
+//!     base: Some(1),
+//!     options: StageOptions::default(),
+//! };
+//! assert_eq!(rollout.stage(5, proposal)?, 2);
+//! assert_eq!(rollout.apply(6, Some(1), 30_000_000)?.content, "new");
+//! assert_eq!(rollout.roll_back(7, "asked for")?.content, "old");
+//! # Ok::<(), asterrill_rollout::RolloutError>(())
 //! ```
 
+#![warn(missing_docs)]
+
+mod baseline;
+mod bounded_list;
 mod check;
+mod command;
+mod difference;
+mod dry_run;
+mod probation;
 mod record;
-#[cfg(test)]
-mod tests;
+mod sample;
+mod touched;
 mod transaction;
-mod watch;
+mod version;
 
-pub use check::{check, difference, dry_run, MethodLoad, ObservedLoad, Problem, LISTED};
+pub use baseline::Baseline;
+pub use bounded_list::MAX_LISTED;
+pub use check::{check, Problem};
+pub use command::SimpleCommand;
+pub use difference::difference;
+pub use dry_run::{dry_run, MethodLoad, ObservedLoad};
+pub use probation::{
+    Loss, ProbationMonitor, Verdict, MARGIN, MAX_EXTENSION, MIN_EVIDENCE, RECENT_SLOTS, STANDARD_ERRORS,
+};
 pub use record::{
-    hash, recover, start_with, write_whole, Damage, Kept, RecordFault, Recovered, Standing, Start, State,
-    Steps, FILE, STEPS,
+    choose_start, hash, recover, write_snapshot, Damage, PersistedState, PersistedVersion, RecordFault,
+    RecordUpdate, Recovered, StartDecision, WrittenRecord, MAX_OPERATOR_FILE_BYTES, MIN_COMPACTION_BYTES,
 };
-pub use transaction::{Change, Event, Hash, Marked, Refusal, Rollout, Stage, Version, Wish};
-pub use watch::{Before, Loss, MethodCounts, ServiceSample, Verdict, Watch};
-
-/// A moment or a span in whole microseconds.
-pub type Us = u64;
-
-/// Hashes of changes that were undone, that are remembered.
-const UNDONE: usize = 64;
+pub use sample::{MethodCounts, ServiceSample};
+pub use transaction::{Event, EventKind, Phase, Proposal, Rollout, RolloutError, StageOptions};
+pub use version::{RolledBack, Us, Version, VersionHash};
--- /dev/null
+++ b/rollout/src/record/snapshot_reader.rs
@@ -0,0 +1,142 @@
+//! Reads the snapshot at the begin of a file back.
+
+use super::entry_reader::EntryReader;
+use super::format::{
+    end_line, open_head, LineReader, RecordFault, FIRST_LINE, FIRST_LINE_PREFIX, MAX_LINE_BYTES,
+    MAX_OPERATOR_FILE_BYTES,
+};
+use super::state::PersistedVersion;
+use crate::version::{RolledBack, VersionHash, MAX_ROLLED_BACK};
+use asterrill_entries::Configuration;
+use std::io::BufRead;
+use xxhash_rust::xxh3::Xxh3;
+
+/// Digits of a format's number at the most, in the first line of another format.
+const MAX_FORMAT_DIGITS: usize = 20;
+
+/// A whole version as it was read back.
+pub(super) struct Snapshot {
+    pub(super) version: PersistedVersion,
+    pub(super) rolled_back: Vec<RolledBack>,
+}
+
+/// The second line of a file.
+struct SnapshotHead {
+    number: u64,
+    hash: VersionHash,
+    rolled_back: u64,
+    operator_file_bytes: u64,
+}
+
+fn damaged(why: &str) -> RecordFault {
+    RecordFault::Damaged(why.into())
+}
+
+fn parse_number(word: &str) -> Result<u64, RecordFault> {
+    word.parse().map_err(|e: std::num::ParseIntError| damaged(&e.to_string()))
+}
+
+impl Snapshot {
+    pub(super) fn read(lines: &mut LineReader<impl BufRead>) -> Result<Snapshot, RecordFault> {
+        SnapshotReader { lines, sum: Xxh3::new(), line: Vec::new() }.read()
+    }
+}
+
+struct SnapshotReader<'a, R> {
+    lines: &'a mut LineReader<R>,
+    /// Of all that was read, but for the last line.
+    sum: Xxh3,
+    line: Vec<u8>,
+}
+
+impl<R: BufRead> SnapshotReader<'_, R> {
+    fn read(mut self) -> Result<Snapshot, RecordFault> {
+        self.read_first_line()?;
+        let head = self.read_head()?;
+        let rolled_back = self.read_rolled_back(head.rolled_back)?;
+        let operator_file = self.read_operator_file(head.operator_file_bytes)?;
+        let content = self.read_entries()?;
+        let version = PersistedVersion { number: head.number, content, operator_file: operator_file.into() };
+        if version.hash() != head.hash {
+            return Err(damaged("its entries have another hash"));
+        }
+        Ok(Snapshot { version, rolled_back })
+    }
+
+    /// Reads a line that counts in the sum.
+    fn next_line(&mut self) -> Result<(), RecordFault> {
+        self.lines.next_line(MAX_LINE_BYTES, &mut self.line)?;
+        self.sum.update(&self.line);
+        Ok(())
+    }
+
+    fn read_first_line(&mut self) -> Result<(), RecordFault> {
+        self.next_line()?;
+        if self.line == FIRST_LINE.as_bytes() {
+            return Ok(());
+        }
+        if FIRST_LINE.as_bytes().starts_with(&self.line) {
+            return Err(damaged("it ends in its first line"));
+        }
+        let text = String::from_utf8_lossy(&self.line);
+        let short = self.line.len() < FIRST_LINE_PREFIX.len() + MAX_FORMAT_DIGITS;
+        if text.starts_with(FIRST_LINE_PREFIX) && short {
+            return Err(RecordFault::OtherFormat(text.trim_end().into()));
+        }
+        Err(RecordFault::Foreign)
+    }
+
+    fn read_head(&mut self) -> Result<SnapshotHead, RecordFault> {
+        self.next_line()?;
+        let words = open_head::<5>(&self.line);
+        let Some(["whole", number, hash, rolled_back, file_bytes]) = words else {
+            return Err(damaged("its second line"));
+        };
+        Ok(SnapshotHead {
+            number: parse_number(number)?,
+            rolled_back: parse_number(rolled_back)?,
+            operator_file_bytes: parse_number(file_bytes)?,
+            hash: VersionHash::from(hash),
+        })
+    }
+
+    fn read_rolled_back(&mut self, count: u64) -> Result<Vec<RolledBack>, RecordFault> {
+        let mut rolled_back = Vec::new();
+        for _ in 0..count.min(MAX_ROLLED_BACK as u64) {
+            self.next_line()?;
+            let text = std::str::from_utf8(&self.line).ok().and_then(|text| text.strip_suffix('\n'));
+            let words = text.and_then(|text| text.strip_prefix("undone ")?.split_once(' '));
+            let (hash, number) = words.ok_or_else(|| damaged("a line of what was undone"))?;
+            rolled_back.push(RolledBack { hash: hash.into(), number: parse_number(number)? });
+        }
+        Ok(rolled_back)
+    }
+
+    fn read_operator_file(&mut self, bytes: u64) -> Result<String, RecordFault> {
+        let file = self.lines.next_bytes(bytes.min(MAX_OPERATOR_FILE_BYTES))?;
+        self.sum.update(&file);
+        String::from_utf8(file).map_err(|e| damaged(&e.to_string()))
+    }
+
+    /// Reads entries up to the last line, and compares that.
+    fn read_entries(&mut self) -> Result<Configuration, RecordFault> {
+        let mut reader = EntryReader::snapshot();
+        let mut entries = 0_u64;
+        loop {
+            self.lines.next_line(MAX_LINE_BYTES, &mut self.line)?;
+            if self.line.is_empty() {
+                return Err(damaged("it has no end"));
+            }
+            if self.line.starts_with(b"end ") {
+                break;
+            }
+            self.sum.update(&self.line);
+            reader.push_line(&self.line);
+            entries += 1;
+        }
+        if self.line != end_line(entries, self.sum.digest()).as_bytes() {
+            return Err(damaged("its sum is another"));
+        }
+        reader.finish().map_err(RecordFault::Damaged)
+    }
+}
--- /dev/null
+++ b/rollout/src/record/update.rs
@@ -0,0 +1,137 @@
+//! The steps that lead from the state on disk to another one, to be appended.
+
+use super::format::{StepHead, SummedWriter};
+use super::state::{PersistedState, PersistedVersion, StepKind};
+use crate::version::VersionHash;
+use asterrill_entries::{write_step, Change, Step};
+use std::fmt::{self, Write};
+use std::sync::Arc;
+
+/// Changes that are put in words together.
+const CHANGES_PER_WRITE: usize = 256;
+
+/// What leads from the last good version to another one.
+#[derive(Default)]
+struct StepBody {
+    /// The operator's file, where it is another.
+    operator_file: Option<Arc<str>>,
+    changes: Vec<Change>,
+}
+
+impl StepBody {
+    fn between(from: &PersistedVersion, to: &PersistedVersion) -> StepBody {
+        let differs = from.operator_file != to.operator_file;
+        StepBody {
+            operator_file: differs.then(|| to.operator_file.clone()),
+            changes: from.content.changes_to(&to.content),
+        }
+    }
+
+    fn write(&self, to: &mut dyn Write) -> fmt::Result {
+        if let Some(file) = &self.operator_file {
+            to.write_str(file)?;
+        }
+        self.changes.chunks(CHANGES_PER_WRITE).try_for_each(|changes| {
+            let step = Step { base: None, hash: None, changes: changes.to_vec() };
+            to.write_str(&write_step(&step))
+        })
+    }
+}
+
+/// One step that is to be appended.
+struct StepRecord {
+    head: String,
+    body: StepBody,
+    /// Of head and body.
+    bytes: u64,
+}
+
+/// What a step is about.
+struct StepSubject {
+    kind: StepKind,
+    number: u64,
+    hash: VersionHash,
+    /// The version, for steps that hold one.
+    version: Option<PersistedVersion>,
+}
+
+/// The steps that lead from the state on disk to the state that is to stand there.
+pub struct RecordUpdate(Vec<StepRecord>);
+
+impl RecordUpdate {
+    /// Costs the difference. `None` where steps can't lead there: then a snapshot is to be written.
+    pub fn between(from: &PersistedState, to: &PersistedState) -> Option<RecordUpdate> {
+        let mut update = RecordUpdate(Vec::new());
+        let mut state = from.clone();
+        let whole = |kind: StepKind, version: &PersistedVersion| StepSubject {
+            kind,
+            number: version.number,
+            hash: version.hash(),
+            version: Some(version.clone()),
+        };
+        if let Some(version) = state.probation.clone().filter(|version| *version == to.good) {
+            let (number, hash) = (version.number, version.hash());
+            let subject = StepSubject { kind: StepKind::Confirmed, number, hash, version: None };
+            update.add(&mut state, subject)?;
+        }
+        for version in to.rolled_back.iter().filter(|version| !from.rolled_back.contains(version)) {
+            let (number, hash) = (version.number, version.hash.clone());
+            let subject = StepSubject { kind: StepKind::RolledBack, number, hash, version: None };
+            update.add(&mut state, subject)?;
+        }
+        if state.good != to.good {
+            update.add(&mut state, whole(StepKind::Good, &to.good))?;
+        }
+        if let Some(version) =
+            to.probation.as_ref().filter(|version| state.probation.as_ref() != Some(*version))
+        {
+            update.add(&mut state, whole(StepKind::Probation, version))?;
+        }
+        (state == *to).then_some(update)
+    }
+
+    /// Adds a step, and applies it to `state`. `None` where it can't follow.
+    fn add(&mut self, state: &mut PersistedState, subject: StepSubject) -> Option<()> {
+        let StepSubject { kind, number, hash, version } = subject;
+        let body = match &version {
+            Some(version) => StepBody::between(&state.good, version),
+            None => StepBody::default(),
+        };
+        let base = state.good.number;
+        state.apply_step(kind, number, &hash, version).ok()?;
+        let mut counter = SummedWriter::counting();
+        body.write(&mut counter).ok()?;
+        let operator_file_bytes = body.operator_file.as_ref().map(|file| file.len() as u64);
+        let (body_bytes, body_sum) = (counter.bytes(), counter.sum());
+        let head = StepHead { kind, number, base, hash, operator_file_bytes, body_bytes, body_sum }.to_line();
+        let bytes = body_bytes + head.len() as u64;
+        self.0.push(StepRecord { head, body, bytes });
+        Some(())
+    }
+
+    /// How many steps there are.
+    pub fn count(&self) -> usize {
+        self.0.len()
+    }
+
+    /// Whether there is nothing to append.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// The length of all steps, in bytes.
+    pub fn bytes(&self) -> u64 {
+        self.0.iter().map(|step| step.bytes).sum()
+    }
+
+    /// Writes the steps, one after the other.
+    ///
+    /// # Errors
+    /// Only those of `to`.
+    pub fn write(&self, to: &mut dyn Write) -> fmt::Result {
+        self.0.iter().try_for_each(|step| {
+            to.write_str(&step.head)?;
+            step.body.write(to)
+        })
+    }
+}
--- /dev/null
+++ b/rollout/tests/rollout/checks.rs
@@ -0,0 +1,161 @@
+//! Checks of a change, and its description in lines.
+
+use crate::versions::{method, test_version, TestVersion};
+use asterrill::{Idempotency, Method};
+use asterrill_entries::{Change, Configuration};
+use asterrill_rollout::*;
+
+fn load(requests: f64, mean_work_us: f64) -> MethodLoad {
+    MethodLoad { requests, mean_work_us }
+}
+
+#[test]
+fn names_each_invalid_figure_and_marks_risky_ones_as_forcible() {
+    let observed = ObservedLoad {
+        methods: [("price".into(), load(600.0, 5_000.0)), ("look".into(), load(600.0, 50_000.0))].into(),
+        seconds: 60.0,
+        in_use_kb: 5_000.0,
+        available_kb: 100_000.0,
+    };
+    let first_problem = |edit: fn(&mut TestVersion)| {
+        let mut new = test_version();
+        edit(&mut new);
+        let (old, new) = (test_version().content(), new.content());
+        let all = check(&old, &new, &old.changes_to(&new), &observed, 3.0);
+        all.first().map_or(String::new(), Problem::to_string)
+    };
+    assert_eq!(first_problem(|_| ()), "");
+    for (edit, problem) in [
+        (
+            (|version| version.methods.get_mut("look").unwrap().deadline = 100_000) as fn(&mut TestVersion),
+            "wrong: method look: its deadline of 100 ms is under its latency target of 200 ms",
+        ),
+        (
+            |version| version.methods.get_mut("look").unwrap().latency_target = 0,
+            "wrong: method look: its latency target is nothing",
+        ),
+        (
+            |version| version.methods.get_mut("look").unwrap().late_value_ratio = 1.5,
+            "wrong: method look: a share is above 1",
+        ),
+        (
+            |version| version.methods.get_mut("look").unwrap().idempotency = Idempotency::Keyed,
+            "wrong: method look: it is tokened, but has no window",
+        ),
+        (|version| version.methods.clear(), "wrong: there is no method"),
+        (|version| version.globals.cores = 0, "wrong: there is no core"),
+        (
+            |version| version.globals.max_running_per_core = 0.5,
+            "wrong: the crowd survived is 0.5, under 1 a core",
+        ),
+        (
+            |version| version.globals.upstream_call_quota = Some(0.0),
+            "wrong: the share of the calls below is nothing",
+        ),
+        (
+            |version| version.globals.ram_kb = 4_000.0,
+            "wrong: memory of 4000 kB is under the 5000 kB held now",
+        ),
+        (
+            |version| version.globals.ram_kb = 200_000.0,
+            "wrong: memory of 200000 kB is more than the 100000 kB there are",
+        ),
+        (
+            |version| version.globals.cores = 1,
+            "risky: cores goes from 4 to 1, by more than 3 times (may be forced)",
+        ),
+        (
+            |version| version.globals.max_running_per_core = 80.0,
+            "risky: the crowd survived goes from 8 to 80, by more than 3 times (may be forced)",
+        ),
+        (
+            |version| version.methods.get_mut("price").unwrap().criticality = 1.0,
+            "risky: the criticality of price goes from 5 to 1, by more than 3 times (may be forced)",
+        ),
+        (
+            |version| version.tenants.insert("nile", 5.0).map(drop).unwrap(),
+            "risky: the share of tenant nile goes from 50 to 5, by more than 3 times (may be forced)",
+        ),
+        (|version| version.tenants.clear(), "risky: tenant nile is gone (may be forced)"),
+        (
+            |version| version.methods.retain(|name, _| *name != "look"),
+            "risky: of the last minute's RPCs it would have turned away 50 in 100 more (may be forced)",
+        ),
+    ] {
+        assert_eq!(first_problem(edit), problem);
+    }
+    // 600 take 3 s of a core, 600 take 30 s: of 15 s the critical ones get theirs, and 240 of the others.
+    let mut scarce = test_version();
+    scarce.globals.cores = 1;
+    let share = dry_run(&scarce.content(), &ObservedLoad { seconds: 15.0, ..observed });
+    assert!((0.29..0.31).contains(&share), "{share}");
+    assert_eq!(dry_run(&scarce.content(), &ObservedLoad::default()), 0.0);
+}
+
+#[test]
+fn checks_a_version_by_itself_with_the_changes_from_nothing() {
+    let mut bad = test_version();
+    bad.methods.get_mut("look").unwrap().deadline = 1;
+    let bad = bad.content();
+    let all = Configuration::new((**bad.globals()).clone()).changes_to(&bad);
+    let first_problem =
+        |changes: &[Change]| check(&bad, &bad, changes, &ObservedLoad::default(), f64::INFINITY).len();
+    // What a change does not touch is not held against it.
+    assert_eq!(
+        (first_problem(&all), first_problem(&[]), first_problem(&[Change::PutTenant("nile".into(), 1.0)])),
+        (1, 0, 0)
+    );
+}
+
+#[test]
+fn describes_differences_by_meaning_one_line_each() {
+    let old = test_version();
+    let mut new = test_version();
+    (new.globals.cores, new.globals.ram_kb, new.globals.upstream_call_quota) = (2, 80_000.0, Some(10.0));
+    let price = new.methods.get_mut("price").unwrap();
+    (price.criticality, price.latency_target, price.idempotency_window) = (4.0, 90_500, 1_000);
+    new.methods.remove("look");
+    new.methods.insert("pay", method(1.0, 5));
+    new.tenants.insert("nile", 60.0);
+    new.tenants.insert("oder", 7.5);
+    let (old, new) = (old.content(), new.content());
+    assert_eq!(
+        difference(&old, &old.changes_to(&new)),
+        [
+            "cores: 4 -> 2",
+            "memory: 90000 kB -> 80000 kB",
+            "share of the calls below: 20 -> 10",
+            "method price: criticality: 5 -> 4",
+            "method price: latency target: 100 ms -> 90.5 ms",
+            "method price: window: 0 ms -> 1 ms",
+            "tenant nile: RPCs a second: 50 -> 60",
+            "tenant oder: RPCs a second: 0 -> 7.5",
+            "method look: removed",
+            "method pay: new",
+        ]
+    );
+    let gone = difference(&new, &[Change::RemoveTenant("oder".into())]);
+    assert_eq!(gone, ["tenant oder: removed"]);
+    // What means what runs is no difference, also where a step says it.
+    assert_eq!(difference(&old, &[Change::PutTenant("nile".into(), 50.0)]), [""; 0]);
+}
+
+#[test]
+fn long_lists_end_with_the_number_of_omitted_lines() {
+    let old = test_version().content();
+    let put: Vec<Change> = (0..49_000).map(|i| Change::PutTenant(format!("t{i:05}").into(), 1.0)).collect();
+    let new = old.apply(&put).unwrap();
+    let lines = difference(&old, &put);
+    assert_eq!((lines.len(), lines.last().map(String::as_str)), (MAX_LISTED + 1, Some("and 48800 more")));
+    let mut changes = new.changes_to(&old);
+    changes.push(Change::PutMethod(
+        "look".into(),
+        Method { idempotency_window: 0, idempotency: Idempotency::Keyed, ..method(1.0, 200) },
+    ));
+    let staged = new.apply(&changes).unwrap();
+    let problems = check(&new, &staged, &changes, &ObservedLoad::default(), 3.0);
+    assert_eq!((problems.len(), problems.last()), (MAX_LISTED + 1, Some(&Problem::More(48_801))));
+    // What is wrong comes first, so that it is among those that are listed.
+    assert_eq!(problems[0].to_string(), "wrong: method look: it is tokened, but has no window");
+    assert_eq!(problems[MAX_LISTED].to_string(), "and 48801 more");
+}
