--- a/operator-config/src/changes.rs
+++ b/operator-config/src/changes.rs
@@ -1,32 +1,35 @@
 //! The sections `[changes]` and `[log]`.
 
-use crate::lines::{Directive, ParseError};
-use crate::units::{count_in, time_in};
-use crate::Directives;
+use crate::error::ParseError;
+use crate::section::Section;
+use crate::units::{HOUR, SECOND};
 use std::path::PathBuf;
 
-const S: u64 = 1_000_000;
-
-/// The form of the log.
+/// The format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
+    /// Text for people.
     #[default]
     Plain,
+    /// One JSON object a line.
     Json,
 }
 
-/// How changes of the configuration are taken. Times are microseconds.
+/// How changes of the configuration are accepted. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChangesConfig {
-    /// Where operators are listened to; none for nowhere.
+    /// The socket at which operators' requests are accepted (`control`); `None` for no socket.
     pub control_socket: Option<PathBuf>,
-    /// Where versions are kept over restarts; none for nowhere.
+    /// The directory where versions are stored over restarts (`state`); `None` for no storage.
     pub state_dir: Option<PathBuf>,
+    /// How long a change is on probation, 1 s to 1 h (`probation`).
     pub probation: u64,
-    /// By how much a figure may differ from the running one unless forced.
+    /// By which factor a figure may differ from the running one unless forced, 2 to 1000 (`factor`).
     pub max_change_factor: u64,
+    /// The format of the log (`format` in `[log]`).
     pub log_format: LogFormat,
-    control_line: usize,
+    /// The line where `[changes]` begins; 0 where there is none.
+    line: usize,
 }
 
 impl Default for ChangesConfig {
@@ -34,53 +37,46 @@
         ChangesConfig {
             control_socket: None,
             state_dir: None,
-            probation: 30 * S,
+            probation: 30 * SECOND,
             max_change_factor: 10,
             log_format: LogFormat::Plain,
-            control_line: 0,
+            line: 0,
         }
     }
 }
 
-fn path(of: &Directive<'_>) -> Result<PathBuf, ParseError> {
-    let word = of.one()?;
-    if !word.starts_with('/') {
-        let name = of.name();
-        return Err(of.error(format!("{name} wants a path from the root, not {word:?}")));
-    }
-    Ok(word.into())
-}
-
 impl ChangesConfig {
-    pub(crate) fn read(&mut self, mut section: Directives<'_>) -> Result<(), ParseError> {
-        if self.control_line > 0 {
-            let line = self.control_line;
-            return Err(section.error(&format!("[changes] stands in line {line} already")));
+    /// Reads the section `[changes]`.
+    pub(crate) fn read(&mut self, mut section: Section<'_>) -> Result<(), ParseError> {
+        if self.line > 0 {
+            return Err(section.error(format!("[changes] stands in line {} already", self.line)));
         }
-        self.control_line = section.line();
-        for directive in section.take() {
-            section.once(&directive)?;
+        self.line = section.line();
+        for directive in section.take_directives() {
+            section.check_first(&directive)?;
             match directive.name() {
-                "control" => self.control_socket = Some(path(&directive)?),
-                "state" => self.state_dir = Some(path(&directive)?),
-                "probation" => self.probation = time_in(&directive, directive.one()?, S, 3600 * S)?,
-                "factor" => self.max_change_factor = count_in(&directive, directive.one()?, 2, 1000)?,
-                other => return Err(directive.error(format!("[changes] has no directive {other}"))),
+                "control" => self.control_socket = Some(directive.absolute_path()?),
+                "state" => self.state_dir = Some(directive.absolute_path()?),
+                "probation" => self.probation = directive.duration(SECOND..=HOUR)?,
+                "factor" => self.max_change_factor = directive.count(2..=1000)?,
+                _ => return Err(section.unknown_directive(&directive)),
             }
         }
         Ok(())
     }
-    pub(crate) fn read_log(&mut self, mut section: Directives<'_>) -> Result<(), ParseError> {
-        for directive in section.take() {
-            section.once(&directive)?;
-            match (directive.name(), directive.one()?) {
-                ("format", "plain") => self.log_format = LogFormat::Plain,
-                ("format", "json") => self.log_format = LogFormat::Json,
+
+    /// Reads the section `[log]`.
+    pub(crate) fn read_log(&mut self, mut section: Section<'_>) -> Result<(), ParseError> {
+        for directive in section.take_directives() {
+            section.check_first(&directive)?;
+            self.log_format = match (directive.name(), directive.value()?) {
+                ("format", "plain") => LogFormat::Plain,
+                ("format", "json") => LogFormat::Json,
                 ("format", other) => {
-                    return Err(directive.error(format!("format is plain or json, not {other}")))
+                    return Err(directive.error(format!("format is plain or json, not {other}")));
                 }
-                (other, _) => return Err(directive.error(format!("[log] has no directive {other}"))),
-            }
+                _ => return Err(section.unknown_directive(&directive)),
+            };
         }
         Ok(())
     }
--- a/operator-config/src/recovery.rs
+++ b/operator-config/src/recovery.rs
@@ -1,31 +1,29 @@
-//! The section `[recovery]`: how a server comes back.
+//! The section `[recovery]`: how a server recovers after a restart or an outage.
 
-use crate::lines::ParseError;
-use crate::units::{count_in, time_in};
-use crate::Directives;
+use crate::error::ParseError;
+use crate::section::Section;
+use crate::units::{DAY, MINUTE, SECOND};
 
-const S: u64 = 1_000_000;
-
-/// How a server comes back after a restart or an outage. Times are microseconds, shares in 100.
+/// How a server recovers after a restart or an outage. Durations are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoverySettings {
-    /// About how often what was learned is written, into the state directory of `[changes]`.
+    /// About how often a snapshot of learned values is written into the state directory, 1 s to 10 min (`snapshot`).
     pub snapshot_interval: u64,
-    /// Up to which age it is looked at.
+    /// The greatest age of a snapshot that is used, 1 s to 30 d (`trust`).
     pub max_snapshot_age: u64,
-    /// Calls below in hand to begin with, after a start and after an outage.
+    /// Upstream calls in flight to begin with, after a start and after an outage, 1 to 1000 (`first-calls`).
     pub initial_calls: u64,
-    /// Repeats of calls in 100 first calls.
+    /// Retries of upstream calls per 100 first attempts, 0 to 100 (`repeats`).
     pub retry_percent: u64,
-    /// By how many in 100 a time to come back may be longer, drawn for each.
+    /// By how many percent a time to retry after may be longer, drawn for each, 0 to 100 (`spread`).
     pub jitter_percent: u64,
 }
 
 impl Default for RecoverySettings {
     fn default() -> RecoverySettings {
         RecoverySettings {
-            snapshot_interval: 5 * S,
-            max_snapshot_age: 24 * 3600 * S,
+            snapshot_interval: 5 * SECOND,
+            max_snapshot_age: DAY,
             initial_calls: 1,
             retry_percent: 20,
             jitter_percent: 50,
@@ -34,18 +32,19 @@
 }
 
 impl RecoverySettings {
-    pub(crate) fn read(mut section: Directives<'_>) -> Result<RecoverySettings, ParseError> {
+    /// Reads the section `[recovery]`.
+    pub(crate) fn read(mut section: Section<'_>) -> Result<RecoverySettings, ParseError> {
         let mut recovery = RecoverySettings::default();
-        for directive in section.take() {
-            section.once(&directive)?;
-            let word = directive.one()?;
+        for directive in section.take_directives() {
+            section.check_first(&directive)?;
+            directive.value()?;
             match directive.name() {
-                "snapshot" => recovery.snapshot_interval = time_in(&directive, word, S, 600 * S)?,
-                "trust" => recovery.max_snapshot_age = time_in(&directive, word, S, 30 * 24 * 3600 * S)?,
-                "first-calls" => recovery.initial_calls = count_in(&directive, word, 1, 1000)?,
-                "repeats" => recovery.retry_percent = count_in(&directive, word, 0, 100)?,
-                "spread" => recovery.jitter_percent = count_in(&directive, word, 0, 100)?,
-                other => return Err(directive.error(format!("[recovery] has no directive {other}"))),
+                "snapshot" => recovery.snapshot_interval = directive.duration(SECOND..=10 * MINUTE)?,
+                "trust" => recovery.max_snapshot_age = directive.duration(SECOND..=30 * DAY)?,
+                "first-calls" => recovery.initial_calls = directive.count(1..=1000)?,
+                "repeats" => recovery.retry_percent = directive.count(0..=100)?,
+                "spread" => recovery.jitter_percent = directive.count(0..=100)?,
+                _ => return Err(section.unknown_directive(&directive)),
             }
         }
         Ok(recovery)
--- a/operator-config/src/secret.rs
+++ b/operator-config/src/secret.rs
@@ -1,50 +1,79 @@
 //! A file with a secret, which only its owner may read.
 
-use std::io::Read;
+use std::fs::File;
+use std::io::{self, Read};
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-const LONGEST: u64 = 1024;
+/// Most bytes of a file with a secret.
+const MAX_SECRET_BYTES: u64 = 1024;
+/// The permission bits of a file's mode.
+const PERMISSION_BITS: u32 = 0o777;
+/// The permissions of everybody but the owner.
+const OTHERS_PERMISSIONS: u32 = 0o077;
 
-/// Why a secret can't be used. None of these says anything of what the file holds.
+/// Why a secret can't be used. None of these reveals anything of what the file contains.
 #[derive(Debug, thiserror::Error)]
 pub enum SecretError {
-    #[error("{0}: {1}")]
-    Unreadable(String, std::io::Error),
-    #[error("{0} is no regular file")]
-    NoFile(String),
-    #[error("{0} may be read by others (mode {1:o}): chmod 600 it")]
-    Open(String, u32),
-    #[error("{0} is longer than 1024 bytes")]
-    Long(String),
-    #[error("{0} is empty, or is not text")]
-    Empty(String),
+    /// The file can't be opened.
+    #[error("{path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// Why not.
+        source: io::Error,
+    },
+    /// It is a directory, a socket or the like.
+    #[error("{path} is no regular file")]
+    NotRegular {
+        /// The file.
+        path: String,
+    },
+    /// Others than its owner have permissions on it.
+    #[error("{path} may be read by others (mode {mode:o}): chmod 600 it")]
+    TooPermissive {
+        /// The file.
+        path: String,
+        /// Its permission bits.
+        mode: u32,
+    },
+    /// It is longer than 1024 bytes.
+    #[error("{path} is longer than {MAX_SECRET_BYTES} bytes")]
+    TooLong {
+        /// The file.
+        path: String,
+    },
+    /// Its first line is empty, or it is not UTF-8.
+    #[error("{path} is empty, or is not text")]
+    NoText {
+        /// The file.
+        path: String,
+    },
 }
 
-/// Reads the first line of a file that only its owner may read or write.
+/// Reads the first line of a file on which only its owner has permissions.
+///
+/// # Errors
+/// [`SecretError`] says why the file can't be used.
 pub fn read_secret(path: &Path) -> Result<String, SecretError> {
-    let name = path.display().to_string();
-    let unreadable = |e| SecretError::Unreadable(path.display().to_string(), e);
-    let mut file = std::fs::File::open(path).map_err(unreadable)?;
-    // Of the open file, so that it can't be another one that is read.
-    let about = file.metadata().map_err(unreadable)?;
-    if !about.is_file() {
-        return Err(SecretError::NoFile(name));
+    let name = || path.display().to_string();
+    let unreadable = |source| SecretError::Unreadable { path: name(), source };
+    let file = File::open(path).map_err(unreadable)?;
+    // The metadata of the open file, so that no other file can take its place in between.
+    let metadata = file.metadata().map_err(unreadable)?;
+    if !metadata.is_file() {
+        return Err(SecretError::NotRegular { path: name() });
     }
-    if about.mode() & 0o077 != 0 {
-        return Err(SecretError::Open(name, about.mode() & 0o777));
+    if metadata.mode() & OTHERS_PERMISSIONS != 0 {
+        return Err(SecretError::TooPermissive { path: name(), mode: metadata.mode() & PERMISSION_BITS });
     }
-    if about.len() > LONGEST {
-        return Err(SecretError::Long(name));
+    if metadata.len() > MAX_SECRET_BYTES {
+        return Err(SecretError::TooLong { path: name() });
     }
     let mut text = String::new();
-    file.by_ref()
-        .take(LONGEST)
-        .read_to_string(&mut text)
-        .map_err(|_| SecretError::Empty(path.display().to_string()))?;
-    let secret = text.lines().next().unwrap_or("").to_string();
-    if secret.is_empty() {
-        return Err(SecretError::Empty(name));
+    let read = file.take(MAX_SECRET_BYTES).read_to_string(&mut text);
+    match text.lines().next() {
+        Some(secret) if read.is_ok() && !secret.is_empty() => Ok(secret.to_string()),
+        _ => Err(SecretError::NoText { path: name() }),
     }
-    Ok(secret)
 }
--- a/operator-config/src/tests.rs
+++ b/operator-config/tests/parse.rs
@@ -1,6 +1,6 @@
 //! Broken files, each with the message it must give, and whole ones.
 
-use crate::{parse, read_secret, Backoff, DedupWindow, RedeliveryPolicy};
+use asterrill_operator_config::{parse, read_secret, Backoff, DedupWindow, RedeliveryPolicy};
 use quickcheck::{Gen, QuickCheck};
 use std::os::unix::fs::PermissionsExt;
 
@@ -199,14 +199,14 @@
 
 #[test]
 fn a_server_comes_back_as_the_section_recovery_says_and_as_on_the_platform_without_it() {
-    let parse = |text: &str| crate::parse("x.conf", text).unwrap().recovery;
+    let parse = |text: &str| asterrill_operator_config::parse("x.conf", text).unwrap().recovery;
     assert_eq!(parse(""), None);
-    assert_eq!(parse("[recovery]"), Some(crate::RecoverySettings::default()));
+    assert_eq!(parse("[recovery]"), Some(asterrill_operator_config::RecoverySettings::default()));
     let told = parse("[recovery]\nsnapshot 2s\ntrust 1h\nfirst-calls 3\nrepeats 0\nspread 100").unwrap();
     let (snapshot, trust) = (2_000_000, 3_600_000_000);
     assert_eq!(
         told,
-        crate::RecoverySettings {
+        asterrill_operator_config::RecoverySettings {
             snapshot_interval: snapshot,
             max_snapshot_age: trust,
             initial_calls: 3,
@@ -220,7 +220,7 @@
 
 #[test]
 fn members_are_as_the_section_says_and_nobody_is_known_without_it() {
-    let parse = |text: &str| crate::parse("x.conf", text).unwrap().members;
+    let parse = |text: &str| asterrill_operator_config::parse("x.conf", text).unwrap().members;
     assert_eq!(parse("[recovery]"), None);
     let plain = parse(MEMBERS).unwrap();
     assert_eq!((plain.advertise, plain.expected_members, plain.probe_interval), (plain.listen, 5, 200_000));
