--- a/lab/src/dispatch.rs
+++ b/lab/src/dispatch.rs
@@ -5,6 +5,7 @@
 use crate::load::RateSpan;
 use crate::queue::{self, ThroughputOptions};
 use crate::report::{Fault, Report};
+use crate::scale::members::MembersOptions;
 use crate::{rollout, scale};
 use std::time::Duration;
 
@@ -44,8 +45,13 @@
         Scenario::IdleFlood => fleet::idle_flood(report, seed),
         Scenario::MembersCpu => fleet::members::cpu(report, seed, nodes, load(4)),
         Scenario::ScaleMembers => {
-            let terms = scale::members::Terms::of(arguments, arguments.kind()?);
-            scale::members::scenario(report, &terms)
+            if let Some(processes) = arguments.real {
+                return scale::members::compare_with_processes(report, seed, processes);
+            }
+            let (kind, loss) = (arguments.kind()?, arguments.loss);
+            let quick = arguments.scale.quick;
+            scale::members::scenario(report, &MembersOptions::new(arguments.nodes, seed, kind, loss, quick));
+            Ok(())
         }
         Scenario::ScaleAgree(wanted) => {
             let wanted = scale::agree::Wanted { quick: arguments.scale.quick, ..wanted };
--- /dev/null
+++ b/lab/src/scale/members/processes.rs
@@ -0,0 +1,212 @@
+//! Real processes beside simulated members, with the same intervals: how much the simulation leaves out. Each process has
+//! an agent and proxies; datagrams go over relays, which are in this process and cost it, not them.
+
+use super::options::{Kind, MembersOptions};
+use super::scenario::play;
+use crate::fleet::members::setup::{
+    operator_file, request_within, FILE_WITHOUT_MEMBERS, GREET_MS, PROBE_MS, SETTLE_MS, SUSPICION_MS,
+};
+use crate::fleet::members::start_idle_fleet;
+use crate::fleet::Fleet;
+use crate::process::status_kb_or_zero;
+use crate::report::{Fault, Report};
+use crate::scale::statistics::round;
+use asterrill::Us;
+use asterrill_membership::{LeaseTiming, MembershipConfig};
+use serde_json::{json, Value};
+use std::collections::BTreeSet;
+use std::ops::RangeInclusive;
+use std::time::{Duration, Instant};
+
+const SIZES: RangeInclusive<usize> = 4..=40; // processes
+const STARTED: Duration = ms(3_000);
+const CALM: Duration = ms(15_000);
+const ALL_MET_WITHIN: Duration = ms(60_000);
+const DEATHS: usize = 3;
+const ATTEMPTS: usize = 20; // a busy machine may have to be asked more than once
+const ANSWER_TIMEOUT: Duration = ms(400);
+const POLL: Duration = ms(20); // between rounds
+const LATE_MS: u64 = 500; // that asking adds to what is promised
+const US_PER_MS: u64 = 1_000;
+
+const fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
+/// The same intervals as in the processes' file.
+fn intervals(nodes: usize) -> MembershipConfig {
+    let us = |ms: u64| -> Us { ms * US_PER_MS };
+    MembershipConfig {
+        probe_interval: us(PROBE_MS),
+        suspicion_timeout: us(SUSPICION_MS),
+        announce_interval: us(GREET_MS),
+        join_delay: us(SETTLE_MS),
+        forget_after: us(3_600_000),
+        flap_window: us(60_000),
+        expected_members: nodes,
+    }
+}
+
+/// What one process says of the others.
+struct MembersAnswer {
+    alive: usize,
+    failed: BTreeSet<String>,
+    counters: Counters,
+}
+
+/// Datagrams that were sent, their bytes, and pauses.
+#[derive(Clone, Copy, Default)]
+struct Counters {
+    sent: u64,
+    bytes: u64,
+    pauses: u64,
+}
+
+fn ask(fleet: &Fleet, n: usize) -> Option<MembersAnswer> {
+    let dir = &fleet.members.get(n)?.node.dir;
+    let answer = request_within(dir, json!({"do": "members"}), ANSWER_TIMEOUT)?;
+    let members = answer["members"].as_array()?;
+    let failed = members.iter().filter(|m| m["standing"] == json!("failed"));
+    let counter = |name: &str| answer["counters"][name].as_u64();
+    Some(MembersAnswer {
+        alive: members.iter().filter(|m| m["standing"] == json!("alive")).count(),
+        failed: failed.filter_map(|m| m["name"].as_str().map(String::from)).collect(),
+        counters: Counters {
+            sent: counter("sent")?,
+            bytes: counter("sent_bytes")?,
+            pauses: counter("pauses")?,
+        },
+    })
+}
+
+/// Counters of a process; zeros if it does not answer.
+fn counters(fleet: &Fleet, n: usize) -> Counters {
+    let answer = (0..ATTEMPTS).find_map(|_| ask(fleet, n));
+    answer.map_or(Counters::default(), |answer| answer.counters)
+}
+
+/// Asks processes until it holds for each, at most so long; how long after the moment it did for each, in ms.
+fn wait_until(
+    fleet: &Fleet, since: Instant, within: Duration, processes: &[usize],
+    holds: impl Fn(&MembersAnswer) -> bool,
+) -> Vec<u64> {
+    let (mut open, mut took_ms) = (processes.to_vec(), Vec::new());
+    while !open.is_empty() && since.elapsed() < within {
+        open.retain(|n| {
+            let held = ask(fleet, *n).is_some_and(|answer| holds(&answer));
+            if held {
+                took_ms.push(since.elapsed().as_millis() as u64);
+            }
+            !held
+        });
+        std::thread::sleep(POLL);
+    }
+    took_ms.sort_unstable();
+    took_ms
+}
+
+/// What one process takes on average in a time in which nothing happens.
+struct Calm {
+    cpu_ms_per_s: f64,
+    /// Memory of its own, not shared with a file.
+    memory_kb: f64,
+    datagrams_per_s: f64,
+    bytes_per_s: f64,
+    pauses_per_s: f64,
+}
+
+/// `with_members`: the processes know each other and can be asked for counters.
+fn measure_calm(fleet: &Fleet, with_members: bool) -> Calm {
+    let nodes = fleet.members.len();
+    let average = |of: &dyn Fn(usize) -> f64| (0..nodes).map(of).sum::<f64>() / nodes.max(1) as f64;
+    let cpu_ms = || average(&|n| fleet.members[n].node.cpu_us() as f64 / 1e3);
+    let read =
+        || -> Vec<Counters> { (0..nodes).filter(|_| with_members).map(|n| counters(fleet, n)).collect() };
+    let (before, since) = (read(), Instant::now());
+    let cpu_before = cpu_ms();
+    std::thread::sleep(CALM);
+    let cpu = cpu_ms() - cpu_before;
+    let (span, after) = (since.elapsed().as_secs_f64(), read());
+    let rate = |of: fn(&Counters) -> u64| {
+        let pairs = before.iter().zip(&after).map(|(before, after)| of(after).saturating_sub(of(before)));
+        round(pairs.sum::<u64>() as f64 / span / nodes.max(1) as f64)
+    };
+    Calm {
+        cpu_ms_per_s: round(cpu / CALM.as_secs_f64()),
+        memory_kb: round(average(&|n| status_kb_or_zero(&fleet.members[n].node.process(), "RssAnon"))),
+        datagrams_per_s: rate(|counters| counters.sent),
+        bytes_per_s: rate(|counters| counters.bytes),
+        pauses_per_s: rate(|counters| counters.pauses),
+    }
+}
+
+/// Kills processes, one after the other; how long each of the others took to find that, in ms.
+fn kill_some(report: &mut Report, fleet: &mut Fleet, detection_ms: u64) -> Vec<u64> {
+    let nodes = fleet.members.len();
+    let (mut alive, mut took_ms): (Vec<usize>, Vec<u64>) = ((0..nodes).collect(), Vec::new());
+    for death in 0..DEATHS.min(nodes - 2) {
+        let n = nodes / 2 + death;
+        alive.retain(|other| *other != n);
+        let since = Instant::now();
+        fleet.members[n].node.kill();
+        let (name, within) = (format!("n{n}"), ms(2 * detection_ms));
+        let found = wait_until(fleet, since, within, &alive, |answer| answer.failed.contains(&name));
+        report.rule("a loss was not found by all", found.len() == alive.len());
+        took_ms.extend(found);
+    }
+    took_ms.sort_unstable();
+    took_ms
+}
+
+/// Plays so many processes beside as many simulated members.
+pub fn compare_with_processes(report: &mut Report, seed: u64, nodes: usize) -> Result<(), Fault> {
+    let nodes = nodes.clamp(*SIZES.start(), *SIZES.end());
+    let mut simulated = Report::default();
+    let options = MembersOptions { nodes, seed, kind: Kind::Quiet, loss: 0.0, quick: false };
+    play(&mut simulated, &options, intervals(nodes));
+    simulated.broken().iter().for_each(|rule| report.rule(rule, false));
+
+    let mut fleet = start_idle_fleet(nodes, FILE_WITHOUT_MEMBERS.into(), seed)?;
+    std::thread::sleep(STARTED);
+    let without = measure_calm(&fleet, false);
+    let mut left = fleet.end();
+    drop(fleet);
+
+    let mut fleet = start_idle_fleet(nodes, operator_file(nodes), seed)?;
+    let begun = fleet.members.iter().map(|m| m.since).max().unwrap_or(fleet.start);
+    let all: Vec<usize> = (0..nodes).collect();
+    let met_ms = wait_until(&fleet, begun, ALL_MET_WITHIN, &all, |answer| answer.alive + 1 >= nodes);
+    std::thread::sleep(STARTED);
+    let with = measure_calm(&fleet, true);
+    let timing = LeaseTiming::from_intervals(PROBE_MS * US_PER_MS, SUSPICION_MS * US_PER_MS, nodes);
+    let detection_ms = timing.detection_time / US_PER_MS;
+    let took_ms = kill_some(report, &mut fleet, detection_ms);
+    left += fleet.end();
+    let beside =
+        |real: Value, name: &str| json!({"real": real, "hollow": simulated.figure(name).unwrap_or(0.0)});
+    let cpu = round(with.cpu_ms_per_s - without.cpu_ms_per_s);
+    let memory = round(with.memory_kb - without.memory_kb);
+    for (name, value) in [
+        ("found_ms", beside(json!(met_ms.last()), "found_ms")),
+        ("detect_ms_p50", beside(json!(took_ms.get(took_ms.len() / 2)), "detect_ms_p50")),
+        ("detect_ms_max", beside(json!(took_ms.last()), "detect_ms_max")),
+        ("datagrams_per_s", beside(json!(with.datagrams_per_s), "datagrams_per_s")),
+        ("bytes_per_s", beside(json!(with.bytes_per_s), "bytes_per_s")),
+        ("cpu_ms_per_s", beside(json!(cpu), "cpu_ms_per_s")),
+        ("memory_kb", beside(json!(memory), "memory_kb")),
+        ("cpu_ms_per_s_of_the_process", json!({"members": with.cpu_ms_per_s, "off": without.cpu_ms_per_s})),
+        ("memory_kb_of_the_process", json!({"members": with.memory_kb, "off": without.memory_kb})),
+        ("pauses_per_s", json!(with.pauses_per_s)),
+        ("notice_ms", json!(detection_ms)),
+        ("nodes", json!(nodes)),
+        ("load", json!(std::fs::read_to_string("/proc/loadavg").unwrap_or_default().trim())),
+        ("left_processes", json!(left)),
+    ] {
+        report.set(name, value);
+    }
+    report.rule("they did not find each other", met_ms.len() == nodes);
+    let in_time = took_ms.last().is_none_or(|last| *last <= detection_ms + LATE_MS);
+    report.rule("a loss was found later than is promised", in_time);
+    report.rule("a process was left behind", left == 0);
+    Ok(())
+}
--- a/lab/src/scale/tests/members.rs
+++ b/lab/src/scale/members/tests/scenario.rs
@@ -1,16 +1,15 @@
-//! Tests of `members.rs`.
+//! Tests of `scenario.rs`.
 
 use super::*;
 
 fn quick(seed: u64, kind: Kind) -> Report {
     let mut report = Report::default();
-    let terms = Terms { nodes: 10, seed, kind, loss: 0.0, quick: true, real: None };
-    play(&mut report, &terms, intervals(10));
+    scenario(&mut report, &MembersOptions { nodes: 10, seed, kind, loss: 0.0, quick: true });
     report
 }
 
 #[test]
-fn the_small_form_gives_the_same_counts_each_time_and_others_with_another_seed() {
+fn quick_form_depends_on_the_seed_alone() {
     let run = |seed| quick(seed, Kind::Quiet).json("scale-members", 0);
     let (one, again, other) = (run(1), run(1), run(2));
     assert_eq!(one, again);
@@ -20,7 +19,7 @@
 }
 
 #[test]
-fn of_each_kind_no_rule_is_broken_and_what_happened_is_told() {
+fn each_kind_holds_its_rules_and_reports_what_happened() {
     for (kind, field) in [
         (Kind::Calm, "found_ms"),
         (Kind::Quiet, "transition_first_ms"),
