--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -26,11 +26,19 @@
 //! ```
 //! use asterrill_engine::{Engine, EngineConfig, RetentionLimits};
 //! # use asterrill::*;
-//! # let control = Control::new(0, 1, 4_000, StopMode::Off, vec![Method { latency_target: 400_000,
-//! #     deadline: 900_000, idempotency: Idempotency::Idempotent, criticality: 1.0, late_value_ratio: 0.0, idempotency_window: 0,
-//! #     skip_value_ratio: 0.0 }], CallerAccounts::new(400_000, 1), ConcurrencyLimit::new(0, 1, 8.0, 1.0, 1),
-//! #     UpstreamCalls::new(Upstream::Absent, 1, 0, 400_000), IdempotencyKeys::new(0.0, 0), MemoryBudget::new(9e9, 1.0), Drain::new(0),
-//! #     CallerFeedback::new(FeedbackMode::Off, 0, 400_000, 0), TenantQuotas::new(&[], 1, 1.0));
+//! # let control = Control::new(0, 1, ControlParts {
+//! #     step: 4_000,
+//! #     stop_mode: StopMode::Off,
+//! #     methods: vec![Method { latency_target: 400_000, deadline: 900_000, idempotency: Idempotency::Idempotent, criticality: 1.0, late_value_ratio: 0.0, idempotency_window: 0, skip_value_ratio: 0.0 }],
+//! #     accounts: CallerAccounts::new(400_000, 1),
+//! #     concurrency: ConcurrencyLimit::new(0, 1, 8.0, 1.0, 1),
+//! #     calls: UpstreamCalls::new(Upstream::Absent, 1, 0, 400_000),
+//! #     keys: IdempotencyKeys::new(0.0, 0),
+//! #     memory: MemoryBudget::new(9e9, 1.0),
+//! #     drain: Drain::new(0),
+//! #     feedback: CallerFeedback::new(FeedbackMode::Off, 0, 400_000, 0),
+//! #     quotas: TenantQuotas::new(&[], 1, 1.0),
+//! # });
 //! let limits = RetentionLimits { result_ttl: 0, idempotency_result_bytes: 0, max_rpc_lifetime: 900_000 };
 //! let config = EngineConfig { coalescible_methods: vec![true], limits };
 //! let engine: Engine<u64, Vec<u8>> = Engine::new(0, control, config, Box::new(|bytes| Some(bytes.to_vec())));
--- a/engine/src/tests.rs
+++ b/engine/src/tests.rs
@@ -31,17 +31,19 @@
     Control::new(
         0,
         7,
-        4 * MS,
-        StopMode::Abort,
-        methods,
-        CallerAccounts::new(400 * MS, 2),
-        ConcurrencyLimit::new(0, 2, 8.0, 1.0, 1),
-        UpstreamCalls::new(below, 2, 50 * MS, 400 * MS),
-        IdempotencyKeys::new(0.0, 0),
-        MemoryBudget::new(4_000.0, 4.0),
-        Drain::new(400 * MS),
-        CallerFeedback::new(FeedbackMode::Credit, 0, 400 * MS, 0),
-        TenantQuotas::new(&[], 1, 1.0),
+        ControlParts {
+            step: 4 * MS,
+            stop_mode: StopMode::Abort,
+            methods,
+            accounts: CallerAccounts::new(400 * MS, 2),
+            concurrency: ConcurrencyLimit::new(0, 2, 8.0, 1.0, 1),
+            calls: UpstreamCalls::new(below, 2, 50 * MS, 400 * MS),
+            keys: IdempotencyKeys::new(0.0, 0),
+            memory: MemoryBudget::new(4_000.0, 4.0),
+            drain: Drain::new(400 * MS),
+            feedback: CallerFeedback::new(FeedbackMode::Credit, 0, 400 * MS, 0),
+            quotas: TenantQuotas::new(&[], 1, 1.0),
+        },
     )
 }
 
--- a/entries/src/globals.rs
+++ b/entries/src/globals.rs
@@ -121,7 +121,7 @@
             UpstreamKind::None => Upstream::Absent,
             UpstreamKind::Tier => Upstream::Tier,
             UpstreamKind::Shared => Upstream::Shared {
-                share: self.upstream_call_quota.ok_or(ConfigError::InvalidField("CallShare"))?,
+                quota: self.upstream_call_quota.ok_or(ConfigError::InvalidField("CallShare"))?,
                 window: self.upstream_call_window.ok_or(ConfigError::InvalidField("DepWindowMs"))?,
             },
         })
--- a/settings/src/server_parts.rs
+++ b/settings/src/server_parts.rs
@@ -3,8 +3,8 @@
 use crate::error::SettingsError;
 use crate::platform_settings::PlatformSettings;
 use asterrill::{
-    CallerAccounts, CallerFeedback, ConcurrencyLimit, Control, Drain, FeedbackMode, Idempotency,
-    IdempotencyKeys, MemoryBudget, TenantQuotas, UpstreamCalls, Us,
+    CallerAccounts, CallerFeedback, ConcurrencyLimit, Control, ControlParts, Drain, FeedbackMode,
+    Idempotency, IdempotencyKeys, MemoryBudget, TenantQuotas, UpstreamCalls, Us,
 };
 use asterrill_entries::{Configuration, EntryKind, GlobalSettings, Method, Name};
 use serde_json::Value;
@@ -129,23 +129,35 @@
     Ok(Control::new(
         now,
         seed,
-        globals.min_event_interval,
-        globals.stop_mode,
-        methods,
-        CallerAccounts::new(shortest_target, globals.callers as usize),
-        ConcurrencyLimit::new(
-            now,
-            cores,
-            globals.max_running_per_core,
-            initial_speed,
-            globals.slow_start_duration,
-        ),
-        UpstreamCalls::new(globals.upstream_limits()?, cores, globals.abandoned_call_linger, shortest_target),
-        IdempotencyKeys::new(globals.kb_per_key, globals.response_ttl),
-        MemoryBudget::new(globals.ram_kb, globals.run_factor),
-        Drain::new(globals.health_propagation_delay),
-        CallerFeedback::new(globals.load_report, max_retry_after, shortest_target, globals.idle_timeout),
-        TenantQuotas::new(quotas, globals.replicas as usize, globals.over_quota_weight),
+        ControlParts {
+            step: globals.min_event_interval,
+            stop_mode: globals.stop_mode,
+            methods,
+            accounts: CallerAccounts::new(shortest_target, globals.callers as usize),
+            concurrency: ConcurrencyLimit::new(
+                now,
+                cores,
+                globals.max_running_per_core,
+                initial_speed,
+                globals.slow_start_duration,
+            ),
+            calls: UpstreamCalls::new(
+                globals.upstream_limits()?,
+                cores,
+                globals.abandoned_call_linger,
+                shortest_target,
+            ),
+            keys: IdempotencyKeys::new(globals.kb_per_key, globals.response_ttl),
+            memory: MemoryBudget::new(globals.ram_kb, globals.run_factor),
+            drain: Drain::new(globals.health_propagation_delay),
+            feedback: CallerFeedback::new(
+                globals.load_report,
+                max_retry_after,
+                shortest_target,
+                globals.idle_timeout,
+            ),
+            quotas: TenantQuotas::new(quotas, globals.replicas as usize, globals.over_quota_weight),
+        },
     ))
 }
 
--- /dev/null
+++ b/src/control/snapshot.rs
@@ -0,0 +1,134 @@
+//! What a server has learned, handed out and restored, and where it stands. `asterrill-recovery` decides what of a
+//! snapshot is restored.
+
+use super::state::Control;
+use crate::cost_estimate::CostEstimate;
+use crate::ids::{CallerId, MethodId, Us};
+use crate::learned_state::{LearnedAllowance, LearnedBalance, LearnedCost, LearnedState};
+use crate::method::Method;
+use crate::outcome::Outcome;
+use crate::status::Status;
+use crate::tenant_quotas::{Allowance, MAX_ALLOWANCE};
+use crate::upstream_calls::BREAKER_THRESHOLD;
+
+/// Callers whose accounts are handed out and restored, those seen last first.
+const MAX_CALLERS: usize = 1000;
+
+impl Control {
+    /// What was learned so far.
+    pub fn learned_state(&self) -> LearnedState {
+        LearnedState {
+            costs: self.learned_costs(),
+            concurrency_target: Some(self.concurrency.target),
+            slowdown: Some(self.slowdown),
+            call_failures: self.calls.failures,
+            accounts: self.learned_balances(),
+            tenants: self.learned_allowances(),
+            age: 0,
+        }
+    }
+
+    fn learned_costs(&self) -> Vec<LearnedCost> {
+        let learned = |(index, cost): (usize, &CostEstimate)| {
+            // The initial guess counts as a run, and is none.
+            LearnedCost { method: MethodId(index), mean: cost.mean, runs: cost.samples - 1.0 }
+        };
+        self.costs.iter().map(learned).collect()
+    }
+
+    fn learned_balances(&self) -> Vec<LearnedBalance> {
+        let limit = self.accounts.buf_limit.max(1.0);
+        let balance = |(_, caller): &(Us, CallerId)| {
+            let account = self.accounts.accounts.get(caller)?;
+            Some(LearnedBalance { caller: *caller, ratio: (account.buf_value / limit).clamp(0.0, 1.0) })
+        };
+        self.accounts.by_last_seen.iter().rev().take(MAX_CALLERS).filter_map(balance).collect()
+    }
+
+    fn learned_allowances(&self) -> Vec<LearnedAllowance> {
+        let allowance = |(tenant, _): (usize, &f64)| {
+            Some(LearnedAllowance { tenant, rpcs: self.quotas.allowances.get(tenant)?.rpcs })
+        };
+        self.quotas.rates.iter().filter_map(allowance).collect()
+    }
+
+    /// Takes up what was learned before this start; what is absent stays as it is.
+    pub fn restore(&mut self, now: Us, learned: LearnedState) -> Outcome {
+        self.handle(now, |control| {
+            for LearnedCost { method, mean, runs } in learned.costs {
+                control.costs.update(method.0, |cost| *cost = CostEstimate { samples: runs + 1.0, mean });
+            }
+            let target = learned.concurrency_target.unwrap_or(control.concurrency.target);
+            control.concurrency.set_target(control.now, target);
+            control.slowdown = learned.slowdown.unwrap_or(control.slowdown);
+            control.calls.failures = learned.call_failures.min(BREAKER_THRESHOLD - 1);
+            control.redistribute_accounts();
+            control.restore_balances(learned.accounts);
+            control.restore_allowances(learned.tenants, learned.age);
+        })
+    }
+
+    fn restore_balances(&mut self, balances: Vec<LearnedBalance>) {
+        for LearnedBalance { caller, ratio } in balances.into_iter().take(MAX_CALLERS) {
+            let account = self.accounts.recharge(self.now, caller);
+            account.buf_value *= ratio;
+            let last_seen = account.last_seen;
+            self.accounts.by_last_seen.insert((last_seen, caller));
+        }
+    }
+
+    fn restore_allowances(&mut self, allowances: Vec<LearnedAllowance>, age: Us) {
+        let updated_at = self.now.saturating_sub(age);
+        for LearnedAllowance { tenant, rpcs } in allowances {
+            if self.quotas.rates.get(tenant).is_none() {
+                continue;
+            }
+            if let Some(allowance) = self.quotas.allowances.get_mut(tenant) {
+                *allowance = Allowance { rpcs: rpcs.min(MAX_ALLOWANCE), updated_at };
+            }
+        }
+    }
+
+    /// RPCs of this method can be read now.
+    pub fn has_method(&self, method: MethodId) -> bool {
+        self.method(method).is_some()
+    }
+
+    /// This tenant has a quota now.
+    pub fn has_tenant(&self, tenant: usize) -> bool {
+        self.tenant_rate(tenant).is_some()
+    }
+
+    /// A method as it is in force.
+    pub fn method(&self, method: MethodId) -> Option<&Method> {
+        self.methods.get(method.0)
+    }
+
+    /// A tenant's quota as it is in force, in RPCs per second over the whole fleet.
+    pub fn tenant_rate(&self, tenant: usize) -> Option<f64> {
+        self.quotas.rates.get(tenant).copied()
+    }
+
+    /// What serving an RPC of a method takes, as learned so far, in microseconds; 0 for an unknown method.
+    pub fn mean_cost(&self, method: MethodId) -> f64 {
+        self.costs.get(method.0).map_or(0.0, |cost| cost.mean)
+    }
+
+    /// Memory of queued and running RPCs, in kB.
+    pub fn memory_used_kb(&self) -> f64 {
+        self.memory.used_kb
+    }
+
+    /// Where the server stands.
+    pub fn status(&self) -> Status {
+        Status {
+            slowdown: self.slowdown,
+            warm: self.concurrency.is_warm(self.now),
+            breaker_open: self.calls.breaker_open(self.now),
+            stalled: self.is_stalled(),
+            call_limit: self.calls.limit,
+            calls_in_flight: self.calls.in_flight,
+            waiting_to_call: self.waiting_to_call.len(),
+        }
+    }
+}
--- /dev/null
+++ b/src/max_tree.rs
@@ -0,0 +1,103 @@
+//! The greatest of many numbers, of those in force and of those staged: a tournament tree, in which only the matches
+//! on the path of a number that changes are played again.
+
+/// A pair of numbers: the one in force and the one after the next commit.
+#[derive(Clone, Copy)]
+struct Pair {
+    current: f64,
+    next: f64,
+}
+
+/// Below all numbers: an index without one.
+const NO_PAIR: Pair = Pair { current: f64::NEG_INFINITY, next: f64::NEG_INFINITY };
+
+impl Pair {
+    fn new(current: Option<f64>, next: Option<f64>) -> Pair {
+        Pair { current: current.unwrap_or(f64::NEG_INFINITY), next: next.unwrap_or(f64::NEG_INFINITY) }
+    }
+
+    fn same_bits(&self, other: &Pair) -> bool {
+        self.current.to_bits() == other.current.to_bits() && self.next.to_bits() == other.next.to_bits()
+    }
+}
+
+#[derive(Clone, Copy)]
+struct Node {
+    pair: Pair,
+    /// The version from which `pair.next` is in force.
+    next_from: u64,
+}
+
+const EMPTY_NODE: Node = Node { pair: NO_PAIR, next_from: 0 };
+
+/// The greatest of numbers by index; as in a staged table, those staged come into force all at once.
+pub(crate) struct MaxTree {
+    /// The winner of all is node 1, the halves of node n are 2n and 2n+1, the leaves are the second half.
+    nodes: Vec<Node>,
+    version: u64,
+}
+
+impl MaxTree {
+    pub(crate) fn new(numbers: impl IntoIterator<Item = f64>) -> MaxTree {
+        let leaf = |number: f64| Node { pair: Pair { current: number, next: number }, next_from: 0 };
+        let leaves: Vec<Node> = numbers.into_iter().map(leaf).collect();
+        let mut tree = MaxTree { nodes: Vec::new(), version: 0 };
+        tree.build(&leaves, leaves.len());
+        tree
+    }
+
+    /// The greatest number in force; minus infinity where there is none.
+    pub(crate) fn greatest(&self) -> f64 {
+        self.nodes.get(1).map_or(f64::NEG_INFINITY, |winner| self.read(winner).current)
+    }
+
+    /// Sets the number in force at this index, and the one after the next commit.
+    pub(crate) fn set(&mut self, index: usize, current: Option<f64>, next: Option<f64>) {
+        if index >= self.nodes.len() / 2 {
+            let leaves = self.nodes.split_off(self.nodes.len() / 2);
+            self.build(&leaves, index + 1);
+        }
+        let mut at = self.nodes.len() / 2 + index;
+        self.put(at, Pair::new(current, next));
+        while at > 1 {
+            at /= 2;
+            let winner = self.play(at);
+            if self.read(&self.nodes[at]).same_bits(&winner) {
+                return; // nothing changes further up
+            }
+            self.put(at, winner);
+        }
+    }
+
+    /// Brings all staged numbers into force.
+    pub(crate) fn commit(&mut self) {
+        self.version += 1;
+    }
+
+    /// Plays all matches, for at least so many leaves.
+    fn build(&mut self, leaves: &[Node], least: usize) {
+        let half = least.next_power_of_two();
+        self.nodes = vec![EMPTY_NODE; half];
+        self.nodes.extend_from_slice(leaves);
+        self.nodes.resize(2 * half, EMPTY_NODE);
+        for at in (1..half).rev() {
+            let winner = self.play(at);
+            self.put(at, winner);
+        }
+    }
+
+    fn play(&self, at: usize) -> Pair {
+        let left = self.read(&self.nodes[2 * at]);
+        let right = self.read(&self.nodes[2 * at + 1]);
+        Pair { current: left.current.max(right.current), next: left.next.max(right.next) }
+    }
+
+    fn put(&mut self, at: usize, pair: Pair) {
+        self.nodes[at] = Node { pair, next_from: self.version + 1 };
+    }
+
+    fn read(&self, node: &Node) -> Pair {
+        let committed = node.next_from <= self.version;
+        Pair { current: if committed { node.pair.next } else { node.pair.current }, next: node.pair.next }
+    }
+}
--- /dev/null
+++ b/src/tenant_quotas.rs
@@ -0,0 +1,71 @@
+//! Quotas of tenants: what exceeds them has a lower priority weight, so it waits behind the rest.
+
+use crate::ids::Us;
+use crate::staged_table::StagedTable;
+
+/// RPCs by which a tenant may exceed its quota here: fewer are chance.
+pub(crate) const MAX_ALLOWANCE: f64 = 10.0;
+
+/// A token bucket: RPCs that a tenant may still send at its full weight.
+#[derive(Clone, Copy)]
+pub(crate) struct Allowance {
+    pub(crate) rpcs: f64,
+    pub(crate) updated_at: Us,
+}
+
+const FULL: Allowance = Allowance { rpcs: MAX_ALLOWANCE, updated_at: 0 };
+
+/// Quotas of tenants and what is left of them.
+pub struct TenantQuotas {
+    /// RPCs per second over the whole fleet.
+    pub(crate) rates: StagedTable<f64>,
+    pub(crate) allowances: Vec<Allowance>,
+    replicas: f64,
+    excess_weight: f64,
+    /// Factor on this server's part of each quota.
+    pub(crate) fraction: f64,
+}
+
+impl TenantQuotas {
+    /// `rates`: RPCs per second of each tenant over the whole fleet, which is divided by `replicas`;
+    /// `excess_weight`: factor on the priority weight of what exceeds them, 0 to 1.
+    pub fn new(rates: &[f64], replicas: usize, excess_weight: f64) -> TenantQuotas {
+        TenantQuotas {
+            rates: StagedTable::new(rates.iter().copied()),
+            allowances: vec![FULL; rates.len()],
+            replicas: replicas.max(1) as f64,
+            excess_weight,
+            fraction: 1.0,
+        }
+    }
+
+    /// Stages a tenant's rate. One that is new here has a full allowance: time that passes adds nothing to that.
+    pub(crate) fn stage(&mut self, tenant: usize, rate: Option<f64>) {
+        if rate.is_some() && self.rates.get(tenant).is_none() {
+            let len = self.allowances.len().max(tenant + 1);
+            self.allowances.resize(len, FULL);
+            self.allowances[tenant] = FULL;
+        }
+        self.rates.stage(tenant, rate);
+    }
+
+    /// Counts an RPC of a tenant and returns the factor on its priority weight: 1 within the quota or without a
+    /// tenant, the excess weight above it.
+    pub(crate) fn take_weight(&mut self, now: Us, tenant: Option<usize>) -> f64 {
+        let Some((tenant, rate)) = tenant.and_then(|tenant| Some((tenant, self.rates.get(tenant)?))) else {
+            return 1.0;
+        };
+        let Some(allowance) = self.allowances.get_mut(tenant) else { return 1.0 };
+        let elapsed = (now - allowance.updated_at) as f64;
+        let refill = rate / self.replicas * self.fraction * elapsed / 1e6;
+        allowance.rpcs = (allowance.rpcs + refill).min(MAX_ALLOWANCE);
+        allowance.updated_at = now;
+        let within = if allowance.rpcs >= 1.0 { 1.0 } else { 0.0 };
+        allowance.rpcs -= within;
+        self.excess_weight.max(within)
+    }
+
+    pub(crate) fn reconfigure(&mut self, other: &TenantQuotas) {
+        (self.replicas, self.excess_weight) = (other.replicas, other.excess_weight);
+    }
+}
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -1,5 +1,6 @@
 //! Seeded random runs that check the four rules after every step by a count of their own, and plain cases.
 
+use crate::caller_accounts::Charge;
 use crate::*;
 use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,14 +48,14 @@
 impl Drawn {
     fn from(g: &mut Gen) -> Drawn {
         let effects = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NonIdempotent];
-        let share = *g.choose(&[0.7, 2.0, 5.5]).unwrap();
+        let quota = *g.choose(&[0.7, 2.0, 5.5]).unwrap();
         Drawn {
             effects: vec![*g.choose(&effects).unwrap(), *g.choose(&effects).unwrap()],
             skip: *g.choose(&[0.0, 0.5]).unwrap(),
             late: *g.choose(&[0.0, 0.2]).unwrap(),
             stop_mode: *g.choose(&[StopMode::Off, StopMode::Abort, StopMode::Suspend]).unwrap(),
             below: *g
-                .choose(&[Upstream::Absent, Upstream::Tier, Upstream::Shared { share, window: 5_000 * MS }])
+                .choose(&[Upstream::Absent, Upstream::Tier, Upstream::Shared { quota, window: 5_000 * MS }])
                 .unwrap(),
             say: *g
                 .choose(&[
@@ -130,17 +131,19 @@
         let control = Control::new(
             now,
             seed,
-            STEP,
-            drawn.stop_mode,
-            methods,
-            CallerAccounts::new(500 * MS, 3),
-            ConcurrencyLimit::new(now, CORES, drawn.tip, drawn.cold, 3_000 * MS),
-            UpstreamCalls::new(drawn.below, CORES, 200 * MS, 500 * MS),
-            IdempotencyKeys::new(KEY_KB, 0),
-            MemoryBudget::new(drawn.ram, FACTOR),
-            Drain::new(GRACE),
-            CallerFeedback::new(drawn.say, 1_000 * MS, 500 * MS, 30_000 * MS),
-            TenantQuotas::new(&[], 3, 1.0),
+            ControlParts {
+                step: STEP,
+                stop_mode: drawn.stop_mode,
+                methods,
+                accounts: CallerAccounts::new(500 * MS, 3),
+                concurrency: ConcurrencyLimit::new(now, CORES, drawn.tip, drawn.cold, 3_000 * MS),
+                calls: UpstreamCalls::new(drawn.below, CORES, 200 * MS, 500 * MS),
+                keys: IdempotencyKeys::new(KEY_KB, 0),
+                memory: MemoryBudget::new(drawn.ram, FACTOR),
+                drain: Drain::new(GRACE),
+                feedback: CallerFeedback::new(drawn.say, 1_000 * MS, 500 * MS, 30_000 * MS),
+                quotas: TenantQuotas::new(&[], 3, 1.0),
+            },
         );
         let (wakes, rpcs, keys) = (BTreeSet::new(), BTreeMap::new(), BTreeMap::new());
         let (lingering, load, last) = (Vec::new(), Vec::new(), Outcome::default());
@@ -302,8 +305,8 @@
             self.drawn.cold + (1.0 - self.drawn.cold) * (self.now as f64 / 1e3 - 5_000.0).min(3_000.0) / 3e3;
         let survives = (1.0 + (self.drawn.tip - 1.0) * speed) * CORES as f64;
         assert!(self.mean(2_000 * MS, |p| p.1) <= survives, "the cores are crowded");
-        if let Upstream::Shared { share, window } = self.drawn.below {
-            assert!(self.mean(window, |p| p.2) <= share.max(1.0), "the dependency is loaded past our share");
+        if let Upstream::Shared { quota, window } = self.drawn.below {
+            assert!(self.mean(window, |p| p.2) <= quota.max(1.0), "the dependency is loaded past our share");
         }
     }
 
@@ -463,16 +466,16 @@
 #[test]
 fn an_account_recharges_by_mrr_and_is_corrected_in_the_order_of_the_source() {
     let (caller, mut accounts) = (CallerId(1), CallerAccounts::new(500 * MS, 1));
-    accounts.share_out(0, 4.0, 1.6e3);
+    accounts.redistribute(0, 4.0, 1.6e3);
     assert_eq!((accounts.mrr, accounts.buf_limit), (4e6, 1e9));
-    assert_eq!(accounts.take(0, caller, 6e8), (6e8, 0.4));
+    assert_eq!(accounts.charge(0, caller, 6e8), Charge { amount: 6e8, relative_buffer: 0.4 });
     accounts.correct(0, caller, 6e8, 5e8, 3e8);
     assert_eq!(accounts.recharge(0, caller).buf_value, 4e8, "the penalty ate the positive correction");
     accounts.correct(0, caller, 6e8, 1e8, -9e9);
     assert_eq!(accounts.recharge(0, caller).buf_value, 9e8, "a debt is never turned into a gift");
     assert_eq!(accounts.recharge(10 * MS, caller).buf_value, 9.4e8);
     assert_eq!(accounts.recharge(1_000 * MS, caller).buf_value, 1e9, "capped at buf_limit");
-    assert_eq!(accounts.take(1_000 * MS, caller, 3e9).0, 1e9, "no more is taken than there is");
+    assert_eq!(accounts.charge(1_000 * MS, caller, 3e9).amount, 1e9, "no more is taken than there is");
 }
 
 #[test]
@@ -517,11 +520,14 @@
     target.adjust(MS, idle, 4.0, 1.0);
     assert!(target.target > 4.0);
     (0..50).for_each(|_| target.adjust(MS, idle, 99.0, 1.0));
-    assert!(target.max_parallel_reqs(MS) <= target.survives(MS) + 1e-9);
+    assert!(target.max_parallel_reqs(MS) <= target.survivable(MS) + 1e-9);
     (0..500).for_each(|_| target.adjust(MS, idle, 99.0, 9.0));
     assert_eq!(target.target, 4.0);
     let cold = ConcurrencyLimit::new(0, 4, 8.0, 0.2, 1_000 * MS);
-    assert!(cold.survives(0) < cold.survives(500 * MS) && cold.survives(500 * MS) < cold.survives(MS * MS));
+    assert!(
+        cold.survivable(0) < cold.survivable(500 * MS)
+            && cold.survivable(500 * MS) < cold.survivable(MS * MS)
+    );
 }
 
 #[test]
@@ -529,15 +535,15 @@
     let mut calls = UpstreamCalls::new(Upstream::Tier, 4, 0, 500 * MS);
     let id = RpcId::new("a").unwrap();
     for _ in 0..20 {
-        calls.ended(0, id, CallEnd::Aborted, 0.5);
+        calls.call_ended(0, id, CallEnd::Aborted, 0.5);
     }
-    assert!(calls.shut(100 * MS) && !calls.shut(400 * MS));
+    assert!(calls.breaker_open(100 * MS) && !calls.breaker_open(400 * MS));
     calls.trial = Some(id);
-    assert!(calls.shut(400 * MS), "one trial at a time");
-    calls.ended(400 * MS, id, CallEnd::TimedOut, 0.5);
-    assert!(calls.shut(500 * MS), "a failed trial opens it again");
-    calls.ended(900 * MS, id, CallEnd::Ok, 0.5);
-    assert!(!calls.shut(900 * MS));
+    assert!(calls.breaker_open(400 * MS), "one trial at a time");
+    calls.call_ended(400 * MS, id, CallEnd::TimedOut, 0.5);
+    assert!(calls.breaker_open(500 * MS), "a failed trial opens it again");
+    calls.call_ended(900 * MS, id, CallEnd::Ok, 0.5);
+    assert!(!calls.breaker_open(900 * MS));
 }
 
 #[test]
@@ -608,22 +614,22 @@
 fn thousands_of_callers_share_the_target_by_those_heard_in_the_last_second() {
     let mut accounts = CallerAccounts::new(500 * MS, 3_000);
     for caller in 0..3_000 {
-        accounts.hear(caller * MS, CallerId(caller));
+        accounts.record_seen(caller * MS, CallerId(caller));
     }
-    accounts.share_out(3_000 * MS, 4.0, 1.6e3);
+    accounts.redistribute(3_000 * MS, 4.0, 1.6e3);
     assert_eq!(accounts.mrr, 4e6 / 1_000.0);
-    accounts.share_out(90_000 * MS, 4.0, 1.6e3);
-    assert_eq!((accounts.mrr, accounts.of.len()), (4e6, 0), "long unused accounts are forgotten");
+    accounts.redistribute(90_000 * MS, 4.0, 1.6e3);
+    assert_eq!((accounts.mrr, accounts.accounts.len()), (4e6, 0), "long unused accounts are forgotten");
 }
 
 #[test]
 fn a_tenant_ranks_lower_only_well_above_its_share() {
     let mut shares = TenantQuotas::new(&[10.0], 5, 0.1);
     let taken =
-        |shares: &mut TenantQuotas, now| (0..20).filter(|_| shares.worth(now, Some(0)) == 1.0).count();
+        |shares: &mut TenantQuotas, now| (0..20).filter(|_| shares.take_weight(now, Some(0)) == 1.0).count();
     assert_eq!(taken(&mut shares, 0), 10, "ten at once are chance where two a second are its share");
     assert_eq!(taken(&mut shares, 2_000 * MS), 4);
-    assert_eq!(shares.worth(2_000 * MS, None), 1.0, "no tenant, no share");
+    assert_eq!(shares.take_weight(2_000 * MS, None), 1.0, "no tenant, no share");
 }
 
 #[test]
@@ -752,17 +758,19 @@
         Control::new(
             now,
             3,
-            4 * MS,
-            StopMode::Abort,
-            criticality.iter().copied().map(method).collect(),
-            CallerAccounts::new(400 * MS, 1),
-            ConcurrencyLimit::new(now, cores, 8.0, 1.0, 1),
-            UpstreamCalls::new(Upstream::Tier, cores, 0, 400 * MS),
-            IdempotencyKeys::new(0.0, 0),
-            MemoryBudget::new(ram, factor),
-            Drain::new(400 * MS),
-            CallerFeedback::new(FeedbackMode::Credit, 0, 400 * MS, 0),
-            TenantQuotas::new(&[1.0], 1, 0.5),
+            ControlParts {
+                step: 4 * MS,
+                stop_mode: StopMode::Abort,
+                methods: criticality.iter().copied().map(method).collect(),
+                accounts: CallerAccounts::new(400 * MS, 1),
+                concurrency: ConcurrencyLimit::new(now, cores, 8.0, 1.0, 1),
+                calls: UpstreamCalls::new(Upstream::Tier, cores, 0, 400 * MS),
+                keys: IdempotencyKeys::new(0.0, 0),
+                memory: MemoryBudget::new(ram, factor),
+                drain: Drain::new(400 * MS),
+                feedback: CallerFeedback::new(FeedbackMode::Credit, 0, 400 * MS, 0),
+                quotas: TenantQuotas::new(&[1.0], 1, 0.5),
+            },
         )
     }
     fn ask(c: &mut Control, now: Us, n: u64, method: usize) -> Outcome {
@@ -841,17 +849,19 @@
                 Control::new(
                     now,
                     3,
-                    4 * MS,
-                    StopMode::Abort,
-                    vec![method],
-                    CallerAccounts::new(400 * MS, 1),
-                    fresh,
-                    UpstreamCalls::new(Upstream::Absent, 4, 0, 400 * MS),
-                    IdempotencyKeys::new(0.0, 0),
-                    MemoryBudget::new(100_000.0, 2.0),
-                    Drain::new(400 * MS),
-                    CallerFeedback::new(FeedbackMode::Credit, 0, 400 * MS, 0),
-                    TenantQuotas::new(&[1.0], 1, 0.5),
+                    ControlParts {
+                        step: 4 * MS,
+                        stop_mode: StopMode::Abort,
+                        methods: vec![method],
+                        accounts: CallerAccounts::new(400 * MS, 1),
+                        concurrency: fresh,
+                        calls: UpstreamCalls::new(Upstream::Absent, 4, 0, 400 * MS),
+                        keys: IdempotencyKeys::new(0.0, 0),
+                        memory: MemoryBudget::new(100_000.0, 2.0),
+                        drain: Drain::new(400 * MS),
+                        feedback: CallerFeedback::new(FeedbackMode::Credit, 0, 400 * MS, 0),
+                        quotas: TenantQuotas::new(&[1.0], 1, 0.5),
+                    },
                 )
             };
             c
@@ -986,10 +996,10 @@
         let shared = |calls: Upstream| {
             let mut c = made(0, &[1.0], 4, 1e6);
             c.calls = UpstreamCalls::new(calls, 4, 0, 400 * MS);
-            c.shares = TenantQuotas::new(&[100.0], 1, 0.0);
+            c.quotas = TenantQuotas::new(&[100.0], 1, 0.0);
             c
         };
-        let below = Upstream::Shared { share: 5.0, window: 1_000 * MS };
+        let below = Upstream::Shared { quota: 5.0, window: 1_000 * MS };
         let placed = |c: &mut Control, from: u64| calls_placed(c, from * MS, from..from + 20);
         assert_eq!(placed(&mut shared(below), 0), 4, "0.8 of the share");
         for (part, calls) in [(0.5, 2), (0.25, 1), (1.5, 6)] {
@@ -1004,8 +1014,8 @@
         // Of a tenant's 100 a second ten at once, and then its part.
         let inside = |part: f64| {
             let mut shares = TenantQuotas::new(&[100.0], 1, 0.0);
-            shares.part = part;
-            (0..400).filter(|n| shares.worth(n * 5 * MS, Some(0)) > 0.0).count()
+            shares.fraction = part;
+            (0..400).filter(|n| shares.take_weight(n * 5 * MS, Some(0)) > 0.0).count()
         };
         assert!((inside(1.0) as i64 - 208).abs() < 4, "{}", inside(1.0));
         assert!((inside(0.25) as i64 - 59).abs() < 4, "{}", inside(0.25));
@@ -1020,7 +1030,7 @@
     fn times_to_come_back_are_spread_and_stay_within_what_is_relayed() {
         let waits = |spread: f64| -> Vec<Us> {
             let mut c = made(0, &[1.0], 1, 1e6);
-            c.credit = CallerFeedback::new(FeedbackMode::Credit, 60 * MS, 400 * MS, 0);
+            c.feedback = CallerFeedback::new(FeedbackMode::Credit, 60 * MS, 400 * MS, 0);
             c.set_recovery_limits(0, RecoveryLimits { retry_after_jitter: spread, ..NONE });
             let wait = |(_, answer): &(RpcId, Answer)| match answer {
                 Answer::Rejected { retry_after, .. } => *retry_after,
@@ -1039,11 +1049,11 @@
 /// Staging and changes at random against a plain map of what is in force.
 #[test]
 fn what_is_staged_shows_only_after_the_change_and_the_peak_is_the_greatest_of_all() {
-    use crate::peak::Peak;
+    use crate::max_tree::MaxTree;
     use nanorand::{Rng, WyRand};
     for seed in 0..2_000 {
         let mut chance = WyRand::new_seed(seed);
-        let (mut staged, mut peak) = (StagedTable::new([1.0, 2.0]), Peak::new([1.0, 2.0]));
+        let (mut staged, mut peak) = (StagedTable::new([1.0, 2.0]), MaxTree::new([1.0, 2.0]));
         let mut now = BTreeMap::from([(0, 1.0), (1, 2.0)]);
         let (mut last, mut next) = (now.clone(), now.clone());
         for _ in 0..60 {
@@ -1069,7 +1079,7 @@
             }
             for place in 0..13 {
                 assert_eq!(staged.get(place), now.get(&place), "seed {seed}");
-                assert_eq!(staged.last(place), last.get(&place), "seed {seed}");
+                assert_eq!(staged.latest(place), last.get(&place), "seed {seed}");
                 assert_eq!(staged.next(place), next.get(&place), "seed {seed}");
             }
             let fold = now.values().copied().fold(f64::NEG_INFINITY, f64::max);
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -37,17 +37,19 @@
         Control::new(
             0,
             seed,
-            4 * MS,
-            StopMode::Abort,
-            vec![method],
-            CallerAccounts::new(800 * MS, callers),
-            ConcurrencyLimit::new(0, self.cores, self.tip, self.cold_from, self.ramp),
-            UpstreamCalls::new(Upstream::Absent, self.cores, 0, 800 * MS),
-            IdempotencyKeys::new(0.0, 0),
-            MemoryBudget::new(1e9, 4.0),
-            Drain::new(1_000 * MS),
-            CallerFeedback::new(FeedbackMode::Credit, 1_000 * MS, 800 * MS, 30_000 * MS),
-            TenantQuotas::new(&[], 3, 1.0),
+            ControlParts {
+                step: 4 * MS,
+                stop_mode: StopMode::Abort,
+                methods: vec![method],
+                accounts: CallerAccounts::new(800 * MS, callers),
+                concurrency: ConcurrencyLimit::new(0, self.cores, self.tip, self.cold_from, self.ramp),
+                calls: UpstreamCalls::new(Upstream::Absent, self.cores, 0, 800 * MS),
+                keys: IdempotencyKeys::new(0.0, 0),
+                memory: MemoryBudget::new(1e9, 4.0),
+                drain: Drain::new(1_000 * MS),
+                feedback: CallerFeedback::new(FeedbackMode::Credit, 1_000 * MS, 800 * MS, 30_000 * MS),
+                quotas: TenantQuotas::new(&[], 3, 1.0),
+            },
         )
     }
 }
