--- a/membership/src/persisted_state.rs
+++ b/membership/src/persisted_state.rs
@@ -83,7 +83,7 @@
     }
 
     /// What a new process uses of what the one before persisted: its generation always; the rest unless it is older than
-    /// `forget_after` (microseconds) or its age can't be told, as the agreed members of long ago may have been replaced
+    /// `forget_after` (microseconds) or its age can't be determined, as the agreed members of long ago may have been replaced
     /// since.
     pub fn restore(previous: Option<PersistedState>, wall_clock: Us, forget_after: Us) -> RestoredState {
         let generation =
