--- a/entries/src/fields/family_info.rs
+++ b/entries/src/fields/family_info.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::Name;
 use crate::error::ConfigError;
-use crate::fields::object::{read_known_fields, ObjectFields};
+use crate::fields::object::{read_fields, ObjectFields};
 use crate::fields::value::{FieldValue, JsonHandler, JsonSeed, StoreValue, Strictness};
 use crate::limits::{MAX_FIGURE, MAX_GAUGES, MAX_METHODS};
 use serde::de::{Error, MapAccess, SeqAccess};
@@ -60,7 +60,7 @@
 
     fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
         let strictness = self.scalars.strictness();
-        read_known_fields(object, FAMILY_INFO_KEYS, strictness, |key, object| {
+        read_fields(object, FAMILY_INFO_KEYS, strictness, |key, object| {
             match key.name {
                 GAUGES_KEY => self.gauges = Some(object.next_value_seed(JsonSeed(GaugeNames(strictness)))?),
                 SKIP_WEIGHTS_KEY if strictness == Strictness::Strict => {
--- a/entries/src/fields/global.rs
+++ b/entries/src/fields/global.rs
@@ -2,7 +2,7 @@
 
 use crate::error::ConfigError;
 use crate::fields::family_info::FamilyInfoFields;
-use crate::fields::object::{KnownKey, ObjectFields};
+use crate::fields::object::{FieldKey, ObjectFields};
 use crate::fields::value::{JsonSeed, Strictness};
 use serde::de::{Error, MapAccess};
 
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     /// Those of the deserializer.
-    pub fn read<'d, A: MapAccess<'d>>(&mut self, key: KnownKey, object: &mut A) -> Result<(), A::Error> {
+    pub fn read<'d, A: MapAccess<'d>>(&mut self, key: FieldKey, object: &mut A) -> Result<(), A::Error> {
         match key.name {
             "FamilyInfo" => {
                 let found = object.next_value_seed(JsonSeed(&mut self.family_info))?;
--- a/entries/src/fields/mod.rs
+++ b/entries/src/fields/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's JSON fields, read from any deserializer without building a tree: the scalars of known fields are
+//! The platform's JSON fields, read from any deserializer without building a tree: the scalars of expected fields are
 //! stored, everything else is skipped. What they mean is worked out afterwards, with errors that name the field.
 
 mod entry;
@@ -10,5 +10,5 @@
 
 pub use entry::{METHOD_KEYS, TENANT_KEYS};
 pub use global::{GlobalFields, SETTINGS_KEYS};
-pub use object::{read_known_fields, KnownKey, ObjectFields};
+pub use object::{read_fields, FieldKey, ObjectFields};
 pub use value::{FieldValue, JsonHandler, JsonSeed, Strictness};
--- a/entries/src/fields/object.rs
+++ b/entries/src/fields/object.rs
@@ -11,38 +11,38 @@
 
 /// A key that may stand in an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KnownKey {
-    /// Its place in the list of known keys.
+pub struct FieldKey {
+    /// Its place in the list of readable keys.
     pub index: usize,
     /// The key itself.
     pub name: &'static str,
 }
 
-/// Reads a key, as one of the known ones.
+/// Reads a key, as one of the expected ones.
 struct KeySeed {
     names: &'static [&'static str],
     strictness: Strictness,
 }
 
 impl<'d> DeserializeSeed<'d> for KeySeed {
-    type Value = Option<KnownKey>;
+    type Value = Option<FieldKey>;
 
-    fn deserialize<D: Deserializer<'d>>(self, from: D) -> Result<Option<KnownKey>, D::Error> {
+    fn deserialize<D: Deserializer<'d>>(self, from: D) -> Result<Option<FieldKey>, D::Error> {
         from.deserialize_str(self)
     }
 }
 
 impl Visitor<'_> for KeySeed {
-    type Value = Option<KnownKey>;
+    type Value = Option<FieldKey>;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("a key")
     }
 
-    fn visit_str<E: Error>(self, key: &str) -> Result<Option<KnownKey>, E> {
+    fn visit_str<E: Error>(self, key: &str) -> Result<Option<FieldKey>, E> {
         let mut names = self.names.iter().enumerate();
         match names.find(|(_, name)| **name == key) {
-            Some((index, name)) => Ok(Some(KnownKey { index, name })),
+            Some((index, name)) => Ok(Some(FieldKey { index, name })),
             None if self.strictness == Strictness::Strict => {
                 let start = key.chars().take(MAX_QUOTED_CHARS).collect();
                 Err(E::custom(ConfigError::UnknownField(start)))
@@ -57,9 +57,9 @@
 /// # Errors
 /// Those of the deserializer and of `read_value`, and [`ConfigError::DuplicateField`]: nobody could tell which of the
 /// two is meant.
-pub fn read_known_fields<'d, A: MapAccess<'d>>(
+pub fn read_fields<'d, A: MapAccess<'d>>(
     mut object: A, names: &'static [&'static str], strictness: Strictness,
-    mut read_value: impl FnMut(KnownKey, &mut A) -> Result<(), A::Error>,
+    mut read_value: impl FnMut(FieldKey, &mut A) -> Result<(), A::Error>,
 ) -> Result<(), A::Error> {
     let mut seen = 0_u64;
     while let Some(key) = object.next_key_seed(KeySeed { names, strictness })? {
@@ -142,7 +142,7 @@
     /// A number from 0 up, or `None` where it is absent or null.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`]: it is no number, or below zero.
+    /// [`ConfigError::InvalidField`]: it is no number, or negative.
     pub fn optional_number(&self, name: &'static str) -> Result<Option<f64>, ConfigError> {
         match self.value(name) {
             None => Ok(None),
@@ -155,7 +155,7 @@
     /// A number from 0 up.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`]: it is absent, no number, or below zero.
+    /// [`ConfigError::InvalidField`]: it is absent, no number, or negative.
     pub fn number(&self, name: &'static str) -> Result<f64, ConfigError> {
         self.optional_number(name)?.ok_or(ConfigError::InvalidField(name))
     }
@@ -242,9 +242,7 @@
 
     fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
         self.clear();
-        read_known_fields(object, self.names, self.strictness, |key, object| {
-            self.read_value(key.index, object)
-        })?;
+        read_fields(object, self.names, self.strictness, |key, object| self.read_value(key.index, object))?;
         Ok(true)
     }
 }
--- a/entries/src/fields/value.rs
+++ b/entries/src/fields/value.rs
@@ -26,7 +26,7 @@
     /// For the platform's files: unknown fields are skipped, and so are optional ones of a wrong type that have no effect.
     #[default]
     Lenient,
-    /// For steps, from a text in memory: every field has to be known and well-formed, and numbers are read exactly.
+    /// For steps, from a text in memory: every field has to be an expected and well-formed one, and numbers are read exactly.
     Strict,
 }
 
--- a/entries/src/lib.rs
+++ b/entries/src/lib.rs
@@ -51,8 +51,6 @@
 mod name_lookup;
 mod read;
 mod step_line;
-#[cfg(test)]
-mod tests;
 mod time;
 mod validation;
 mod vocabulary;
--- a/entries/src/step_line.rs
+++ b/entries/src/step_line.rs
@@ -6,8 +6,8 @@
 use crate::entry::EntryKind;
 use crate::error::{ConfigError, StepError};
 use crate::fields::{
-    read_known_fields, FieldValue, GlobalFields, JsonHandler, JsonSeed, ObjectFields, Strictness,
-    METHOD_KEYS, TENANT_KEYS,
+    read_fields, FieldValue, GlobalFields, JsonHandler, JsonSeed, ObjectFields, Strictness, METHOD_KEYS,
+    TENANT_KEYS,
 };
 use serde::de::{DeserializeSeed, Error, MapAccess};
 use std::sync::Arc;
@@ -42,7 +42,7 @@
 const GLOBALS_KEYS: &[&str] =
     &["FamilyInfo", "Safety", "Limits", "StepMs", "ReplicasOfMe", "OverShareWorth", MACHINE_LIMITS_KEY];
 
-/// Versions from 2^53 up can't be told apart in JSON.
+/// Versions from 2^53 up can't be distinguished in JSON.
 const BASE_BOUND: f64 = 9_007_199_254_740_992.0;
 
 /// What a line says.
@@ -191,7 +191,7 @@
 
     fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
         let LineReader { fields, globals } = self.0;
-        read_known_fields(object, LINE_KEYS, Strictness::Strict, |key, object| {
+        read_fields(object, LINE_KEYS, Strictness::Strict, |key, object| {
             if key.name != GLOBALS_KEY {
                 return fields.read_value(key.index, object);
             }
@@ -217,7 +217,7 @@
     }
 
     fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
-        read_known_fields(object, GLOBALS_KEYS, Strictness::Strict, |key, object| match key.name {
+        read_fields(object, GLOBALS_KEYS, Strictness::Strict, |key, object| match key.name {
             MACHINE_LIMITS_KEY => self.0.read_machine_limits(object).map(drop),
             _ => self.0.read(key, object),
         })?;
--- /dev/null
+++ b/entries/tests/entries/steps.rs
@@ -0,0 +1,96 @@
+//! Texts of steps: partial settings, and the messages for invalid ones.
+
+use crate::model::small_configuration;
+use asterrill_entries::{read_step, Configuration, GlobalSettings, MAX_NAME_BYTES};
+
+#[test]
+fn completes_partial_global_settings_from_the_base() {
+    (0..20).for_each(|seed| assert_completes(&small_configuration(seed)));
+}
+
+fn assert_completes(running: &Configuration) {
+    let merged = |text: &str| match read_step(text, running).map(|step| step.changes) {
+        Ok(changes) => Ok(GlobalSettings::clone(running.apply(&changes).unwrap().globals())),
+        Err(why) => Err(why.to_string()),
+    };
+    let before = GlobalSettings::clone(running.globals());
+    let first = merged(r#"{"frame":{"FamilyInfo":{"NCores":7,"Say":"window"},"limits":{"memory_mb":96}}}"#);
+    let load_report = asterrill::FeedbackMode::Credit;
+    assert_eq!(first, Ok(GlobalSettings { cores: 7, load_report, memory_mb: 96, ..before.clone() }));
+    let rest = r#"{"frame":{"StepMs":2.5,"Limits":{"RetryAfter":true},"Safety":{"ColdFrom":0.25},"OverShareWorth":null}}"#;
+    let expected = GlobalSettings {
+        min_event_interval: 2_500,
+        retry_after: true,
+        slow_start_from: Some(0.25),
+        over_quota_weight: 1.0,
+        ..before.clone()
+    };
+    assert_eq!(merged(rest), Ok(expected));
+    assert_eq!(merged(r#"{"frame":{}}"#), Ok(before));
+    for (invalid, key) in [
+        (r#"{"FamilyInfo":{"NCore":7}}"#, "NCore "),
+        (r#"{"FamilyInfo":{"NCores":7.5}}"#, "NCores"),
+        (r#"{"FamilyInfo":{"NCores":null}}"#, "NCores"),
+        (r#"{"FamilyInfo":{"NCores":1,"NCores":2}}"#, "NCores stands twice"),
+        (r#"{"FamilyInfo":{"Cold":"yes"}}"#, "Cold"),
+        (r#"{"FamilyInfo":{"ClassSkipWorth":[1]}}"#, "ClassSkipWorth"),
+        (r#"{"FamilyInfo":{"Below":"shared","CallShare":null}}"#, "CallShare"),
+        (r#"{"FamilyInfo":[]}"#, "FamilyInfo"),
+        (r#"{"FamilyInfo":{"Cold":true},"Safety":{"ColdFrom":null}}"#, "ColdFrom"),
+        (r#"{"Safety":{"TipMultiple":1e12}}"#, "TipMultiple"),
+        (r#"{"limits":{"sockets":0}}"#, "limits.sockets"),
+        (r#"{"limits":{"memory_mb":null}}"#, "limits.memory_mb"),
+        (r#"{"Categories":[]}"#, "Categories"),
+        ("7", "frame"),
+    ] {
+        let why = merged(&format!(r#"{{"frame":{invalid}}}"#)).unwrap_err();
+        assert!(why.contains(key) && why.contains("line 1"), "{invalid}: {why}");
+    }
+}
+
+#[test]
+fn names_line_and_key_of_an_invalid_step() {
+    let running = small_configuration(9);
+    let long = format!(r#"{{"take":"tenant","Name":"{}"}}"#, "n".repeat(MAX_NAME_BYTES + 1));
+    let look = r#"{"put":"method","Name":"look","AimMs":1,"DeadlineMs":2,"Effect":"free","Worth":1}"#;
+    let twice =
+        "{\"take\":\"tenant\",\"Name\":\"acme\"}\n{\"put\":\"tenant\",\"Name\":\"acme\",\"QuotaRps\":1}";
+    for (text, line, key) in [
+        (r#"{"put":"tenant","Name":"acme","QuotaRps":-1}"#, 1, "QuotaRps"),
+        (r#"{"put":"tenant","Name":"acme","QuotaRps":1e10}"#, 1, "QuotaRps"),
+        (r#"{"put":"tenant","Name":"acme","QuotaRps":1e999}"#, 1, "number out of range"),
+        (r#"{"put":"tenant","Name":"acme","QuotaRps":null}"#, 1, "QuotaRps"),
+        (r#"{"put":"tenant","Name":"acme","QuotaRps":"1"}"#, 1, "QuotaRps"),
+        (r#"{"put":"tenant","Name":"acme"}"#, 1, "acme: field QuotaRps"),
+        (r#"{"put":"tenant","Name":"acme","QuotaRps":1,"QuotaRps":2}"#, 1, "QuotaRps stands twice"),
+        (r#"{"put":"tenant","Name":"acme","QuotaRps":1,"Worth":2}"#, 1, "Worth is not known"),
+        (r#"{"put":"tenant","Name":"acme","QuotaRps":1,"Quota":2}"#, 1, "Quota is not known"),
+        (r#"{"put":"tenant","Name":"","QuotaRps":1}"#, 1, "1 to 128 bytes"),
+        (r#"{"put":"planet","Name":"acme"}"#, 1, "put planet"),
+        (r#"{"put":"tenant","take":"tenant","Name":"acme"}"#, 1, "a line puts"),
+        (r#"{"Name":"acme"}"#, 1, "a line puts"),
+        ("\n[1]", 2, "a line puts"),
+        ("{}{}", 1, "not JSON"),
+        ("{\"base\":1}\n\n{\"base\":2}", 3, "only the first"),
+        (r#"{"base":1.5}"#, 1, "base"),
+        (r#"{"hash":"+0000000000000000000000000000000"}"#, 1, "hash"),
+        (&long, 1, "Name"),
+        (twice, 2, "Name acme stands twice"),
+        ("{\"frame\":{}}\n{\"frame\":{}}", 2, "frame stands twice"),
+        (&look.replace("free", "cheap"), 1, "look: Effect cheap"),
+        (&look.replace("look", "two words"), 1, "without blanks"),
+        (&look.replace("2,", "-2,"), 1, "DeadlineMs"),
+    ] {
+        let why = read_step(text, &running).expect_err(text).to_string();
+        assert!(why.contains(key) && why.contains(&format!("line {line}")), "{text}: {why}");
+    }
+    // Cut off anywhere, it is refused, or says what its complete lines say.
+    let text = format!("{look}\n{twice}\n").replace("\"acme\",\"Q", "\"other\",\"Q");
+    let complete = read_step(&text, &running).unwrap().changes;
+    for cut in 0..text.len() {
+        match read_step(&text[..cut], &running) {
+            Ok(step) => assert_eq!(step.changes, complete[..step.changes.len()], "{cut}"),
+            Err(why) => assert!(why.to_string().contains("not JSON"), "{cut}: {why}"),
+        }
+    }
+}
--- a/settings/src/deployment.rs
+++ b/settings/src/deployment.rs
@@ -4,9 +4,7 @@
 use crate::error::{SettingsError, MAX_FILE_BYTES};
 use crate::platform_settings::{PlatformSettings, PlatformSettingsReader};
 use asterrill::Us;
-use asterrill_entries::fields::{
-    read_known_fields, FieldValue, JsonHandler, JsonSeed, ObjectFields, Strictness,
-};
+use asterrill_entries::fields::{read_fields, FieldValue, JsonHandler, JsonSeed, ObjectFields, Strictness};
 use asterrill_entries::{Configuration, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY};
 use serde::de::{DeserializeSeed, Error, MapAccess};
 use std::io::{BufReader, Read};
@@ -54,7 +52,7 @@
 /// Reads a deployment's file, a JSON object, as a stream: neither its text nor a tree of it is stored. What is the same
 /// in `running` is shared with it, so that a file which changes one quota costs one entry of new memory.
 ///
-/// Keys may come in any order; unknown ones are skipped, and a known one that stands twice is refused.
+/// Keys may come in any order; unknown ones are skipped, and an expected one that stands twice is refused.
 ///
 /// # Errors
 /// [`SettingsError`]: the reader's own error, more than [`MAX_FILE_BYTES`], no JSON, or the key at fault.
@@ -96,7 +94,7 @@
     }
 
     fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
-        read_known_fields(object, FILE_KEYS, Strictness::Lenient, |key, object| {
+        read_fields(object, FILE_KEYS, Strictness::Lenient, |key, object| {
             match key.name {
                 LIMITS_KEY => self.has_limits = self.settings.globals.read_machine_limits(object)?,
                 SETTINGS_KEY => self.has_settings = object.next_value_seed(JsonSeed(&mut self.settings))?,
--- a/settings/src/platform_settings.rs
+++ b/settings/src/platform_settings.rs
@@ -2,8 +2,8 @@
 
 use crate::error::SettingsError;
 use asterrill_entries::fields::{
-    read_known_fields, FieldValue, GlobalFields, JsonHandler, JsonSeed, ObjectFields, Strictness,
-    METHOD_KEYS, SETTINGS_KEYS, TENANT_KEYS,
+    read_fields, FieldValue, GlobalFields, JsonHandler, JsonSeed, ObjectFields, Strictness, METHOD_KEYS,
+    SETTINGS_KEYS, TENANT_KEYS,
 };
 use asterrill_entries::{
     ConfigError, Configuration, EntryKind, GlobalSettings, Method, Name, NameLookup, MAX_METHODS, MAX_TENANTS,
@@ -109,7 +109,7 @@
     }
 
     fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
-        read_known_fields(object, SETTINGS_KEYS, Strictness::Lenient, |key, object| {
+        read_fields(object, SETTINGS_KEYS, Strictness::Lenient, |key, object| {
             match key.name {
                 "Categories" => {
                     let list = EntryList { kind: EntryKind::Method, reader: self };
