--- a/daemon/src/change.rs
+++ b/daemon/src/change.rs
@@ -543,7 +543,7 @@
             }
         }
         let flip = VersionSwitch { number: *number, bare, longest, queues, tells_tenants };
-        dispatcher.with(|core: &mut Core, wire, now| core.switch_version(now, flip, wire));
+        dispatcher.with(|core: &mut Core, outbound, now| core.switch_version(now, flip, outbound));
         dispatcher.with(|core, _, _| core.set_settings_hash(content.settings()));
         let frame = content.entries.globals();
         dispatcher.resize(frame.memory_mb, crate::room(frame.sockets));
@@ -604,8 +604,8 @@
             "methods": entries.count(EntryKind::Method), "tenants": entries.count(EntryKind::Tenant),
             "probation": probation, "staged": self.rollout.staged().map(|v| v.number),
             "queued": self.rollout.queued().map(|v| v.number), "stage": back,
-            "counters": {"rpcs": counted.rpcs, "ok": counted.ok, "pushed_back": counted.pushed_back,
-                "aborted": counted.aborted, "gone": counted.gone, "changes": counted.changes,
+            "counters": {"rpcs": counted.rpcs, "ok": counted.ok, "pushed_back": counted.rejected,
+                "aborted": counted.aborted, "gone": counted.callers_gone, "changes": counted.changes,
                 "changes_refused": counted.changes_refused,
                 "half_applied": counted.half_applied, "store_failed": self.store.as_ref().map(Store::failed)}})
     }
--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -1,50 +1,54 @@
-//! Who is at the other end of each connection: bytes go through the state machine of its protocol, and the
-//! messages to the core.
+//! Who is at the other end of each connection: a sidecar, the agent, the upstream tier or the broker. Each type feeds the
+//! bytes it receives to the state machine of its protocol, and the messages to the core.
 
 use crate::dispatcher::Dispatcher;
-use crate::wire::{ConnId, LinkId, Place};
+use crate::ids::{ConnectionId, SidecarStream};
 use asterrill::Us;
-use asterrill_net::{exchange, now, wait_until, Address, Outbox, Party, Pause, Peer};
+use asterrill_engine::UpstreamLinkId;
+use asterrill_net::{Outbox, Party, Peer};
 use asterrill_protocol::agent::{self, Notice};
-use asterrill_protocol::{name_service, sidecar, upstream, ProtocolError};
-use asterrill_recovery::phase;
+use asterrill_protocol::{sidecar, upstream, ProtocolError};
 use asterrill_settings::ServerParts;
 use slog::warn;
 use std::sync::Arc;
-use std::time::Duration;
 
-const LINGER: Us = 500_000; // a sidecar closes what is closed here within this time, or is reset
-const REPORT: Us = 1_000_000; // between reports to the name service
-const WITHIN: Duration = Duration::from_millis(800); // a report that takes longer is lost
+/// A sidecar closes a connection that was closed here within this many microseconds, or it is reset.
+const LINGER: Us = 500_000;
 
-/// A sidecar.
+/// A connection that a sidecar opened.
 pub struct SidecarConnection {
+    /// Where its messages go.
     pub dispatcher: Arc<Dispatcher>,
-    pub conn: ConnId,
+    /// Its identifier.
+    pub conn: ConnectionId,
+    /// The protocol's state machine.
     pub frames: sidecar::Reader,
+    /// A complete frame has come on it.
     pub has_spoken: bool,
 }
 
 impl SidecarConnection {
-    fn take(&mut self, bytes: &mut &[u8]) -> Result<(), ProtocolError> {
+    fn read_frames(&mut self, bytes: &mut &[u8]) -> Result<(), ProtocolError> {
         let conn = self.conn;
         while let Some(frame) = self.frames.next(bytes)? {
             self.has_spoken = true;
-            let fine = self.dispatcher.with(|core, wire, now| match frame {
-                sidecar::Frame::Rpc(stream, ask, body) => {
-                    core.rpc_read(now, Place { conn, stream }, ask, body, wire)
+            let accepted = self.dispatcher.with(|core, outbound, now| match frame {
+                sidecar::Frame::Rpc(stream, request, body) => {
+                    core.rpc_received(now, SidecarStream { conn, stream }, request, body, outbound)
+                }
+                sidecar::Frame::Malformed(stream) => {
+                    core.malformed_rpc(now, SidecarStream { conn, stream }, outbound)
                 }
-                sidecar::Frame::Malformed(stream) => core.odd(now, Place { conn, stream }, wire),
                 sidecar::Frame::Cancelled(stream) => {
-                    core.gone(now, Place { conn, stream }, wire);
+                    core.rpc_cancelled(now, SidecarStream { conn, stream }, outbound);
                     true
                 }
                 sidecar::Frame::Check(stream, thorough) => {
-                    core.check(now, Place { conn, stream }, thorough, wire);
+                    core.health_check(now, SidecarStream { conn, stream }, thorough, outbound);
                     true
                 }
             });
-            if !fine {
+            if !accepted {
                 return Err(ProtocolError("too many streams are open, or nothing that came could be run"));
             }
         }
@@ -54,61 +58,64 @@
 
 impl Peer for SidecarConnection {
     fn read(&mut self, mut bytes: &[u8]) -> bool {
-        let taken = self.take(&mut bytes);
-        self.dispatcher.frame_progress(
-            self.conn,
-            self.has_spoken,
-            taken.is_ok() && self.frames.has_partial(),
-        );
-        match taken {
-            Ok(()) => true,
-            Err(broken) => {
-                self.dispatcher.close_when_answered(self.conn, Some(broken.0));
-                false
-            }
+        let read = self.read_frames(&mut bytes);
+        let has_partial = read.is_ok() && self.frames.has_partial();
+        self.dispatcher.frame_progress(self.conn, self.has_spoken, has_partial);
+        if let Err(error) = &read {
+            self.dispatcher.close_when_answered(self.conn, Some(error.0));
         }
+        read.is_ok()
     }
     fn half_closed(&mut self) {
         self.dispatcher.close_when_answered(self.conn, None);
     }
     fn lingers(&self) -> Option<u64> {
-        // One that never said anything whole is owed nothing, and others may want its place.
+        // One that never sent a complete frame is owed nothing, and others may need its slot.
         Some(if self.has_spoken { LINGER } else { 0 })
     }
 }
 
-/// The agent that owns the cores.
+/// Builds the decision module for an agent that started at a moment, cold or warm.
+pub type BuildServer = Box<dyn Fn(Us, bool) -> Option<ServerParts> + Send>;
+
+/// The link to the agent that owns the cores.
 pub struct AgentConnection {
+    /// Where its notices go.
     pub dispatcher: Arc<Dispatcher>,
+    /// What is to be written to it.
     pub out: Outbox,
+    /// The protocol's state machine.
     pub notices: agent::Reader,
-    /// Makes the module anew, for a start at a moment, cold or warm.
-    pub make: Box<dyn Fn(Us, bool) -> Option<ServerParts> + Send>,
+    /// Builds the decision module anew when the agent greets for the first time.
+    pub make: BuildServer,
+    /// A notice has come on this link.
     pub useful: bool,
 }
 
 impl AgentConnection {
-    fn take(&mut self, bytes: &mut &[u8]) -> Result<(), ProtocolError> {
+    fn read_notices(&mut self, bytes: &mut &[u8]) -> Result<(), ProtocolError> {
         while let Some(notice) = self.notices.next(bytes)? {
             self.useful = true;
-            let make = &self.make;
-            self.dispatcher.with(|core, wire, now| match notice {
+            let build = &self.make;
+            self.dispatcher.with(|core, outbound, now| match notice {
                 Notice::Greeting { empty, ago } => {
-                    let fresh =
-                        if core.agent_has_greeted() { None } else { make(now.saturating_sub(ago), empty) };
-                    core.agent_up(now, fresh, wire);
-                    core.agent_greeted(now, empty, wire);
-                    wire.log(&format!("the agent is up: empty {empty}, started {ago} us ago"));
+                    let first = !core.agent_has_greeted();
+                    let fresh = if first { build(now.saturating_sub(ago), empty) } else { None };
+                    core.agent_up(now, fresh, outbound);
+                    core.agent_greeted(now, empty, outbound);
+                    outbound.log(&format!("the agent is up: empty {empty}, started {ago} us ago"));
+                }
+                Notice::Ended(number, id, end, result) => {
+                    core.run_ended(now, number, id, end, result, outbound);
                 }
-                Notice::Ended(number, id, end, result) => core.run_ended(now, number, id, end, result, wire),
-                Notice::CallNeeded(number, id, body) => core.call_needed(now, number, id, body, wire),
-                Notice::Sampled(tag, values) => core.sampled(now, tag, &values, wire),
-                Notice::Exercised(tag, good) => core.exercised(now, tag, good, wire),
+                Notice::CallNeeded(number, id, body) => core.call_needed(now, number, id, body, outbound),
+                Notice::Sampled(tag, values) => core.sample_received(now, tag, &values, outbound),
+                Notice::Exercised(tag, passed) => core.exercise_finished(now, tag, passed, outbound),
                 Notice::Refused { launch, id } => {
-                    wire.log(&format!("the agent refused a command about {id:?}"));
-                    core.refused(now, id.filter(|_| launch), wire);
+                    outbound.log(&format!("the agent refused a command about {id:?}"));
+                    core.command_refused(now, id.filter(|_| launch), outbound);
                 }
-                Notice::Aside(number) => core.aside(number),
+                Notice::Aside(number) => core.notice_ignored(number),
             });
         }
         Ok(())
@@ -117,13 +124,13 @@
 
 impl Peer for AgentConnection {
     fn read(&mut self, mut bytes: &[u8]) -> bool {
-        let taken = self.take(&mut bytes);
-        if let Err(broken) = &taken {
-            warn!(self.dispatcher.log, "the link to the agent is made anew"; "why" => broken.0);
+        let read = self.read_notices(&mut bytes);
+        if let Err(error) = &read {
+            warn!(self.dispatcher.log, "reconnecting to the agent"; "why" => error.0);
             self.dispatcher.with(|core, _, _| core.stats_mut().bad_agent += 1);
             self.out.cut();
         }
-        taken.is_ok()
+        read.is_ok()
     }
     fn half_closed(&mut self) {
         self.out.cut();
@@ -134,9 +141,9 @@
     fn ready(&mut self) {}
     fn up(&mut self) {
         self.notices = agent::Reader::default();
-        let last = self.dispatcher.with(|core, _, now| core.agent_link(now));
+        let last_notice = self.dispatcher.with(|core, _, now| core.agent_connected(now));
         let mut bytes = Vec::new();
-        agent::subscribe(&mut bytes, last);
+        agent::subscribe(&mut bytes, last_notice);
         self.out.put(&[&bytes]);
     }
     fn down(&mut self, _: bool) -> bool {
@@ -144,12 +151,17 @@
     }
 }
 
-/// The layer below, by one of its links.
+/// One link to the upstream tier.
 pub struct UpstreamConnection {
+    /// Where its replies go.
     pub dispatcher: Arc<Dispatcher>,
+    /// What is to be written to it.
     pub out: Outbox,
-    pub link: LinkId,
+    /// Its identifier.
+    pub link: UpstreamLinkId,
+    /// The protocol's state machine.
     pub replies: upstream::Reader,
+    /// A reply has come on this link.
     pub useful: bool,
 }
 
@@ -161,13 +173,13 @@
                     self.dispatcher.reply_progress(self.link, self.replies.has_partial());
                     return true;
                 }
-                Ok(Some(reply)) => self.dispatcher.with(|core, wire, now| {
-                    core.call_ended(now, self.link, reply.id, reply.end, reply.body, wire);
+                Ok(Some(reply)) => self.dispatcher.with(|core, outbound, now| {
+                    core.call_ended(now, self.link, reply.id, reply.end, reply.body, outbound);
                     self.useful = true;
                 }),
-                Err(broken) => {
-                    warn!(self.dispatcher.log, "a link below is made anew"; "why" => broken.0);
-                    self.dispatcher.with(|core, _, _| core.stats_mut().bad_below += 1);
+                Err(error) => {
+                    warn!(self.dispatcher.log, "reconnecting an upstream link"; "why" => error.0);
+                    self.dispatcher.with(|core, _, _| core.stats_mut().bad_upstream += 1);
                     self.out.cut();
                     return false;
                 }
@@ -188,85 +200,35 @@
     }
     fn down(&mut self, refused: bool) -> bool {
         self.dispatcher.reply_progress(self.link, false);
-        self.dispatcher.with(|core, wire, now| core.link_ended(now, self.link, refused, wire));
+        self.dispatcher.with(|core, outbound, now| core.link_ended(now, self.link, refused, outbound));
         std::mem::take(&mut self.useful)
     }
 }
 
-/// The broker that queues are consumed from.
+/// The connection to the broker that queues are consumed from.
 pub struct BrokerConnection {
+    /// Where its bytes go: the session's state machine belongs to the core.
     pub dispatcher: Arc<Dispatcher>,
 }
 
 impl Peer for BrokerConnection {
     fn read(&mut self, bytes: &[u8]) -> bool {
-        self.dispatcher.with(|core, wire, now| core.broker_read(now, bytes, wire))
+        self.dispatcher.with(|core, outbound, now| core.broker_read(now, bytes, outbound))
     }
     fn half_closed(&mut self) {
-        self.dispatcher.with(|_, wire, _| wire.end_broker(true));
+        self.dispatcher.with(|_, outbound, _| outbound.close_broker(true));
     }
 }
 
 impl Party for BrokerConnection {
     fn ready(&mut self) {}
     fn up(&mut self) {
-        self.dispatcher.with(|core, wire, now| core.broker_up(now, wire));
+        self.dispatcher.with(|core, outbound, now| core.broker_connected(now, outbound));
     }
     fn down(&mut self, _: bool) -> bool {
-        self.dispatcher.with(|core, wire, now| core.broker_down(now, wire))
+        self.dispatcher.with(|core, outbound, now| core.broker_disconnected(now, outbound))
     }
     fn wanted(&self) -> bool {
         !self.dispatcher.with(|core, _, _| core.broker_done())
     }
 }
-
-/// Tells the name service whether this backend takes work, at once when that or its address changes. A report
-/// that went out may count though it is not answered, so only one that could not be sent makes the next wait.
-pub fn send_load_reports(
-    dispatcher: &Dispatcher, name: &str, to: &Address, mut pause: Pause, spread: Option<u64>,
-) {
-    dispatcher.load_report_bell.attend();
-    let (mut at, mut kept, mut reports) = (to.get(), None, 0_u64);
-    loop {
-        reports += 1;
-        let Some(serving) = dispatcher.serving() else {
-            wait_until(now() + REPORT);
-            continue;
-        };
-        if at != to.get() {
-            (at, kept) = (to.get(), None);
-        }
-        let news = || dispatcher.serving() != Some(serving) || to.get() != at;
-        let (mut request, mut reader, mut counts) = (Vec::new(), name_service::Reader::default(), false);
-        name_service::report(&mut request, name, &at.to_string(), serving);
-        let start = now();
-        let (fresh, wanted) = (kept.is_none(), || !news());
-        let done =
-            exchange(kept.take(), at, &request, WITHIN, wanted, |mut bytes| match reader.next(&mut bytes) {
-                Ok(None) => None,
-                Ok(Some(reply)) => {
-                    counts = reply.accepted;
-                    Some(reply.keep_alive)
-                }
-                Err(broken) => {
-                    warn!(dispatcher.log, "a report was lost"; "why" => broken.0);
-                    dispatcher.with(|core, _, _| core.stats_mut().bad_naming += 1);
-                    Some(false)
-                }
-            });
-        dispatcher.with(|core, _, _| {
-            core.stats_mut().reports += u64::from(counts);
-            core.stats_mut().reports_lost += u64::from(!counts);
-        });
-        kept = done.flatten();
-        if counts {
-            pause.reset();
-            if !news() {
-                let early = spread.map_or(0, |seed| phase(seed ^ reports, "report", REPORT / 4));
-                wait_until(start + REPORT - early);
-            }
-        } else if fresh && now() < start + WITHIN.as_micros() as u64 {
-            pause.rest_unless(news);
-        }
-    }
-}
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -2,14 +2,15 @@
 //! in, what is to be written comes out, time is passed in. No socket, no clock, no decision about an RPC.
 
 use crate::agent_session::AgentSession;
+use crate::ids::{ConnectionId, Requester, SidecarStream};
 use crate::name_table::NameTable;
+use crate::outbound::Outbound;
 use crate::queues::{QueueConsumers, QueueRequest};
 use crate::recovery::{ActiveTerms, RecoveryTracker};
 use crate::service_stats::ServiceStats;
 use crate::sidecar_registry::SidecarRegistry;
 use crate::stats::Stats;
 use crate::upstream::UpstreamLinks;
-use crate::wire::{ConnId, LinkId, Place, Requester, Wire};
 use asterrill::{CallEnd, FinalAnswer, Idempotency, MethodId, RpcId, RunEnd, Us};
 use asterrill_consensus::{caller_key, ApplyPolicy, ListKind};
 use asterrill_engine::{
@@ -34,7 +35,7 @@
 /// Ids that may wait for the same exercise of the agent.
 #[derive(Default)]
 struct Exercise {
-    asking: Vec<Place>,
+    asking: Vec<SidecarStream>,
     tag: u64,
     until: Us,
 }
@@ -174,7 +175,7 @@
 struct EngineOutputs<'a> {
     now: Us,
     around: &'a mut Around,
-    wire: &'a mut dyn Wire,
+    outbound: &'a mut dyn Outbound,
 }
 
 impl Outputs<Requester> for EngineOutputs<'_> {
@@ -182,10 +183,10 @@
         let AppliedVersions { module, names, queues } = self.around.stamps;
         self.around.counters.half_applied += u64::from(module != names || names != queues);
         if let Some(of) = of {
-            self.around.service.answered(of, matches!(answer, FinalAnswer::Ok(_)));
+            self.around.service.record_answered(of, matches!(answer, FinalAnswer::Ok(_)));
         }
         match to {
-            Requester::Sidecar(place) => self.wire.answer(place, answer, credit),
+            Requester::Sidecar(place) => self.outbound.answer(place, answer, credit),
             Requester::Queue(work) => {
                 let now = self.now;
                 self.around.queues.iter_mut().for_each(|queues| queues.answered(now, work, answer));
@@ -193,64 +194,64 @@
         }
     }
     fn closed(&mut self, id: RpcId) {
-        self.around.agent.over(id);
+        self.around.agent.run_closed(id);
     }
     fn launch(&mut self, at: Requester, id: RpcId, method: MethodId, body: &[u8]) {
         if let Requester::Queue(work) = at {
             self.around.queues.iter_mut().for_each(|queues| queues.launched(work));
         }
-        self.around.agent.sends(self.now, id);
+        self.around.agent.command_sent(self.now, id);
         let name = self.around.server.name(method).map_or("", |name| name);
-        self.wire.launch(id, name, body);
+        self.outbound.launch(id, name, body);
     }
     fn stop(&mut self, id: RpcId) {
-        self.around.agent.stops(self.now, id);
-        self.wire.stop(id);
+        self.around.agent.stop_sent(self.now, id);
+        self.outbound.stop(id);
     }
     fn resume(&mut self, id: RpcId, reply: &[u8]) {
-        self.around.agent.sends(self.now, id);
-        self.wire.deliver(id, reply);
+        self.around.agent.command_sent(self.now, id);
+        self.outbound.deliver_reply(id, reply);
     }
     fn skip(&mut self, id: RpcId) {
-        let asked = self.around.agent.sends(self.now, id);
-        self.wire.skip(id, asked);
+        let asked = self.around.agent.command_sent(self.now, id);
+        self.outbound.skip_call(id, asked);
     }
     fn run_completed(&mut self, at: Requester) {
         match at {
-            Requester::Sidecar(place) => self.around.sidecars.ran(place.conn),
+            Requester::Sidecar(place) => self.around.sidecars.run_completed(place.conn),
             Requester::Queue(_) => {}
         }
     }
     fn request_gauges(&mut self) {
-        self.wire.sample(self.around.agent.tag(self.now));
+        self.outbound.request_sample(self.around.agent.next_tag(self.now));
     }
     fn send_call(
         &mut self, last: Option<UpstreamLinkId>, id: RpcId, wait: Us, body: &[u8],
     ) -> Option<UpstreamLinkId> {
-        let by = self.around.links.pick(last).filter(|by| self.wire.call(*by, id, wait, body))?;
-        self.around.links.placed(by);
-        Some(UpstreamLinkId(by.0))
+        let by = self.around.links.select(last).filter(|by| self.outbound.send_call(*by, id, wait, body))?;
+        self.around.links.call_placed(by);
+        Some(by)
     }
     fn cancel_call(&mut self, by: UpstreamLinkId, id: RpcId) {
-        self.wire.give_up(LinkId(by.0), id);
+        self.outbound.cancel_call(by, id);
     }
     fn call_finished(&mut self, by: UpstreamLinkId, late: bool) {
-        self.around.links.off(LinkId(by.0), late, self.wire);
+        self.around.links.call_finished(by, late, self.outbound);
     }
     fn set_health(&mut self, good: bool) {
         self.around.healthy = good;
         if self.around.up.is_some() {
-            self.wire.serving(good && !self.around.draining);
+            self.outbound.set_serving(good && !self.around.draining);
         }
     }
     fn close_idle(&mut self, span: Us) {
-        self.wire.close_idle(span);
+        self.outbound.set_idle_timeout(span);
         if span == 0 {
-            self.wire.leaving();
+            self.outbound.announce_drain();
         }
     }
     fn log(&mut self, line: &str) {
-        self.wire.log(line);
+        self.outbound.log(line);
     }
 }
 
@@ -258,7 +259,7 @@
     pub fn new(now: Us, server: ServerParts, pool: Pool, links: usize) -> Core {
         let service = ServiceStats::new(now, server.latency_targets.clone());
         let (mut agent, longest) = (AgentSession::default(), server.latency_targets.iter().max().copied());
-        agent.target(longest.unwrap_or(0));
+        agent.set_longest_latency_target(longest.unwrap_or(0));
         let (control, terms, server) = parts(server, pool.bytes() / RESULTS);
         let held = pool.clone();
         Core {
@@ -288,14 +289,14 @@
 
     /// Brings an input to the engine, together with what carries out its outputs.
     fn with<R>(
-        &mut self, now: Us, wire: &mut dyn Wire,
+        &mut self, now: Us, outbound: &mut dyn Outbound,
         input: impl FnOnce(&mut Engine<Requester, Buf>, Us, &mut EngineOutputs<'_>) -> R,
     ) -> R {
         self.now = self.engine.advance_to(now);
-        let mut carry = EngineOutputs { now: self.now, around: &mut self.around, wire };
+        let mut carry = EngineOutputs { now: self.now, around: &mut self.around, outbound };
         let result = input(&mut self.engine, self.now, &mut carry);
         if self.around.queues.is_some() {
-            self.attend_queues(wire);
+            self.attend_queues(outbound);
         }
         result
     }
@@ -309,13 +310,13 @@
     }
 
     /// Does all that the queues want done, and writes what is to go to the broker.
-    fn attend_queues(&mut self, wire: &mut dyn Wire) {
+    fn attend_queues(&mut self, outbound: &mut dyn Outbound) {
         let now = self.now;
         while let Some(ask) = self.around.queues.as_mut().and_then(|queues| queues.ask(now)) {
-            let mut out = EngineOutputs { now, around: &mut self.around, wire };
+            let mut out = EngineOutputs { now, around: &mut self.around, outbound };
             match ask {
                 QueueRequest::Offer(mut read, work, body) => {
-                    out.around.service.read(read.method);
+                    out.around.service.record_received(read.method);
                     let at = Requester::Queue(work);
                     // Of all ids it may be one that is open; hardly so several times.
                     let mut taken = false;
@@ -334,49 +335,49 @@
                         self.around.queues.iter_mut().for_each(|queues| queues.withdrawn(now, work));
                     }
                 }
-                QueueRequest::Log(line) => wire.log(&line),
+                QueueRequest::Log(line) => outbound.log(&line),
             }
         }
         if let Some(queues) = &mut self.around.queues {
             let session = queues.out();
             if !session.out.is_empty() {
-                wire.broker(&session.out);
+                outbound.send_to_broker(&session.out);
                 session.mark_written(now);
             }
             if queues.done() {
-                wire.end_broker(false);
+                outbound.close_broker(false);
             }
         }
     }
 
     /// A connection to the broker stands.
-    pub fn broker_up(&mut self, now: Us, wire: &mut dyn Wire) {
-        self.with(now, wire, |_, now, out| out.around.queues.iter_mut().for_each(|q| q.connected(now)));
+    pub fn broker_connected(&mut self, now: Us, outbound: &mut dyn Outbound) {
+        self.with(now, outbound, |_, now, out| out.around.queues.iter_mut().for_each(|q| q.connected(now)));
     }
     /// The connection to the broker is gone, or could not be made. True if it had been of use.
-    pub fn broker_down(&mut self, now: Us, wire: &mut dyn Wire) -> bool {
-        self.with(now, wire, |_, _, out| out.around.queues.as_mut().is_some_and(QueueConsumers::down))
+    pub fn broker_disconnected(&mut self, now: Us, outbound: &mut dyn Outbound) -> bool {
+        self.with(now, outbound, |_, _, out| out.around.queues.as_mut().is_some_and(QueueConsumers::down))
     }
     /// No connection to the broker is wanted any more.
     pub fn broker_done(&self) -> bool {
         self.around.queues.as_ref().is_some_and(QueueConsumers::done)
     }
     /// Takes what the broker sent. False if the connection is of no more use.
-    pub fn broker_read(&mut self, now: Us, bytes: &[u8], wire: &mut dyn Wire) -> bool {
+    pub fn broker_read(&mut self, now: Us, bytes: &[u8], outbound: &mut dyn Outbound) -> bool {
         let mut logs = Vec::new();
-        let fine = self.with(now, wire, |engine, now, out| {
+        let fine = self.with(now, outbound, |engine, now, out| {
             let Around { queues, server, .. } = &mut *out.around;
             let known = ActiveNames { names: server, engine };
             queues.as_mut().map_or(Ok(()), |queues| queues.read(now, bytes, &mut logs, &known))
         });
-        logs.iter().for_each(|line| wire.log(line));
-        self.broker_fine(fine, false, wire)
+        logs.iter().for_each(|line| outbound.log(line));
+        self.broker_fine(fine, false, outbound)
     }
     /// A connection of no more use ends: once what it was told is written, or at once if nobody may read that.
-    fn broker_fine(&mut self, fine: Result<(), String>, at_once: bool, wire: &mut dyn Wire) -> bool {
+    fn broker_fine(&mut self, fine: Result<(), String>, at_once: bool, outbound: &mut dyn Outbound) -> bool {
         if let Err(why) = &fine {
-            wire.log(&format!("the connection to the broker is made anew: {why}"));
-            wire.end_broker(at_once);
+            outbound.log(&format!("reconnecting to the broker: {why}"));
+            outbound.close_broker(at_once);
         }
         fine.is_ok()
     }
@@ -388,21 +389,21 @@
     /// What was served since the last time, for the watch over a change.
     pub fn take_service_sample(&mut self) -> ServiceSample {
         let (engine, names) = (&self.engine, &self.around.server);
-        self.around.service.pass(self.now);
-        self.around.service.take(|method| names.name(method).cloned(), |method| engine.cost(method))
+        self.around.service.advance_to(self.now);
+        self.around.service.take_sample(|method| names.name(method).cloned(), |method| engine.cost(method))
     }
     /// What was seen in the last minute, and is held now.
     pub fn recent_load(&self) -> ObservedLoad {
         let (engine, names) = (&self.engine, &self.around.server);
         let name = |method| names.name(method).cloned();
-        let mut seen = self.around.service.seen(self.now, name, |method| engine.cost(method));
+        let mut seen = self.around.service.observed_load(self.now, name, |method| engine.cost(method));
         seen.in_use_kb = engine.memory_in_use_kb();
         seen
     }
     /// From now on service is judged by the targets of the version that runs, and nothing goes back behind it.
     pub fn commit_change(&mut self) {
         let engine = &self.engine;
-        self.around.service.settled();
+        self.around.service.commit_targets();
         self.around.server.settled(|tenant| engine.has_tenant(tenant));
     }
 
@@ -423,7 +424,7 @@
     }
     /// Another version of the configuration from now on, whole, with all that was staged: all that follows is decided
     /// under it, and what is in hand keeps the terms under which it was read.
-    pub fn switch_version(&mut self, now: Us, flip: VersionSwitch, wire: &mut dyn Wire) {
+    pub fn switch_version(&mut self, now: Us, flip: VersionSwitch, outbound: &mut dyn Outbound) {
         let VersionSwitch { number, bare, longest, queues: terms, tells_tenants } = flip;
         let results = self.held.bytes() / RESULTS;
         let bounds = bare.as_ref().map(|bare| RetentionLimits {
@@ -431,12 +432,12 @@
             idempotency_result_bytes: results,
             max_rpc_lifetime: bare.longest_deadline,
         });
-        self.with(now, wire, |engine, now, out| {
+        self.with(now, outbound, |engine, now, out| {
             let Around { counters, stamps, service, queues, server, agent, .. } = &mut *out.around;
             counters.changes += 1;
-            service.pass(now);
+            service.advance_to(now);
             for (method, target) in server.change(tells_tenants) {
-                service.target(method.0, target);
+                service.set_target(method.0, target);
             }
             stamps.names = number;
             if let Some(queues) = queues {
@@ -444,7 +445,7 @@
             }
             stamps.queues = number;
             let frame = bare.map(|bare| {
-                agent.target(longest);
+                agent.set_longest_latency_target(longest);
                 server.gauges = bare.gauges;
                 bare.control
             });
@@ -454,9 +455,9 @@
     }
 
     /// What members tell of each other comes down to this one figure.
-    pub fn share(&mut self, now: Us, part: f64, wire: &mut dyn Wire) {
+    pub fn share(&mut self, now: Us, part: f64, outbound: &mut dyn Outbound) {
         if self.around.part.replace(part) != Some(part) {
-            self.with(now, wire, |engine, now, out| engine.share(now, part, out));
+            self.with(now, outbound, |engine, now, out| engine.share(now, part, out));
         }
     }
 
@@ -470,36 +471,36 @@
     }
 
     /// How this server comes back is attended to from now on.
-    pub fn start_recovery(&mut self, now: Us, returning: RecoveryTracker, wire: &mut dyn Wire) {
+    pub fn start_recovery(&mut self, now: Us, returning: RecoveryTracker, outbound: &mut dyn Outbound) {
         let care = returning.care();
         self.around.returning = Some(returning);
-        self.with(now, wire, |engine, now, out| engine.careful(now, care, out));
+        self.with(now, outbound, |engine, now, out| engine.careful(now, care, out));
     }
     /// The agent has greeted: what was kept is weighed, the first time.
-    pub fn agent_greeted(&mut self, now: Us, empty: bool, wire: &mut dyn Wire) {
+    pub fn agent_greeted(&mut self, now: Us, empty: bool, outbound: &mut dyn Outbound) {
         let (standing, engine) = (self.engine.standing(), &self.engine);
         let Around { returning, server, .. } = &mut self.around;
         let Some(returning) = returning else { return };
         let recall = returning.greeted(now, empty, standing, &ActiveNames { names: server, engine });
         let care = returning.care();
-        self.with(now, wire, |engine, now, out| {
+        self.with(now, outbound, |engine, now, out| {
             engine.careful(now, care, out);
             if let Some((experience, told)) = recall {
-                out.wire.log(&format!("what was learned before: {told}"));
+                out.outbound.log(&format!("snapshot restored: {told}"));
                 engine.recall(now, experience, out);
             }
         });
     }
     /// Looks at how far it is back.
-    fn attend_return(&mut self, now: Us, wire: &mut dyn Wire) {
+    fn attend_return(&mut self, now: Us, outbound: &mut dyn Outbound) {
         let Some(returning) = &mut self.around.returning else { return };
         let (care, entered) = returning.look(now, &self.engine.stats, self.engine.standing());
         if let Some(stage) = entered {
             let why = returning.stages().reason().as_str();
-            wire.log(&format!("stage {}: {why}", stage.name()));
+            outbound.log(&format!("stage {}: {why}", stage.name()));
         }
         if let Some(care) = care {
-            self.with(now, wire, |engine, now, out| engine.careful(now, care, out));
+            self.with(now, outbound, |engine, now, out| engine.careful(now, care, out));
         }
     }
     /// What the module has learned.
@@ -539,8 +540,8 @@
     }
 
     /// The start: the module says what to publish.
-    pub fn start(&mut self, now: Us, wire: &mut dyn Wire) {
-        self.with(now, wire, |engine, now, out| engine.start(now, out));
+    pub fn start(&mut self, now: Us, outbound: &mut dyn Outbound) {
+        self.with(now, outbound, |engine, now, out| engine.start(now, out));
     }
 
     /// What was counted, besides what the engine counts.
@@ -550,16 +551,16 @@
     /// All that was counted.
     pub fn stats(&self) -> Stats {
         let mut counters = self.around.counters.clone();
-        counters.take(&self.engine.stats);
+        counters.add_engine(&self.engine.stats);
         counters
     }
 
     /// An RPC came whole. False if nothing more is taken from its connection: too many streams are open, or
     /// nothing that came on it could be run.
-    pub fn rpc_read(
-        &mut self, now: Us, place: Place, ask: RpcRequest, body: &[u8], wire: &mut dyn Wire,
+    pub fn rpc_received(
+        &mut self, now: Us, place: SidecarStream, ask: RpcRequest, body: &[u8], outbound: &mut dyn Outbound,
     ) -> bool {
-        let fine = self.around.sidecars.brings(place.conn);
+        let fine = self.around.sidecars.accepts_rpc(place.conn);
         if self.owed_on(place.conn) >= MAX_STREAMS || !fine {
             return false;
         }
@@ -571,8 +572,10 @@
                 (ListKind::Methods, &ask.method),
             ];
             if named.into_iter().any(|(kind, key)| policy.rejects(kind, key)) {
-                self.around.counters.barred += 1;
-                self.with(now, wire, |engine, now, out| engine.reject(now, Requester::Sidecar(place), out));
+                self.around.counters.denied_by_policy += 1;
+                self.with(now, outbound, |engine, now, out| {
+                    engine.reject(now, Requester::Sidecar(place), out)
+                });
                 return true;
             }
         }
@@ -582,11 +585,11 @@
         // Where tenants are told apart, an RPC is of one of them.
         let known = tenant.is_some() || !server.tells_tenants;
         let (Some(method), true) = (in_force.of_method(&ask.method), known) else {
-            self.refuse(now, place, wire);
+            self.refuse(now, place, outbound);
             return true;
         };
         // What the agent may never have heard of is not joined to anything, and nothing to it.
-        let shares = self.around.sidecars.proven(place.conn);
+        let shares = self.around.sidecars.is_proven(place.conn);
         let tokened = server.effect(method) == Some(Idempotency::Keyed);
         let known = (tokened || ask.key.is_some() && shares && self.engine.is_coalescible(method))
             .then(|| idempotency_key(&ask.method, &ask.tenant, body));
@@ -607,71 +610,72 @@
             coalescible: shares,
             idempotency_key: token,
         };
-        self.around.service.read(method);
+        self.around.service.record_received(method);
         let asker = Requester::Sidecar(place);
-        if !self.with(now, wire, |engine, now, out| engine.request_received(now, asker, read, body, out)) {
-            self.refuse(now, place, wire);
+        if !self.with(now, outbound, |engine, now, out| engine.request_received(now, asker, read, body, out))
+        {
+            self.refuse(now, place, outbound);
         }
         true
     }
 
     /// An RPC that can't be understood. False if nothing more is taken from its connection.
-    pub fn odd(&mut self, now: Us, place: Place, wire: &mut dyn Wire) -> bool {
-        let fine = self.around.sidecars.brings(place.conn);
+    pub fn malformed_rpc(&mut self, now: Us, place: SidecarStream, outbound: &mut dyn Outbound) -> bool {
+        let fine = self.around.sidecars.accepts_rpc(place.conn);
         if fine {
-            self.refuse(now, place, wire);
+            self.refuse(now, place, outbound);
         }
         fine
     }
 
     /// For an RPC that could never be run here.
-    fn refuse(&mut self, now: Us, place: Place, wire: &mut dyn Wire) {
-        self.around.counters.odd += 1;
-        self.with(now, wire, |engine, now, out| {
+    fn refuse(&mut self, now: Us, place: SidecarStream, outbound: &mut dyn Outbound) {
+        self.around.counters.malformed += 1;
+        self.with(now, outbound, |engine, now, out| {
             engine.abort_unserviceable(now, Requester::Sidecar(place), out)
         });
-        self.nonsense(place.conn, wire);
+        self.nonsense(place.conn, outbound);
     }
 
-    fn nonsense(&mut self, conn: ConnId, wire: &mut dyn Wire) {
-        if self.around.sidecars.nonsense(conn) {
+    fn nonsense(&mut self, conn: ConnectionId, outbound: &mut dyn Outbound) {
+        if self.around.sidecars.count_unrunnable(conn) {
             self.around.counters.bad_sidecar += 1;
-            wire.distrust(conn);
+            outbound.close_untrusted(conn);
         }
     }
 
     /// Nobody waits for this stream any more.
-    pub fn gone(&mut self, now: Us, place: Place, wire: &mut dyn Wire) {
-        self.with(now, wire, |engine, now, out| engine.caller_gone(now, Requester::Sidecar(place), out));
+    pub fn rpc_cancelled(&mut self, now: Us, place: SidecarStream, outbound: &mut dyn Outbound) {
+        self.with(now, outbound, |engine, now, out| engine.caller_gone(now, Requester::Sidecar(place), out));
     }
 
     /// A connection ended: nobody waits for anything on it.
-    pub fn connection_closed(&mut self, now: Us, conn: ConnId, wire: &mut dyn Wire) {
+    pub fn connection_closed(&mut self, now: Us, conn: ConnectionId, outbound: &mut dyn Outbound) {
         self.around.exercise.asking.retain(|place| place.conn != conn);
         let places: Vec<Requester> = self.on(conn).copied().collect();
         for place in places {
-            self.with(now, wire, |engine, now, out| engine.caller_gone(now, place, out));
+            self.with(now, outbound, |engine, now, out| engine.caller_gone(now, place, out));
         }
-        self.around.sidecars.ended(conn);
+        self.around.sidecars.remove(conn);
     }
 
-    fn on(&self, conn: ConnId) -> impl Iterator<Item = &Requester> {
-        let at = |stream| Requester::Sidecar(Place { conn, stream: StreamId(stream) });
+    fn on(&self, conn: ConnectionId) -> impl Iterator<Item = &Requester> {
+        let at = |stream| Requester::Sidecar(SidecarStream { conn, stream: StreamId(stream) });
         self.engine.unanswered_in(at(0)..=at(u32::MAX))
     }
-    fn asking(&self, conn: ConnId) -> impl Iterator<Item = &Place> {
+    fn asking(&self, conn: ConnectionId) -> impl Iterator<Item = &SidecarStream> {
         self.around.exercise.asking.iter().filter(move |place| place.conn == conn)
     }
     /// Answers owed on a connection, those to health checks included.
-    pub fn owed_on(&self, conn: ConnId) -> usize {
+    pub fn owed_on(&self, conn: ConnectionId) -> usize {
         self.on(conn).count() + self.asking(conn).count()
     }
     /// A run was made for this connection: its RPCs are those of a sidecar that the agent knows of.
-    pub fn proven(&self, conn: ConnId) -> bool {
-        self.around.sidecars.proven(conn)
+    pub fn proven(&self, conn: ConnectionId) -> bool {
+        self.around.sidecars.is_proven(conn)
     }
     /// An answer is owed on a connection.
-    pub fn owes(&self, conn: ConnId) -> bool {
+    pub fn owes(&self, conn: ConnectionId) -> bool {
         self.on(conn).next().is_some() || self.asking(conn).next().is_some()
     }
     /// RPCs that are not over.
@@ -684,47 +688,49 @@
     }
 
     /// A health check: a thorough one waits for an exercise of the agent, which all that ask share.
-    pub fn check(&mut self, now: Us, place: Place, thorough: bool, wire: &mut dyn Wire) {
+    pub fn health_check(
+        &mut self, now: Us, place: SidecarStream, thorough: bool, outbound: &mut dyn Outbound,
+    ) {
         self.now = self.engine.advance_to(now);
         let Around { exercise, agent, counters, healthy, up, .. } = &mut self.around;
-        counters.checks += 1;
+        counters.health_checks += 1;
         let asking = exercise.asking.len();
         if !thorough || !*healthy || up.is_none() || asking >= ASKING {
-            return wire.health(place, *healthy, self.engine.credit());
+            return outbound.answer_health_check(place, *healthy, self.engine.credit());
         }
-        counters.thorough += 1;
+        counters.thorough_checks += 1;
         if exercise.asking.is_empty() {
-            (exercise.tag, exercise.until) = (agent.tag(self.now), self.now + EXERCISE);
-            wire.exercise(exercise.tag);
+            (exercise.tag, exercise.until) = (agent.next_tag(self.now), self.now + EXERCISE);
+            outbound.request_exercise(exercise.tag);
         }
         exercise.asking.push(place);
     }
 
-    pub fn exercised(&mut self, now: Us, tag: u64, good: bool, wire: &mut dyn Wire) {
+    pub fn exercise_finished(&mut self, now: Us, tag: u64, good: bool, outbound: &mut dyn Outbound) {
         self.now = self.engine.advance_to(now);
-        self.around.agent.heard();
+        self.around.agent.message_received();
         if tag == self.around.exercise.tag {
-            self.answer_checks(good, wire);
+            self.answer_checks(good, outbound);
         }
     }
 
-    fn answer_checks(&mut self, good: bool, wire: &mut dyn Wire) {
+    fn answer_checks(&mut self, good: bool, outbound: &mut dyn Outbound) {
         for place in std::mem::take(&mut self.around.exercise.asking) {
-            wire.health(place, good && self.around.healthy, self.engine.credit());
+            outbound.answer_health_check(place, good && self.around.healthy, self.engine.credit());
         }
     }
 
     /// A new link to the agent stands. Hands back the number of the last notice read.
-    pub fn agent_link(&mut self, now: Us) -> NoticeId {
+    pub fn agent_connected(&mut self, now: Us) -> NoticeId {
         self.now = self.engine.advance_to(now);
-        self.around.agent.linked(self.now)
+        self.around.agent.link_connected(self.now)
     }
 
     /// The agent greets: at its start, `ago`, it was `empty` or warm. Once all is read that was missed while
     /// there was no link, what may have been lost on the way is sent again.
-    pub fn agent_up(&mut self, now: Us, fresh: Option<ServerParts>, wire: &mut dyn Wire) {
+    pub fn agent_up(&mut self, now: Us, fresh: Option<ServerParts>, outbound: &mut dyn Outbound) {
         self.now = self.engine.advance_to(now);
-        self.around.counters.agent_up += 1;
+        self.around.counters.agent_greetings += 1;
         if let Some(server) =
             fresh.filter(|_| self.engine.stats.requests == 0 && self.around.counters.changes == 0)
         {
@@ -738,17 +744,17 @@
                     max_rpc_lifetime: server.longest_deadline,
                 },
             };
-            self.with(now, wire, |engine, now, out| engine.restart(now, server.control, terms, out));
+            self.with(now, outbound, |engine, now, out| engine.restart(now, server.control, terms, out));
             if let Some(part) = self.around.part {
-                self.with(now, wire, |engine, now, out| engine.share(now, part, out));
+                self.with(now, outbound, |engine, now, out| engine.share(now, part, out));
             }
         }
         if self.around.up.is_none() {
             self.around.up = Some(self.now);
             self.engine.gauges_available();
-            wire.serving(self.around.healthy && !self.around.draining);
+            outbound.set_serving(self.around.healthy && !self.around.draining);
         }
-        wire.sample(self.around.agent.greeted(self.now));
+        outbound.request_sample(self.around.agent.greeted(self.now));
     }
 
     /// The agent has greeted before.
@@ -757,125 +763,124 @@
     }
 
     /// What may have been lost with an earlier link is sent again; for what arrived it changes nothing.
-    fn send_again(&mut self, wire: &mut dyn Wire) {
-        let (commands, stops) = self.around.agent.lost(self.now);
-        for id in commands {
+    fn send_again(&mut self, outbound: &mut dyn Outbound) {
+        let lost = self.around.agent.take_lost_messages(self.now);
+        for id in lost.commands {
             match self.engine.last_command(id) {
                 Some(Command::Launch(method, body)) => {
                     let name = self.around.server.name(method).map_or("", |name| name);
-                    wire.launch(id, name, body);
+                    outbound.launch(id, name, body);
                 }
-                Some(Command::Resume(reply)) => wire.deliver(id, reply),
+                Some(Command::Resume(reply)) => outbound.deliver_reply(id, reply),
                 Some(Command::Skip) => {
-                    let asked = self.around.agent.sends(self.now, id);
-                    wire.skip(id, asked);
+                    let asked = self.around.agent.command_sent(self.now, id);
+                    outbound.skip_call(id, asked);
                 }
                 None => {}
             }
         }
-        stops.into_iter().for_each(|id| wire.stop(id));
+        lost.stops.into_iter().for_each(|id| outbound.stop(id));
         if !self.around.exercise.asking.is_empty() {
-            wire.exercise(self.around.exercise.tag);
+            outbound.request_exercise(self.around.exercise.tag);
         }
     }
 
-    pub fn sampled(&mut self, now: Us, tag: u64, values: &[f64], wire: &mut dyn Wire) {
+    pub fn sample_received(&mut self, now: Us, tag: u64, values: &[f64], outbound: &mut dyn Outbound) {
         self.now = self.engine.advance_to(now);
-        self.around.agent.heard();
+        self.around.agent.message_received();
         self.engine.gauges_sampled(now, agent::gauges(&self.around.server.gauges, values));
-        if self.around.agent.sampled(tag) {
-            self.send_again(wire);
+        if self.around.agent.sample_received(tag) {
+            self.send_again(outbound);
         }
     }
 
     /// Every numbered notice comes by here first. False if it was read before.
     fn fresh_notice(&mut self, number: NoticeId) -> bool {
-        self.around.agent.heard();
-        let fresh = self.around.agent.fresh(number);
-        self.around.counters.stale += u64::from(!fresh);
+        self.around.agent.message_received();
+        let fresh = self.around.agent.is_new_notice(number);
+        self.around.counters.stale_notices += u64::from(!fresh);
         fresh
     }
 
-    pub fn aside(&mut self, number: NoticeId) {
+    pub fn notice_ignored(&mut self, number: NoticeId) {
         self.fresh_notice(number);
     }
 
     /// A run is over.
     pub fn run_ended(
-        &mut self, now: Us, number: NoticeId, id: RpcId, end: RunEnd, result: &[u8], wire: &mut dyn Wire,
+        &mut self, now: Us, number: NoticeId, id: RpcId, end: RunEnd, result: &[u8],
+        outbound: &mut dyn Outbound,
     ) {
         if self.fresh_notice(number) {
-            self.with(now, wire, |engine, now, out| engine.run_ended(now, id, end, result, out));
+            self.with(now, outbound, |engine, now, out| engine.run_ended(now, id, end, result, out));
         }
     }
 
     /// The agent refused a command: a launch that it refuses is not started.
-    pub fn refused(&mut self, now: Us, launch: Option<RpcId>, wire: &mut dyn Wire) {
-        self.around.counters.refusals += 1;
-        self.around.agent.heard();
+    pub fn command_refused(&mut self, now: Us, launch: Option<RpcId>, outbound: &mut dyn Outbound) {
+        self.around.counters.commands_refused += 1;
+        self.around.agent.message_received();
         let Some(id) = launch else { return };
-        match self.with(now, wire, |engine, now, out| engine.launch_failed(now, id, out)) {
-            Some(Requester::Sidecar(place)) => self.nonsense(place.conn, wire),
+        match self.with(now, outbound, |engine, now, out| engine.launch_failed(now, id, out)) {
+            Some(Requester::Sidecar(place)) => self.nonsense(place.conn, outbound),
             Some(Requester::Queue(_)) | None => {}
         }
     }
 
     /// A run waits for a call with this body.
     pub fn call_needed(
-        &mut self, now: Us, number: NoticeId, id: RpcId, body: Option<&[u8]>, wire: &mut dyn Wire,
+        &mut self, now: Us, number: NoticeId, id: RpcId, body: Option<&[u8]>, outbound: &mut dyn Outbound,
     ) {
         if self.fresh_notice(number) {
-            self.around.agent.asked(id, number);
-            self.with(now, wire, |engine, now, out| engine.call_needed(now, id, body, out));
+            self.around.agent.call_requested(id, number);
+            self.with(now, outbound, |engine, now, out| engine.call_needed(now, id, body, out));
         }
     }
 
     /// A reply came from below.
     pub fn call_ended(
-        &mut self, now: Us, by: LinkId, id: RpcId, end: CallEnd, reply: &[u8], wire: &mut dyn Wire,
+        &mut self, now: Us, by: UpstreamLinkId, id: RpcId, end: CallEnd, reply: &[u8],
+        outbound: &mut dyn Outbound,
     ) {
-        let by = UpstreamLinkId(by.0);
-        self.with(now, wire, |engine, now, out| engine.call_ended(now, by, id, end, reply, out));
+        self.with(now, outbound, |engine, now, out| engine.call_ended(now, by, id, end, reply, out));
     }
 
     /// A link below is gone with all calls on it. `refused` proves that none of them ran.
-    pub fn link_ended(&mut self, now: Us, by: LinkId, refused: bool, wire: &mut dyn Wire) {
+    pub fn link_ended(&mut self, now: Us, by: UpstreamLinkId, refused: bool, outbound: &mut dyn Outbound) {
         let end = if refused { CallEnd::Rejected } else { CallEnd::Aborted };
-        let some = self.around.links.busy(by);
-        self.around.links.ends(by);
+        let some = self.around.links.has_calls(by);
+        self.around.links.disconnected(by);
         if some {
-            self.with(now, wire, |engine, now, out| {
-                engine.upstream_link_ended(now, UpstreamLinkId(by.0), end, out)
-            });
+            self.with(now, outbound, |engine, now, out| engine.upstream_link_ended(now, by, end, out));
         }
-        self.around.links.ended(by);
+        self.around.links.calls_drained(by);
     }
 
     /// A link below may be made again.
-    pub fn link_ready(&mut self, by: LinkId) {
+    pub fn link_ready(&mut self, by: UpstreamLinkId) {
         self.around.links.ready(by);
     }
     /// A link below is not used again as it stands.
-    pub fn retire(&mut self, by: LinkId, wire: &mut dyn Wire) {
-        self.around.links.retire(by, wire);
+    pub fn retire(&mut self, by: UpstreamLinkId, outbound: &mut dyn Outbound) {
+        self.around.links.retire(by, outbound);
     }
     /// The layer below is to be found elsewhere. What is in hand may still end where it was.
-    pub fn upstream_moved(&mut self, wire: &mut dyn Wire) {
-        self.around.links.moved(wire);
+    pub fn upstream_moved(&mut self, outbound: &mut dyn Outbound) {
+        self.around.links.retire_all(outbound);
     }
     /// Calls are in hand on this link.
-    pub fn calls_on(&self, by: LinkId) -> bool {
-        self.around.links.busy(by)
+    pub fn calls_on(&self, by: UpstreamLinkId) -> bool {
+        self.around.links.has_calls(by)
     }
 
     /// The notice to leave: the process is killed after `span`.
-    pub fn drain(&mut self, now: Us, span: Us, wire: &mut dyn Wire) {
+    pub fn drain(&mut self, now: Us, span: Us, outbound: &mut dyn Outbound) {
         if std::mem::replace(&mut self.around.draining, true) {
             return;
         }
-        wire.serving(false);
+        outbound.set_serving(false);
         let flush = span.saturating_sub(FLUSH);
-        self.with(now, wire, |engine, now, out| {
+        self.with(now, outbound, |engine, now, out| {
             out.around.queues.iter_mut().for_each(|queues| queues.leave(now));
             engine.drain(now, now + flush, out);
         });
@@ -892,22 +897,22 @@
         let exercise = Some(exercise.until).filter(|_| !exercise.asking.is_empty());
         let queues = self.around.queues.as_ref().and_then(QueueConsumers::next);
         let returning = self.around.returning.as_ref().map(RecoveryTracker::next);
-        let agent = self.around.agent.next();
+        let agent = self.around.agent.next_deadline();
         [self.engine.next_timer(), exercise, queues, agent, returning].into_iter().flatten().min()
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Us, wire: &mut dyn Wire) {
+    pub fn tick(&mut self, now: Us, outbound: &mut dyn Outbound) {
         self.now = self.engine.advance_to(now);
         if !self.around.exercise.asking.is_empty() && self.around.exercise.until <= self.now {
-            self.answer_checks(false, wire);
+            self.answer_checks(false, outbound);
         }
-        if let Some(silence) = self.around.agent.silence(self.now) {
+        if let Some(silence) = self.around.agent.check_silence(self.now) {
             self.around.counters.agent_silent += 1;
-            wire.log(&format!("the link to the agent is made anew: {silence}"));
-            wire.end_agent();
+            outbound.log(&format!("reconnecting to the agent: {silence}"));
+            outbound.reset_agent_link();
         }
-        let fine = self.with(now, wire, |engine, now, out| {
+        let fine = self.with(now, outbound, |engine, now, out| {
             engine.tick(now, out);
             let (credit, runs) = (engine.credit(), out.around.up.is_some());
             match out.around.queues.as_mut().filter(|queues| queues.next().is_some_and(|at| at <= now)) {
@@ -915,7 +920,7 @@
                 None => Ok(()),
             }
         });
-        self.broker_fine(fine, true, wire);
-        self.attend_return(self.now, wire);
+        self.broker_fine(fine, true, outbound);
+        self.attend_return(self.now, outbound);
     }
 }
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -2,11 +2,13 @@
 //! outboxes. Nothing here waits, and nothing is decided.
 
 use crate::core::Core;
+use crate::ids::{ConnectionId, SidecarStream};
+use crate::outbound::Outbound;
 use crate::queues::QueueConsumers;
 use crate::stats::Stats;
-use crate::wire::{ConnId, LinkId, Place, Wire};
 use asterrill::{FinalAnswer, RpcId, Us};
 use asterrill_consensus::LeasedPolicy;
+use asterrill_engine::UpstreamLinkId;
 use asterrill_net::{elapsed, now, Bell, Door, Outbox, Pool, Room, SIZE};
 use asterrill_protocol::agent::{self, NoticeId};
 use asterrill_protocol::sidecar::{self, ANSWER_OVERHEAD_BYTES};
@@ -85,9 +87,9 @@
 
 /// The outboxes: what the core has written goes through here.
 struct Ports {
-    lines: BTreeMap<ConnId, Line>,
+    lines: BTreeMap<ConnectionId, Line>,
     /// Connections that are closed once nothing is owed on them, and since when that has been said to their drivers.
-    ending: BTreeMap<ConnId, Option<Us>>,
+    ending: BTreeMap<ConnectionId, Option<Us>>,
     door: Door,
     agent: Outbox,
     below: Vec<Outbox>,
@@ -185,7 +187,7 @@
     }
 
     /// Brings one input to the core. Held for the time of the input only, and never over a wait.
-    pub fn with<R>(&self, input: impl FnOnce(&mut Core, &mut dyn Wire, Us) -> R) -> R {
+    pub fn with<R>(&self, input: impl FnOnce(&mut Core, &mut dyn Outbound, Us) -> R) -> R {
         let mut inner = self.inner();
         let Inner { core, ports, armed, lease, policy_until, .. } = &mut *inner;
         let told = ports.serving;
@@ -238,11 +240,11 @@
     }
 
     /// A connection was taken in.
-    pub fn connection_opened(&self, out: Outbox) -> ConnId {
+    pub fn connection_opened(&self, out: Outbox) -> ConnectionId {
         let mut inner = self.inner();
         inner.conns += 1;
         inner.core.stats_mut().connections += 1;
-        let conn = ConnId(inner.conns);
+        let conn = ConnectionId(inner.conns);
         if inner.ports.draining {
             inner.ports.leave(&out);
         }
@@ -257,10 +259,10 @@
     }
 
     /// A connection has ended.
-    pub fn connection_closed(&self, conn: ConnId, broken: bool) {
-        self.with(|core, wire, now| {
-            core.stats_mut().broken += u64::from(broken);
-            core.connection_closed(now, conn, wire);
+    pub fn connection_closed(&self, conn: ConnectionId, broken: bool) {
+        self.with(|core, outbound, now| {
+            core.stats_mut().connections_broken += u64::from(broken);
+            core.connection_closed(now, conn, outbound);
         });
         let mut inner = self.inner();
         inner.ports.lines.remove(&conn);
@@ -269,7 +271,7 @@
 
     /// After bytes of a connection were taken: whether it has said something whole so far, and whether it
     /// stands in the middle of a frame.
-    pub fn frame_progress(&self, conn: ConnId, heard: bool, halfway: bool) {
+    pub fn frame_progress(&self, conn: ConnectionId, heard: bool, halfway: bool) {
         let mut inner = self.inner();
         let Inner { core, ports, .. } = &mut *inner;
         let Some(line) = ports.lines.get_mut(&conn) else { return };
@@ -283,7 +285,7 @@
     }
 
     /// Whether a link below stands in the middle of a reply.
-    pub fn reply_progress(&self, link: LinkId, halfway: bool) {
+    pub fn reply_progress(&self, link: UpstreamLinkId, halfway: bool) {
         if let Some(since) = self.inner().ports.stalled.get_mut(link.0) {
             *since = if halfway { since.or_else(|| Some(now())) } else { None };
         }
@@ -291,7 +293,7 @@
 
     /// No more is read from a connection: it is closed once nothing is owed on it. An error tells the
     /// sidecar.
-    pub fn close_when_answered(&self, conn: ConnId, error: Option<&str>) {
+    pub fn close_when_answered(&self, conn: ConnectionId, error: Option<&str>) {
         let mut inner = self.inner();
         let Inner { core, ports, .. } = &mut *inner;
         match error {
@@ -341,7 +343,8 @@
         ports.finish(core);
         let over = staying.saturating_sub(ports.room - ports.room / SPARE);
         if over > quiet.len() {
-            let of = |(conn, line): &(&ConnId, &Line)| (line.worth(core.proven(**conn), now), line.used());
+            let of =
+                |(conn, line): &(&ConnectionId, &Line)| (line.worth(core.proven(**conn), now), line.used());
             let mut others: Vec<_> = ports.lines.iter().filter(|(conn, _)| !core.owes(**conn)).collect();
             others.retain(|(_, line)| line.leaving.is_none() && line.used() + line.patience() < now);
             others.sort_by_cached_key(of);
@@ -351,12 +354,12 @@
             core.stats_mut().closed_idle += 1;
             ports.let_go(conn, now);
         }
-        for link in (0..ports.below.len()).map(LinkId) {
+        for link in (0..ports.below.len()).map(UpstreamLinkId) {
             let out = &ports.below[link.0];
             if ports.stalled[link.0].is_some_and(|since| since + STALL < now) {
                 ports.stalled[link.0] = None;
-                core.stats_mut().bad_below += 1;
-                warn!(ports.log, "a link below is made anew"; "why" => "a reply stopped halfway");
+                core.stats_mut().bad_upstream += 1;
+                warn!(ports.log, "reconnecting an upstream link"; "why" => "a reply stopped halfway");
                 out.cut();
             } else if out.used() > 0 && out.used() + BELOW < now && !core.calls_on(link) {
                 core.retire(link, ports);
@@ -372,8 +375,8 @@
         let Inner { core, ports, .. } = &mut *inner;
         let idle = ports.lines.iter().filter(|(conn, line)| line.leaving.is_none() && !core.owes(**conn));
         let worth =
-            |(conn, line): (&ConnId, &Line)| (line.worth(core.proven(*conn), now), line.used(), *conn);
-        let mut idle: Vec<(Worth, Us, ConnId)> = idle.map(worth).collect();
+            |(conn, line): (&ConnectionId, &Line)| (line.worth(core.proven(*conn), now), line.used(), *conn);
+        let mut idle: Vec<(Worth, Us, ConnectionId)> = idle.map(worth).collect();
         idle.sort_unstable();
         let some = (ports.room / SPARE / SPARE).max(1);
         for (n, (worth, _, conn)) in idle.into_iter().take(some).enumerate() {
@@ -393,7 +396,7 @@
         let Inner { core, ports, .. } = &mut *inner;
         ports.door.close();
         ports.closing = true;
-        let conns: Vec<ConnId> = ports.lines.keys().copied().collect();
+        let conns: Vec<ConnectionId> = ports.lines.keys().copied().collect();
         conns.into_iter().for_each(|conn| ports.close(conn));
         ports.finish(core);
     }
@@ -446,13 +449,13 @@
     }
 
     /// A connection is to be closed.
-    fn close(&mut self, conn: ConnId) {
+    fn close(&mut self, conn: ConnectionId) {
         self.ending.entry(conn).or_default();
     }
 
     /// Ends a connection that is of no use: it is told why, and closed once nothing is owed on it. False if
     /// it ends already.
-    fn end(&mut self, conn: ConnId, why: &str) -> bool {
+    fn end(&mut self, conn: ConnectionId, why: &str) -> bool {
         let Some(line) = self.lines.get_mut(&conn) else { return false };
         if self.ending.insert(conn, None).is_some() {
             return false;
@@ -461,7 +464,7 @@
         let second = now() / 1_000_000;
         self.told = if self.told.0 == second { (second, self.told.1 + 1) } else { (second, 1) };
         if self.told.1 <= LINES {
-            info!(self.log, "a sidecar's connection is closed"; "why" => why);
+            info!(self.log, "closing a sidecar connection"; "why" => why);
         }
         self.scratch.clear();
         sidecar::error(&mut self.scratch, why);
@@ -475,14 +478,14 @@
         out.put(&[&self.scratch]);
     }
 
-    fn let_go(&mut self, conn: ConnId, now: Us) {
+    fn let_go(&mut self, conn: ConnectionId, now: Us) {
         let Some(line) = self.lines.get_mut(&conn) else { return };
         line.leaving = Some(now);
         let out = line.out.clone();
         self.leave(&out);
     }
 
-    fn to(&mut self, place: Place, write: impl FnOnce(&mut Vec<u8>)) {
+    fn to(&mut self, place: SidecarStream, write: impl FnOnce(&mut Vec<u8>)) {
         let Some(line) = self.lines.get(&place.conn) else { return };
         self.scratch.clear();
         write(&mut self.scratch);
@@ -499,12 +502,12 @@
     }
 }
 
-impl Wire for Ports {
-    fn answer(&mut self, to: Place, answer: FinalAnswer<'_>, credit: Option<f64>) {
+impl Outbound for Ports {
+    fn answer(&mut self, to: SidecarStream, answer: FinalAnswer<'_>, credit: Option<f64>) {
         self.scratch.reserve(ANSWER_OVERHEAD_BYTES + asterrill_protocol::MAX_BODY_BYTES);
         self.to(to, |bytes| sidecar::answer(bytes, to.stream, answer, credit));
     }
-    fn health(&mut self, to: Place, good: bool, credit: Option<f64>) {
+    fn answer_health_check(&mut self, to: SidecarStream, good: bool, credit: Option<f64>) {
         self.to(to, |bytes| sidecar::health(bytes, to.stream, good, credit));
     }
     fn launch(&mut self, id: RpcId, method: &str, body: &[u8]) {
@@ -513,43 +516,43 @@
     fn stop(&mut self, id: RpcId) {
         self.tell_agent(|bytes| agent::stop(bytes, id), None);
     }
-    fn deliver(&mut self, id: RpcId, reply: &[u8]) {
+    fn deliver_reply(&mut self, id: RpcId, reply: &[u8]) {
         self.tell_agent(|bytes| agent::deliver(bytes, id, reply.len()), Some(reply));
     }
-    fn skip(&mut self, id: RpcId, asked: NoticeId) {
+    fn skip_call(&mut self, id: RpcId, asked: NoticeId) {
         self.tell_agent(|bytes| agent::skip(bytes, id, asked), None);
     }
-    fn sample(&mut self, tag: u64) {
+    fn request_sample(&mut self, tag: u64) {
         self.tell_agent(|bytes| agent::sample(bytes, tag), None);
     }
-    fn exercise(&mut self, tag: u64) {
+    fn request_exercise(&mut self, tag: u64) {
         self.tell_agent(|bytes| agent::exercise(bytes, tag), None);
     }
-    fn call(&mut self, link: LinkId, id: RpcId, wait: Us, body: &[u8]) -> bool {
+    fn send_call(&mut self, link: UpstreamLinkId, id: RpcId, wait: Us, body: &[u8]) -> bool {
         self.scratch.clear();
         upstream::call(&mut self.scratch, id, wait, body.len());
         self.below.get(link.0).is_some_and(|out| out.put(&[&self.scratch, body, b"\r\n"]))
     }
-    fn give_up(&mut self, link: LinkId, id: RpcId) {
+    fn cancel_call(&mut self, link: UpstreamLinkId, id: RpcId) {
         self.scratch.clear();
         upstream::cancel(&mut self.scratch, id);
         if let Some(out) = self.below.get(link.0) {
             out.put(&[&self.scratch]);
         }
     }
-    fn close_link(&mut self, link: LinkId) -> bool {
+    fn close_upstream_link(&mut self, link: UpstreamLinkId) -> bool {
         self.below.get(link.0).is_some_and(Outbox::let_go)
     }
-    fn distrust(&mut self, conn: ConnId) {
+    fn close_untrusted(&mut self, conn: ConnectionId) {
         self.end(conn, "nothing that came here could be run");
     }
-    fn end_agent(&mut self) {
+    fn reset_agent_link(&mut self) {
         self.agent.cut();
     }
-    fn serving(&mut self, yes: bool) {
+    fn set_serving(&mut self, yes: bool) {
         self.serving = Some(yes);
     }
-    fn leaving(&mut self) {
+    fn announce_drain(&mut self) {
         self.draining = true;
         self.door.close();
         let outs: Vec<Outbox> = self.lines.values().map(|line| line.out.clone()).collect();
@@ -557,14 +560,14 @@
             self.leave(&out);
         }
     }
-    fn close_idle(&mut self, span: Us) {
+    fn set_idle_timeout(&mut self, span: Us) {
         // At the end everyone is asked to leave by themselves: what crosses is not cut off.
         self.idle = if span > 0 { span } else { Us::MAX };
     }
-    fn broker(&mut self, bytes: &[u8]) -> bool {
+    fn send_to_broker(&mut self, bytes: &[u8]) -> bool {
         self.broker.as_ref().is_some_and(|out| out.put(&[bytes]))
     }
-    fn end_broker(&mut self, at_once: bool) {
+    fn close_broker(&mut self, at_once: bool) {
         match &self.broker {
             Some(out) if at_once => out.cut(),
             Some(out) => drop(out.let_go()),
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -6,9 +6,12 @@
 mod control;
 mod core;
 mod dispatcher;
+mod ids;
+mod load_report;
 mod membership;
 mod name_table;
 mod operator;
+mod outbound;
 mod queues;
 mod recovery;
 mod service_stats;
@@ -18,20 +21,18 @@
 #[cfg(test)]
 mod tests;
 mod upstream;
-mod wire;
 
 use crate::change::{prepare, refused, Asked, Changes, Content, Glance, Pause, Prepared, Running, Told};
 use crate::change::{Wanted, What};
-use crate::connection::{
-    send_load_reports, AgentConnection, BrokerConnection, SidecarConnection, UpstreamConnection,
-};
+use crate::connection::{AgentConnection, BrokerConnection, SidecarConnection, UpstreamConnection};
 use crate::control::Request;
 use crate::core::Core;
 use crate::dispatcher::{buffers, Dispatcher};
+use crate::ids::ConnectionId;
+use crate::load_report::send_load_reports;
 use crate::membership::{MembershipConfig, MembershipService};
 use crate::recovery::{RecoveryConfig, RecoveryTracker};
 use crate::store::{read_learned, read_members, Store};
-use crate::wire::{ConnId, LinkId};
 use asterrill::Us;
 use asterrill_net::{
     drive, hold, listen, now, spawn, turn, wait_until, Address, End, Outbox, Pause as Rest, Pool,
@@ -187,7 +188,8 @@
             seed,
             persistent: lasting,
         };
-        dispatcher.with(|core, wire, now| core.start_recovery(now, RecoveryTracker::new(now, begun), wire));
+        dispatcher
+            .with(|core, outbound, now| core.start_recovery(now, RecoveryTracker::new(now, begun), outbound));
     }
     let spread = operator.recovery.map(|_| own);
     let orders = Arc::new(Orders::default());
@@ -249,7 +251,8 @@
             (dispatcher.clone(), pool.clone(), Rest::new(ms(10), ms(200), chance.generate()));
         let Some(records) = places.records.clone() else { break };
         spawn("below", move || {
-            let (link, replies) = (LinkId(i), asterrill_protocol::upstream::Reader::default());
+            let (link, replies) =
+                (asterrill_engine::UpstreamLinkId(i), asterrill_protocol::upstream::Reader::default());
             let mut party = UpstreamConnection { dispatcher, out: out.clone(), link, replies, useful: false };
             hold(&records, &out, &pool, false, pause, &mut party);
         })?;
@@ -282,7 +285,7 @@
                 |stream, place| {
                     // Known before the next one may find no room.
                     let out = Outbox::new(&dispatcher.pool, LINE);
-                    let conn: ConnId = dispatcher.connection_opened(out.clone());
+                    let conn: ConnectionId = dispatcher.connection_opened(out.clone());
                     let (dispatcher, parted) = (dispatcher.clone(), dispatcher.clone());
                     let taken = spawn("sidecar", move || {
                         let frames = sidecar::Reader::default();
@@ -505,7 +508,7 @@
         }
         if let (Some(records), Some(at)) = (&self.records, to.upstream) {
             if records.moves(at) {
-                dispatcher.with(|core, wire, _| core.upstream_moved(wire));
+                dispatcher.with(|core, outbound, _| core.upstream_moved(outbound));
             }
         }
         self.naming.moves(to.name_service);
@@ -557,7 +560,7 @@
         let first = !std::mem::replace(&mut self.came, true);
         self.save_learned(dispatcher, first);
         self.peers.iter().for_each(|peers| peers.leave());
-        dispatcher.with(|core, wire, now| core.drain(now, self.stop, wire));
+        dispatcher.with(|core, outbound, now| core.drain(now, self.stop, outbound));
     }
 }
 
@@ -573,9 +576,9 @@
 
 /// Lets time pass for the core, if something is due.
 fn pass(dispatcher: &Dispatcher) {
-    dispatcher.with(|core, wire, now| {
+    dispatcher.with(|core, outbound, now| {
         if core.next_deadline().is_some_and(|at| at <= now) {
-            core.tick(now, wire);
+            core.tick(now, outbound);
         }
     });
 }
@@ -587,7 +590,7 @@
 ) {
     let peers = leaving.peers.clone();
     dispatcher.clock.attend();
-    dispatcher.with(|core, wire, now| core.start(now, wire));
+    dispatcher.with(|core, outbound, now| core.start(now, outbound));
     loop {
         let at = dispatcher.arm_clock(changes.next());
         // Who rang while a change went in slice by slice was not waited for.
--- a/daemon/src/sidecar_registry.rs
+++ b/daemon/src/sidecar_registry.rs
@@ -1,44 +1,50 @@
-//! What is known of the sidecars' connections: whether the agent knows of whoever is at the other end.
+//! What each sidecar connection has proven: whether the agent knows the sidecar at the other end.
 
-use crate::wire::ConnId;
+use crate::ids::ConnectionId;
 use std::collections::BTreeMap;
 
-const NONSENSE: u32 = 4; // RPCs that could not be run: a connection that brought nothing else is closed
+/// RPCs that could not be run after which a connection that brought nothing else is closed.
+const MAX_UNRUNNABLE_RPCS: u32 = 4;
 
-/// What is known of a connection that brought an RPC.
+/// What is recorded of a connection that has brought an RPC.
 #[derive(Clone, Copy, Debug, Default)]
-struct Standing {
-    /// A run was made for it: it is a sidecar that the agent knows of.
+struct SidecarState {
+    /// A run was made for it: its sidecar is known to the agent.
     proven: bool,
-    /// RPCs that could not be run, as long as none was.
-    nonsense: u32,
+    /// RPCs that could not be run, counted until one was.
+    unrunnable_rpcs: u32,
 }
 
-/// The connections that have brought an RPC, until each ends.
+/// The connections that have brought an RPC, each until it closes.
 #[derive(Default)]
-pub struct SidecarRegistry(BTreeMap<ConnId, Standing>);
+pub struct SidecarRegistry(BTreeMap<ConnectionId, SidecarState>);
 
 impl SidecarRegistry {
-    /// An RPC came on a connection. False if nothing more is taken from it.
-    pub fn brings(&mut self, conn: ConnId) -> bool {
-        self.0.entry(conn).or_default().nonsense < NONSENSE
+    /// Registers that an RPC came on a connection. False if nothing more is accepted from it.
+    pub fn accepts_rpc(&mut self, conn: ConnectionId) -> bool {
+        self.0.entry(conn).or_default().unrunnable_rpcs < MAX_UNRUNNABLE_RPCS
     }
-    /// A run was made for this connection: its RPCs are those of a sidecar that the agent knows of.
-    pub fn proven(&self, conn: ConnId) -> bool {
-        self.0.get(&conn).is_some_and(|standing| standing.proven)
+
+    /// Whether a run was ever made for this connection: its RPCs are then those of a sidecar that the agent knows.
+    pub fn is_proven(&self, conn: ConnectionId) -> bool {
+        self.0.get(&conn).is_some_and(|sidecar| sidecar.proven)
     }
+
     /// A run was made for an RPC of this connection.
-    pub fn ran(&mut self, conn: ConnId) {
-        let run = Standing { proven: true, nonsense: 0 };
-        self.0.entry(conn).and_modify(|standing| *standing = run);
+    pub fn run_completed(&mut self, conn: ConnectionId) {
+        let proven = SidecarState { proven: true, unrunnable_rpcs: 0 };
+        self.0.entry(conn).and_modify(|sidecar| *sidecar = proven);
     }
-    /// An RPC could not be run. True once the connection is to be closed for it.
-    pub fn nonsense(&mut self, conn: ConnId) -> bool {
-        let Some(standing) = self.0.get_mut(&conn).filter(|standing| !standing.proven) else { return false };
-        standing.nonsense += 1;
-        standing.nonsense == NONSENSE
+
+    /// An RPC could not be run. True when the connection is to be closed for it.
+    pub fn count_unrunnable(&mut self, conn: ConnectionId) -> bool {
+        let Some(sidecar) = self.0.get_mut(&conn).filter(|sidecar| !sidecar.proven) else { return false };
+        sidecar.unrunnable_rpcs += 1;
+        sidecar.unrunnable_rpcs == MAX_UNRUNNABLE_RPCS
     }
-    pub fn ended(&mut self, conn: ConnId) {
+
+    /// The connection was closed.
+    pub fn remove(&mut self, conn: ConnectionId) {
         self.0.remove(&conn);
     }
 }
--- a/daemon/src/upstream.rs
+++ b/daemon/src/upstream.rs
@@ -1,99 +1,109 @@
-//! The links to the layer below, as far as calls go by them: which one the next call takes, and when one is not
-//! used again.
+//! Selection among the links to the upstream tier: which link the next call takes, and when a link is retired.
 
-use crate::wire::{LinkId, Wire};
+use crate::outbound::Outbound;
 use asterrill_engine::UpstreamLinkId;
+use std::cmp::Reverse;
 
-/// A link below as far as calls go. A call has one to itself while there are enough: a reply that spoils its
-/// link takes no other call with it. The next call of the same RPC goes by another, so that a late reply, or
-/// a second copy, can't pass for the reply to that.
+/// One link, as far as the placing of calls is concerned.
 #[derive(Clone, Copy, Debug, Default)]
-struct UpstreamLink {
-    calls: usize,
-    /// Counts the calls placed: of free links the one used last is taken, and the others may go.
-    last: u64,
-    /// Pauses after its end.
-    resting: bool,
-    /// Is not used again as it stands: closed once its calls have ended.
-    old: bool,
+struct LinkState {
+    calls_in_flight: usize,
+    /// The serial number of the last call placed on it.
+    last_call: u64,
+    /// It has ended and waits out its backoff.
+    backing_off: bool,
+    /// It is not used again as it is: closed once its calls have ended.
+    retired: bool,
     closing: bool,
 }
 
+/// All links to the upstream tier.
+///
+/// A call has a link to itself while there are enough: a reply that breaks its link takes no other call with it. The
+/// next call of the same RPC takes another link, so that a late or duplicate reply can't pass for the reply to that
+/// call. Of idle links the one used last is preferred, so that the others may be closed.
 pub struct UpstreamLinks {
-    links: Vec<UpstreamLink>,
-    placed: u64,
+    links: Vec<LinkState>,
+    calls_placed: u64,
 }
 
 impl UpstreamLinks {
-    pub fn new(links: usize) -> UpstreamLinks {
-        UpstreamLinks { links: vec![UpstreamLink::default(); links], placed: 0 }
+    /// As many links as given, all usable.
+    pub fn new(count: usize) -> UpstreamLinks {
+        UpstreamLinks { links: vec![LinkState::default(); count], calls_placed: 0 }
     }
 
-    /// The link for a call of an RPC whose last one went by `last`: never that one again, as a second copy of the
-    /// reply may still come there. None where there is no other just now.
-    pub fn pick(&self, last: Option<UpstreamLinkId>) -> Option<LinkId> {
-        let links = self.links.iter().enumerate().map(|(i, link)| (LinkId(i), link));
-        let another = |id: &LinkId| Some(UpstreamLinkId(id.0)) != last;
-        let usable = links.filter(|(id, link)| !link.closing && !link.old && another(id));
-        let order =
-            |(_, link): &(LinkId, &UpstreamLink)| (link.resting, link.calls, std::cmp::Reverse(link.last));
-        usable.min_by_key(order).map(|(id, _)| id)
+    /// The link for a call of an RPC whose previous call took `previous`: never that one again, as a duplicate of its
+    /// reply may still arrive there. `None` if there is no other at the moment.
+    pub fn select(&self, previous: Option<UpstreamLinkId>) -> Option<UpstreamLinkId> {
+        let links = self.links.iter().enumerate().map(|(index, link)| (UpstreamLinkId(index), link));
+        let usable = links.filter(|(id, link)| !link.closing && !link.retired && Some(*id) != previous);
+        let preference = |(_, link): &(UpstreamLinkId, &LinkState)| {
+            (link.backing_off, link.calls_in_flight, Reverse(link.last_call))
+        };
+        usable.min_by_key(preference).map(|(id, _)| id)
     }
 
-    /// A call went by this link.
-    pub fn placed(&mut self, by: LinkId) {
-        self.placed += 1;
-        let placed = self.placed;
-        let link = self.links.iter_mut().skip(by.0).take(1);
-        link.for_each(|link| (link.calls, link.last) = (link.calls + 1, placed));
+    /// A call was sent on this link.
+    pub fn call_placed(&mut self, id: UpstreamLinkId) {
+        self.calls_placed += 1;
+        if let Some(link) = self.links.get_mut(id.0) {
+            link.calls_in_flight += 1;
+            link.last_call = self.calls_placed;
+        }
     }
 
-    /// The one place where a call leaves its link. One whose reply did not come in time is not used again.
-    pub fn off(&mut self, by: LinkId, late: bool, wire: &mut dyn Wire) {
-        let Some(link) = self.links.get_mut(by.0) else { return };
-        link.calls = link.calls.saturating_sub(1);
-        link.old |= late;
-        if link.old {
-            self.retire(by, wire);
+    /// A call leaves its link; the one place where this is counted. A link whose reply is `late` is retired.
+    pub fn call_finished(&mut self, id: UpstreamLinkId, late: bool, outbound: &mut dyn Outbound) {
+        let Some(link) = self.links.get_mut(id.0) else { return };
+        link.calls_in_flight = link.calls_in_flight.saturating_sub(1);
+        link.retired |= late;
+        if link.retired {
+            self.retire(id, outbound);
         }
     }
 
-    /// A link has ended: it rests, and its calls are about to end.
-    pub fn ends(&mut self, by: LinkId) {
-        if let Some(link) = self.links.get_mut(by.0) {
-            (link.resting, link.old, link.closing) = (true, true, false);
+    /// A link has ended: it backs off, and its calls are about to be ended.
+    pub fn disconnected(&mut self, id: UpstreamLinkId) {
+        if let Some(link) = self.links.get_mut(id.0) {
+            link.backing_off = true;
+            link.retired = true;
+            link.closing = false;
         }
     }
-    /// All calls of a link that ended have ended.
-    pub fn ended(&mut self, by: LinkId) {
-        if let Some(link) = self.links.get_mut(by.0) {
-            link.old = false;
+
+    /// All calls of a link that has ended were ended as well.
+    pub fn calls_drained(&mut self, id: UpstreamLinkId) {
+        if let Some(link) = self.links.get_mut(id.0) {
+            link.retired = false;
         }
     }
-    /// A link may be made again.
-    pub fn ready(&mut self, by: LinkId) {
-        if let Some(link) = self.links.get_mut(by.0) {
-            link.resting = false;
+
+    /// The backoff of a link is over.
+    pub fn ready(&mut self, id: UpstreamLinkId) {
+        if let Some(link) = self.links.get_mut(id.0) {
+            link.backing_off = false;
         }
     }
 
-    /// A link is not used again as it stands: it idles, or it was left without a reply. Its calls go on.
-    pub fn retire(&mut self, by: LinkId, wire: &mut dyn Wire) {
-        let Some(link) = self.links.get_mut(by.0).filter(|link| !link.closing && !link.resting) else {
+    /// Takes a link out of use, as it is idle or owes a reply. Its calls in flight go on.
+    pub fn retire(&mut self, id: UpstreamLinkId, outbound: &mut dyn Outbound) {
+        let Some(link) = self.links.get_mut(id.0).filter(|link| !link.closing && !link.backing_off) else {
             return;
         };
-        link.closing = link.calls == 0 && wire.close_link(by);
-        link.old = link.calls > 0;
+        link.closing = link.calls_in_flight == 0 && outbound.close_upstream_link(id);
+        link.retired = link.calls_in_flight > 0;
     }
-    /// The layer below is to be found elsewhere. What is in hand may still end where it was.
-    pub fn moved(&mut self, wire: &mut dyn Wire) {
-        for i in 0..self.links.len() {
-            self.retire(LinkId(i), wire);
+
+    /// The upstream address has changed: all links are retired. Calls in flight may still end where they were sent.
+    pub fn retire_all(&mut self, outbound: &mut dyn Outbound) {
+        for index in 0..self.links.len() {
+            self.retire(UpstreamLinkId(index), outbound);
         }
     }
 
-    /// Calls are in hand on this link.
-    pub fn busy(&self, by: LinkId) -> bool {
-        self.links.get(by.0).is_some_and(|link| link.calls > 0)
+    /// Whether calls are in flight on this link.
+    pub fn has_calls(&self, id: UpstreamLinkId) -> bool {
+        self.links.get(id.0).is_some_and(|link| link.calls_in_flight > 0)
     }
 }
