--- a/lab/src/arguments.rs
+++ b/lab/src/arguments.rs
@@ -105,7 +105,7 @@
     FleetMembers,
     /// Processes that agree on lists, with cuts, pauses and deaths between them
     FleetAgree,
-    /// Processes that are killed and start again at once, with what they kept, without it, torn, or with a full disk
+    /// Processes that are killed and start again at once, with what they had persisted, without it, torn, or with a full disk
     FleetReady,
     /// Cold servers under the sum of what as many callers send
     FleetCold,
@@ -117,8 +117,8 @@
     FramedCpu,
     /// Members in memory on virtual time, at the fleet's size
     ScaleMembers,
-    /// Hollow holders of agreed versions and three keepers, at the fleet's size
-    ScaleAgree(crate::scale::agree::Wanted),
+    /// Simulated replicas of agreed versions and three voters, at the fleet's size
+    ScaleAgree(crate::scale::agree::AgreeOptions),
     /// One process with many methods and tenants, whose configuration changes by entries, by files and as a whole
     ScaleConfig,
     /// CPU of an RPC by methods, tenants, callers and entries of lists
--- a/lab/src/dispatch.rs
+++ b/lab/src/dispatch.rs
@@ -5,6 +5,7 @@
 use crate::load::RateSpan;
 use crate::queue::{self, ThroughputOptions};
 use crate::report::{Fault, Report};
+use crate::scale::agree::AgreeOptions;
 use crate::scale::members::MembersOptions;
 use crate::{rollout, scale};
 use std::time::Duration;
@@ -53,9 +54,9 @@
             scale::members::scenario(report, &MembersOptions::new(arguments.nodes, seed, kind, loss, quick));
             Ok(())
         }
-        Scenario::ScaleAgree(wanted) => {
-            let wanted = scale::agree::Wanted { quick: arguments.scale.quick, ..wanted };
-            scale::agree::scenario(report, wanted, arguments.kind.as_deref(), seed)
+        Scenario::ScaleAgree(options) => {
+            let options = AgreeOptions { quick: arguments.scale.quick, ..options };
+            scale::agree::scenario(report, options, arguments.kind.as_deref(), seed)
         }
         Scenario::ScaleConfig => {
             scale::config::scenario(report, seed, &arguments.scale, arguments.rate, other)
--- /dev/null
+++ b/lab/src/scale/agree/build.rs
@@ -0,0 +1,96 @@
+//! Three voters and the list that they have agreed on; then the replicas.
+
+use super::cluster::Cluster;
+use super::options::AgreeOptions;
+use super::run::{entry_name, put, Baseline, Run, PATIENCE, VOTERS};
+use super::units::{ms, MS, S};
+use crate::process::{resident_kb, OWN};
+use crate::report::{Fault, Report};
+use asterrill::Us;
+use asterrill_consensus::{Access, Change, Config, VersionLog, MAX_STEP_CHANGES};
+use serde_json::json;
+
+/// The leases of all nodes (operator-config/src/fleet.rs).
+pub(super) const LEASE: Us = 5 * S;
+const TICK: Us = 50 * MS;
+/// One-entry changes, after which the voters have no steps from the start any more.
+pub(super) const FORGOTTEN_AFTER: usize = 260;
+const ELECTED_WITHIN: Us = 20 * S;
+const AT_REST: Us = 2 * S;
+const REPLICAS_AT_REST: Us = 6 * S;
+
+/// Builds the cluster and reports what that took.
+pub(super) fn build(report: &mut Report, options: &AgreeOptions, seed: u64) -> Result<Run, Fault> {
+    let config = Config {
+        voters: (0..VOTERS).map(|n| format!("keeper-{n}")).collect(),
+        lease: LEASE,
+        renew_interval: LEASE / 5,
+        tick_interval: TICK,
+    };
+    let mut cluster = Cluster::new(VOTERS, config, seed, options.charges_cpu());
+    let before_kb = resident_kb(OWN);
+    for n in 0..VOTERS {
+        cluster.add();
+        cluster.start(n, &[]);
+    }
+    let mut run = Run::new(cluster, options.entries, options.every.max(1) * S);
+    build_list(report, &mut run)?;
+    let disks: usize = (0..VOTERS).map(|n| run.cluster.nodes[n].disk.capacity()).sum();
+    if !options.quick {
+        let kb = (resident_kb(OWN) - before_kb - disks as f64 / 1024.0) / VOTERS as f64;
+        report.set("keeper_kb", json!(kb.round()));
+    }
+    add_replicas(report, &mut run, options.replicas)?;
+    if !options.quick {
+        report.set("holder_kb", json!(run.replica_kb()));
+    }
+    run.baseline = Baseline {
+        bound_losses: run.cluster.bound_losses,
+        elections: run.cluster.elections,
+        lease_expirations: run.count(|counters| counters.lease_expirations),
+        proposals: run.cluster.proposals.len(),
+    };
+    Ok(run)
+}
+
+/// The voters elect a leader and agree on the list: in steps of as many changes as one may have, the last of them one by
+/// one.
+fn build_list(report: &mut Report, run: &mut Run) -> Result<(), Fault> {
+    run.wait_until(ELECTED_WITHIN, |cluster| cluster.leader().is_some()).ok_or("nobody comes to lead")?;
+    run.cluster.run_to(run.cluster.now + AT_REST);
+    let all: Vec<Change> = (0..run.entries).map(|n| put(entry_name(n), Access::Allowed)).collect();
+    let (many, single) = all.split_at(run.entries - FORGOTTEN_AFTER);
+    for step in many.chunks(MAX_STEP_CHANGES).chain(single.chunks(1)) {
+        if step.len() == 1 && report.get("disk_bytes_of_the_list").is_none() {
+            report.set("disk_bytes_of_the_list", json!(run.cluster.nodes[0].appended));
+        }
+        run.change(0, step.to_vec()).ok_or("the list does not come about")?;
+    }
+    run.cluster.run_to(run.cluster.now + AT_REST);
+    run.cluster.remember_versions();
+    Ok(())
+}
+
+/// The replicas start within a second, each with the snapshot that it would have persisted.
+fn add_replicas(report: &mut Report, run: &mut Run, replicas: usize) -> Result<(), Fault> {
+    let leader = run.cluster.leader().ok_or("nobody leads")?;
+    let consensus = run.cluster.nodes[leader].consensus.as_ref();
+    let log = consensus.map(|consensus| consensus.version_log().clone()).unwrap_or_default();
+    let mut persisted = VersionLog::default();
+    persisted.reset_to(log.newest());
+    let snapshot = persisted.snapshot();
+    report.set("version_bytes", json!(snapshot.len()));
+    run.resident_kb = resident_kb(OWN);
+    let step = S / replicas.max(1) as u64;
+    for _ in 0..replicas {
+        let n = run.cluster.add();
+        run.cluster.start(n, &snapshot);
+        run.replicas.push(n);
+        run.cluster.run_to(run.cluster.now + step);
+    }
+    let newest = run.newest_version();
+    let took = run.wait_until_effective(newest, PATIENCE).ok_or("the holders do not come to act")?;
+    report.set("begin_ms", json!(ms(took)));
+    run.cluster.run_to(run.cluster.now + REPLICAS_AT_REST);
+    Ok(())
+}
--- /dev/null
+++ b/lab/src/scale/agree/crowd.rs
@@ -0,0 +1,41 @@
+//! All replicas propose something at the same moment, in a message of two fragments.
+
+use super::cluster::Outcome;
+use super::run::{percentiles, put, Run};
+use super::units::S;
+use crate::report::Report;
+use asterrill::Us;
+use asterrill_consensus::{Access, ProposalOutcome};
+use serde_json::json;
+
+const CHANGES: usize = 20; // of each proposal
+const NAME_PADDING: usize = 56; // that makes a proposal as long as two fragments
+const SETTLED_WITHIN: Us = 10 * S;
+
+/// Plays it.
+pub(super) fn play_crowd(report: &mut Report, run: &mut Run) {
+    let begun = run.cluster.now;
+    let name = |n: usize, k: usize| format!("{n:04}-{k:02}-{}", "x".repeat(NAME_PADDING));
+    let mut keys = Vec::new();
+    for n in run.replicas.clone() {
+        let step = (0..CHANGES).map(|k| put(name(n, k), Access::Allowed)).collect();
+        keys.extend(run.cluster.propose(n, step));
+    }
+    run.cluster.run_to(begun + SETTLED_WITHIN);
+    let outcomes: Vec<&Outcome> = keys.iter().filter_map(|key| run.cluster.outcome(key)).collect();
+    let committed = outcomes.iter().filter(|one| one.committed().is_some());
+    let took: Vec<Us> = committed.map(|one| one.at - begun).collect();
+    let no_quorum = outcomes.iter().filter(|one| one.outcome == ProposalOutcome::NoQuorum).count();
+    let reasons = outcomes.iter().filter_map(|one| match &one.outcome {
+        ProposalOutcome::Rejected(reason) => Some(reason),
+        _ => None,
+    });
+    let reasons: Vec<_> = reasons.collect();
+    report.set("crowd_done", json!(took.len()));
+    report.set("crowd_no_majority", json!(no_quorum));
+    report.set("crowd_refused", json!(reasons.len()));
+    report.set("crowd_refused_first", json!(reasons.first()));
+    for (what, value) in percentiles(took) {
+        report.set(&format!("crowd_ms_{what}"), value);
+    }
+}
--- a/lab/src/scale/agree/tests.rs
+++ b/lab/src/scale/agree/tests/scenario.rs
@@ -1,18 +1,16 @@
-//! The quick form is the same each time, and holds its rules.
+//! Tests of `scenario.rs`: the quick form is the same each time, and holds its rules.
 
-use super::{scenario, Wanted};
-use crate::report::Report;
-use serde_json::Value;
+use super::*;
 
 fn quick(kind: &str, seed: u64) -> Value {
     let mut report = Report::default();
-    let wanted = Wanted { holders: 12, entries: 300, quick: true, every: 1, free: false };
-    scenario(&mut report, wanted, Some(kind), seed).unwrap();
+    let options = AgreeOptions { replicas: 12, entries: 300, quick: true, every: 1, free: false };
+    scenario(&mut report, options, Some(kind), seed).unwrap();
     report.json("scale-agree", seed)
 }
 
 #[test]
-fn a_quick_run_is_the_same_each_time_and_holds_the_rules() {
+fn quick_form_depends_on_the_seed_alone_and_holds_the_rules() {
     for kind in ["quiet", "dead", "cut", "loss", "keeper", "disk", "crowd"] {
         let one = quick(kind, 3);
         assert_eq!(one, quick(kind, 3), "{kind}");
