--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -228,7 +228,7 @@
 
 /// The entries of a configuration in JSON.
 fn entries(file: &Path, text: &str) -> Result<Configuration, Answer> {
-    let read = asterrill_settings::read_from(text.as_bytes(), None);
+    let read = asterrill_settings::Deployment::from_reader(text.as_bytes(), None);
     read.map(|deployment| deployment.configuration)
         .map_err(|fault| no(format!("{}: {fault}", file.display())))
 }
--- a/daemon/src/change.rs
+++ b/daemon/src/change.rs
@@ -197,7 +197,7 @@
             steps = Some(changes);
         }
         What::Text(text) if text.trim_start().starts_with('{') => {
-            let to = asterrill_settings::read_from(text.as_bytes(), Some(&running.entries));
+            let to = asterrill_settings::Deployment::from_reader(text.as_bytes(), Some(&running.entries));
             content.entries = to.map_err(|fault| refused(&fault.to_string()))?.configuration;
         }
         What::Text(text) => {
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -123,7 +123,7 @@
 fn told(running: Option<&Content>) -> Result<Deployment, SettingsError> {
     let path = std::env::var("GW_CONFIG").map_err(|_| SettingsError::new("GW_CONFIG is not set".into()))?;
     let file = std::fs::File::open(&path).map_err(|e| SettingsError::new(format!("{path}: {e}")))?;
-    let read = asterrill_settings::read_from(file, running.map(|running| &running.entries));
+    let read = asterrill_settings::Deployment::from_reader(file, running.map(|running| &running.entries));
     read.map_err(|fault| SettingsError::new(format!("{path}: {fault}")))
 }
 
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -42,7 +42,7 @@
     let nowhere = "127.0.0.1:1";
     let whole = json!({"name": "n1", "listen": nowhere, "agent": nowhere, "naming": nowhere, "seed": "1",
         "stop_ms": 900, "limits": {"memory_mb": 64, "sockets": 64}, "settings": settings});
-    asterrill_settings::read(&whole.to_string()).unwrap().configuration
+    asterrill_settings::Deployment::from_json(&whole.to_string()).unwrap().configuration
 }
 pub(crate) fn made(at: Us, seed: u64, settings: &Value, cold: Option<bool>) -> ServerParts {
     asterrill_settings::server_parts(at, seed, &content(settings), cold).unwrap()
--- a/daemon/src/tests/change.rs
+++ b/daemon/src/tests/change.rs
@@ -88,7 +88,7 @@
     let nowhere = "127.0.0.1:1";
     let whole = json!({"name": "n1", "listen": nowhere, "agent": nowhere, "naming": nowhere, "seed": "1",
         "stop_ms": 900, "limits": {"memory_mb": 64, "sockets": 64}, "settings": file});
-    let deployment = asterrill_settings::read(&whole.to_string()).unwrap();
+    let deployment = asterrill_settings::Deployment::from_json(&whole.to_string()).unwrap();
     changes.reread(&dispatcher, deployment, Some(Ok(old)), &mut |_| ());
     // Compared with what runs now, a tenant goes: that is risky, so it is refused whole.
     let status = changes.want(&dispatcher, Wanted::Status, &mut |_| ());
--- a/entries/src/lib.rs
+++ b/entries/src/lib.rs
@@ -70,5 +70,4 @@
 pub use name_lookup::NameLookup;
 pub use read::{read_configuration, read_step};
 pub use time::micros_from_millis;
-pub use validation::{check_method, check_name};
 pub use write::{write_configuration, write_step};
--- a/entries/src/validation.rs
+++ b/entries/src/validation.rs
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 /// [`ConfigError::InvalidName`], with the start of the name.
-pub fn check_name(kind: EntryKind, name: &str) -> Result<(), ConfigError> {
+pub(crate) fn check_name(kind: EntryKind, name: &str) -> Result<(), ConfigError> {
     let word = kind == EntryKind::Method;
     let forbidden = |c: char| c.is_control() || word && c.is_whitespace();
     if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(forbidden) {
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// [`ConfigError::OutOfBounds`] names the field.
-pub fn check_method(method: &Method) -> Result<(), ConfigError> {
+pub(crate) fn check_method(method: &Method) -> Result<(), ConfigError> {
     check_duration("AimMs", method.latency_target)?;
     check_duration("DeadlineMs", method.deadline)?;
     check_duration("WindowMs", method.idempotency_window)?;
--- a/settings/examples/size.rs
+++ b/settings/examples/size.rs
@@ -2,7 +2,7 @@
 //! `cargo run --release -p asterrill-settings --example size -- 4700 49000`
 
 use asterrill_entries::{Change, Configuration};
-use asterrill_settings::read_from;
+use asterrill_settings::Deployment;
 use std::fmt::Write;
 use std::hint::black_box;
 
@@ -58,7 +58,7 @@
     let (methods, tenants) = (size(1, 4_700), size(2, 49_000));
     let text = file(methods, tenants, 10.0, false);
     let read = |text: &str, running: Option<&Configuration>| {
-        read_from(text.as_bytes(), running).unwrap().configuration
+        Deployment::from_reader(text.as_bytes(), running).unwrap().configuration
     };
     drop(read(&file(5, 0, 0.0, false), None));
     let before = resident();
--- a/settings/src/deployment.rs
+++ b/settings/src/deployment.rs
@@ -38,28 +38,32 @@
     pub configuration: Configuration,
 }
 
-/// Reads a deployment's file, a JSON object.
-///
-/// # Errors
-/// As [`read_from`].
-pub fn read(json: &str) -> Result<Deployment, SettingsError> {
-    if json.len() as u64 > MAX_FILE_BYTES {
-        return Err(SettingsError::FileTooLong);
+impl Deployment {
+    /// Reads a deployment's file, a JSON object.
+    ///
+    /// # Errors
+    /// As [`Deployment::from_reader`].
+    pub fn from_json(json: &str) -> Result<Deployment, SettingsError> {
+        if json.len() as u64 > MAX_FILE_BYTES {
+            return Err(SettingsError::FileTooLong);
+        }
+        parse(&mut serde_json::Deserializer::from_str(json), None)
     }
-    parse(&mut serde_json::Deserializer::from_str(json), None)
-}
 
-/// Reads a deployment's file, a JSON object, as a stream: neither its text nor a tree of it is stored. What is the same
-/// in `running` is shared with it, so that a file which changes one quota costs one entry of new memory.
-///
-/// Keys may come in any order; unknown ones are skipped, and an expected one that stands twice is refused.
-///
-/// # Errors
-/// [`SettingsError`]: the reader's own error, more than [`MAX_FILE_BYTES`], no JSON, or the key at fault.
-pub fn read_from(reader: impl Read, running: Option<&Configuration>) -> Result<Deployment, SettingsError> {
-    let bounded = BoundedRead::new(reader, MAX_FILE_BYTES);
-    let buffered = BufReader::with_capacity(READ_BUFFER_BYTES, bounded);
-    parse(&mut serde_json::Deserializer::from_reader(buffered), running)
+    /// Reads a deployment's file, a JSON object, as a stream: neither its text nor a tree of it is stored. What is the same
+    /// in `running` is shared with it, so that a file which changes one quota costs one entry of new memory.
+    ///
+    /// Keys may come in any order; unknown ones are skipped, and an expected one that stands twice is refused.
+    ///
+    /// # Errors
+    /// [`SettingsError`]: the reader's own error, more than [`MAX_FILE_BYTES`], no JSON, or the key at fault.
+    pub fn from_reader(
+        reader: impl Read, running: Option<&Configuration>,
+    ) -> Result<Deployment, SettingsError> {
+        let bounded = BoundedRead::new(reader, MAX_FILE_BYTES);
+        let buffered = BufReader::with_capacity(READ_BUFFER_BYTES, bounded);
+        parse(&mut serde_json::Deserializer::from_reader(buffered), running)
+    }
 }
 
 fn parse<'d, R: serde_json::de::Read<'d>>(
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -11,7 +11,7 @@
 mod platform_settings;
 mod server_parts;
 
-pub use deployment::{read, read_from, Deployment};
+pub use deployment::Deployment;
 pub use error::{SettingsError, MAX_FILE_BYTES};
 pub use server_parts::{
     configuration_from_json, global_parts, server_parts, server_parts_from_json, GlobalParts, ServerParts,
--- a/settings/tests/compatibility.rs
+++ b/settings/tests/compatibility.rs
@@ -1,7 +1,7 @@
 //! Deployment files make the same versions, with the same digests, as in the build before the names were changed.
 
 use asterrill_entries::write_configuration;
-use asterrill_settings::{read, read_from};
+use asterrill_settings::Deployment;
 
 #[test]
 fn reads_deployment_files_to_the_same_versions() {
@@ -16,7 +16,9 @@
         ),
     ];
     for (json, version) in fixtures {
-        for deployment in [read(json).unwrap(), read_from(json.as_bytes(), None).unwrap()] {
+        for deployment in
+            [Deployment::from_json(json).unwrap(), Deployment::from_reader(json.as_bytes(), None).unwrap()]
+        {
             let mut text = format!("{{\"hash\":\"{}\"}}\n", deployment.configuration.digest());
             write_configuration(&deployment.configuration, &mut text).unwrap();
             assert_eq!(text, version);
--- a/settings/tests/deployment_files.rs
+++ b/settings/tests/deployment_files.rs
@@ -3,8 +3,7 @@
 
 use asterrill_entries::{Change, Configuration, EntryKind};
 use asterrill_settings::{
-    configuration_from_json, read, read_from, server_parts, server_parts_from_json, Deployment,
-    SettingsError, MAX_FILE_BYTES,
+    configuration_from_json, server_parts, server_parts_from_json, Deployment, SettingsError, MAX_FILE_BYTES,
 };
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -67,8 +66,8 @@
             }
             let file = deployment(settings(&tenants));
             let json = text(&file, rng);
-            let plain = read(&json).unwrap().configuration;
-            let shared = read_from(json.as_bytes(), running.as_ref()).unwrap().configuration;
+            let plain = Deployment::from_json(&json).unwrap().configuration;
+            let shared = Deployment::from_reader(json.as_bytes(), running.as_ref()).unwrap().configuration;
             let tree = configuration_from_json(&file["settings"], 64, 64).unwrap();
             assert_eq!((&shared, shared.digest()), (&plain, plain.digest()), "{context}");
             assert_eq!((&tree, tree.digest()), (&plain, plain.digest()), "{context}");
@@ -91,10 +90,10 @@
 #[test]
 fn makes_one_change_of_one_changed_quota_and_shares_names() {
     let mut tenants: Vec<(String, f64)> = (0..500).map(|i| (format!("tenant-{i}"), 10.0)).collect();
-    let running = read(&deployment(settings(&tenants)).to_string()).unwrap().configuration;
+    let running = Deployment::from_json(&deployment(settings(&tenants)).to_string()).unwrap().configuration;
     tenants[77].1 = 11.0;
     let json = deployment(settings(&tenants)).to_string();
-    let next = read_from(json.as_bytes(), Some(&running)).unwrap().configuration;
+    let next = Deployment::from_reader(json.as_bytes(), Some(&running)).unwrap().configuration;
     assert_eq!(running.changes_to(&next), [Change::PutTenant("tenant-77".into(), 11.0)]);
     let pairs = running.tenants().zip(next.tenants());
     assert!(pairs.into_iter().all(|((a, _), (b, _))| Arc::ptr_eq(a, b)));
@@ -129,7 +128,7 @@
     );
     let mut cold = deployment(file);
     cold["settings"]["FamilyInfo"]["Cold"] = json!(true);
-    assert!(error_message(read(&cold.to_string())).contains("ColdFrom"));
+    assert!(error_message(Deployment::from_json(&cold.to_string())).contains("ColdFrom"));
     // The version does not say how a cold server starts.
     assert!(server_parts(0, 1, &content, Some(true)).err().unwrap().to_string().contains("ColdFrom"));
 }
@@ -149,11 +148,11 @@
         r#"{"QuotaRps":1e9,"Name":"acme","Fraction":[7]}"#,
         r#"{"Name":"acme","QuotaRps":-0.0}"#,
     ] {
-        assert!(read(&json(valid)).is_ok(), "{valid}");
+        assert!(Deployment::from_json(&json(valid)).is_ok(), "{valid}");
     }
     for length in [1, 64, 128] {
         let name = "n".repeat(length);
-        let made = read(&json(&format!(r#"{{"Name":"{name}","QuotaRps":3}}"#))).unwrap();
+        let made = Deployment::from_json(&json(&format!(r#"{{"Name":"{name}","QuotaRps":3}}"#))).unwrap();
         assert_eq!(made.configuration.tenant(&name), Some(3.0));
         assert!(made.configuration.name(EntryKind::Tenant, &name).is_some());
     }
@@ -170,10 +169,14 @@
         (&long, ["Name", "1 to 128 bytes"]),
         ("7", ["Name", "missing"]),
     ] {
-        let (json, running) =
-            (json(invalid), read(&json(r#"{"Name":"acme","QuotaRps":9}"#)).unwrap().configuration);
-        for message in [error_message(read(&json)), error_message(read_from(json.as_bytes(), Some(&running)))]
-        {
+        let (json, running) = (
+            json(invalid),
+            Deployment::from_json(&json(r#"{"Name":"acme","QuotaRps":9}"#)).unwrap().configuration,
+        );
+        for message in [
+            error_message(Deployment::from_json(&json)),
+            error_message(Deployment::from_reader(json.as_bytes(), Some(&running))),
+        ] {
             assert!(keys.iter().all(|key| message.contains(key)), "{invalid}: {message}");
         }
     }
@@ -181,7 +184,10 @@
         [("limits", r#""limits":{},"#), ("settings", r#""settings":{},"#), ("seed", r#""seed":"1","#)]
     {
         let json = deployment(settings(&[])).to_string().replacen('{', &format!("{{{part}"), 1);
-        assert!(error_message(read(&json)).contains(&format!("{key} stands twice")), "{key}");
+        assert!(
+            error_message(Deployment::from_json(&json)).contains(&format!("{key} stands twice")),
+            "{key}"
+        );
     }
 }
 
@@ -191,20 +197,22 @@
         &deployment(settings(&[("acme".into(), 5.0), ("查價".into(), 7.5)])),
         &mut StdRng::seed_from_u64(3),
     );
-    let running = read(&json).unwrap().configuration;
+    let running = Deployment::from_json(&json).unwrap().configuration;
     for cut in 0..json.len() {
-        let message = error_message(read_from(&json.as_bytes()[..cut], Some(&running)));
+        let message = error_message(Deployment::from_reader(&json.as_bytes()[..cut], Some(&running)));
         assert!(message.contains("not JSON"), "{cut}: {message}");
     }
-    assert!(error_message(read(&format!("{json} x"))).contains("not JSON"));
-    assert!(error_message(read_from(format!("{json}{{}}").as_bytes(), None)).contains("not JSON"));
+    assert!(error_message(Deployment::from_json(&format!("{json} x"))).contains("not JSON"));
+    assert!(
+        error_message(Deployment::from_reader(format!("{json}{{}}").as_bytes(), None)).contains("not JSON")
+    );
     let long = format!("{json}{}", " ".repeat(MAX_FILE_BYTES as usize));
-    assert!([read(&long), read_from(long.as_bytes(), None)]
+    assert!([Deployment::from_json(&long), Deployment::from_reader(long.as_bytes(), None)]
         .into_iter()
         .all(|read| error_message(read).contains("bound FILE")));
     let broken = std::io::Error::other("the disk is on fire");
     let reader = std::io::Read::chain(&json.as_bytes()[..200], Broken(Some(broken)));
-    assert!(error_message(read_from(reader, None)).contains("the disk is on fire"));
+    assert!(error_message(Deployment::from_reader(reader, None)).contains("the disk is on fire"));
 }
 
 struct Broken(Option<std::io::Error>);
--- a/settings/tests/file_bounds.rs
+++ b/settings/tests/file_bounds.rs
@@ -1,7 +1,7 @@
 //! Files that are far too long, generated as they are read: refused by the name of the bound, in bounded memory. A test of its
 //! own process, as it looks at the memory of the whole of it.
 
-use asterrill_settings::read_from;
+use asterrill_settings::Deployment;
 use std::io::{Read, Result};
 
 /// A start, then something again and again.
@@ -61,7 +61,8 @@
     ];
     for (what, bound, megabytes, reader) in cases {
         let [_, before] = memory();
-        let message = read_from(reader, None).map(|deployment| deployment.name).unwrap_err().to_string();
+        let message =
+            Deployment::from_reader(reader, None).map(|deployment| deployment.name).unwrap_err().to_string();
         assert!(message.contains(&format!("bound {bound}")), "{what}: {message}");
         let growth = memory()[0].saturating_sub(before);
         println!("{what}: {growth} kB");
--- a/settings/tests/valid_settings.rs
+++ b/settings/tests/valid_settings.rs
@@ -167,7 +167,7 @@
         "records": "127.0.0.1:4", "seed": "ff", "stop_ms": 900, "limits": {"memory_mb": 64, "sockets": 64},
         "settings": settings()});
     let read = |deployment: &Value| {
-        asterrill_settings::read(&deployment.to_string()).map_err(|error| error.to_string())
+        asterrill_settings::Deployment::from_json(&deployment.to_string()).map_err(|error| error.to_string())
     };
     assert!(read(&deployment).is_ok());
     let paths =
@@ -198,7 +198,7 @@
     last.as_object_mut().unwrap().remove("records");
     assert!(read(&last).unwrap().upstream.is_none());
     for cut in [0, 1, 40, deployment.to_string().len() - 1] {
-        assert!(asterrill_settings::read(&deployment.to_string()[..cut])
+        assert!(asterrill_settings::Deployment::from_json(&deployment.to_string()[..cut])
             .unwrap_err()
             .to_string()
             .contains("JSON"));
