--- a/simulator/src/tests/main.rs
+++ b/simulator/src/tests/batch.rs
@@ -1,6 +1,7 @@
-//! Tests of `main.rs`.
+//! Batches and their replies.
 
-use super::*;
+use crate::batch::{answer, Instances};
+use serde_json::{json, Value};
 
 const START: &str = r#"{"TimeMs":1000.0,"n":1,"items":[{"kind":"NewInstance","I":4,"Nonce64":9,"Params":{
     "Categories":[{"Name":"a","AimMs":500,"DeadlineMs":1500,"Effect":"guarded","Worth":1,"WindowMs":2000}],
@@ -8,8 +9,8 @@
     "Limits":{"RetryAfter":false},"Safety":{"TipMultiple":8,"RampTimeMs":9000,"StopSendingWithinMs":500}}}]}"#;
 
 fn feed(lines: &[&str]) -> Result<Vec<Value>, String> {
-    let mut instances = BTreeMap::new();
-    lines.iter().map(|line| answer(line, &mut instances).map_err(|f| f.to_string())).collect()
+    let mut instances = Instances::new();
+    lines.iter().map(|line| answer(line, &mut instances).map_err(|error| error.to_string())).collect()
 }
 
 fn kinds(reply: &Value) -> Vec<&str> {
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn an_rpc_is_kept_started_and_its_id_given_back_as_it_came() {
+fn rpc_is_started_with_its_key_recorded_and_its_id_unchanged() {
     let read = r#"{"TimeMs":1004.5,"n":7,"items":[{"kind":"JobIn","I":4,"Id":"x-1","Cls":"a","SizeKb":2}]}"#;
     let replies = feed(&[START, read]).unwrap();
     assert_eq!(kinds(&replies[0]), ["Announce", "MarkHealth", "NotifyMe"]);
@@ -27,18 +28,18 @@
 }
 
 #[test]
-fn a_new_life_in_the_same_batch_knows_nothing_of_the_old_one() {
+fn restarted_instance_in_the_same_batch_starts_afresh() {
     let again = START.replace("\"items\":[", "\"items\":[{\"kind\":\"PowerOff\",\"I\":4},");
     assert_eq!(kinds(&feed(&[START, &again]).unwrap()[1]), ["Announce", "MarkHealth", "NotifyMe"]);
     assert!(feed(&[START, r#"{"TimeMs":1.0,"n":2,"items":[{"kind":"PowerOff","I":4}]}"#]).is_ok());
 }
 
 #[test]
-fn what_is_malformed_ends_with_a_message_that_names_it() {
-    let fault = |line: &str| feed(&[START, line]).unwrap_err();
-    assert!(fault("junk").contains("not JSON"));
-    assert!(fault(r#"{"TimeMs":1.0,"items":[]}"#).contains("n is missing"));
-    assert!(fault(r#"{"TimeMs":1.0,"n":2,"items":[{"kind":"JobIn","I":4,"Id":"x"}]}"#).contains("Cls"));
-    assert!(fault(r#"{"TimeMs":1.0,"n":2,"items":[{"kind":"JobIn","I":5}]}"#).contains("not started"));
-    assert!(fault(r#"{"TimeMs":1.0,"n":2,"items":[{"kind":"Riddle","I":4}]}"#).contains("Riddle"));
+fn malformed_batch_ends_with_an_error_that_names_the_fault() {
+    let error = |line: &str| feed(&[START, line]).unwrap_err();
+    assert!(error("junk").contains("not JSON"));
+    assert!(error(r#"{"TimeMs":1.0,"items":[]}"#).contains("n is missing"));
+    assert!(error(r#"{"TimeMs":1.0,"n":2,"items":[{"kind":"JobIn","I":4,"Id":"x"}]}"#).contains("Cls"));
+    assert!(error(r#"{"TimeMs":1.0,"n":2,"items":[{"kind":"JobIn","I":5}]}"#).contains("not started"));
+    assert!(error(r#"{"TimeMs":1.0,"n":2,"items":[{"kind":"Riddle","I":4}]}"#).contains("Riddle"));
 }
