--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -5,7 +5,7 @@
 use crate::ids::{ConnectionId, SidecarStream};
 use asterrill::Us;
 use asterrill_engine::UpstreamLinkId;
-use asterrill_net::{Outbox, Party, Peer};
+use asterrill_net::{ConnectionHandler, LinkHandler, Outbox};
 use asterrill_protocol::agent::{self, Notice};
 use asterrill_protocol::{sidecar, upstream, ProtocolError};
 use asterrill_settings::ServerParts;
@@ -56,8 +56,8 @@
     }
 }
 
-impl Peer for SidecarConnection {
-    fn read(&mut self, mut bytes: &[u8]) -> bool {
+impl ConnectionHandler for SidecarConnection {
+    fn on_data(&mut self, mut bytes: &[u8]) -> bool {
         let read = self.read_frames(&mut bytes);
         let has_partial = read.is_ok() && self.frames.has_partial();
         self.dispatcher.frame_progress(self.conn, self.has_spoken, has_partial);
@@ -66,10 +66,10 @@
         }
         read.is_ok()
     }
-    fn half_closed(&mut self) {
+    fn on_half_closed(&mut self) {
         self.dispatcher.close_when_answered(self.conn, None);
     }
-    fn lingers(&self) -> Option<u64> {
+    fn linger_us(&self) -> Option<u64> {
         // One that never sent a complete frame is owed nothing, and others may need its slot.
         Some(if self.has_spoken { LINGER } else { 0 })
     }
@@ -122,31 +122,31 @@
     }
 }
 
-impl Peer for AgentConnection {
-    fn read(&mut self, mut bytes: &[u8]) -> bool {
+impl ConnectionHandler for AgentConnection {
+    fn on_data(&mut self, mut bytes: &[u8]) -> bool {
         let read = self.read_notices(&mut bytes);
         if let Err(error) = &read {
             warn!(self.dispatcher.log, "reconnecting to the agent"; "why" => error.0);
             self.dispatcher.with(|core, _, _| core.stats_mut().bad_agent += 1);
-            self.out.cut();
+            self.out.close_now();
         }
         read.is_ok()
     }
-    fn half_closed(&mut self) {
-        self.out.cut();
+    fn on_half_closed(&mut self) {
+        self.out.close_now();
     }
 }
 
-impl Party for AgentConnection {
-    fn ready(&mut self) {}
-    fn up(&mut self) {
+impl LinkHandler for AgentConnection {
+    fn before_connect(&mut self) {}
+    fn on_connected(&mut self) {
         self.notices = agent::Reader::default();
         let last_notice = self.dispatcher.with(|core, _, now| core.agent_connected(now));
         let mut bytes = Vec::new();
         agent::subscribe(&mut bytes, last_notice);
         self.out.put(&[&bytes]);
     }
-    fn down(&mut self, _: bool) -> bool {
+    fn on_disconnected(&mut self, _: bool) -> bool {
         std::mem::take(&mut self.useful)
     }
 }
@@ -165,8 +165,8 @@
     pub useful: bool,
 }
 
-impl Peer for UpstreamConnection {
-    fn read(&mut self, mut bytes: &[u8]) -> bool {
+impl ConnectionHandler for UpstreamConnection {
+    fn on_data(&mut self, mut bytes: &[u8]) -> bool {
         loop {
             match self.replies.next(&mut bytes) {
                 Ok(None) => {
@@ -180,25 +180,25 @@
                 Err(error) => {
                     warn!(self.dispatcher.log, "reconnecting an upstream link"; "why" => error.0);
                     self.dispatcher.with(|core, _, _| core.stats_mut().bad_upstream += 1);
-                    self.out.cut();
+                    self.out.close_now();
                     return false;
                 }
             }
         }
     }
-    fn half_closed(&mut self) {
-        self.out.cut();
+    fn on_half_closed(&mut self) {
+        self.out.close_now();
     }
 }
 
-impl Party for UpstreamConnection {
-    fn ready(&mut self) {
+impl LinkHandler for UpstreamConnection {
+    fn before_connect(&mut self) {
         self.dispatcher.with(|core, _, _| core.link_ready(self.link));
     }
-    fn up(&mut self) {
+    fn on_connected(&mut self) {
         self.replies = upstream::Reader::default();
     }
-    fn down(&mut self, refused: bool) -> bool {
+    fn on_disconnected(&mut self, refused: bool) -> bool {
         self.dispatcher.reply_progress(self.link, false);
         self.dispatcher.with(|core, outbound, now| core.link_ended(now, self.link, refused, outbound));
         std::mem::take(&mut self.useful)
@@ -211,24 +211,24 @@
     pub dispatcher: Arc<Dispatcher>,
 }
 
-impl Peer for BrokerConnection {
-    fn read(&mut self, bytes: &[u8]) -> bool {
+impl ConnectionHandler for BrokerConnection {
+    fn on_data(&mut self, bytes: &[u8]) -> bool {
         self.dispatcher.with(|core, outbound, now| core.broker_read(now, bytes, outbound))
     }
-    fn half_closed(&mut self) {
+    fn on_half_closed(&mut self) {
         self.dispatcher.with(|_, outbound, _| outbound.close_broker(true));
     }
 }
 
-impl Party for BrokerConnection {
-    fn ready(&mut self) {}
-    fn up(&mut self) {
+impl LinkHandler for BrokerConnection {
+    fn before_connect(&mut self) {}
+    fn on_connected(&mut self) {
         self.dispatcher.with(|core, outbound, now| core.broker_connected(now, outbound));
     }
-    fn down(&mut self, _: bool) -> bool {
+    fn on_disconnected(&mut self, _: bool) -> bool {
         self.dispatcher.with(|core, outbound, now| core.broker_disconnected(now, outbound))
     }
-    fn wanted(&self) -> bool {
+    fn is_wanted(&self) -> bool {
         !self.dispatcher.with(|core, _, _| core.broker_done())
     }
 }
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -18,7 +18,7 @@
     UpstreamLinkId,
 };
 use asterrill_entries::{Change, Name};
-use asterrill_net::{Buf, Pool};
+use asterrill_net::{BufferPool, PooledBuffer};
 use asterrill_protocol::agent::{self, NoticeId};
 use asterrill_protocol::sidecar::{RpcRequest, StreamId, MAX_STREAMS};
 use asterrill_recovery::{ClockReading, Snapshot, StageTracker};
@@ -41,8 +41,8 @@
 }
 
 pub struct Core {
-    engine: Engine<Requester, Buf>,
-    held: Pool,
+    engine: Engine<Requester, PooledBuffer>,
+    held: BufferPool,
     around: Around,
     now: Us,
     chance: WyRand,
@@ -95,7 +95,7 @@
 /// The names of what is in force now.
 struct ActiveNames<'a> {
     names: &'a NameTable,
-    engine: &'a Engine<Requester, Buf>,
+    engine: &'a Engine<Requester, PooledBuffer>,
 }
 
 impl ActiveNames<'_> {
@@ -256,14 +256,14 @@
 }
 
 impl Core {
-    pub fn new(now: Us, server: ServerParts, pool: Pool, links: usize) -> Core {
+    pub fn new(now: Us, server: ServerParts, pool: BufferPool, links: usize) -> Core {
         let service = ServiceStats::new(now, server.latency_targets.clone());
         let (mut agent, longest) = (AgentSession::default(), server.latency_targets.iter().max().copied());
         agent.set_longest_latency_target(longest.unwrap_or(0));
-        let (control, terms, server) = parts(server, pool.bytes() / RESULTS);
+        let (control, terms, server) = parts(server, pool.capacity_bytes() / RESULTS);
         let held = pool.clone();
         Core {
-            engine: Engine::new(now, control, terms, Box::new(move |bytes| pool.hold(bytes))),
+            engine: Engine::new(now, control, terms, Box::new(move |bytes| pool.copy_from(bytes))),
             held,
             around: Around {
                 server,
@@ -290,7 +290,7 @@
     /// Brings an input to the engine, together with what carries out its outputs.
     fn with<R>(
         &mut self, now: Us, outbound: &mut dyn Outbound,
-        input: impl FnOnce(&mut Engine<Requester, Buf>, Us, &mut EngineOutputs<'_>) -> R,
+        input: impl FnOnce(&mut Engine<Requester, PooledBuffer>, Us, &mut EngineOutputs<'_>) -> R,
     ) -> R {
         self.now = self.engine.advance_to(now);
         let mut carry = EngineOutputs { now: self.now, around: &mut self.around, outbound };
@@ -426,7 +426,7 @@
     /// under it, and what is in hand keeps the terms under which it was read.
     pub fn switch_version(&mut self, now: Us, flip: VersionSwitch, outbound: &mut dyn Outbound) {
         let VersionSwitch { number, bare, longest, queues: terms, tells_tenants } = flip;
-        let results = self.held.bytes() / RESULTS;
+        let results = self.held.capacity_bytes() / RESULTS;
         let bounds = bare.as_ref().map(|bare| RetentionLimits {
             result_ttl: bare.response_ttl,
             idempotency_result_bytes: results,
@@ -735,7 +735,7 @@
             fresh.filter(|_| self.engine.stats.requests == 0 && self.around.counters.changes == 0)
         {
             // Its names stand at the places at which they stand already: both were made of the same version.
-            let results = self.held.bytes() / RESULTS;
+            let results = self.held.capacity_bytes() / RESULTS;
             let terms = EngineConfig {
                 coalescible_methods: server.coalescable,
                 limits: RetentionLimits {
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -9,7 +9,9 @@
 use asterrill::{FinalAnswer, RpcId, Us};
 use asterrill_consensus::LeasedPolicy;
 use asterrill_engine::UpstreamLinkId;
-use asterrill_net::{elapsed, now, Bell, Door, Outbox, Pool, Room, SIZE};
+use asterrill_net::{
+    monotonic_now, now, BufferPool, ConnectionLimit, ListenerHandle, Notify, Outbox, BUFFER_SIZE,
+};
 use asterrill_protocol::agent::{self, NoticeId};
 use asterrill_protocol::sidecar::{self, ANSWER_OVERHEAD_BYTES};
 use asterrill_protocol::upstream;
@@ -33,7 +35,7 @@
 
 /// The buffers of each pool for so much memory.
 pub fn buffers(memory_mb: u64) -> usize {
-    (memory_mb * 1024 * 1024 / BUFFERS / SIZE as u64) as usize
+    (memory_mb * 1024 * 1024 / BUFFERS / BUFFER_SIZE as u64) as usize
 }
 
 /// A sidecar's connection.
@@ -81,7 +83,7 @@
     }
     /// When it last carried something, or came.
     fn used(&self) -> Us {
-        self.out.used().max(self.since)
+        self.out.last_used().max(self.since)
     }
 }
 
@@ -90,7 +92,7 @@
     lines: BTreeMap<ConnectionId, Line>,
     /// Connections that are closed once nothing is owed on them, and since when that has been said to their drivers.
     ending: BTreeMap<ConnectionId, Option<Us>>,
-    door: Door,
+    door: ListenerHandle,
     agent: Outbox,
     below: Vec<Outbox>,
     broker: Option<Outbox>,
@@ -121,27 +123,28 @@
 
 pub struct Dispatcher {
     inner: Mutex<Inner>,
-    pub pool: Pool,
+    pub pool: BufferPool,
     /// Bodies of RPCs.
-    held: Pool,
+    held: BufferPool,
     /// For connections.
-    pub capacity: Room,
+    pub capacity: ConnectionLimit,
     /// Of the listening socket.
-    pub listener_gate: Door,
+    pub listener_gate: ListenerHandle,
     pub log: Logger,
     /// Rings when the clock is wanted earlier than it was set.
-    pub clock: Bell,
+    pub clock: Notify,
     /// Rings when the name service is to be told something new.
-    pub load_report_bell: Bell,
+    pub load_report_bell: Notify,
     /// Changes of the settings are taken: this one is not cut off from the others.
     pub changes_allowed: AtomicBool,
 }
 
 impl Dispatcher {
     pub fn new(
-        core: Core, agent: Outbox, below: Vec<Outbox>, room: usize, idle: Us, pools: [Pool; 2], log: Logger,
+        core: Core, agent: Outbox, below: Vec<Outbox>, room: usize, idle: Us, pools: [BufferPool; 2],
+        log: Logger,
     ) -> Dispatcher {
-        let door = Door::default();
+        let door = ListenerHandle::default();
         let ports = Ports {
             lines: BTreeMap::new(),
             ending: BTreeMap::new(),
@@ -160,7 +163,7 @@
             scratch: Vec::with_capacity(512),
             log: log.clone(),
         };
-        let ([pool, held], taken) = (pools, Room::new(room));
+        let ([pool, held], taken) = (pools, ConnectionLimit::new(room));
         let inner = Inner { core, ports, armed: Us::MAX, conns: 0, lease: Us::MAX, policy_until: Us::MAX };
         Dispatcher {
             inner: Mutex::new(inner),
@@ -169,8 +172,8 @@
             capacity: taken,
             listener_gate: door,
             log,
-            clock: Bell::default(),
-            load_report_bell: Bell::default(),
+            clock: Notify::default(),
+            load_report_bell: Notify::default(),
             changes_allowed: AtomicBool::new(true),
         }
     }
@@ -191,12 +194,12 @@
         let mut inner = self.inner();
         let Inner { core, ports, armed, lease, policy_until, .. } = &mut *inner;
         let told = ports.serving;
-        if *lease != Us::MAX && elapsed() > *lease {
+        if *lease != Us::MAX && monotonic_now() > *lease {
             // Whatever it was told is not known any more: it was paused, or starved.
             *lease = Us::MAX;
             core.share(now(), asterrill_membership::STATIC_QUOTA_FRACTION, ports);
         }
-        if *policy_until != Us::MAX && elapsed() >= *policy_until {
+        if *policy_until != Us::MAX && monotonic_now() >= *policy_until {
             *policy_until = Us::MAX;
             core.expire_policy_lease();
         }
@@ -204,17 +207,17 @@
         ports.version = core.version();
         ports.finish(core);
         if ports.serving != told {
-            self.load_report_bell.ring();
+            self.load_report_bell.notify();
         }
         let next = core.next_deadline().unwrap_or(Us::MAX);
         if next < *armed {
             *armed = next;
-            self.clock.ring();
+            self.clock.notify();
         }
         result
     }
 
-    /// The part that was told last is good until then, by [`elapsed`]; and whether changes are taken here.
+    /// The part that was told last is good until then, by [`monotonic_now`]; and whether changes are taken here.
     pub fn lease(&self, until: Us, changes: bool) {
         self.inner().lease = until;
         self.changes_allowed.store(changes, Ordering::Release);
@@ -332,7 +335,7 @@
         for (conn, told) in &ports.ending {
             if let Some(line) = ports.lines.get(conn).filter(|_| told.is_some_and(|since| since + SLOW < now))
             {
-                line.out.cut();
+                line.out.close_now();
             }
         }
         for (conns, why) in [(stuck, "a frame stopped halfway"), (mute, "nothing whole came")] {
@@ -360,8 +363,8 @@
                 ports.stalled[link.0] = None;
                 core.stats_mut().bad_upstream += 1;
                 warn!(ports.log, "reconnecting an upstream link"; "why" => "a reply stopped halfway");
-                out.cut();
-            } else if out.used() > 0 && out.used() + BELOW < now && !core.calls_on(link) {
+                out.close_now();
+            } else if out.last_used() > 0 && out.last_used() + BELOW < now && !core.calls_on(link) {
                 core.retire(link, ports);
             }
         }
@@ -414,7 +417,7 @@
     /// as they are.
     pub fn resize(&self, memory_mb: u64, room: usize) {
         let mut inner = self.inner();
-        self.capacity.grow(room as isize - inner.ports.room as isize);
+        self.capacity.adjust(room as isize - inner.ports.room as isize);
         inner.ports.room = room;
         drop(inner);
         let most = buffers(memory_mb);
@@ -424,10 +427,10 @@
 
     pub fn stats_line(&self) -> String {
         let inner = self.inner();
-        let (out, peak) = self.pool.used();
+        let asterrill_net::PoolUsage { in_use, peak } = self.pool.usage();
         let (open, owed) = (inner.core.open(), inner.core.owed());
         let queues = inner.core.queues().map(|queues| format!(" {queues}")).unwrap_or_default();
-        format!("{}open={open} owed={owed} buffers={out} buffers_peak={peak}{queues}", inner.core.stats())
+        format!("{}open={open} owed={owed} buffers={in_use} buffers_peak={peak}{queues}", inner.core.stats())
     }
 }
 
@@ -440,7 +443,7 @@
             if (line.crowded || line.halfway.is_none()) && core.owed_on(*conn) == 0 {
                 *told = Some(now());
                 if line.crowded {
-                    line.out.finish_soon();
+                    line.out.finish_without_linger();
                 } else {
                     line.out.finish();
                 }
@@ -541,13 +544,13 @@
         }
     }
     fn close_upstream_link(&mut self, link: UpstreamLinkId) -> bool {
-        self.below.get(link.0).is_some_and(Outbox::let_go)
+        self.below.get(link.0).is_some_and(Outbox::finish_if_connected)
     }
     fn close_untrusted(&mut self, conn: ConnectionId) {
         self.end(conn, "nothing that came here could be run");
     }
     fn reset_agent_link(&mut self) {
-        self.agent.cut();
+        self.agent.close_now();
     }
     fn set_serving(&mut self, yes: bool) {
         self.serving = Some(yes);
@@ -569,8 +572,8 @@
     }
     fn close_broker(&mut self, at_once: bool) {
         match &self.broker {
-            Some(out) if at_once => out.cut(),
-            Some(out) => drop(out.let_go()),
+            Some(out) if at_once => out.close_now(),
+            Some(out) => drop(out.finish_if_connected()),
             None => {}
         }
     }
--- a/daemon/src/load_report.rs
+++ b/daemon/src/load_report.rs
@@ -3,7 +3,7 @@
 
 use crate::dispatcher::Dispatcher;
 use asterrill::Us;
-use asterrill_net::{exchange, now, wait_until, Address, Pause};
+use asterrill_net::{exchange, now, wait_until, Address, Backoff, ReplyStatus};
 use asterrill_protocol::name_service;
 use asterrill_recovery::phase;
 use slog::warn;
@@ -21,9 +21,9 @@
 /// A report that was sent may count though it was not answered, so only one that could not be sent makes the next one
 /// back off. `jitter_seed` spreads the reports of many backends; `None` sends them without jitter.
 pub fn send_load_reports(
-    dispatcher: &Dispatcher, name: &str, address: &Address, mut backoff: Pause, jitter_seed: Option<u64>,
+    dispatcher: &Dispatcher, name: &str, address: &Address, mut backoff: Backoff, jitter_seed: Option<u64>,
 ) {
-    dispatcher.load_report_bell.attend();
+    dispatcher.load_report_bell.register();
     let mut target = address.get();
     let mut connection = None;
     let mut reports = 0_u64;
@@ -46,21 +46,23 @@
         let mut reader = name_service::Reader::default();
         let mut counted = false;
         let read_reply = |mut bytes: &[u8]| match reader.next(&mut bytes) {
-            Ok(None) => None,
+            Ok(None) => ReplyStatus::Incomplete,
             Ok(Some(reply)) => {
                 counted = reply.accepted;
-                Some(reply.keep_alive)
+                if reply.keep_alive {
+                    ReplyStatus::KeepAlive
+                } else {
+                    ReplyStatus::Close
+                }
             }
             Err(error) => {
                 warn!(dispatcher.log, "load report lost: invalid reply"; "why" => error.0);
                 dispatcher.with(|core, _, _| core.stats_mut().bad_name_service += 1);
-                Some(false)
+                ReplyStatus::Close
             }
         };
         let still_wanted = || !outdated();
-        let exchanged =
-            exchange(connection.take(), target, &request, REPORT_TIMEOUT, still_wanted, read_reply);
-        connection = exchanged.flatten();
+        connection = exchange(connection.take(), target, &request, REPORT_TIMEOUT, still_wanted, read_reply);
         count_report(dispatcher, counted);
 
         if counted {
@@ -71,7 +73,7 @@
                 wait_until(started + REPORT_INTERVAL - early);
             }
         } else if is_new_connection && now() < started + REPORT_TIMEOUT.as_micros() as u64 {
-            backoff.rest_unless(outdated);
+            backoff.wait_unless(outdated);
         }
     }
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -35,7 +35,8 @@
 use crate::store::{read_learned, read_members, Store};
 use asterrill::Us;
 use asterrill_net::{
-    drive, hold, listen, now, spawn, turn, wait_until, Address, End, Outbox, Pause as Rest, Pool,
+    listen, now, run_connection, run_link, spawn, wait_until, yield_to_others, Address, Backoff, BufferPool,
+    ConnectionEnd, Outbox,
 };
 use asterrill_operator_config::{LogFormat, OperatorConfig};
 use asterrill_protocol::{agent, sidecar};
@@ -140,7 +141,7 @@
     if arguments.check {
         return Ok(());
     }
-    asterrill_net::one_worker()?;
+    asterrill_net::start_worker()?;
     let listener =
         asterrill_net::bind(to.listen).map_err(|e| SettingsError::new(format!("{}: {e}", to.listen)))?;
     let mut signals = Signals::new([SIGTERM, SIGUSR1, SIGHUP])?;
@@ -148,7 +149,7 @@
     let own = asterrill_recovery::seed(to.seed, &to.name, now(), std::process::id());
     let mut chance = WyRand::new_seed(own);
     // Two pools, so that what is held can't keep what is owed from being written.
-    let [pool, held] = [(); 2].map(|()| Pool::new(buffers(to.memory_mb)));
+    let [pool, held] = [(); 2].map(|()| BufferPool::new(buffers(to.memory_mb)));
     // Where callers close idle connections by themselves; not told, none is idle too long.
     let idle = start.entries.globals().idle_timeout;
     let idle = if idle > 0 { idle } else { Us::MAX };
@@ -167,9 +168,9 @@
         dispatcher.attach_queues(queues, out.clone());
         let (dispatcher, pool) = (dispatcher.clone(), pool.clone());
         let (least, most) = (Duration::from_micros(pause.0), Duration::from_micros(pause.1));
-        let pause = Rest::new(least, most, chance.generate());
+        let pause = Backoff::new(least, most, chance.generate());
         spawn("broker", move || {
-            hold(&addresses, &out, &pool, true, pause, &mut BrokerConnection { dispatcher })
+            run_link(&addresses, &out, &pool, true, pause, &mut BrokerConnection { dispatcher })
         })?;
     }
     if let Some(terms) = operator.recovery {
@@ -234,7 +235,7 @@
     }
     {
         let (dispatcher, seed, running) = (dispatcher.clone(), to.seed, running.clone());
-        let (pool, pause) = (pool.clone(), Rest::new(ms(10), ms(1000), chance.generate()));
+        let (pool, pause) = (pool.clone(), Backoff::new(ms(10), ms(1000), chance.generate()));
         let places = places.clone();
         spawn("agent", move || {
             let make = move |at, cold| {
@@ -243,22 +244,22 @@
             let (out, make) = (agent_out.clone(), Box::new(make));
             let mut party =
                 AgentConnection { dispatcher, out, notices: agent::Reader::default(), make, useful: false };
-            hold(&places.agent, &agent_out, &pool, true, pause, &mut party);
+            run_link(&places.agent, &agent_out, &pool, true, pause, &mut party);
         })?;
     }
     for (i, out) in below.into_iter().enumerate() {
         let (dispatcher, pool, pause) =
-            (dispatcher.clone(), pool.clone(), Rest::new(ms(10), ms(200), chance.generate()));
+            (dispatcher.clone(), pool.clone(), Backoff::new(ms(10), ms(200), chance.generate()));
         let Some(records) = places.records.clone() else { break };
         spawn("below", move || {
             let (link, replies) =
                 (asterrill_engine::UpstreamLinkId(i), asterrill_protocol::upstream::Reader::default());
             let mut party = UpstreamConnection { dispatcher, out: out.clone(), link, replies, useful: false };
-            hold(&records, &out, &pool, false, pause, &mut party);
+            run_link(&records, &out, &pool, false, pause, &mut party);
         })?;
     }
     {
-        let (dispatcher, pause) = (dispatcher.clone(), Rest::new(ms(50), ms(1000), chance.generate()));
+        let (dispatcher, pause) = (dispatcher.clone(), Backoff::new(ms(50), ms(1000), chance.generate()));
         let (name, places) = (to.name.clone(), places.clone());
         spawn("naming", move || send_load_reports(&dispatcher, &name, &places.naming, pause, spread))?;
     }
@@ -295,8 +296,8 @@
                             frames,
                             has_spoken: false,
                         };
-                        let end = drive(&stream, &out, &dispatcher.pool, &mut peer);
-                        dispatcher.connection_closed(conn, end == End::Broken);
+                        let end = run_connection(&stream, &out, &dispatcher.pool, &mut peer);
+                        dispatcher.connection_closed(conn, end == ConnectionEnd::Broken);
                         drop(stream);
                         drop(place);
                     });
@@ -319,7 +320,7 @@
                 info!(log, "counters"; "of" => dispatcher.stats_line(), "members" => peers.as_ref().map(|p| p.stats_line()))
             }
         }
-        dispatcher.clock.ring();
+        dispatcher.clock.notify();
     }
     info!(log, "ended"; "counters" => dispatcher.stats_line());
     Ok(())
@@ -413,7 +414,7 @@
 impl Orders {
     /// Carries a request out: a change is read and checked here, on the thread of who asks.
     fn request(&self, request: Request, dispatcher: &Dispatcher, terms: change::Terms, seed: u64) -> Told {
-        let ring = || dispatcher.clock.ring();
+        let ring = || dispatcher.clock.notify();
         let read = |asked| match self.glance(ring) {
             Some(glance) => prepare(&glance, asked, terms, seed),
             None => Err(refused("nobody answers")),
@@ -452,7 +453,7 @@
         }
         let what = What::Entries(to.configuration.clone());
         let asked = Asked { what, base: None, options: StageOptions::default() };
-        let glance = self.glance(|| dispatcher.clock.ring());
+        let glance = self.glance(|| dispatcher.clock.notify());
         let prepared = glance.map(|glance| prepare(&glance, asked, terms, to.seed));
         Reread { to, prepared }
     }
@@ -503,17 +504,17 @@
 impl Places {
     /// Goes over to where the other sides are now.
     fn go_over(&self, dispatcher: &Dispatcher, to: &Deployment) {
-        if self.agent.moves(to.agent) {
-            self.links.iter().take(1).for_each(Outbox::cut);
+        if self.agent.set(to.agent) {
+            self.links.iter().take(1).for_each(Outbox::close_now);
         }
         if let (Some(records), Some(at)) = (&self.records, to.upstream) {
-            if records.moves(at) {
+            if records.set(at) {
                 dispatcher.with(|core, outbound, _| core.upstream_moved(outbound));
             }
         }
-        self.naming.moves(to.name_service);
-        self.links.iter().for_each(Outbox::moved);
-        dispatcher.load_report_bell.ring();
+        self.naming.set(to.name_service);
+        self.links.iter().for_each(Outbox::wake_owner);
+        dispatcher.load_report_bell.notify();
     }
 }
 
@@ -567,7 +568,7 @@
 /// Between two slices of a change: all others get their turn, time passes for the core, and the notice to leave is not
 /// held up. It is told to the module as it is in force; the slices that are left go in after it.
 fn between(dispatcher: &Dispatcher, orders: &Orders, leaving: &mut Leaving, came: bool) {
-    turn();
+    yield_to_others();
     if !leaving.came && (came || orders.lock().leave) {
         leaving.notice(dispatcher);
     }
@@ -589,7 +590,7 @@
     handle: &Handle,
 ) {
     let peers = leaving.peers.clone();
-    dispatcher.clock.attend();
+    dispatcher.clock.register();
     dispatcher.with(|core, outbound, now| core.start(now, outbound));
     loop {
         let at = dispatcher.arm_clock(changes.next());
--- a/daemon/src/membership.rs
+++ b/daemon/src/membership.rs
@@ -12,7 +12,7 @@
     role_policy, AllowedChanges, Counters, EnvelopeCodec, Event, MemberId, MemberInfo, MemberName,
     MemberStatus, Membership, PersistedState, Transmit,
 };
-use asterrill_net::{elapsed, now, spawn, wait_until, Bell, Datagrams};
+use asterrill_net::{monotonic_now, now, spawn, wait_until, DatagramSocket, Notify};
 use asterrill_settings::SettingsError;
 use serde_json::{json, Value};
 use slog::{info, warn, Logger};
@@ -41,7 +41,7 @@
 /// The others, as this backend knows them.
 pub struct MembershipService {
     inner: Mutex<Inner>,
-    clock: Bell,
+    clock: Notify,
     /// Numbers of writes of a keeper that stand on disk.
     stands: Arc<Mutex<Vec<u64>>>,
     expect: usize,
@@ -74,7 +74,7 @@
         |e: &dyn std::fmt::Display| SettingsError::new(format!("{}: {e}", dir.join("agreed").display()));
     let voter = config.voters.iter().any(|voter| voter == name);
     let disk = if voter { read_consensus(dir).map_err(|e| named(&e))? } else { Vec::new() };
-    let node = Node::new(elapsed(), name, start, config, &disk, &[]).map_err(|e| named(&e))?;
+    let node = Node::new(monotonic_now(), name, start, config, &disk, &[]).map_err(|e| named(&e))?;
     if voter && node.valid_log_len() < disk.len() {
         truncate_consensus(dir, node.valid_log_len()).map_err(|e| named(&e))?;
     }
@@ -135,7 +135,7 @@
     /// Opens the socket, so that a failure shows before anything else starts.
     pub fn open(
         begin: MembershipConfig<'_>, log: &Logger,
-    ) -> Result<(Arc<MembershipService>, Datagrams), SettingsError> {
+    ) -> Result<(Arc<MembershipService>, DatagramSocket), SettingsError> {
         let file = begin.file;
         let (name, key) = check(begin.name, file)?;
         let restored = PersistedState::restore(begin.persisted, now(), file.forget_after);
@@ -159,9 +159,16 @@
         };
         let codec = EnvelopeCodec::new(key.as_bytes(), &file.cluster, begin.name, start);
         let contacts = file.seed_addresses.iter().copied().chain(restored.addresses).collect();
-        let members =
-            Membership::new(elapsed(), own, codec, config, contacts, restored.agreed_members, begin.seed);
-        let socket = Datagrams::bind(file.listen);
+        let members = Membership::new(
+            monotonic_now(),
+            own,
+            codec,
+            config,
+            contacts,
+            restored.agreed_members,
+            begin.seed,
+        );
+        let socket = DatagramSocket::bind(file.listen);
         let socket =
             socket.map_err(|e| SettingsError::new(format!("[members] listen {}: {e}", file.listen)))?;
         let agree = begin.fleet.map(|(fleet, dir)| agreement(begin.name, start, fleet, dir)).transpose()?;
@@ -169,7 +176,7 @@
         let inner = Inner { members, out, left: false, agree, asking, untold: 0 };
         let peers = MembershipService {
             inner: Mutex::new(inner),
-            clock: Bell::default(),
+            clock: Notify::default(),
             stands: Arc::default(),
             expect: file.expected_members,
             lasting: file.suspicion_timeout,
@@ -186,33 +193,35 @@
 
     /// Starts the coroutines: one reads, one lets time pass and sends.
     pub fn start(
-        self: &Arc<MembershipService>, socket: Datagrams, dispatcher: &Arc<Dispatcher>, store: Option<Store>,
+        self: &Arc<MembershipService>, socket: DatagramSocket, dispatcher: &Arc<Dispatcher>,
+        store: Option<Store>,
     ) -> std::io::Result<()> {
-        let (peers, from) = (self.clone(), socket.again()?);
+        let (peers, from) = (self.clone(), socket.try_clone()?);
         spawn("members", move || {
             from.receive(|from, bytes| {
                 let mut inner = peers.inner();
-                inner.members.handle_datagram(elapsed(), from, bytes);
+                inner.members.handle_datagram(monotonic_now(), from, bytes);
                 drop(inner);
-                peers.clock.ring();
+                peers.clock.notify();
             });
         })?;
         let (peers, dispatcher) = (self.clone(), dispatcher.clone());
         let (rings, numbers) = (self.clone(), self.stands.clone());
         let stands: Arc<OnDurable> = Arc::new(move |number| {
             numbers.lock().unwrap_or_else(|e| e.into_inner()).push(number);
-            rings.clock.ring();
+            rings.clock.notify();
         });
         spawn("members' clock", move || peers.attend(&socket, &dispatcher, store, &stands))
     }
 
     fn attend(
-        &self, socket: &Datagrams, dispatcher: &Dispatcher, store: Option<Store>, stands: &Arc<OnDurable>,
+        &self, socket: &DatagramSocket, dispatcher: &Dispatcher, store: Option<Store>,
+        stands: &Arc<OnDurable>,
     ) {
-        self.clock.attend();
-        let (mut keep, mut kept) = (elapsed(), PersistedState::default());
+        self.clock.register();
+        let (mut keep, mut kept) = (monotonic_now(), PersistedState::default());
         loop {
-            let at = elapsed();
+            let at = monotonic_now();
             let (out, events, next, does, left) = {
                 let mut inner = self.inner();
                 if inner.members.next_wakeup() <= at {
@@ -258,7 +267,7 @@
                 return;
             }
             // Never later than a part is good for, by a wide margin.
-            let wait = next.saturating_sub(elapsed()).min(self.lasting / 4);
+            let wait = next.saturating_sub(monotonic_now()).min(self.lasting / 4);
             wait_until(now() + wait.max(1_000));
         }
     }
@@ -305,10 +314,10 @@
     /// This backend leaves, and says so.
     pub fn leave(&self) {
         let mut inner = self.inner();
-        inner.members.leave(elapsed());
+        inner.members.leave(monotonic_now());
         inner.left = true;
         drop(inner);
-        self.clock.ring();
+        self.clock.notify();
     }
 
     /// An operator wishes something; told once it is settled.
@@ -322,7 +331,7 @@
         let number = agree.propose(proposal);
         inner.asking.insert(number, told);
         drop(inner);
-        self.clock.ring();
+        self.clock.notify();
     }
     /// For operators: what was agreed on, and how far this one is with it.
     pub fn describe_agreed(&self, list: Option<ListKind>) -> Value {
@@ -341,14 +350,14 @@
             return json!({"ok": true, "list": kind.name(), "version": newest.number, "entries": newest.len(kind),
                 "shown": rows.len(), "rows": rows});
         }
-        let mode = if elapsed() >= until { policy.after_lease_expiry().mode } else { policy.mode };
+        let mode = if monotonic_now() >= until { policy.after_lease_expiry().mode } else { policy.mode };
         let history: Vec<Value> = agree.version_log().history().rev().take(20).map(|version| {
             json!({"version": version.number, "hash": format!("{:016x}", version.hash()), "by": version.proposer})
         }).collect();
         let counters = agree.counters;
         json!({"ok": true, "form": mode.name(), "version": policy.effective_number(), "newest": newest.number,
             "hash": format!("{:016x}", newest.hash()), "in_force": agree.version_log().active(),
-            "lease_ms": until.saturating_sub(elapsed()) / 1_000, "stated_ms": agree.config().contradiction_bound() / 1_000,
+            "lease_ms": until.saturating_sub(monotonic_now()) / 1_000, "stated_ms": agree.config().contradiction_bound() / 1_000,
             "keeper": agree.is_voter(), "leads": agree.is_leader(), "leader": agree.leader(),
             "holders": agree.lease_holders().map(|count| json!({"all": count.leased, "have": count.up_to_date})),
             "versions": history,
@@ -360,7 +369,7 @@
     /// For operators: the view, and each member.
     pub fn describe_members(&self) -> Value {
         let inner = self.inner();
-        let (members, at) = (&inner.members, elapsed());
+        let (members, at) = (&inner.members, monotonic_now());
         let ago = |us: Us| at.saturating_sub(us) / 1_000;
         let evidence = members.evidence();
         let own = members.local_id();
--- a/daemon/src/operator.rs
+++ b/daemon/src/operator.rs
@@ -88,7 +88,7 @@
         room: (bodies / SHARE) as f64,
         credit: content.globals().load_report == FeedbackMode::Credit,
     };
-    let Some(addresses) = Address::first_of(&broker.addresses) else { return Ok(None) };
+    let Some(addresses) = Address::with_fallbacks(&broker.addresses) else { return Ok(None) };
     Ok(Some((
         QueueConsumers::new(now, setup),
         addresses,
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -7,7 +7,7 @@
 use asterrill::{CallEnd, CallerId, FinalAnswer, RpcId, RunEnd, Us};
 use asterrill_engine::UpstreamLinkId;
 use asterrill_entries::{Change as Entry, Configuration as Entries, EntryKind};
-use asterrill_net::Pool;
+use asterrill_net::BufferPool;
 use asterrill_protocol::agent::NoticeId;
 use asterrill_protocol::sidecar::{RpcRequest, StreamId};
 use asterrill_settings::ServerParts;
@@ -233,7 +233,7 @@
         World::of(seed, &server())
     }
     fn of(seed: u64, settings: &Value) -> World {
-        let mut core = Core::new(START, made(START, seed, settings, None), Pool::new(500), 4);
+        let mut core = Core::new(START, made(START, seed, settings, None), BufferPool::new(500), 4);
         let mut out = Out::default();
         core.start(START, &mut out);
         core.agent_connected(START);
@@ -974,7 +974,7 @@
 fn a_notice_to_leave_before_the_agent_greets_counts_from_when_it_came() {
     for greets in [50, 250] {
         let made = |at| made(at, 1, &server(), Some(true));
-        let (mut core, mut out) = (Core::new(START, made(START), Pool::new(500), 4), Out::default());
+        let (mut core, mut out) = (Core::new(START, made(START), BufferPool::new(500), 4), Out::default());
         core.start(START, &mut out);
         core.drain(START, 1_000 * MS, &mut out);
         let up = START + greets * MS;
@@ -1028,7 +1028,7 @@
 #[test]
 fn a_change_before_the_agent_is_up_and_one_while_its_link_is_away_are_kept() {
     let first = made(START, 1, &server(), None);
-    let (mut core, mut out) = (Core::new(START, first, Pool::new(500), 4), Out::default());
+    let (mut core, mut out) = (Core::new(START, first, BufferPool::new(500), 4), Out::default());
     core.start(START, &mut out);
     let mut settings = server();
     settings["Categories"].as_array_mut().unwrap().pop();
@@ -1060,7 +1060,7 @@
     let mut settings = server();
     (settings["FamilyInfo"]["RamKb"], settings["FamilyInfo"]["NCores"]) = (json!(1_000_000), json!(1_500));
     let first = made(START, 1, &settings, None);
-    let (mut core, mut out) = (Core::new(START, first, Pool::new(4_000), 4), Out::default());
+    let (mut core, mut out) = (Core::new(START, first, BufferPool::new(4_000), 4), Out::default());
     core.start(START, &mut out);
     core.agent_connected(START);
     core.agent_up(START, None, &mut out);
@@ -1135,7 +1135,7 @@
         )
     }
     fn world(seed: u64, kept: Option<Snapshot>) -> World {
-        let mut core = Core::new(START, made(START, seed, &server(), None), Pool::new(500), 4);
+        let mut core = Core::new(START, made(START, seed, &server(), None), BufferPool::new(500), 4);
         let mut out = Out::default();
         core.start(START, &mut out);
         core.start_recovery(START, start(START, kept), &mut out);
@@ -1346,7 +1346,7 @@
     };
     let (half, whole) = (of(&mut (0..many / 2)), of(&mut (0..many)));
     let first = asterrill_settings::server_parts(START, 1, &half, None).unwrap();
-    let (mut core, mut out) = (Core::new(START, first, Pool::new(50), 4), Out::default());
+    let (mut core, mut out) = (Core::new(START, first, BufferPool::new(50), 4), Out::default());
     change(&mut core, START, &half, &whole, 2, &mut out);
     // Any figure of those that are known may change, however many.
     change(&mut core, START, &whole, &half, 3, &mut out);
--- a/daemon/src/tests/change.rs
+++ b/daemon/src/tests/change.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::change::{prepare, Asked, Changes, Content, Prepared, Terms, Wanted, What};
 use crate::dispatcher::Dispatcher;
-use asterrill_net::{now, one_worker, spawn, Outbox};
+use asterrill_net::{now, spawn, start_worker, Outbox};
 use asterrill_rollout::StageOptions;
 use std::sync::Arc;
 
@@ -17,13 +17,13 @@
 }
 
 fn begin(start: &Entries) -> (Arc<Dispatcher>, Changes) {
-    let pool = Pool::new(500);
+    let pool = BufferPool::new(500);
     let server = asterrill_settings::server_parts(now(), 1, start, None).unwrap();
-    let core = Core::new(now(), server, Pool::new(500), 4);
+    let core = Core::new(now(), server, BufferPool::new(500), 4);
     let agent = Outbox::new(&pool, 1 << 16);
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let dispatcher =
-        Arc::new(Dispatcher::new(core, agent, Vec::new(), 8, u64::MAX, [pool, Pool::new(500)], log));
+        Arc::new(Dispatcher::new(core, agent, Vec::new(), 8, u64::MAX, [pool, BufferPool::new(500)], log));
     dispatcher.with(|core, outbound, now| core.start(now, outbound));
     let content = Content::new(start.clone(), asterrill_operator_config::OperatorConfig::default(), "");
     (dispatcher, Changes::new(content, 1, Vec::new(), TERMS, 1, None))
@@ -152,13 +152,13 @@
 
 #[test]
 fn a_notice_to_leave_is_told_between_two_slices() {
-    one_worker().unwrap();
+    start_worker().unwrap();
     let (dispatcher, _) = begin(&guests(0..3));
     let (told, heard) = std::sync::mpsc::channel();
     spawn("clock", move || {
         let orders = crate::Orders::default();
         let mut leaving = crate::Leaving { peers: None, store: None, stop: 900 * MS, came: false };
-        dispatcher.clock.attend();
+        dispatcher.clock.register();
         crate::between(&dispatcher, &orders, &mut leaving, false);
         let before = dispatcher.serving();
         orders.lock().leave = true;
--- a/daemon/src/tests/dispatcher.rs
+++ b/daemon/src/tests/dispatcher.rs
@@ -5,7 +5,9 @@
 use crate::core::Core;
 use crate::dispatcher::Dispatcher;
 use crate::ids::ConnectionId;
-use asterrill_net::{bind, drive, listen, now, one_worker, spawn, Outbox, Pool, Room};
+use asterrill_net::{
+    bind, listen, now, run_connection, spawn, start_worker, BufferPool, ConnectionLimit, Outbox,
+};
 use asterrill_protocol::sidecar;
 use socket2::{Domain, Socket, Type};
 use std::io::Read;
@@ -18,12 +20,12 @@
 
 #[test]
 fn who_never_takes_what_it_is_owed_is_cut_off_in_the_end_and_who_does_is_not() {
-    one_worker().unwrap();
-    let pool = Pool::new(500);
-    let core = Core::new(START, made(START, 1, &server(), None), Pool::new(500), 4);
+    start_worker().unwrap();
+    let pool = BufferPool::new(500);
+    let core = Core::new(START, made(START, 1, &server(), None), BufferPool::new(500), 4);
     let agent = Outbox::new(&pool, 1 << 16);
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let pools = [pool.clone(), Pool::new(500)];
+    let pools = [pool.clone(), BufferPool::new(500)];
     let dispatcher = Arc::new(Dispatcher::new(core, agent, Vec::new(), 8, u64::MAX, pools, log.clone()));
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = listener.local_addr().unwrap();
@@ -40,14 +42,14 @@
                 frames: sidecar::Reader::default(),
                 has_spoken: true,
             };
-            drive(&stream, &out, &dispatcher.pool, &mut peer);
+            run_connection(&stream, &out, &dispatcher.pool, &mut peer);
             dispatcher.connection_closed(conn, false);
             drop((stream, place));
             ends.send(conn).unwrap_or_default();
         })
         .unwrap();
     };
-    spawn("listen", move || listen(listener, &door, Room::new(8), log, || {}, took)).unwrap();
+    spawn("listen", move || listen(listener, &door, ConnectionLimit::new(8), log, || {}, took)).unwrap();
     // One takes nothing: what it is owed fills the system's buffers, then its outbox. The other takes all.
     // Its buffer is as small as can be, so that it fills for good.
     let small = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
--- /dev/null
+++ b/net/src/exchange.rs
@@ -0,0 +1,55 @@
+//! One request and its reply on an outgoing connection.
+
+use crate::clock::now;
+use may::net::TcpStream;
+use std::io::{ErrorKind, Read, Write};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+const CHUNK_BYTES: usize = 512;
+/// Between looks whether the reply is still wanted.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// How far a reply has been read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReplyStatus {
+    /// More of it is to come.
+    Incomplete,
+    /// It is complete, and the connection can be used again.
+    KeepAlive,
+    /// It is complete or broken, and the connection is to be closed.
+    Close,
+}
+
+/// Sends a request, on a connection that an earlier exchange returned if there is one, and reads until `on_data` says that the
+/// reply is complete. Returns the connection if it can be used again. It is closed on any failure, after `timeout`, and once the
+/// reply is not `wanted` any more.
+pub fn exchange(
+    reuse: Option<TcpStream>, to: SocketAddr, request: &[u8], timeout: Duration, wanted: impl Fn() -> bool,
+    mut on_data: impl FnMut(&[u8]) -> ReplyStatus,
+) -> Option<TcpStream> {
+    let deadline = now() + timeout.as_micros() as u64;
+    let mut stream = match reuse {
+        Some(stream) => stream,
+        None => TcpStream::connect_timeout(&to, timeout).ok()?,
+    };
+    stream.set_read_timeout(Some(POLL_INTERVAL)).ok()?;
+    stream.set_write_timeout(Some(timeout)).ok()?;
+    stream.write_all(request).ok()?;
+    let mut chunk = [0; CHUNK_BYTES];
+    loop {
+        match stream.read(&mut chunk) {
+            Ok(0) => return None,
+            Ok(length) => match on_data(chunk.get(..length).unwrap_or(&[])) {
+                ReplyStatus::Incomplete => {}
+                ReplyStatus::KeepAlive => return Some(stream),
+                ReplyStatus::Close => return None,
+            },
+            Err(e) if matches!(e.kind(), ErrorKind::TimedOut | ErrorKind::WouldBlock) => {}
+            Err(_) => return None,
+        }
+        if now() >= deadline || !wanted() {
+            return None;
+        }
+    }
+}
--- a/net/src/listener.rs
+++ b/net/src/listener.rs
@@ -1,7 +1,7 @@
-//! Taking in connections, no more than there is room for.
+//! Accepting connections, up to a limit.
 
-use crate::clock::turn;
-use crate::{now, wait_until, Bell};
+use crate::clock::{now, wait_until, yield_to_others};
+use crate::connection_limit::{ConnectionLimit, ConnectionPermit};
 use may::io::{WaitIo, WaitIoWaker};
 use may::net::{TcpListener, TcpStream};
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
@@ -9,88 +9,69 @@
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::AsFd;
-use std::sync::atomic::{AtomicBool, AtomicIsize, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-const RUSH: usize = 8; // connections taken in before everyone else gets a turn
-const PAUSE: u64 = 50_000; // after a failed accept, and between looks for an idle connection at the cap
+const BURST: usize = 8; // connections that are accepted before other coroutines get their turn
+const RETRY_US: u64 = 50_000; // after a failed accept, and between looks for an idle connection at the limit
 
-/// Room for so many connections. Each holds its place until it is dropped.
-#[derive(Clone)]
-pub struct Room(Arc<(AtomicIsize, Bell)>);
-
-pub struct Place(Room);
-
-impl Drop for Place {
-    fn drop(&mut self) {
-        let (free, bell) = &*self.0 .0;
-        free.fetch_add(1, Ordering::AcqRel);
-        bell.ring();
-    }
+#[derive(Default)]
+struct Shared {
+    closed: AtomicBool,
+    waker: Mutex<Option<WaitIoWaker>>,
 }
 
-impl Room {
-    pub fn new(most: usize) -> Room {
-        Room(Arc::new((AtomicIsize::new(most as isize), Bell::default())))
-    }
-    /// Room for so many more or fewer from now on. What is taken beyond it is not taken back: the next wait until
-    /// enough of them have ended.
-    pub fn grow(&self, by: isize) {
-        self.0 .0.fetch_add(by, Ordering::AcqRel);
-        self.0 .1.ring();
-    }
-    fn take(&self) -> Option<Place> {
-        let one = self.0 .0.fetch_update(Ordering::AcqRel, Ordering::Acquire, |free| {
-            Some(free - 1).filter(|left| *left >= 0)
-        });
-        one.ok().map(|_| Place(self.clone()))
-    }
-}
-
-/// Closes a listening socket: at once for those who come, and after what the system has taken in for us already.
+/// Closes a listening socket, after the connections that the system has accepted already were taken over. Clones close the same.
 #[derive(Clone, Default)]
-pub struct Door(Arc<(AtomicBool, Mutex<Option<WaitIoWaker>>)>);
+pub struct ListenerHandle {
+    shared: Arc<Shared>,
+}
 
-impl Door {
+impl ListenerHandle {
+    /// Closes the socket.
     pub fn close(&self) {
-        let (closed, waker) = &*self.0;
-        closed.store(true, Ordering::Release);
-        if let Some(waker) = &*waker.lock().unwrap_or_else(|e| e.into_inner()) {
+        self.shared.closed.store(true, Ordering::Release);
+        if let Some(waker) = &*self.waker() {
             waker.wakeup();
         }
     }
-    fn closed(&self) -> bool {
-        self.0 .0.load(Ordering::Acquire)
+
+    fn is_closed(&self) -> bool {
+        self.shared.closed.load(Ordering::Acquire)
     }
-    fn wakes(&self, waker: WaitIoWaker) {
-        *self.0 .1.lock().unwrap_or_else(|e| e.into_inner()) = Some(waker);
+
+    fn waker(&self) -> MutexGuard<'_, Option<WaitIoWaker>> {
+        self.shared.waker.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A connection waits to be taken in.
-fn waits(listener: &TcpListener) -> bool {
+/// Whether a connection waits to be accepted.
+fn has_pending(listener: &TcpListener) -> bool {
     let mut fds = [PollFd::new(listener.inner().as_fd(), PollFlags::POLLIN)];
-    // Where it can't be told, accepting will tell.
+    // If polling fails, accepting says why.
     poll(&mut fds, PollTimeout::ZERO).map_or(true, |ready| ready > 0)
 }
 
-/// Listens, so that a failure shows before anything else starts.
-pub fn bind(at: SocketAddr) -> io::Result<TcpListener> {
-    TcpListener::bind(at)
+/// Binds a listening socket.
+///
+/// # Errors
+/// What the system says if it can't be bound.
+pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+    TcpListener::bind(address)
 }
 
-/// Hands on each connection with its place, until the door is closed and nobody waits. At the cap one connection waits here and the others in the
-/// system's queue; `crowded` may let an idle one go, again and again until there is room.
+/// Hands on each connection with its permit, until the handle is closed and none waits. At the limit one connection waits here
+/// and the others in the system's queue; `on_limit` may close an idle one, and is called again until there is a permit.
 pub fn listen(
-    listener: TcpListener, door: &Door, room: Room, log: Logger, crowded: impl Fn(),
-    took: impl Fn(TcpStream, Place),
+    listener: TcpListener, handle: &ListenerHandle, limit: ConnectionLimit, log: Logger, on_limit: impl Fn(),
+    on_connection: impl Fn(TcpStream, ConnectionPermit),
 ) {
-    room.0 .1.attend();
-    door.wakes(listener.waker());
-    let mut rush = 0;
+    limit.register();
+    *handle.waker() = Some(listener.waker());
+    let mut accepted = 0;
     loop {
-        if !waits(&listener) {
-            if door.closed() {
+        if !has_pending(&listener) {
+            if handle.is_closed() {
                 return;
             }
             listener.wait_io();
@@ -98,25 +79,27 @@
         }
         let stream = match listener.accept() {
             Ok((stream, _)) => stream,
-            Err(e) => {
-                warn!(log, "a connection could not be taken in"; "error" => %e);
-                wait_until(now() + PAUSE);
+            Err(error) => {
+                warn!(log, "accepting a connection failed"; "error" => %error);
+                wait_until(now() + RETRY_US);
                 continue;
             }
         };
-        let place = loop {
-            match room.take() {
-                Some(place) => break place,
-                None => {
-                    crowded();
-                    wait_until(now() + PAUSE);
-                }
-            }
-        };
-        took(stream, place);
-        rush = (rush + 1) % RUSH;
-        if rush == 0 {
-            turn(); // what they send is read before others may take their place
+        on_connection(stream, acquire_permit(&limit, &on_limit));
+        accepted = (accepted + 1) % BURST;
+        if accepted == 0 {
+            yield_to_others(); // what they send is read before others may take their place
+        }
+    }
+}
+
+/// Waits for a permit.
+fn acquire_permit(limit: &ConnectionLimit, on_limit: &impl Fn()) -> ConnectionPermit {
+    loop {
+        if let Some(permit) = limit.try_acquire() {
+            return permit;
         }
+        on_limit();
+        wait_until(now() + RETRY_US);
     }
 }
--- a/net/src/pool.rs
+++ b/net/src/pool.rs
@@ -1,103 +1,125 @@
-//! Buffers of one size, used again. Each goes back when its owner drops it.
+//! Buffers of one size, used again. Each goes back to its pool when its owner drops it.
 
 use std::ops::{Deref, DerefMut};
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Bytes in a buffer: the longest body that is taken in, with what goes round it.
-pub const SIZE: usize = 4608;
-const SPARE: usize = 64; // that stay for later; what a rush needed more goes back to the system
+/// Bytes in a buffer: the longest body that is taken in, with what goes around it.
+pub const BUFFER_SIZE: usize = 4608;
 
-struct Shelf {
+/// Unused buffers that a pool retains; more than that were needed in a burst, and go back to the system.
+const MAX_RETAINED: usize = 64;
+
+struct State {
     free: Vec<Vec<u8>>,
-    out: usize,
-    most: usize,
+    in_use: usize,
+    max: usize,
     peak: usize,
 }
 
-/// Hands out at most so many buffers at a time.
+/// A bounded pool of buffers. Clones share it.
 #[derive(Clone)]
-pub struct Pool(Arc<Mutex<Shelf>>);
+pub struct BufferPool {
+    state: Arc<Mutex<State>>,
+}
+
+/// How many buffers of a pool are in use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PoolUsage {
+    /// Buffers in use now.
+    pub in_use: usize,
+    /// The most that ever were in use at a time.
+    pub peak: usize,
+}
 
-impl Pool {
-    pub fn new(most: usize) -> Pool {
-        Pool(Arc::new(Mutex::new(Shelf { free: Vec::new(), out: 0, most, peak: 0 })))
+impl BufferPool {
+    /// A pool of at most `max` buffers at a time.
+    pub fn new(max: usize) -> BufferPool {
+        let state = State { free: Vec::new(), in_use: 0, max, peak: 0 };
+        BufferPool { state: Arc::new(Mutex::new(state)) }
     }
-    fn shelf(&self) -> MutexGuard<'_, Shelf> {
-        self.0.lock().unwrap_or_else(|e| e.into_inner())
+
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    /// An empty buffer, or none while as many as there may be are out.
-    pub fn take(&self) -> Option<Buf> {
-        let mut shelf = self.shelf();
-        if shelf.out >= shelf.most {
+
+    /// An empty buffer; `None` while all are in use.
+    pub fn take(&self) -> Option<PooledBuffer> {
+        let mut state = self.lock();
+        if state.in_use >= state.max {
             return None;
         }
-        shelf.out += 1;
-        shelf.peak = shelf.peak.max(shelf.out);
-        let bytes = shelf.free.pop().unwrap_or_else(|| Vec::with_capacity(SIZE));
-        Some(Buf { bytes, pool: self.clone() })
+        state.in_use += 1;
+        state.peak = state.peak.max(state.in_use);
+        let bytes = state.free.pop().unwrap_or_else(|| Vec::with_capacity(BUFFER_SIZE));
+        Some(PooledBuffer { bytes, pool: self.clone() })
     }
-    /// The same for those who hold many already: the last quarter is left to the others.
-    pub fn take_spare(&self) -> Option<Buf> {
-        let spare = {
-            let shelf = self.shelf();
-            shelf.out < shelf.most / 4 * 3
+
+    /// The same for an owner that has several already: it leaves the last quarter of the buffers to others.
+    pub fn take_if_ample(&self) -> Option<PooledBuffer> {
+        let ample = {
+            let state = self.lock();
+            state.in_use < state.max / 4 * 3
         };
-        self.take().filter(|_| spare)
+        self.take().filter(|_| ample)
     }
-    /// A buffer that holds these bytes; none also where they are too many.
-    pub fn hold(&self, bytes: &[u8]) -> Option<Buf> {
-        let mut buf = self.take().filter(|_| bytes.len() <= SIZE)?;
-        buf.extend_from_slice(bytes);
-        Some(buf)
+
+    /// A buffer that holds these bytes; `None` also if there are more than [`BUFFER_SIZE`].
+    pub fn copy_from(&self, bytes: &[u8]) -> Option<PooledBuffer> {
+        let mut buffer = self.take().filter(|_| bytes.len() <= BUFFER_SIZE)?;
+        buffer.extend_from_slice(bytes);
+        Some(buffer)
     }
-    /// From now on there may be so many; what is out beyond that comes back by itself.
-    pub fn resize(&self, most: usize) {
-        self.shelf().most = most;
+
+    /// Changes how many buffers there may be. More than that come back as their owners drop them.
+    pub fn resize(&self, max: usize) {
+        self.lock().max = max;
     }
+
     /// Bytes of all buffers that there may be.
-    pub fn bytes(&self) -> usize {
-        self.shelf().most * SIZE
+    pub fn capacity_bytes(&self) -> usize {
+        self.lock().max * BUFFER_SIZE
     }
-    /// Buffers out now, and the most there ever were.
-    pub fn used(&self) -> (usize, usize) {
-        let shelf = self.shelf();
-        (shelf.out, shelf.peak)
+
+    /// How many buffers are in use.
+    pub fn usage(&self) -> PoolUsage {
+        let state = self.lock();
+        PoolUsage { in_use: state.in_use, peak: state.peak }
     }
 }
 
-/// A buffer on loan.
-pub struct Buf {
+/// A buffer of a pool, returned to it on drop.
+pub struct PooledBuffer {
     bytes: Vec<u8>,
-    pool: Pool,
+    pool: BufferPool,
 }
 
-impl Deref for Buf {
+impl Deref for PooledBuffer {
     type Target = Vec<u8>;
     fn deref(&self) -> &Vec<u8> {
         &self.bytes
     }
 }
 
-impl DerefMut for Buf {
+impl DerefMut for PooledBuffer {
     fn deref_mut(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 }
 
-impl AsRef<[u8]> for Buf {
+impl AsRef<[u8]> for PooledBuffer {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-impl Drop for Buf {
+impl Drop for PooledBuffer {
     fn drop(&mut self) {
         let mut bytes = std::mem::take(&mut self.bytes);
-        let mut shelf = self.pool.shelf();
-        shelf.out -= 1;
-        if shelf.free.len() < SPARE && bytes.capacity() == SIZE {
+        let mut state = self.pool.lock();
+        state.in_use -= 1;
+        if state.free.len() < MAX_RETAINED && bytes.capacity() == BUFFER_SIZE {
             bytes.clear();
-            shelf.free.push(bytes);
+            state.free.push(bytes);
         }
     }
 }
--- a/net/src/spawn.rs
+++ b/net/src/spawn.rs
@@ -1,26 +1,37 @@
-//! Starting coroutines: the one place that needs `unsafe`.
+//! Starting the worker and coroutines: the one place that needs `unsafe`.
 
 use may::coroutine::Builder;
 use std::io;
 
 /// Words of stack for a coroutine (8 bytes each). The deepest path, from a frame through the decision module
 /// to an outbox, used 969 in a release build and 2,755 in a debug build; pages never touched take no memory.
-const STACK: usize = 0x2000;
+const STACK_WORDS: usize = 0x2000;
+/// Stacks of ended coroutines that are used again.
+const STACK_POOL_SIZE: usize = 64;
+/// Between wakes of an idle worker; events and timers wake it at once.
+const IDLE_WAKE_NS: u64 = 500_000_000;
+const TIMER_THREAD_STACK_BYTES: usize = 1 << 16;
 
-/// One worker for one core, on whichever core the system likes, and the thread that wakes those that wait.
-/// Called once, before the first coroutine.
-pub fn one_worker() -> io::Result<()> {
-    may::config().set_workers(1).set_stack_size(STACK).set_pool_capacity(64);
+/// Starts one worker for one core, on whichever core the system likes, and the timer thread. Called once, before the first
+/// coroutine.
+///
+/// # Errors
+/// What the system says if the thread can't be started.
+pub fn start_worker() -> io::Result<()> {
+    may::config().set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(STACK_POOL_SIZE);
     may::config().set_worker_pin(false);
-    may::config().set_timeout_ns(500_000_000); // wakes of an idle worker; events and timers come at once
+    may::config().set_timeout_ns(IDLE_WAKE_NS);
     std::thread::Builder::new()
         .name("alarms".into())
-        .stack_size(1 << 16)
-        .spawn(crate::clock::alarms)
+        .stack_size(TIMER_THREAD_STACK_BYTES)
+        .spawn(crate::clock::run_timers)
         .map(drop)
 }
 
 /// Starts a coroutine that nobody waits for.
+///
+/// # Errors
+/// What the system says if there is no memory for its stack.
 #[allow(unsafe_code)]
 pub fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
     // `may` calls spawning unsafe for two reasons: code that relies on thread-local storage across a wait,
