--- /dev/null
+++ b/daemon/src/change/install.rs
@@ -0,0 +1,73 @@
+//! Putting a version in force: entries go in slice by slice beside those in force, then one input of the core switches
+//! over to all of them.
+
+use super::content::VersionContent;
+use super::prepare::changed_global_parts;
+use crate::connection_limits;
+use crate::core::{Core, VersionSwitch};
+use crate::dispatcher::Dispatcher;
+use crate::operator;
+use asterrill_entries::{Change, Configuration, EntryKind};
+use asterrill_rollout::Version;
+use asterrill_settings::SettingsError;
+
+/// Entries of a change that go in together: then all others get their turn. Measured: see `docs/design/rollout.md`.
+const SLICE: usize = 200;
+
+/// What is done between two slices of a change: all others get their turn.
+pub type SlicePause<'a> = dyn FnMut(&Dispatcher) + 'a;
+
+/// The one place where a version comes into force: its entries go in beside those that are in force, a slice at a
+/// time; then one input of the core switches over to all of them. `entry_for`: what goes in for an entry of `step`.
+///
+/// # Errors
+/// The version can't be taken up; nothing was done.
+pub fn install(
+    dispatcher: &Dispatcher, version: &Version<VersionContent>, step: &[Change], seed: u64,
+    entry_for: impl Fn(&Change) -> Change, pause: &mut SlicePause<'_>,
+) -> Result<(), SettingsError> {
+    let Version { number, content, .. } = version;
+    let configuration = &content.configuration;
+    let global_parts = changed_global_parts(content, step, seed)?;
+    let methods = configuration.methods().filter(|_| global_parts.is_some());
+    let longest = methods.map(|(_, method)| method.latency_target).max().unwrap_or(0);
+    let queues = operator::queue_terms(content.operator_config.broker.as_ref(), configuration)?;
+    let tells_tenants = configuration.count(EntryKind::Tenant) > 0;
+    dispatcher.with(|core, _, _| core.check_capacity_for(step, &queues)).map_err(SettingsError::new)?;
+    stage_slices(dispatcher, step, entry_for, pause);
+    let switch = VersionSwitch { number: *number, bare: global_parts, longest, queues, tells_tenants };
+    dispatcher.with(|core: &mut Core, outbound, now| core.switch_version(now, switch, outbound));
+    dispatcher.with(|core, _, _| core.set_settings_hash(content.settings_hash()));
+    let globals = configuration.globals();
+    dispatcher.resize(globals.memory_mb, connection_limits::max_connections(globals.sockets));
+    Ok(())
+}
+
+fn stage_slices(
+    dispatcher: &Dispatcher, step: &[Change], entry_for: impl Fn(&Change) -> Change,
+    pause: &mut SlicePause<'_>,
+) {
+    let mut slices = step.chunks(SLICE).peekable();
+    while let Some(slice) = slices.next() {
+        let slice: Vec<Change> = slice.iter().map(&entry_for).collect();
+        dispatcher.with(|core, _, _| core.stage(&slice));
+        if slices.peek().is_some() {
+            pause(dispatcher);
+        }
+    }
+}
+
+/// What rolls an entry back: what `before` says of its key.
+pub fn inverse(entry: &Change, before: &Configuration) -> Change {
+    match entry {
+        Change::SetGlobals(_) => Change::SetGlobals(before.globals().clone()),
+        Change::PutMethod(name, _) | Change::RemoveMethod(name) => match before.method(name) {
+            Some(method) => Change::PutMethod(name.clone(), method.clone()),
+            None => Change::RemoveMethod(name.clone()),
+        },
+        Change::PutTenant(name, _) | Change::RemoveTenant(name) => match before.tenant(name) {
+            Some(quota) => Change::PutTenant(name.clone(), quota),
+            None => Change::RemoveTenant(name.clone()),
+        },
+    }
+}
--- a/daemon/src/membership.rs
+++ b/daemon/src/membership.rs
@@ -1,6 +1,7 @@
 //! How this backend knows the others: the state machine of `asterrill-membership`, joined to a socket for datagrams, to
 //! the core and to the operators. Its own lock, its own coroutines: no RPC ever waits for it.
 
+use crate::change::Reply;
 use crate::dispatcher::Dispatcher;
 use crate::store::{read_consensus, truncate_consensus, OnDurable, Store};
 use asterrill::Us;
@@ -33,7 +34,7 @@
     left: bool,
     agree: Option<Node>,
     /// Who waits for what becomes of a wish, by its number.
-    asking: BTreeMap<u64, SyncSender<Value>>,
+    asking: BTreeMap<u64, SyncSender<Reply>>,
     /// Events that were not logged one by one.
     untold: u64,
 }
@@ -114,7 +115,7 @@
             self.asking
                 .remove(&number)
                 .iter()
-                .for_each(|asked| asked.try_send(told.clone()).unwrap_or_default());
+                .for_each(|asked| asked.try_send(told.clone().into()).unwrap_or_default());
         }
         (agree.take_writes(), agree.take_apply_policy(), agree.next_tick())
     }
@@ -321,11 +322,11 @@
     }
 
     /// An operator wishes something; told once it is settled.
-    pub fn propose(&self, proposal: Proposal, told: SyncSender<Value>) {
+    pub fn propose(&self, proposal: Proposal, told: SyncSender<Reply>) {
         let mut inner = self.inner();
         let Some(agree) = &mut inner.agree else {
             return told
-                .try_send(json!({"ok": false, "error": "there is no section [fleet]"}))
+                .try_send(json!({"ok": false, "error": "there is no section [fleet]"}).into())
                 .unwrap_or_default();
         };
         let number = agree.propose(proposal);
--- /dev/null
+++ b/daemon/src/peer_addresses.rs
@@ -0,0 +1,42 @@
+//! Where the agent, the upstream and the name service are, which a reload may change.
+
+use crate::dispatcher::Dispatcher;
+use asterrill_net::{Address, Outbox};
+use asterrill_settings::Deployment;
+
+/// Addresses of the other sides, and the links to them.
+pub struct PeerAddresses {
+    pub agent: Address,
+    pub name_service: Address,
+    pub upstream: Option<Address>,
+    agent_link: Outbox,
+    upstream_links: Vec<Outbox>,
+}
+
+impl PeerAddresses {
+    pub fn new(deployment: &Deployment, agent_link: Outbox, upstream_links: Vec<Outbox>) -> PeerAddresses {
+        PeerAddresses {
+            agent: Address::new(deployment.agent),
+            name_service: Address::new(deployment.name_service),
+            upstream: deployment.upstream.map(Address::new),
+            agent_link,
+            upstream_links,
+        }
+    }
+
+    /// Goes over to where the other sides are now.
+    pub fn update(&self, dispatcher: &Dispatcher, deployment: &Deployment) {
+        if self.agent.set(deployment.agent) {
+            self.agent_link.close_now();
+        }
+        if let (Some(upstream), Some(to)) = (&self.upstream, deployment.upstream) {
+            if upstream.set(to) {
+                dispatcher.with(|core, outbound, _| core.upstream_moved(outbound));
+            }
+        }
+        self.name_service.set(deployment.name_service);
+        self.agent_link.wake_owner();
+        self.upstream_links.iter().for_each(Outbox::wake_owner);
+        dispatcher.load_report_bell.notify();
+    }
+}
--- /dev/null
+++ b/daemon/src/store/former_versions.rs
@@ -0,0 +1,57 @@
+//! Versions as builds before the file of versions left them, each a whole text in a file of its own.
+
+use super::texts::FORMAT;
+use crate::durable_file;
+use asterrill_recovery::MAX_TEXT_BYTES;
+use asterrill_rollout::{PersistedState, PersistedVersion};
+use slog::{warn, Logger};
+use std::path::Path;
+
+/// The files of the good version and of the one on probation.
+const FILE_NAMES: [&str; 2] = ["good", "probation"];
+/// What their checksummed texts are called.
+const TEXT_KIND: &str = "state";
+
+/// Reads them. What had been rolled back is forgotten: it was named by a hash of the text.
+pub(super) fn read_former_versions(dir: &Path, log: &Logger) -> Option<PersistedState> {
+    let [good, probation] = FILE_NAMES.map(|name| {
+        let path = dir.join(name);
+        read_version(&path).unwrap_or_else(|why| {
+            warn!(log, "a state file is not used"; "path" => %path.display(), "why" => why);
+            None
+        })
+    });
+    Some(PersistedState { good: good?, probation, rolled_back: Vec::new() })
+}
+
+/// Removes them. One that can't be removed is not looked at all the same.
+pub(super) fn remove_former_versions(dir: &Path) {
+    FILE_NAMES.iter().for_each(|name| std::fs::remove_file(dir.join(name)).unwrap_or_default());
+}
+
+fn read_version(path: &Path) -> Result<Option<PersistedVersion>, String> {
+    let text = durable_file::read_text(path, MAX_TEXT_BYTES as u64 + 1).map_err(|e| e.to_string())?;
+    let Some(text) = text else { return Ok(None) };
+    let body = asterrill_recovery::decode_checksummed(TEXT_KIND, FORMAT, &text)
+        .map_err(|fault| fault.to_string())?;
+    parse_version(body).map(Some)
+}
+
+/// `version N`, what was undone, `text` with its length; then settings and limits in JSON, and the operator's file.
+fn parse_version(body: &str) -> Result<PersistedVersion, String> {
+    let damaged = || "it is damaged".to_string();
+    let (first_line, _) = body.split_once('\n').ok_or_else(damaged)?;
+    let number = first_line.strip_prefix("version ").and_then(|number| number.parse().ok());
+    let number = number.ok_or_else(damaged)?;
+    let (_, rest) = body.split_once("\ntext ").ok_or_else(damaged)?;
+    let (_, text) = rest.split_once('\n').ok_or_else(damaged)?;
+    let (json, operator_file) = text.split_once("\n---\n").unwrap_or((text, ""));
+    let value: serde_json::Value = serde_json::from_str(json).map_err(|e| e.to_string())?;
+    let part = |name| asterrill_settings::json::object(&value, name).map_err(|fault| fault.to_string());
+    let (settings, limits) = (part("settings")?, part("limits")?);
+    let limit = |name| asterrill_settings::json::integer(limits, name).map_err(|fault| fault.to_string());
+    let content =
+        asterrill_settings::configuration_from_json(settings, limit("memory_mb")?, limit("sockets")?);
+    let content = content.map_err(|fault| fault.to_string())?;
+    Ok(PersistedVersion { number, content, operator_file: operator_file.into() })
+}
--- /dev/null
+++ b/daemon/src/store/texts.rs
@@ -0,0 +1,54 @@
+//! Texts with a checksum: what was learned, and who the members were.
+
+use crate::durable_file;
+use asterrill_membership::PersistedState;
+use asterrill_recovery::{decode_checksummed, encode_checksummed, Snapshot, MAX_TEXT_BYTES};
+use slog::{warn, Logger};
+use std::io;
+use std::path::Path;
+
+/// The format of checksummed texts.
+pub(super) const FORMAT: u32 = 1;
+
+const LEARNED_FILE: &str = "learned";
+/// The file of the members, and what its text is called.
+const MEMBERS_FILE: &str = "members";
+
+/// Reads what an earlier process had learned. What can't be used is logged, and is as if it were not there.
+pub fn read_learned(dir: &Path, log: &Logger) -> Option<Snapshot> {
+    let path = dir.join(LEARNED_FILE);
+    let read = read_parsed(&path, |text| Snapshot::from_text(text).map_err(|e| e.to_string()));
+    read.unwrap_or_else(|why| {
+        warn!(log, "what was learned is not used"; "path" => %path.display(), "why" => why);
+        None
+    })
+}
+
+pub(super) fn write_learned(dir: &Path, learned: &Snapshot) -> io::Result<()> {
+    durable_file::replace(&dir.join(LEARNED_FILE), learned.to_text().as_bytes())
+}
+
+/// Reads who the members were. What can't be used is logged, and is as if it were not there.
+pub fn read_members(dir: &Path, log: &Logger) -> Option<PersistedState> {
+    let path = dir.join(MEMBERS_FILE);
+    let read = read_parsed(&path, |text| {
+        let body = decode_checksummed(MEMBERS_FILE, FORMAT, text).map_err(|e| e.to_string())?;
+        PersistedState::from_text(body).map_err(|e| e.to_string())
+    });
+    read.unwrap_or_else(|why| {
+        warn!(log, "the members of before are not used"; "path" => %path.display(), "why" => why);
+        None
+    })
+}
+
+pub(super) fn write_members(dir: &Path, text: &str) -> io::Result<()> {
+    let sealed = encode_checksummed(MEMBERS_FILE, FORMAT, text);
+    durable_file::replace(&dir.join(MEMBERS_FILE), sealed.as_bytes())
+}
+
+/// What a text says; `None` where there is no file.
+fn read_parsed<T>(path: &Path, parse: impl FnOnce(&str) -> Result<T, String>) -> Result<Option<T>, String> {
+    // One byte more than there may be, so that a text that is too long shows as one.
+    let text = durable_file::read_text(path, MAX_TEXT_BYTES as u64 + 1).map_err(|e| e.to_string())?;
+    text.map(|text| parse(&text)).transpose()
+}
--- /dev/null
+++ b/daemon/src/tasks.rs
@@ -0,0 +1,176 @@
+//! The coroutines of the daemon: one function to start each.
+
+use crate::change::RunningContent;
+use crate::connection::{AgentConnection, BrokerConnection, SidecarConnection, UpstreamConnection};
+use crate::control_loop::ControlLoop;
+use crate::dispatcher::Dispatcher;
+use crate::load_report::send_load_reports;
+use crate::operator::BrokerSetup;
+use crate::peer_addresses::PeerAddresses;
+use asterrill::Us;
+use asterrill_engine::UpstreamLinkId;
+use asterrill_net::{
+    listen, now, run_connection, run_link, spawn, wait_until, Backoff, BufferPool, ConnectionEnd,
+    ConnectionPermit, Outbox, TcpListener, TcpStream,
+};
+use asterrill_protocol::{agent, sidecar, upstream};
+use asterrill_recovery::phase;
+use nanorand::{Rng, WyRand};
+use std::io;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Bytes that may wait for a sidecar: more than all its answers at once.
+const MAX_SIDECAR_BACKLOG: usize = 192 * 1024;
+/// Between looks at idle connections, in microseconds.
+const SWEEP_INTERVAL: Us = 100_000;
+
+/// The least and the longest pause before a link is made again.
+struct BackoffRange {
+    min: Duration,
+    max: Duration,
+}
+
+const AGENT_BACKOFF: BackoffRange =
+    BackoffRange { min: Duration::from_millis(10), max: Duration::from_secs(1) };
+const UPSTREAM_BACKOFF: BackoffRange =
+    BackoffRange { min: Duration::from_millis(10), max: Duration::from_millis(200) };
+const REPORT_BACKOFF: BackoffRange =
+    BackoffRange { min: Duration::from_millis(50), max: Duration::from_secs(1) };
+
+/// Starts coroutines.
+pub struct Tasks {
+    dispatcher: Arc<Dispatcher>,
+    pool: BufferPool,
+    rng: WyRand,
+    /// Spreads periodic work over processes that started together.
+    jitter_seed: Option<u64>,
+}
+
+impl Tasks {
+    pub fn new(dispatcher: Arc<Dispatcher>, pool: BufferPool, seed: u64, jitter_seed: Option<u64>) -> Tasks {
+        Tasks { dispatcher, pool, rng: WyRand::new_seed(seed), jitter_seed }
+    }
+
+    fn backoff(&mut self, range: &BackoffRange) -> Backoff {
+        Backoff::new(range.min, range.max, self.rng.generate())
+    }
+
+    /// The link to the broker that queues are consumed from.
+    pub fn spawn_broker(&mut self, broker: BrokerSetup, max_backlog: usize) -> io::Result<()> {
+        let BrokerSetup { queues, addresses, reconnect_backoff } = broker;
+        let outbox = Outbox::new(&self.pool, max_backlog);
+        self.dispatcher.attach_queues(queues, outbox.clone());
+        let min = Duration::from_micros(reconnect_backoff.min);
+        let max = Duration::from_micros(reconnect_backoff.max);
+        let backoff = self.backoff(&BackoffRange { min, max });
+        let (dispatcher, pool) = (self.dispatcher.clone(), self.pool.clone());
+        spawn("broker", move || {
+            run_link(&addresses, &outbox, &pool, true, backoff, &mut BrokerConnection { dispatcher })
+        })
+    }
+
+    /// The control loop; ends the program once it has drained.
+    pub fn spawn_control_loop(&mut self, control_loop: ControlLoop) -> io::Result<()> {
+        spawn("clock", move || control_loop.run())
+    }
+
+    /// The link to the agent that owns the cores.
+    pub fn spawn_agent(
+        &mut self, outbox: Outbox, addresses: Arc<PeerAddresses>, running: Arc<RunningContent>, seed: u64,
+    ) -> io::Result<()> {
+        let backoff = self.backoff(&AGENT_BACKOFF);
+        let (dispatcher, pool) = (self.dispatcher.clone(), self.pool.clone());
+        spawn("agent", move || {
+            let make = move |at, cold| {
+                let configuration = running.get().configuration;
+                asterrill_settings::server_parts(at, seed, &configuration, Some(cold)).ok()
+            };
+            let mut connection = AgentConnection {
+                dispatcher,
+                out: outbox.clone(),
+                notices: agent::Reader::default(),
+                make: Box::new(make),
+                useful: false,
+            };
+            run_link(&addresses.agent, &outbox, &pool, true, backoff, &mut connection);
+        })
+    }
+
+    /// The links to the upstream, if there is one.
+    pub fn spawn_upstream(&mut self, outboxes: Vec<Outbox>, addresses: &PeerAddresses) -> io::Result<()> {
+        let Some(address) = &addresses.upstream else { return Ok(()) };
+        for (index, outbox) in outboxes.into_iter().enumerate() {
+            let backoff = self.backoff(&UPSTREAM_BACKOFF);
+            let (dispatcher, pool, address) = (self.dispatcher.clone(), self.pool.clone(), address.clone());
+            spawn("upstream", move || {
+                let mut connection = UpstreamConnection {
+                    dispatcher,
+                    out: outbox.clone(),
+                    link: UpstreamLinkId(index),
+                    replies: upstream::Reader::default(),
+                    useful: false,
+                };
+                run_link(&address, &outbox, &pool, false, backoff, &mut connection);
+            })?;
+        }
+        Ok(())
+    }
+
+    /// Load reports to the name service.
+    pub fn spawn_load_reports(&mut self, name: String, addresses: Arc<PeerAddresses>) -> io::Result<()> {
+        let backoff = self.backoff(&REPORT_BACKOFF);
+        let (dispatcher, jitter_seed) = (self.dispatcher.clone(), self.jitter_seed);
+        spawn("naming", move || {
+            send_load_reports(&dispatcher, &name, &addresses.name_service, backoff, jitter_seed)
+        })
+    }
+
+    /// Regular looks at idle connections.
+    pub fn spawn_sweep(&mut self) -> io::Result<()> {
+        let (dispatcher, jitter_seed) = (self.dispatcher.clone(), self.jitter_seed);
+        spawn("sweep", move || {
+            wait_until(now() + jitter_seed.map_or(0, |seed| phase(seed, "sweep", SWEEP_INTERVAL)));
+            loop {
+                wait_until(now() + SWEEP_INTERVAL);
+                dispatcher.sweep_connections();
+            }
+        })
+    }
+
+    /// Connections of sidecars.
+    pub fn spawn_listener(&mut self, listener: TcpListener) -> io::Result<()> {
+        let dispatcher = self.dispatcher.clone();
+        let log = dispatcher.log.clone();
+        spawn("listener", move || {
+            listen(
+                listener,
+                &dispatcher.listener_gate,
+                dispatcher.capacity.clone(),
+                log,
+                || dispatcher.evict_idle(),
+                |stream, permit| accept(&dispatcher, stream, permit),
+            )
+        })
+    }
+}
+
+/// Starts the coroutine of one sidecar's connection.
+fn accept(dispatcher: &Arc<Dispatcher>, stream: TcpStream, permit: ConnectionPermit) {
+    // Registered before the next one may find no capacity.
+    let outbox = Outbox::new(&dispatcher.pool, MAX_SIDECAR_BACKLOG);
+    let conn = dispatcher.connection_opened(outbox.clone());
+    let driver = dispatcher.clone();
+    let spawned = spawn("sidecar", move || {
+        let frames = sidecar::Reader::default();
+        let mut connection =
+            SidecarConnection { dispatcher: driver.clone(), conn, frames, has_spoken: false };
+        let end = run_connection(&stream, &outbox, &driver.pool, &mut connection);
+        driver.connection_closed(conn, end == ConnectionEnd::Broken);
+        drop(stream);
+        drop(permit);
+    });
+    if spawned.is_err() {
+        dispatcher.connection_closed(conn, true);
+    }
+}
--- a/daemon/src/tests/control.rs
+++ b/daemon/src/tests/control_socket.rs
@@ -1,6 +1,8 @@
-//! Tests of `control.rs`.
+//! The control socket against operators that are slow, long or wrong.
 
 use super::*;
+use crate::change::{ChangeRequest, ChangeSource};
+use serde_json::json;
 
 fn ask(path: &Path, bytes: &[u8]) -> String {
     let mut stream = UnixStream::connect(path).unwrap();
@@ -12,12 +14,12 @@
 }
 
 #[test]
-fn only_the_owner_may_open_it_and_bad_requests_are_named_while_others_are_served() {
+fn socket_is_private_and_bad_requests_are_named_while_others_are_served() {
     let path = std::env::temp_dir().join(format!("asterrilld-control-{}", std::process::id()));
     std::fs::remove_file(&path).unwrap_or_default();
     let log = Logger::root(slog::Discard, slog::o!());
-    let told: Ask = Arc::new(|wanted| json!({"ok": true, "wanted": format!("{wanted:?}")}));
-    listen(&path, told.clone(), &log).unwrap();
+    let handler: Handler = Arc::new(|request| json!({"ok": true, "request": format!("{request:?}")}).into());
+    listen(&path, handler.clone(), &log).unwrap();
     let mode = std::fs::metadata(&path).unwrap().permissions().mode() & 0o777;
     assert_eq!(mode, 0o600);
     let mut half = UnixStream::connect(&path).unwrap();
@@ -31,7 +33,7 @@
         (b"{\"v\": 1, \"do\": \"stage\", \"step\": \"s\", \"text\": \"t\"}\n", "text or step, not both"),
         (
             b"{\"v\": 1, \"do\": \"stage\", \"step\": \"s\", \"base\": 3}\n",
-            "what: Step(\\\"s\\\"), base: Some(3)",
+            "source: Step(\\\"s\\\"), base: Some(3)",
         ),
         (b"{\"v\": 2, \"do\": \"status\"}\n", "speaks version 1"),
         (b"{\"v\": 1, \"do\": \"dance\"}\n", "is not known"),
@@ -40,29 +42,29 @@
         let line = ask(&path, asked);
         assert!(line.contains(part), "{line} for {part}");
     }
-    let long = vec![b'x'; LINE as usize + 1];
+    let long = vec![b'x'; MAX_REQUEST_BYTES as usize + 1];
     assert!(ask(&path, &long).contains("a line of 4 MiB at most"));
     // The half line is given up in its time.
     let mut line = String::new();
-    half.set_read_timeout(Some(WITHIN * 2)).unwrap();
+    half.set_read_timeout(Some(REQUEST_TIMEOUT * 2)).unwrap();
     BufReader::new(half).read_line(&mut line).unwrap();
     assert!(line.contains("within 5 s"), "{line}");
     // A place where somebody listens is not taken over; one that a process has left is.
-    assert!(listen(&path, told.clone(), &log).unwrap_err().to_string().contains("another process"));
+    assert!(listen(&path, handler.clone(), &log).unwrap_err().to_string().contains("another process"));
     std::fs::remove_file(&path).unwrap();
     std::fs::write(&path, "a file").unwrap();
-    assert!(listen(&path, told, &log).unwrap_err().to_string().contains("no socket"));
+    assert!(listen(&path, handler, &log).unwrap_err().to_string().contains("no socket"));
     std::fs::remove_file(&path).unwrap();
 }
 
 #[test]
-fn of_long_requests_one_is_held_at_a_time_and_the_others_wait_or_are_told_so() {
+fn one_long_request_is_held_at_a_time_and_others_wait_or_are_rejected() {
     let path = std::env::temp_dir().join(format!("asterrilld-long-{}", std::process::id()));
     std::fs::remove_file(&path).unwrap_or_default();
     // A long one waits a while for the company of another, which it must not get.
     let (inside, came) = (std::sync::Mutex::new((0_u32, 0_u32)), std::sync::Condvar::new());
-    let told: Ask = Arc::new(move |request| match request {
-        Request::Stage(Asked { what: What::Step(step), .. }) => {
+    let handler: Handler = Arc::new(move |request| match request {
+        Request::Stage(ChangeRequest { source: ChangeSource::Step(step), .. }) => {
             let mut now = inside.lock().unwrap();
             now.0 += 1;
             now.1 = now.1.max(now.0);
@@ -70,29 +72,29 @@
             let wait = Duration::from_millis(300);
             now = came.wait_timeout_while(now, wait, |now| now.1 < 2).unwrap().0;
             now.0 -= 1;
-            json!({"ok": true, "bytes": step.len(), "together": now.1})
+            json!({"ok": true, "bytes": step.len(), "together": now.1}).into()
         }
-        other => json!({"ok": false, "error": format!("{other:?}")}),
+        other => json!({"ok": false, "error": format!("{other:?}")}).into(),
     });
-    listen(&path, told, &Logger::root(slog::Discard, slog::o!())).unwrap();
+    listen(&path, handler, &Logger::root(slog::Discard, slog::o!())).unwrap();
     let bytes = 3 * 1024 * 1024;
     let long = format!("{{\"v\": 1, \"do\": \"stage\", \"step\": \"{}\"}}\n", "s".repeat(bytes)).into_bytes();
     assert!(ask(&path, &long).contains(&format!("\"bytes\":{bytes}")));
     let all: Vec<_> = (0..3)
         .map(|_| {
-            let (at, whole) = (path.clone(), long.clone());
-            std::thread::spawn(move || ask(&at, &whole))
+            let (at, complete) = (path.clone(), long.clone());
+            std::thread::spawn(move || ask(&at, &complete))
         })
         .collect();
     for one in all {
-        let told = one.join().unwrap();
-        assert!(told.contains("\"together\":1"), "{told}");
+        let reply = one.join().unwrap();
+        assert!(reply.contains("\"together\":1"), "{reply}");
     }
     // One is half there: another waits until it is whole, and is answered after it.
     let mut first = UnixStream::connect(&path).unwrap();
     first.write_all(&long[..bytes / 2]).unwrap();
-    let (at, whole) = (path.clone(), long.clone());
-    let second = std::thread::spawn(move || ask(&at, &whole));
+    let (at, complete) = (path.clone(), long.clone());
+    let second = std::thread::spawn(move || ask(&at, &complete));
     assert!(ask(&path, b"{\"v\": 1, \"do\": \"status\"}\n").contains("Status"), "short ones are served");
     assert!(!second.is_finished(), "two are held");
     first.write_all(&long[bytes / 2..]).unwrap();
@@ -100,14 +102,14 @@
     BufReader::new(&first).read_line(&mut line).unwrap();
     assert!(line.contains("\"ok\":true"), "{line}");
     assert!(second.join().unwrap().contains("\"ok\":true"));
-    // One that never becomes whole holds others up for its own time only; who waited as long is told why.
+    // One that never becomes whole holds others up for its own time only; who waited as long is reply why.
     let mut never = UnixStream::connect(&path).unwrap();
     never.write_all(&long[..bytes]).unwrap();
     let mut late = UnixStream::connect(&path).unwrap();
     late.write_all(&long[..530 * 1024]).unwrap(); // what is not read of it yet waits in the socket
     let mut said = Vec::new();
     for stream in [never, late] {
-        stream.set_read_timeout(Some(WITHIN * 2)).unwrap();
+        stream.set_read_timeout(Some(REQUEST_TIMEOUT * 2)).unwrap();
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).unwrap();
         said.push(line);
--- a/daemon/src/tests/store.rs
+++ b/daemon/src/tests/store.rs
@@ -1,10 +1,15 @@
-//! Tests of `store.rs`.
+//! Files of the store: damaged, outgrown, killed in the middle, and of earlier builds.
 
+use super::versions::{VersionsFile, FILE_NAME as VERSIONS};
 use super::*;
 use asterrill::{Idempotency, Method};
 use asterrill_entries::{Change, Configuration, EntryKind, GlobalSettings};
-use asterrill_rollout::{PersistedVersion, RolledBack};
+use asterrill_rollout::{PersistedState, PersistedVersion, RolledBack};
+use slog::Logger;
 use std::os::unix::fs::symlink;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 fn dir(name: &str) -> PathBuf {
@@ -15,7 +20,7 @@
 fn log() -> Logger {
     Logger::root(slog::Discard, slog::o!())
 }
-fn kept(number: u64) -> PersistedVersion {
+fn version(number: u64) -> PersistedVersion {
     let method = Method {
         latency_target: 1_000,
         deadline: 3_000,
@@ -32,16 +37,16 @@
         operator_file: "a file\n".into(),
     }
 }
-fn state(good: u64, probation: Option<u64>) -> VersionState {
-    VersionState {
-        good: kept(good),
-        probation: probation.map(kept),
+fn state(good: u64, probation: Option<u64>) -> PersistedState {
+    PersistedState {
+        good: version(good),
+        probation: probation.map(version),
         rolled_back: vec![RolledBack { hash: "f".repeat(32).into(), number: 9 }],
     }
 }
 /// Writes states one after the other, as the thread does.
-fn keep_all(dir: &Path, standing: &mut Option<WrittenRecord>, states: &[VersionState]) {
-    states.iter().for_each(|state| write_versions(dir, standing, state.clone()).unwrap());
+fn write_all(dir: &Path, file: &mut VersionsFile, states: &[PersistedState]) {
+    states.iter().for_each(|state| file.write(dir, state.clone()).unwrap());
 }
 fn wait(what: impl Fn() -> bool) {
     let until = Instant::now() + Duration::from_secs(5);
@@ -55,22 +60,22 @@
 }
 
 #[test]
-fn what_was_written_is_found_and_what_is_damaged_is_as_if_it_were_not_there() {
+fn written_states_are_read_back_and_damaged_ones_ignored() {
     let dir = dir("found");
-    let mut standing = None;
-    keep_all(&dir, &mut standing, &[state(1, None)]);
-    let whole = length(&dir);
-    let mut undone = state(2, None);
-    undone.rolled_back.push(RolledBack { hash: kept(3).hash(), number: 3 });
-    for next in [state(1, Some(2)), state(2, None), state(2, Some(3)), undone.clone()] {
-        write_versions(&dir, &mut standing, next.clone()).unwrap();
+    let mut file = VersionsFile::default();
+    write_all(&dir, &mut file, &[state(1, None)]);
+    let snapshot = length(&dir);
+    let mut rolled_back = state(2, None);
+    rolled_back.rolled_back.push(RolledBack { hash: version(3).hash(), number: 3 });
+    for next in [state(1, Some(2)), state(2, None), state(2, Some(3)), rolled_back.clone()] {
+        file.write(&dir, next.clone()).unwrap();
         assert_eq!(read_versions(&dir, &log()), Some(next));
     }
-    // What follows the whole version is steps; a wish for what stands there writes nothing.
-    let steps = length(&dir) - whole;
+    // What follows the whole version is steps; saving the state that is there writes nothing.
+    let steps = length(&dir) - snapshot;
     assert!(steps > 0 && steps < 1_200, "{steps}");
-    keep_all(&dir, &mut standing, &[undone]);
-    assert_eq!(length(&dir), whole + steps);
+    write_all(&dir, &mut file, &[rolled_back]);
+    assert_eq!(length(&dir), snapshot + steps);
     // Cut short it gives what stood there before, and within the whole version nothing.
     let text = std::fs::read(dir.join(VERSIONS)).unwrap();
     std::fs::write(dir.join(VERSIONS), &text[..text.len() - 1]).unwrap();
@@ -85,25 +90,25 @@
 }
 
 #[test]
-fn a_full_disk_leaves_what_stood_there_and_nothing_of_a_keeper_is_said_to_stand() {
+fn full_disk_leaves_the_old_file_and_reports_no_write_as_durable() {
     let dir = dir("full");
-    keep_all(&dir, &mut None, &[state(1, None)]);
+    write_all(&dir, &mut VersionsFile::default(), &[state(1, None)]);
     for name in ["versions.new", "agreed"] {
         symlink("/dev/full", dir.join(name)).unwrap();
     }
     let store = Store::start(&dir, &log()).unwrap();
-    let said = Arc::new(AtomicU64::new(0));
-    let counts = said.clone();
-    let stands: Arc<OnDurable> = Arc::new(move |_| counts.store(1, Ordering::Relaxed));
+    let reported = Arc::new(AtomicU64::new(0));
+    let counter = reported.clone();
+    let on_durable: Arc<OnDurable> = Arc::new(move |_| counter.store(1, Ordering::Relaxed));
     store.save_versions(state(2, None));
     store.save_consensus(
         vec![asterrill_consensus::DiskWrite { number: 1, bytes: vec![1; 64], replace: false }],
-        &stands,
+        &on_durable,
     );
     wait(|| store.failed() >= 2);
     assert_eq!(read_versions(&dir, &log()), Some(state(1, None)));
-    assert_eq!(said.load(Ordering::Relaxed), 0);
-    // There is room again: what is wished for next stands there.
+    assert_eq!(reported.load(Ordering::Relaxed), 0);
+    // There is space again: the next state is written.
     std::fs::remove_file(dir.join("versions.new")).unwrap();
     store.save_versions(state(2, Some(3)));
     wait(|| read_versions(&dir, &log()) == Some(state(2, Some(3))));
@@ -111,56 +116,56 @@
 }
 
 #[test]
-fn after_a_step_that_failed_a_whole_version_takes_the_place_of_the_steps() {
+fn snapshot_replaces_the_steps_after_a_failed_write() {
     let dir = dir("hole");
     let (path, aside) = (dir.join(VERSIONS), dir.join("aside"));
-    let mut standing = None;
-    keep_all(&dir, &mut standing, &[state(1, None), state(1, Some(2))]);
+    let mut file = VersionsFile::default();
+    write_all(&dir, &mut file, &[state(1, None), state(1, Some(2))]);
     // The disk is full for a moment.
     std::fs::rename(&path, &aside).unwrap();
     symlink("/dev/full", &path).unwrap();
-    assert!(write_versions(&dir, &mut standing, state(2, None)).is_err());
+    assert!(file.write(&dir, state(2, None)).is_err());
     std::fs::rename(&aside, &path).unwrap();
     assert_eq!(read_versions(&dir, &log()), Some(state(1, Some(2))));
     // A step from 2 would follow a hole.
-    keep_all(&dir, &mut standing, &[state(2, Some(3))]);
+    write_all(&dir, &mut file, &[state(2, Some(3))]);
     assert_eq!(read_versions(&dir, &log()), Some(state(2, Some(3))));
     assert!(std::fs::read_to_string(&path).unwrap().starts_with("asterrill versions 1\nwhole 2 "));
     // The file is gone: steps alone would be nothing, so that is a failure too, and then it is made anew.
     std::fs::remove_file(&path).unwrap();
-    assert!(write_versions(&dir, &mut standing, state(3, None)).is_err());
-    keep_all(&dir, &mut standing, &[state(3, None)]);
+    assert!(file.write(&dir, state(3, None)).is_err());
+    write_all(&dir, &mut file, &[state(3, None)]);
     assert_eq!(read_versions(&dir, &log()), Some(state(3, None)));
     std::fs::remove_dir_all(dir).unwrap();
 }
 
 #[test]
-fn killed_in_the_middle_of_a_whole_version_or_before_it_is_renamed_what_stood_there_counts() {
+fn kill_before_the_rename_of_a_snapshot_leaves_the_old_file() {
     let dir = dir("killed");
     let (path, beside) = (dir.join(VERSIONS), dir.join("versions.new"));
-    keep_all(&dir, &mut None, &[state(5, Some(6))]);
+    write_all(&dir, &mut VersionsFile::default(), &[state(5, Some(6))]);
     let new = std::fs::read(&path).unwrap();
     for cut in 0..=new.len() {
-        keep_all(&dir, &mut None, &[state(1, None)]);
+        write_all(&dir, &mut VersionsFile::default(), &[state(1, None)]);
         std::fs::write(&beside, &new[..cut]).unwrap();
         assert_eq!(read_versions(&dir, &log()), Some(state(1, None)), "cut at {cut}");
     }
     // What was left there is in nobody's way.
-    keep_all(&dir, &mut None, &[state(2, Some(3))]);
+    write_all(&dir, &mut VersionsFile::default(), &[state(2, Some(3))]);
     assert_eq!(read_versions(&dir, &log()), Some(state(2, Some(3))));
     assert!(!beside.exists());
     std::fs::remove_dir_all(dir).unwrap();
 }
 
 #[test]
-fn steps_that_outgrow_the_whole_version_are_written_anew() {
+fn outgrown_steps_are_compacted() {
     let dir = dir("outgrown");
-    let mut standing = None;
+    let mut file = VersionsFile::default();
     let (mut longest, mut anew, mut before) = (0, 0, 0);
     for number in 1..100 {
         let mut next = state(number, None);
         next.good.operator_file = "a line\n".repeat(400 + number as usize).into();
-        write_versions(&dir, &mut standing, next.clone()).unwrap();
+        file.write(&dir, next.clone()).unwrap();
         assert_eq!(read_versions(&dir, &log()), Some(next));
         let now = length(&dir);
         (longest, anew, before) = (longest.max(now), anew + u32::from(now < before), now);
@@ -172,7 +177,7 @@
 }
 
 #[test]
-fn of_many_wishes_the_last_stands_there_at_the_end() {
+fn last_of_many_states_is_on_disk_at_the_end() {
     let dir = dir("many");
     let store = Store::start(&dir, &log()).unwrap();
     for number in 1..500 {
@@ -184,22 +189,22 @@
 }
 
 #[test]
-fn versions_of_the_build_before_are_read_once() {
+fn versions_of_former_builds_are_read_once() {
     let dir = dir("former");
     let text = |rate: u32| {
         let settings = r#"{"Categories":[{"AimMs":1,"DeadlineMs":3,"Effect":"free","Name":"look","Worth":1}],"FamilyInfo":{"NCores":4,"RamKb":9e4},"Limits":{},"Safety":{"RampTimeMs":0,"StopSendingWithinMs":0,"TipMultiple":8},"Tenants":[{"Name":"nile","QuotaRps":RATE}]}"#;
         let settings = settings.replace("RATE", &rate.to_string());
         format!("{{\"limits\":{{\"memory_mb\":64,\"sockets\":100}},\"settings\":{settings}}}\n---\na file\n")
     };
-    let sealed = |number: u64, undone: &str, text: &str| {
+    let sealed = |number: u64, rolled_back: &str, text: &str| {
         asterrill_recovery::encode_checksummed(
             "state",
             1,
-            &format!("version {number}\n{undone}text {}\n{text}", text.len()),
+            &format!("version {number}\n{rolled_back}text {}\n{text}", text.len()),
         )
     };
-    let undone = format!("undone {} 3\n", "f".repeat(32));
-    std::fs::write(dir.join("good"), sealed(4, &undone, &text(5))).unwrap();
+    let rolled_back = format!("rolled_back {} 3\n", "f".repeat(32));
+    std::fs::write(dir.join("good"), sealed(4, &rolled_back, &text(5))).unwrap();
     std::fs::write(dir.join("probation"), sealed(5, "", &text(6))).unwrap();
     let found = read_versions(&dir, &log()).unwrap();
     assert_eq!((found.good.number, found.probation.as_ref().map(|on| on.number)), (4, Some(5)));
@@ -215,18 +220,18 @@
     assert_eq!(found.probation.as_ref().and_then(|on| on.content.tenant("nile")), Some(6.0));
     assert_eq!(found.rolled_back, []);
     // Once versions stand in their own file, the others are gone.
-    keep_all(&dir, &mut None, &[state(1, None)]);
+    write_all(&dir, &mut VersionsFile::default(), &[state(1, None)]);
     assert_eq!(read_versions(&dir, &log()), Some(state(1, None)));
     assert!(!dir.join("good").exists() && !dir.join("probation").exists());
     // One that is damaged is as if it were not there.
     std::fs::remove_file(dir.join(VERSIONS)).unwrap();
-    std::fs::write(dir.join("good"), &sealed(4, &undone, &text(5))[..200]).unwrap();
+    std::fs::write(dir.join("good"), &sealed(4, &rolled_back, &text(5))[..200]).unwrap();
     assert_eq!(read_versions(&dir, &log()), None);
     std::fs::remove_dir_all(dir).unwrap();
 }
 
 #[test]
-fn a_place_that_can_not_be_written_is_counted_and_nothing_else_happens() {
+fn unwritable_directory_is_only_counted() {
     let store = Store::start(Path::new("/proc/nowhere"), &log()).unwrap();
     store.save_versions(state(1, None));
     wait(|| store.failed() > 0);
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -37,6 +37,7 @@
 pub use exchange::{exchange, ReplyStatus};
 pub use link::{run_link, LinkHandler};
 pub use listener::{bind, listen, ListenerHandle};
+pub use may::net::{TcpListener, TcpStream};
 pub use notify::Notify;
 pub use outbox::Outbox;
 pub use pool::{BufferPool, PoolUsage, PooledBuffer, BUFFER_SIZE};
