--- a/lab/src/arguments.rs
+++ b/lab/src/arguments.rs
@@ -12,7 +12,7 @@
     /// What is played
     #[command(subcommand)]
     pub scenario: Scenario,
-    /// What chance is drawn from
+    /// Seed of all random draws
     #[arg(long, global = true, default_value_t = 1)]
     pub seed: u64,
     /// One JSON object on the last line
@@ -99,7 +99,7 @@
     ConfigStorm,
     /// CPU, p99 and start of a backend that writes snapshots, and of one that does not, in turns
     RecoveryCpu,
-    /// Most of a fleet restarted at once, its state lost, or the layer below away
+    /// Most of a fleet restarted at once, its state lost, or the upstream away
     FleetReturn,
     /// Processes that know each other, with cuts, losses, pauses and deaths between them
     FleetMembers,
@@ -129,7 +129,7 @@
     ScaleTool,
     /// What connections cost that callers keep open; --other measures another asterrilld
     ScaleCallers,
-    /// Forms in which a version of the configuration could be kept, side by side
+    /// Forms in which a version of the configuration could be stored, side by side
     ScaleForms,
 }
 
--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -2,7 +2,7 @@
 
 use crate::agent::Agent;
 use crate::node::Node;
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use crate::setup::{Services, Setup};
 use crate::stand_ins::{start_echo_upstream, start_naming};
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
 
 impl Backend {
     /// Starts both, and waits until the backend listens.
-    pub fn start(setup: &Setup, password: &str) -> Result<Backend, Fault> {
+    pub fn start(setup: &Setup, password: &str) -> Result<Backend, ScenarioError> {
         let agent = Agent::start(setup.cores, &setup.methods)?;
         agent.state().lost_launch = setup.lost_launch;
         let (upstream, naming) = (start_echo_upstream()?, start_naming()?);
--- a/lab/src/broker/delivery.rs
+++ b/lab/src/broker/delivery.rs
@@ -26,7 +26,7 @@
 /// What the script wants after a delivery.
 enum Interruption {
     Cut,
-    Fault(BrokerFault),
+    ScenarioError(BrokerFault),
     /// Enough waits to be written.
     Flush,
 }
@@ -45,7 +45,7 @@
                 std::thread::sleep(UNREAD_BEFORE_CUT);
                 None
             }
-            Some(Interruption::Fault(fault)) => self.play_fault(fault),
+            Some(Interruption::ScenarioError(fault)) => self.play_fault(fault),
         }
     }
 
@@ -174,7 +174,7 @@
     if state.script.faults.front().is_some_and(|(after, _)| deliveries >= *after) {
         let (_, fault) = state.script.faults.pop_front()?;
         state.ledger.faults += 1;
-        return Some(Interruption::Fault(fault));
+        return Some(Interruption::ScenarioError(fault));
     }
     None
 }
--- a/lab/src/control.rs
+++ b/lab/src/control.rs
@@ -1,6 +1,6 @@
 //! An operator at the control socket: requests on connections of their own, and a client that counts bytes.
 
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixStream;
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 /// Nobody listens at `socket`, the connection breaks, no answer comes in time, or it is no JSON.
-pub fn request_once(socket: &Path, mut request: Value, timeout: Duration) -> Result<Value, Fault> {
+pub fn request_once(socket: &Path, mut request: Value, timeout: Duration) -> Result<Value, ScenarioError> {
     request["v"] = json!(1);
     let mut stream = UnixStream::connect(socket)?;
     stream.set_read_timeout(Some(timeout))?;
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// The connection breaks, or the answer is no JSON.
-    pub fn request(&mut self, mut request: Value) -> Result<Value, Fault> {
+    pub fn request(&mut self, mut request: Value) -> Result<Value, ScenarioError> {
         request["v"] = json!(1);
         let line = format!("{request}\n");
         self.connection = self.connection.take().filter(|one| one.used.elapsed() < REUSED_WITHIN);
@@ -78,7 +78,7 @@
     }
 
     /// What the process says of its configuration and counters.
-    pub fn status(&mut self) -> Result<Value, Fault> {
+    pub fn status(&mut self) -> Result<Value, ScenarioError> {
         self.request(json!({"do": "status"}))
     }
 }
--- a/lab/src/dispatch.rs
+++ b/lab/src/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{self, FleetOptions};
 use crate::load::RateSpan;
 use crate::queue::{self, ThroughputOptions};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::scale::agree::AgreeOptions;
 use crate::scale::members::MembersOptions;
 use crate::{rollout, scale};
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 /// It could not be played.
-pub fn play(scenario: Scenario, report: &mut Report, arguments: &Arguments) -> Result<(), Fault> {
+pub fn play(scenario: Scenario, report: &mut Report, arguments: &Arguments) -> Result<(), ScenarioError> {
     let seed = arguments.seed;
     let rate = arguments.rate.unwrap_or(RATE);
     let nodes = arguments.nodes.clamp(*NODES.start(), *NODES.end());
@@ -81,7 +81,7 @@
     }
 }
 
-fn fleet_options(arguments: &Arguments, nodes: usize) -> Result<FleetOptions, Fault> {
+fn fleet_options(arguments: &Arguments, nodes: usize) -> Result<FleetOptions, ScenarioError> {
     Ok(FleetOptions {
         seed: arguments.seed,
         kind: arguments.kind()?,
--- a/lab/src/fleet/agree/play.rs
+++ b/lab/src/fleet/agree/play.rs
@@ -11,7 +11,7 @@
 use crate::fleet::options::FleetOptions;
 use crate::fleet::workload::{ms, COLD};
 use crate::method::PRICE;
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -27,7 +27,7 @@
 const SLOTS: usize = 10; // of the upstream, which is not called
 
 /// Plays it.
-pub fn scenario(report: &mut Report, options: &FleetOptions) -> Result<(), Fault> {
+pub fn scenario(report: &mut Report, options: &FleetOptions) -> Result<(), ScenarioError> {
     let nodes = options.nodes.max(LEAST_NODES);
     let plan = draw(nodes, options.seed);
     let mut fleet = start_fleet(nodes, options)?;
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-fn start_fleet(nodes: usize, options: &FleetOptions) -> Result<Fleet, Fault> {
+fn start_fleet(nodes: usize, options: &FleetOptions) -> Result<Fleet, ScenarioError> {
     let setup = Setup {
         operator_file: Some(format!("{}{VOTERS_AND_LEASE}", operator_file(nodes))),
         program: options.other.clone(),
@@ -71,7 +71,7 @@
 }
 
 /// Until all act on what the voters say.
-fn wait_for_leases(fleet: &Fleet) -> Result<(), Fault> {
+fn wait_for_leases(fleet: &Fleet) -> Result<(), ScenarioError> {
     let leased = |n: usize| {
         request(&fleet.members[n].node.dir, json!({"do": "fleet"}))
             .is_some_and(|answer| answer["lease_ms"].as_u64() > Some(0))
@@ -96,7 +96,7 @@
 
 impl Injector<'_> {
     /// Lets time pass up to a moment, in ms since the fleet's start.
-    fn inject_until(&mut self, fleet: &mut Fleet, at_ms: u64) -> Result<(), Fault> {
+    fn inject_until(&mut self, fleet: &mut Fleet, at_ms: u64) -> Result<(), ScenarioError> {
         while fleet.at_ms() < at_ms {
             while let Some(fault) = self.faults.get(self.next) {
                 if fault.at_ms + self.offset_ms > fleet.at_ms() {
@@ -111,7 +111,7 @@
     }
 }
 
-/// Admits or bars the caller, at a node by chance; none where no version came of it.
+/// Admits or bars the caller, at a random node; none where no version came of it.
 fn change_entry(fleet: &Fleet, admitted: bool, rng: &mut StdRng) -> Option<Change> {
     let standing = if admitted { "in" } else { "out" };
     let row = json!([{"key": CALLER.to_string(), "standing": standing}]);
--- a/lab/src/fleet/callers/attempts.rs
+++ b/lab/src/fleet/callers/attempts.rs
@@ -11,7 +11,7 @@
 
 const MAX_ATTEMPTS: u32 = 3; // of one RPC, where it may be retried
 const ANSWER_SLACK: Duration = Duration::from_millis(250); // beyond an attempt's patience until its answer counts as missing
-const LEAST_PATIENCE: Duration = Duration::from_millis(5); // that is worth an attempt
+const MIN_PATIENCE: Duration = Duration::from_millis(5); // for an attempt
 
 impl Caller {
     pub(super) fn start_rpc(&mut self, rpc: u64, at: Instant) {
@@ -38,7 +38,7 @@
         let Some(rpc) = self.rpcs.get(&id) else { return };
         let (method, attempts) = (rpc.method, rpc.attempts);
         let patience = (rpc.first_sent + method.patience).saturating_duration_since(now);
-        if attempts >= MAX_ATTEMPTS || patience < LEAST_PATIENCE {
+        if attempts >= MAX_ATTEMPTS || patience < MIN_PATIENCE {
             return self.finish_rpc(id, false);
         }
         let Some(node) = self.choose_backend() else {
--- a/lab/src/fleet/callers/mod.rs
+++ b/lab/src/fleet/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in sidecars of a fleet: each sends RPCs by chance, chooses among the backends that a late list names, and
+//! Stand-in sidecars of a fleet: each sends RPCs at random, chooses among the backends that a late list names, and
 //! retries elsewhere without a mark. A part of them ignores `pause` and credit.
 
 mod attempts;
--- a/lab/src/fleet/callers/profile.rs
+++ b/lab/src/fleet/callers/profile.rs
@@ -18,7 +18,7 @@
     pub rate: f64,
     /// Of 1, the part of callers that ignores what backends advertise.
     pub ignoring: f64,
-    /// Seed of all chance.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
--- a/lab/src/fleet/cluster.rs
+++ b/lab/src/fleet/cluster.rs
@@ -8,7 +8,7 @@
 use super::upstream::Upstream;
 use crate::agent::{Agent, ColdStart};
 use crate::node::Node;
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use crate::setup::{Placement, Services, Setup};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -98,7 +98,7 @@
 
 impl Fleet {
     /// Starts all, and waits until each listens.
-    pub fn start(plan: &Plan) -> Result<Fleet, Fault> {
+    pub fn start(plan: &Plan) -> Result<Fleet, ScenarioError> {
         let start = Instant::now();
         let upstream = Upstream::start(start, plan.slots, plan.call)?;
         let naming = Naming::start(start)?;
@@ -179,7 +179,7 @@
 impl Member {
     fn start(
         plan: &Plan, placement: &Placement, upstream: SocketAddr, naming: SocketAddr,
-    ) -> Result<Member, Fault> {
+    ) -> Result<Member, ScenarioError> {
         let agent = Agent::start(plan.setup.cores, &plan.setup.methods)?;
         let [agent_proxy, upstream_proxy, naming_proxy] =
             [TcpProxy::start(agent.at)?, TcpProxy::start(upstream)?, TcpProxy::start(naming)?];
--- a/lab/src/fleet/cold_start.rs
+++ b/lab/src/fleet/cold_start.rs
@@ -5,7 +5,7 @@
 use super::small_fleet::{member_setup, start_fleet};
 use super::workload::{ms, COLD, WARM_UP};
 use crate::method::{Method, LOOK};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::sidecar::{Answer, ANSWER, MAX_STREAMS};
 use crate::sync::lock;
 use rand::rngs::StdRng;
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy)]
 struct Advice {
     number: f64,
-    /// With what chance made of its fraction.
+    /// With its fraction rounded at random.
     limit: usize,
     came: Instant,
 }
@@ -187,7 +187,7 @@
     extremes
 }
 
-fn restart_cold(fleet: &mut Fleet) -> Result<Instant, Fault> {
+fn restart_cold(fleet: &mut Fleet) -> Result<Instant, ScenarioError> {
     for member in &mut fleet.members {
         member.node.kill();
         member.agent.restart_cold(COLD);
@@ -204,7 +204,7 @@
 }
 
 /// Plays it.
-pub fn cold_start(report: &mut Report, seed: u64, nodes: usize) -> Result<(), Fault> {
+pub fn cold_start(report: &mut Report, seed: u64, nodes: usize) -> Result<(), ScenarioError> {
     let callers = nodes;
     let methods = [Method { work: ms(30), calls_upstream: false, ..LOOK }];
     let mut fleet = start_fleet(nodes, member_setup(&methods, SOCKETS, callers))?;
--- a/lab/src/fleet/fault_injection.rs
+++ b/lab/src/fleet/fault_injection.rs
@@ -4,7 +4,7 @@
 use super::cluster::Fleet;
 use super::datagram_network::{cuts_between, NetworkConditions};
 use super::fault_script::{FaultKind, ScheduledFault, StateFault};
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
 use std::os::unix::fs::symlink;
@@ -51,7 +51,9 @@
 
 impl Fleet {
     /// Injects one fault.
-    pub fn inject(&mut self, fault: &ScheduledFault, injected: &mut InjectedFaults) -> Result<(), Fault> {
+    pub fn inject(
+        &mut self, fault: &ScheduledFault, injected: &mut InjectedFaults,
+    ) -> Result<(), ScenarioError> {
         match &fault.kind {
             FaultKind::UpstreamGone => self.members.iter().for_each(|m| m.upstream_proxy.refuse(true)),
             FaultKind::UpstreamBack(speed) => {
@@ -85,7 +87,7 @@
 
     fn inject_member(
         &mut self, n: usize, kind: &FaultKind, injected: &mut InjectedFaults,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ScenarioError> {
         let cold = self.cold;
         let member = &mut self.members[n];
         match kind {
@@ -140,7 +142,7 @@
     }
 
     /// Faults of the network between processes.
-    fn inject_network(&self, fault: &ScheduledFault) -> Result<(), Fault> {
+    fn inject_network(&self, fault: &ScheduledFault) -> Result<(), ScenarioError> {
         let Some(network) = &self.network else { return Err("these processes do not gossip".into()) };
         let members = self.members.len();
         network.change_conditions(|conditions| match &fault.kind {
@@ -162,7 +164,7 @@
     }
 
     /// Damages the state of a member that is down.
-    pub fn damage_state(&self, n: usize, fault: &StateFault) -> Result<(), Fault> {
+    pub fn damage_state(&self, n: usize, fault: &StateFault) -> Result<(), ScenarioError> {
         let dir = self.state_dir(n);
         let snapshot = dir.join("learned");
         let text = std::fs::read_to_string(&snapshot).unwrap_or_default();
--- a/lab/src/fleet/fault_script.rs
+++ b/lab/src/fleet/fault_script.rs
@@ -22,7 +22,7 @@
 //! 9000 net flood n0                         # garbage, another cluster's and recorded datagrams, for a second
 //! ```
 
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use std::fmt;
 
 /// What goes wrong, or ends.
@@ -164,7 +164,7 @@
 ///
 /// # Errors
 /// A line is not understood: the error has its number and text.
-pub fn parse(text: &str, nodes: usize) -> Result<Vec<ScheduledFault>, Fault> {
+pub fn parse(text: &str, nodes: usize) -> Result<Vec<ScheduledFault>, ScenarioError> {
     let mut lines = Vec::new();
     for (i, line) in text.lines().enumerate() {
         let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
--- a/lab/src/fleet/idle_flood.rs
+++ b/lab/src/fleet/idle_flood.rs
@@ -5,7 +5,7 @@
 use super::small_fleet::{member_setup, start_fleet};
 use super::workload::ms;
 use crate::method::{Method, LOOK};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::sidecar::{encode_health_check, OK, REQUEST};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -89,7 +89,7 @@
 }
 
 /// Plays it.
-pub fn idle_flood(report: &mut Report, seed: u64) -> Result<(), Fault> {
+pub fn idle_flood(report: &mut Report, seed: u64) -> Result<(), ScenarioError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let methods = [Method { work: ms(4), ..LOOK }];
     let mut fleet = start_fleet(1, member_setup(&methods, SOCKETS, CALLERS))?;
--- a/lab/src/fleet/members/cpu.rs
+++ b/lab/src/fleet/members/cpu.rs
@@ -6,7 +6,7 @@
 use crate::fleet::workload::{ms, COLD};
 use crate::load::{run_load, sum, RateSpan};
 use crate::method::{FRAMED, LOOK, PRICE};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use serde_json::json;
 use std::sync::atomic::AtomicBool;
@@ -18,7 +18,7 @@
 const SLOTS: usize = 1_000;
 
 /// A fleet whose runs cost nothing, with this operator's file, on a network with this seed.
-pub fn start_idle_fleet(nodes: usize, file: String, seed: u64) -> Result<Fleet, Fault> {
+pub fn start_idle_fleet(nodes: usize, file: String, seed: u64) -> Result<Fleet, ScenarioError> {
     let methods = [PRICE, LOOK].map(|method| method.without_work());
     let setup = Setup { operator_file: Some(file), shared_upstream: None, ..member_setup(&methods, nodes) };
     Fleet::start(&Plan { nodes, setup, cold: COLD, slots: SLOTS, call: ms(0), network: Some(seed) })
@@ -33,7 +33,7 @@
     idle_cpu_us_per_s: f64,
 }
 
-fn run(nodes: usize, file: &str, load: RateSpan, seed: u64, round: u64) -> Result<Round, Fault> {
+fn run(nodes: usize, file: &str, load: RateSpan, seed: u64, round: u64) -> Result<Round, ScenarioError> {
     let never = AtomicBool::new(false);
     let fleet = start_idle_fleet(nodes, file.to_string(), seed + round)?;
     std::thread::sleep(ALL_KNOWN);
@@ -49,7 +49,7 @@
 }
 
 /// Plays it.
-pub fn cpu(report: &mut Report, seed: u64, nodes: usize, load: RateSpan) -> Result<(), Fault> {
+pub fn cpu(report: &mut Report, seed: u64, nodes: usize, load: RateSpan) -> Result<(), ScenarioError> {
     let files = [("off", FILE_WITHOUT_MEMBERS.to_string()), ("on", operator_file(nodes))];
     let mut rounds = [Vec::new(), Vec::new()];
     for round in 0..ROUNDS {
--- a/lab/src/fleet/members/play.rs
+++ b/lab/src/fleet/members/play.rs
@@ -10,7 +10,7 @@
 use crate::fleet::fault_script;
 use crate::fleet::options::FleetOptions;
 use crate::fleet::workload::{caller_profile, mean_work, methods, ms, COLD, WEIGHTS};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
 const FEW: usize = 12; // members that are asked more often
 
 /// Plays it.
-pub fn scenario(report: &mut Report, options: &FleetOptions) -> Result<(), Fault> {
+pub fn scenario(report: &mut Report, options: &FleetOptions) -> Result<(), ScenarioError> {
     let nodes = options.nodes;
     let promises = Promises::new(nodes);
     let plan = match &options.script {
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-fn start_fleet(options: &FleetOptions) -> Result<Fleet, Fault> {
+fn start_fleet(options: &FleetOptions) -> Result<Fleet, ScenarioError> {
     let nodes = options.nodes;
     let setup = Setup { program: options.other.clone(), ..member_setup(&methods(), nodes) };
     let slots = (CALLS_EACH * nodes as f64 * RESERVE) as usize;
@@ -64,7 +64,7 @@
 }
 
 /// Injects the faults, and asks all members that can answer for their views, until what is promised has to have come.
-fn record(fleet: &mut Fleet, recording: &mut Recording) -> Result<(), Fault> {
+fn record(fleet: &mut Fleet, recording: &mut Recording) -> Result<(), ScenarioError> {
     let nodes = fleet.members.len();
     let promised_ms = recording.promises.healing_ms + recording.promises.transition_ms;
     let end_ms = recording.offset_ms + recording.last_fault_ms + promised_ms + BEHIND_PROMISES_MS;
--- a/lab/src/fleet/options.rs
+++ b/lab/src/fleet/options.rs
@@ -15,15 +15,30 @@
     /// All are killed, and their state is lost, swapped, torn, old or another's
     StateLost,
     /// The upstream is away, and comes back empty and at a third of its speed
-    BelowLost,
+    #[value(name = "below-lost")]
+    UpstreamLost,
     /// Some stand still for ten seconds, or start anew beside an agent that goes on, or lose a way of their link to it
     Odd,
 }
 
+impl Kind {
+    /// What it is called in reports.
+    pub fn label(self) -> &'static str {
+        match self {
+            Kind::All => "all",
+            Kind::Most => "most",
+            Kind::Rolling => "rolling",
+            Kind::StateLost => "statelost",
+            Kind::UpstreamLost => "belowlost",
+            Kind::Odd => "odd",
+        }
+    }
+}
+
 /// How a scenario of a fleet is played.
 #[derive(Clone)]
 pub struct FleetOptions {
-    /// Seed of all chance.
+    /// Seed of all random draws.
     pub seed: u64,
     /// What happens, instead of what the seed draws.
     pub kind: Option<Kind>,
--- a/lab/src/fleet/plot.rs
+++ b/lab/src/fleet/plot.rs
@@ -1,6 +1,6 @@
 //! The curve of service over time, as a picture.
 
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use plotters::prelude::*;
 use std::path::Path;
 
@@ -13,7 +13,13 @@
 }
 
 /// Draws curves over seconds, with faults as upright lines.
-pub fn draw_curves(path: &Path, title: &str, curves: &[Curve], faults: &[f64]) -> Result<(), Fault> {
+pub fn draw_curves(path: &Path, title: &str, curves: &[Curve], faults: &[f64]) -> Result<(), ScenarioError> {
+    draw(path, title, curves, faults).map_err(|error| format!("{}: {error}", path.display()).into())
+}
+
+fn draw(
+    path: &Path, title: &str, curves: &[Curve], faults: &[f64],
+) -> Result<(), Box<dyn std::error::Error>> {
     let ends = curves.iter().flat_map(|curve| curve.points.iter().map(|(x, _)| *x));
     let end = ends.fold(1.0, f64::max);
     let root = SVGBackend::new(path, (900, 360)).into_drawing_area();
--- a/lab/src/fleet/ready.rs
+++ b/lab/src/fleet/ready.rs
@@ -7,7 +7,7 @@
 use super::single_call::is_healthy_by;
 use super::small_fleet::{member_setup, start_fleet};
 use super::workload::{methods, ms, COLD};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 const CALLERS: usize = 4;
 
 /// Plays it.
-pub fn ready(report: &mut Report, nodes: usize) -> Result<(), Fault> {
+pub fn ready(report: &mut Report, nodes: usize) -> Result<(), ScenarioError> {
     let file = "[changes]\ncontrol {dir}/control\nstate {dir}/state\n[recovery]\nsnapshot 1s\n";
     let setup = member_setup(&methods(), SOCKETS, CALLERS);
     let mut fleet = start_fleet(nodes, Setup { operator_file: Some(file.into()), ..setup })?;
@@ -48,7 +48,7 @@
     n % 6 == 5
 }
 
-fn damage_state(fleet: &Fleet, n: usize) -> Result<(), Fault> {
+fn damage_state(fleet: &Fleet, n: usize) -> Result<(), ScenarioError> {
     match n % 4 {
         1 => std::fs::remove_dir_all(fleet.state_dir(n))?,
         2 => {
@@ -63,7 +63,7 @@
 }
 
 /// Starts all processes, and some agents later; how long each process took until it was ready, none if it never was.
-fn restart_all(fleet: &mut Fleet) -> Result<Vec<Option<Duration>>, Fault> {
+fn restart_all(fleet: &mut Fleet) -> Result<Vec<Option<Duration>>, ScenarioError> {
     let start = Instant::now();
     for member in &mut fleet.members {
         member.node.restart()?;
--- a/lab/src/fleet/restart_recovery/faults.rs
+++ b/lab/src/fleet/restart_recovery/faults.rs
@@ -9,7 +9,7 @@
 
 /// The kinds, in the order in which seeds draw them.
 pub(super) const KINDS: [Kind; 6] =
-    [Kind::All, Kind::Most, Kind::Rolling, Kind::StateLost, Kind::BelowLost, Kind::Odd];
+    [Kind::All, Kind::Most, Kind::Rolling, Kind::StateLost, Kind::UpstreamLost, Kind::Odd];
 /// Milliseconds of load at which the first fault comes.
 pub(super) const FIRST_FAULT_MS: u64 = 12_000;
 const ROLLING_DOWN_MS: u64 = 700; // that each process is down
@@ -22,7 +22,7 @@
         Kind::Most if seed.is_multiple_of(2) => 0.6,
         Kind::Most => 0.9,
         Kind::Rolling | Kind::Odd => 0.6,
-        Kind::BelowLost => 0.7,
+        Kind::UpstreamLost => 0.7,
     }
 }
 
@@ -36,7 +36,7 @@
         Kind::Most => restart_most(all, down_ms, seed, &mut rng),
         Kind::Rolling => restart_in_turns(&all),
         Kind::StateLost => lose_state(&all, down_ms, seed),
-        Kind::BelowLost => lose_upstream(&mut rng),
+        Kind::UpstreamLost => lose_upstream(&mut rng),
         Kind::Odd => odd(all, seed, &mut rng),
     };
     faults.sort_by_key(|fault| fault.at_ms);
--- a/lab/src/fleet/restart_recovery/play.rs
+++ b/lab/src/fleet/restart_recovery/play.rs
@@ -10,7 +10,7 @@
 use crate::fleet::options::{FleetOptions, Kind};
 use crate::fleet::workload::{caller_profile, mean_work, methods, ms, COLD, WARM_UP, WEIGHTS};
 use crate::method::UPDATE;
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use crate::setup::Setup;
 use std::path::Path;
 use std::time::Duration;
@@ -57,7 +57,7 @@
 /// Plays the faults once.
 pub(super) fn play(
     options: &FleetOptions, kind: Kind, faults: &[ScheduledFault], other: Option<&Path>,
-) -> Result<Findings, Fault> {
+) -> Result<Findings, ScenarioError> {
     let mut run = Run::start(options, kind, faults, other)?;
     run.play()?;
     run.callers.stop(LAST_ANSWERS);
@@ -86,7 +86,7 @@
 impl Run<'_> {
     fn start<'a>(
         options: &'a FleetOptions, kind: Kind, faults: &'a [ScheduledFault], other: Option<&Path>,
-    ) -> Result<Run<'a>, Fault> {
+    ) -> Result<Run<'a>, ScenarioError> {
         let mean = mean_work(&methods(), &WEIGHTS);
         let capacity = options.nodes as f64 * CORES as f64 / mean.as_secs_f64();
         let rate = capacity * load(kind, options.seed);
@@ -119,7 +119,7 @@
     }
 
     /// Until service is full again, or for as long as a run takes at the most.
-    fn play(&mut self) -> Result<(), Fault> {
+    fn play(&mut self) -> Result<(), ScenarioError> {
         let behind_faults = self.last_fault_ms - self.offset_ms + LIMIT_BEHIND_FAULTS_MS;
         let limit_ms = self.options.seconds.map_or(LIMIT_MS.max(behind_faults), |s| s * 1_000);
         loop {
@@ -133,7 +133,7 @@
         }
     }
 
-    fn inject_due_faults(&mut self, now_ms: u64) -> Result<(), Fault> {
+    fn inject_due_faults(&mut self, now_ms: u64) -> Result<(), ScenarioError> {
         while let Some(fault) = self.faults.get(self.next_fault) {
             if fault.at_ms + self.offset_ms > now_ms {
                 break;
--- a/lab/src/fleet/restart_recovery/scenario.rs
+++ b/lab/src/fleet/restart_recovery/scenario.rs
@@ -7,22 +7,22 @@
 use crate::fleet::fault_script;
 use crate::fleet::options::{FleetOptions, Kind};
 use crate::fleet::plot::{self, Curve};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use serde_json::json;
 
-const MANY: usize = 10; // of fewer processes one second's service swings by chance more than the bound allows for
+const MANY: usize = 10; // of fewer processes one second's service varies by more than the bound allows for
 const REPORTS_IN_STEP: f64 = 0.75; // of all processes in one tenth of a second
 const SMOOTHED: usize = 5; // tenths of a second for each point of the curve
 
 /// Plays it with this build, and with another if one is named.
-pub fn scenario(report: &mut Report, options: &FleetOptions) -> Result<(), Fault> {
+pub fn scenario(report: &mut Report, options: &FleetOptions) -> Result<(), ScenarioError> {
     let kind = options.kind.unwrap_or(KINDS[options.seed as usize % KINDS.len()]);
     let faults = match &options.script {
         Some(path) => fault_script::parse(&std::fs::read_to_string(path)?, options.nodes)?,
         None => draw(kind, options.nodes, options.seed),
     };
     let found = play(options, kind, &faults, None)?;
-    report.set("kind", json!(format!("{kind:?}").to_lowercase()));
+    report.set("kind", json!(kind.label()));
     report.set("nodes", json!(options.nodes));
     for (name, value) in found.figures().as_object().into_iter().flatten() {
         report.set(name, value.clone());
@@ -69,7 +69,7 @@
     report.rule("reports come in step", !(many && in_step));
 }
 
-fn draw_plot(options: &FleetOptions, kind: Kind, all: &[(&str, &Findings)]) -> Result<(), Fault> {
+fn draw_plot(options: &FleetOptions, kind: Kind, all: &[(&str, &Findings)]) -> Result<(), ScenarioError> {
     let Some(path) = &options.plot else { return Ok(()) };
     let curve = |(name, found): &(&str, &Findings)| {
         let spans = found.tenths.windows(SMOOTHED).enumerate();
@@ -80,7 +80,6 @@
     };
     let curves: Vec<Curve> = all.iter().map(curve).collect();
     let faults: Vec<f64> = all[0].1.faults.iter().map(|fault| fault.at_ms as f64 / 1_000.0).collect();
-    let kind = format!("{kind:?}").to_lowercase();
-    let title = format!("fleet-return {kind}, {} nodes, seed {}", options.nodes, options.seed);
+    let title = format!("fleet-return {}, {} nodes, seed {}", kind.label(), options.nodes, options.seed);
     plot::draw_curves(path, &title, &curves, &faults)
 }
--- a/lab/src/fleet/small_fleet.rs
+++ b/lab/src/fleet/small_fleet.rs
@@ -3,7 +3,7 @@
 use super::cluster::{Fleet, Plan};
 use super::workload::{ms, COLD, WARM_UP};
 use crate::method::Method;
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use crate::setup::Setup;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 }
 
 /// Starts a fleet of them.
-pub(super) fn start_fleet(nodes: usize, setup: Setup) -> Result<Fleet, Fault> {
+pub(super) fn start_fleet(nodes: usize, setup: Setup) -> Result<Fleet, ScenarioError> {
     let call: Duration = ms(10);
     Fleet::start(&Plan { nodes, setup, cold: COLD, slots: SLOTS, call, network: None })
 }
--- a/lab/src/queue/broker_faults.rs
+++ b/lab/src/queue/broker_faults.rs
@@ -6,7 +6,7 @@
 use crate::broker::{Broker, BrokerFault, BrokerLedger, FaultScript, Message};
 use crate::load::{run_load, RateSpan};
 use crate::method::{Method, FRAMED, LOOK, PRICE, UPDATE};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use serde_json::json;
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 const MEMORY_MB: f64 = 32.0;
 
 /// Plays it.
-pub fn broker_faults(report: &mut Report, seed: u64) -> Result<(), Fault> {
+pub fn broker_faults(report: &mut Report, seed: u64) -> Result<(), ScenarioError> {
     let faults = FAULTS.iter().zip(1..).map(|(fault, n)| (DELIVERIES_APART * n, *fault));
     let broker = Broker::start(FaultScript {
         faults: faults.collect(),
--- a/lab/src/queue/cpu.rs
+++ b/lab/src/queue/cpu.rs
@@ -5,7 +5,7 @@
 use crate::backend::Backend;
 use crate::load::{p99_ms, run_load, sum, LoadStats, RateSpan};
 use crate::method::{FRAMED, LOOK, PRICE};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use serde_json::json;
 use std::path::Path;
@@ -29,7 +29,7 @@
     backend_setup(&[PRICE, LOOK].map(|method| method.without_work()), operator_file)
 }
 
-fn run(report: &mut Report, setup: &Setup, load: RateSpan, seed: u64) -> Result<Run, Fault> {
+fn run(report: &mut Report, setup: &Setup, load: RateSpan, seed: u64) -> Result<Run, ScenarioError> {
     let never = AtomicBool::new(false);
     let start = Instant::now();
     let backend = Backend::start(setup, "")?;
@@ -50,7 +50,9 @@
 }
 
 /// CPU of a framed RPC with this build, and with another in turns if one is named: medians of five.
-pub fn framed_cpu(report: &mut Report, seed: u64, load: RateSpan, other: Option<&Path>) -> Result<(), Fault> {
+pub fn framed_cpu(
+    report: &mut Report, seed: u64, load: RateSpan, other: Option<&Path>,
+) -> Result<(), ScenarioError> {
     let (mut this, mut that) = (Vec::new(), Vec::new());
     for round in 0..ROUNDS {
         this.push(run(report, &quick_setup(None), load, seed + round)?.cpu_us_per_rpc);
@@ -69,7 +71,7 @@
 }
 
 /// CPU and p99 of framed RPCs with snapshots each second and without `[recovery]`, in turns: medians of five.
-pub fn recovery_cpu(report: &mut Report, seed: u64, load: RateSpan) -> Result<(), Fault> {
+pub fn recovery_cpu(report: &mut Report, seed: u64, load: RateSpan) -> Result<(), ScenarioError> {
     let state = "[changes]\nstate {dir}/state\n";
     let files = [("off", state.to_string()), ("on", format!("{state}[recovery]\nsnapshot 1s\n"))];
     let mut runs = [Vec::new(), Vec::new()];
--- a/lab/src/queue/demo.rs
+++ b/lab/src/queue/demo.rs
@@ -6,7 +6,7 @@
 use crate::broker::{Broker, BrokerLedger, FaultScript};
 use crate::load::{run_load, LoadStats, RateSpan};
 use crate::method::{FRAMED, LOOK, PRICE, UPDATE};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use serde_json::json;
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 const LINE_EVERY: Duration = Duration::from_secs(1);
 
 /// Plays it for `span`, a third of it with a jump in load.
-pub fn demo(report: &mut Report, seed: u64, span: Duration) -> Result<(), Fault> {
+pub fn demo(report: &mut Report, seed: u64, span: Duration) -> Result<(), ScenarioError> {
     let broker = Broker::start(FaultScript::default())?;
     broker.state().endless = Some(endless_stock());
     let file = operator_file(&[&broker], UPDATE.name, "caller 900\nprefetch 32\n");
--- a/lab/src/queue/flood.rs
+++ b/lab/src/queue/flood.rs
@@ -6,7 +6,7 @@
 use crate::broker::{Broker, FaultScript};
 use crate::load::{in_time, p99_ms, run_load, sum, RateSpan};
 use crate::method::{FRAMED, LOOK, PRICE, UPDATE};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use serde_json::json;
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 }
 
 /// Plays it: framed RPCs for `span` at `rate` a second.
-pub fn flood(report: &mut Report, seed: u64, span: Duration, rate: f64) -> Result<(), Fault> {
+pub fn flood(report: &mut Report, seed: u64, span: Duration, rate: f64) -> Result<(), ScenarioError> {
     let alone = play(report, seed, RateSpan::new(span, rate), false)?;
     let flooded = play(report, seed, RateSpan::new(span, rate), true)?;
     report.set("framed_in_time_alone", json!(alone.in_time));
@@ -33,7 +33,7 @@
     Ok(())
 }
 
-fn play(report: &mut Report, seed: u64, load: RateSpan, flooded: bool) -> Result<Service, Fault> {
+fn play(report: &mut Report, seed: u64, load: RateSpan, flooded: bool) -> Result<Service, ScenarioError> {
     let never = AtomicBool::new(false);
     let broker = Broker::start(FaultScript::default())?;
     broker.state().endless = Some(endless_stock());
--- a/lab/src/queue/redelivery.rs
+++ b/lab/src/queue/redelivery.rs
@@ -5,7 +5,7 @@
 use crate::backend::{wait_until, Backend};
 use crate::broker::{Broker, FaultScript};
 use crate::method::{LOOK, PRICE, UPDATE};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -16,7 +16,7 @@
 const SETTLED_WITHIN: Duration = Duration::from_secs(60);
 
 /// Plays it with so many messages.
-pub fn redelivery(report: &mut Report, seed: u64, messages: u64) -> Result<(), Fault> {
+pub fn redelivery(report: &mut Report, seed: u64, messages: u64) -> Result<(), ScenarioError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let first = messages / 4 + rng.random_range(0..messages / 8);
     let script = FaultScript {
--- a/lab/src/queue/shutdown.rs
+++ b/lab/src/queue/shutdown.rs
@@ -6,7 +6,7 @@
 use crate::broker::{Broker, BrokerFault, FaultScript};
 use crate::load::{run_load, sum, RateSpan};
 use crate::method::{Method, FRAMED, LOOK, PRICE, UPDATE};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
@@ -18,7 +18,7 @@
 const GRACE_MS: f64 = 2_900.0; // within which the broker has to be left
 
 /// Plays it.
-pub fn shutdown(report: &mut Report, seed: u64) -> Result<(), Fault> {
+pub fn shutdown(report: &mut Report, seed: u64) -> Result<(), ScenarioError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let half_at = 150 + rng.random_range(0..50);
     let script =
--- a/lab/src/queue/throughput.rs
+++ b/lab/src/queue/throughput.rs
@@ -6,7 +6,7 @@
 use crate::backend::{wait_until, Backend};
 use crate::broker::{Broker, FaultScript, Message, Settlement};
 use crate::method::{Method, LOOK, PRICE, UPDATE};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use serde_json::json;
 use std::path::Path;
@@ -32,7 +32,7 @@
 }
 
 /// Plays it.
-pub fn throughput(report: &mut Report, options: ThroughputOptions) -> Result<(), Fault> {
+pub fn throughput(report: &mut Report, options: ThroughputOptions) -> Result<(), ScenarioError> {
     let messages = options.messages;
     let broker = Broker::start(FaultScript { counts_deliveries: true, ..FaultScript::default() })?;
     let all = (0..messages).map(|n| Message { number: n + 1, ..message(n) });
--- a/lab/src/rollout/bad_change.rs
+++ b/lab/src/rollout/bad_change.rs
@@ -3,7 +3,7 @@
 use super::stage::{accepted, check_framed, Stage};
 use crate::load::{in_time, run_load, RateSpan};
 use crate::method::FRAMED;
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use serde_json::{json, Value};
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
@@ -86,7 +86,7 @@
 }
 
 /// Plays it.
-pub fn bad_change(report: &mut Report, seed: u64, rate: f64) -> Result<(), Fault> {
+pub fn bad_change(report: &mut Report, seed: u64, rate: f64) -> Result<(), ScenarioError> {
     let kind = KINDS[(seed % KINDS.len() as u64) as usize];
     report.set("kind", json!(kind.name()));
     let stage = Stage::start(seed, kind == BadChange::ConcurrencyTooHigh)?;
@@ -132,7 +132,7 @@
 }
 
 /// Stages the change, by force if it is rejected.
-fn stage_forced(report: &mut Report, stage: &Stage, text: &str) -> Result<(), Fault> {
+fn stage_forced(report: &mut Report, stage: &Stage, text: &str) -> Result<(), ScenarioError> {
     let unforced = stage.request(json!({"do": "stage", "text": text}))?;
     report.set("refused_unforced", json!(!accepted(&unforced)));
     let staged = match accepted(&unforced) {
@@ -146,7 +146,7 @@
 }
 
 /// How long after `start` the first version ran again, in ms.
-fn wait_for_undo(stage: &Stage, start: Instant) -> Result<Option<u64>, Fault> {
+fn wait_for_undo(stage: &Stage, start: Instant) -> Result<Option<u64>, ScenarioError> {
     while start.elapsed() < WATCHED {
         std::thread::sleep(POLL);
         if stage.status()?["version"] == json!(1) {
--- a/lab/src/rollout/crash.rs
+++ b/lab/src/rollout/crash.rs
@@ -5,7 +5,7 @@
 use crate::backend::wait_until;
 use crate::load::{run_load, RateSpan};
 use crate::method::FRAMED;
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use serde_json::{json, Value};
 use std::path::Path;
 use std::sync::atomic::AtomicBool;
@@ -14,7 +14,7 @@
 const REACHED_WITHIN: Duration = Duration::from_secs(5);
 
 /// Plays it.
-pub fn crash(report: &mut Report, seed: u64) -> Result<(), Fault> {
+pub fn crash(report: &mut Report, seed: u64) -> Result<(), ScenarioError> {
     let mut stage = Stage::start(seed + 3_000, false)?;
     let config = stage.node().dir.join("config.json");
     let good = std::fs::read_to_string(&config)?;
@@ -60,14 +60,14 @@
     })
 }
 
-fn reload(stage: &Stage, config: &Path, text: &str) -> Result<(), Fault> {
+fn reload(stage: &Stage, config: &Path, text: &str) -> Result<(), ScenarioError> {
     std::fs::write(config, text)?;
     stage.node().signal("HUP");
     Ok(())
 }
 
 /// The platform's file with a deadline that is too short, and fewer cores.
-fn bad_config(good: &str) -> Result<String, Fault> {
+fn bad_config(good: &str) -> Result<String, ScenarioError> {
     let mut bad: Value = serde_json::from_str(good)?;
     bad["settings"]["Categories"][0]["DeadlineMs"] = json!(150);
     bad["settings"]["FamilyInfo"]["NCores"] = json!(3);
--- a/lab/src/rollout/good_change.rs
+++ b/lab/src/rollout/good_change.rs
@@ -3,7 +3,7 @@
 use super::stage::{accepted, check_framed, Stage};
 use crate::load::{in_time, run_load, RateSpan};
 use crate::method::FRAMED;
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -25,7 +25,7 @@
 }
 
 /// Plays it.
-pub fn good_change(report: &mut Report, seed: u64, rate: f64) -> Result<(), Fault> {
+pub fn good_change(report: &mut Report, seed: u64, rate: f64) -> Result<(), ScenarioError> {
     let stage = Stage::start(seed + 1_000, false)?;
     let never = AtomicBool::new(false);
     let at = stage.node().at;
@@ -78,7 +78,7 @@
 }
 
 /// Waits until nothing is on probation any more.
-fn wait_for_settlement(stage: &Stage, start: Instant) -> Result<Option<Settled>, Fault> {
+fn wait_for_settlement(stage: &Stage, start: Instant) -> Result<Option<Settled>, ScenarioError> {
     while start.elapsed() < SETTLED_WITHIN {
         std::thread::sleep(POLL);
         let status = stage.status()?;
--- a/lab/src/rollout/stage.rs
+++ b/lab/src/rollout/stage.rs
@@ -6,7 +6,7 @@
 use crate::load::{sum, LoadStats, MethodStats};
 use crate::method::{Method, LOOK, PRICE, UPDATE};
 use crate::node::Node;
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -44,12 +44,14 @@
 
 impl Stage {
     /// A backend that a rate of 250 RPCs a second keeps busy to seven tenths. `thrashes`: its cores thrash when crowded.
-    pub(super) fn start(seed: u64, thrashes: bool) -> Result<Stage, Fault> {
+    pub(super) fn start(seed: u64, thrashes: bool) -> Result<Stage, ScenarioError> {
         Stage::start_with(seed, thrashes, None)
     }
 
     /// The same with a queue.
-    pub(super) fn start_with(seed: u64, thrashes: bool, broker: Option<&Broker>) -> Result<Stage, Fault> {
+    pub(super) fn start_with(
+        seed: u64, thrashes: bool, broker: Option<&Broker>,
+    ) -> Result<Stage, ScenarioError> {
         let dir = std::env::temp_dir().join(format!("asterrill-lab-{}-c{seed}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
         let socket = dir.join("control");
@@ -72,17 +74,17 @@
     }
 
     /// Sends a request to the control socket.
-    pub(super) fn request(&self, request: Value) -> Result<Value, Fault> {
+    pub(super) fn request(&self, request: Value) -> Result<Value, ScenarioError> {
         request_once(&self.socket, request, ANSWER_TIMEOUT)
     }
 
     /// What the process says of its configuration and counters.
-    pub(super) fn status(&self) -> Result<Value, Fault> {
+    pub(super) fn status(&self) -> Result<Value, ScenarioError> {
         self.request(json!({"do": "status"}))
     }
 
     /// Why the last event of the configuration's history happened.
-    pub(super) fn last_reason(&self) -> Result<Option<Value>, Fault> {
+    pub(super) fn last_reason(&self) -> Result<Option<Value>, ScenarioError> {
         let history = self.request(json!({"do": "history"}))?;
         let last = history["history"].as_array().and_then(|all| all.last());
         Ok(last.map(|event| event["why"].clone()))
@@ -98,7 +100,7 @@
     }
 
     /// Checks that no answer was decided under parts of two versions.
-    pub(super) fn check_versions(&self, report: &mut Report) -> Result<(), Fault> {
+    pub(super) fn check_versions(&self, report: &mut Report) -> Result<(), ScenarioError> {
         let half = self.status()?["counters"]["half_applied"].as_u64();
         report.set("half_applied_seen", json!(half));
         report.rule("an answer was decided under parts of two versions", half == Some(0));
--- a/lab/src/rollout/storm.rs
+++ b/lab/src/rollout/storm.rs
@@ -6,7 +6,7 @@
 use crate::load::{in_time, run_load, sum, RateSpan};
 use crate::method::FRAMED;
 use crate::queue::{endless_stock, report_broker_ledger};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::os::unix::net::UnixStream;
@@ -28,7 +28,7 @@
 }
 
 /// Plays it with so many changes.
-pub fn storm(report: &mut Report, seed: u64, changes: u64, rate: f64) -> Result<(), Fault> {
+pub fn storm(report: &mut Report, seed: u64, changes: u64, rate: f64) -> Result<(), ScenarioError> {
     let broker = Broker::start(FaultScript::default())?;
     broker.state().endless = Some(endless_stock());
     let stage = Stage::start_with(seed + 2_000, false, Some(&broker))?;
@@ -56,7 +56,9 @@
     Ok(())
 }
 
-fn make_changes(report: &mut Report, stage: &Stage, broker: &Broker, changes: u64) -> Result<Changes, Fault> {
+fn make_changes(
+    report: &mut Report, stage: &Stage, broker: &Broker, changes: u64,
+) -> Result<Changes, ScenarioError> {
     let mut made = Changes::default();
     for n in 0..changes {
         let stage_request = json!({"do": "stage", "text": changed_file(stage, broker, n), "force": true});
--- a/lab/src/scale/agree/audit.rs
+++ b/lab/src/scale/agree/audit.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Versions of which one is not known count as contradicting.
+    /// Versions of which one is nowhere to be found count as contradicting.
     fn contradict(&mut self, one: u64, other: u64, find: &dyn Fn(u64) -> Option<Version>) -> bool {
         if let Some(contradict) = self.contradictions.get(&(one, other)) {
             return *contradict;
--- a/lab/src/scale/agree/build.rs
+++ b/lab/src/scale/agree/build.rs
@@ -5,7 +5,7 @@
 use super::run::{entry_name, put, Baseline, Run, PATIENCE, VOTERS};
 use super::units::{ms, MS, S};
 use crate::process::{resident_kb, OWN};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use asterrill::Us;
 use asterrill_consensus::{Access, Change, Config, VersionLog, MAX_STEP_CHANGES};
 use serde_json::json;
@@ -20,7 +20,7 @@
 const REPLICAS_AT_REST: Us = 6 * S;
 
 /// Builds the cluster and reports what that took.
-pub(super) fn build(report: &mut Report, options: &AgreeOptions, seed: u64) -> Result<Run, Fault> {
+pub(super) fn build(report: &mut Report, options: &AgreeOptions, seed: u64) -> Result<Run, ScenarioError> {
     let config = Config {
         voters: (0..VOTERS).map(|n| format!("keeper-{n}")).collect(),
         lease: LEASE,
@@ -55,7 +55,7 @@
 
 /// The voters elect a leader and agree on the list: in steps of as many changes as one may have, the last of them one by
 /// one.
-fn build_list(report: &mut Report, run: &mut Run) -> Result<(), Fault> {
+fn build_list(report: &mut Report, run: &mut Run) -> Result<(), ScenarioError> {
     run.wait_until(ELECTED_WITHIN, |cluster| cluster.leader().is_some()).ok_or("nobody comes to lead")?;
     run.cluster.run_to(run.cluster.now + AT_REST);
     let all: Vec<Change> = (0..run.entries).map(|n| put(entry_name(n), Access::Allowed)).collect();
@@ -72,7 +72,7 @@
 }
 
 /// The replicas start within a second, each with the snapshot that it would have persisted.
-fn add_replicas(report: &mut Report, run: &mut Run, replicas: usize) -> Result<(), Fault> {
+fn add_replicas(report: &mut Report, run: &mut Run, replicas: usize) -> Result<(), ScenarioError> {
     let leader = run.cluster.leader().ok_or("nobody leads")?;
     let consensus = run.cluster.nodes[leader].consensus.as_ref();
     let log = consensus.map(|consensus| consensus.version_log().clone()).unwrap_or_default();
--- a/lab/src/scale/agree/run.rs
+++ b/lab/src/scale/agree/run.rs
@@ -160,7 +160,7 @@
         put(entry_name(n), if self.denied[n] { Access::Denied } else { Access::Allowed })
     }
 
-    /// A replica by chance.
+    /// A random replica.
     pub(super) fn pick_replica(&mut self) -> usize {
         let replicas = self.connected_replicas();
         replicas[self.cluster.rng.random_range(0..replicas.len())]
--- a/lab/src/scale/agree/scenario.rs
+++ b/lab/src/scale/agree/scenario.rs
@@ -7,7 +7,7 @@
 use super::run::Run;
 use super::units::{ms, S};
 use crate::process::{resident_kb, OWN};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use asterrill::Us;
 use clap::ValueEnum;
 use serde_json::{json, Value};
@@ -46,7 +46,7 @@
 /// Plays it; `kind` by its name on the command line.
 pub fn scenario(
     report: &mut Report, options: AgreeOptions, kind: Option<&str>, seed: u64,
-) -> Result<(), Fault> {
+) -> Result<(), ScenarioError> {
     let kind = kind.map_or(Ok(Kind::Quiet), |kind| Kind::from_str(kind, true));
     let kind = kind.map_err(|error| format!("--kind: {error}"))?;
     let quick = options.quick;
@@ -72,7 +72,7 @@
     Ok(())
 }
 
-fn within_bounds(options: AgreeOptions) -> Result<AgreeOptions, Fault> {
+fn within_bounds(options: AgreeOptions) -> Result<AgreeOptions, ScenarioError> {
     let entries = match options.quick {
         true => options.entries.min(QUICK_ENTRIES),
         false => options.entries.max(FORGOTTEN_AFTER + 1),
--- a/lab/src/scale/callers.rs
+++ b/lab/src/scale/callers.rs
@@ -4,7 +4,7 @@
 use crate::method::{Method, LOOK};
 use crate::node::Node;
 use crate::process::{resident_kb, thread_cpu_ns};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::setup::{Services, Setup};
 use crate::sidecar::{read_frame, RpcHeader, OK};
 use crate::stand_ins::{start_echo_upstream, start_naming};
@@ -71,7 +71,7 @@
     std::fs::read_dir(format!("/proc/{}/fd", node.process())).map_or(0, Iterator::count)
 }
 
-fn start_node(program: Option<&Path>) -> Result<Node, Fault> {
+fn start_node(program: Option<&Path>) -> Result<Node, ScenarioError> {
     let methods = [Method { work: Duration::from_micros(200), ..LOOK }];
     let agent = Agent::start(CORES, &methods)?;
     let setup = Setup {
@@ -110,7 +110,7 @@
 }
 
 /// Plays it with this build, or another.
-pub fn scenario(report: &mut Report, program: Option<&Path>) -> Result<(), Fault> {
+pub fn scenario(report: &mut Report, program: Option<&Path>) -> Result<(), ScenarioError> {
     let mut node = start_node(program)?;
     thread::sleep(STARTED);
     let baseline = Baseline { resident_kb: resident_kb(&node.process()), descriptors: descriptors(&node) };
--- a/lab/src/scale/capacity/budgets.rs
+++ b/lab/src/scale/capacity/budgets.rs
@@ -1,7 +1,8 @@
 //! `docs/capacity/budgets.json`: the fleet's sizes, how often things happen, what may be spent, and the page's lines.
 
-use super::slopes::{Basis, Line, Role, Slope, Slopes};
-use super::{slopes, Wrong};
+use super::error::CapacityError;
+use super::files::parse;
+use super::slopes::{value_at, Basis, Line, Role, Slope, Slopes};
 use serde::Deserialize;
 use std::path::Path;
 
@@ -74,7 +75,7 @@
     pub what: String,
     #[serde(default)]
     pub unit: String,
-    /// What it is the sum of; empty where nothing is known.
+    /// What it is the sum of; empty where nothing was measured.
     #[serde(default)]
     pub terms: Vec<Term>,
     /// The same of the build before, where its way is another.
@@ -137,17 +138,18 @@
 }
 
 impl Budgets {
-    /// Reads the text of `path`; names that lead nowhere are told with the line at fault.
-    pub fn parse(path: &Path, text: &str, slopes: &Slopes) -> Result<Budgets, Wrong> {
-        let all: Budgets = super::parse(path, text, FORMAT, |all: &Budgets| all.format)?;
+    /// Reads the text of `path`; an error names the line whose names lead nowhere.
+    pub fn parse(path: &Path, text: &str, slopes: &Slopes) -> Result<Budgets, CapacityError> {
+        let all: Budgets = parse(path, text, FORMAT, |all: &Budgets| all.format)?;
         for slope in &slopes.slopes {
             let Some(axis) = &slope.axis else { continue };
-            let wrong = |why| Wrong::Row { path: "slopes.json".into(), row: slope.id.clone(), why };
+            let wrong =
+                |reason| CapacityError::Row { path: "slopes.json".into(), row: slope.id.clone(), reason };
             let named = || wrong(format!("no size in {} is called {axis:?}", path.display()));
             slope.check_sizes(all.size(axis).ok_or_else(named)?).map_err(wrong)?;
         }
         for line in &all.lines {
-            let wrong = |why| Wrong::Row { path: path.into(), row: line.what.clone(), why };
+            let wrong = |reason| CapacityError::Row { path: path.into(), row: line.what.clone(), reason };
             for term in line.terms.iter().chain(&line.before) {
                 if slopes.get(&term.slope).is_none() {
                     return Err(wrong(format!("no slope is called {:?}", term.slope)));
@@ -171,7 +173,7 @@
             }
         }
         for bound in &all.bounds {
-            let wrong = |why| Wrong::Row { path: path.into(), row: bound.what.clone(), why };
+            let wrong = |reason| CapacityError::Row { path: path.into(), row: bound.what.clone(), reason };
             if let Some(slope) = bound.slope.as_ref().filter(|slope| slopes.get(slope).is_none()) {
                 return Err(wrong(format!("no slope is called {slope:?}")));
             }
@@ -210,12 +212,12 @@
         };
         let own = build == Build::Now || slope.before.as_ref().is_none_or(|before| before.line);
         match (size, points.last()) {
-            (Some(size), _) => slopes::at(points, size).filter(|(_, line)| own || *line == Line::ReadOff),
+            (Some(size), _) => value_at(points, size).filter(|(_, line)| own || *line == Line::ReadOff),
             (None, Some((_, value))) => Some((*value, Line::ReadOff)),
             (None, None) => None,
         }
     }
-    /// What a line says of either build; none where nothing is known. A line that names nothing of the build before
+    /// What a line says of either build; none where nothing was measured. A line that names nothing of the build before
     /// is the same there, if one of its slopes was measured with that build or none was touched.
     pub fn figure(&self, entry: &Entry, build: Build, slopes: &Slopes) -> Option<Figure> {
         if let Some(value) = entry.value {
--- /dev/null
+++ b/lab/src/scale/capacity/files.rs
@@ -0,0 +1,23 @@
+//! Reads the files of the capacity page.
+
+use super::error::CapacityError;
+use serde::de::DeserializeOwned;
+use std::path::Path;
+
+/// Reads a file.
+pub fn read(path: &Path) -> Result<String, CapacityError> {
+    std::fs::read_to_string(path).map_err(|error| CapacityError::File { path: path.into(), error })
+}
+
+/// Parses the text of `path`, which has to be of the expected format; `format` reads that off the value.
+pub fn parse<T: DeserializeOwned>(
+    path: &Path, text: &str, expected: u64, format: fn(&T) -> u64,
+) -> Result<T, CapacityError> {
+    let value: T =
+        serde_json::from_str(text).map_err(|error| CapacityError::Json { path: path.into(), error })?;
+    let found = format(&value);
+    if found != expected {
+        return Err(CapacityError::Format { path: path.into(), found, expected });
+    }
+    Ok(value)
+}
--- a/lab/src/scale/capacity/page.rs
+++ b/lab/src/scale/capacity/page.rs
@@ -1,7 +1,9 @@
 //! The tables of `docs/CAPACITY.md`, between `<!-- capacity: NAME -->` and `<!-- end -->`.
 
-use super::budgets::{Bound, Budgets, Build, Day, Entry, Figure};
-use super::slopes::{Line, Role, Slope, Slopes, Taken};
+use super::budgets::{Bound, Budgets, Build};
+use super::format::{day_in_words, figure_cell, line_in_words, number, points, times};
+use super::over_budget::over_table;
+use super::slopes::{Provenance, Role, Slope, Slopes};
 use std::fmt::Write;
 
 const END: &str = "<!-- end -->";
@@ -44,109 +46,6 @@
     })
 }
 
-/// A figure with as many places as say something.
-pub fn number(value: f64) -> String {
-    let places = match value.abs() {
-        size if size >= 100.0 || size == 0.0 => 0,
-        size if size >= 10.0 => 1,
-        size if size >= 1.0 => 2,
-        size => (1 - size.log10().floor() as i32).clamp(2, 6) as usize,
-    };
-    let text = format!("{value:.places$}");
-    let text = if places > 0 { text.trim_end_matches('0').trim_end_matches('.') } else { &text };
-    let (whole, part) = text.split_once('.').map_or((text, None), |(whole, part)| (whole, Some(part)));
-    let (sign, digits) = whole.strip_prefix('-').map_or(("", whole), |digits| ("-", digits));
-    let mut grouped = String::from(sign);
-    for (n, digit) in digits.chars().enumerate() {
-        if n > 0 && (digits.len() - n) % 3 == 0 {
-            grouped.push(',');
-        }
-        grouped.push(digit);
-    }
-    part.map_or(grouped.clone(), |part| format!("{grouped}.{part}"))
-}
-
-fn times(value: f64, most: f64) -> String {
-    format!("{} times", number(value / most))
-}
-
-/// What stands in a cell of the page.
-fn told(figure: Option<&Figure>, unit: &str) -> String {
-    match figure {
-        None => "not measured".into(),
-        Some(it) if it.missing.is_empty() => format!("{} {unit}", number(it.value)),
-        Some(it) => format!("{} {unit} and more (not measured: {})", number(it.value), it.missing.join(", ")),
-    }
-}
-
-struct Over<'a> {
-    entry: &'a Entry,
-    budget: String,
-    unit: &'a str,
-    most: f64,
-    before: Option<Figure>,
-    now: Option<Figure>,
-}
-
-impl Over<'_> {
-    fn factor(&self, of: &Option<Figure>) -> f64 {
-        of.as_ref().map_or(0.0, |figure| figure.value / self.most)
-    }
-    fn furthest(&self) -> f64 {
-        self.factor(&self.before).max(self.factor(&self.now))
-    }
-}
-
-/// Lines over their budget, in the build before or now, the furthest first.
-fn over<'a>(slopes: &Slopes, budgets: &'a Budgets) -> Vec<Over<'a>> {
-    let rows = budgets.lines.iter().filter_map(|entry| {
-        let budget = budgets.budget(entry.budget.as_ref()?)?;
-        let [before, now] = [Build::Before, Build::Now].map(|build| budgets.figure(entry, build, slopes));
-        let told = format!("{} {}", number(budget.most), budget.unit);
-        Some(Over { entry, budget: told, unit: &budget.unit, most: budget.most, before, now })
-    });
-    let mut rows: Vec<_> = rows.filter(|row| row.furthest() > 1.0).collect();
-    rows.sort_by(|one, other| other.furthest().total_cmp(&one.furthest()));
-    rows
-}
-
-/// How many lines are over their budget as things are.
-pub fn over_now(slopes: &Slopes, budgets: &Budgets) -> usize {
-    over(slopes, budgets).iter().filter(|row| row.factor(&row.now) > 1.0).count()
-}
-
-fn over_table(slopes: &Slopes, budgets: &Budgets) -> String {
-    let rows = over(slopes, budgets);
-    let still = rows.iter().filter(|row| row.factor(&row.now) > 1.0).count();
-    let unknown = rows.iter().filter(|row| row.now.is_none()).count();
-    let mut text = format!(
-        "Over budget now: {still} lines; {unknown} more were over it before and are not measured now. "
-    );
-    text += "The order is by the greater of the two factors.\n\n";
-    text += "| what | on | budget | before | now | carried by |\n| --- | --- | --- | --- | --- | --- |\n";
-    for row in &rows {
-        let cell = |figure: &Option<Figure>| {
-            let factor = row.factor(figure);
-            let told = told(figure.as_ref(), row.unit);
-            match figure {
-                None => told,
-                Some(_) if factor > 1.0 => format!("**{told}, {}**", times(factor, 1.0)),
-                Some(_) => format!("{told}, {}", times(factor, 1.0)),
-            }
-        };
-        let (before, now) = (cell(&row.before), cell(&row.now));
-        let (entry, on, budget) = (row.entry, on(row.entry), &row.budget);
-        let _ = writeln!(
-            text,
-            "| {}: {} | {on} | {budget} | {before} | {now} | {} |",
-            name(entry.role),
-            entry.what,
-            entry.carried
-        );
-    }
-    text
-}
-
 fn bounds(slopes: &Slopes, budgets: &Budgets) -> String {
     let mut rows: Vec<_> =
         budgets.bounds.iter().map(|bound| (budgets.needed(bound, slopes), bound)).collect();
@@ -173,12 +72,12 @@
     text
 }
 
-fn told_of(taken: &Taken) -> String {
+fn provenance(taken: &Provenance) -> String {
     format!("{}, {}, {} cores, commit {}", taken.date, taken.machine, taken.cores, taken.commit)
 }
 
 fn taken(slopes: &Slopes) -> String {
-    let [now, before] = [&slopes.taken, &slopes.before].map(told_of);
+    let [now, before] = [&slopes.taken, &slopes.before].map(provenance);
     format!("Taken {now}; the build before {before}; unless a row says otherwise.\n")
 }
 
@@ -205,28 +104,6 @@
     text
 }
 
-fn name(role: Role) -> &'static str {
-    match role {
-        Role::Backend => "backend",
-        Role::Keeper => "keeper",
-        Role::Tool => "tool",
-        Role::Caller => "caller",
-    }
-}
-
-fn on(entry: &Entry) -> String {
-    let day = match entry.day {
-        Day::Ordinary => "an ordinary day",
-        Day::Worst => "the worst minute",
-        Day::Cut => "a region cut",
-    };
-    if entry.when.is_empty() {
-        day.into()
-    } else {
-        format!("{day}: {}", entry.when)
-    }
-}
-
 fn role(role: Role, slopes: &Slopes, budgets: &Budgets) -> String {
     let mut text = String::from("| part | what | figure | known how | budget | of it | carried by |\n");
     text += "| --- | --- | --- | --- | --- | --- | --- |\n";
@@ -234,7 +111,7 @@
     rows.sort_by_key(|line| line.day);
     let mut last = String::new();
     for row in rows {
-        let on = on(row);
+        let on = day_in_words(row);
         if on != last {
             let _ = writeln!(text, "| **on {on}** | | | | | | |");
             last = on;
@@ -253,46 +130,18 @@
             }
             (Some(budget), Some(figure)) => (number(budget.most), times(figure.value, budget.most)),
             (Some(budget), None) => (number(budget.most), String::new()),
-            (None, _) => ("none told".into(), String::new()),
+            (None, _) => ("none stated".into(), String::new()),
         };
-        let told = told(figure.as_ref(), unit);
+        let cell = figure_cell(figure.as_ref(), unit);
         let _ = writeln!(
             text,
-            "| {} | {} | {told} | {basis} | {most} | {of} | {} |",
+            "| {} | {} | {cell} | {basis} | {most} | {of} | {} |",
             row.part, row.what, row.carried
         );
     }
     text
 }
 
-fn points(points: &[(f64, f64)]) -> String {
-    let all: Vec<_> =
-        points.iter().map(|(size, value)| format!("{}: {}", number(*size), number(*value))).collect();
-    if all.is_empty() {
-        "not measured".into()
-    } else {
-        all.join("; ")
-    }
-}
-
-fn way(line: Line) -> String {
-    let off = |off: f64| format!("{:.0} in 100", 100.0 * off);
-    match line {
-        Line::ReadOff => "read off".into(),
-        Line::Fit { a, b, off: it } => {
-            format!("{} + {} each, off by {} at most", number(a), number(b), off(it))
-        }
-        Line::Pair { from, to, b, off: it } => format!(
-            "not on a line (off by {}): the worst pair, {} and {}, {} each",
-            off(it),
-            number(from),
-            number(to),
-            number(b)
-        ),
-        Line::Only => "one point".into(),
-    }
-}
-
 fn lines(slopes: &Slopes, budgets: &Budgets) -> String {
     let mut text = String::from(
         "| id | what, unit | size: value | at the fleet's size | known how; spread | command; note |\n",
@@ -306,28 +155,28 @@
 
 fn row(text: &mut String, slope: &Slope, budgets: &Budgets) {
     let at = |build| match budgets.at(slope, build) {
-        Some((value, line)) => format!("{}, {}", number(value), way(line)),
+        Some((value, line)) => format!("{}, {}", number(value), line_in_words(line)),
         None => String::new(),
     };
-    let taken = |taken: &Option<Taken>| match taken {
-        Some(taken) => format!("; taken {}", told_of(taken)),
+    let taken = |taken: &Option<Provenance>| match taken {
+        Some(taken) => format!("; taken {}", provenance(taken)),
         None => String::new(),
     };
     let (id, what, unit) = (&slope.id, &slope.what, &slope.unit);
     let basis = if slope.points.is_empty() { "" } else { slope.basis.name() };
     let command = if slope.command.is_empty() { String::new() } else { format!("`{}`", slope.command) };
     let parts = [command, slope.note.clone()];
-    let told: Vec<_> = parts.iter().filter(|part| !part.is_empty()).map(String::as_str).collect();
-    let known: Vec<_> = [basis, &slope.spread].into_iter().filter(|part| !part.is_empty()).collect();
+    let notes: Vec<_> = parts.iter().filter(|part| !part.is_empty()).map(String::as_str).collect();
+    let source: Vec<_> = [basis, &slope.spread].into_iter().filter(|part| !part.is_empty()).collect();
     let over = slope.axis.as_ref().map_or(String::new(), |axis| format!("; over {axis}"));
     let _ = writeln!(
         text,
         "| `{id}` | {what}, {unit}{over} | {} | {} | {}{} | {} |",
         points(&slope.points),
         at(Build::Now),
-        known.join("; "),
+        source.join("; "),
         taken(&slope.taken),
-        told.join("; ")
+        notes.join("; ")
     );
     if let Some(before) = &slope.before {
         let _ = writeln!(
--- a/lab/src/scale/capacity/slopes.rs
+++ b/lab/src/scale/capacity/slopes.rs
@@ -1,6 +1,7 @@
 //! `docs/capacity/slopes.json`: figures measured at several sizes, and the line through them.
 
-use super::Wrong;
+use super::error::CapacityError;
+use super::files::parse;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -23,7 +24,7 @@
     Caller,
 }
 
-/// How a figure is known, the surest first.
+/// Where a figure comes from, the surest first.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Basis {
     #[serde(rename = "measured")]
@@ -44,10 +45,10 @@
     }
 }
 
-/// When, on what machine and with what build figures were taken.
+/// When, on what machine and with what build figures were measured.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(deny_unknown_fields)]
-pub struct Taken {
+pub struct Provenance {
     pub date: String,
     pub machine: String,
     pub cores: u64,
@@ -64,7 +65,7 @@
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub line: bool,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub taken: Option<Taken>,
+    pub taken: Option<Provenance>,
 }
 
 /// One row: a figure against a size.
@@ -88,16 +89,16 @@
     pub note: String,
     /// Where it differs from the file's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub taken: Option<Taken>,
+    pub taken: Option<Provenance>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub before: Option<Before>,
 }
 
 #[derive(Clone, PartialEq, Debug)]
 pub struct Slopes {
-    pub taken: Taken,
+    pub taken: Provenance,
     /// Of the figures of the build before.
-    pub before: Taken,
+    pub before: Provenance,
     pub slopes: Vec<Slope>,
 }
 
@@ -105,15 +106,15 @@
 #[serde(deny_unknown_fields)]
 struct Raw {
     format: u64,
-    taken: Taken,
-    before: Taken,
+    taken: Provenance,
+    before: Provenance,
     slopes: Vec<Value>,
 }
 
 impl Slopes {
-    /// Reads the text of `path`; what is wrong is told with the row at fault.
-    pub fn parse(path: &Path, text: &str) -> Result<Slopes, Wrong> {
-        let raw: Raw = super::parse(path, text, FORMAT, |raw: &Raw| raw.format)?;
+    /// Reads the text of `path`; an error names the row at fault.
+    pub fn parse(path: &Path, text: &str) -> Result<Slopes, CapacityError> {
+        let raw: Raw = parse(path, text, FORMAT, |raw: &Raw| raw.format)?;
         let mut ids = BTreeSet::new();
         let mut slopes = Vec::new();
         for (n, value) in raw.slopes.into_iter().enumerate() {
@@ -121,7 +122,7 @@
                 Some(id) => id.to_string(),
                 None => format!("number {}", n + 1),
             };
-            let wrong = |why: String| Wrong::Row { path: path.into(), row: row.clone(), why };
+            let wrong = |reason: String| CapacityError::Row { path: path.into(), row: row.clone(), reason };
             let slope: Slope = serde_json::from_value(value).map_err(|error| wrong(error.to_string()))?;
             slope.check().map_err(wrong)?;
             if !ids.insert(slope.id.clone()) {
@@ -191,8 +192,8 @@
 }
 
 /// The value at `size`, and how it was come by; none without points.
-pub fn at(points: &[(f64, f64)], size: f64) -> Option<(f64, Line)> {
-    if let Some((_, value)) = points.iter().find(|(known, _)| *known == size) {
+pub fn value_at(points: &[(f64, f64)], size: f64) -> Option<(f64, Line)> {
+    if let Some((_, value)) = points.iter().find(|(measured, _)| *measured == size) {
         return Some((*value, Line::ReadOff));
     }
     if points.len() < 2 {
--- /dev/null
+++ b/lab/src/scale/capacity/tests/pages.rs
@@ -0,0 +1,121 @@
+//! Tests of `pages.rs`, with the slopes and budgets that it reads.
+
+use super::*;
+use crate::scale::capacity::docs_copy::{docs, Copy};
+use crate::scale::capacity::options::MeasuredBuild;
+use crate::scale::capacity::slopes::{value_at, Line};
+use crate::scale::capacity::take;
+use serde_json::json;
+
+#[test]
+fn page_and_plots_match_the_slopes() {
+    let pages = work_out(&docs()).unwrap();
+    assert!(differing(&pages).is_empty(), "run asterrill-lab capacity: {:?} differ", differing(&pages));
+}
+
+#[test]
+fn detects_changed_figures_on_the_page_in_the_slopes_and_in_plots() {
+    let copy = Copy::new("changed");
+    assert!(copy.differing().is_empty());
+    copy.change("CAPACITY.md", |text| text.replacen("| 14 ", "| 15 ", 1));
+    assert_eq!(copy.differing(), ["CAPACITY.md"]);
+    let copy = Copy::new("plot");
+    copy.change("capacity/cpu.svg", |text| text.replacen("cx=\"", "cx=\"1", 1) + " ");
+    assert_eq!(copy.differing(), ["cpu.svg"]);
+    let copy = Copy::new("slopes");
+    let output = json!({"scenario": "scale-config", "methods": 4_700, "tenants": 49_000, "cpu_ms_per_reload": 12_345.0});
+    let (path, before) = (copy.0.join("capacity/slopes.json"), MeasuredBuild::Before);
+    copy.change("capacity/slopes.json", |text| {
+        let four =
+            [1.0, 2.0, 3.0].map(|n| json!({"scenario": "scale-config", "methods": n as u64, "tenants": 0, "cpu_ms_per_reload": n}));
+        let all = [&four[..], &[output]].concat();
+        take::take(&path, &text, &all, before, None).unwrap().text
+    });
+    assert_eq!(copy.differing(), ["CAPACITY.md", "cpu.svg"]);
+}
+
+#[test]
+fn errors_name_the_row_and_its_mistake() {
+    let wrong = |from: &str, to: &str| {
+        let copy = Copy::new("row");
+        copy.change("capacity/slopes.json", |text| {
+            assert!(text.contains(from), "{from}");
+            text.replacen(from, to, 1)
+        });
+        copy.wrong()
+    };
+    let error = wrong("\"id\": \"config-memory-peak\"", "\"id\": \"config-memory\"");
+    assert!(error.contains("row config-memory:") && error.contains("another with this id"), "{error}");
+    let error = wrong("\"role\": \"backend\"", "\"role\": \"anybody\"");
+    assert!(error.contains("row config-memory:") && error.contains("anybody"), "{error}");
+    let error = wrong("\"axis\": \"entries\"", "\"axis\": \"weight\"");
+    assert!(error.contains("row config-memory:") && error.contains("weight"), "{error}");
+    let error = wrong("\"format\": 1", "\"format\": 2");
+    assert!(error.contains("format 2, not 1"), "{error}");
+}
+
+#[test]
+fn measured_slopes_have_four_growing_sizes_or_the_fleets() {
+    let row = |points: &str| {
+        let text = format!(
+            r#"{{"format": 1, "taken": {{"date": "", "machine": "", "cores": 1, "commit": ""}},
+            "before": {{"date": "", "machine": "", "cores": 1, "commit": ""}}, "slopes": [
+            {{"id": "it", "role": "keeper", "part": "", "what": "", "unit": "", "axis": "members", "basis": "measured",
+              "command": "make", "points": {points}, "spread": "", "note": ""}}]}}"#
+        );
+        let sizes = r#"{"format": 1, "sizes": [{"id": "members", "what": "", "value": 510}], "rates": [],
+            "budgets": [], "bounds": [], "lines": []}"#;
+        let slopes = Slopes::parse(Path::new("x.json"), &text);
+        let all = slopes.and_then(|slopes| Budgets::parse(Path::new("y.json"), sizes, &slopes));
+        all.map(drop).map_err(|wrong| wrong.to_string())
+    };
+    assert_eq!(row("[[1, 1], [2, 2], [3, 3], [4, 4]]"), Ok(()));
+    assert_eq!(row("[[510, 1]]"), Ok(()));
+    let error = row("[[1, 1], [2, 2], [3, 3]]").unwrap_err();
+    assert_eq!(error, "slopes.json: row it: points: 3 sizes, 4 at least, or one of 510");
+    assert!(row("[[1, 1], [2, 2], [2, 3], [4, 4]]").unwrap_err().contains("sizes have to grow"));
+    assert!(row("[]").unwrap_err().contains("why it is not measured"));
+}
+
+#[test]
+fn values_are_read_off_or_on_the_line_or_of_the_worst_pair() {
+    let line = [(10.0, 1.0), (20.0, 2.0), (30.0, 3.1), (40.0, 4.0)];
+    assert_eq!(value_at(&line, 30.0), Some((3.1, Line::ReadOff)));
+    let (value, how) = value_at(&line, 400.0).unwrap();
+    assert!(
+        (value - 40.4).abs() < 0.5 && matches!(how, Line::Fit { off, .. } if off < 0.02),
+        "{value} {how:?}"
+    );
+    let bent = [(10.0, 1.0), (20.0, 2.0), (30.0, 4.0), (40.0, 9.0)];
+    let (value, how) = value_at(&bent, 50.0).unwrap();
+    assert_eq!(value, 14.0);
+    assert!(matches!(how, Line::Pair { from: 30.0, to: 40.0, b, .. } if b == 0.5), "{how:?}");
+    assert_eq!(value_at(&[(10.0, 1.0)], 20.0), Some((1.0, Line::Only)));
+    assert_eq!(value_at(&[], 20.0), None);
+}
+
+#[test]
+fn orders_lines_over_budget_by_their_factor() {
+    let copy = Copy::new("over");
+    let path = copy.0.join("capacity/slopes.json");
+    let sizes = [(5, 0), (470, 4_900), (1_500, 16_000), (4_700, 49_000)];
+    let output = |(methods, tenants): (u64, u64), times: u64| {
+        json!({"scenario": "scale-config", "methods": methods, "tenants": tenants, "rss_kb_small": 0,
+            "rss_kb": 32_768 * times, "rss_kb_after": 32_768 * 9 * times, "gap_ms_max": 2 * times})
+    };
+    for (build, times) in [(MeasuredBuild::Before, 4), (MeasuredBuild::After, 1)] {
+        copy.change("capacity/slopes.json", |text| {
+            take::take(&path, &text, &sizes.map(|size| output(size, times)), build, None).unwrap().text
+        });
+    }
+    let pages = work_out(&copy.0).unwrap();
+    let (_, table) = pages.files[0].1.split_once("<!-- capacity: over -->").unwrap();
+    let (table, _) = table.split_once("<!-- end -->").unwrap();
+    let place = |what: &str| table.find(what).unwrap();
+    let changes = place("configuration, after 200 changes of one entry");
+    let start = place("configuration, at the start");
+    let gap = place("longest time without an answer");
+    assert!(changes < start && start < gap, "{table}");
+    assert!(table.contains("| **1,152 MB, 36 times** | **288 MB, 9 times** |"), "{table}");
+    assert!(table.contains("| **128 MB, 4 times** | 32 MB, 1 times |"), "{table}");
+}
--- a/lab/src/scale/config/entry_changes.rs
+++ b/lab/src/scale/config/entry_changes.rs
@@ -2,7 +2,7 @@
 
 use super::fields::phase;
 use super::session::{accepted, cpu_beyond_load_ms, rejection_reason, Outcome, Session, GIVE_UP};
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use crate::scale::statistics::{median, rounded};
 use crate::scale::test_bed::{BackgroundLoad, DiskWriteMeter};
 use serde_json::{json, Value};
@@ -26,7 +26,7 @@
     /// Makes changes of one entry by the control socket. Whether the build supports steps, and they come into force.
     pub(super) fn measure_entry_changes(
         &mut self, load: &BackgroundLoad, changes: usize, idle_cpu_ms_per_s: f64,
-    ) -> Result<bool, Fault> {
+    ) -> Result<bool, ScenarioError> {
         let steps = self.supports_steps()?;
         let mut disk = DiskWriteMeter::new(&self.bed.state_dir());
         self.control.bytes = 0;
@@ -48,7 +48,7 @@
 
     fn make_entry_changes(
         &mut self, changes: usize, steps: bool, disk: &mut DiskWriteMeter,
-    ) -> Result<Changes, Fault> {
+    ) -> Result<Changes, ScenarioError> {
         let (mut made, mut rejected_in_a_row) = (Changes::default(), 0);
         for _ in 0..changes {
             let (start, site_before, bytes_before) = (Instant::now(), self.site.clone(), self.control.bytes);
@@ -111,7 +111,7 @@
 
     /// Whether this build takes steps at its control socket: one that changes nothing is not understood by one that
     /// doesn't.
-    fn supports_steps(&mut self) -> Result<bool, Fault> {
+    fn supports_steps(&mut self) -> Result<bool, ScenarioError> {
         let answer: Value = self.control.request(json!({"do": "stage", "step": ""}))?;
         let supported = accepted(&answer) || !rejection_reason(&answer).starts_with("stage wants text");
         if accepted(&answer) {
--- a/lab/src/scale/config/full_changes.rs
+++ b/lab/src/scale/config/full_changes.rs
@@ -2,7 +2,7 @@
 
 use super::fields::phase;
 use super::session::{cpu_beyond_load_ms, Outcome, Session};
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use crate::scale::statistics::rounded;
 use crate::scale::test_bed::BackgroundLoad;
 use serde_json::json;
@@ -15,7 +15,7 @@
     /// Changes every entry, as one step if the build supports `steps`, then as one file.
     pub(super) fn measure_full_changes(
         &mut self, load: &BackgroundLoad, idle_cpu_ms_per_s: f64, steps: bool,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ScenarioError> {
         load.set_phase(phase::ALL_BY_STEP);
         let by_step = if steps { self.change_all_by_step(load, idle_cpu_ms_per_s)? } else { None };
         load.set_phase(phase::ALL_BY_FILE);
@@ -28,7 +28,7 @@
     /// CPU in ms, if it came into force.
     fn change_all_by_step(
         &mut self, load: &BackgroundLoad, idle_cpu_ms_per_s: f64,
-    ) -> Result<Option<f64>, Fault> {
+    ) -> Result<Option<f64>, ScenarioError> {
         let site_before = self.site.clone();
         let step = self.change_all(load);
         let before = self.bed.meter.read();
@@ -61,7 +61,7 @@
     /// CPU in ms, if it came into force.
     fn change_all_by_file(
         &mut self, load: &BackgroundLoad, idle_cpu_ms_per_s: f64,
-    ) -> Result<Option<f64>, Fault> {
+    ) -> Result<Option<f64>, ScenarioError> {
         let site_before = self.site.clone();
         self.change_all(load);
         let before = self.bed.meter.read();
--- a/lab/src/scale/config/rejections.rs
+++ b/lab/src/scale/config/rejections.rs
@@ -1,7 +1,7 @@
 //! Changes that are wrong: they are rejected, and the version stays.
 
 use super::session::{accepted, Outcome, Session};
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use crate::scale::test_bed::{method_name, tenant_name};
 use serde_json::json;
 
@@ -10,7 +10,7 @@
 
 impl Session<'_> {
     /// Stages and reloads what is wrong.
-    pub(super) fn check_rejections(&mut self) -> Result<(), Fault> {
+    pub(super) fn check_rejections(&mut self) -> Result<(), ScenarioError> {
         let before = self.running()?;
         let good = self.bed.config_text(&self.site);
         let (rejected, reasons) = (self.rejected, self.reasons.clone());
--- a/lab/src/scale/config/reloads.rs
+++ b/lab/src/scale/config/reloads.rs
@@ -2,7 +2,7 @@
 
 use super::fields::phase;
 use super::session::{cpu_beyond_load_ms, Outcome, Session, GIVE_UP};
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use crate::scale::statistics::{median, rounded};
 use crate::scale::test_bed::BackgroundLoad;
 use serde_json::{json, Value};
@@ -20,7 +20,7 @@
     /// Changes one entry of the file and has it read again. Whether reloads come into force.
     pub(super) fn measure_reloads(
         &mut self, load: &BackgroundLoad, reloads: usize, idle_cpu_ms_per_s: f64,
-    ) -> Result<bool, Fault> {
+    ) -> Result<bool, ScenarioError> {
         let (mut made, mut rejected_in_a_row) = (Reloads::default(), 0);
         for _ in 0..reloads {
             let site_before = self.site.clone();
--- a/lab/src/scale/config/scenario.rs
+++ b/lab/src/scale/config/scenario.rs
@@ -6,7 +6,7 @@
 use super::session::Session;
 use super::undo::Supported;
 use crate::process::load_average;
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::scale::sizes::Sizes;
 use crate::scale::statistics::{medians, rounded};
 use crate::scale::test_bed::{BackgroundLoad, LoadProfile, SiteSettings, TestBed, Violations};
@@ -29,7 +29,7 @@
 }
 
 /// The same build with a few methods and no tenants: its resident memory at rest, in kB.
-fn small_site_kb(program: Option<&Path>, report: &mut Report) -> Result<Value, Fault> {
+fn small_site_kb(program: Option<&Path>, report: &mut Report) -> Result<Value, ScenarioError> {
     let mut bed = TestBed::start(&SiteSettings::new(SMALL, 0, CALLERS), program, ms(2))?;
     thread::sleep(AT_REST);
     let resident = bed.status_kb("VmRSS");
@@ -46,7 +46,7 @@
 }
 
 /// Plays one build.
-fn play(seed: u64, sizes: &Sizes, rate: f64, program: Option<&Path>) -> Result<Played, Fault> {
+fn play(seed: u64, sizes: &Sizes, rate: f64, program: Option<&Path>) -> Result<Played, ScenarioError> {
     let mut report = Report::default();
     FIELDS.iter().for_each(|name| report.set(name, Value::Null));
     let small = small_site_kb(program, &mut report)?;
@@ -80,7 +80,7 @@
     report_violations(&mut report, &violations);
     report_phases(&mut report, &phases);
     report.set("load", json!(load_average()));
-    let (mut figures, mut broken) = report.parts();
+    let (mut figures, mut broken) = report.into_parts();
     let over = over_budget(&figures);
     if sizes.budgets {
         broken.extend(over.iter().map(|line| format!("over budget: {line}")));
@@ -89,7 +89,7 @@
     Ok(Played { figures, broken })
 }
 
-fn start_load(bed: &TestBed, sizes: &Sizes, rate: f64, seed: u64) -> Result<BackgroundLoad, Fault> {
+fn start_load(bed: &TestBed, sizes: &Sizes, rate: f64, seed: u64) -> Result<BackgroundLoad, ScenarioError> {
     let (methods, tenants) = (sizes.methods.max(1), sizes.tenants);
     let profile = LoadProfile { methods, tenants, callers: CALLERS, rate, seed };
     let mut load = BackgroundLoad::start(bed.node.at, &bed.agent, profile)?;
@@ -101,7 +101,7 @@
 }
 
 /// All kinds of changes, one after the other.
-fn measure(session: &mut Session, load: &BackgroundLoad, sizes: &Sizes) -> Result<(), Fault> {
+fn measure(session: &mut Session, load: &BackgroundLoad, sizes: &Sizes) -> Result<(), ScenarioError> {
     let first = session.measure_quiet(load);
     let steps = session.measure_entry_changes(load, sizes.changes, first)?;
     let second = session.measure_quiet(load);
@@ -153,7 +153,7 @@
 /// Plays this build, and another in turns; medians of the turns.
 pub fn scenario(
     report: &mut Report, seed: u64, sizes: &Sizes, rate: Option<f64>, other: Option<&Path>,
-) -> Result<(), Fault> {
+) -> Result<(), ScenarioError> {
     let rate = rate.unwrap_or(RATE);
     let (mut this_build, mut other_build) = (Vec::new(), Vec::new());
     for turn in 0..sizes.turns.unwrap_or(1).max(1) as u64 {
--- a/lab/src/scale/config/session.rs
+++ b/lab/src/scale/config/session.rs
@@ -2,7 +2,7 @@
 
 use super::fields::phase;
 use crate::control::ControlClient;
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::scale::test_bed::{sentinel_tenants, BackgroundLoad, CpuReading, SiteSettings, TestBed};
 use rand::rngs::StdRng;
 use rand::Rng;
@@ -80,7 +80,7 @@
     }
 
     /// Stages a change and applies it; it is on probation then.
-    pub(super) fn apply(&mut self, stage: Value) -> Result<Outcome, Fault> {
+    pub(super) fn apply(&mut self, stage: Value) -> Result<Outcome, ScenarioError> {
         let staged = match self.control.request(stage) {
             Ok(staged) => staged,
             Err(fault) => {
@@ -105,7 +105,7 @@
     }
 
     /// Ends a probation: `settle` or `undo`.
-    pub(super) fn end_probation(&mut self, command: &str) -> Result<(), Fault> {
+    pub(super) fn end_probation(&mut self, command: &str) -> Result<(), ScenarioError> {
         let answer = self.control.request(json!({"do": command}))?;
         let broken = format!("a change could not be ended by {command}");
         self.report.rule(&broken, accepted(&answer));
@@ -170,13 +170,13 @@
     }
 
     /// Writes the file as the site is now and sends a signal; waits until it is in force or rejected.
-    pub(super) fn reload(&mut self) -> Result<Outcome, Fault> {
+    pub(super) fn reload(&mut self) -> Result<Outcome, ScenarioError> {
         let text = self.bed.config_text(&self.site);
         self.reload_text(&text)
     }
 
     /// The same with a text.
-    pub(super) fn reload_text(&mut self, text: &str) -> Result<Outcome, Fault> {
+    pub(super) fn reload_text(&mut self, text: &str) -> Result<Outcome, ScenarioError> {
         let before = self.control.status()?["version"].clone();
         let log_length = self.bed.node.read_log().len();
         std::fs::write(self.bed.config_path(), text)?;
@@ -199,7 +199,7 @@
     }
 
     /// The version that runs.
-    pub(super) fn running(&mut self) -> Result<RunningVersion, Fault> {
+    pub(super) fn running(&mut self) -> Result<RunningVersion, ScenarioError> {
         let status = self.control.status()?;
         Ok(RunningVersion { number: status["version"].clone(), hash: status["hash"].clone() })
     }
--- a/lab/src/scale/config/undo.rs
+++ b/lab/src/scale/config/undo.rs
@@ -2,7 +2,7 @@
 
 use super::fields::phase;
 use super::session::{cpu_beyond_load_ms, Outcome, Session};
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use crate::scale::statistics::rounded;
 use crate::scale::test_bed::BackgroundLoad;
 use serde_json::json;
@@ -32,7 +32,7 @@
     /// Makes a change of each kind and undoes it.
     pub(super) fn measure_undo(
         &mut self, load: &BackgroundLoad, idle_cpu_ms_per_s: f64, supported: Supported,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ScenarioError> {
         load.set_phase(phase::UNDO);
         for kind in [Undone::OneEntry, Undone::File, Undone::All] {
             let running_before = self.running()?;
@@ -64,7 +64,7 @@
 
     fn change_to_undo(
         &mut self, kind: Undone, load: &BackgroundLoad, supported: Supported,
-    ) -> Result<Outcome, Fault> {
+    ) -> Result<Outcome, ScenarioError> {
         match kind {
             Undone::OneEntry if supported.steps => {
                 let step = self.change_one();
--- a/lab/src/scale/forms.rs
+++ b/lab/src/scale/forms.rs
@@ -1,8 +1,8 @@
-//! `scale-forms`: forms in which a version could be kept, side by side: memory of the first, memory of twenty more that differ in
+//! `scale-forms`: forms in which a version could be stored, side by side: memory of the first, memory of twenty more that differ in
 //! one entry each, CPU of making one, of finding what differs, of going back. Each form and size has a process to itself.
 
 use crate::process::{resident_kb, OWN};
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use clap::ValueEnum;
 use imbl::ordmap::DiffItem;
 use imbl::OrdMap;
@@ -18,7 +18,7 @@
 const VERSIONS: usize = 20;
 const TURNS: usize = 5;
 
-/// What a version could be kept as.
+/// What a version could be stored as.
 #[derive(ValueEnum, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Form {
     /// A persistent ordered map; versions share nodes
@@ -181,8 +181,8 @@
 }
 
 /// The middle of some turns, in microseconds of CPU for one of so many.
-fn cpu_us(times: usize, mut run: impl FnMut(usize)) -> Result<f64, Fault> {
-    let used = || -> Result<f64, Fault> {
+fn cpu_us(times: usize, mut run: impl FnMut(usize)) -> Result<f64, ScenarioError> {
+    let used = || -> Result<f64, ScenarioError> {
         let used = getrusage(UsageWho::RUSAGE_SELF)?;
         Ok((used.user_time() + used.system_time()).num_microseconds() as f64)
     };
@@ -196,7 +196,7 @@
     Ok(turns[TURNS / 2])
 }
 
-fn measure<V: Versions>(size: usize) -> Result<Value, Fault> {
+fn measure<V: Versions>(size: usize) -> Result<Value, ScenarioError> {
     let empty = resident_kb(OWN);
     let mut versions = V::new(size);
     let first = resident_kb(OWN);
@@ -216,7 +216,7 @@
         "differing": differing, "differ_us": differ, "change_and_back_us": both}))
 }
 
-fn one(form: Form, size: usize) -> Result<Value, Fault> {
+fn one(form: Form, size: usize) -> Result<Value, ScenarioError> {
     match form {
         Form::Map => measure::<Maps>(size),
         Form::Vector => measure::<Vectors>(size),
@@ -235,7 +235,7 @@
     of: usize,
 }
 
-pub fn scenario(report: &mut Report, to: FormOptions) -> Result<(), Fault> {
+pub fn scenario(report: &mut Report, to: FormOptions) -> Result<(), ScenarioError> {
     if let Some(form) = to.form {
         report.set("figures", one(form, to.of.max(1))?);
         return Ok(());
--- a/lab/src/scale/members/options.rs
+++ b/lab/src/scale/members/options.rs
@@ -28,7 +28,7 @@
 pub struct MembersOptions {
     /// Members.
     pub nodes: usize,
-    /// Seed of all chance.
+    /// Seed of all random draws.
     pub seed: u64,
     /// What happens.
     pub kind: Kind,
--- a/lab/src/scale/members/partition.rs
+++ b/lab/src/scale/members/partition.rs
@@ -65,8 +65,8 @@
     fn play_healing(&mut self) {
         self.simulation.cut(0);
         let (healed, false_before) = (self.simulation.now, self.false_failures());
-        let known = self.track_worst_until(ALL_MET_WITHIN, Simulation::all_known);
-        self.set("all_know_all_ms", to_ms(known));
+        let all_known = self.track_worst_until(ALL_MET_WITHIN, Simulation::all_known);
+        self.set("all_know_all_ms", to_ms(all_known));
         let complete = self.simulation.until(ALL_MET_WITHIN, Simulation::all_complete);
         let complete = complete.map(|_| self.simulation.now - healed);
         self.set("whole_ms", to_ms(complete));
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -9,7 +9,7 @@
 use crate::fleet::members::start_idle_fleet;
 use crate::fleet::Fleet;
 use crate::process::status_kb_or_zero;
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use crate::scale::statistics::round;
 use asterrill::Us;
 use asterrill_membership::{LeaseTiming, MembershipConfig};
@@ -159,7 +159,7 @@
 }
 
 /// Plays so many processes beside as many simulated members.
-pub fn compare_with_processes(report: &mut Report, seed: u64, nodes: usize) -> Result<(), Fault> {
+pub fn compare_with_processes(report: &mut Report, seed: u64, nodes: usize) -> Result<(), ScenarioError> {
     let nodes = nodes.clamp(*SIZES.start(), *SIZES.end());
     let mut simulated = Report::default();
     let options = MembersOptions { nodes, seed, kind: Kind::Quiet, loss: 0.0, quick: false };
--- a/lab/src/scale/members/simulation.rs
+++ b/lab/src/scale/members/simulation.rs
@@ -79,7 +79,7 @@
     pub most: f64,
     /// What members said of each other.
     pub failures: Vec<Failure>,
-    /// All that was sent and all that became known, as one number.
+    /// All that was sent and all events of members, as one number.
     pub trace: u64,
 }
 
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -6,7 +6,7 @@
 use super::statistics::{median, rounded};
 use super::test_bed::{tenant_name, BackgroundLoad, LoadProfile, SiteSettings, TestBed};
 use crate::process::load_average;
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use serde_json::{json, Value};
 use std::net::UdpSocket;
 use std::path::Path;
@@ -99,7 +99,7 @@
 }
 
 /// Lists of so many entries come into force at a process that agrees with nobody but itself.
-fn agree_on_lists(bed: &TestBed, count: usize, tenants: usize) -> Result<(), Fault> {
+fn agree_on_lists(bed: &TestBed, count: usize, tenants: usize) -> Result<(), ScenarioError> {
     let (mut control, until) = (bed.control_client(), Instant::now() + IN_FORCE_WITHIN);
     for from in (0..count).step_by(STEP) {
         for ListChange { list, rows } in list_changes(from, (from + STEP).min(count), tenants) {
@@ -130,7 +130,7 @@
 impl Point {
     fn start(
         (methods, tenants): (usize, usize), callers: usize, entries: Option<usize>, program: Option<&Path>,
-    ) -> Result<Point, Fault> {
+    ) -> Result<Point, ScenarioError> {
         let site = SiteSettings::new(methods, tenants, callers);
         let sections = match entries {
             Some(_) => {
@@ -159,7 +159,7 @@
     }
 
     /// RPCs for a while: CPU of each.
-    fn measure_round(&mut self, report: &mut Report, plan: &Plan, seed: u64) -> Result<(), Fault> {
+    fn measure_round(&mut self, report: &mut Report, plan: &Plan, seed: u64) -> Result<(), ScenarioError> {
         let (methods, tenants, callers) = (self.methods, self.tenants, self.callers);
         let profile = LoadProfile { methods, tenants, callers, rate: plan.rate, seed };
         let load = BackgroundLoad::start(self.bed.node.at, &self.bed.agent, profile)?;
@@ -202,7 +202,7 @@
 }
 
 /// All points of this build, then those of another.
-fn start_points(plan: &Plan, other: Option<&Path>) -> Result<Vec<Point>, Fault> {
+fn start_points(plan: &Plan, other: Option<&Path>) -> Result<Vec<Point>, ScenarioError> {
     let largest = plan.sizes.last().copied().unwrap_or((5, 0));
     let mut points = Vec::new();
     for program in std::iter::once(None).chain(other.map(Some)) {
@@ -218,7 +218,7 @@
     Ok(points)
 }
 
-fn measure(report: &mut Report, points: &mut [Point], plan: &Plan, seed: u64) -> Result<(), Fault> {
+fn measure(report: &mut Report, points: &mut [Point], plan: &Plan, seed: u64) -> Result<(), ScenarioError> {
     thread::sleep(AT_REST);
     let before: Vec<_> = points.iter_mut().map(|point| point.bed.meter.read()).collect();
     thread::sleep(plan.idle);
@@ -289,7 +289,7 @@
 pub fn scenario(
     report: &mut Report, seed: u64, sizes: &Sizes, rate: Option<f64>, seconds: Option<u64>,
     other: Option<&Path>,
-) -> Result<(), Fault> {
+) -> Result<(), ScenarioError> {
     let plan = Plan::new(sizes, rate, seconds);
     let mut points = start_points(&plan, other)?;
     measure(report, &mut points, &plan, seed)?;
--- a/lab/src/scale/test_bed/bed.rs
+++ b/lab/src/scale/test_bed/bed.rs
@@ -6,7 +6,7 @@
 use crate::control::ControlClient;
 use crate::node::Node;
 use crate::process::status_kb;
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use crate::stand_ins::start_naming;
 use serde_json::{json, Value};
 use std::net::{TcpListener, TcpStream};
@@ -41,14 +41,16 @@
 
 impl TestBed {
     /// Starts a process of this build, or of `program`, and waits until it listens. Each run takes `work`.
-    pub fn start(site: &SiteSettings, program: Option<&Path>, work: Duration) -> Result<TestBed, Fault> {
+    pub fn start(
+        site: &SiteSettings, program: Option<&Path>, work: Duration,
+    ) -> Result<TestBed, ScenarioError> {
         TestBed::start_with(site, program, work, "")
     }
 
     /// The same with more sections in the operator's file.
     pub fn start_with(
         site: &SiteSettings, program: Option<&Path>, work: Duration, sections: &str,
-    ) -> Result<TestBed, Fault> {
+    ) -> Result<TestBed, ScenarioError> {
         let agent = TimedAgent::start(work)?;
         let at = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
         let naming = start_naming()?;
--- a/lab/src/scale/test_bed/load.rs
+++ b/lab/src/scale/test_bed/load.rs
@@ -4,7 +4,7 @@
 use super::ledger::{InFlight, InFlightTable, Ledger, PhaseStats, Violations};
 use super::settings::{method_name, tenant_name};
 use super::{health, version_order};
-use crate::report::Fault;
+use crate::report::ScenarioError;
 use crate::sidecar::{read_frame, RpcHeader, ANSWER, MAX_STREAMS, OK, REJECTED};
 use crate::sync::lock;
 use rand::rngs::StdRng;
@@ -33,7 +33,7 @@
     pub callers: usize,
     /// RPCs a second.
     pub rate: f64,
-    /// Seed of all chance.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
@@ -117,7 +117,7 @@
     }
 
     /// Sends no more RPCs and waits for those in flight. The figures by phase, and what must never happen.
-    pub fn finish(mut self) -> Result<(Vec<PhaseStats>, Violations), Fault> {
+    pub fn finish(mut self) -> Result<(Vec<PhaseStats>, Violations), ScenarioError> {
         self.ledger.stop();
         let sender = self.sender.take().ok_or("the load has ended already")?;
         let connections = sender.join().map_err(|_| "the load ended badly")?;
--- a/lab/src/scale/test_bed/version_order.rs
+++ b/lab/src/scale/test_bed/version_order.rs
@@ -53,7 +53,7 @@
     Some(())
 }
 
-/// The RPCs of both tenants, in an order by chance, on the two streams behind `stream`.
+/// The RPCs of both tenants, in random order, on the two streams behind `stream`.
 fn encode_pair(pair: u64, stream: u32, rng: &mut StdRng) -> Vec<u8> {
     let mut tenants = sentinel_tenants(pair);
     if rng.random() {
--- a/lab/src/scale/tool.rs
+++ b/lab/src/scale/tool.rs
@@ -2,7 +2,7 @@
 //! the greatest memory that the system accounts to them. With `--other` those of another `asterrill`. What the system calls the
 //! most memory of a process is never less than that of who started it, so the files are written here without a tree of them.
 
-use crate::report::{Fault, Report};
+use crate::report::{Report, ScenarioError};
 use nix::sys::resource::{getrusage, UsageWho};
 use nix::sys::time::TimeValLike;
 use serde_json::{json, Value};
@@ -27,11 +27,11 @@
 "ColdFrom": 0.3, "RampTimeMs": 9000, "StopSendingWithinMs": 1000}}, "Categories": ["#
     )?;
     for n in 0..methods {
-        let (comma, aim) =
+        let (comma, target) =
             (if n > 0 { "," } else { "" }, 800 + u64::from(more && tenants == 0 && n + 1 == methods));
         write!(
             to,
-            r#"{comma}{{"Name":"method-{n:05}","AimMs":{aim},"DeadlineMs":2000,"Effect":"free","Worth":1}}"#
+            r#"{comma}{{"Name":"method-{n:05}","AimMs":{target},"DeadlineMs":2000,"Effect":"free","Worth":1}}"#
         )?;
     }
     write!(to, "], \"Tenants\": [")?;
@@ -44,14 +44,14 @@
 }
 
 /// CPU in ms of all that ended so far, and the most memory that any of them had, in MB.
-fn used() -> Result<(f64, f64), Fault> {
+fn used() -> Result<(f64, f64), ScenarioError> {
     let used = getrusage(UsageWho::RUSAGE_CHILDREN)?;
     let cpu = (used.user_time() + used.system_time()).num_microseconds();
     Ok((cpu as f64 / 1e3, used.max_rss() as f64 / 1024.0))
 }
 
 /// One run: its CPU in ms, and the most memory of any run so far.
-fn run(program: &Path, arguments: &[&Path], word: &str, code: i32) -> Result<(f64, f64), Fault> {
+fn run(program: &Path, arguments: &[&Path], word: &str, code: i32) -> Result<(f64, f64), ScenarioError> {
     let (before, _) = used()?;
     let mut command = Command::new(program);
     command.arg(word).args(arguments).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
@@ -63,7 +63,7 @@
     Ok((after - before, memory))
 }
 
-fn measure(program: &Path, files: [&Path; 2]) -> Result<Value, Fault> {
+fn measure(program: &Path, files: [&Path; 2]) -> Result<Value, ScenarioError> {
     let mut figures = json!({});
     for (word, code) in [("check", 0), ("diff", 1)] {
         let arguments = if word == "check" { &files[..1] } else { &files[..] };
@@ -89,7 +89,7 @@
     }
 }
 
-pub fn scenario(report: &mut Report, other: Option<&Path>) -> Result<(), Fault> {
+pub fn scenario(report: &mut Report, other: Option<&Path>) -> Result<(), ScenarioError> {
     let own = crate::node::daemon_program().map(|daemon| daemon.with_file_name("asterrill"));
     let program = other.or(own.as_deref()).ok_or("asterrill is not built beside this program")?;
     let files = Files(std::env::temp_dir().join(format!("asterrill-lab-tool-{}", std::process::id())));
