--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -5,8 +5,9 @@
 use crate::outputs::{EngineStats, Outputs, Served, UpstreamLinkId};
 use crate::response_cache::Kept;
 use asterrill::{
-    Answer, Arrival, CallEnd, CallerId, Control, FinalAnswer, Gauges, Idempotency, LearnedState, MethodId,
-    Outcome, RecoveryLimits, RpcId, RunEnd, SettingsUpdate, StagedTable, Status, Us,
+    Answer, Arrival, CallEnd, CallRequest, CallerId, Control, FinalAnswer, Gauges, Idempotency, KeyRetention,
+    LearnedState, MethodId, Outcome, RecoveryLimits, Reply, RpcId, RunEnd, SettingsUpdate, StagedTable,
+    Status, Us,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::RangeBounds;
@@ -626,7 +627,7 @@
 
     /// Carries out what the module decided, list by list in its order.
     fn carry(&mut self, outcome: Outcome, out: &mut dyn Outputs<P>) {
-        for (id, answer) in outcome.answers {
+        for Reply { id, answer } in outcome.answers {
             let answer = match answer {
                 Answer::Rejected { terminal, retry_after } => FinalAnswer::Rejected { terminal, retry_after },
                 Answer::Aborted => FinalAnswer::Aborted,
@@ -638,7 +639,7 @@
                 out.stop(id);
             }
         }
-        for (id, span) in outcome.retained_keys {
+        for KeyRetention { id, span } in outcome.retained_keys {
             self.kept.keep_until(id, self.now + span);
             if let Some(token) = self.open.get(&id).and_then(|rpc| rpc.read.idempotency_key) {
                 self.idempotency.record(token, id, self.now + span);
@@ -657,7 +658,7 @@
             self.stats.runs += 1;
             out.launch(rpc.place, id, rpc.read.method, rpc.body.as_ref().map_or(&[][..], B::as_ref));
         }
-        for (id, wait) in outcome.calls {
+        for CallRequest { id, timeout: wait } in outcome.calls {
             self.call(id, wait, out);
         }
         for id in outcome.skipped_calls {
--- a/simulator/src/encode.rs
+++ b/simulator/src/encode.rs
@@ -1,6 +1,6 @@
 //! What the decision module hands back, encoded into actions of a reply.
 
-use asterrill::{Answer, Outcome, RpcId, Us};
+use asterrill::{Answer, CallRequest, KeyRetention, Outcome, Reply, RpcId, Us};
 use serde_json::{json, Value};
 
 /// The one timer that an instance asks for.
@@ -12,16 +12,16 @@
 
 /// Appends the actions of an outcome, list by list in its order.
 pub fn encode(instance: u64, outcome: &Outcome, actions: &mut Vec<Value>) {
-    actions.extend(outcome.answers.iter().map(|(id, answer)| answer_action(instance, *id, *answer)));
+    actions.extend(outcome.answers.iter().map(|reply| answer_action(instance, reply)));
     by_id("Stop", instance, &outcome.cancellations, actions);
-    for (id, span) in &outcome.retained_keys {
+    for KeyRetention { id, span } in &outcome.retained_keys {
         let (id, span) = (id.as_str(), millis(*span));
         actions.push(json!({"kind": "RecordKey", "I": instance, "Id": id, "ForTimeMs": span}));
     }
     by_id("Unpin", instance, &outcome.released_keys, actions);
     by_id("Join", instance, &outcome.coalesced, actions);
     by_id("Launch", instance, &outcome.starts, actions);
-    for (id, timeout) in &outcome.calls {
+    for CallRequest { id, timeout } in &outcome.calls {
         let (id, timeout) = (id.as_str(), millis(*timeout));
         actions.push(json!({"kind": "Invoke", "I": instance, "Id": id, "MaxWaitMs": timeout}));
     }
@@ -29,13 +29,14 @@
     publish(instance, outcome, actions);
 }
 
-fn answer_action(instance: u64, id: RpcId, answer: Answer) -> Value {
-    match answer {
+fn answer_action(instance: u64, reply: &Reply) -> Value {
+    let id = reply.id.as_str();
+    match reply.answer {
         Answer::Rejected { terminal, retry_after } => {
-            let (id, backoff) = (id.as_str(), millis(retry_after));
+            let backoff = millis(retry_after);
             json!({"kind": "Shed", "I": instance, "Id": id, "Terminal": terminal, "BackoffMs": backoff})
         }
-        Answer::Aborted => json!({"kind": "DropRequest", "I": instance, "Id": id.as_str()}),
+        Answer::Aborted => json!({"kind": "DropRequest", "I": instance, "Id": id}),
     }
 }
 
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -5,6 +5,7 @@
 use crate::events::Arrival;
 use crate::ids::{RpcId, Us};
 use crate::method::{Idempotency, Method};
+use crate::outcome::KeyRetention;
 use crate::rpc::{Rpc, RunAccounting, Stage};
 use crate::tuning::COST_SPREAD;
 use crate::upstream_calls::MAX_ATTEMPTS;
@@ -194,7 +195,7 @@
         self.queue.push(key, forecast.work);
         if *retention > 0 {
             self.keys.retain(id, now + retention);
-            self.outcome.retained_keys.push((id, *retention));
+            self.outcome.retained_keys.push(KeyRetention { id, span: *retention });
         }
         // With nothing on the cores this one is a trial, whatever the estimates say.
         let latest_start = if self.cores.running > 0 {
--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -1,14 +1,13 @@
 //! How RPCs end: answered, rejected, finished or never run.
 
-use super::inputs::SLOWDOWN_MEMORY;
 use super::state::Control;
 use crate::cost_estimate::CostEstimate;
 use crate::events::RunEnd;
 use crate::ids::{MethodId, RpcId, Us};
 use crate::method::StopMode;
-use crate::outcome::Answer;
+use crate::outcome::{Answer, Reply};
 use crate::rpc::Stage;
-use crate::tuning::{COST_SPREAD, STALL_FACTOR};
+use crate::tuning::{COST_SPREAD, SLOWDOWN_MEMORY, STALL_FACTOR};
 use nanorand::Rng;
 
 /// The constant factor of congestion_penalty.
@@ -57,7 +56,7 @@
         };
         let retry_after = (wait.min(self.feedback.unread_limit) * (1.0 + jitter)) as Us;
         let retry_after = retry_after.min(self.feedback.max_retry_after);
-        self.outcome.answers.push((id, Answer::Rejected { terminal, retry_after }));
+        self.outcome.answers.push(Reply { id, answer: Answer::Rejected { terminal, retry_after } });
         self.settle(id);
     }
 
--- a/src/control/inputs.rs
+++ b/src/control/inputs.rs
@@ -7,10 +7,7 @@
 use crate::method::SettingsUpdate;
 use crate::outcome::Outcome;
 use crate::status::RecoveryLimits;
-use crate::tuning::{TICKS_PER_WINDOW, TICK_INTERVAL};
-
-/// Runs of any method that the server's slowdown remembers.
-pub(super) const SLOWDOWN_MEMORY: f64 = 12.0;
+use crate::tuning::{SLOWDOWN_MEMORY, TICKS_PER_WINDOW, TICK_INTERVAL};
 
 impl Control {
     /// The start: what to publish, and when to wake first.
--- a/src/control/scheduling.rs
+++ b/src/control/scheduling.rs
@@ -3,7 +3,7 @@
 use super::state::Control;
 use crate::admission_queue::QueueKey;
 use crate::ids::{RpcId, Us};
-use crate::outcome::Answer;
+use crate::outcome::{Answer, CallRequest, Reply};
 use crate::rpc::Stage;
 use crate::upstream_calls::MAX_ATTEMPTS;
 
@@ -64,7 +64,7 @@
                 self.enter_cores(id);
             }
             _ => {
-                self.outcome.answers.push((id, Answer::Aborted));
+                self.outcome.answers.push(Reply { id, answer: Answer::Aborted });
                 self.settle(id);
             }
         }
@@ -91,7 +91,7 @@
         let (deadline, first_attempt) = (rpc.deadline, rpc.call_attempts == MAX_ATTEMPTS);
         self.waiting_to_call.remove(&key);
         self.calls.call_placed(self.now, key.id, first_attempt);
-        self.outcome.calls.push((key.id, timeout));
+        self.outcome.calls.push(CallRequest { id: key.id, timeout });
         self.set_timer(key.id, deadline);
         true
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -47,7 +47,7 @@
 pub use learned_state::{LearnedAllowance, LearnedBalance, LearnedCost, LearnedState};
 pub use memory_budget::MemoryBudget;
 pub use method::{Idempotency, Method, SettingsUpdate, StopMode};
-pub use outcome::{Answer, FinalAnswer, Outcome};
+pub use outcome::{Answer, CallRequest, FinalAnswer, KeyRetention, Outcome, Reply};
 pub use staged_table::StagedTable;
 pub use status::{RecoveryLimits, Status};
 pub use tenant_quotas::TenantQuotas;
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -32,23 +32,50 @@
     Aborted,
 }
 
+/// A final answer to one RPC.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Reply {
+    /// The RPC.
+    pub id: RpcId,
+    /// Its answer.
+    pub answer: Answer,
+}
+
+/// A key to retain.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct KeyRetention {
+    /// The RPC whose idempotency or cache key it is.
+    pub id: RpcId,
+    /// How long, from now.
+    pub span: Us,
+}
+
+/// An upstream call to make.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CallRequest {
+    /// The RPC that makes it.
+    pub id: RpcId,
+    /// When to abandon it, from now; more than 0.
+    pub timeout: Us,
+}
+
 /// What is to be done after an input, list by list in this order.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Final answers.
-    pub answers: Vec<(RpcId, Answer)>,
+    pub answers: Vec<Reply>,
     /// Running RPCs to cancel. Comes after the answers, so that what is answered ends for good.
     pub cancellations: Vec<RpcId>,
-    /// Idempotency and cache keys to retain, and for how long.
-    pub retained_keys: Vec<(RpcId, Us)>,
+    /// Idempotency and cache keys to retain.
+    pub retained_keys: Vec<KeyRetention>,
     /// Keys to release. Comes after the retained ones, as an RPC may be admitted and given up at once.
     pub released_keys: Vec<RpcId>,
     /// Queued RPCs to answer with the result of the one they repeat.
     pub coalesced: Vec<RpcId>,
     /// Queued RPCs to start.
     pub starts: Vec<RpcId>,
-    /// Upstream calls to make, each with its timeout.
-    pub calls: Vec<(RpcId, Us)>,
+    /// Upstream calls to make.
+    pub calls: Vec<CallRequest>,
     /// RPCs to resume without their upstream call.
     pub skipped_calls: Vec<RpcId>,
     /// The number to publish to callers; what it means is [`crate::FeedbackMode`].
--- a/src/tests/admission.rs
+++ b/src/tests/admission.rs
@@ -23,7 +23,7 @@
     harness.read_many(40);
     let early = harness.rpcs.values().filter(|rpc| !rpc.owed).count();
     assert!(early > 0);
-    let answer = harness.last.answers.last().expect("the last one is short").1;
+    let answer = harness.last.answers.last().expect("the last one is short").answer;
     let brief = matches!(answer, Answer::Rejected { retry_after: 1..=50_000, .. });
     assert!(brief, "a tenth of the shortest latency target at most");
 }
--- a/src/tests/harness.rs
+++ b/src/tests/harness.rs
@@ -260,7 +260,7 @@
     }
 
     fn apply_answers(&mut self, outcome: &Outcome) {
-        for (id, answer) in &outcome.answers {
+        for Reply { id, answer } in &outcome.answers {
             let rpc = self.rpcs.get_mut(id).expect("an RPC that was read");
             assert!(rpc.owed, "{id:?} answered twice");
             rpc.owed = false;
@@ -281,7 +281,7 @@
     }
 
     fn apply_keys(&mut self, outcome: &Outcome) {
-        for (id, span) in &outcome.retained_keys {
+        for KeyRetention { id, span } in &outcome.retained_keys {
             self.keys.insert(*id, self.now + span);
         }
         for id in &outcome.released_keys {
@@ -305,7 +305,7 @@
     }
 
     fn apply_calls(&mut self, outcome: &Outcome) {
-        for (id, timeout) in &outcome.calls {
+        for CallRequest { id, timeout } in &outcome.calls {
             let rpc = self.rpcs.get_mut(id).unwrap();
             assert!(rpc.position == Position::WaitingToCall && rpc.owed && *timeout > 0);
             assert!(!rpc.call_may_have_run, "{id:?} calls again after a call that may have run");
--- a/src/tests/publication.rs
+++ b/src/tests/publication.rs
@@ -87,8 +87,8 @@
         let mut control = control_with(0, &[1.0], 1, 1e6);
         control.feedback = CallerFeedback::new(FeedbackMode::Credit, 60 * MS, 400 * MS, 0);
         control.set_recovery_limits(0, RecoveryLimits { retry_after_jitter: spread, ..RecoveryLimits::NONE });
-        let wait = |(_, answer): &(RpcId, Answer)| match answer {
-            Answer::Rejected { retry_after, .. } => *retry_after,
+        let wait = |reply: &Reply| match reply.answer {
+            Answer::Rejected { retry_after, .. } => retry_after,
             Answer::Aborted => 0,
         };
         (0..60)
--- a/src/tests/upstream.rs
+++ b/src/tests/upstream.rs
@@ -72,7 +72,11 @@
     assert_eq!(control.status().waiting_to_call, 0);
     assert_eq!(control.run_ended(2 * MS, RpcId::from_number(1), RunEnd::Ok).starts, [RpcId::from_number(2)]);
     let answers = control.timer_fired(900 * MS, Gauges::default()).answers;
-    assert_eq!(answers, [(RpcId::from_number(2), Answer::Aborted)], "once, and it is over");
+    assert_eq!(
+        answers,
+        [Reply { id: RpcId::from_number(2), answer: Answer::Aborted }],
+        "once, and it is over"
+    );
     assert!(control.timer_fired(901 * MS, Gauges::default()).answers.is_empty());
 }
 
--- a/src/tuning.rs
+++ b/src/tuning.rs
@@ -19,3 +19,6 @@
 
 /// Multiples of the highest max_cost without a run ending after which the server is broken, not just busy.
 pub(crate) const STALL_FACTOR: f64 = 5.0;
+
+/// Runs of any method that the server's slowdown remembers.
+pub(crate) const SLOWDOWN_MEMORY: f64 = 12.0;
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -96,7 +96,7 @@
             let work = 60 * MS + random.generate_range(0..400 * MS);
             self.run_ends.insert((now + work, random.generate()), id);
         }
-        outcome.answers.into_iter().filter_map(|(id, _)| self.callers.remove(&id)).collect()
+        outcome.answers.into_iter().filter_map(|reply| self.callers.remove(&reply.id)).collect()
     }
 
     /// Ends the runs that are over and fires the timers. Returns the callers that got an answer.
