--- a/daemon/src/operator.rs
+++ b/daemon/src/operator.rs
@@ -125,7 +125,7 @@
         seed,
         cores: globals.cores as f64,
         room: (body_buffers / BODY_BUFFERS_PER_QUEUED_BODY) as f64,
-        credit: globals.load_report == FeedbackMode::Credit,
+        credit: globals.feedback_mode == FeedbackMode::Credit,
     };
     let Some(addresses) = Address::with_fallbacks(&broker.addresses) else { return Ok(None) };
     let queues = QueueConsumers::new(now, queue_config);
--- a/entries/src/encode.rs
+++ b/entries/src/encode.rs
@@ -5,7 +5,7 @@
 use crate::entry::Name;
 use crate::globals::GlobalSettings;
 use crate::time::millis_from_micros;
-use crate::vocabulary::{word_for, EFFECTS, LOAD_REPORTS, STOP_MODES, UPSTREAM_KINDS};
+use crate::vocabulary::{word_for, EFFECTS, FEEDBACK_MODES, STOP_MODES, UPSTREAM_KINDS};
 use asterrill::{Method, Us};
 use std::fmt::{self, Write};
 
@@ -136,7 +136,7 @@
     write!(
         to,
         r#","Say":"{}","StopMode":"{}","FreshMs":{},"IdleMs":{}"#,
-        word_for(LOAD_REPORTS, globals.load_report),
+        word_for(FEEDBACK_MODES, globals.feedback_mode),
         word_for(STOP_MODES, globals.stop_mode),
         millis(globals.response_ttl),
         millis(globals.idle_timeout),
--- a/entries/src/fields/family_info.rs
+++ b/entries/src/fields/family_info.rs
@@ -8,7 +8,7 @@
 use serde::de::{Error, MapAccess, SeqAccess};
 
 const GAUGES_KEY: &str = "Gauges";
-const SKIP_WEIGHTS_KEY: &str = "ClassSkipWorth";
+const SKIP_VALUE_RATIOS_KEY: &str = "ClassSkipWorth";
 
 const FAMILY_INFO_KEYS: &[&str] = &[
     "NCores",
@@ -26,7 +26,7 @@
     "Callers",
     "Cold",
     GAUGES_KEY,
-    SKIP_WEIGHTS_KEY,
+    SKIP_VALUE_RATIOS_KEY,
 ];
 
 /// What `FamilyInfo` says.
@@ -35,9 +35,9 @@
     pub(crate) scalars: ObjectFields,
     /// The names of the gauges; `None` where they were not given.
     pub(crate) gauges: Option<Vec<Name>>,
-    /// Of each method in the order of their list, the fraction of its weight that an answer without the upstream call
+    /// Of each method in the order of their list, the fraction of its value that an answer without the upstream call
     /// earns; empty where it was not given.
-    pub(crate) skip_weights: Vec<f64>,
+    pub(crate) skip_value_ratios: Vec<f64>,
 }
 
 impl FamilyInfoFields {
@@ -45,7 +45,7 @@
         FamilyInfoFields {
             scalars: ObjectFields::new(FAMILY_INFO_KEYS, strictness),
             gauges: None,
-            skip_weights: Vec::new(),
+            skip_value_ratios: Vec::new(),
         }
     }
 }
@@ -63,10 +63,12 @@
         read_fields(object, FAMILY_INFO_KEYS, strictness, |key, object| {
             match key.name {
                 GAUGES_KEY => self.gauges = Some(object.next_value_seed(JsonSeed(GaugeNames(strictness)))?),
-                SKIP_WEIGHTS_KEY if strictness == Strictness::Strict => {
+                SKIP_VALUE_RATIOS_KEY if strictness == Strictness::Strict => {
                     return Err(A::Error::custom(ConfigError::UnknownField(key.name.into())));
                 }
-                SKIP_WEIGHTS_KEY => self.skip_weights = object.next_value_seed(JsonSeed(SkipWeights))?,
+                SKIP_VALUE_RATIOS_KEY => {
+                    self.skip_value_ratios = object.next_value_seed(JsonSeed(SkipValueRatios))?
+                }
                 _ => self.scalars.read_value(key.index, object)?,
             }
             Ok(())
@@ -107,9 +109,9 @@
 }
 
 /// A list of numbers; anything else counts as 0.
-struct SkipWeights;
+struct SkipValueRatios;
 
-impl JsonHandler for SkipWeights {
+impl JsonHandler for SkipValueRatios {
     type Output = Vec<f64>;
 
     fn scalar<E: Error>(self, _: FieldValue) -> Result<Vec<f64>, E> {
@@ -117,17 +119,17 @@
     }
 
     fn array<'d, A: SeqAccess<'d>>(self, mut array: A) -> Result<Vec<f64>, A::Error> {
-        let mut weights = Vec::new();
+        let mut ratios = Vec::new();
         while let Some(value) = array.next_element_seed(JsonSeed(StoreValue))? {
             // There are no methods beyond the bound; what is listed for them is skipped.
-            if weights.len() >= MAX_METHODS {
+            if ratios.len() >= MAX_METHODS {
                 continue;
             }
-            weights.push(match value {
-                FieldValue::Number(weight) => weight.clamp(0.0, MAX_FIGURE) + 0.0,
+            ratios.push(match value {
+                FieldValue::Number(ratio) => ratio.clamp(0.0, MAX_FIGURE) + 0.0,
                 _ => 0.0,
             });
         }
-        Ok(weights)
+        Ok(ratios)
     }
 }
--- a/entries/src/fields/global.rs
+++ b/entries/src/fields/global.rs
@@ -50,10 +50,10 @@
         }
     }
 
-    /// Of each method in the order of their list, the fraction of its weight, 0 to 1, that an answer without the
+    /// Of each method in the order of their list, the fraction of its value, 0 to 1, that an answer without the
     /// upstream call earns (`FamilyInfo.ClassSkipWorth`).
-    pub fn skip_weights(&self) -> &[f64] {
-        &self.family_info.skip_weights
+    pub fn skip_value_ratios(&self) -> &[f64] {
+        &self.family_info.skip_value_ratios
     }
 
     /// Reads the value of one of [`SETTINGS_KEYS`].
--- a/entries/src/fields/merge.rs
+++ b/entries/src/fields/merge.rs
@@ -7,7 +7,7 @@
 use crate::globals::{GlobalSettings, UpstreamKind};
 use crate::limits::{MAX_MACHINE_LIMIT, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY};
 use crate::time::micros_from_millis;
-use crate::vocabulary::{LOAD_REPORTS, STOP_MODES, UPSTREAM_KINDS};
+use crate::vocabulary::{FEEDBACK_MODES, STOP_MODES, UPSTREAM_KINDS};
 use asterrill::{FeedbackMode, StopMode, Us};
 
 impl GlobalFields {
@@ -121,8 +121,8 @@
         self.update(&mut settings.run_factor, fields, "RunFactor", figure_or_one)?;
         self.update(&mut settings.kb_per_key, fields, "KbPerKey", figure_or_zero)?;
         self.upstream(settings)?;
-        self.update(&mut settings.load_report, fields, "Say", |object, key| {
-            Ok(object.optional_word(key, LOAD_REPORTS)?.unwrap_or(FeedbackMode::Off))
+        self.update(&mut settings.feedback_mode, fields, "Say", |object, key| {
+            Ok(object.optional_word(key, FEEDBACK_MODES)?.unwrap_or(FeedbackMode::Off))
         })?;
         self.update(&mut settings.stop_mode, fields, "StopMode", |object, key| {
             Ok(object.optional_word(key, STOP_MODES)?.unwrap_or(StopMode::Off))
--- a/entries/src/globals.rs
+++ b/entries/src/globals.rs
@@ -39,8 +39,8 @@
     pub upstream_call_window: Option<Us>,
     /// `FamilyInfo.LingerMs`: the longest that an abandoned call still occupies the upstream.
     pub abandoned_call_linger: Us,
-    /// `FamilyInfo.Say`: how callers use the load report published to them.
-    pub load_report: FeedbackMode,
+    /// `FamilyInfo.Say`: how callers use the feedback published to them.
+    pub feedback_mode: FeedbackMode,
     /// `FamilyInfo.StopMode`: what stopping does to running work.
     pub stop_mode: StopMode,
     /// `FamilyInfo.FreshMs`: how long the response of a read may serve other requests; 0 for never.
@@ -69,7 +69,7 @@
     pub min_event_interval: Us,
     /// `ReplicasOfMe`: servers of this kind in the whole fleet.
     pub replicas: u64,
-    /// `OverShareWorth`: weight of an RPC beyond its tenant's quota, as a fraction of its method's.
+    /// `OverShareWorth`: value of an RPC beyond its tenant's quota, as a fraction of its method's.
     pub over_quota_weight: f64,
     /// `limits.memory_mb`: megabytes, 1 to 1,048,576; 0 where it was never set.
     pub memory_mb: u64,
@@ -89,7 +89,7 @@
             upstream_call_quota: None,
             upstream_call_window: None,
             abandoned_call_linger: 0,
-            load_report: FeedbackMode::Off,
+            feedback_mode: FeedbackMode::Off,
             stop_mode: StopMode::Off,
             response_ttl: 0,
             idle_timeout: 0,
--- a/entries/src/vocabulary.rs
+++ b/entries/src/vocabulary.rs
@@ -22,7 +22,7 @@
     &[("off", StopMode::Off), ("abort", StopMode::Abort), ("suspend", StopMode::Suspend)];
 
 /// `FamilyInfo.Say`.
-pub(crate) const LOAD_REPORTS: &Words<FeedbackMode> = &[
+pub(crate) const FEEDBACK_MODES: &Words<FeedbackMode> = &[
     ("off", FeedbackMode::Off),
     ("window", FeedbackMode::Credit),
     ("threshold", FeedbackMode::Threshold),
--- a/entries/tests/entries/model.rs
+++ b/entries/tests/entries/model.rs
@@ -66,7 +66,9 @@
         cold_start: rng.random(),
         slow_start_from: Some(figure(rng)),
         idle_timeout: duration(rng),
-        load_report: *[asterrill::FeedbackMode::Off, asterrill::FeedbackMode::Threshold].choose(rng).unwrap(),
+        feedback_mode: *[asterrill::FeedbackMode::Off, asterrill::FeedbackMode::Threshold]
+            .choose(rng)
+            .unwrap(),
         gauges: names().sample(rng, 3).map(|name| name.as_str().into()).collect(),
         retry_after: rng.random(),
         max_retry_after: duration(rng),
--- a/entries/tests/entries/steps.rs
+++ b/entries/tests/entries/steps.rs
@@ -15,8 +15,8 @@
     };
     let before = GlobalSettings::clone(running.globals());
     let first = merged(r#"{"frame":{"FamilyInfo":{"NCores":7,"Say":"window"},"limits":{"memory_mb":96}}}"#);
-    let load_report = asterrill::FeedbackMode::Credit;
-    assert_eq!(first, Ok(GlobalSettings { cores: 7, load_report, memory_mb: 96, ..before.clone() }));
+    let feedback_mode = asterrill::FeedbackMode::Credit;
+    assert_eq!(first, Ok(GlobalSettings { cores: 7, feedback_mode, memory_mb: 96, ..before.clone() }));
     let rest = r#"{"frame":{"StepMs":2.5,"Limits":{"RetryAfter":true},"Safety":{"ColdFrom":0.25},"OverShareWorth":null}}"#;
     let expected = GlobalSettings {
         min_event_interval: 2_500,
--- a/settings/src/platform_settings.rs
+++ b/settings/src/platform_settings.rs
@@ -63,9 +63,10 @@
         if !self.has_method_list || self.methods.is_empty() {
             return Err(SettingsError::invalid_field(EntryKind::Method.list_key()));
         }
-        let skip_weights = self.globals.skip_weights().iter().copied().chain(std::iter::repeat(0.0));
-        for ((_, method), skip_weight) in self.methods.iter_mut().zip(skip_weights) {
-            method.skip_value_ratio = skip_weight;
+        let skip_value_ratios =
+            self.globals.skip_value_ratios().iter().copied().chain(std::iter::repeat(0.0));
+        for ((_, method), skip_value_ratio) in self.methods.iter_mut().zip(skip_value_ratios) {
+            method.skip_value_ratio = skip_value_ratio;
         }
         Ok(PlatformSettings { globals, methods: self.methods, tenants: self.tenants })
     }
--- a/settings/src/server_parts.rs
+++ b/settings/src/server_parts.rs
@@ -25,7 +25,7 @@
     pub longest_deadline: Us,
     /// Cores of the server.
     pub cores: f64,
-    /// The load report is the number of RPCs that each caller may have outstanding.
+    /// The published feedback is the number of RPCs that each caller may have outstanding.
     pub publishes_credit: bool,
     /// The names of the gauges, in their order.
     pub gauges: Vec<String>,
@@ -107,7 +107,7 @@
         control: control(now, seed, globals, shortest_target, Vec::new(), &[], None)?,
         longest_deadline: deadlines.max().unwrap_or(0),
         cores: globals.cores as f64,
-        publishes_credit: globals.load_report == FeedbackMode::Credit,
+        publishes_credit: globals.feedback_mode == FeedbackMode::Credit,
         gauges: gauge_names(globals),
         response_ttl: globals.response_ttl,
         min_event_interval: globals.min_event_interval,
@@ -151,7 +151,7 @@
             memory: MemoryBudget::new(globals.ram_kb, globals.run_factor),
             drain: Drain::new(globals.health_propagation_delay),
             feedback: CallerFeedback::new(
-                globals.load_report,
+                globals.feedback_mode,
                 max_retry_after,
                 shortest_target,
                 globals.idle_timeout,
@@ -182,7 +182,7 @@
         latency_targets,
         longest_deadline,
         cores: globals.cores as f64,
-        publishes_credit: globals.load_report == FeedbackMode::Credit,
+        publishes_credit: globals.feedback_mode == FeedbackMode::Credit,
         gauges: gauge_names(globals),
         coalescable,
         response_ttl: globals.response_ttl,
