--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -52,6 +52,13 @@
     retention: Us,
 }
 
+impl Candidate {
+    /// It waits for the result of the RPC that it repeats.
+    fn coalesces(&self) -> bool {
+        self.arrival.original.is_some() && self.method.idempotency != Idempotency::NonIdempotent
+    }
+}
+
 /// Why an RPC is rejected at once, and what its caller gets to hear of it.
 struct Rejection {
     terminal: bool,
@@ -64,8 +71,7 @@
     pub(super) fn admit(&mut self, arrival: Arrival, tenant: Option<usize>) {
         let Some(candidate) = self.assess(arrival, tenant) else { return };
         self.track(&candidate);
-        if candidate.arrival.original.is_some() && candidate.method.idempotency != Idempotency::NonIdempotent
-        {
+        if candidate.coalesces() {
             return self.coalesce(candidate.arrival.id, candidate.usefulness.deadline);
         }
         let rejection = self.out_of_time(&candidate).or_else(|| self.out_of_credit(&candidate));
@@ -124,13 +130,12 @@
     /// Takes an arrival into the table of open RPCs and reserves its memory.
     fn track(&mut self, candidate: &Candidate) {
         let Candidate { arrival, method, forecast, usefulness, key, .. } = candidate;
-        let coalesces = arrival.original.is_some() && method.idempotency != Idempotency::NonIdempotent;
         self.memory.used_kb += arrival.size_kb;
         let rpc = Rpc {
             method: arrival.method,
             caller: arrival.caller,
             size_kb: arrival.size_kb,
-            stage: if coalesces { Stage::Coalesced } else { Stage::Queued },
+            stage: if candidate.coalesces() { Stage::Coalesced } else { Stage::Queued },
             key: *key,
             deadline: usefulness.deadline,
             last_useful: usefulness.last_useful,
