--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -323,7 +323,6 @@
             deadline: read.deadline,
             size_kb: read.size_kb,
             unread_for: self.now.saturating_sub(rpc.since),
-            retry_or_hedge: false,
             original: prior,
             cache_key: read.cache_key,
         };
--- a/settings/src/json.rs
+++ b/settings/src/json.rs
@@ -38,11 +38,6 @@
     }
 }
 
-/// A boolean; anything else counts as `false`.
-pub fn flag(object: &Value, name: &str) -> bool {
-    object.get(name).and_then(Value::as_bool).unwrap_or(false)
-}
-
 /// A duration or point in time: milliseconds in JSON, whole microseconds here.
 pub fn time(object: &Value, name: &str) -> Result<Us, SettingsError> {
     number(object, name).map(micros_from_millis)
--- a/settings/tests/valid_settings.rs
+++ b/settings/tests/valid_settings.rs
@@ -59,7 +59,6 @@
             deadline: due,
             size_kb: 9.0,
             unread_for: unread,
-            retry_or_hedge: false,
             original: prior,
             cache_key: Some(n % 7),
         };
--- a/simulator/src/decode.rs
+++ b/simulator/src/decode.rs
@@ -4,7 +4,7 @@
 use crate::instance::Instance;
 use asterrill::{Arrival, CallEnd, CallerId, Gauges, Outcome, RpcId, RunEnd, Us};
 use asterrill_settings::json::{
-    flag, micros_from_millis, number, optional_number, optional_time, text, time, whole_number,
+    micros_from_millis, number, optional_number, optional_time, text, time, whole_number,
 };
 use asterrill_settings::SettingsError;
 use serde_json::Value;
@@ -47,7 +47,6 @@
         deadline: optional_number(item, "NotAfterMs")?.filter(|at| *at > 0.0).map(micros_from_millis),
         size_kb: number(item, "SizeKb")?,
         unread_for: optional_time(item, "UnreadForMs")?,
-        retry_or_hedge: flag(item, "Repeat"),
         original: item.get("Prior").and_then(Value::as_str).and_then(RpcId::new),
         cache_key: item.get("Key").and_then(whole_number),
     })
--- a/src/events.rs
+++ b/src/events.rs
@@ -17,8 +17,6 @@
     pub size_kb: f64,
     /// How long it lay unread in this server's buffers.
     pub unread_for: Us,
-    /// It is a retry or a hedged request, where such are marked.
-    pub retry_or_hedge: bool,
     /// The earlier RPC, still open or with its key retained, that this one repeats.
     pub original: Option<RpcId>,
     /// What it reads, for methods whose answers may be shared among equal reads.
--- a/src/tests/commit.rs
+++ b/src/tests/commit.rs
@@ -105,7 +105,6 @@
                     deadline: None,
                     size_kb: 10.0,
                     unread_for: 0,
-                    retry_or_hedge: false,
                     original: None,
                     cache_key: None,
                 };
--- a/src/tests/fixtures.rs
+++ b/src/tests/fixtures.rs
@@ -54,7 +54,6 @@
         deadline: Some(now + 900 * MS),
         size_kb: 10.0,
         unread_for: 0,
-        retry_or_hedge: false,
         original: None,
         cache_key: None,
     };
--- a/src/tests/harness.rs
+++ b/src/tests/harness.rs
@@ -135,7 +135,6 @@
             deadline: self.config.sends_deadline.then_some(deadline),
             size_kb: RPC_KB,
             unread_for,
-            retry_or_hedge: false,
             original,
             cache_key: None,
         };
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -128,7 +128,6 @@
             deadline: Some(now + 1_500 * MS),
             size_kb: 1.0,
             unread_for: 0,
-            retry_or_hedge: false,
             original: None,
             cache_key: None,
         };
