--- a/consensus/src/command.rs
+++ b/consensus/src/command.rs
@@ -1,4 +1,4 @@
-//! What stands in the voters' log: commands, the proposals that they come from, and what came of them.
+//! The entries of the voters' log: commands, the proposals that they are made from, and their outcomes.
 
 use crate::step::{Step, StepError};
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
     pub number: u64,
 }
 
-/// What a committed proposal came to.
+/// The outcome of a committed proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandOutcome {
     /// It made this version.
@@ -33,14 +33,14 @@
 pub enum Command {
     /// Make the next version by a step.
     Step {
-        /// The proposal that it comes from.
+        /// The proposal that it is made from.
         id: ProposalId,
         /// The step.
         step: Step,
     },
     /// Make a next version with the contents of an earlier one.
     Undo {
-        /// The proposal that it comes from.
+        /// The proposal that it is made from.
         id: ProposalId,
         /// The version that must be the newest, if any.
         base: Option<u64>,
@@ -51,11 +51,11 @@
     Activate(u64),
 }
 
-/// A proposal that was committed, and what came of it.
+/// A proposal that was committed, and its outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResolvedProposal {
     /// Which proposal.
     pub id: ProposalId,
-    /// What came of it.
+    /// The outcome.
     pub outcome: CommandOutcome,
 }
--- a/consensus/src/message.rs
+++ b/consensus/src/message.rs
@@ -6,7 +6,7 @@
 use crate::step::Step;
 use serde::{Deserialize, Serialize};
 
-/// How far the transfer of a version has come.
+/// How much of a version has been transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartialTransfer {
     /// Number of the version.
@@ -89,11 +89,11 @@
         /// What is proposed.
         proposal: Proposal,
     },
-    /// Of the leader: what came of a proposal.
+    /// Of the leader: the outcome of a proposal.
     Resolved {
         /// Which proposal.
         id: ProposalId,
-        /// What came of it.
+        /// The outcome.
         outcome: CommandOutcome,
     },
 }
--- a/consensus/src/node.rs
+++ b/consensus/src/node.rs
@@ -3,7 +3,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | `state` | the fields of [`Node`], its start, and what can be read from it |
-//! | `driver` | time, datagrams and finished writes come in, and lead to everything else |
+//! | `driver` | time, datagrams and finished writes come in, and what the voter does in response |
 //! | `messaging` | sending and dispatching of messages |
 //! | `proposals` | operators' proposals, at the node that takes them and at the leader |
 //! | `leases` | requests for leases, and their grants |
--- a/consensus/src/node/activation.rs
+++ b/consensus/src/node/activation.rs
@@ -23,7 +23,7 @@
         let all_ready = lessor.may_activate(self.now, newest.number);
         let compatible = self.last_compatible(&active_version, newest.number);
         let next = if all_ready { Some(newest.number) } else { Some(compatible).filter(|c| *c > active) };
-        // Each version once, and again only if nothing has come of it for long.
+        // Each version once, and again only if it has not been committed for long.
         let last = self.proposed_activation;
         let next = next.filter(|next| *next > last.number || last.at + REPROPOSE_INTERVAL <= self.now);
         if let (Some(number), Some(voter)) = (next, &mut self.voter) {
--- a/consensus/src/node/leases.rs
+++ b/consensus/src/node/leases.rs
@@ -12,7 +12,7 @@
 const REDIRECT_DIVISOR: u64 = 8;
 
 impl Node {
-    /// The voter that requests go to: the leader, if it is known.
+    /// The voter that requests go to: the leader, if it has been heard of.
     pub(super) fn request_target(&self) -> String {
         match self.leader() {
             Some(leader) => leader.into(),
--- a/consensus/src/node/state.rs
+++ b/consensus/src/node/state.rs
@@ -65,7 +65,7 @@
     pub next_send: Us,
 }
 
-/// A whole version that arrives in parts.
+/// A complete version that arrives in parts.
 pub(super) struct IncomingVersion {
     pub number: u64,
     pub hash: u64,
@@ -105,7 +105,7 @@
     pub(super) leased_version: u64,
     pub(super) apply_policy: ApplyPolicy,
     pub(super) policy_unread: bool,
-    /// The voter that requests go to while no leader is known, by its place among the voters.
+    /// The voter that requests go to while no leader has been heard of, by its place among the voters.
     pub(super) contact: usize,
     /// Whether the contact has answered the last request for a lease.
     pub(super) contact_answered: bool,
--- a/consensus/src/proposal.rs
+++ b/consensus/src/proposal.rs
@@ -1,4 +1,4 @@
-//! What operators propose, and what comes of it.
+//! Operators' proposals and their outcomes.
 
 use crate::step::Change;
 use serde::{Deserialize, Serialize};
@@ -22,7 +22,7 @@
     },
 }
 
-/// What came of a proposal.
+/// The outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
     /// A majority of the voters has it on disk.
@@ -43,6 +43,6 @@
 pub struct CompletedProposal {
     /// The number that [`crate::Node::propose`] returned.
     pub number: u64,
-    /// What came of it.
+    /// The outcome.
     pub outcome: ProposalOutcome,
 }
--- a/consensus/src/version_log.rs
+++ b/consensus/src/version_log.rs
@@ -41,12 +41,12 @@
         /// What the decoder found.
         source: postcard::Error,
     },
-    /// The first version has another hash than the snapshot says.
+    /// The first version has another hash than the snapshot states.
     #[error("version {number} of the snapshot does not have the hash {expected:016x}")]
     HashMismatch {
         /// Number of the version.
         number: u64,
-        /// The hash that the snapshot says.
+        /// The hash that the snapshot states.
         expected: u64,
     },
     /// A step can't be applied to the version before it.
@@ -83,7 +83,7 @@
         self.active
     }
 
-    /// What came of a proposal, while that is remembered.
+    /// The outcome of a proposal, while it is remembered.
     pub fn outcome(&self, id: &ProposalId) -> Option<&CommandOutcome> {
         self.resolved.iter().rev().find(|resolved| resolved.id == *id).map(|resolved| &resolved.outcome)
     }
--- a/consensus/tests/consensus/seeded.rs
+++ b/consensus/tests/consensus/seeded.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeSet;
 
-/// What a seeded case came to.
+/// The result of a seeded case.
 #[derive(Debug, PartialEq)]
 struct CaseResult {
     trace: u64,
--- a/consensus/tests/consensus/stored_bytes.rs
+++ b/consensus/tests/consensus/stored_bytes.rs
@@ -87,7 +87,7 @@
     let file = include_bytes!("../fixtures/previous_build/voter-compacted.bin");
     let mut node = Node::new(0, "n0", 2, config(1), file, &[]).unwrap();
     assert_eq!(node.valid_log_len(), file.len());
-    // Its one voter elects itself, and has the whole log committed again.
+    // Its one voter elects itself, and has the complete log committed again.
     for now in (0..3_000_000).step_by(10_000) {
         node.tick(now, now);
         for write in node.take_writes() {
--- a/consensus/tests/consensus/support.rs
+++ b/consensus/tests/consensus/support.rs
@@ -278,7 +278,7 @@
         for key in ["a", "b", "c"] {
             let rejected = policy.rejects(ListKind::Tenants, key);
             if rejected && policy.mode == ApplyMode::Full {
-                // From this version on it is rejected by whoever acts on it.
+                // From this version on it is rejected by every node that acts on it.
                 self.rejected_since.entry((effective, key.into())).or_insert(self.now);
             } else if !rejected {
                 // It is served here on an older version than one by which it is rejected elsewhere.
--- a/net/tests/closing.rs
+++ b/net/tests/closing.rs
@@ -1,4 +1,4 @@
-//! Ends of connections on loopback sockets, with what crosses them forced: the one worker is kept from everything until
+//! Ends of connections on loopback sockets, with what crosses them forced: the one worker is blocked until
 //! the bytes, the end and the new connections are all there.
 
 use asterrill_net::{
