--- a/cli/tests/cli.rs
+++ b/cli/tests/cli.rs
@@ -28,28 +28,28 @@
 }
 
 #[test]
-fn check_names_what_is_wrong_and_says_so_by_its_exit_code() {
+fn check_names_mistakes_and_fails_with_exit_code_1() {
     let fine = file("fine", &config().to_string());
-    let (code, said) = run(&["check", fine.to_str().unwrap(), "--json"]);
-    assert!(code == Some(0) && said.contains(r#""kind":"configuration""#), "{said}");
+    let (code, output) = run(&["check", fine.to_str().unwrap(), "--json"]);
+    assert!(code == Some(0) && output.contains(r#""kind":"configuration""#), "{output}");
     let mut wrong = config();
     wrong["settings"]["Categories"][0]["DeadlineMs"] = json!(300);
     let wrong = file("wrong", &wrong.to_string());
-    let (code, said) = run(&["check", wrong.to_str().unwrap()]);
+    let (code, output) = run(&["check", wrong.to_str().unwrap()]);
     assert!(
-        code == Some(1) && said.contains("its deadline of 300 ms is under its latency target of 400 ms"),
-        "{said}"
+        code == Some(1) && output.contains("its deadline of 300 ms is under its latency target of 400 ms"),
+        "{output}"
     );
     let conf = file("conf", "[broker]\nheartbeat 10");
-    let (code, said) = run(&["check", conf.to_str().unwrap()]);
-    assert!(code == Some(1) && said.contains("conf:2: heartbeat wants a time"), "{said}");
-    let (code, said) = run(&["check", "/nowhere"]);
-    assert!(code == Some(1) && said.contains("/nowhere: No such file"), "{said}");
+    let (code, output) = run(&["check", conf.to_str().unwrap()]);
+    assert!(code == Some(1) && output.contains("conf:2: heartbeat wants a time"), "{output}");
+    let (code, output) = run(&["check", "/nowhere"]);
+    assert!(code == Some(1) && output.contains("/nowhere: No such file"), "{output}");
     assert_eq!(run(&["frobnicate"]).0, Some(2));
 }
 
 #[test]
-fn diff_tells_meaning_not_text() {
+fn diff_compares_meaning_not_text() {
     let old = file("old", &config().to_string());
     let same = file("same", &serde_json::to_string_pretty(&config()).unwrap());
     assert_eq!(run(&["diff", old.to_str().unwrap(), same.to_str().unwrap()]), (Some(0), String::new()));
@@ -58,8 +58,8 @@
     new["settings"]["FamilyInfo"]["NCores"] = json!(4);
     new["settings"]["Tenants"] = json!([{"Name": "nile", "QuotaRps": 5}]);
     let new = file("new", &new.to_string());
-    let (code, said) = run(&["diff", old.to_str().unwrap(), new.to_str().unwrap()]);
-    let lines: Vec<&str> = said.lines().collect();
+    let (code, output) = run(&["diff", old.to_str().unwrap(), new.to_str().unwrap()]);
+    let lines: Vec<&str> = output.lines().collect();
     let wanted = [
         "cores: 2 -> 4",
         "method look: latency target: 400 ms -> 250 ms",
@@ -69,71 +69,71 @@
 }
 
 #[test]
-fn what_is_asked_of_the_daemon_goes_over_the_socket_and_its_no_is_an_exit_code() {
+fn requests_go_over_the_socket_and_rejections_set_the_exit_code() {
     let path = std::env::temp_dir().join(format!("asterrill-cli-{}-socket", std::process::id()));
     std::fs::remove_file(&path).unwrap_or_default();
     let socket = path.to_str().unwrap();
-    let (code, said) = run(&["status", "--socket", socket]);
-    assert!(code == Some(3) && said.contains("No such file"), "{said}");
+    let (code, output) = run(&["status", "--socket", socket]);
+    assert!(code == Some(3) && output.contains("No such file"), "{output}");
     assert_eq!(run(&["status"]).0, Some(2));
     let listener = UnixListener::bind(&path).unwrap();
     let served = std::thread::spawn(move || {
-        let mut asked = Vec::new();
-        for told in [json!({"ok": true, "version": 3}), json!({"ok": false, "error": "nothing is staged"})] {
+        let mut requests = Vec::new();
+        for reply in [json!({"ok": true, "version": 3}), json!({"ok": false, "error": "nothing is staged"})] {
             let (mut stream, _) = listener.accept().unwrap();
             let mut line = String::new();
             BufReader::new(stream.try_clone().unwrap()).read_line(&mut line).unwrap();
-            asked.push(serde_json::from_str::<Value>(&line).unwrap());
-            stream.write_all(format!("{told}\n").as_bytes()).unwrap();
+            requests.push(serde_json::from_str::<Value>(&line).unwrap());
+            stream.write_all(format!("{reply}\n").as_bytes()).unwrap();
         }
-        asked
+        requests
     });
     let conf = file("staged", "[broker]\n");
     let stage = ["stage", conf.to_str().unwrap(), "--base", "2", "--force", "--socket", socket];
     assert_eq!(run(&stage), (Some(0), "version: 3\n".into()));
     let apply = ["apply", "--if-base", "2", "--probation", "90s", "--socket", socket, "--json"];
-    let (code, said) = run(&apply);
-    assert!(code == Some(1) && said.contains("nothing is staged"), "{said}");
-    let asked = served.join().unwrap();
+    let (code, output) = run(&apply);
+    assert!(code == Some(1) && output.contains("nothing is staged"), "{output}");
+    let requests = served.join().unwrap();
     let staged =
         json!({"v": 1, "do": "stage", "text": "[broker]\n", "base": 2, "force": true, "queue": false});
-    assert_eq!(asked, [staged, json!({"v": 1, "do": "apply", "if_base": 2, "probation_us": 90_000_000})]);
+    assert_eq!(requests, [staged, json!({"v": 1, "do": "apply", "if_base": 2, "probation_us": 90_000_000})]);
     std::fs::remove_file(path).unwrap();
 }
 
 #[test]
-fn completion_and_manual_are_printed() {
-    let (code, said) = run(&["completion", "bash"]);
-    assert!(code == Some(0) && said.contains("asterrill"));
-    let (code, said) = run(&["man"]);
-    assert!(code == Some(0) && said.contains(".TH asterrill"));
+fn prints_completion_and_manual() {
+    let (code, output) = run(&["completion", "bash"]);
+    assert!(code == Some(0) && output.contains("asterrill"));
+    let (code, output) = run(&["man"]);
+    assert!(code == Some(0) && output.contains(".TH asterrill"));
 }
 
 const STEP: &str = "{\"base\":2}\n{\"put\":\"tenant\",\"Name\":\"nile\",\"QuotaRps\":5}\n";
 
 #[test]
-fn diff_takes_a_step_against_a_file_and_names_what_is_wrong_with_it() {
+fn diff_compares_a_step_with_a_file_and_names_its_mistakes() {
     let old = file("step-old", &config().to_string());
     let step = file("step", STEP);
     let diff = |new: &PathBuf| run(&["diff", old.to_str().unwrap(), new.to_str().unwrap()]);
     assert_eq!(diff(&step), (Some(1), "tenant nile: RPCs a second: 0 -> 5\n".into()));
-    let (code, said) = run(&["diff", old.to_str().unwrap(), step.to_str().unwrap(), "--json"]);
-    assert!(code == Some(1) && said.contains("\"entries\":1"), "{said}");
+    let (code, output) = run(&["diff", old.to_str().unwrap(), step.to_str().unwrap(), "--json"]);
+    assert!(code == Some(1) && output.contains("\"entries\":1"), "{output}");
     assert_eq!(diff(&file("step-none", "{\"base\":2}\n")), (Some(0), String::new()));
     for (text, part) in [
         ("{\"take\":\"tenant\",\"Name\":\"nobody\"}\n", "tenant nobody is not known"),
         ("{\"base\":2}\n{\"put\":\"tenant\",\"Name\":\"nile\",\"QuotaRps\":-5}\n", "line 2"),
         ("{\"hash\":\"00000000000000000000000000000000\"}\n{\"put\":\"tenant\",\"Name\":\"nile\",\"QuotaRps\":5}\n", "made from hash"),
     ] {
-        let (code, said) = diff(&file("step-wrong", text));
-        assert!(code == Some(1) && said.contains(part) && said.contains("step-wrong"), "{said}");
+        let (code, output) = diff(&file("step-wrong", text));
+        assert!(code == Some(1) && output.contains(part) && output.contains("step-wrong"), "{output}");
     }
-    let (code, said) = run(&["check", step.to_str().unwrap()]);
-    assert!(code == Some(1) && said.contains("a step is checked against what it changes"), "{said}");
+    let (code, output) = run(&["check", step.to_str().unwrap()]);
+    assert!(code == Some(1) && output.contains("a step is checked against what it changes"), "{output}");
 }
 
 #[test]
-fn a_step_goes_over_the_socket_as_one_and_what_is_not_taken_up_is_not_left_staged() {
+fn steps_are_sent_as_steps_and_rejected_ones_are_not_left_staged() {
     let path = std::env::temp_dir().join(format!("asterrill-cli-{}-steps", std::process::id()));
     std::fs::remove_file(&path).unwrap_or_default();
     let listener = UnixListener::bind(&path).unwrap();
@@ -148,30 +148,69 @@
         json!({"ok": false, "error": "it was made from version 2, but version 3 runs"}),
     ];
     let served = std::thread::spawn(move || {
-        answers.map(|told| {
+        answers.map(|reply| {
             let (mut stream, _) = listener.accept().unwrap();
             let mut line = String::new();
             BufReader::new(stream.try_clone().unwrap()).read_line(&mut line).unwrap();
-            stream.write_all(format!("{told}\n").as_bytes()).unwrap();
+            stream.write_all(format!("{reply}\n").as_bytes()).unwrap();
             serde_json::from_str::<Value>(&line).unwrap()
         })
     });
     let (step, socket) = (file("sent", STEP), path.to_str().unwrap());
     let step = step.to_str().unwrap();
-    let (code, said) = run(&["diff", step, "--socket", socket]);
-    assert!(code == Some(1) && said.contains("0 -> 5"), "{said}");
+    let (code, output) = run(&["diff", step, "--socket", socket]);
+    assert!(code == Some(1) && output.contains("0 -> 5"), "{output}");
     assert_eq!(run(&["diff", step, "--socket", socket]).0, Some(0));
-    let (code, said) = run(&["apply", step, "--probation", "1s", "--socket", socket, "--json"]);
-    assert!(code == Some(0) && said.contains("\"entries\":1") && said.contains("\"took_us\":90"), "{said}");
-    let (code, said) = run(&["apply", step, "--socket", socket]);
-    assert!(code == Some(1) && said.contains("on probation"), "{said}");
-    let (code, said) = run(&["stage", step, "--base", "2", "--socket", socket]);
-    assert!(code == Some(1) && said.contains("but version 3 runs"), "{said}");
-    let asked = served.join().unwrap();
-    let todo: Vec<&str> = asked.iter().map(|asked| asked["do"].as_str().unwrap()).collect();
+    let (code, output) = run(&["apply", step, "--probation", "1s", "--socket", socket, "--json"]);
+    assert!(
+        code == Some(0) && output.contains("\"entries\":1") && output.contains("\"took_us\":90"),
+        "{output}"
+    );
+    let (code, output) = run(&["apply", step, "--socket", socket]);
+    assert!(code == Some(1) && output.contains("on probation"), "{output}");
+    let (code, output) = run(&["stage", step, "--base", "2", "--socket", socket]);
+    assert!(code == Some(1) && output.contains("but version 3 runs"), "{output}");
+    let requests = served.join().unwrap();
+    let todo: Vec<&str> = requests.iter().map(|request| request["do"].as_str().unwrap()).collect();
     assert_eq!(todo, ["diff", "diff", "stage", "apply", "stage", "apply", "drop", "stage"]);
-    assert!(asked.iter().filter(|a| a["do"] != "apply" && a["do"] != "drop").all(|a| a["step"] == STEP));
-    assert!(asked.iter().all(|asked| asked["text"].is_null()));
-    assert_eq!((&asked[3]["probation_us"], &asked[7]["base"]), (&json!(1_000_000), &json!(2)));
+    assert!(requests.iter().filter(|a| a["do"] != "apply" && a["do"] != "drop").all(|a| a["step"] == STEP));
+    assert!(requests.iter().all(|request| request["text"].is_null()));
+    assert_eq!((&requests[3]["probation_us"], &requests[7]["base"]), (&json!(1_000_000), &json!(2)));
+    std::fs::remove_file(path).unwrap();
+}
+
+#[test]
+fn prints_members_events_and_nested_fields_in_lines() {
+    let path = std::env::temp_dir().join(format!("asterrill-cli-{}-lines", std::process::id()));
+    std::fs::remove_file(&path).unwrap_or_default();
+    let listener = UnixListener::bind(&path).unwrap();
+    let replies = [
+        json!({"ok": true, "view": "whole", "members": [
+            {"name": "n1", "at": "10.0.0.1:7", "standing": "alive", "round_trip_us": 90, "since_ms": 5, "heard_ms": 1,
+                "start": 3, "incarnation": 2, "why": null, "flaps": true},
+            {"name": "n2", "standing": "dead", "why": "no answer"}]}),
+        json!({"ok": true, "history": [
+            {"at": 5, "base": 1, "hash": "h", "version": 2, "what": "undone", "why": "loss"}]}),
+        json!({"ok": true, "version": 2, "staged": null, "counters": {"ok": 5, "rpcs": 9}}),
+    ];
+    let served = std::thread::spawn(move || {
+        for reply in replies {
+            let (mut stream, _) = listener.accept().unwrap();
+            BufReader::new(stream.try_clone().unwrap()).read_line(&mut String::new()).unwrap();
+            stream.write_all(format!("{reply}\n").as_bytes()).unwrap();
+        }
+    });
+    let socket = path.to_str().unwrap();
+    let members = "\
+n1                   10.0.0.1:7            alive    since 5 ms, heard 1 ms ago, round trip 90 us, start 3.2 flaps -
+n2                   -                     dead     since - ms, heard - ms ago, round trip - us, start -.- no answer
+view: whole
+";
+    assert_eq!(run(&["members", "--socket", socket]), (Some(0), members.into()));
+    let history = "undone   version 2 (of 1): loss\n";
+    assert_eq!(run(&["history", "--socket", socket]), (Some(0), history.into()));
+    let status = "counters: ok=5 rpcs=9\nversion: 2\n";
+    assert_eq!(run(&["status", "--socket", socket]), (Some(0), status.into()));
+    served.join().unwrap();
     std::fs::remove_file(path).unwrap();
 }
--- a/daemon/src/change/prepare.rs
+++ b/daemon/src/change/prepare.rs
@@ -96,7 +96,7 @@
 /// A change as it was read.
 struct SourceContent {
     content: VersionContent,
-    /// The entries that differ, where they are known already.
+    /// The entries that differ, where they were computed already.
     entries: Option<Vec<Change>>,
 }
 
--- a/daemon/src/control_request.rs
+++ b/daemon/src/control_request.rs
@@ -8,7 +8,7 @@
 /// The version of the protocol that is spoken.
 const PROTOCOL_VERSION: u64 = 1;
 
-/// What a line asks for. A long text is taken out of it, not copied, and the line is not kept beside it.
+/// What a line asks for. A long text is taken out of it, not copied, and the line is dropped at once.
 ///
 /// # Errors
 /// What is wrong with the line, for the operator.
--- a/daemon/src/durable_file.rs
+++ b/daemon/src/durable_file.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// Puts bytes in the place of a file, whole or not at all.
+/// Puts bytes in the place of a file, completely or not at all.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     replace_with(path, |mut file| {
         file.write_all(bytes)?;
@@ -23,7 +23,7 @@
     })
 }
 
-/// The same for a text that is too long to be held whole.
+/// The same for a text that is too long to be held in memory.
 pub fn replace_text<T>(
     path: &Path, write: impl FnOnce(&mut dyn fmt::Write) -> Result<T, fmt::Error>,
 ) -> io::Result<T> {
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -60,7 +60,7 @@
     let operator_file = arguments.file.as_deref().map(operator::read).transpose()?.unwrap_or_default();
     let (log, guard) = logging::start(operator_file.config.changes.log_format);
     let done = startup::run(&log, arguments, operator_file);
-    // What was logged stands on standard error before the program ends.
+    // What was logged is on standard error before the program ends.
     drop(log);
     drop(guard);
     done
--- a/daemon/src/operator.rs
+++ b/daemon/src/operator.rs
@@ -66,7 +66,7 @@
     }
     let has_tenants = configuration.count(EntryKind::Tenant) > 0;
     if has_tenants && queue.tenant == ValueSource::default() {
-        return Err(fault("tenants are told apart here: it wants tenant or tenant-header".into()));
+        return Err(fault("tenants are distinguished here: it wants tenant or tenant-header".into()));
     }
     Ok(())
 }
--- a/daemon/src/store/former_versions.rs
+++ b/daemon/src/store/former_versions.rs
@@ -1,4 +1,4 @@
-//! Versions as builds before the file of versions left them, each a whole text in a file of its own.
+//! Versions as builds before the file of versions left them, each a complete text in a file of its own.
 
 use super::texts::FORMAT;
 use crate::durable_file;
--- a/daemon/src/store/texts.rs
+++ b/daemon/src/store/texts.rs
@@ -42,8 +42,8 @@
 }
 
 pub(super) fn write_members(dir: &Path, text: &str) -> io::Result<()> {
-    let sealed = encode_checksummed(MEMBERS_FILE, FORMAT, text);
-    durable_file::replace(&dir.join(MEMBERS_FILE), sealed.as_bytes())
+    let text = encode_checksummed(MEMBERS_FILE, FORMAT, text);
+    durable_file::replace(&dir.join(MEMBERS_FILE), text.as_bytes())
 }
 
 /// What a text says; `None` where there is no file.
--- a/daemon/src/store/writer.rs
+++ b/daemon/src/store/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes: each file whole or not at all, the newest state first, and versions before anything else.
+//! The thread that writes: each file completely or not at all, the newest state first, and versions before anything else.
 
 use super::consensus::append_consensus;
 use super::texts::{write_learned, write_members};
@@ -160,7 +160,7 @@
         let failed = self.queue.failed.fetch_add(1, Ordering::Relaxed) + 1;
         if failed >= self.reported_failures * 2 {
             self.reported_failures = failed;
-            warn!(self.log, "the state could not be written: a restart starts with what stands there";
+            warn!(self.log, "the state could not be written: a restart starts with what is on disk";
                 "path" => %self.dir.display(), "why" => %error, "times" => failed);
         }
     }
--- a/rollout/examples/figures.rs
+++ b/rollout/examples/figures.rs
@@ -1,4 +1,4 @@
-//! What persistence costs: `cargo run --release -p asterrill-rollout --example figures -- METHODS TENANTS`. Writes a whole
+//! What persistence costs: `cargo run --release -p asterrill-rollout --example figures -- METHODS TENANTS`. Writes a complete
 //! version, then 200 steps of one entry, each synced, then a change of every quota, and reads them back in a process of
 //! its own; and what the monitor takes for a sample. One JSON object; times in milliseconds, memory in kB, medians of the steps.
 
@@ -110,12 +110,12 @@
     };
     let start = Instant::now();
     let mut to = open();
-    let mut written_record = write_snapshot(&state, &mut to).expect("a whole version");
+    let mut written_record = write_snapshot(&state, &mut to).expect("a snapshot");
     let written = ms(start);
     sync(to);
-    let (whole_ms, whole_bytes) = (ms(start), file_length(&path));
-    let whole_peak = kb("VmHWM:").saturating_sub(top.max(rss));
-    let whole_read = read(&path);
+    let (snapshot_ms, snapshot_bytes) = (ms(start), file_length(&path));
+    let snapshot_peak = kb("VmHWM:").saturating_sub(top.max(rss));
+    let snapshot_read = read(&path);
 
     let (mut took, mut encoded, mut above) = (Vec::new(), Vec::new(), 0);
     for i in 0..200 {
@@ -163,7 +163,7 @@
     let mut to = open();
     match &update {
         Some(update) => update.write(&mut to).expect("a step"),
-        None => drop(write_snapshot(&next, &mut to).expect("a whole version")),
+        None => drop(write_snapshot(&next, &mut to).expect("a snapshot")),
     }
     sync(to);
     let (all_ms, all_bytes) = (ms(start), file_length(&path) - bytes);
@@ -171,7 +171,7 @@
     let all_read = read(&path);
     std::fs::remove_file(&path).unwrap_or_default();
     println!(
-        "{{\"methods\":{methods},\"tenants\":{tenants},\"whole\":{{\"bytes\":{whole_bytes},\"ms_unsynced\":{written:.1},\"ms\":{whole_ms:.1},\"peak_kb\":{whole_peak},\"read\":{whole_read}}},\"step\":{{\"above_entry_bytes\":{above},\"ms_unsynced\":{:.3},\"ms\":{:.3},\"read\":{steps_read}}},\"every_quota\":{{\"as_step\":{as_step},\"bytes\":{all_bytes},\"ms\":{all_ms:.1},\"peak_kb\":{all_peak},\"read\":{all_read}}},\"watch_us\":{:.2}}}",
+        "{{\"methods\":{methods},\"tenants\":{tenants},\"whole\":{{\"bytes\":{snapshot_bytes},\"ms_unsynced\":{written:.1},\"ms\":{snapshot_ms:.1},\"peak_kb\":{snapshot_peak},\"read\":{snapshot_read}}},\"step\":{{\"above_entry_bytes\":{above},\"ms_unsynced\":{:.3},\"ms\":{:.3},\"read\":{steps_read}}},\"every_quota\":{{\"as_step\":{as_step},\"bytes\":{all_bytes},\"ms\":{all_ms:.1},\"peak_kb\":{all_peak},\"read\":{all_read}}},\"watch_us\":{:.2}}}",
         median(encoded),
         median(took),
         monitor(&state.good.content)
--- a/rollout/src/lib.rs
+++ b/rollout/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Rollout`] owns the version that runs, the one that is staged, the one on probation and the history. Its caller
 //! passes in what operators ask for and the time, and gets back what is to be done: which version to put in force,
-//! whole, between two inputs of the server. It has no socket, no file and no clock. `T` is a version's content, already
+//! at once, between two inputs of the server. It has no socket, no file and no clock. `T` is a version's content, already
 //! read, and cheap to clone; its owner names it by a hash, the same for the same meaning. Checks, the probation monitor
 //! and records work on entries and cost what differs, or what was served.
 //!
--- a/rollout/src/probation.rs
+++ b/rollout/src/probation.rs
@@ -11,7 +11,7 @@
 //!   measured at three times the load it lost 0.50 of criticality where that order would have lost 0.32.
 //! - **A slow upstream** is none either: RPCs whose call failed or timed out are left out on both sides. One
 //!   whose call was never placed is not: that may be the change.
-//! - **A few unlucky seconds** are told apart by time: the loss must show in each of the last [`RECENT_SLOTS`] slots of
+//! - **A few unlucky seconds** are recognised by time: the loss must show in each of the last [`RECENT_SLOTS`] slots of
 //!   half a second that brought enough evidence, and over all of them be more than chance makes.
 //!
 //! A smaller loss that lasts shows at the end of the probation: then most slots of it must have been bad, so that
@@ -125,7 +125,7 @@
     /// RPCs' worth of evidence in the baseline.
     baseline_evidence: f64,
     recent: VecDeque<Slot>,
-    /// Over the whole probation.
+    /// Over all of the probation.
     total: ServiceSample,
     total_expected: WeightedLoss,
     tally: SlotTally,
@@ -265,7 +265,7 @@
         sum
     }
 
-    /// An expected loss; it stands on the evidence of the baseline.
+    /// An expected loss; its evidence is that of the baseline.
     fn expected_loss(&self, sum: WeightedLoss) -> Loss {
         Loss { fraction: sum.fraction(), evidence: self.baseline_evidence }
     }
--- a/rollout/src/record.rs
+++ b/rollout/src/record.rs
@@ -1,5 +1,5 @@
-//! The record: what persists of the configuration over restarts. One file, a whole version in entries (the snapshot)
-//! followed by steps, each with checksums. Whoever owns files writes it; here is what stands in it, and what to start
+//! The record: what persists of the configuration over restarts. One file, a complete version in entries (the snapshot)
+//! followed by steps, each with checksums. Its owner writes it; here is its format, and what to start
 //! with after any crash.
 //!
 //! ```text
@@ -19,7 +19,7 @@
 //! is under 256 bytes. The body of `good` (taken as it is) and `probation` is what leads there from the last good
 //! version, with the operator's file where that changed; `settled` and `undone` have none.
 //!
-//! A snapshot is written beside its place, synced and renamed; steps are appended. So a crash leaves a torn tail
+//! A snapshot is written to a temporary file, synced and renamed; steps are appended. So a crash leaves a torn tail
 //! at the most, which is cut off at the last complete record. A record that is damaged with complete ones after it is
 //! named: nothing after it is taken up, as its base is missing, but what those after it say was rolled back, or on
 //! probation without an end, is still not started with.
@@ -29,10 +29,10 @@
 //! | `state` | a version and all that a restart needs, and what a step makes of it |
 //! | `format` | lines, heads and checksums of the file, written and read |
 //! | `update` | the steps that lead from one state to another |
-//! | `snapshot` | a whole version, and when it is written anew (compaction) |
+//! | `snapshot` | a complete version, and when it is written anew (compaction) |
 //! | `entry_reader` | entries of a body, taken in a piece at a time |
 //! | `snapshot_reader`, `step_reader` | one record, read back |
-//! | `recover` | a whole file, read back after any crash |
+//! | `recover` | a complete file, read back after any crash |
 //! | `start` | what a process starts with |
 
 mod entry_reader;
--- a/rollout/src/record/entry_reader.rs
+++ b/rollout/src/record/entry_reader.rs
@@ -1,4 +1,4 @@
-//! Entries of a body, taken in a piece at a time, so that a long text is never held whole.
+//! Entries of a body, taken in a piece at a time, so that a long text is never held completely.
 
 use asterrill_entries::{read_step, Change, Configuration, GlobalSettings, StepError, MAX_CHANGES};
 
@@ -15,7 +15,7 @@
 enum Mode {
     /// Each entry of a snapshot is put, so that pieces can go in one after the other.
     Snapshot,
-    /// A step is taken whole or not at all.
+    /// A step is applied completely or not at all.
     Step(Vec<Change>),
 }
 
--- a/rollout/src/record/format.rs
+++ b/rollout/src/record/format.rs
@@ -75,14 +75,14 @@
 }
 
 /// Adds the checksum of a head to it, and ends the line.
-pub(super) fn seal_head(mut head: String) -> String {
+pub(super) fn add_head_checksum(mut head: String) -> String {
     let sum = xxh3_64(head.as_bytes());
     head.push_str(&format!(" {sum:016x}\n"));
     head
 }
 
 /// The words of a head, if its sum is right and there are so many.
-pub(super) fn open_head<const N: usize>(line: &[u8]) -> Option<[&str; N]> {
+pub(super) fn verify_head<const N: usize>(line: &[u8]) -> Option<[&str; N]> {
     let line = std::str::from_utf8(line).ok()?.strip_suffix('\n')?;
     let (text, sum) = line.rsplit_once(' ')?;
     if sum != format!("{:016x}", xxh3_64(text.as_bytes())) {
@@ -117,16 +117,16 @@
 }
 
 impl StepHead {
-    /// As a sealed line.
+    /// As a line with its checksum.
     pub(super) fn to_line(&self) -> String {
         let StepHead { number, base, hash, body_bytes, body_sum, .. } = self;
         let kind = self.kind.as_str();
         let file = self.operator_file_bytes.map_or(SAME_OPERATOR_FILE.into(), |bytes| bytes.to_string());
-        seal_head(format!("step {kind} {number} {base} {hash} {file} {body_bytes} {body_sum:016x}"))
+        add_head_checksum(format!("step {kind} {number} {base} {hash} {file} {body_bytes} {body_sum:016x}"))
     }
 
     fn parse(line: &[u8]) -> Option<StepHead> {
-        let ["step", kind, number, base, hash, file, bytes, sum] = open_head::<8>(line)? else {
+        let ["step", kind, number, base, hash, file, bytes, sum] = verify_head::<8>(line)? else {
             return None;
         };
         Some(StepHead {
--- a/rollout/src/record/snapshot.rs
+++ b/rollout/src/record/snapshot.rs
@@ -1,6 +1,6 @@
-//! Whole versions in the file, and compaction: when a snapshot takes the place of the steps.
+//! Snapshots in the file, and compaction: when a snapshot takes the place of the steps.
 
-use super::format::{end_line, seal_head, SummedWriter, FIRST_LINE};
+use super::format::{add_head_checksum, end_line, SummedWriter, FIRST_LINE};
 use super::state::PersistedState;
 use super::update::RecordUpdate;
 use asterrill_entries::{write_configuration, EntryKind};
@@ -9,7 +9,7 @@
 /// Bytes of steps, under which a snapshot is not written anew because of them.
 pub const MIN_COMPACTION_BYTES: u64 = 1 << 16;
 
-/// What stands on disk, and how long it is there.
+/// What is on disk, and how long it is.
 #[derive(Clone, Debug)]
 pub struct WrittenRecord {
     state: PersistedState,
@@ -18,7 +18,7 @@
 }
 
 impl WrittenRecord {
-    /// The steps that are to be appended so that another state stands there. `None` where a snapshot is to be written
+    /// The steps that are to be appended so that another state is on disk. `None` where a snapshot is to be written
     /// instead: steps can't lead there, or all steps together would be longer than the snapshot and than
     /// [`MIN_COMPACTION_BYTES`]. So the file is at most twice as long as a snapshot and what is on probation, and each
     /// byte of a snapshot is written for at least one of a step.
@@ -28,7 +28,7 @@
         (steps_bytes <= self.snapshot_bytes.max(MIN_COMPACTION_BYTES)).then_some(update)
     }
 
-    /// What stands on disk once the update was appended.
+    /// What is on disk once the update was appended.
     pub fn after_update(self, to: PersistedState, update: &RecordUpdate) -> WrittenRecord {
         WrittenRecord {
             state: to,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Writes a complete file: the last good version in entries, then as a step the one on probation. Returns what stands
+/// Writes a complete file: the last good version in entries, then as a step the one on probation. Returns what is
 /// on disk once that is synced and in its place.
 ///
 /// # Errors
@@ -47,7 +47,7 @@
     let PersistedState { good, rolled_back, .. } = state;
     let (number, hash) = (good.number, good.hash());
     let file_bytes = good.operator_file.len();
-    let head = seal_head(format!("whole {number} {hash} {} {file_bytes}", rolled_back.len()));
+    let head = add_head_checksum(format!("whole {number} {hash} {} {file_bytes}", rolled_back.len()));
 
     let mut summed = SummedWriter::new(to);
     summed.write_str(FIRST_LINE)?;
--- a/rollout/src/record/snapshot_reader.rs
+++ b/rollout/src/record/snapshot_reader.rs
@@ -2,7 +2,7 @@
 
 use super::entry_reader::EntryReader;
 use super::format::{
-    end_line, open_head, LineReader, RecordFault, FIRST_LINE, FIRST_LINE_PREFIX, MAX_LINE_BYTES,
+    end_line, verify_head, LineReader, RecordFault, FIRST_LINE, FIRST_LINE_PREFIX, MAX_LINE_BYTES,
     MAX_OPERATOR_FILE_BYTES,
 };
 use super::state::PersistedVersion;
@@ -14,7 +14,7 @@
 /// Digits of a format's number at the most, in the first line of another format.
 const MAX_FORMAT_DIGITS: usize = 20;
 
-/// A whole version as it was read back.
+/// A complete version as it was read back.
 pub(super) struct Snapshot {
     pub(super) version: PersistedVersion,
     pub(super) rolled_back: Vec<RolledBack>,
@@ -88,7 +88,7 @@
 
     fn read_head(&mut self) -> Result<SnapshotHead, RecordFault> {
         self.next_line()?;
-        let words = open_head::<5>(&self.line);
+        let words = verify_head::<5>(&self.line);
         let Some(["whole", number, hash, rolled_back, file_bytes]) = words else {
             return Err(damaged("its second line"));
         };
--- a/rollout/src/record/start.rs
+++ b/rollout/src/record/start.rs
@@ -24,7 +24,7 @@
     },
 }
 
-/// Decides what to start with, from the hash of the configuration that the process was given and what stands on disk.
+/// Decides what to start with, from the hash of the configuration that the process was given and what is on disk.
 pub fn choose_start(configured: &str, persisted: Option<PersistedState>) -> StartDecision {
     let Some(PersistedState { good, probation, mut rolled_back }) = persisted else {
         // Without a good version there is nothing to go back to.
--- a/rollout/src/record/update.rs
+++ b/rollout/src/record/update.rs
@@ -63,7 +63,7 @@
     pub fn between(from: &PersistedState, to: &PersistedState) -> Option<RecordUpdate> {
         let mut update = RecordUpdate(Vec::new());
         let mut state = from.clone();
-        let whole = |kind: StepKind, version: &PersistedVersion| StepSubject {
+        let with_version = |kind: StepKind, version: &PersistedVersion| StepSubject {
             kind,
             number: version.number,
             hash: version.hash(),
@@ -80,12 +80,12 @@
             update.add(&mut state, subject)?;
         }
         if state.good != to.good {
-            update.add(&mut state, whole(StepKind::Good, &to.good))?;
+            update.add(&mut state, with_version(StepKind::Good, &to.good))?;
         }
         if let Some(version) =
             to.probation.as_ref().filter(|version| state.probation.as_ref() != Some(*version))
         {
-            update.add(&mut state, whole(StepKind::Probation, version))?;
+            update.add(&mut state, with_version(StepKind::Probation, version))?;
         }
         (state == *to).then_some(update)
     }
--- a/rollout/src/sample.rs
+++ b/rollout/src/sample.rs
@@ -20,7 +20,7 @@
     pub in_time: f64,
     /// Those not in time whose call to the upstream failed.
     pub upstream_failed: f64,
-    /// Expected CPU work of the RPCs that arrived, as far as their cost is known, in microseconds.
+    /// Expected CPU work of the RPCs that arrived, as far as their cost was learned, in microseconds.
     pub work_us: f64,
 }
 
--- a/rollout/src/transaction.rs
+++ b/rollout/src/transaction.rs
@@ -255,8 +255,8 @@
         Ok(number)
     }
 
-    /// Lets the staged version run, on probation for `probation` microseconds at the most. Returns it, to be put in
-    /// force whole. With `if_base`, only if that version runs.
+    /// Lets the staged version run, on probation for `probation` microseconds at the most. Returns it, to be put in force
+    /// at once. With `if_base`, only if that version runs.
     ///
     /// # Errors
     /// [`RolloutError`]; a staged version whose base does not run any more is dropped.
@@ -295,7 +295,7 @@
         Ok(number)
     }
 
-    /// Returns to the version before the one on probation, and hands it back, to be put in force whole. A queued
+    /// Returns to the version before the one on probation, and hands it back, to be put in force at once. A queued
     /// version was made from the one that is rolled back: it is dropped.
     ///
     /// # Errors
--- a/rollout/tests/rollout/record.rs
+++ b/rollout/tests/rollout/record.rs
@@ -61,8 +61,8 @@
     let body = text.replace("oder", "od r\\u0001").replace("end ", "\0");
     let (body, _) = body.split_once('\0').unwrap();
     let sum = xxhash_rust::xxh3::xxh3_64(body.as_bytes());
-    let sealed = format!("{body}end 4 {sum:016x}\n");
-    assert!(matches!(fault(&sealed), RecordFault::Damaged(why) if why.contains("Name")), "{sealed}");
+    let record = format!("{body}end 4 {sum:016x}\n");
+    assert!(matches!(fault(&record), RecordFault::Damaged(why) if why.contains("Name")), "{record}");
 }
 
 #[test]
@@ -98,7 +98,7 @@
     };
     let (a, b) = (version_a(), version_b());
     let (hash_a, hash_b) = (a.persisted().hash(), b.persisted().hash());
-    // A change from a (1) to b (2): the step is cut anywhere, or whole. Beside it, the configuration of the process
+    // A change from a (1) to b (2): the step is cut anywhere, or complete. Beside it, the configuration of the process
     // is b.
     let (mut text, written) = snapshot(&state(&a, None, &[]));
     let at = text.len();
--- a/rollout/tests/rollout/record_lives.rs
+++ b/rollout/tests/rollout/record_lives.rs
@@ -148,7 +148,7 @@
         let (text, written) = snapshot(&state);
         self.temporary = text.as_bytes()[..text.len().min(limit)].to_vec();
         self.tally.snapshots += 1;
-        // Complete beside its place, but not renamed: the file before still stands.
+        // Complete beside its place, but not renamed: the old file is still there.
         let renamed = self.temporary.len() == text.len() && limit != text.len();
         if renamed {
             self.disk = Some(std::mem::take(&mut self.temporary));
