--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -2,14 +2,15 @@
 //! than a stated time ([`Config::contradiction_bound`]). Free of I/O: datagrams, time and finished writes are passed in;
 //! datagrams, writes and an apply policy come out.
 //!
-//! | type | job |
+//! | module | job |
 //! | --- | --- |
-//! | [`Version`], [`Step`] | one version: settings and lists under one number and hash, cheap to clone; and a step to the next |
-//! | [`VersionLog`] | the retained versions: the state machine of the voters' log |
-//! | [`Voter`] | orders versions, and has them on disk at a majority of a few named nodes, by the crate `raft` |
-//! | [`Lessor`], [`LocalLease`] | which node may act on which version, and for how long |
-//! | [`ApplyPolicy`] | what a node acts on: with a lease, between two versions, and without a lease |
-//! | [`Node`] | one node: always a lease holder, perhaps a voter |
+//! | `lists`, `step`, `version` | a [`Version`]: settings and lists under one number and hash, cheap to clone; and a [`Step`] to the next |
+//! | `command`, `version_log` | the entries of the voters' log, and its state machine: the retained versions ([`VersionLog`]) |
+//! | `voter`, `storage`, `record` | versions in one order, and on disk at a majority of a few named nodes, by the crate `raft` |
+//! | `lease`, `lessor` | which node may act on which version, and for how long |
+//! | `apply_policy` | what a node acts on: with a lease, between two versions, and without a lease ([`ApplyPolicy`]) |
+//! | `message`, `fragment` | messages between nodes, in fragments that fit a datagram |
+//! | `node` | one [`Node`]: always a lease holder, perhaps a voter |
 //!
 //! ```
 //! use asterrill_consensus::{Access, Change, Config, ListEntry, ListKind, Node, Proposal};
@@ -55,9 +56,8 @@
 pub use apply_policy::{ApplyMode, ApplyPolicy, LeasedPolicy};
 pub use command::{Command, CommandOutcome, ProposalId, ResolvedProposal};
 pub use config::Config;
-pub use fragment::{fragment, Reassembler};
-pub use lease::{contradiction_bound, leader_lease_span, LocalLease};
-pub use lessor::{LeaseHolderCount, LeaseRequest, Lessor};
+pub use fragment::fragment;
+pub use lessor::LeaseHolderCount;
 pub use lists::{caller_key, Access, ListEntry, ListKind, MAX_CALLER_DIGITS};
 pub use node::{Counters, Datagram, Node, StartError};
 pub use proposal::{CompletedProposal, Proposal, ProposalOutcome};
@@ -65,6 +65,6 @@
 pub use step::{
     Change, Step, StepError, MAX_KEY_BYTES, MAX_LIST_ENTRIES, MAX_SETTINGS_BYTES, MAX_STEP_CHANGES,
 };
-pub use version::{change_contradicts, contradicts, Version, VersionContents};
+pub use version::{contradicts, Version, VersionContents};
 pub use version_log::{SnapshotError, VersionLog};
-pub use voter::{DiskWrite, RaftMessage, Voter, VoterId};
+pub use voter::DiskWrite;
--- a/net/src/spawn.rs
+++ b/net/src/spawn.rs
@@ -22,7 +22,7 @@
     may::config().set_worker_pin(false);
     may::config().set_timeout_ns(IDLE_WAKE_NS);
     std::thread::Builder::new()
-        .name("alarms".into())
+        .name("timers".into())
         .stack_size(TIMER_THREAD_STACK_BYTES)
         .spawn(crate::clock::run_timers)
         .map(drop)
