--- a/lab/src/fleet/agree/judge.rs
+++ b/lab/src/fleet/agree/judge.rs
@@ -119,55 +119,80 @@
     }
 }
 
+/// How often a version of a change is missing at a node, and how often it has other content there.
+struct VersionFaults {
+    lost: usize,
+    forked: usize,
+}
+
+impl Recording {
+    fn version_faults(&self) -> VersionFaults {
+        let versions = self.changes.iter().map(|change| &change.version);
+        let pairs: Vec<(&VersionId, &NodeEnd)> =
+            versions.flat_map(|version| self.ends.iter().map(move |end| (version, end))).collect();
+        VersionFaults {
+            lost: pairs.iter().filter(|(version, end)| end.newest < version.number).count(),
+            forked: pairs.iter().filter(|(version, end)| end.contradicts(version)).count(),
+        }
+    }
+
+    /// How long changes took to be settled, in ms, sorted.
+    fn settled_after_ms(&self) -> Vec<u64> {
+        let took = self.changes.iter().map(|change| change.settled_ms - change.proposed_ms);
+        let mut took: Vec<u64> = took.collect();
+        took.sort_unstable();
+        took
+    }
+}
+
 /// Reports what the recording says, and checks the rules.
 pub(super) fn judge(report: &mut Report, fleet: &mut Fleet, recording: &Recording) {
-    let barred = recording.served_although_barred();
-    let pairs = || {
-        let versions = recording.changes.iter().map(|change| &change.version);
-        versions.flat_map(|version| recording.ends.iter().map(move |end| (version, end)))
-    };
-    let lost = pairs().filter(|(version, end)| end.newest < version.number).count();
-    let other_histories = pairs().filter(|(version, end)| end.contradicts(version)).count();
-    let acting: Vec<u64> = recording.ends.iter().map(|end| end.acting).collect();
-    let mut took_ms: Vec<u64> =
-        recording.changes.iter().map(|change| change.settled_ms - change.proposed_ms).collect();
-    took_ms.sort_unstable();
+    report_service(report, recording);
+    report_versions(report, recording);
     let none_panicked = fleet.none_panicked();
     let left = fleet.end();
+    report.set("left_processes", json!(left));
+    report.rule("a process was left behind", left == 0);
+    report.rule("a process panicked", none_panicked);
+}
+
+/// What the caller's answers say.
+fn report_service(report: &mut Report, recording: &Recording) {
+    let barred = recording.served_although_barred();
     let calls = &recording.ledger.calls;
-    for (name, value) in [
-        ("kind", json!(recording.name)),
-        ("nodes", json!(recording.nodes())),
-        ("versions", json!(recording.changes.len())),
-        ("wishes_without_majority", json!(recording.without_majority)),
-        ("stated_ms", json!(IN_FORCE_MS)),
-        ("contradiction_ms_max", json!(barred.contradiction_ms)),
-        ("served_after_the_stated_time", json!(barred.late)),
-        ("older_after_newer", json!(barred.back)),
-        ("lost_versions", json!(lost)),
-        ("other_histories", json!(other_histories)),
-        ("propose_ms_p50", json!(took_ms.get(took_ms.len() / 2))),
-        ("propose_ms_max", json!(took_ms.last())),
-        ("no_final_answer", json!(recording.unanswered)),
-        ("asked", json!(calls.len())),
-        ("served", json!(calls.iter().filter(|call| call.served).count())),
-        ("newest", json!(acting)),
-        ("left_processes", json!(left)),
-    ] {
-        report.set(name, value);
-    }
-    let last = recording.changes.last().map_or(1, |change| change.version.number);
-    let same = acting.iter().all(|number| *number == acting[0] && *number >= last);
+    report.set("stated_ms", json!(IN_FORCE_MS));
+    report.set("contradiction_ms_max", json!(barred.contradiction_ms));
+    report.set("served_after_the_stated_time", json!(barred.late));
+    report.set("older_after_newer", json!(barred.back));
+    report.set("no_final_answer", json!(recording.unanswered));
+    report.set("asked", json!(calls.len()));
+    report.set("served", json!(calls.iter().filter(|call| call.served).count()));
     report.rule("an RPC got no final answer", recording.unanswered == 0);
     let in_time = barred.contradiction_ms <= IN_FORCE_MS + CALL_MS;
     report.rule("answers contradicted each other for longer than is stated", in_time);
     report.rule("a bar was not in force everywhere in the stated time", barred.late == 0);
     report.rule("a node went back to an older version", barred.back == 0);
-    report.rule("a version that was reported as committed is gone", lost == 0);
-    report.rule("two histories of a version", other_histories == 0);
+}
+
+/// What the nodes say of versions.
+fn report_versions(report: &mut Report, recording: &Recording) {
+    let faults = recording.version_faults();
+    let acting: Vec<u64> = recording.ends.iter().map(|end| end.acting).collect();
+    let took_ms = recording.settled_after_ms();
+    report.set("kind", json!(recording.name));
+    report.set("nodes", json!(recording.nodes()));
+    report.set("versions", json!(recording.changes.len()));
+    report.set("wishes_without_majority", json!(recording.without_majority));
+    report.set("lost_versions", json!(faults.lost));
+    report.set("other_histories", json!(faults.forked));
+    report.set("propose_ms_p50", json!(took_ms.get(took_ms.len() / 2)));
+    report.set("propose_ms_max", json!(took_ms.last()));
+    report.set("newest", json!(acting));
+    report.rule("a version that was reported as committed is gone", faults.lost == 0);
+    report.rule("two histories of a version", faults.forked == 0);
+    let last = recording.changes.last().map_or(1, |change| change.version.number);
+    let same = acting.iter().all(|number| *number == acting[0] && *number >= last);
     report.rule("not all act on the newest version at the end", same);
     let enough = recording.changes.len() >= CHANGES / 2;
     report.rule("too few versions came about to show anything", enough);
-    report.rule("a process was left behind", left == 0);
-    report.rule("a process panicked", none_panicked);
 }
--- a/lab/src/fleet/datagram_network.rs
+++ b/lab/src/fleet/datagram_network.rs
@@ -65,56 +65,36 @@
 }
 
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
+const DELIVERY_PAUSE: Duration = Duration::from_millis(1);
+const MAX_DATAGRAM: usize = 2_048; // bytes
 
 impl DatagramNetwork {
     /// `own`: where each member takes its datagrams, and sends from.
     pub fn start(own: &[SocketAddr], seed: u64) -> std::io::Result<DatagramNetwork> {
-        let conditions = NetworkConditions::default();
-        let rng = StdRng::seed_from_u64(seed);
-        let state =
-            Arc::new(Mutex::new(State { conditions, rng, in_transit: BinaryHeap::new(), carried: 0 }));
-        let (stopped, mut at, mut sockets) = (Arc::new(AtomicBool::new(false)), Vec::new(), Vec::new());
+        let state = State {
+            conditions: NetworkConditions::default(),
+            rng: StdRng::seed_from_u64(seed),
+            in_transit: BinaryHeap::new(),
+            carried: 0,
+        };
+        let (mut at, mut sockets) = (Vec::new(), Vec::new());
         for _ in own {
             let socket = UdpSocket::bind("127.0.0.1:0")?;
             socket.set_read_timeout(Some(READ_TIMEOUT))?;
             at.push(socket.local_addr()?);
             sockets.push(socket);
         }
+        let network = DatagramNetwork { at, state: Arc::new(Mutex::new(state)), stopped: Arc::default() };
         for (to, socket) in sockets.iter().enumerate() {
-            let (socket, state, stopped, own) =
-                (socket.try_clone()?, state.clone(), stopped.clone(), own.to_vec());
-            thread::spawn(move || {
-                let mut bytes = [0; 2_048];
-                while !stopped.load(Ordering::Acquire) {
-                    let Ok((n, from)) = socket.recv_from(&mut bytes) else { continue };
-                    // None for a stranger, whose datagrams are not cut.
-                    let from = own.iter().position(|at| *at == from);
-                    lock(&state).accept(from, to, &bytes[..n]);
-                }
-            });
+            let (socket, own) = (socket.try_clone()?, own.to_vec());
+            let (state, stopped) = (network.state.clone(), network.stopped.clone());
+            thread::spawn(move || receive(&socket, to, &own, &state, &stopped));
         }
-        let (shared, stop_flag, own) = (state.clone(), stopped.clone(), own.to_vec());
-        thread::spawn(move || {
-            while !stop_flag.load(Ordering::Acquire) {
-                let now = Instant::now();
-                let mut state = lock(&shared);
-                let mut due = Vec::new();
-                while state.in_transit.peek().is_some_and(|Reverse(in_transit)| in_transit.at <= now) {
-                    due.extend(state.in_transit.pop());
-                }
-                state.carried += due.len() as u64;
-                drop(state);
-                for Reverse(in_transit) in due {
-                    sockets[in_transit.to]
-                        .send_to(&in_transit.bytes, own[in_transit.to])
-                        .map(drop)
-                        .unwrap_or_default();
-                }
-                thread::sleep(Duration::from_millis(1));
-            }
-        });
-        Ok(DatagramNetwork { at, state, stopped })
+        let (state, stopped, own) = (network.state.clone(), network.stopped.clone(), own.to_vec());
+        thread::spawn(move || deliver(&sockets, &own, &state, &stopped));
+        Ok(network)
     }
+
     /// Changes the conditions of all datagrams from now on.
     pub fn change_conditions(&self, change: impl FnOnce(&mut NetworkConditions)) {
         change(&mut lock(&self.state).conditions);
@@ -125,6 +105,28 @@
     }
 }
 
+/// Takes what is sent to one member.
+fn receive(socket: &UdpSocket, to: usize, own: &[SocketAddr], state: &Mutex<State>, stopped: &AtomicBool) {
+    let mut bytes = [0; MAX_DATAGRAM];
+    while !stopped.load(Ordering::Acquire) {
+        let Ok((n, from)) = socket.recv_from(&mut bytes) else { continue };
+        // None for a stranger, whose datagrams are not cut.
+        let from = own.iter().position(|at| *at == from);
+        lock(state).accept(from, to, &bytes[..n]);
+    }
+}
+
+/// Sends datagrams on when they are due, each from the relay of the member that it is for.
+fn deliver(sockets: &[UdpSocket], own: &[SocketAddr], state: &Mutex<State>, stopped: &AtomicBool) {
+    while !stopped.load(Ordering::Acquire) {
+        for datagram in lock(state).take_due(Instant::now()) {
+            let (socket, to) = (&sockets[datagram.to], own[datagram.to]);
+            socket.send_to(&datagram.bytes, to).map(drop).unwrap_or_default();
+        }
+        thread::sleep(DELIVERY_PAUSE);
+    }
+}
+
 impl Drop for DatagramNetwork {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Release);
@@ -132,6 +134,15 @@
 }
 
 impl State {
+    fn take_due(&mut self, now: Instant) -> Vec<InTransit> {
+        let mut due = Vec::new();
+        while self.in_transit.peek().is_some_and(|Reverse(datagram)| datagram.at <= now) {
+            due.extend(self.in_transit.pop().map(|Reverse(datagram)| datagram));
+        }
+        self.carried += due.len() as u64;
+        due
+    }
+
     fn accept(&mut self, from: Option<usize>, to: usize, bytes: &[u8]) {
         let NetworkConditions { cut, loss, duplication, delay } = &self.conditions;
         if from.is_some_and(|from| cut.contains(&(from, to))) || self.rng.random::<f64>() < *loss {
@@ -146,7 +157,7 @@
 
 /// The directions that are cut if only members of a common group hear each other.
 pub fn cuts_between(groups: &[Vec<usize>], nodes: usize) -> BTreeSet<(usize, usize)> {
-    let together = |a: usize, b: usize| groups.iter().any(|g| g.contains(&a) && g.contains(&b));
+    let together = |a: usize, b: usize| groups.iter().any(|group| group.contains(&a) && group.contains(&b));
     let pairs = (0..nodes).flat_map(|a| (0..nodes).map(move |b| (a, b)));
     pairs.filter(|(a, b)| a != b && !together(*a, *b)).collect()
 }
--- a/lab/src/fleet/fault_injection.rs
+++ b/lab/src/fleet/fault_injection.rs
@@ -1,9 +1,10 @@
 //! Injects the faults of a script into a fleet.
 
 use super::callers::UnansweredAttempt;
-use super::cluster::Fleet;
+use super::cluster::{Fleet, Member};
 use super::datagram_network::{cuts_between, NetworkConditions};
 use super::fault_script::{FaultKind, ScheduledFault, StateFault};
+use crate::agent::ColdStart;
 use crate::report::ScenarioError;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -102,16 +103,7 @@
                 member.node.restart()?;
                 member.since = Instant::now();
             }
-            FaultKind::Start if !member.up => {
-                if let Ok(None) = member.node.child.try_wait() {
-                    member.node.wait_for_exit(EXITS_WITHIN);
-                    member.node.kill();
-                }
-                // The machine was up for as long as it takes to start the process.
-                member.agent.restart_cold(cold);
-                member.node.restart()?;
-                (member.since, member.up) = (Instant::now(), true);
-            }
+            FaultKind::Start if !member.up => member.start_again(cold)?,
             FaultKind::Pause => {
                 member.node.signal("STOP");
                 injected.paused.insert(n, Instant::now());
@@ -127,16 +119,7 @@
                 member.up = false;
             }
             FaultKind::State(fault) => self.damage_state(n, fault)?,
-            FaultKind::AgentHang => member.agent_proxy.hang(true),
-            FaultKind::AgentPass => {
-                member.agent_proxy.hang(false);
-                // What it decided meanwhile had reasons of its own.
-                member.since = Instant::now();
-            }
-            FaultKind::AgentDeaf => member.agent_proxy.hang_direction(true, true),
-            FaultKind::AgentMute => member.agent_proxy.hang_direction(false, true),
-            FaultKind::AgentDelay(ms) => member.agent_proxy.delay(Duration::from_millis(*ms)),
-            _ => {}
+            _ => member.inject_agent_link(kind),
         }
         Ok(())
     }
@@ -195,6 +178,36 @@
     }
 }
 
+impl Member {
+    /// The machine starts, and was up for as long as it takes to start the process.
+    fn start_again(&mut self, cold: ColdStart) -> Result<(), ScenarioError> {
+        if let Ok(None) = self.node.child.try_wait() {
+            self.node.wait_for_exit(EXITS_WITHIN);
+            self.node.kill();
+        }
+        self.agent.restart_cold(cold);
+        self.node.restart()?;
+        (self.since, self.up) = (Instant::now(), true);
+        Ok(())
+    }
+
+    /// Faults of the link to the agent.
+    fn inject_agent_link(&mut self, kind: &FaultKind) {
+        match kind {
+            FaultKind::AgentHang => self.agent_proxy.hang(true),
+            FaultKind::AgentPass => {
+                self.agent_proxy.hang(false);
+                // What it decided meanwhile had reasons of its own.
+                self.since = Instant::now();
+            }
+            FaultKind::AgentDeaf => self.agent_proxy.hang_direction(true, true),
+            FaultKind::AgentMute => self.agent_proxy.hang_direction(false, true),
+            FaultKind::AgentDelay(ms) => self.agent_proxy.delay(Duration::from_millis(*ms)),
+            _ => {}
+        }
+    }
+}
+
 /// All directions that end at these members.
 pub(super) fn cuts_towards(nodes: &[usize], members: usize) -> Vec<(usize, usize)> {
     nodes.iter().flat_map(|n| (0..members).map(move |from| (from, *n))).collect()
--- a/lab/src/fleet/tcp_proxy.rs
+++ b/lab/src/fleet/tcp_proxy.rs
@@ -9,6 +9,9 @@
 use std::thread;
 use std::time::Duration;
 
+const READ_BYTES: usize = 16 * 1024;
+const HANG_POLL: Duration = Duration::from_millis(2);
+
 /// What a proxy does to what passes in one direction.
 #[derive(Clone, Debug, Default)]
 pub struct Direction {
@@ -84,9 +87,8 @@
     }
     /// All connections break off.
     pub fn reset(&self) {
-        for [a, b] in self.state().connections.drain(..) {
-            a.shutdown(Shutdown::Both).unwrap_or_default();
-            b.shutdown(Shutdown::Both).unwrap_or_default();
+        for connection in self.state().connections.drain(..).flatten() {
+            connection.shutdown(Shutdown::Both).unwrap_or_default();
         }
     }
     /// The other side is away, with all connections, or is there again.
@@ -106,29 +108,28 @@
     }
 }
 
+/// Passes on what comes on both connections.
 fn join(
     from: TcpStream, to: TcpStream, state: &Arc<Mutex<State>>, stopped: &Arc<AtomicBool>,
 ) -> std::io::Result<()> {
     from.set_nodelay(true)?;
     to.set_nodelay(true)?;
-    {
-        let mut state = lock(state);
-        state.connections.retain(|[a, _]| a.peer_addr().is_ok());
-        state.connections.push([from.try_clone()?, to.try_clone()?]);
-    }
-    for (a, b, forward) in [(from.try_clone()?, to.try_clone()?, true), (to, from, false)] {
+    let pair = [from.try_clone()?, to.try_clone()?];
+    let mut locked = lock(state);
+    locked.connections.retain(|[from, _]| from.peer_addr().is_ok());
+    locked.connections.push(pair);
+    drop(locked);
+    for (from, to, forward) in [(from.try_clone()?, to.try_clone()?, true), (to, from, false)] {
         let (state, stopped) = (state.clone(), stopped.clone());
-        thread::spawn(move || pass(a, b, forward, &state, &stopped));
+        thread::spawn(move || pass(from, to, forward, &state, &stopped));
     }
     Ok(())
 }
 
-fn pass(mut a: TcpStream, mut b: TcpStream, forward: bool, state: &Mutex<State>, stopped: &AtomicBool) {
-    let mut bytes = vec![0; 16 * 1024];
-    while let Ok(n) = a.read(&mut bytes) {
-        if n == 0 {
-            break;
-        }
+/// Passes one direction on until it ends.
+fn pass(mut from: TcpStream, mut to: TcpStream, forward: bool, state: &Mutex<State>, stopped: &AtomicBool) {
+    let mut bytes = vec![0; READ_BYTES];
+    while let Ok(n @ 1..) = from.read(&mut bytes) {
         loop {
             let direction = if forward { lock(state).forward.clone() } else { lock(state).backward.clone() };
             if stopped.load(Ordering::Acquire) {
@@ -138,15 +139,15 @@
                 thread::sleep(direction.delay);
                 break;
             }
-            thread::sleep(Duration::from_millis(2));
+            thread::sleep(HANG_POLL);
         }
-        if b.write_all(&bytes[..n]).is_err() {
+        if to.write_all(&bytes[..n]).is_err() {
             break;
         }
     }
-    // An end passes on as an end; what still comes the other direction passes.
-    b.shutdown(Shutdown::Write).unwrap_or_default();
-    a.shutdown(Shutdown::Read).unwrap_or_default();
+    // An end passes on as an end; what still comes in the other direction passes.
+    to.shutdown(Shutdown::Write).unwrap_or_default();
+    from.shutdown(Shutdown::Read).unwrap_or_default();
 }
 
 #[cfg(test)]
--- a/lab/src/scale/forms.rs
+++ b/lab/src/scale/forms/versions.rs
@@ -1,53 +1,30 @@
-//! `scale-forms`: forms in which a version could be stored, side by side: memory of the first, memory of twenty more that differ in
-//! one entry each, CPU of making one, of finding what differs, of going back. Each form and size has a process to itself.
+//! Versions of a list, in several forms.
 
-use crate::process::{resident_kb, OWN};
-use crate::report::{Report, ScenarioError};
-use clap::ValueEnum;
 use imbl::ordmap::DiffItem;
 use imbl::OrdMap;
-use nix::sys::resource::{getrusage, UsageWho};
-use nix::sys::time::TimeValLike;
 use serde_json::{json, Value};
 use std::collections::HashMap;
-use std::hint::black_box;
-use std::process::Command;
 use std::sync::Arc;
 
-const SIZES: [usize; 4] = [5, 5_370, 17_500, 53_700];
-const VERSIONS: usize = 20;
-const TURNS: usize = 5;
-
-/// What a version could be stored as.
-#[derive(ValueEnum, Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Form {
-    /// A persistent ordered map; versions share nodes
-    Map,
-    /// A sorted vector; versions share names, each is a copy
-    Vector,
-    /// One hash map, and for each version what it changed
-    Journal,
-    /// A tree of JSON for each version
-    Tree,
-    /// A text for each version
-    Text,
-}
-
 type Name = Arc<str>;
 
+/// The names of entries.
 fn names(size: usize) -> impl Iterator<Item = Name> {
     (0..size).map(|n| format!("tenant-{n:05}").into())
 }
+
 /// The entry that version `n` changes, and its value.
 fn change(n: usize, size: usize) -> (usize, f64) {
     (n * 7_919 % size, 1_000.0 + n as f64)
 }
+
+/// An entry as JSON.
 fn row(name: &str, value: f64) -> Value {
     json!({"Name": name, "QuotaRps": value})
 }
 
 /// Versions of one form, the newest last.
-trait Versions: Sized {
+pub(super) trait Versions: Sized {
     fn new(size: usize) -> Self;
     /// One more, that differs from the newest in one entry.
     fn next(&mut self, n: usize);
@@ -57,7 +34,8 @@
     fn back(&mut self);
 }
 
-struct Maps(Vec<OrdMap<Name, f64>>);
+/// Persistent ordered maps, which share nodes.
+pub(super) struct Maps(Vec<OrdMap<Name, f64>>);
 
 impl Versions for Maps {
     fn new(size: usize) -> Maps {
@@ -81,7 +59,8 @@
     }
 }
 
-struct Vectors(Vec<Arc<Vec<(Name, f64)>>>);
+/// Sorted vectors, which share names.
+pub(super) struct Vectors(Vec<Arc<Vec<(Name, f64)>>>);
 
 impl Versions for Vectors {
     fn new(size: usize) -> Vectors {
@@ -106,7 +85,8 @@
     }
 }
 
-struct Journal {
+/// One hash map, and what each version changed.
+pub(super) struct Journal {
     now: HashMap<Name, f64>,
     changed: Vec<(Name, f64)>,
 }
@@ -134,7 +114,8 @@
     }
 }
 
-struct Trees(Vec<Value>);
+/// Trees of JSON.
+pub(super) struct Trees(Vec<Value>);
 
 impl Versions for Trees {
     fn new(size: usize) -> Trees {
@@ -155,7 +136,8 @@
     }
 }
 
-struct Texts(Vec<String>);
+/// Texts, an entry a line.
+pub(super) struct Texts(Vec<String>);
 
 impl Versions for Texts {
     fn new(size: usize) -> Texts {
@@ -179,79 +161,3 @@
         self.0.pop();
     }
 }
-
-/// The middle of some turns, in microseconds of CPU for one of so many.
-fn cpu_us(times: usize, mut run: impl FnMut(usize)) -> Result<f64, ScenarioError> {
-    let used = || -> Result<f64, ScenarioError> {
-        let used = getrusage(UsageWho::RUSAGE_SELF)?;
-        Ok((used.user_time() + used.system_time()).num_microseconds() as f64)
-    };
-    let mut turns = Vec::new();
-    for turn in 0..TURNS {
-        let before = used()?;
-        (0..times).for_each(|n| run(turn * times + n));
-        turns.push((used()? - before) / times as f64);
-    }
-    turns.sort_by(f64::total_cmp);
-    Ok(turns[TURNS / 2])
-}
-
-fn measure<V: Versions>(size: usize) -> Result<Value, ScenarioError> {
-    let empty = resident_kb(OWN);
-    let mut versions = V::new(size);
-    let first = resident_kb(OWN);
-    (0..VERSIONS).for_each(|n| versions.next(n));
-    let all = resident_kb(OWN);
-    let differing = versions.differing();
-    let times = (2_000_000 / size).clamp(5, 2_000);
-    let differ = cpu_us(times, |_| {
-        black_box(versions.differing());
-    })?;
-    // A change and the way back together, as memory would grow else; then the change alone is the difference to the way back.
-    let both = cpu_us(times, |n| {
-        versions.next(VERSIONS + n);
-        versions.back();
-    })?;
-    Ok(json!({"size": size, "first_kb": first - empty, "each_kb": (all - first) / VERSIONS as f64,
-        "differing": differing, "differ_us": differ, "change_and_back_us": both}))
-}
-
-fn one(form: Form, size: usize) -> Result<Value, ScenarioError> {
-    match form {
-        Form::Map => measure::<Maps>(size),
-        Form::Vector => measure::<Vectors>(size),
-        Form::Journal => measure::<Journal>(size),
-        Form::Tree => measure::<Trees>(size),
-        Form::Text => measure::<Texts>(size),
-    }
-}
-
-/// Which form, and how many entries, a process measures; without, one is started for each.
-#[derive(clap::Args, Clone, Copy, Debug)]
-pub struct FormOptions {
-    #[arg(long, global = true, value_enum, hide = true)]
-    form: Option<Form>,
-    #[arg(long, global = true, hide = true, default_value_t = 5)]
-    of: usize,
-}
-
-pub fn scenario(report: &mut Report, to: FormOptions) -> Result<(), ScenarioError> {
-    if let Some(form) = to.form {
-        report.set("figures", one(form, to.of.max(1))?);
-        return Ok(());
-    }
-    for form in Form::value_variants() {
-        let name = form.to_possible_value().map(|name| name.get_name().to_string()).unwrap_or_default();
-        let mut rows = Vec::new();
-        for size in SIZES {
-            let mut command = Command::new(std::env::current_exe()?);
-            command.args(["scale-forms", "--json", "--form", &name, "--of", &size.to_string()]);
-            let output = command.output()?;
-            let output: Value = serde_json::from_slice(&output.stdout)?;
-            report.rule("a change of one entry is not one difference", output["figures"]["differing"] == 1);
-            rows.push(output["figures"].clone());
-        }
-        report.set(&name, rows.into());
-    }
-    Ok(())
-}
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -158,55 +158,80 @@
     took_ms
 }
 
-/// Plays so many processes beside as many simulated members.
-pub fn compare_with_processes(report: &mut Report, seed: u64, nodes: usize) -> Result<(), ScenarioError> {
-    let nodes = nodes.clamp(*SIZES.start(), *SIZES.end());
-    let mut simulated = Report::default();
-    let options = MembersOptions { nodes, seed, kind: Kind::Quiet, loss: 0.0, quick: false };
-    play(&mut simulated, &options, intervals(nodes));
-    simulated.broken().iter().for_each(|rule| report.rule(rule, false));
+/// What the processes have shown.
+struct ProcessFigures {
+    /// In calm, without `[members]` and with it.
+    without: Calm,
+    with: Calm,
+    /// How long each took to know all others, and losses to be found, in ms, sorted.
+    met_ms: Vec<u64>,
+    detected_ms: Vec<u64>,
+    /// Processes that are still there at the end.
+    left: usize,
+}
 
+fn measure_processes(
+    report: &mut Report, seed: u64, nodes: usize, detection_ms: u64,
+) -> Result<ProcessFigures, ScenarioError> {
     let mut fleet = start_idle_fleet(nodes, FILE_WITHOUT_MEMBERS.into(), seed)?;
     std::thread::sleep(STARTED);
     let without = measure_calm(&fleet, false);
     let mut left = fleet.end();
     drop(fleet);
-
     let mut fleet = start_idle_fleet(nodes, operator_file(nodes), seed)?;
     let begun = fleet.members.iter().map(|m| m.since).max().unwrap_or(fleet.start);
     let all: Vec<usize> = (0..nodes).collect();
     let met_ms = wait_until(&fleet, begun, ALL_MET_WITHIN, &all, |answer| answer.alive + 1 >= nodes);
     std::thread::sleep(STARTED);
     let with = measure_calm(&fleet, true);
+    let detected_ms = kill_some(report, &mut fleet, detection_ms);
+    left += fleet.end();
+    Ok(ProcessFigures { without, with, met_ms, detected_ms, left })
+}
+
+/// Plays so many processes beside as many simulated members.
+pub fn compare_with_processes(report: &mut Report, seed: u64, nodes: usize) -> Result<(), ScenarioError> {
+    let nodes = nodes.clamp(*SIZES.start(), *SIZES.end());
+    let mut simulated = Report::default();
+    let options = MembersOptions { nodes, seed, kind: Kind::Quiet, loss: 0.0, quick: false };
+    play(&mut simulated, &options, intervals(nodes));
+    simulated.broken().iter().for_each(|rule| report.rule(rule, false));
     let timing = LeaseTiming::from_intervals(PROBE_MS * US_PER_MS, SUSPICION_MS * US_PER_MS, nodes);
     let detection_ms = timing.detection_time / US_PER_MS;
-    let took_ms = kill_some(report, &mut fleet, detection_ms);
-    left += fleet.end();
-    let beside =
-        |real: Value, name: &str| json!({"real": real, "hollow": simulated.figure(name).unwrap_or(0.0)});
+    let real = measure_processes(report, seed, nodes, detection_ms)?;
+    report_beside(report, &real, &simulated);
+    report.set("notice_ms", json!(detection_ms));
+    report.set("nodes", json!(nodes));
+    let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
+    report.set("load", json!(load.trim()));
+    report.set("left_processes", json!(real.left));
+    report.rule("they did not find each other", real.met_ms.len() == nodes);
+    let in_time = real.detected_ms.last().is_none_or(|last| *last <= detection_ms + LATE_MS);
+    report.rule("a loss was found later than is promised", in_time);
+    report.rule("a process was left behind", real.left == 0);
+    Ok(())
+}
+
+/// The figures of processes beside those of simulated members.
+fn report_beside(report: &mut Report, real: &ProcessFigures, simulated: &Report) {
+    let (with, without) = (&real.with, &real.without);
     let cpu = round(with.cpu_ms_per_s - without.cpu_ms_per_s);
     let memory = round(with.memory_kb - without.memory_kb);
     for (name, value) in [
-        ("found_ms", beside(json!(met_ms.last()), "found_ms")),
-        ("detect_ms_p50", beside(json!(took_ms.get(took_ms.len() / 2)), "detect_ms_p50")),
-        ("detect_ms_max", beside(json!(took_ms.last()), "detect_ms_max")),
-        ("datagrams_per_s", beside(json!(with.datagrams_per_s), "datagrams_per_s")),
-        ("bytes_per_s", beside(json!(with.bytes_per_s), "bytes_per_s")),
-        ("cpu_ms_per_s", beside(json!(cpu), "cpu_ms_per_s")),
-        ("memory_kb", beside(json!(memory), "memory_kb")),
-        ("cpu_ms_per_s_of_the_process", json!({"members": with.cpu_ms_per_s, "off": without.cpu_ms_per_s})),
-        ("memory_kb_of_the_process", json!({"members": with.memory_kb, "off": without.memory_kb})),
-        ("pauses_per_s", json!(with.pauses_per_s)),
-        ("notice_ms", json!(detection_ms)),
-        ("nodes", json!(nodes)),
-        ("load", json!(std::fs::read_to_string("/proc/loadavg").unwrap_or_default().trim())),
-        ("left_processes", json!(left)),
+        ("found_ms", json!(real.met_ms.last())),
+        ("detect_ms_p50", json!(real.detected_ms.get(real.detected_ms.len() / 2))),
+        ("detect_ms_max", json!(real.detected_ms.last())),
+        ("datagrams_per_s", json!(with.datagrams_per_s)),
+        ("bytes_per_s", json!(with.bytes_per_s)),
+        ("cpu_ms_per_s", json!(cpu)),
+        ("memory_kb", json!(memory)),
     ] {
-        report.set(name, value);
+        let beside: Value = json!({"real": value, "hollow": simulated.figure(name).unwrap_or(0.0)});
+        report.set(name, beside);
     }
-    report.rule("they did not find each other", met_ms.len() == nodes);
-    let in_time = took_ms.last().is_none_or(|last| *last <= detection_ms + LATE_MS);
-    report.rule("a loss was found later than is promised", in_time);
-    report.rule("a process was left behind", left == 0);
-    Ok(())
+    let cpu = json!({"members": with.cpu_ms_per_s, "off": without.cpu_ms_per_s});
+    report.set("cpu_ms_per_s_of_the_process", cpu);
+    let memory = json!({"members": with.memory_kb, "off": without.memory_kb});
+    report.set("memory_kb_of_the_process", memory);
+    report.set("pauses_per_s", json!(with.pauses_per_s));
 }
