--- /dev/null
+++ b/daemon/src/core/configuration.rs
@@ -0,0 +1,120 @@
+//! Configuration versions: entries are staged beside those in force, then one input switches all of them over. Also the
+//! figures that the watch over a change reads, and what the other members decide: quota and deny lists.
+
+use super::state::{Core, CoreState};
+use crate::outbound::Outbound;
+use asterrill::Us;
+use asterrill_consensus::ApplyPolicy;
+use asterrill_consumer::ConsumerConfig;
+use asterrill_engine::RetentionLimits;
+use asterrill_entries::Change;
+use asterrill_rollout::{ObservedLoad, ServiceSample};
+use asterrill_settings::GlobalParts;
+
+/// What comes into force together with the entries that were staged.
+pub struct VersionSwitch {
+    /// The number of the version.
+    pub number: u64,
+    /// The parts of the decision module that are not entries, if the global settings or a method change.
+    pub bare: Option<GlobalParts>,
+    /// The longest latency target in microseconds, in the same case.
+    pub longest: Us,
+    /// The queues to consume.
+    pub queues: Vec<ConsumerConfig>,
+    /// Whether each RPC must name a tenant.
+    pub tells_tenants: bool,
+}
+
+impl Core {
+    /// The configuration version in force.
+    pub fn version(&self) -> u64 {
+        self.state.versions.module
+    }
+
+    /// Takes what was served since the last sample, for the watch over a change.
+    pub fn take_service_sample(&mut self) -> ServiceSample {
+        let (engine, names) = (&self.engine, &self.state.names);
+        let name = |method| names.name(method).cloned();
+        self.state.service.advance_to(self.now);
+        self.state.service.take_sample(name, |method| engine.cost(method))
+    }
+
+    /// The load of the last minute, and the memory in use now.
+    pub fn recent_load(&self) -> ObservedLoad {
+        let (engine, names) = (&self.engine, &self.state.names);
+        let name = |method| names.name(method).cloned();
+        let mut load = self.state.service.observed_load(self.now, name, |method| engine.cost(method));
+        load.in_use_kb = engine.memory_in_use_kb();
+        load
+    }
+
+    /// The change in force is final: service is judged by its latency targets, and removed tenants are forgotten.
+    pub fn commit_change(&mut self) {
+        let engine = &self.engine;
+        self.state.service.commit_targets();
+        self.state.names.release_removed_tenants(|tenant| engine.has_tenant(tenant));
+    }
+
+    /// Whether there is capacity to stage these changes and consume these queues. The error says what is exhausted.
+    pub fn check_capacity_for(&self, changes: &[Change], queues: &[ConsumerConfig]) -> Result<(), String> {
+        if self.state.queues.as_ref().is_some_and(|current| !current.has_capacity_for(queues)) {
+            return Err("there were too many queues since the start: start anew".into());
+        }
+        self.state.names.check_capacity_for(changes)
+    }
+
+    /// Stages entries beside those in force: none is visible until [`Core::switch_version`]. A long change is staged
+    /// slice by slice, so that other inputs get their turn.
+    pub fn stage(&mut self, changes: &[Change]) {
+        let updates = self.state.names.stage(changes);
+        self.engine.stage(&updates);
+    }
+
+    /// Brings a version into force with all that was staged. All that follows is decided under it; RPCs in flight keep
+    /// the settings under which they were received.
+    pub fn switch_version(&mut self, now: Us, switch: VersionSwitch, outbound: &mut dyn Outbound) {
+        let VersionSwitch { number, bare, longest, queues: queue_configs, tells_tenants } = switch;
+        let limits = bare.as_ref().map(|globals| RetentionLimits {
+            result_ttl: globals.response_ttl,
+            idempotency_result_bytes: self.result_bytes(),
+            max_rpc_lifetime: globals.longest_deadline,
+        });
+        self.with_engine(now, outbound, |engine, now, outputs| {
+            let CoreState { stats, versions, service, queues, names, agent, .. } = &mut *outputs.state;
+            stats.changes += 1;
+            service.advance_to(now);
+            for (method, target) in names.apply_staged(tells_tenants) {
+                service.set_target(method.0, target);
+            }
+            versions.names = number;
+            if let Some(queues) = queues {
+                queues.reconfigure(now, queue_configs);
+            }
+            versions.queues = number;
+            let control = bare.map(|globals| {
+                agent.set_longest_latency_target(longest);
+                names.gauges = globals.gauges;
+                globals.control
+            });
+            versions.module = number;
+            engine.apply_staged(now, control, limits, outputs);
+        });
+    }
+
+    /// Sets this server's quota of what the settings divide among the members, over the even one.
+    pub fn set_quota_fraction(&mut self, now: Us, fraction: f64, outbound: &mut dyn Outbound) {
+        if self.state.quota_fraction.replace(fraction) != Some(fraction) {
+            self.with_engine(now, outbound, |engine, now, outputs| engine.share(now, fraction, outputs));
+        }
+    }
+
+    /// Sets the agreed deny lists that are in force.
+    pub fn set_apply_policy(&mut self, policy: ApplyPolicy) {
+        self.state.apply_policy = Some(policy);
+    }
+
+    /// The lease of the agreed deny lists has expired.
+    pub fn expire_policy_lease(&mut self) {
+        self.state.apply_policy = self.state.apply_policy.as_ref().map(ApplyPolicy::after_lease_expiry);
+    }
+}
--- /dev/null
+++ b/daemon/src/core/health_checks.rs
@@ -0,0 +1,56 @@
+//! Health checks of sidecars: shallow ones are answered at once, thorough ones wait for an exercise of the agent.
+
+use super::state::Core;
+use crate::ids::SidecarStream;
+use crate::outbound::Outbound;
+use asterrill::Us;
+
+/// A thorough health check is answered within this many microseconds.
+const EXERCISE_TIMEOUT: Us = 200_000;
+/// Thorough health checks that wait at a time; more are answered like shallow ones.
+const MAX_WAITING_CHECKS: usize = 64;
+
+impl Core {
+    /// A health check was received. A thorough one waits for an exercise of the agent, which all that wait share.
+    pub fn health_check(
+        &mut self, now: Us, from: SidecarStream, thorough: bool, outbound: &mut dyn Outbound,
+    ) {
+        self.now = self.engine.advance_to(now);
+        let state = &mut self.state;
+        state.stats.health_checks += 1;
+        let can_exercise = state.healthy && state.agent_up_since.is_some();
+        if !thorough || !can_exercise || state.exercise.waiting.len() >= MAX_WAITING_CHECKS {
+            return outbound.answer_health_check(from, state.healthy, self.engine.credit());
+        }
+        state.stats.thorough_checks += 1;
+        if !state.exercise.is_running() {
+            state.exercise.tag = state.agent.next_tag(self.now);
+            state.exercise.deadline = self.now + EXERCISE_TIMEOUT;
+            outbound.request_exercise(state.exercise.tag);
+        }
+        state.exercise.waiting.push(from);
+    }
+
+    /// The agent has finished an exercise.
+    pub fn exercise_finished(&mut self, now: Us, tag: u64, passed: bool, outbound: &mut dyn Outbound) {
+        self.now = self.engine.advance_to(now);
+        self.state.agent.message_received();
+        if tag == self.state.exercise.tag {
+            self.answer_health_checks(passed, outbound);
+        }
+    }
+
+    /// Answers the checks that have waited too long.
+    pub(super) fn expire_exercise(&mut self, outbound: &mut dyn Outbound) {
+        if self.state.exercise.next_deadline().is_some_and(|deadline| deadline <= self.now) {
+            self.answer_health_checks(false, outbound);
+        }
+    }
+
+    fn answer_health_checks(&mut self, passed: bool, outbound: &mut dyn Outbound) {
+        let healthy = passed && self.state.healthy;
+        for stream in std::mem::take(&mut self.state.exercise.waiting) {
+            outbound.answer_health_check(stream, healthy, self.engine.credit());
+        }
+    }
+}
--- /dev/null
+++ b/daemon/src/core/lifecycle.rs
@@ -0,0 +1,67 @@
+//! Start, timers, and the graceful shutdown.
+
+use super::state::Core;
+use crate::outbound::Outbound;
+use crate::queues::QueueConsumers;
+use crate::recovery::RecoveryTracker;
+use asterrill::Us;
+
+/// Microseconds reserved before the kill to write out the answers that are owed.
+const FLUSH_TIME: Us = 100_000;
+
+impl Core {
+    /// The start: the decision module says what to publish.
+    pub fn start(&mut self, now: Us, outbound: &mut dyn Outbound) {
+        self.with_engine(now, outbound, |engine, now, outputs| engine.start(now, outputs));
+    }
+
+    /// Begins the graceful shutdown: the process is killed after `grace` microseconds.
+    pub fn drain(&mut self, now: Us, grace: Us, outbound: &mut dyn Outbound) {
+        if std::mem::replace(&mut self.state.draining, true) {
+            return;
+        }
+        outbound.set_serving(false);
+        let answer_time = grace.saturating_sub(FLUSH_TIME);
+        self.with_engine(now, outbound, |engine, now, outputs| {
+            if let Some(queues) = &mut outputs.state.queues {
+                queues.drain(now);
+            }
+            engine.drain(now, now + answer_time, outputs);
+        });
+    }
+
+    /// Whether the graceful shutdown is complete: no answer is owed any more.
+    pub fn is_drained(&self) -> bool {
+        self.engine.is_drained()
+    }
+
+    /// When [`Core::tick`] is due next.
+    pub fn next_deadline(&self) -> Option<Us> {
+        let deadlines = [
+            self.engine.next_timer(),
+            self.state.exercise.next_deadline(),
+            self.state.queues.as_ref().and_then(QueueConsumers::next_deadline),
+            self.state.agent.next_deadline(),
+            self.state.recovery.as_ref().map(RecoveryTracker::next_update),
+        ];
+        deadlines.into_iter().flatten().min()
+    }
+
+    /// Time has passed.
+    pub fn tick(&mut self, now: Us, outbound: &mut dyn Outbound) {
+        self.now = self.engine.advance_to(now);
+        self.expire_exercise(outbound);
+        self.check_agent_silence(outbound);
+        let broker = self.with_engine(now, outbound, |engine, now, outputs| {
+            engine.tick(now, outputs);
+            let credit = engine.credit();
+            let can_run = outputs.state.agent_up_since.is_some();
+            match outputs.state.queues.as_mut().filter(|queues| queues.is_due(now)) {
+                Some(queues) => queues.tick(now, credit, can_run),
+                None => Ok(()),
+            }
+        });
+        self.close_failed_broker(broker, true, outbound);
+        self.update_recovery(self.now, outbound);
+    }
+}
--- /dev/null
+++ b/daemon/src/core/sidecars.rs
@@ -0,0 +1,184 @@
+//! RPCs of sidecars: received, rejected by the agreed lists, aborted, cancelled.
+
+use super::active_names::ActiveNames;
+use super::idempotency_key::{cache_key, idempotency_key};
+use super::state::Core;
+use crate::ids::{ConnectionId, Requester, SidecarStream};
+use crate::outbound::Outbound;
+use asterrill::{Idempotency, MethodId, Us};
+use asterrill_consensus::{caller_key, ListKind};
+use asterrill_engine::IncomingRpc;
+use asterrill_protocol::sidecar::{RpcRequest, StreamId, MAX_STREAMS};
+
+impl Core {
+    /// A complete RPC was received. False if nothing more is accepted from its connection: too many streams are open,
+    /// or none of its RPCs could be run.
+    pub fn rpc_received(
+        &mut self, now: Us, from: SidecarStream, request: RpcRequest, body: &[u8],
+        outbound: &mut dyn Outbound,
+    ) -> bool {
+        let accepts = self.state.sidecars.accepts_rpc(from.conn);
+        if self.pending_answers_on(from.conn) >= MAX_STREAMS || !accepts {
+            return false;
+        }
+        let requester = Requester::Sidecar(from);
+        if self.is_denied(&request) {
+            self.state.stats.denied_by_policy += 1;
+            self.with_engine(now, outbound, |engine, now, outputs| engine.reject(now, requester, outputs));
+            return true;
+        }
+        let Some(rpc) = self.resolve_rpc(now, from.conn, &request, body) else {
+            self.abort_unserviceable(now, from, outbound);
+            return true;
+        };
+        self.state.service.record_received(rpc.method);
+        let taken = self.with_engine(now, outbound, |engine, now, outputs| {
+            engine.request_received(now, requester, rpc, body, outputs)
+        });
+        if !taken {
+            self.abort_unserviceable(now, from, outbound);
+        }
+        true
+    }
+
+    /// Whether the agreed lists deny the RPC's tenant, caller or method.
+    fn is_denied(&self, request: &RpcRequest) -> bool {
+        let Some(policy) = &self.state.apply_policy else { return false };
+        let mut digits = [0; 20];
+        let keys = [
+            (ListKind::Tenants, request.tenant.as_str()),
+            (ListKind::Callers, caller_key(request.caller.0, &mut digits)),
+            (ListKind::Methods, request.method.as_str()),
+        ];
+        keys.iter().any(|(kind, key)| policy.rejects(*kind, key))
+    }
+
+    /// The RPC as the engine takes it. `None` if its method or tenant is not in force.
+    fn resolve_rpc(
+        &mut self, now: Us, conn: ConnectionId, request: &RpcRequest, body: &[u8],
+    ) -> Option<IncomingRpc> {
+        let active = ActiveNames { names: &self.state.names, engine: &self.engine };
+        let tenant = active.tenant_index(&request.tenant);
+        if tenant.is_none() && self.state.names.requires_tenant {
+            return None;
+        }
+        let method = active.method_id(&request.method)?;
+        // RPCs of a sidecar that the agent may never have heard of are coalesced with no other.
+        let coalescible = self.state.sidecars.is_proven(conn);
+        let keys = self.keys_of(method, request, body, coalescible);
+        let now = self.engine.advance_to(now);
+        let received_from = request.born.max(self.state.agent_up_since.unwrap_or(now));
+        Some(IncomingRpc {
+            id: request.id,
+            method,
+            tenant,
+            caller: request.caller,
+            deadline: request.due,
+            time_unread: now.saturating_sub(received_from),
+            size_kb: request.size_kb,
+            cache_key: keys.cache,
+            coalescible,
+            idempotency_key: keys.idempotency,
+        })
+    }
+
+    /// An answer carries what a run made for this RPC: of reads with one entity key, only attempts of the same RPC are
+    /// coalesced, so both keys are made from method, tenant and body.
+    fn keys_of(&self, method: MethodId, request: &RpcRequest, body: &[u8], coalescible: bool) -> RpcKeys {
+        if self.state.names.idempotency(method) == Some(Idempotency::Keyed) {
+            let key = idempotency_key(&request.method, &request.tenant, body);
+            return RpcKeys { idempotency: Some(key), cache: None };
+        }
+        if request.key.is_some() && coalescible && self.engine.is_coalescible(method) {
+            let key = idempotency_key(&request.method, &request.tenant, body);
+            return RpcKeys { idempotency: None, cache: cache_key(key) };
+        }
+        RpcKeys::default()
+    }
+
+    /// An RPC with a missing or malformed field. False if nothing more is accepted from its connection.
+    pub fn malformed_rpc(&mut self, now: Us, from: SidecarStream, outbound: &mut dyn Outbound) -> bool {
+        let accepts = self.state.sidecars.accepts_rpc(from.conn);
+        if accepts {
+            self.abort_unserviceable(now, from, outbound);
+        }
+        accepts
+    }
+
+    /// Aborts an RPC that could never be run here.
+    fn abort_unserviceable(&mut self, now: Us, from: SidecarStream, outbound: &mut dyn Outbound) {
+        self.state.stats.malformed += 1;
+        let requester = Requester::Sidecar(from);
+        self.with_engine(now, outbound, |engine, now, outputs| {
+            engine.abort_unserviceable(now, requester, outputs)
+        });
+        self.count_unrunnable(from.conn, outbound);
+    }
+
+    /// An RPC of a connection could not be run; one that brings nothing else is closed.
+    pub(super) fn count_unrunnable(&mut self, conn: ConnectionId, outbound: &mut dyn Outbound) {
+        if self.state.sidecars.count_unrunnable(conn) {
+            self.state.stats.bad_sidecar += 1;
+            outbound.close_untrusted(conn);
+        }
+    }
+
+    /// Nobody waits for the answer on this stream any more.
+    pub fn rpc_cancelled(&mut self, now: Us, from: SidecarStream, outbound: &mut dyn Outbound) {
+        let requester = Requester::Sidecar(from);
+        self.with_engine(now, outbound, |engine, now, outputs| engine.caller_gone(now, requester, outputs));
+    }
+
+    /// A connection has closed: nobody waits for an answer on it any more.
+    pub fn connection_closed(&mut self, now: Us, conn: ConnectionId, outbound: &mut dyn Outbound) {
+        self.state.exercise.waiting.retain(|stream| stream.conn != conn);
+        let unanswered: Vec<Requester> = self.unanswered_on(conn).copied().collect();
+        for requester in unanswered {
+            self.with_engine(now, outbound, |engine, now, outputs| {
+                engine.caller_gone(now, requester, outputs)
+            });
+        }
+        self.state.sidecars.remove(conn);
+    }
+
+    fn unanswered_on(&self, conn: ConnectionId) -> impl Iterator<Item = &Requester> {
+        let requester = |stream| Requester::Sidecar(SidecarStream { conn, stream: StreamId(stream) });
+        self.engine.unanswered_in(requester(0)..=requester(u32::MAX))
+    }
+
+    fn health_checks_on(&self, conn: ConnectionId) -> impl Iterator<Item = &SidecarStream> {
+        self.state.exercise.waiting.iter().filter(move |stream| stream.conn == conn)
+    }
+
+    /// How many answers are owed on a connection, those to health checks included.
+    pub fn pending_answers_on(&self, conn: ConnectionId) -> usize {
+        self.unanswered_on(conn).count() + self.health_checks_on(conn).count()
+    }
+
+    /// Whether an answer is owed on a connection.
+    pub fn has_pending_answers(&self, conn: ConnectionId) -> bool {
+        self.unanswered_on(conn).next().is_some() || self.health_checks_on(conn).next().is_some()
+    }
+
+    /// Whether a run was ever made for this connection: its RPCs are those of a sidecar that the agent knows.
+    pub fn is_proven(&self, conn: ConnectionId) -> bool {
+        self.state.sidecars.is_proven(conn)
+    }
+
+    /// How many RPCs are not over.
+    pub fn open_rpcs(&self) -> usize {
+        self.engine.open_rpcs()
+    }
+
+    /// How many RPCs are not answered.
+    pub fn unanswered_rpcs(&self) -> usize {
+        self.engine.unanswered()
+    }
+}
+
+/// The keys by which an RPC is recognised as an attempt of another.
+#[derive(Default)]
+struct RpcKeys {
+    idempotency: Option<asterrill_engine::IdempotencyKey>,
+    cache: Option<u64>,
+}
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -197,7 +197,7 @@
         if *lease != Us::MAX && monotonic_now() > *lease {
             // Whatever it was told is not known any more: it was paused, or starved.
             *lease = Us::MAX;
-            core.share(now(), asterrill_membership::STATIC_QUOTA_FRACTION, ports);
+            core.set_quota_fraction(now(), asterrill_membership::STATIC_QUOTA_FRACTION, ports);
         }
         if *policy_until != Us::MAX && monotonic_now() >= *policy_until {
             *policy_until = Us::MAX;
@@ -326,7 +326,7 @@
                 ports.ending.entry(*conn).or_default();
             } else if line.leaving.is_none() {
                 staying += 1;
-                if line.used().saturating_add(ports.idle) < now && !core.owes(*conn) {
+                if line.used().saturating_add(ports.idle) < now && !core.has_pending_answers(*conn) {
                     quiet.push(*conn);
                 }
             }
@@ -346,9 +346,11 @@
         ports.finish(core);
         let over = staying.saturating_sub(ports.room - ports.room / SPARE);
         if over > quiet.len() {
-            let of =
-                |(conn, line): &(&ConnectionId, &Line)| (line.worth(core.proven(**conn), now), line.used());
-            let mut others: Vec<_> = ports.lines.iter().filter(|(conn, _)| !core.owes(**conn)).collect();
+            let of = |(conn, line): &(&ConnectionId, &Line)| {
+                (line.worth(core.is_proven(**conn), now), line.used())
+            };
+            let mut others: Vec<_> =
+                ports.lines.iter().filter(|(conn, _)| !core.has_pending_answers(**conn)).collect();
             others.retain(|(_, line)| line.leaving.is_none() && line.used() + line.patience() < now);
             others.sort_by_cached_key(of);
             quiet = others.into_iter().take(over).map(|(conn, _)| *conn).collect();
@@ -364,8 +366,8 @@
                 core.stats_mut().bad_upstream += 1;
                 warn!(ports.log, "reconnecting an upstream link"; "why" => "a reply stopped halfway");
                 out.close_now();
-            } else if out.last_used() > 0 && out.last_used() + BELOW < now && !core.calls_on(link) {
-                core.retire(link, ports);
+            } else if out.last_used() > 0 && out.last_used() + BELOW < now && !core.link_has_calls(link) {
+                core.retire_link(link, ports);
             }
         }
     }
@@ -376,9 +378,13 @@
         let now = now();
         let mut inner = self.inner();
         let Inner { core, ports, .. } = &mut *inner;
-        let idle = ports.lines.iter().filter(|(conn, line)| line.leaving.is_none() && !core.owes(**conn));
-        let worth =
-            |(conn, line): (&ConnectionId, &Line)| (line.worth(core.proven(*conn), now), line.used(), *conn);
+        let idle = ports
+            .lines
+            .iter()
+            .filter(|(conn, line)| line.leaving.is_none() && !core.has_pending_answers(**conn));
+        let worth = |(conn, line): (&ConnectionId, &Line)| {
+            (line.worth(core.is_proven(*conn), now), line.used(), *conn)
+        };
         let mut idle: Vec<(Worth, Us, ConnectionId)> = idle.map(worth).collect();
         idle.sort_unstable();
         let some = (ports.room / SPARE / SPARE).max(1);
@@ -428,7 +434,7 @@
     pub fn stats_line(&self) -> String {
         let inner = self.inner();
         let asterrill_net::PoolUsage { in_use, peak } = self.pool.usage();
-        let (open, owed) = (inner.core.open(), inner.core.owed());
+        let (open, owed) = (inner.core.open_rpcs(), inner.core.unanswered_rpcs());
         let queues = inner.core.queues().map(|queues| format!(" {queues}")).unwrap_or_default();
         format!("{}open={open} owed={owed} buffers={in_use} buffers_peak={peak}{queues}", inner.core.stats())
     }
@@ -440,7 +446,7 @@
         for (conn, told) in self.ending.iter_mut().filter(|(_, told)| told.is_none()) {
             let Some(line) = self.lines.get(conn) else { continue };
             // Half a frame is waited for, but not where the place is wanted.
-            if (line.crowded || line.halfway.is_none()) && core.owed_on(*conn) == 0 {
+            if (line.crowded || line.halfway.is_none()) && core.pending_answers_on(*conn) == 0 {
                 *told = Some(now());
                 if line.crowded {
                     line.out.finish_without_linger();
--- a/daemon/src/membership.rs
+++ b/daemon/src/membership.rs
@@ -248,7 +248,7 @@
             // The core learns of a smaller part before anybody else learns anything. It is good for so long only: what
             // is paused, or does not come to look, has nothing when it wakes.
             dispatcher.lease(at.saturating_add(self.lasting), does.allowed_changes == AllowedChanges::Any);
-            dispatcher.with(|core, outbound, now| core.share(now, does.quota_factor, outbound));
+            dispatcher.with(|core, outbound, now| core.set_quota_fraction(now, does.quota_factor, outbound));
             for Transmit { destination, contents } in out {
                 socket.send(destination, &contents);
             }
--- a/daemon/src/name_table.rs
+++ b/daemon/src/name_table.rs
@@ -1,166 +1,190 @@
-//! Where each method and each tenant stands. A name is held once, by all who know it; places never move while they
-//! are known. Which of them are in force is the module's to say: a name whose terms are staged is found here already,
-//! and one that was taken still is, until the change that took it is settled.
+//! The index of each method and tenant name. Names are shared with all who hold them; an index never moves while its
+//! name is in the table. Which of them are in force is the decision module's to say: a name whose settings are staged is
+//! found here already, and one that was removed still is, until the change that removed it is final.
 
 use asterrill::{Idempotency, MethodId, SettingsUpdate, Us};
 use asterrill_entries::{Change, Name, MAX_METHODS};
 use asterrill_settings::ServerParts;
 use rustc_hash::FxHashMap;
 
-/// Of one method, by the version in force.
+/// What is recorded of one method, by the version in force.
 #[derive(Clone, Debug)]
-struct Of {
+struct MethodEntry {
     name: Name,
-    effect: Idempotency,
-    target: Us,
+    idempotency: Idempotency,
+    latency_target: Us,
 }
 
-/// What the surroundings of the module need to know of its settings.
+/// Settings of a method that come into force with the staged version.
+struct StagedMethod {
+    id: MethodId,
+    idempotency: Idempotency,
+    latency_target: Us,
+}
+
+/// What the daemon knows of the names in the settings.
 pub struct NameTable {
-    /// By their places. A place stays for good, also that of a method that was taken: what is in hand ends at it.
-    methods: Vec<Of>,
-    of_methods: FxHashMap<Name, MethodId>,
+    /// By index. An entry is never removed, so that RPCs in flight of a removed method end at it.
+    methods: Vec<MethodEntry>,
+    method_ids: FxHashMap<Name, MethodId>,
     tenants: FxHashMap<Name, usize>,
-    /// Places of tenants that there ever were, and those of them that nobody has any more.
-    places: usize,
-    free: Vec<usize>,
-    /// Tenants that were taken by a change that is not settled yet.
-    taken: Vec<Name>,
-    /// Of methods whose terms are staged: what comes into force with them.
-    staged: Vec<(MethodId, Idempotency, Us)>,
-    /// Tenants are told apart, by the version in force.
-    pub tells_tenants: bool,
+    /// Tenant indices that were ever given out, and those of them that are free.
+    tenant_indices: usize,
+    free_tenant_indices: Vec<usize>,
+    /// Tenants removed by a change that is not final yet.
+    removed_tenants: Vec<Name>,
+    staged: Vec<StagedMethod>,
+    /// Whether each RPC must name a tenant, by the version in force.
+    pub requires_tenant: bool,
+    /// The names of the agent's gauges, in the order in which it sends them.
     pub gauges: Vec<String>,
 }
 
 impl NameTable {
+    /// Takes the names out of a server.
     pub fn new(server: &mut ServerParts) -> NameTable {
-        let (names, tenants) = (std::mem::take(&mut server.methods), std::mem::take(&mut server.tenants));
-        let of_methods = names.iter().cloned().zip((0..).map(MethodId)).collect();
-        let of = |((name, effect), target): ((Name, &Idempotency), &Us)| Of {
+        let method_names = std::mem::take(&mut server.methods);
+        let tenant_names = std::mem::take(&mut server.tenants);
+        let method_ids = method_names.iter().cloned().zip((0..).map(MethodId)).collect();
+        let settings = server.effects.iter().zip(&server.latency_targets);
+        let entry = |(name, (idempotency, latency_target)): (Name, (&Idempotency, &Us))| MethodEntry {
             name,
-            effect: *effect,
-            target: *target,
+            idempotency: *idempotency,
+            latency_target: *latency_target,
         };
-        let methods = names.into_iter().zip(&server.effects).zip(&server.latency_targets).map(of).collect();
-        let (places, tells_tenants) = (tenants.len(), !tenants.is_empty());
-        let tenants = tenants.into_iter().zip(0..).collect();
-        let gauges = std::mem::take(&mut server.gauges);
-        let (free, taken, staged) = (Vec::new(), Vec::new(), Vec::new());
-        NameTable { methods, of_methods, tenants, places, free, taken, staged, tells_tenants, gauges }
+        NameTable {
+            methods: method_names.into_iter().zip(settings).map(entry).collect(),
+            method_ids,
+            tenant_indices: tenant_names.len(),
+            requires_tenant: !tenant_names.is_empty(),
+            tenants: tenant_names.into_iter().zip(0..).collect(),
+            free_tenant_indices: Vec::new(),
+            removed_tenants: Vec::new(),
+            staged: Vec::new(),
+            gauges: std::mem::take(&mut server.gauges),
+        }
     }
 
-    /// The place of a method, whether it is in force or not.
-    pub fn method(&self, name: &str) -> Option<MethodId> {
-        self.of_methods.get(name).copied()
+    /// The index of a method, whether it is in force or not.
+    pub fn method_id(&self, name: &str) -> Option<MethodId> {
+        self.method_ids.get(name).copied()
     }
-    /// The place of a tenant, whether it is in force or not.
-    pub fn tenant(&self, name: &str) -> Option<usize> {
+
+    /// The index of a tenant, whether it is in force or not.
+    pub fn tenant_index(&self, name: &str) -> Option<usize> {
         self.tenants.get(name).copied()
     }
+
+    /// A method's name.
     pub fn name(&self, method: MethodId) -> Option<&Name> {
-        self.methods.get(method.0).map(|of| &of.name)
+        self.methods.get(method.0).map(|entry| &entry.name)
     }
-    pub fn effect(&self, method: MethodId) -> Option<Idempotency> {
-        self.methods.get(method.0).map(|of| of.effect)
+
+    /// What a method allows as to running twice.
+    pub fn idempotency(&self, method: MethodId) -> Option<Idempotency> {
+        self.methods.get(method.0).map(|entry| entry.idempotency)
     }
-    pub fn target(&self, method: MethodId) -> Option<Us> {
-        self.methods.get(method.0).map(|of| of.target)
+
+    /// A method's latency target in microseconds.
+    pub fn latency_target(&self, method: MethodId) -> Option<Us> {
+        self.methods.get(method.0).map(|entry| entry.latency_target)
     }
+
     /// All methods that there ever were.
-    pub fn methods(&self) -> impl Iterator<Item = MethodId> {
+    pub fn method_ids(&self) -> impl Iterator<Item = MethodId> {
         (0..self.methods.len()).map(MethodId)
     }
-    /// All tenants that are known, in force or not.
+
+    /// All tenants in the table, in force or not.
     pub fn tenants(&self) -> impl Iterator<Item = (&Name, usize)> {
-        self.tenants.iter().map(|(name, place)| (name, *place))
+        self.tenants.iter().map(|(name, index)| (name, *index))
     }
-    /// Places of tenants that there ever were.
+
+    /// Tenant indices that were ever given out.
     #[cfg(test)]
-    pub fn places(&self) -> usize {
-        self.places
+    pub fn tenant_indices(&self) -> usize {
+        self.tenant_indices
     }
 
-    /// Whether there are places for all methods that a change names.
-    pub fn could_take(&self, changes: &[Change]) -> Result<(), String> {
+    /// Whether there are indices for all methods that a change names. The error says that there are none left.
+    pub fn check_capacity_for(&self, changes: &[Change]) -> Result<(), String> {
         let put = |change: &&Change| matches!(change, Change::PutMethod(..));
-        // That none of them is known is the worst that can be: mostly there is room even so.
+        // The worst case is that all of them are new: mostly there is capacity even so.
         if self.methods.len() + changes.iter().filter(put).count() <= MAX_METHODS {
             return Ok(());
         }
-        let fresh =
-            |change: &&Change| matches!(change, Change::PutMethod(name, _) if self.method(name).is_none());
-        if self.methods.len() + changes.iter().filter(fresh).count() <= MAX_METHODS {
+        let is_new =
+            |change: &&Change| matches!(change, Change::PutMethod(name, _) if self.method_id(name).is_none());
+        if self.methods.len() + changes.iter().filter(is_new).count() <= MAX_METHODS {
             return Ok(());
         }
         Err(format!("there were more than {MAX_METHODS} methods since the start: start anew"))
     }
 
-    /// NameTable of a change get their places; hands back the terms that are to be staged there. None of them is in force
-    /// by that.
+    /// Gives the names of a change their indices. Returns the settings to stage there; none is in force by that.
     pub fn stage(&mut self, changes: &[Change]) -> Vec<SettingsUpdate> {
-        changes.iter().filter_map(|change| self.place(change)).collect()
+        changes.iter().filter_map(|change| self.stage_change(change)).collect()
     }
 
-    fn place(&mut self, change: &Change) -> Option<SettingsUpdate> {
-        Some(match change {
-            Change::SetGlobals(_) => return None,
+    fn stage_change(&mut self, change: &Change) -> Option<SettingsUpdate> {
+        match change {
+            Change::SetGlobals(_) => None,
             Change::PutMethod(name, method) => {
-                let (effect, target) = (method.idempotency, method.latency_target);
-                let place = match self.method(name) {
-                    Some(place) => place,
-                    None => {
-                        let place = MethodId(self.methods.len());
-                        self.methods.push(Of { name: name.clone(), effect, target });
-                        self.of_methods.insert(name.clone(), place);
-                        place
-                    }
-                };
-                self.staged.push((place, effect, target));
-                SettingsUpdate::Method(place, Some(method.clone()))
+                let (idempotency, latency_target) = (method.idempotency, method.latency_target);
+                let entry = MethodEntry { name: name.clone(), idempotency, latency_target };
+                let id = self.method_id(name).unwrap_or_else(|| self.add_method(entry));
+                self.staged.push(StagedMethod { id, idempotency, latency_target });
+                Some(SettingsUpdate::Method(id, Some(method.clone())))
             }
-            Change::RemoveMethod(name) => SettingsUpdate::Method(self.method(name)?, None),
+            Change::RemoveMethod(name) => Some(SettingsUpdate::Method(self.method_id(name)?, None)),
             Change::PutTenant(name, rate) => {
-                let place = match self.tenant(name) {
-                    Some(place) => place,
-                    None => {
-                        let place = self.free.pop().unwrap_or_else(|| {
-                            self.places += 1;
-                            self.places - 1
-                        });
-                        self.tenants.insert(name.clone(), place);
-                        place
-                    }
-                };
-                SettingsUpdate::Tenant(place, Some(*rate))
+                let index = self.tenant_index(name).unwrap_or_else(|| self.add_tenant(name));
+                Some(SettingsUpdate::Tenant(index, Some(*rate)))
             }
             Change::RemoveTenant(name) => {
-                self.taken.push(name.clone());
-                SettingsUpdate::Tenant(self.tenant(name)?, None)
+                self.removed_tenants.push(name.clone());
+                Some(SettingsUpdate::Tenant(self.tenant_index(name)?, None))
             }
-        })
+        }
+    }
+
+    fn add_method(&mut self, entry: MethodEntry) -> MethodId {
+        let id = MethodId(self.methods.len());
+        self.method_ids.insert(entry.name.clone(), id);
+        self.methods.push(entry);
+        id
+    }
+
+    fn add_tenant(&mut self, name: &Name) -> usize {
+        let index = self.free_tenant_indices.pop().unwrap_or_else(|| {
+            self.tenant_indices += 1;
+            self.tenant_indices - 1
+        });
+        self.tenants.insert(name.clone(), index);
+        index
     }
 
-    /// What was staged is in force from now on. Hands back the targets of the methods that it named.
-    pub fn change(&mut self, tells_tenants: bool) -> Vec<(MethodId, Us)> {
-        self.tells_tenants = tells_tenants;
+    /// Brings what was staged into force. Returns the latency targets of the methods that it names.
+    pub fn apply_staged(&mut self, requires_tenant: bool) -> Vec<(MethodId, Us)> {
+        self.requires_tenant = requires_tenant;
         let mut targets = Vec::with_capacity(self.staged.len());
-        for (place, effect, target) in std::mem::take(&mut self.staged) {
-            if let Some(of) = self.methods.get_mut(place.0) {
-                (of.effect, of.target) = (effect, target);
-                targets.push((place, target));
+        for StagedMethod { id, idempotency, latency_target } in std::mem::take(&mut self.staged) {
+            if let Some(entry) = self.methods.get_mut(id.0) {
+                entry.idempotency = idempotency;
+                entry.latency_target = latency_target;
+                targets.push((id, latency_target));
             }
         }
         targets
     }
 
-    /// The change is settled, or was undone: the places of tenants that are over are free for others. `known`: whether
-    /// the tenant at a place is in force.
-    pub fn settled(&mut self, known: impl Fn(usize) -> bool) {
-        for name in std::mem::take(&mut self.taken) {
-            let Some(place) = self.tenant(&name).filter(|place| !known(*place)) else { continue };
+    /// The change is final, or was undone: the indices of removed tenants are free for others. `in_force` says whether
+    /// the tenant at an index is in force.
+    pub fn release_removed_tenants(&mut self, in_force: impl Fn(usize) -> bool) {
+        for name in std::mem::take(&mut self.removed_tenants) {
+            let Some(index) = self.tenant_index(&name).filter(|index| !in_force(*index)) else { continue };
             self.tenants.remove(&name);
-            self.free.push(place);
+            self.free_tenant_indices.push(index);
         }
     }
 }
--- a/daemon/src/operator.rs
+++ b/daemon/src/operator.rs
@@ -121,11 +121,11 @@
     let globals = configuration.globals();
     let queue_config = QueueConfig {
         login,
-        terms,
+        consumers: terms,
         seed,
         cores: globals.cores as f64,
-        room: (body_buffers / BODY_BUFFERS_PER_QUEUED_BODY) as f64,
-        credit: globals.feedback_mode == FeedbackMode::Credit,
+        delivery_capacity: (body_buffers / BODY_BUFFERS_PER_QUEUED_BODY) as f64,
+        publishes_credit: globals.feedback_mode == FeedbackMode::Credit,
     };
     let Some(addresses) = Address::with_fallbacks(&broker.addresses) else { return Ok(None) };
     let queues = QueueConsumers::new(now, queue_config);
--- a/daemon/src/recovery.rs
+++ b/daemon/src/recovery.rs
@@ -1,5 +1,5 @@
-//! How this server comes back: what `asterrill-recovery` decides, joined to the engine's figures. No I/O: what was
-//! kept comes in, what is to be kept goes out, moments are passed in.
+//! Recovery of this server after a start or an upstream outage: what `asterrill-recovery` decides, joined to the figures of
+//! the engine. No I/O: the stored snapshot comes in, the one to store goes out, clock readings are passed in.
 
 use asterrill::{
     CallerId, LearnedAllowance, LearnedBalance, LearnedCost, LearnedState, MethodId, RecoveryLimits, Status,
@@ -14,125 +14,160 @@
     TenantAllowance, MAX_METHODS, MAX_TENANTS,
 };
 
-const LOOK: Us = 100_000; // between looks at what was served and called
+/// Microseconds between two updates of slow start and stage.
+const UPDATE_INTERVAL: Us = 100_000;
 
 /// What a start knows of itself.
 pub struct RecoveryConfig {
+    /// This server's name.
     pub name: String,
     /// The hash of the settings in force.
     pub settings: u64,
+    /// Cores of this server.
     pub cores: f64,
+    /// Its memory limit in MB.
     pub memory_mb: u64,
+    /// The clocks at the start.
     pub moment: ClockReading,
+    /// The operator's settings.
     pub terms: RecoverySettings,
+    /// The stored snapshot of a process before, if there is one.
     pub snapshot: Option<Snapshot>,
+    /// Seed of the jitter.
     pub seed: u64,
-    /// There is a place where snapshots are kept.
+    /// There is a directory where snapshots are stored.
     pub persistent: bool,
 }
 
-/// Who knows the names of what the module numbers, as far as it is in force.
-pub trait ActiveTerms {
-    fn targets(&self) -> &dyn LatencyTargets;
-    /// The name of a method, and its latency target.
-    fn named(&self, method: MethodId) -> Option<(&Name, Us)>;
-    fn place(&self, method: &str) -> Option<MethodId>;
-    fn tenant(&self, name: &str) -> Option<usize>;
-    /// All tenants with their places, in any order.
+/// The names of methods and tenants in force.
+pub trait ActiveCatalog {
+    /// The latency targets of the methods, by name.
+    fn latency_targets(&self) -> &dyn LatencyTargets;
+    /// A method's name and its latency target in microseconds.
+    fn method_name(&self, id: MethodId) -> Option<(&Name, Us)>;
+    /// A method's index.
+    fn method_id(&self, name: &str) -> Option<MethodId>;
+    /// A tenant's index.
+    fn tenant_index(&self, name: &str) -> Option<usize>;
+    /// All tenants with their indices, in any order.
     fn tenants(&self) -> Vec<(&Name, usize)>;
 }
 
+/// What is restored of a snapshot.
+pub struct Restored {
+    /// For the decision module.
+    pub learned: LearnedState,
+    /// What became of each value, for the log.
+    pub summary: String,
+}
+
+/// What an update has brought.
+#[derive(Default)]
+pub struct RecoveryUpdate {
+    /// New limits for the decision module, if they have changed.
+    pub limits: Option<RecoveryLimits>,
+    /// The stage that was entered, if one was.
+    pub entered_stage: Option<Stage>,
+}
+
+/// Tracks how far this server has recovered.
 pub struct RecoveryTracker {
     config: RecoveryConfig,
     stages: StageTracker,
     slow_start: Option<SlowStart>,
+    /// The stored snapshot was assessed, or there was none.
     assessed: bool,
-    next: Us,
-    snapshot: JitteredInterval,
-    /// What the engine had counted at the last look.
-    before: EngineStats,
+    next_update: Us,
+    snapshot_interval: JitteredInterval,
+    /// The engine's counters at the last update.
+    previous: EngineStats,
 }
 
 impl RecoveryTracker {
+    /// Begins at a start.
     pub fn new(now: Us, config: RecoveryConfig) -> RecoveryTracker {
-        let snapshot = JitteredInterval::new(now, config.terms.snapshot_interval, config.seed, "snapshot");
-        let (stages, before) = (StageTracker::new(now), EngineStats::default());
+        let interval = config.terms.snapshot_interval;
+        let snapshot_interval = JitteredInterval::new(now, interval, config.seed, "snapshot");
         RecoveryTracker {
             config,
-            stages,
+            stages: StageTracker::new(now),
             slow_start: None,
             assessed: false,
-            next: now + LOOK,
-            snapshot,
-            before,
+            next_update: now + UPDATE_INTERVAL,
+            snapshot_interval,
+            previous: EngineStats::default(),
         }
     }
-    pub fn next(&self) -> Us {
-        self.next
+
+    /// When [`RecoveryTracker::update`] is due next.
+    pub fn next_update(&self) -> Us {
+        self.next_update
     }
-    /// Other settings are in force.
-    pub fn change(&mut self, settings: u64) {
-        self.config.settings = settings;
+
+    /// Sets the hash of the settings that have come into force.
+    pub fn set_settings_hash(&mut self, hash: u64) {
+        self.config.settings = hash;
     }
+
+    /// The stages of recovery.
     pub fn stages(&self) -> &StageTracker {
         &self.stages
     }
 
-    /// How carefully the module is to go about it now.
-    pub fn care(&self) -> RecoveryLimits {
-        let RecoverySettings { retry_percent: repeats, jitter_percent: spread, .. } = self.config.terms;
-        let calls = self.slow_start.as_ref().map_or(f64::INFINITY, SlowStart::limit);
+    /// The limits that the decision module is to observe now.
+    pub fn limits(&self) -> RecoveryLimits {
+        let RecoverySettings { retry_percent, jitter_percent, .. } = self.config.terms;
         RecoveryLimits {
-            calls_in_flight: calls,
-            retry_ratio: repeats as f64 / 100.0,
-            retry_after_jitter: spread as f64 / 100.0,
+            calls_in_flight: self.slow_start.as_ref().map_or(f64::INFINITY, SlowStart::limit),
+            retry_ratio: retry_percent as f64 / 100.0,
+            retry_after_jitter: jitter_percent as f64 / 100.0,
         }
     }
 
-    /// The agent has greeted for the first time: what was kept is assessed. Hands back what the module is to restored,
-    /// and what became of each value, in words.
-    pub fn greeted(
-        &mut self, now: Us, empty: bool, standing: Status, known: &dyn ActiveTerms,
-    ) -> Option<(LearnedState, String)> {
+    /// The agent has greeted. At the first greeting slow start begins and the stored snapshot is assessed; returns what
+    /// of it is restored. `empty`: the agent started cold.
+    pub fn agent_greeted(
+        &mut self, now: Us, empty: bool, status: Status, active: &dyn ActiveCatalog,
+    ) -> Option<Restored> {
         if std::mem::replace(&mut self.assessed, true) {
             return None;
         }
-        if standing.call_limit.is_finite() {
-            let first = self.config.terms.initial_calls as f64;
+        if status.call_limit.is_finite() {
             let config = SlowStartConfig {
-                max_calls: standing.call_limit.max(1.0),
-                initial_calls: first,
-                update_interval: LOOK,
+                max_calls: status.call_limit.max(1.0),
+                initial_calls: self.config.terms.initial_calls as f64,
+                update_interval: UPDATE_INTERVAL,
             };
             self.slow_start = Some(SlowStart::new(now, config));
         }
-        let kept = self.config.snapshot.take()?;
-        let RecoveryConfig { name, settings, cores, memory_mb, moment, terms, .. } = &self.config;
-        let (settings, cores, memory_mb, moment) = (*settings, *cores, *memory_mb, *moment);
-        let (trust, targets) = (terms.max_snapshot_age, known.targets());
-        let present = CurrentServer {
-            name,
-            settings_hash: settings,
-            cores,
-            memory_mb,
-            now: moment,
-            agent_empty: empty,
-            max_snapshot_age: trust,
-            targets,
+        let snapshot = self.config.snapshot.take()?;
+        Some(self.restore(&snapshot, empty, active))
+    }
+
+    fn restore(&self, snapshot: &Snapshot, agent_empty: bool, active: &dyn ActiveCatalog) -> Restored {
+        let current = CurrentServer {
+            name: &self.config.name,
+            settings_hash: self.config.settings,
+            cores: self.config.cores,
+            memory_mb: self.config.memory_mb,
+            now: self.config.moment,
+            agent_empty,
+            max_snapshot_age: self.config.terms.max_snapshot_age,
+            targets: active.latency_targets(),
         };
-        let restored = assess(&kept, &present);
-        let told = format!("{} (age {} ms)", restored.summary(), restored.age / 1000);
+        let restored = assess(snapshot, &current);
+        let summary = format!("{} (age {} ms)", restored.summary(), restored.age / 1000);
         let cost = |cost: &RestoredCost| {
-            Some(LearnedCost { method: known.place(&cost.method)?, mean: cost.mean, runs: cost.runs })
+            Some(LearnedCost { method: active.method_id(&cost.method)?, mean: cost.mean, runs: cost.runs })
         };
         let balance = |account: &AccountBalance| LearnedBalance {
             caller: CallerId(account.caller),
             ratio: account.fraction,
         };
         let allowance = |tenant: &TenantAllowance| {
-            Some(LearnedAllowance { tenant: known.tenant(&tenant.name)?, rpcs: tenant.rpcs })
+            Some(LearnedAllowance { tenant: active.tenant_index(&tenant.name)?, rpcs: tenant.rpcs })
         };
-        let experience = LearnedState {
+        let learned = LearnedState {
             costs: restored.costs.iter().filter_map(cost).collect(),
             concurrency_target: restored.concurrency_target,
             slowdown: restored.slowdown,
@@ -141,99 +176,113 @@
             tenants: restored.tenants.iter().filter_map(allowance).collect(),
             age: restored.age,
         };
-        Some((experience, told))
+        Restored { learned, summary }
     }
 
-    /// Time has passed. Hands back the care that is to be taken, if that has changed, and the stage that was entered.
-    pub fn look(
-        &mut self, now: Us, counts: &EngineStats, standing: Status,
-    ) -> (Option<RecoveryLimits>, Option<Stage>) {
-        if now < self.next {
-            return (None, None);
+    /// Time has passed. `stats` are the engine's counters, `status` the decision module's state.
+    pub fn update(&mut self, now: Us, stats: &EngineStats, status: Status) -> RecoveryUpdate {
+        if now < self.next_update {
+            return RecoveryUpdate::default();
         }
-        self.next = now + LOOK;
-        let before = std::mem::replace(&mut self.before, counts.clone());
-        let failed = |c: &EngineStats| c.calls_aborted + c.calls_timed_out + c.calls_rejected;
+        self.next_update = now + UPDATE_INTERVAL;
+        let previous = std::mem::replace(&mut self.previous, stats.clone());
         let sample = CallSample {
-            ok: counts.calls_ok - before.calls_ok,
-            failed: failed(counts) - failed(&before),
-            in_flight: standing.calls_in_flight,
-            waiting: standing.waiting_to_call,
+            ok: stats.calls_ok - previous.calls_ok,
+            failed: failed_calls(stats) - failed_calls(&previous),
+            in_flight: status.calls_in_flight,
+            waiting: status.waiting_to_call,
         };
-        let moved = self.slow_start.as_mut().is_some_and(|slow_start| slow_start.update(now, sample));
+        let limits_changed =
+            self.slow_start.as_mut().is_some_and(|slow_start| slow_start.update(now, sample));
+        let calls_open = self
+            .slow_start
+            .as_ref()
+            .is_none_or(|slow_start| slow_start.is_fully_open() || status.waiting_to_call == 0);
         let evidence = StageEvidence {
             snapshot_assessed: self.assessed,
-            runs_ok: counts.runs_ok - before.runs_ok,
-            received: counts.requests - before.requests,
-            rejected: counts.rejected - before.rejected,
-            slowdown: standing.slowdown,
-            ramp_complete: standing.warm,
-            calls_open: self
-                .slow_start
-                .as_ref()
-                .is_none_or(|o| o.is_fully_open() || standing.waiting_to_call == 0),
-            unhealthy: standing.breaker_open || standing.stalled,
+            runs_ok: stats.runs_ok - previous.runs_ok,
+            received: stats.requests - previous.requests,
+            rejected: stats.rejected - previous.rejected,
+            slowdown: status.slowdown,
+            ramp_complete: status.warm,
+            calls_open,
+            unhealthy: status.breaker_open || status.stalled,
         };
-        (moved.then(|| self.care()), self.stages.update(now, evidence))
+        RecoveryUpdate {
+            limits: limits_changed.then(|| self.limits()),
+            entered_stage: self.stages.update(now, evidence),
+        }
     }
 
-    /// A snapshot is wanted now: at its beat, or since the server leaves.
-    pub fn snapshot_due(&mut self, now: Us, leaving: bool) -> bool {
-        self.config.persistent && self.assessed && (self.snapshot.expired(now) || leaving)
+    /// Whether a snapshot is to be stored now: at its interval, or because the server leaves.
+    pub fn is_snapshot_due(&mut self, now: Us, leaving: bool) -> bool {
+        self.config.persistent && self.assessed && (self.snapshot_interval.expired(now) || leaving)
     }
 
-    /// What is to be kept. Methods of which nothing was learned, and those that are gone, are left out. In the order of
-    /// names, as many as a snapshot holds.
-    pub fn snapshot(&self, moment: ClockReading, learned: LearnedState, known: &dyn ActiveTerms) -> Snapshot {
-        let of_method = |cost: &LearnedCost| {
-            let (name, target) = known.named(cost.method).filter(|_| cost.runs > 0.0)?;
-            Some((name, target, cost.mean, cost.runs))
-        };
-        let mut methods: Vec<_> = learned.costs.iter().filter_map(of_method).collect();
-        first(&mut methods, MAX_METHODS, |(name, ..)| name);
-        let cost = |(name, latency_target, mean, runs): (&Name, Us, f64, f64)| MethodCost {
-            name: name.to_string(),
-            latency_target,
-            mean,
-            runs,
-        };
-        let mut tenants = known.tenants();
-        first(&mut tenants, MAX_TENANTS, |(name, _)| name);
-        let allowance = |(name, place): (&Name, usize)| {
-            let at = learned.tenants.binary_search_by_key(&place, |allowance| allowance.tenant).ok()?;
-            Some(TenantAllowance { name: name.to_string(), rpcs: learned.tenants.get(at)?.rpcs })
-        };
+    /// The snapshot to store. Methods of which nothing was learned, and removed ones, are left out; of the others as many
+    /// as a snapshot holds, in the order of their names.
+    pub fn snapshot(
+        &self, clocks: ClockReading, learned: LearnedState, active: &dyn ActiveCatalog,
+    ) -> Snapshot {
+        let balance =
+            |account: &LearnedBalance| AccountBalance { caller: account.caller.0, fraction: account.ratio };
         Snapshot {
             name: self.config.name.clone(),
             settings_hash: self.config.settings,
             cores: self.config.cores,
             memory_mb: self.config.memory_mb,
-            taken_at: moment,
-            methods: methods.into_iter().map(cost).collect(),
+            taken_at: clocks,
+            methods: method_costs(&learned, active),
             concurrency_target: learned.concurrency_target.unwrap_or(0.0),
             slowdown: learned.slowdown.unwrap_or(0.0),
             call_failures: learned.call_failures,
-            accounts: learned
-                .accounts
-                .iter()
-                .map(|account| AccountBalance { caller: account.caller.0, fraction: account.ratio })
-                .collect(),
-            tenants: tenants.into_iter().filter_map(allowance).collect(),
+            accounts: learned.accounts.iter().map(balance).collect(),
+            tenants: tenant_allowances(&learned, active),
         }
     }
 
-    /// Outages of the layer below that were noticed.
+    /// How many outages of the upstream tier were detected.
     pub fn outages(&self) -> u64 {
         self.slow_start.as_ref().map_or(0, |slow_start| slow_start.outages)
     }
 }
 
-/// Keeps the first by name, in their order; linear in all, so that a few of many cost no sorting of all.
-fn first<T>(all: &mut Vec<T>, most: usize, name: impl Fn(&T) -> &Name) {
+fn failed_calls(stats: &EngineStats) -> u64 {
+    stats.calls_aborted + stats.calls_timed_out + stats.calls_rejected
+}
+
+fn method_costs(learned: &LearnedState, active: &dyn ActiveCatalog) -> Vec<MethodCost> {
+    let named = |cost: &LearnedCost| {
+        let (name, target) = active.method_name(cost.method).filter(|_| cost.runs > 0.0)?;
+        Some((name, target, cost.mean, cost.runs))
+    };
+    let mut methods: Vec<_> = learned.costs.iter().filter_map(named).collect();
+    retain_first(&mut methods, MAX_METHODS, |(name, ..)| name);
+    let cost = |(name, latency_target, mean, runs): (&Name, Us, f64, f64)| MethodCost {
+        name: name.to_string(),
+        latency_target,
+        mean,
+        runs,
+    };
+    methods.into_iter().map(cost).collect()
+}
+
+fn tenant_allowances(learned: &LearnedState, active: &dyn ActiveCatalog) -> Vec<TenantAllowance> {
+    let mut tenants = active.tenants();
+    retain_first(&mut tenants, MAX_TENANTS, |(name, _)| name);
+    let allowance = |(name, index): (&Name, usize)| {
+        let at = learned.tenants.binary_search_by_key(&index, |allowance| allowance.tenant).ok()?;
+        Some(TenantAllowance { name: name.to_string(), rpcs: learned.tenants.get(at)?.rpcs })
+    };
+    tenants.into_iter().filter_map(allowance).collect()
+}
+
+/// Retains the first `limit` by name, sorted. Linear in all, so that a few of many cost no sorting of all.
+fn retain_first<T>(all: &mut Vec<T>, limit: usize, name: impl Fn(&T) -> &Name) {
     let order = |a: &T, b: &T| name(a).cmp(name(b));
-    if all.len() > most {
-        all.select_nth_unstable_by(most, order);
-        all.truncate(most);
+    if all.len() > limit {
+        all.select_nth_unstable_by(limit, order);
+        all.truncate(limit);
     }
     all.sort_unstable_by(order);
 }
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -528,7 +528,7 @@
             self.read_notices(usize::MAX);
             self.check();
         }
-        assert_eq!((self.core.owed(), self.core.open()), (0, 0));
+        assert_eq!((self.core.unanswered_rpcs(), self.core.open_rpcs()), (0, 0));
         assert_eq!(self.core.stats().half_applied, 0);
     }
 }
@@ -862,7 +862,7 @@
     for _ in 0..200 {
         w.ask(1, "look", 900 * MS, None);
     }
-    assert!(w.core.owed_on(ConnectionId(1)) <= 32);
+    assert!(w.core.pending_answers_on(ConnectionId(1)) <= 32);
     w.settle();
 }
 
@@ -916,7 +916,7 @@
     let place = w.ask(1, "book", 900 * MS, None);
     let id = w.asks[&place].0.id;
     w.core.command_refused(w.now, Some(id), &mut w.out);
-    assert_eq!((w.out.answers[&place].0, w.core.open()), ("aborted", 0));
+    assert_eq!((w.out.answers[&place].0, w.core.open_rpcs()), ("aborted", 0));
     w.core.command_refused(w.now, Some(id), &mut w.out); // of what is over: nothing
     assert_eq!(w.out.answers.len(), 1);
 }
@@ -994,7 +994,7 @@
             "after the grace nothing is run"
         );
         w.pass(1_000 * MS);
-        assert!(w.core.is_drained() && w.core.owed() == 0);
+        assert!(w.core.is_drained() && w.core.unanswered_rpcs() == 0);
     }
 }
 
@@ -1072,7 +1072,7 @@
         let ask = RpcRequest { id, method, tenant, caller, born: START, due, size_kb: 1.0, key: None };
         core.rpc_received(START, place, ask, b"", &mut out);
     }
-    let in_hand = core.open();
+    let in_hand = core.open_rpcs();
     let mut running = content(&settings);
     let mut spans: Vec<u128> = (0..101)
         .map(|n| {
@@ -1329,7 +1329,7 @@
             running = to;
         }
         w.core.commit_change();
-        assert!(w.core.places() <= 3, "{} places after {n} changes", w.core.places());
+        assert!(w.core.tenant_indices() <= 3, "{} places after {n} changes", w.core.tenant_indices());
     }
     let place = w.ask(1, "look", 900 * MS, None);
     assert!(w.out.answers.get(&place).is_none_or(|(what, _)| *what != "aborted"), "acme is where it was");
--- a/daemon/src/tests/change.rs
+++ b/daemon/src/tests/change.rs
@@ -57,7 +57,7 @@
 }
 
 fn knows(dispatcher: &Dispatcher, tenant: &str) -> bool {
-    dispatcher.with(|core, _, _| core.knows_tenant(tenant))
+    dispatcher.with(|core, _, _| core.has_tenant(tenant))
 }
 
 #[test]
