--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -5,7 +5,7 @@
 use crate::outputs::{EngineStats, Outputs, Served, UpstreamLinkId};
 use crate::response_cache::Kept;
 use asterrill::{
-    Answer, Arrival, CallEnd, CallRequest, CallerId, Control, FinalAnswer, Gauges, Idempotency, KeyRetention,
+    Arrival, CallEnd, CallRequest, CallerId, Control, FinalAnswer, Gauges, Idempotency, KeyRetention,
     LearnedState, MethodId, Outcome, RecoveryLimits, Reply, RpcId, RunEnd, SettingsUpdate, StagedTable,
     Status, Us,
 };
@@ -627,11 +627,7 @@
     /// Carries out what the module decided, list by list in its order.
     fn carry(&mut self, outcome: Outcome, out: &mut dyn Outputs<P>) {
         for Reply { id, answer } in outcome.answers {
-            let answer = match answer {
-                Answer::Rejected { terminal, retry_after } => FinalAnswer::Rejected { terminal, retry_after },
-                Answer::Aborted => FinalAnswer::Aborted,
-            };
-            self.answer(id, answer, out);
+            self.answer(id, answer.into(), out);
         }
         for id in outcome.cancellations {
             if self.open.contains_key(&id) {
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -32,6 +32,15 @@
     Aborted,
 }
 
+impl From<Answer> for FinalAnswer<'_> {
+    fn from(answer: Answer) -> Self {
+        match answer {
+            Answer::Rejected { terminal, retry_after } => FinalAnswer::Rejected { terminal, retry_after },
+            Answer::Aborted => FinalAnswer::Aborted,
+        }
+    }
+}
+
 /// A final answer to one RPC.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reply {
