--- a/daemon/src/tests/control_socket.rs
+++ b/daemon/src/tests/control_socket.rs
@@ -9,7 +9,11 @@
     stream.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
     stream.write_all(bytes).unwrap();
     let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line).unwrap();
+    let mut reader = BufReader::new(&stream);
+    reader.read_line(&mut line).unwrap();
+    // The slot is given back before the connection ends: without the wait the next one could find none free.
+    stream.shutdown(std::net::Shutdown::Write).unwrap();
+    drop(reader.read_to_end(&mut Vec::new()));
     line
 }
 
