--- /dev/null
+++ b/daemon/src/membership/consensus.rs
@@ -0,0 +1,99 @@
+//! The raft node that agrees on lists: its messages go as datagrams of the membership, its writes to the store thread.
+
+use super::shared::Locked;
+use crate::store::{read_consensus, truncate_consensus};
+use asterrill::Us;
+use asterrill_consensus::{CompletedProposal, Config, DiskWrite, LeasedPolicy, Node, ProposalOutcome};
+use asterrill_membership::MemberName;
+use asterrill_net::{monotonic_now, now};
+use asterrill_operator_config::FleetConfig;
+use asterrill_settings::SettingsError;
+use serde_json::{json, Value};
+use std::path::Path;
+use std::sync::Mutex;
+
+/// Opens the raft node, a voter's from what is on disk.
+///
+/// # Errors
+/// Storage that can't be read, or that holds something else.
+pub(super) fn open_node(
+    name: &str, generation: u64, fleet: &FleetConfig, dir: &Path,
+) -> Result<Node, SettingsError> {
+    let config = Config {
+        voters: fleet.voters.clone(),
+        lease: fleet.lease,
+        renew_interval: fleet.renew_interval,
+        tick_interval: fleet.tick_interval,
+    };
+    let error =
+        |e: &dyn std::fmt::Display| SettingsError::new(format!("{}: {e}", dir.join("agreed").display()));
+    let is_voter = config.voters.iter().any(|voter| voter == name);
+    let disk = if is_voter { read_consensus(dir).map_err(|e| error(&e))? } else { Vec::new() };
+    let node = Node::new(monotonic_now(), name, generation, config, &disk, &[]).map_err(|e| error(&e))?;
+    if is_voter && node.valid_log_len() < disk.len() {
+        truncate_consensus(dir, node.valid_log_len()).map_err(|e| error(&e))?;
+    }
+    Ok(node)
+}
+
+/// What a turn of the raft node has brought.
+pub(super) struct ConsensusTurn {
+    /// What is to be made durable, in this order.
+    pub(super) writes: Vec<DiskWrite>,
+    /// The agreed lists in force, if they may have changed.
+    pub(super) policy: Option<LeasedPolicy>,
+    /// When the next turn is due.
+    pub(super) next_tick: Us,
+}
+
+impl ConsensusTurn {
+    fn none() -> ConsensusTurn {
+        ConsensusTurn { writes: Vec::new(), policy: None, next_tick: Us::MAX }
+    }
+}
+
+impl Locked {
+    /// Brings messages, time and durable writes to the raft node; sends what it has to say.
+    pub(super) fn run_consensus(
+        &mut self, now_monotonic: Us, durable_writes: &Mutex<Vec<u64>>,
+    ) -> ConsensusTurn {
+        let messages = self.membership.take_messages();
+        let Some(node) = &mut self.consensus else { return ConsensusTurn::none() };
+        for number in std::mem::take(&mut *durable_writes.lock().unwrap_or_else(|e| e.into_inner())) {
+            node.persisted(now_monotonic, number);
+        }
+        for message in messages {
+            node.receive(now_monotonic, message.from.as_str(), &message.body);
+        }
+        if node.next_tick() <= now_monotonic {
+            node.tick(now_monotonic, now());
+        }
+        for datagram in node.take_outgoing() {
+            if let Some(to) = MemberName::new(&datagram.to) {
+                self.membership.send_message(&to, &datagram.payload);
+            }
+        }
+        for CompletedProposal { number, outcome } in node.take_outcomes() {
+            if let Some(proposer) = self.proposers.remove(&number) {
+                // Whoever proposed it may have gone meanwhile.
+                proposer.try_send(describe_outcome(outcome).into()).unwrap_or_default();
+            }
+        }
+        ConsensusTurn {
+            writes: node.take_writes(),
+            policy: node.take_apply_policy(),
+            next_tick: node.next_tick(),
+        }
+    }
+}
+
+fn describe_outcome(outcome: ProposalOutcome) -> Value {
+    match outcome {
+        ProposalOutcome::Committed { number, hash } => {
+            json!({"ok": true, "version": number, "hash": format!("{hash:016x}")})
+        }
+        ProposalOutcome::Rejected(why) => json!({"ok": false, "error": why, "kind": "refused"}),
+        ProposalOutcome::NoQuorum => json!({"ok": false, "kind": "no majority",
+            "error": "no majority of the keepers answered in time; it may still come to pass"}),
+    }
+}
--- /dev/null
+++ b/daemon/src/membership/shared.rs
@@ -0,0 +1,54 @@
+//! What the coroutines and the operators' threads share.
+
+use crate::change::Reply;
+use asterrill::Us;
+use asterrill_consensus::Node;
+use asterrill_membership::{role_policy, Membership, RolePolicy, Transmit};
+use asterrill_net::Notify;
+use slog::Logger;
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::mpsc::SyncSender;
+use std::sync::{Arc, Mutex, MutexGuard};
+
+/// What is behind the lock.
+pub(super) struct Locked {
+    pub(super) membership: Membership,
+    /// Datagrams to send.
+    pub(super) outgoing: VecDeque<Transmit>,
+    /// This backend has left.
+    pub(super) left: bool,
+    /// The raft node, where lists are agreed on.
+    pub(super) consensus: Option<Node>,
+    /// Who waits for the outcome of a proposal, by its number.
+    pub(super) proposers: BTreeMap<u64, SyncSender<Reply>>,
+    /// Events that were not logged one by one.
+    pub(super) unlogged_events: u64,
+}
+
+/// The membership of this backend and the lists that the backends agree on.
+pub struct MembershipService {
+    pub(super) locked: Mutex<Locked>,
+    /// Notified when there is something to do before the next wakeup.
+    pub(super) clock: Notify,
+    /// Numbers of a voter's writes that are durable, for the raft node.
+    pub(super) durable_writes: Arc<Mutex<Vec<u64>>>,
+    pub(super) expected_members: usize,
+    /// A quota holds for so many microseconds after it was looked at last.
+    pub(super) quota_lease: Us,
+    pub(super) log: Logger,
+}
+
+impl MembershipService {
+    pub(super) fn lock(&self) -> MutexGuard<'_, Locked> {
+        self.locked.lock().unwrap_or_else(|e| e.into_inner())
+    }
+}
+
+impl Locked {
+    /// What this backend may do in the present view.
+    pub(super) fn role(&self, expected_members: usize) -> RolePolicy {
+        let membership = &self.membership;
+        let fraction = membership.quota_fraction();
+        role_policy(membership.view(), fraction, expected_members, membership.agreed_size())
+    }
+}
