--- a/cli/src/control_client.rs
+++ b/cli/src/control_client.rs
@@ -27,26 +27,42 @@
 pub enum Request {
     /// A command without arguments.
     Simple(SimpleCommand),
+    /// What a change would mean.
     Diff(ChangeSource),
+    /// Stage a change.
     Stage {
+        /// What is handed in.
         source: ChangeSource,
+        /// Only if this version runs, or is the newest.
         base: Option<u64>,
+        /// Take it although it is risky, or was rolled back before.
         force: bool,
+        /// Wait behind a version on probation.
         queue: bool,
     },
+    /// Let the staged version run.
     Apply {
+        /// Only if this version runs.
         if_base: Option<u64>,
+        /// Length of the probation, in microseconds.
         probation_us: Option<u64>,
     },
     /// The entries of a list.
     List(String),
+    /// Change entries of a list.
     ListChange {
+        /// The name of the list.
         list: String,
+        /// Only if this version runs, or is the newest.
         base: Option<u64>,
+        /// Objects with `key`, `standing` and `until`.
         entries: Vec<Value>,
     },
+    /// Return to what an earlier agreed version said.
     FleetUndo {
+        /// That version.
         to: u64,
+        /// Only if this version runs, or is the newest.
         base: Option<u64>,
     },
 }
@@ -87,6 +103,7 @@
 }
 
 impl ControlClient {
+    /// For a socket; `None` where none was named, which fails every request.
     pub fn new(socket: Option<PathBuf>) -> ControlClient {
         ControlClient { socket }
     }
--- a/cli/src/outcome.rs
+++ b/cli/src/outcome.rs
@@ -25,6 +25,7 @@
 pub struct Outcome {
     /// An object with `ok` and, where that is false, `error`.
     pub reply: Value,
+    /// The exit code.
     pub status: ExitStatus,
 }
 
@@ -45,10 +46,12 @@
         Outcome::error(ExitStatus::No, why)
     }
 
+    /// Whether it was done.
     pub fn is_done(&self) -> bool {
         self.status == ExitStatus::Done
     }
 
+    /// Whether the reply says `ok`; a difference is ok as well.
     pub fn is_ok(&self) -> bool {
         self.reply["ok"] == json!(true)
     }
--- a/daemon/src/change.rs
+++ b/daemon/src/change.rs
@@ -5,11 +5,12 @@
 //! | module | job |
 //! | --- | --- |
 //! | `content` | what one version says, and the one that runs |
-//! | `request`, `reply` | what operators ask for, and the answers as JSON |
+//! | `request`, `command`, `reply` | what operators ask for, and the answers as JSON |
 //! | `prepare` | reading and checking a change, beside the worker |
 //! | `install` | putting a version in force, slice by slice |
 //! | `driver`, `status` | the transaction on the worker, and what it reports |
 
+mod command;
 mod content;
 mod driver;
 mod install;
@@ -18,9 +19,10 @@
 mod request;
 mod status;
 
+pub use command::{OperatorCommand, Request};
 pub use content::{RunningContent, VersionContent};
 pub use driver::{ChangeDriver, StartVersion};
 pub use install::SlicePause;
 pub use prepare::{prepare, PreparedChange, RolloutPolicy, ValidationContext};
 pub use reply::{Rejection, Reply};
-pub use request::{ChangeRequest, ChangeSource, OperatorCommand, Request};
+pub use request::{ChangeRequest, ChangeSource};
--- a/daemon/src/change/content.rs
+++ b/daemon/src/change/content.rs
@@ -9,13 +9,16 @@
 /// What one version says: the configuration's entries, and the operator's file. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct VersionContent {
+    /// Global settings, methods and tenants.
     pub configuration: Configuration,
+    /// The operator's file, parsed.
     pub operator_config: Arc<OperatorConfig>,
     /// The operator's file as it was written; empty where there is none.
     operator_text: Arc<str>,
 }
 
 impl VersionContent {
+    /// Of parts that were read already.
     pub fn new(
         configuration: Configuration, operator_config: OperatorConfig, operator_text: &str,
     ) -> VersionContent {
@@ -68,14 +71,17 @@
 pub struct RunningContent(Mutex<VersionContent>);
 
 impl RunningContent {
+    /// Begins with this content.
     pub fn new(content: &VersionContent) -> RunningContent {
         RunningContent(Mutex::new(content.clone()))
     }
 
+    /// A copy of what runs.
     pub fn get(&self) -> VersionContent {
         self.lock().clone()
     }
 
+    /// Another content runs.
     pub fn set(&self, content: &VersionContent) {
         let before = std::mem::replace(&mut *self.lock(), content.clone());
         // Dropped outside of the lock: it may be long.
--- a/daemon/src/change/driver.rs
+++ b/daemon/src/change/driver.rs
@@ -1,12 +1,13 @@
 //! The driver of the transaction, on the worker: stages, applies, watches, confirms and rolls back.
 
+use super::command::OperatorCommand;
 use super::content::{RunningContent, VersionContent};
 use super::install::{install, inverse, SlicePause};
 use super::prepare::{prepare, PreparedChange, RolloutPolicy, ValidationContext};
 use super::reply::{
     AppliedReply, ConfirmedReply, DroppedReply, Rejection, Reply, RolledBackReply, StagedReply,
 };
-use super::request::{ChangeRequest, ChangeSource, OperatorCommand};
+use super::request::{ChangeRequest, ChangeSource};
 use crate::dispatcher::Dispatcher;
 use crate::store::Store;
 use asterrill::Us;
@@ -28,8 +29,11 @@
 
 /// The version that a process starts with.
 pub struct StartVersion {
+    /// What it says.
     pub content: VersionContent,
+    /// Its number.
     pub number: u64,
+    /// Versions that were rolled back, the oldest first.
     pub rolled_back: Vec<RolledBack>,
 }
 
@@ -50,6 +54,7 @@
 }
 
 impl ChangeDriver {
+    /// Begins with a version, and writes it down if there is a store.
     pub fn new(start: StartVersion, policy: RolloutPolicy, seed: u64, store: Option<Store>) -> ChangeDriver {
         let StartVersion { content, number, rolled_back } = start;
         let hash = content.hash();
--- a/daemon/src/change/prepare.rs
+++ b/daemon/src/change/prepare.rs
@@ -25,7 +25,9 @@
 pub struct ValidationContext {
     /// The number of the running version.
     pub version: u64,
+    /// What that version says.
     pub running: VersionContent,
+    /// The load of the last minute, and memory in use.
     pub observed: ObservedLoad,
 }
 
@@ -34,11 +36,15 @@
 pub struct PreparedChange {
     /// The number of that version.
     pub against: u64,
+    /// What the new version says.
     pub content: VersionContent,
+    /// The hash of `content`.
     pub hash: VersionHash,
     /// What leads there from that version.
     pub entries: Arc<Vec<Change>>,
+    /// The version that it was made from, where that was given.
     pub base: Option<u64>,
+    /// What else was asked for.
     pub options: StageOptions,
     /// What it means, a line each.
     pub meaning: Vec<String>,
--- a/daemon/src/change/request.rs
+++ b/daemon/src/change/request.rs
@@ -1,9 +1,7 @@
-//! What operators ask for.
+//! A change as it is asked for.
 
-use super::prepare::PreparedChange;
-use asterrill::Us;
 use asterrill_entries::Configuration;
-use asterrill_rollout::{SimpleCommand, StageOptions};
+use asterrill_rollout::StageOptions;
 
 /// Bytes of a text up to which it may be held while it is read, to be read again.
 const MAX_RETAINED_TEXT_BYTES: usize = 512 * 1024;
@@ -22,9 +20,11 @@
 /// A change as it was asked for.
 #[derive(Clone, Debug)]
 pub struct ChangeRequest {
+    /// What is handed in.
     pub source: ChangeSource,
     /// The version that it was made from, where that is given.
     pub base: Option<u64>,
+    /// What else was asked for.
     pub options: StageOptions,
 }
 
@@ -37,34 +37,3 @@
         }
     }
 }
-
-/// A request of the control socket.
-#[derive(Clone, Debug)]
-pub enum Request {
-    /// Stage a change.
-    Stage(ChangeRequest),
-    /// Say what a change would mean.
-    Diff(ChangeRequest),
-    /// Anything that needs no reading beside the worker.
-    Command(OperatorCommand),
-}
-
-/// What the worker carries out for an operator.
-#[derive(Clone, Debug)]
-pub enum OperatorCommand {
-    /// Stage a change that was read and checked.
-    Stage(Box<PreparedChange>),
-    /// Let the staged version run.
-    Apply {
-        /// Only if this version runs.
-        if_base: Option<u64>,
-        /// Length of the probation in microseconds; `None`: as the operator's file has it.
-        probation: Option<Us>,
-    },
-    /// A command without arguments.
-    Simple(SimpleCommand),
-    /// A list on which the backends agree.
-    AgreedList(asterrill_consensus::ListKind),
-    /// Change what the backends agree on.
-    ProposeAgreed(asterrill_consensus::Proposal),
-}
--- a/daemon/src/control_loop.rs
+++ b/daemon/src/control_loop.rs
@@ -24,11 +24,17 @@
 
 /// Owns all that is done on the worker beside RPCs.
 pub struct ControlLoop {
+    /// Where RPCs are decided.
     pub dispatcher: Arc<Dispatcher>,
+    /// Requests from other threads.
     pub queue: Arc<RequestQueue>,
+    /// Addresses that a reload may change.
     pub addresses: Arc<PeerAddresses>,
+    /// The other backends, where they are configured.
     pub membership: Option<Arc<MembershipService>>,
+    /// Graceful shutdown.
     pub shutdown: Shutdown,
+    /// Changes of the configuration.
     pub changes: ChangeDriver,
     /// Ends the thread that waits for signals.
     pub signals: Handle,
--- a/daemon/src/operator.rs
+++ b/daemon/src/operator.rs
@@ -18,6 +18,7 @@
 /// The operator's file; empty where there is none.
 #[derive(Default)]
 pub struct OperatorFile {
+    /// The file, parsed.
     pub config: OperatorConfig,
     /// The text that it was read from.
     pub text: String,
@@ -34,7 +35,9 @@
 
 /// The consumers of queues, where their broker is, and the pause between connections to it.
 pub struct BrokerSetup {
+    /// The consumers.
     pub queues: QueueConsumers,
+    /// The broker, and others to try if it does not answer.
     pub addresses: Address,
     /// In microseconds.
     pub reconnect_backoff: asterrill_operator_config::Backoff,
--- a/daemon/src/operator_requests.rs
+++ b/daemon/src/operator_requests.rs
@@ -20,13 +20,17 @@
 
 /// A command that waits for the worker.
 pub struct PendingCommand {
+    /// What is to be done.
     pub command: OperatorCommand,
+    /// Who waits for the reply.
     pub reply_to: SyncSender<Reply>,
 }
 
 /// A configuration file that was read again, and how its entries compared with what ran then, if they differ.
 pub struct Reload {
+    /// What was read.
     pub deployment: Deployment,
+    /// `None` where nothing differs, or the worker did not answer.
     pub prepared: Option<Result<PreparedChange, Rejection>>,
 }
 
@@ -35,9 +39,11 @@
 pub struct PendingRequests {
     /// The notice to shut down came.
     pub shutdown: bool,
+    /// The last configuration file that was read again.
     pub reload: Option<Result<Reload, SettingsError>>,
     /// Who waits for what a change is to be checked against.
     pub context_requests: Vec<SyncSender<ValidationContext>>,
+    /// Commands in the order in which they came.
     pub commands: Vec<PendingCommand>,
     /// Nobody carries requests out any more.
     closed: bool,
@@ -58,6 +64,7 @@
 pub struct RequestQueue(Mutex<PendingRequests>);
 
 impl RequestQueue {
+    /// The requests that wait.
     pub fn lock(&self) -> MutexGuard<'_, PendingRequests> {
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
@@ -76,9 +83,13 @@
 /// Handles requests of operators, on any thread.
 #[derive(Clone)]
 pub struct RequestHandler {
+    /// Takes requests to the worker.
     pub queue: Arc<RequestQueue>,
+    /// Wakes the worker, and counts rejected changes.
     pub dispatcher: Arc<Dispatcher>,
+    /// By which changes are judged.
     pub policy: RolloutPolicy,
+    /// The seed of the decision module.
     pub seed: u64,
 }
 
--- a/daemon/src/peer_addresses.rs
+++ b/daemon/src/peer_addresses.rs
@@ -6,14 +6,18 @@
 
 /// Addresses of the other sides, and the links to them.
 pub struct PeerAddresses {
+    /// The agent that owns the cores.
     pub agent: Address,
+    /// The name service that gets load reports.
     pub name_service: Address,
+    /// The upstream that calls go to; `None` where there is none.
     pub upstream: Option<Address>,
     agent_link: Outbox,
     upstream_links: Vec<Outbox>,
 }
 
 impl PeerAddresses {
+    /// As the deployment has them.
     pub fn new(deployment: &Deployment, agent_link: Outbox, upstream_links: Vec<Outbox>) -> PeerAddresses {
         PeerAddresses {
             agent: Address::new(deployment.agent),
--- a/daemon/src/shutdown.rs
+++ b/daemon/src/shutdown.rs
@@ -23,6 +23,7 @@
 }
 
 impl Shutdown {
+    /// With `grace` microseconds from the notice to the kill.
     pub fn new(membership: Option<Arc<MembershipService>>, store: Option<Store>, grace: Us) -> Shutdown {
         Shutdown { membership, store, grace, begun: false }
     }
--- a/daemon/src/signals.rs
+++ b/daemon/src/signals.rs
@@ -11,10 +11,15 @@
 
 /// Takes signals to the worker.
 pub struct SignalLoop {
+    /// The signals that are waited for.
     pub signals: Signals,
+    /// Takes requests to the worker.
     pub handler: RequestHandler,
+    /// What runs, with which a file that is read again is compared.
     pub running: Arc<RunningContent>,
+    /// The other backends, where they are configured.
     pub membership: Option<Arc<MembershipService>>,
+    /// The log.
     pub log: Logger,
 }
 
--- a/daemon/src/startup.rs
+++ b/daemon/src/startup.rs
@@ -72,17 +72,34 @@
     }
 }
 
-/// The links to the other sides, before anybody drives them.
-struct Links {
-    agent: Outbox,
-    upstream: Vec<Outbox>,
+/// The dispatcher, and what it writes to.
+struct Serving {
+    dispatcher: Arc<Dispatcher>,
+    /// Buffers of the sockets.
+    pool: BufferPool,
+    agent_link: Outbox,
+    upstream_links: Vec<Outbox>,
 }
 
-impl Links {
-    fn new(deployment: &Deployment, pool: &BufferPool) -> Links {
-        let count = if deployment.upstream.is_some() { upstream_links(deployment.sockets) } else { 0 };
-        let outbox = || Outbox::new(pool, MAX_LINK_BACKLOG);
-        Links { agent: outbox(), upstream: (0..count).map(|_| outbox()).collect() }
+impl Serving {
+    fn new(deployment: &Deployment, server_parts: ServerParts, idle_timeout: Us, log: &Logger) -> Serving {
+        // Two pools, so that queued bodies can't keep answers from being written.
+        let [pool, body_pool] = [(); 2].map(|()| BufferPool::new(buffers(deployment.memory_mb)));
+        let link = || Outbox::new(&pool, MAX_LINK_BACKLOG);
+        let link_count = if deployment.upstream.is_some() { upstream_links(deployment.sockets) } else { 0 };
+        let agent_link = link();
+        let upstream_links: Vec<Outbox> = (0..link_count).map(|_| link()).collect();
+        let core = Core::new(now(), server_parts, body_pool.clone(), upstream_links.len());
+        let dispatcher = Arc::new(Dispatcher::new(
+            core,
+            agent_link.clone(),
+            upstream_links.clone(),
+            max_connections(deployment.sockets),
+            idle_timeout,
+            [pool.clone(), body_pool],
+            log.clone(),
+        ));
+        Serving { dispatcher, pool, agent_link, upstream_links }
     }
 }
 
@@ -111,16 +128,9 @@
     let Config { deployment, start, operator, server_parts, broker } = config;
     // Files may be copied: no two processes draw the same, nor one after a restart.
     let process_seed = asterrill_recovery::seed(deployment.seed, &deployment.name, now(), std::process::id());
-    // Two pools, so that queued bodies can't keep answers from being written.
-    let [pool, body_pool] = [(); 2].map(|()| BufferPool::new(buffers(deployment.memory_mb)));
-    let links = Links::new(&deployment, &pool);
     let cores = server_parts.cores;
-    let core = Core::new(now(), server_parts, body_pool.clone(), links.upstream.len());
-    let capacity = max_connections(deployment.sockets);
-    let (agent, upstream) = (links.agent.clone(), links.upstream.clone());
-    let pools = [pool.clone(), body_pool];
-    let dispatcher =
-        Arc::new(Dispatcher::new(core, agent, upstream, capacity, idle_timeout, pools, log.clone()));
+    let Serving { dispatcher, pool, agent_link, upstream_links } =
+        Serving::new(&deployment, server_parts, idle_timeout, log);
     // Periodic work is spread over processes that started together, where that is configured.
     let jitter_seed = operator.recovery.map(|_| process_seed);
     let mut tasks = Tasks::new(dispatcher.clone(), pool, process_seed, jitter_seed);
@@ -140,8 +150,7 @@
         let handler = handler.clone();
         control_socket::listen(path, Arc::new(move |request| handler.handle(request)), log)?;
     }
-    let Links { agent, upstream } = links;
-    let addresses = Arc::new(PeerAddresses::new(&deployment, agent.clone(), upstream.clone()));
+    let addresses = Arc::new(PeerAddresses::new(&deployment, agent_link.clone(), upstream_links.clone()));
     info!(log, "started"; "name" => &deployment.name, "listen" => %deployment.listen);
 
     let shutdown = Shutdown::new(membership.clone(), store, deployment.shutdown_grace);
@@ -154,8 +163,8 @@
         changes,
         signals: signals.handle(),
     })?;
-    tasks.spawn_agent(agent, addresses.clone(), running.clone(), seed)?;
-    tasks.spawn_upstream(upstream, &addresses)?;
+    tasks.spawn_agent(agent_link, addresses.clone(), running.clone(), seed)?;
+    tasks.spawn_upstream(upstream_links, &addresses)?;
     tasks.spawn_load_reports(deployment.name.clone(), addresses)?;
     tasks.spawn_sweep()?;
     tasks.spawn_listener(listener)?;
--- a/daemon/src/store.rs
+++ b/daemon/src/store.rs
@@ -13,10 +13,10 @@
 mod versions;
 mod writer;
 
-pub use consensus::{read_consensus, truncate_consensus};
+pub use consensus::{read_consensus, truncate_consensus, OnDurable};
 pub use texts::{read_learned, read_members};
 pub use versions::read_versions;
-pub use writer::{OnDurable, Store};
+pub use writer::Store;
 
 #[cfg(test)]
 #[path = "tests/store.rs"]
--- a/daemon/src/store/consensus.rs
+++ b/daemon/src/store/consensus.rs
@@ -1,12 +1,14 @@
 //! The file of a voter: what it has to have on disk before it answers.
 
-use super::writer::OnDurable;
 use crate::durable_file;
 use asterrill_consensus::DiskWrite;
 use std::fs::File;
 use std::io::{self, Write};
 use std::path::Path;
 
+/// Called with the number of a write once that is on disk.
+pub type OnDurable = dyn Fn(u64) + Send + Sync;
+
 const FILE_NAME: &str = "agreed";
 
 /// The bytes of the file; empty where there is none.
--- a/daemon/src/store/writer.rs
+++ b/daemon/src/store/writer.rs
@@ -1,6 +1,6 @@
 //! The thread that writes: each file completely or not at all, the newest state first, and versions before anything else.
 
-use super::consensus::append_consensus;
+use super::consensus::{append_consensus, OnDurable};
 use super::texts::{write_learned, write_members};
 use super::versions::VersionsFile;
 use asterrill_consensus::DiskWrite;
@@ -12,9 +12,6 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 
-/// Called with the number of a write of a voter once that is on disk.
-pub type OnDurable = dyn Fn(u64) + Send + Sync;
-
 /// What is to be written next.
 #[derive(Default)]
 struct PendingWrites {
--- a/daemon/src/tasks.rs
+++ b/daemon/src/tasks.rs
@@ -48,6 +48,7 @@
 }
 
 impl Tasks {
+    /// For a dispatcher. `seed`: of the jitter in pauses between links.
     pub fn new(dispatcher: Arc<Dispatcher>, pool: BufferPool, seed: u64, jitter_seed: Option<u64>) -> Tasks {
         Tasks { dispatcher, pool, rng: WyRand::new_seed(seed), jitter_seed }
     }
