--- a/daemon/src/core/agent.rs
+++ b/daemon/src/core/agent.rs
@@ -39,7 +39,9 @@
         let EngineParts { control, config } = EngineParts::new(server, self.result_bytes());
         self.with_engine(now, outbound, |engine, now, outputs| engine.restart(now, control, config, outputs));
         if let Some(fraction) = self.state.quota_fraction {
-            self.with_engine(now, outbound, |engine, now, outputs| engine.share(now, fraction, outputs));
+            self.with_engine(now, outbound, |engine, now, outputs| {
+                engine.set_quota_fraction(now, fraction, outputs)
+            });
         }
     }
 
@@ -63,11 +65,11 @@
         let lost = self.state.agent.take_lost_messages(self.now);
         for id in lost.commands {
             match self.engine.last_command(id) {
-                Some(Command::Launch(method, body)) => {
+                Some(Command::Launch { method, body }) => {
                     let name = self.state.names.name(method).map_or("", |name| name);
                     outbound.launch(id, name, body);
                 }
-                Some(Command::Resume(reply)) => outbound.deliver_reply(id, reply),
+                Some(Command::Resume { reply }) => outbound.deliver_reply(id, reply),
                 Some(Command::Skip) => {
                     let notice = self.state.agent.command_sent(self.now, id);
                     outbound.skip_call(id, notice);
--- a/daemon/src/core/broker.rs
+++ b/daemon/src/core/broker.rs
@@ -73,7 +73,7 @@
         let requester = Requester::Queue(delivery);
         let mut outputs = EngineOutputs { now, state: &mut self.state, outbound };
         let withdrawn =
-            !self.engine.is_launched(requester) && self.engine.caller_gone(now, requester, &mut outputs);
+            !self.engine.is_launched(requester) && self.engine.caller_cancelled(now, requester, &mut outputs);
         if let Some(queues) = self.state.queues.as_mut().filter(|_| withdrawn) {
             queues.withdrawn(now, delivery);
         }
--- a/daemon/src/core/configuration.rs
+++ b/daemon/src/core/configuration.rs
@@ -36,14 +36,14 @@
         let (engine, names) = (&self.engine, &self.state.names);
         let name = |method| names.name(method).cloned();
         self.state.service.advance_to(self.now);
-        self.state.service.take_sample(name, |method| engine.cost(method))
+        self.state.service.take_sample(name, |method| engine.mean_cost(method))
     }
 
     /// The load of the last minute, and the memory in use now.
     pub fn recent_load(&self) -> ObservedLoad {
         let (engine, names) = (&self.engine, &self.state.names);
         let name = |method| names.name(method).cloned();
-        let mut load = self.state.service.observed_load(self.now, name, |method| engine.cost(method));
+        let mut load = self.state.service.observed_load(self.now, name, |method| engine.mean_cost(method));
         load.in_use_kb = engine.memory_in_use_kb();
         load
     }
@@ -104,7 +104,9 @@
     /// Sets this server's quota of what the settings divide among the members, over the even one.
     pub fn set_quota_fraction(&mut self, now: Us, fraction: f64, outbound: &mut dyn Outbound) {
         if self.state.quota_fraction.replace(fraction) != Some(fraction) {
-            self.with_engine(now, outbound, |engine, now, outputs| engine.share(now, fraction, outputs));
+            self.with_engine(now, outbound, |engine, now, outputs| {
+                engine.set_quota_fraction(now, fraction, outputs)
+            });
         }
     }
 
--- a/daemon/src/core/recovery.rs
+++ b/daemon/src/core/recovery.rs
@@ -12,23 +12,25 @@
     pub fn start_recovery(&mut self, now: Us, recovery: RecoveryTracker, outbound: &mut dyn Outbound) {
         let limits = recovery.limits();
         self.state.recovery = Some(recovery);
-        self.with_engine(now, outbound, |engine, now, outputs| engine.careful(now, limits, outputs));
+        self.with_engine(now, outbound, |engine, now, outputs| {
+            engine.set_recovery_limits(now, limits, outputs)
+        });
     }
 
     /// The agent has greeted: at the first greeting the snapshot is assessed and what holds of it is restored. `empty`:
     /// the agent started cold.
     pub fn agent_greeted(&mut self, now: Us, empty: bool, outbound: &mut dyn Outbound) {
-        let status = self.engine.standing();
+        let status = self.engine.status();
         let CoreState { recovery, names, .. } = &mut self.state;
         let Some(recovery) = recovery else { return };
         let active = ActiveNames { names, engine: &self.engine };
         let restored = recovery.agent_greeted(now, empty, status, &active);
         let limits = recovery.limits();
         self.with_engine(now, outbound, |engine, now, outputs| {
-            engine.careful(now, limits, outputs);
+            engine.set_recovery_limits(now, limits, outputs);
             if let Some(restored) = restored {
                 outputs.outbound.log(&format!("snapshot restored: {}", restored.summary));
-                engine.recall(now, restored.learned, outputs);
+                engine.restore(now, restored.learned, outputs);
             }
         });
     }
@@ -36,13 +38,15 @@
     /// Follows how far recovery has come.
     pub(super) fn update_recovery(&mut self, now: Us, outbound: &mut dyn Outbound) {
         let Some(recovery) = &mut self.state.recovery else { return };
-        let update = recovery.update(now, &self.engine.stats, self.engine.standing());
+        let update = recovery.update(now, &self.engine.stats, self.engine.status());
         if let Some(stage) = update.entered_stage {
             let why = recovery.stages().reason().as_str();
             outbound.log(&format!("stage {}: {why}", stage.name()));
         }
         if let Some(limits) = update.limits {
-            self.with_engine(now, outbound, |engine, now, outputs| engine.careful(now, limits, outputs));
+            self.with_engine(now, outbound, |engine, now, outputs| {
+                engine.set_recovery_limits(now, limits, outputs)
+            });
         }
     }
 
@@ -63,7 +67,7 @@
         }
         self.state.stats.snapshots += 1;
         let active = ActiveNames { names: &self.state.names, engine: &self.engine };
-        Some(recovery.snapshot(clocks(), self.engine.learned(), &active))
+        Some(recovery.snapshot(clocks(), self.engine.learned_state(), &active))
     }
 
     /// The stages of recovery, and how many outages of the upstream tier were detected; `None` where recovery is not
--- a/daemon/src/core/sidecars.rs
+++ b/daemon/src/core/sidecars.rs
@@ -126,7 +126,9 @@
     /// Nobody waits for the answer on this stream any more.
     pub fn rpc_cancelled(&mut self, now: Us, from: SidecarStream, outbound: &mut dyn Outbound) {
         let requester = Requester::Sidecar(from);
-        self.with_engine(now, outbound, |engine, now, outputs| engine.caller_gone(now, requester, outputs));
+        self.with_engine(now, outbound, |engine, now, outputs| {
+            engine.caller_cancelled(now, requester, outputs)
+        });
     }
 
     /// A connection has closed: nobody waits for an answer on it any more.
@@ -135,7 +137,7 @@
         let unanswered: Vec<Requester> = self.unanswered_on(conn).copied().collect();
         for requester in unanswered {
             self.with_engine(now, outbound, |engine, now, outputs| {
-                engine.caller_gone(now, requester, outputs)
+                engine.caller_cancelled(now, requester, outputs)
             });
         }
         self.state.sidecars.remove(conn);
--- a/daemon/src/tests/core_access.rs
+++ b/daemon/src/tests/core_access.rs
@@ -6,7 +6,7 @@
 impl Core {
     /// What the decision module has learned.
     pub fn learned(&self) -> asterrill::LearnedState {
-        self.engine.learned()
+        self.engine.learned_state()
     }
     /// Whether a tenant is in force.
     pub fn has_tenant(&self, name: &str) -> bool {
--- /dev/null
+++ b/engine/src/answers.rs
@@ -0,0 +1,49 @@
+//! The one final answer of each RPC, and what follows once no answer is due any more.
+
+use crate::engine::{Deferred, Engine};
+use crate::outputs::{Outputs, Served};
+use crate::rpc::RpcState;
+use asterrill::{FinalAnswer, RpcId};
+
+impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
+    /// Gives the final answer that is due; does nothing if none is.
+    pub(crate) fn answer(&mut self, id: RpcId, answer: FinalAnswer<'_>, out: &mut dyn Outputs<ReplyTo>) {
+        let Some(rpc) = self.rpcs.get(id).filter(|rpc| rpc.awaits_answer) else { return };
+        let reply_to = rpc.reply_to;
+        let served = Served {
+            method: rpc.request.method,
+            latency: self.now.saturating_sub(rpc.arrived_at),
+            upstream_failed: rpc.upstream_failed,
+        };
+        let count = match answer {
+            FinalAnswer::Ok(_) => &mut self.stats.ok,
+            FinalAnswer::Rejected { .. } => &mut self.stats.rejected,
+            FinalAnswer::Aborted => &mut self.stats.aborted,
+        };
+        *count += 1;
+        out.answer(reply_to, answer, self.credit, Some(served));
+        self.rpcs.remove_unanswered(reply_to);
+        self.answer_no_longer_due(id, out);
+    }
+
+    /// No answer is due for an RPC any more. One that does not run is closed; a run ends by itself.
+    pub(crate) fn answer_no_longer_due(&mut self, id: RpcId, out: &mut dyn Outputs<ReplyTo>) {
+        let Some(rpc) = self.rpcs.get_mut(id) else { return };
+        rpc.awaits_answer = false;
+        match rpc.state {
+            RpcState::Queued => {
+                self.close(id, out);
+                self.response_cache.remove(id);
+                self.idempotency.remove(id);
+                let followers = self.rpcs.followers(id);
+                self.deferred.extend(followers.into_iter().map(Deferred::Resubmit));
+            }
+            RpcState::Coalesced => self.close(id, out),
+            RpcState::Calling(call) => {
+                rpc.state = RpcState::NeedsCall;
+                self.abandon_call(id, call, false, out);
+            }
+            RpcState::Running(_) | RpcState::NeedsCall => {}
+        }
+    }
+}
--- /dev/null
+++ b/engine/src/calls.rs
@@ -0,0 +1,138 @@
+//! Upstream calls: runs ask for them, the decision module places them, and each ends in one way.
+
+use crate::engine::{CallTimeout, Deferred, Engine};
+use crate::outputs::{Outputs, UpstreamLinkId};
+use crate::rpc::{PendingCall, RpcState, SentCommand};
+use asterrill::{CallEnd, RpcId, Us};
+
+/// The time beyond a call's timeout until its reply is not waited for any more, in microseconds.
+const REPLY_GRACE: Us = 30_000;
+
+impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
+    /// A run waits for an upstream call with this body; none where it is too long to be passed on. False if no run of
+    /// this RPC goes on.
+    pub fn call_needed(
+        &mut self, now: Us, id: RpcId, body: Option<&[u8]>, out: &mut dyn Outputs<ReplyTo>,
+    ) -> bool {
+        self.advance_to(now);
+        let running = self.rpcs.get_mut(id).filter(|rpc| matches!(rpc.state, RpcState::Running(_)));
+        let Some(rpc) = running else {
+            self.stats.stale_events += 1;
+            return false;
+        };
+        rpc.state = RpcState::NeedsCall;
+        rpc.body = body.and_then(&self.copy_body);
+        let outcome = self.control.call_needed(self.now, id);
+        self.apply(outcome, out);
+        true
+    }
+
+    /// Sends an upstream call that the decision module has allowed.
+    pub(crate) fn send_call(&mut self, id: RpcId, timeout: Us, out: &mut dyn Outputs<ReplyTo>) {
+        let waiting = self.rpcs.get_mut(id).filter(|rpc| rpc.state == RpcState::NeedsCall);
+        let Some(rpc) = waiting else { return };
+        self.stats.calls += 1;
+        let expires_at = self.now + timeout + REPLY_GRACE;
+        let body = rpc.body.as_ref().map(Body::as_ref);
+        let link = body.and_then(|body| out.send_call(rpc.last_link, id, timeout, body));
+        rpc.state = RpcState::Calling(PendingCall { link, expires_at });
+        rpc.last_link = link.or(rpc.last_link);
+        if link.is_some() {
+            self.call_timeouts.insert(CallTimeout { at: expires_at, id });
+        } else {
+            self.deferred.push_back(Deferred::RejectCall(id));
+        }
+    }
+
+    /// Lets a run go on without the upstream call that it waits for.
+    pub(crate) fn skip_call(&mut self, id: RpcId, out: &mut dyn Outputs<ReplyTo>) {
+        let waiting = self.rpcs.get_mut(id).filter(|rpc| rpc.state == RpcState::NeedsCall);
+        let Some(rpc) = waiting else { return };
+        rpc.state = RpcState::Running(SentCommand::Skip);
+        self.stats.calls_skipped += 1;
+        out.skip(id);
+    }
+
+    /// A reply to a call came on this link, or the call ended otherwise.
+    pub fn call_ended(
+        &mut self, now: Us, link: UpstreamLinkId, id: RpcId, end: CallEnd, reply: &[u8],
+        out: &mut dyn Outputs<ReplyTo>,
+    ) {
+        self.advance_to(now);
+        match self.rpcs.state(id) {
+            Some(RpcState::Calling(call)) if call.link == Some(link) => {
+                self.call_timeouts.remove(&CallTimeout { at: call.expires_at, id });
+                out.call_finished(link, false);
+                self.finish_call(id, end, reply, out);
+            }
+            _ => self.stats.late_replies += 1,
+        }
+    }
+
+    /// An upstream link is gone; all calls on it end in this way.
+    pub fn upstream_link_ended(
+        &mut self, now: Us, link: UpstreamLinkId, end: CallEnd, out: &mut dyn Outputs<ReplyTo>,
+    ) {
+        self.advance_to(now);
+        let is_on_link =
+            |state| matches!(state, RpcState::Calling(PendingCall { link: Some(on), .. }) if on == link);
+        let on_link = self.rpcs.iter().filter(|rpc| is_on_link(rpc.state));
+        let ids: Vec<RpcId> = on_link.map(|rpc| rpc.request.id).collect();
+        for id in ids {
+            self.call_ended(now, link, id, end, &[], out);
+        }
+    }
+
+    /// The reply to a call did not come in time.
+    pub(crate) fn call_timed_out(&mut self, timeout: CallTimeout, out: &mut dyn Outputs<ReplyTo>) {
+        self.call_timeouts.remove(&timeout);
+        if let Some(RpcState::Calling(call)) = self.rpcs.state(timeout.id) {
+            self.abandon_call(timeout.id, call, true, out);
+            self.finish_call(timeout.id, CallEnd::TimedOut, &[], out);
+        }
+    }
+
+    /// Nobody waits for a call any more; `late` if its reply did not come in time.
+    pub(crate) fn abandon_call(
+        &mut self, id: RpcId, call: PendingCall, late: bool, out: &mut dyn Outputs<ReplyTo>,
+    ) {
+        self.call_timeouts.remove(&CallTimeout { at: call.expires_at, id });
+        if let Some(link) = call.link {
+            out.cancel_call(link, id);
+            out.call_finished(link, late);
+        }
+    }
+
+    /// A call has ended: its reply resumes the run, or the decision module says what follows.
+    pub(crate) fn finish_call(
+        &mut self, id: RpcId, end: CallEnd, reply: &[u8], out: &mut dyn Outputs<ReplyTo>,
+    ) {
+        let Some(rpc) = self.rpcs.get_mut(id) else { return };
+        let mut end = end;
+        rpc.state = RpcState::NeedsCall;
+        if end == CallEnd::Ok {
+            match (self.copy_body)(reply) {
+                Some(body) => {
+                    rpc.state = RpcState::Running(SentCommand::Resume);
+                    rpc.body = Some(body);
+                    out.resume(id, reply);
+                }
+                None => end = CallEnd::Aborted,
+            }
+        }
+        rpc.upstream_failed |= matches!(end, CallEnd::Aborted | CallEnd::TimedOut);
+        self.count_call_end(end);
+        let outcome = self.control.call_ended(self.now, id, end);
+        self.apply(outcome, out);
+    }
+
+    fn count_call_end(&mut self, end: CallEnd) {
+        let count = match end {
+            CallEnd::Ok => &mut self.stats.calls_ok,
+            CallEnd::Rejected => &mut self.stats.calls_rejected,
+            CallEnd::Aborted => &mut self.stats.calls_aborted,
+            CallEnd::TimedOut => &mut self.stats.calls_timed_out,
+        };
+        *count += 1;
+    }
+}
--- /dev/null
+++ b/engine/src/intake.rs
@@ -0,0 +1,117 @@
+//! Inputs from the front ends: RPCs that come, and callers that leave.
+
+use crate::engine::Engine;
+use crate::outputs::Outputs;
+use crate::request::IncomingRpc;
+use crate::response_cache::CacheKey;
+use crate::rpc::{OpenRpc, RpcState};
+use asterrill::{Arrival, FinalAnswer, RpcId, Us};
+
+impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
+    /// A complete RPC was read. False if its id or its requester is that of an open one: nothing was taken in then.
+    pub fn request_received(
+        &mut self, now: Us, reply_to: ReplyTo, request: IncomingRpc, body: &[u8],
+        out: &mut dyn Outputs<ReplyTo>,
+    ) -> bool {
+        self.advance_to(now);
+        let id = request.id;
+        let arrived_at = self.now.saturating_sub(request.time_unread);
+        if self.rpcs.contains(id) || self.rpcs.unanswered(reply_to).is_some() {
+            return false;
+        }
+        if self.idempotency.is_full() && self.has_new_idempotency_key(&request, arrived_at) {
+            self.stats.idempotency_keys_full += 1;
+            self.reject(now, reply_to, out);
+            return true;
+        }
+        let Some(body) = (self.copy_body)(body) else {
+            self.stats.no_buffer += 1;
+            self.abort_unserviceable(now, reply_to, out);
+            return true;
+        };
+        self.stats.requests += 1;
+        self.rpcs.insert(OpenRpc {
+            reply_to,
+            request,
+            arrived_at,
+            awaits_answer: true,
+            original: None,
+            state: RpcState::Queued,
+            body: Some(body),
+            last_link: None,
+            upstream_failed: false,
+        });
+        self.submit(id, out);
+        true
+    }
+
+    fn has_new_idempotency_key(&self, request: &IncomingRpc, arrived_at: Us) -> bool {
+        request.idempotency_key.is_some_and(|key| self.idempotency.original(key, arrived_at).is_none())
+    }
+
+    /// Submits a queued RPC to the decision module, together with the one that it repeats.
+    pub(crate) fn submit(&mut self, id: RpcId, out: &mut dyn Outputs<ReplyTo>) {
+        let Some(rpc) = self.rpcs.get(id) else { return };
+        let request = &rpc.request;
+        let cache_key = self.cache_key(request);
+        let original = match (request.idempotency_key, cache_key) {
+            (Some(key), _) => self.idempotency.original(key, rpc.arrived_at),
+            (None, Some(key)) => self.response_cache.original(key, self.now),
+            (None, None) => None,
+        };
+        let arrival = Arrival {
+            id,
+            method: request.method,
+            caller: request.caller,
+            deadline: request.deadline,
+            size_kb: request.size_kb,
+            unread_for: self.now.saturating_sub(rpc.arrived_at),
+            original,
+            cache_key: request.cache_key,
+        };
+        let tenant = request.tenant;
+        if let (Some(key), None, None) = (cache_key, original, request.idempotency_key) {
+            self.response_cache.register(key, id);
+        }
+        if let Some(rpc) = self.rpcs.get_mut(id) {
+            rpc.original = original;
+        }
+        let outcome = self.control.rpc_read(self.now, arrival, tenant);
+        self.apply(outcome, out);
+    }
+
+    /// The key under which the result of an RPC may be shared, if it may be.
+    fn cache_key(&self, request: &IncomingRpc) -> Option<CacheKey> {
+        let may_share = request.coalescible && self.is_coalescible(request.method);
+        let key = request.cache_key.filter(|_| may_share)?;
+        Some(CacheKey { method: request.method, key })
+    }
+
+    /// An RPC came that could never be run here: it is aborted at once.
+    pub fn abort_unserviceable(&mut self, now: Us, reply_to: ReplyTo, out: &mut dyn Outputs<ReplyTo>) {
+        self.advance_to(now);
+        self.stats.requests += 1;
+        self.stats.aborted += 1;
+        out.answer(reply_to, FinalAnswer::Aborted, self.credit, None);
+    }
+
+    /// An RPC came that is not to be served here: it is rejected at once, and its caller is not to retry elsewhere.
+    pub fn reject(&mut self, now: Us, reply_to: ReplyTo, out: &mut dyn Outputs<ReplyTo>) {
+        self.advance_to(now);
+        self.stats.requests += 1;
+        self.stats.rejected += 1;
+        let answer = FinalAnswer::Rejected { terminal: true, retry_after: 0 };
+        out.answer(reply_to, answer, self.credit, None);
+    }
+
+    /// A requester does not wait for its answer any more. False if none was due.
+    pub fn caller_cancelled(&mut self, now: Us, reply_to: ReplyTo, out: &mut dyn Outputs<ReplyTo>) -> bool {
+        self.advance_to(now);
+        let Some(id) = self.rpcs.remove_unanswered(reply_to) else { return false };
+        self.stats.callers_gone += 1;
+        self.answer_no_longer_due(id, out);
+        let outcome = self.control.caller_cancelled(self.now, id);
+        self.apply(outcome, out);
+        true
+    }
+}
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -1,25 +1,27 @@
 //! The open RPCs of one server, from the moment each is read to its one final answer.
 //!
-//! [`Engine`] is the sole owner of the decision module ([`asterrill::Control`]), of the table of open RPCs, of
-//! the wakes the module asked for, of RPCs that wait for another's result, and of the results kept for them.
-//! It has no socket, no clock and no coroutine, and knows no protocol: whoever owns those brings it one input
-//! at a time, with the time, and carries out what is handed back through [`Outputs`].
+//! An [`Engine`] is the sole owner of the decision module ([`asterrill::Control`]), of the table of open RPCs, of the
+//! wakeups that the module asked for, of idempotency keys with their results, and of cached results of reads. It has no
+//! socket, no clock and no coroutine, and knows no protocol: whoever owns those brings it one input at a time, with the
+//! time, and carries out what it hands back through [`Outputs`].
 //!
 //! Four kinds of surroundings meet here, and know nothing of one another:
 //!
-//! | who | brings | is told |
+//! | who | brings | is called by |
 //! | --- | --- | --- |
-//! | fronts: who asks and is answered | [`Engine::request_received`], [`Engine::caller_gone`] | [`Outputs::answer`] |
-//! | executors: who runs | [`Engine::run_ended`], [`Engine::call_needed`], [`Engine::launch_failed`] | [`Outputs::launch`], [`Outputs::resume`], [`Outputs::skip`], [`Outputs::stop`] |
-//! | the layer below | [`Engine::call_ended`], [`Engine::upstream_link_ended`] | [`Outputs::send_call`], [`Outputs::cancel_call`] |
+//! | front ends, which read RPCs and send answers | [`Engine::request_received`], [`Engine::caller_cancelled`] | [`Outputs::answer`] |
+//! | executors, which run them | [`Engine::run_ended`], [`Engine::call_needed`], [`Engine::launch_failed`] | [`Outputs::launch`], [`Outputs::resume`], [`Outputs::skip`], [`Outputs::stop`] |
+//! | the upstream tier | [`Engine::call_ended`], [`Engine::upstream_link_ended`] | [`Outputs::send_call`], [`Outputs::cancel_call`] |
 //! | the owner of time and gauges | [`Engine::tick`], [`Engine::gauges_sampled`], [`Engine::drain`] | [`Outputs::request_gauges`] |
 //!
-//! `P` says where an answer goes: any small value that the fronts tell apart by themselves, such as a stream
-//! of a connection, a delivery of a queue, or the number of a request in the same process.
+//! The type parameter `ReplyTo` says where an answer goes: any small value that the front ends tell apart by themselves,
+//! such as a stream of a connection, a message of a queue, or the number of a request in the same process.
 //!
-//! Promises:
-//! - Each RPC that [`Engine::request_received`] took is answered once, or given up by [`Engine::caller_gone`], never both.
-//! - An RPC is launched at most once; only an executor that lost the command is told again, by itself.
+//! Guarantees:
+//! - Each RPC that [`Engine::request_received`] took is answered once, or given up by [`Engine::caller_cancelled`],
+//!   never both.
+//! - An RPC is launched at most once. An executor that lost a command is sent it again by its owner
+//!   ([`Engine::last_command`]), not by the engine.
 //! - Nothing is handed back for an RPC after [`Outputs::closed`]; then its id may be used again.
 //! - Time never goes back here, whatever the clock does.
 //!
@@ -45,13 +47,32 @@
 //! assert_eq!((engine.open_rpcs(), engine.unanswered()), (0, 0));
 //! ```
 
+#![warn(missing_docs)]
+
+mod answers;
+mod calls;
+mod config;
+mod drain;
 mod engine;
 mod idempotency;
+mod intake;
+mod outcomes;
 mod outputs;
+mod request;
 mod response_cache;
+mod rpc;
+mod runs;
+mod settings;
+mod stats;
+mod table;
+mod timers;
+
 #[cfg(test)]
 mod tests;
 
-pub use engine::{Command, Engine, EngineConfig, Hold, IncomingRpc, RetentionLimits};
+pub use config::{CopyBody, EngineConfig, RetentionLimits};
+pub use engine::Engine;
 pub use idempotency::IdempotencyKey;
-pub use outputs::{EngineStats, Outputs, Served, UpstreamLinkId};
+pub use outputs::{Outputs, Served, UpstreamLinkId};
+pub use request::{Command, IncomingRpc};
+pub use stats::EngineStats;
--- /dev/null
+++ b/engine/src/runs.rs
@@ -0,0 +1,74 @@
+//! Inputs from the executor about runs, and what the end of a run means for those that waited for its result.
+
+use crate::engine::Engine;
+use crate::outputs::Outputs;
+use crate::rpc::{RpcState, SentCommand};
+use asterrill::{FinalAnswer, RpcId, RunEnd, Us};
+
+impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
+    /// A run has ended, with `result` if it was ok.
+    pub fn run_ended(
+        &mut self, now: Us, id: RpcId, end: RunEnd, result: &[u8], out: &mut dyn Outputs<ReplyTo>,
+    ) {
+        self.advance_to(now);
+        let Some(rpc) = self.rpcs.get(id) else {
+            self.stats.stale_events += 1;
+            return;
+        };
+        let state = rpc.state;
+        if matches!(end, RunEnd::Ok | RunEnd::Aborted) {
+            out.run_completed(rpc.reply_to);
+        }
+        self.count_run_end(end);
+        if let RpcState::Calling(call) = state {
+            self.abandon_call(id, call, false, out);
+        }
+        let result = Some(result).filter(|_| end == RunEnd::Ok);
+        self.answer(id, result.map_or(FinalAnswer::Aborted, FinalAnswer::Ok), out);
+        self.close(id, out);
+        let expires_at = self.now + self.result_ttl;
+        self.response_cache.complete(id, expires_at, || result.and_then(&self.copy_body));
+        self.stats.results_evicted += self.idempotency.complete(id, result);
+        let outcome = self.control.run_ended(self.now, id, end);
+        self.apply(outcome, out);
+        for follower in self.rpcs.followers(id) {
+            self.finish_coalesced(follower, result, out);
+        }
+    }
+
+    fn count_run_end(&mut self, end: RunEnd) {
+        let count = match end {
+            RunEnd::Ok => &mut self.stats.runs_ok,
+            RunEnd::Aborted => &mut self.stats.runs_aborted,
+            RunEnd::Stopped => &mut self.stats.runs_stopped,
+            RunEnd::NotStarted => &mut self.stats.runs_not_started,
+        };
+        *count += 1;
+    }
+
+    /// The executor can't run what it was sent to launch. Returns who asked for it, if it was sent so.
+    pub fn launch_failed(&mut self, now: Us, id: RpcId, out: &mut dyn Outputs<ReplyTo>) -> Option<ReplyTo> {
+        let rpc = self.rpcs.get(id).filter(|rpc| rpc.state == RpcState::Running(SentCommand::Launch))?;
+        let reply_to = rpc.reply_to;
+        self.run_ended(now, id, RunEnd::NotStarted, &[], out);
+        Some(reply_to)
+    }
+
+    /// Answers a coalesced RPC with the result of its original; aborts it if there is none.
+    pub(crate) fn finish_coalesced(
+        &mut self, id: RpcId, result: Option<&[u8]>, out: &mut dyn Outputs<ReplyTo>,
+    ) {
+        self.answer(id, result.map_or(FinalAnswer::Aborted, FinalAnswer::Ok), out);
+        self.close(id, out);
+        let end = if result.is_some() { RunEnd::Ok } else { RunEnd::Aborted };
+        let outcome = self.control.run_ended(self.now, id, end);
+        self.apply(outcome, out);
+    }
+
+    /// An RPC leaves the table.
+    pub(crate) fn close(&mut self, id: RpcId, out: &mut dyn Outputs<ReplyTo>) {
+        if self.rpcs.remove(id) {
+            out.closed(id);
+        }
+    }
+}
--- /dev/null
+++ b/engine/src/tests/engine.rs
@@ -0,0 +1,237 @@
+//! The engine as a library embeds it, without sockets.
+
+use super::harness::{Harness, KEYED_METHOD, MS, WINDOW};
+use crate::{Command, IdempotencyKey, IncomingRpc};
+use asterrill::{CallEnd, CallerId, MethodId, RpcId, RunEnd, Upstream};
+use quickcheck::{Gen, QuickCheck};
+
+#[test]
+fn answers_each_rpc_once_and_in_time_in_any_order() {
+    fn holds(steps: Vec<(u8, u16)>) -> bool {
+        let mut harness = Harness::new(Upstream::Tier);
+        for (step, n) in steps {
+            harness.step(step, n as usize);
+        }
+        harness.advance(2_000 * MS);
+        harness.check();
+        harness.engine.unanswered() == 0
+    }
+    let mut runs = QuickCheck::new().tests(150).rng(Gen::from_size_and_seed(300, 4));
+    runs.quickcheck(holds as fn(Vec<(u8, u16)>) -> bool);
+}
+
+/// The state in which a repeat finds the attempt before it.
+#[derive(Clone, Copy, Debug)]
+enum Before {
+    Queued,
+    Running,
+    Ended(RunEnd),
+}
+
+#[test]
+fn repeats_with_an_idempotency_key_share_one_run() {
+    for (before, answer) in [
+        (Before::Queued, "ok"),
+        (Before::Running, "ok"),
+        (Before::Ended(RunEnd::Ok), "ok"),
+        (Before::Ended(RunEnd::Aborted), "aborted"),
+        (Before::Ended(RunEnd::Stopped), "aborted"),
+    ] {
+        let mut harness = Harness::new(Upstream::Absent);
+        if let Before::Queued = before {
+            (0..4).for_each(|_| _ = harness.request(1, 900 * MS)); // these take all the cores
+        }
+        let first = harness.request_attempt(KEYED_METHOD, 900 * MS, Some(7), 0);
+        let id = harness.recorder.requests[&first];
+        assert_eq!(harness.recorder.launched.contains(&id), !matches!(before, Before::Queued));
+        if let Before::Ended(end) = before {
+            harness.recorder.runs.remove(&id);
+            harness.end_run(id, end);
+        }
+        // Two at once, and one that lay unread.
+        let again = [0, 0, 20 * MS].map(|unread| {
+            harness.advance(if unread > 0 { 30 * MS } else { 0 });
+            harness.request_attempt(KEYED_METHOD, 800 * MS, Some(7), unread)
+        });
+        while let Some(id) = harness.recorder.runs.pop_first() {
+            harness.end_run(id, RunEnd::Ok);
+        }
+        harness.check();
+        assert!(
+            again.iter().all(|requester| harness.recorder.answers[requester] == answer),
+            "{before:?}: {:?}",
+            harness.recorder.answers
+        );
+    }
+}
+
+#[test]
+fn idempotency_window_counts_from_the_arrival_of_the_attempt_that_ran() {
+    let mut harness = Harness::new(Upstream::Absent);
+    harness.advance(100 * MS);
+    let first = harness.request_attempt(KEYED_METHOD, 900 * MS, Some(1), 40 * MS); // arrived at 60 ms
+    harness.end_nth_run(0, RunEnd::Ok);
+    harness.advance(60 * MS + WINDOW - harness.now - MS);
+    let inside = harness.request_attempt(KEYED_METHOD, 900 * MS, Some(1), 0);
+    // A repeat that arrived in time is read long after the window has ended.
+    harness.advance(500 * MS);
+    let read_late = harness.request_attempt(KEYED_METHOD, 900 * MS, Some(1), 501 * MS);
+    assert_eq!(harness.recorder.launched.len(), 1);
+    assert!([first, inside, read_late].iter().all(|requester| harness.recorder.answers[requester] == "ok"));
+    // One that came after the window is another RPC: the record of the first has expired.
+    harness.request_attempt(KEYED_METHOD, 900 * MS, Some(1), 0);
+    assert_eq!(harness.recorder.launched.len(), 2);
+    harness.end_nth_run(0, RunEnd::Ok);
+    harness.check();
+    // Other keys are other RPCs, even at the same moment.
+    harness.request_attempt(KEYED_METHOD, 900 * MS, Some(2), 0);
+    harness.request_attempt(KEYED_METHOD, 900 * MS, Some(3), 0);
+    assert_eq!(harness.recorder.launched.len(), 4);
+}
+
+#[test]
+fn repeats_replace_an_attempt_that_never_ran_one_by_one() {
+    let mut harness = Harness::new(Upstream::Absent);
+    (0..2).for_each(|_| _ = harness.request(1, 900 * MS)); // these take all the cores
+    let attempts: Vec<u64> =
+        (0..200).map(|_| harness.request_attempt(KEYED_METHOD, 900 * MS, Some(4), 0)).collect();
+    // The caller of each cancels in turn; the others wait for the next attempt then.
+    for requester in &attempts[..199] {
+        harness.deadlines.remove(requester);
+        assert!(
+            harness.engine.caller_cancelled(harness.now, *requester, &mut harness.recorder),
+            "{requester} {:?}",
+            harness.recorder.answers
+        );
+    }
+    while let Some(id) = harness.recorder.runs.pop_first() {
+        harness.end_run(id, RunEnd::Ok);
+    }
+    assert_eq!(harness.recorder.answers.get(&attempts[199]), Some(&"ok"), "{:?}", harness.recorder.answers);
+    assert_eq!((harness.engine.open_rpcs(), harness.engine.unanswered()), (0, 0));
+    // All that wait when the first expires in the queue are decided at once, without recursion.
+    (0..2).for_each(|_| _ = harness.request(1, 900 * MS)); // these take all the cores
+    let queued = harness.request_attempt(KEYED_METHOD, 200 * MS, Some(5), 0);
+    let others: Vec<u64> =
+        (0..200).map(|_| harness.request_attempt(KEYED_METHOD, 200 * MS, Some(5), 0)).collect();
+    harness.advance(250 * MS);
+    assert!(others.iter().chain([&queued]).all(|requester| harness.recorder.answers.contains_key(requester)));
+    harness.advance(800 * MS);
+    harness.check();
+}
+
+#[test]
+fn evicting_a_result_retains_its_idempotency_key() {
+    let mut harness = Harness::new(Upstream::Absent);
+    let mut requesters = Vec::new();
+    for key in 0..100 {
+        // Ids have one or two digits, and 64 bytes of results are retained.
+        requesters.push(harness.request_attempt(KEYED_METHOD, 900 * MS, Some(key), 0));
+        harness.end_nth_run(0, RunEnd::Ok);
+    }
+    assert!(harness.engine.stats.results_evicted > 0);
+    let (old, new) = (
+        harness.request_attempt(KEYED_METHOD, 900 * MS, Some(0), 0),
+        harness.request_attempt(KEYED_METHOD, 900 * MS, Some(99), 0),
+    );
+    assert_eq!((harness.recorder.answers[&old], harness.recorder.answers[&new]), ("aborted", "ok"));
+    assert_eq!(harness.recorder.launched.len(), 100);
+    harness.check();
+}
+
+#[test]
+fn rejects_new_idempotency_keys_but_not_repeats_when_the_table_is_full() {
+    let mut harness = Harness::new(Upstream::Absent);
+    let request = |n: u32| IncomingRpc {
+        id: RpcId::from_number(n.into()),
+        method: MethodId(KEYED_METHOD),
+        tenant: None,
+        caller: CallerId(n.into()),
+        deadline: None,
+        time_unread: 0,
+        size_kb: 0.01,
+        cache_key: None,
+        coalescible: false,
+        idempotency_key: Some(IdempotencyKey(u128::from(n).to_be_bytes())),
+    };
+    let mut n = 0;
+    while harness.engine.stats.idempotency_keys_full == 0 {
+        assert!(n < 20_000, "no bound");
+        harness.engine.request_received(harness.now, n.into(), request(n), b"", &mut harness.recorder);
+        harness.engine.run_ended(
+            harness.now,
+            RpcId::from_number(n.into()),
+            RunEnd::Ok,
+            b"",
+            &mut harness.recorder,
+        );
+        n += 1;
+    }
+    assert_eq!(harness.recorder.answers[&u64::from(n - 1)], "rejected");
+    let again = IncomingRpc { id: RpcId::from_number(1 << 40), ..request(7) };
+    harness.engine.request_received(harness.now, 1 << 40, again, b"", &mut harness.recorder);
+    assert_eq!(harness.recorder.answers[&(1 << 40)], "ok", "its key was never dropped");
+    harness.advance(2 * WINDOW + 900 * MS);
+    harness.engine.request_received(harness.now, u64::from(n), request(n), b"", &mut harness.recorder);
+    assert!(
+        harness.recorder.launched.contains(&RpcId::from_number(n.into())),
+        "capacity again once the windows have ended"
+    );
+}
+
+#[test]
+fn reports_the_last_command_until_the_run_ends() {
+    let mut harness = Harness::new(Upstream::Tier);
+    let requester = harness.request(0, 900 * MS);
+    let id = harness.recorder.requests[&requester];
+    assert!(harness.engine.is_launched(requester));
+    assert_eq!(harness.engine.last_command(id), Some(Command::Launch { method: MethodId(0), body: b"body" }));
+    assert!(harness.engine.call_needed(harness.now, id, Some(b"call"), &mut harness.recorder));
+    assert_eq!(harness.engine.last_command(id), None);
+    let link = harness.recorder.calls.remove(&id).unwrap();
+    harness.engine.call_ended(harness.now, link, id, CallEnd::Ok, b"reply", &mut harness.recorder);
+    assert_eq!(harness.engine.last_command(id), Some(Command::Resume { reply: b"reply" }));
+    harness.end_nth_run(0, RunEnd::Ok);
+    assert_eq!((harness.engine.last_command(id), harness.engine.open_rpcs()), (None, 0));
+    assert!(harness.recorder.closed.contains(&id) && harness.recorder.answers[&requester] == "ok");
+}
+
+#[test]
+fn refuses_an_open_id_or_requester_and_retains_the_first() {
+    let mut harness = Harness::new(Upstream::Absent);
+    let requester = harness.request(1, 900 * MS);
+    let id = harness.recorder.requests[&requester];
+    let request = |id, caller| IncomingRpc {
+        id,
+        method: MethodId(1),
+        tenant: None,
+        caller: CallerId(caller),
+        deadline: Some(900 * MS),
+        time_unread: 0,
+        size_kb: 1.0,
+        cache_key: None,
+        coalescible: false,
+        idempotency_key: None,
+    };
+    assert!(!harness.engine.request_received(0, 77, request(id, 1), b"", &mut harness.recorder));
+    let other = RpcId::new("other").unwrap();
+    assert!(!harness.engine.request_received(0, requester, request(other, 1), b"", &mut harness.recorder));
+    harness.end_nth_run(0, RunEnd::Ok);
+    assert_eq!(
+        (harness.recorder.answers.get(&requester), harness.recorder.answers.get(&77)),
+        (Some(&"ok"), None)
+    );
+}
+
+#[test]
+fn aborts_a_failed_launch_and_counts_a_late_report_as_stale() {
+    let mut harness = Harness::new(Upstream::Absent);
+    let requester = harness.request(1, 900 * MS);
+    let id = harness.recorder.requests[&requester];
+    assert_eq!(harness.engine.launch_failed(harness.now, id, &mut harness.recorder), Some(requester));
+    assert_eq!(harness.recorder.answers[&requester], "aborted");
+    assert_eq!(harness.engine.launch_failed(harness.now, id, &mut harness.recorder), None);
+    harness.engine.run_ended(harness.now, id, RunEnd::Ok, b"", &mut harness.recorder);
+    assert_eq!(harness.engine.stats.stale_events, 1);
+    harness.check();
+}
--- /dev/null
+++ b/engine/src/tests/harness.rs
@@ -0,0 +1,264 @@
+//! Front ends, an executor and an upstream tier that the test plays: requesters are numbers, and runs end when the test
+//! says so.
+
+use crate::{
+    Engine, EngineConfig, IdempotencyKey, IncomingRpc, Outputs, RetentionLimits, Served, UpstreamLinkId,
+};
+use asterrill::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+pub(super) const MS: Us = 1_000;
+pub(super) const WINDOW: Us = 700 * MS; // of the method with idempotency keys
+pub(super) const KEYED_METHOD: usize = 2;
+
+pub(super) fn control(upstream: Upstream) -> Control {
+    let method = |idempotency, criticality, skip_value_ratio| Method {
+        latency_target: 400 * MS,
+        deadline: 900 * MS,
+        idempotency,
+        criticality,
+        late_value_ratio: 0.0,
+        idempotency_window: WINDOW,
+        skip_value_ratio,
+    };
+    let methods = vec![
+        method(Idempotency::Idempotent, 1.0, 0.5),
+        method(Idempotency::NonIdempotent, 3.0, 0.0),
+        method(Idempotency::Keyed, 2.0, 0.0),
+    ];
+    Control::new(
+        0,
+        7,
+        ControlParts {
+            step: 4 * MS,
+            stop_mode: StopMode::Abort,
+            methods,
+            accounts: CallerAccounts::new(400 * MS, 2),
+            concurrency: ConcurrencyLimit::new(0, 2, 8.0, 1.0, 1),
+            calls: UpstreamCalls::new(upstream, 2, 50 * MS, 400 * MS),
+            keys: IdempotencyKeys::new(0.0, 0),
+            memory: MemoryBudget::new(4_000.0, 4.0),
+            drain: Drain::new(400 * MS),
+            feedback: CallerFeedback::new(FeedbackMode::Credit, 0, 400 * MS, 0),
+            quotas: TenantQuotas::new(&[], 1, 1.0),
+        },
+    )
+}
+
+/// The engine's surroundings: they record what they are asked for, and check the guarantees with each.
+#[derive(Default)]
+pub(super) struct Recorder {
+    pub(super) requests: BTreeMap<u64, RpcId>,
+    pub(super) answers: BTreeMap<u64, &'static str>,
+    pub(super) runs: BTreeSet<RpcId>,
+    pub(super) launched: BTreeSet<RpcId>,
+    pub(super) closed: BTreeSet<RpcId>,
+    pub(super) calls: BTreeMap<RpcId, UpstreamLinkId>,
+    pub(super) violations: Vec<String>,
+    pub(super) calls_fail: bool, // upstream calls can't be sent
+    pub(super) attempts: BTreeMap<RpcId, (IdempotencyKey, Us)>, // of RPCs with idempotency keys, with their arrivals
+    pub(super) last_run: BTreeMap<IdempotencyKey, (RpcId, Us)>, // the attempt that ran last, and its arrival
+}
+
+impl Recorder {
+    /// Whether this is the result of a run with the same idempotency key.
+    pub(super) fn is_result_of_same_key(&self, to: u64, result: &[u8]) -> bool {
+        let key_of = |id: &RpcId| self.attempts.get(id).map(|(key, _)| *key);
+        let key = self.requests.get(&to).and_then(key_of);
+        key.is_some() && self.launched.iter().any(|id| key_of(id) == key && id.as_str().as_bytes() == result)
+    }
+}
+
+impl Outputs<u64> for Recorder {
+    fn answer(&mut self, to: u64, answer: FinalAnswer<'_>, _: Option<f64>, served: Option<Served>) {
+        if served.is_none() {
+            self.violations.push(format!("{to}: answered without its figures"));
+        }
+        let kind = match answer {
+            FinalAnswer::Ok(result) => {
+                let own = self.requests.get(&to).is_some_and(|id| id.as_str().as_bytes() == result);
+                if !own && !self.is_result_of_same_key(to, result) {
+                    self.violations.push(format!("{to}: a result of another run"));
+                }
+                "ok"
+            }
+            FinalAnswer::Rejected { .. }
+                if self.requests.get(&to).is_some_and(|id| self.launched.contains(id)) =>
+            {
+                self.violations.push(format!("{to}: rejected though it ran"));
+                "rejected"
+            }
+            FinalAnswer::Rejected { .. } => {
+                let attempt = self.requests.get(&to).and_then(|id| self.attempts.get(id));
+                let ran = attempt
+                    .and_then(|(key, at)| self.last_run.get(key).filter(|(_, ran)| *at < ran + WINDOW));
+                if ran.is_some() {
+                    self.violations.push(format!("{to}: rejected though an attempt of it ran"));
+                }
+                "rejected"
+            }
+            FinalAnswer::Aborted => "aborted",
+        };
+        if self.answers.insert(to, kind).is_some() {
+            self.violations.push(format!("{to}: answered twice"));
+        }
+    }
+    fn closed(&mut self, id: RpcId) {
+        if !self.closed.insert(id) {
+            self.violations.push(format!("{id:?}: closed twice"));
+        }
+    }
+    fn launch(&mut self, _: u64, id: RpcId, _: MethodId, _: &[u8]) {
+        if !self.launched.insert(id) || self.closed.contains(&id) {
+            self.violations.push(format!("{id:?}: launched twice, or after it closed"));
+        }
+        if let Some((key, at)) = self.attempts.get(&id).copied() {
+            if self.last_run.insert(key, (id, at)).is_some_and(|(_, ran)| at < ran + WINDOW) {
+                self.violations.push(format!("{id:?}: run again within the window"));
+            }
+        }
+        self.runs.insert(id);
+    }
+    fn stop(&mut self, _: RpcId) {}
+    fn resume(&mut self, id: RpcId, _: &[u8]) {
+        self.runs.insert(id);
+    }
+    fn skip(&mut self, id: RpcId) {
+        self.runs.insert(id);
+    }
+    fn run_completed(&mut self, _: u64) {}
+    fn request_gauges(&mut self) {}
+    fn send_call(
+        &mut self, previous: Option<UpstreamLinkId>, id: RpcId, _: Us, _: &[u8],
+    ) -> Option<UpstreamLinkId> {
+        let link = UpstreamLinkId(previous.map_or(0, |link| link.0 + 1));
+        if !self.calls_fail && self.calls.insert(id, link).is_some() {
+            self.violations.push(format!("{id:?}: two calls at a time"));
+        }
+        Some(link).filter(|_| !self.calls_fail)
+    }
+    fn cancel_call(&mut self, link: UpstreamLinkId, id: RpcId) {
+        if self.calls.remove(&id) != Some(link) {
+            self.violations.push(format!("{id:?}: cancelled a call that was not sent"));
+        }
+    }
+    fn call_finished(&mut self, _: UpstreamLinkId, _: bool) {}
+    fn set_health(&mut self, _: bool) {}
+    fn close_idle(&mut self, _: Us) {}
+    fn log(&mut self, _: &str) {}
+}
+
+/// The engine under test and its surroundings.
+pub(super) struct Harness {
+    pub(super) engine: Engine<u64, Vec<u8>>,
+    pub(super) recorder: Recorder,
+    pub(super) now: Us,
+    pub(super) deadlines: BTreeMap<u64, Us>,
+}
+
+impl Harness {
+    pub(super) fn new(upstream: Upstream) -> Harness {
+        let config = EngineConfig {
+            coalescible_methods: vec![true, false, false],
+            limits: RetentionLimits {
+                result_ttl: 0,
+                idempotency_result_bytes: 64,
+                max_rpc_lifetime: 900 * MS,
+            },
+        };
+        let mut engine = Engine::new(0, control(upstream), config, Box::new(|bytes| Some(bytes.to_vec())));
+        let mut recorder = Recorder::default();
+        engine.start(0, &mut recorder);
+        Harness { engine, recorder, now: 0, deadlines: BTreeMap::new() }
+    }
+    pub(super) fn request(&mut self, method: usize, timeout: Us) -> u64 {
+        self.request_attempt(method, timeout, None, 0)
+    }
+    /// Requests an attempt of the RPC with this idempotency key, which lay unread for so long.
+    pub(super) fn request_attempt(&mut self, method: usize, timeout: Us, key: Option<u8>, unread: Us) -> u64 {
+        let key = key.map(|n| IdempotencyKey([n; 16]));
+        let requester = self.recorder.requests.len() as u64 + 1;
+        let id = RpcId::new(&format!("{requester:x}")).unwrap();
+        self.recorder.requests.insert(requester, id);
+        self.recorder.attempts.extend(key.map(|key| (id, (key, self.now - unread))));
+        let request = IncomingRpc {
+            id,
+            method: MethodId(method),
+            tenant: None,
+            caller: CallerId(requester % 3),
+            deadline: Some(self.now + timeout),
+            time_unread: unread,
+            size_kb: 10.0,
+            cache_key: None,
+            coalescible: false,
+            idempotency_key: key,
+        };
+        self.deadlines.insert(requester, self.now + timeout);
+        assert!(self.engine.request_received(self.now, requester, request, b"body", &mut self.recorder));
+        requester
+    }
+    pub(super) fn nth_run(&self, n: usize) -> Option<RpcId> {
+        let count = self.recorder.runs.len().max(1);
+        self.recorder.runs.iter().nth(n % count).copied()
+    }
+    pub(super) fn end_nth_run(&mut self, n: usize, end: RunEnd) {
+        let Some(id) = self.nth_run(n) else { return };
+        self.recorder.runs.remove(&id);
+        self.end_run(id, end);
+    }
+    /// Ends a run, with its id as the result.
+    pub(super) fn end_run(&mut self, id: RpcId, end: RunEnd) {
+        self.engine.run_ended(self.now, id, end, id.as_str().as_bytes(), &mut self.recorder);
+    }
+    pub(super) fn advance(&mut self, span: Us) {
+        let until = self.now + span;
+        while let Some(at) = self.engine.next_timer().filter(|at| *at <= until) {
+            self.now = self.now.max(at);
+            self.engine.tick(self.now, &mut self.recorder);
+        }
+        self.now = until;
+    }
+    pub(super) fn check(&self) {
+        assert_eq!(self.recorder.violations, Vec::<String>::new());
+        for (requester, deadline) in &self.deadlines {
+            assert!(
+                self.recorder.answers.contains_key(requester) || self.now <= *deadline,
+                "{requester} was not answered"
+            );
+        }
+    }
+    pub(super) fn step(&mut self, step: u8, n: usize) {
+        match step % 8 {
+            0 | 1 => _ = self.request(n % 2, [60, 400, 900][n % 3] * MS),
+            2 => {
+                let unread = self.now.min(n as Us % 9 * MS);
+                self.request_attempt(
+                    KEYED_METHOD,
+                    [60, 400, 900][n % 3] * MS,
+                    Some((n / 3 % 5) as u8),
+                    unread,
+                );
+            }
+            3 => self.end_nth_run(n, [RunEnd::Ok, RunEnd::Ok, RunEnd::Aborted][n % 3]),
+            4 => {
+                if let Some(id) = self.nth_run(n) {
+                    self.recorder.runs.remove(&id);
+                    if !self.engine.call_needed(self.now, id, Some(b"call"), &mut self.recorder) {
+                        self.engine.run_ended(self.now, id, RunEnd::Stopped, &[], &mut self.recorder);
+                    }
+                }
+            }
+            5 => {
+                let first = self.recorder.calls.iter().next().map(|(id, link)| (*id, *link));
+                if let Some((id, link)) = first {
+                    self.recorder.calls.remove(&id);
+                    let end = [CallEnd::Ok, CallEnd::Aborted, CallEnd::Rejected][n % 3];
+                    self.engine.call_ended(self.now, link, id, end, b"reply", &mut self.recorder);
+                }
+            }
+            6 => self.recorder.calls_fail = n.is_multiple_of(4),
+            _ => self.advance(n as Us % 40 * MS),
+        }
+        self.check();
+    }
+}
--- /dev/null
+++ b/engine/src/tests/mod.rs
@@ -0,0 +1,4 @@
+//! Tests of the engine.
+
+mod engine;
+mod harness;
--- /dev/null
+++ b/engine/src/timers.rs
@@ -0,0 +1,69 @@
+//! Time: upstream calls time out, retained results expire, and the decision module is woken with fresh gauges.
+
+use crate::engine::{Engine, GaugeSample};
+use crate::outputs::Outputs;
+use asterrill::{Gauges, Us};
+
+/// Gauges are asked for this long before the wakeup that they are for, in microseconds.
+const GAUGE_LEAD_TIME: Us = 5_000;
+/// Gauges older than this are not passed on, in microseconds.
+const MAX_GAUGE_AGE: Us = 50_000;
+
+impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
+    /// Gauges can be had from now on.
+    pub fn gauges_available(&mut self) {
+        self.gauges_available = true;
+    }
+
+    /// The gauges that were asked for came.
+    pub fn gauges_sampled(&mut self, now: Us, gauges: Gauges) {
+        let sampled_at = self.advance_to(now);
+        self.gauges = Some(GaugeSample { sampled_at, gauges });
+    }
+
+    /// When [`Engine::tick`] is to be called next, in microseconds.
+    pub fn next_timer(&self) -> Option<Us> {
+        let must_request_gauges = self.gauges_available && !self.gauges_requested;
+        let lead_time = if must_request_gauges { GAUGE_LEAD_TIME } else { 0 };
+        let wakeup = self.wakeups.first().map(|at| at.saturating_sub(lead_time));
+        let call = self.call_timeouts.first().map(|timeout| timeout.at);
+        let drain = self.drain.map(|drain| drain.deadline).filter(|deadline| *deadline > self.now);
+        [wakeup, call, drain].into_iter().flatten().min()
+    }
+
+    /// Time has passed.
+    pub fn tick(&mut self, now: Us, out: &mut dyn Outputs<ReplyTo>) {
+        self.advance_to(now);
+        while let Some(timeout) = self.call_timeouts.first().copied().filter(|timeout| timeout.at <= self.now)
+        {
+            self.call_timed_out(timeout, out);
+        }
+        self.response_cache.expire(self.now);
+        self.idempotency.expire(self.now);
+        let Some(wakeup) = self.wakeups.first().copied() else { return };
+        if self.gauges_available && !self.gauges_requested && wakeup <= self.now + GAUGE_LEAD_TIME {
+            self.gauges_requested = true;
+            out.request_gauges();
+        }
+        if wakeup <= self.now {
+            self.wake(out);
+        }
+    }
+
+    /// Wakes the decision module, for all wakeups that have come.
+    fn wake(&mut self, out: &mut dyn Outputs<ReplyTo>) {
+        self.wakeups = self.wakeups.split_off(&(self.now + 1));
+        self.gauges_requested = false;
+        let fresh = self.gauges.take().filter(|sample| sample.sampled_at + MAX_GAUGE_AGE > self.now);
+        self.stats.wakeups += 1;
+        self.stats.wakeups_without_gauges += u64::from(fresh.is_none());
+        let gauges = fresh.map(|sample| sample.gauges).unwrap_or_default();
+        let outcome = self.control.timer_fired(self.now, gauges);
+        self.apply(outcome, out);
+    }
+
+    pub(crate) fn schedule_wakeup(&mut self, at: Us) {
+        self.gauges_requested &= self.wakeups.first().is_some_and(|first| *first <= at);
+        self.wakeups.insert(at);
+    }
+}
