--- a/net/tests/drivers.rs
+++ b/net/tests/drivers.rs
@@ -1,4 +1,4 @@
-//! The drivers on loopback sockets, against peers that read slowly, close at once or say nothing. All of them share the one
+//! The drivers on loopback sockets, against peers that read slowly, close at once or say nothing. All tests share the one
 //! worker.
 
 use asterrill_net::*;
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream as StdStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{channel, Receiver, Sender};
-use std::sync::{Arc, Once};
+use std::sync::{Arc, Mutex, MutexGuard, Once, PoisonError};
 use std::time::{Duration, Instant};
 
 /// How long a test waits for what must happen.
@@ -19,6 +19,12 @@
     ONCE.call_once(|| start_worker().unwrap());
 }
 
+/// Lets one test at a time use the worker: several here occupy it on purpose, and others have windows of time.
+fn exclusive() -> MutexGuard<'static, ()> {
+    static WORKER: Mutex<()> = Mutex::new(());
+    WORKER.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
 /// Answers each byte with so many of the same.
 struct Echo {
     outbox: Outbox,
@@ -78,6 +84,7 @@
 
 #[test]
 fn a_slow_reader_is_closed_at_its_limit_and_delays_nobody() {
+    let _worker = exclusive();
     let pool = BufferPool::new(64);
     let (at, received) = echo(&pool, 20 * BUFFER_SIZE, 4 * BUFFER_SIZE, 8);
     let mut slow = StdStream::connect(at).unwrap();
@@ -102,6 +109,7 @@
 
 #[test]
 fn a_slow_peer_leaves_buffers_to_others() {
+    let _worker = exclusive();
     let pool = BufferPool::new(16);
     let [slow, other] = [(); 2].map(|()| Outbox::new(&pool, 100 * BUFFER_SIZE));
     assert!((0..20).any(|_| !slow.put(&[&[0; BUFFER_SIZE]])));
@@ -110,6 +118,7 @@
 
 #[test]
 fn peers_that_send_as_fast_as_they_are_read_delay_nobody() {
+    let _worker = exclusive();
     let (at, _heard) = echo(&BufferPool::new(64), BUFFER_SIZE, 0, 8);
     let stop = Arc::new(AtomicBool::new(false));
     let flood = |stop: Arc<AtomicBool>| {
@@ -134,6 +143,7 @@
 
 #[test]
 fn a_half_closed_connection_gets_its_answers() {
+    let _worker = exclusive();
     let (at, received) = echo(&BufferPool::new(64), 20 * BUFFER_SIZE, 3 * BUFFER_SIZE, 8);
     let mut stream = StdStream::connect(at).unwrap();
     stream.write_all(b"ab").unwrap();
@@ -147,6 +157,7 @@
 
 #[test]
 fn at_the_limit_the_next_connection_waits_until_one_ends() {
+    let _worker = exclusive();
     let (at, received) = echo(&BufferPool::new(8), BUFFER_SIZE, 1, 1);
     let first = StdStream::connect(at).unwrap();
     let mut second = StdStream::connect(at).unwrap();
@@ -209,6 +220,7 @@
 
 #[test]
 fn a_link_that_is_closed_at_once_reconnects_with_backoff() {
+    let _worker = exclusive();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || listener.incoming().for_each(drop));
@@ -224,6 +236,7 @@
 
 #[test]
 fn a_lazy_link_connects_when_something_waits_and_reports_a_refusal() {
+    let _worker = exclusive();
     let at = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let (out, received) = link(at, false);
     assert!(received.recv_timeout(Duration::from_millis(50)).is_err());
@@ -239,6 +252,7 @@
 
 #[test]
 fn a_link_that_was_finished_connects_again_however_often() {
+    let _worker = exclusive();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (out, received) = link(listener.local_addr().unwrap(), false);
     for _ in 0..3 {
@@ -253,6 +267,7 @@
 
 #[test]
 fn coroutines_that_end_right_after_a_wait_do_not_block_the_worker() {
+    let _worker = exclusive();
     worker();
     let (events, received) = channel();
     for n in 0..5_000 {
@@ -268,6 +283,7 @@
 
 #[test]
 fn short_waits_end_in_time_and_a_notification_ends_a_long_one() {
+    let _worker = exclusive();
     // Waits of under a millisecond never ended with the timers of `may`.
     worker();
     let (events, received) = channel();
@@ -299,6 +315,7 @@
 
 #[test]
 fn reduced_limit_accepts_nobody_until_enough_have_ended_and_a_raised_one_does_at_once() {
+    let _worker = exclusive();
     worker();
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = listener.local_addr().unwrap();
