--- /dev/null
+++ b/daemon/src/tests/agreed_lists.rs
@@ -0,0 +1,42 @@
+//! The agreed deny lists.
+
+use super::*;
+
+#[test]
+fn rejects_by_agreed_lists_and_by_the_stricter_version_after_the_lease() {
+    use asterrill_consensus::{Access, ApplyPolicy, Change, ListEntry, ListKind, Step, Version};
+    let put = |kind, key: &str, access| Change::Put {
+        kind,
+        key: key.into(),
+        entry: ListEntry { access, expires_at: 0 },
+    };
+    let step = |version: &Version, changes| {
+        version.apply(&Step { base: None, proposer: "n1".into(), changes }).unwrap()
+    };
+    let one = step(
+        &Version::default(),
+        vec![put(ListKind::Callers, "1", Access::Allowed), put(ListKind::Callers, "2", Access::Denied)],
+    );
+    let two = step(&one, vec![put(ListKind::Callers, "1", Access::Denied)]);
+    let mut harness = CoreHarness::new(5);
+    let turned = |harness: &mut CoreHarness| {
+        [1, 2, 3].map(|conn| {
+            let (launched, stream_ref) =
+                (harness.peers.runs.len(), harness.send_rpc(conn, "look", 800 * MS, None));
+            let told = harness.peers.answers.get(&stream_ref).is_some_and(|(what, _)| *what == "pushed back");
+            assert!(!told || harness.peers.runs.len() == launched, "it runs and is turned away");
+            // What runs ends, so that nobody else is in the way.
+            (0..4).for_each(|n| harness.advance_run(n + 1, false));
+            harness.deliver_notices(usize::MAX);
+            told
+        })
+    };
+    assert_eq!(turned(&mut harness), [false; 3], "nobody agrees on anything yet");
+    harness.core.set_apply_policy(ApplyPolicy::full(one.clone()));
+    assert_eq!(turned(&mut harness), [false, true, false]);
+    harness.core.set_apply_policy(ApplyPolicy::transition(one, two));
+    assert_eq!(turned(&mut harness), [true, true, false], "the stricter of the two");
+    harness.core.expire_policy_lease();
+    assert_eq!(turned(&mut harness), [true, true, false], "a word may have been taken back");
+    assert_eq!((harness.core.stats().denied_by_policy, harness.peers.violations.len()), (5, 0));
+}
--- a/daemon/src/tests/change.rs
+++ b/daemon/src/tests/change.rs
@@ -27,13 +27,13 @@
 }
 
 /// A version with so many guests beside acme.
-fn guests(names: std::ops::Range<usize>) -> Entries {
+fn guests(names: std::ops::Range<usize>) -> Configuration {
     with_tenants(
         &std::iter::once("acme".into()).chain(names.map(|n| format!("guest {n}"))).collect::<Vec<_>>(),
     )
 }
 
-fn begin(start: &Entries) -> (Arc<Dispatcher>, ChangeDriver) {
+fn begin(start: &Configuration) -> (Arc<Dispatcher>, ChangeDriver) {
     let pool = BufferPool::new(500);
     let server = asterrill_settings::server_parts(now(), 1, start, None).unwrap();
     let core = Core::new(now(), server, BufferPool::new(500), 4);
@@ -50,7 +50,7 @@
     )
 }
 
-fn prepare_change(dispatcher: &Dispatcher, changes: &ChangeDriver, to: &Entries) -> PreparedChange {
+fn prepare_change(dispatcher: &Dispatcher, changes: &ChangeDriver, to: &Configuration) -> PreparedChange {
     let options = StageOptions { force: true, queue: false };
     let request = ChangeRequest { source: ChangeSource::Configuration(to.clone()), base: None, options };
     prepare(&changes.validation_context(dispatcher), request, POLICY, 1).unwrap()
@@ -98,10 +98,10 @@
 fn reloaded_file_prepared_against_another_version_is_compared_again() {
     let start = guests(0..3);
     let (dispatcher, mut changes) = begin(&start);
-    let mut file = server();
+    let mut file = sample_settings();
     file["Tenants"] = json!([{"Name": "acme", "QuotaRps": 500_000}, {"Name": "guest 0", "QuotaRps": 1_000_000},
         {"Name": "guest 1", "QuotaRps": 1_000_000}, {"Name": "guest 2", "QuotaRps": 1_000_000}]);
-    let to = content(&file);
+    let to = configuration(&file);
     let old = prepare_change(&dispatcher, &changes, &to);
     // Meanwhile a step comes into force that puts one whom the file does not know.
     let prepared = prepare_change(&dispatcher, &changes, &guests(0..4));
@@ -203,12 +203,12 @@
 #[ignore = "a measurement"]
 fn cost_of_slices_of_a_change_of_all_quotas_and_methods_and_of_its_undo() {
     let version = |quota: u64, aim: u64| {
-        let mut settings = server();
+        let mut settings = sample_settings();
         let method = |n: u64| json!({"Name": format!("method-{n:05}"), "AimMs": aim, "DeadlineMs": 900, "Effect": "free", "Worth": 1});
         settings["Categories"] = (0..4_700).map(method).collect();
         let tenant = |n: u64| json!({"Name": format!("tenant-{n:05}"), "QuotaRps": quota});
         settings["Tenants"] = (0..49_000).map(tenant).collect();
-        content(&settings)
+        configuration(&settings)
     };
     let (start, to) = (version(100, 400), version(120, 500));
     let (dispatcher, mut changes) = begin(&start);
--- a/daemon/src/tests/dispatcher.rs
+++ b/daemon/src/tests/dispatcher.rs
@@ -1,6 +1,6 @@
 //! The dispatcher with a sidecar's connection on a real socket.
 
-use super::{made, server, START};
+use super::{sample_settings, server_parts, START};
 use crate::connection::SidecarConnection;
 use crate::core::Core;
 use crate::dispatcher::Dispatcher;
@@ -22,7 +22,7 @@
 fn who_never_takes_what_it_is_owed_is_cut_off_in_the_end_and_who_does_is_not() {
     start_worker().unwrap();
     let pool = BufferPool::new(500);
-    let core = Core::new(START, made(START, 1, &server(), None), BufferPool::new(500), 4);
+    let core = Core::new(START, server_parts(START, 1, &sample_settings(), None), BufferPool::new(500), 4);
     let agent = Outbox::new(&pool, 1 << 16);
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let pools = [pool.clone(), BufferPool::new(500)];
--- /dev/null
+++ b/daemon/src/tests/harness.rs
@@ -0,0 +1,344 @@
+//! The core together with a stand-in for everything around it, in virtual time.
+
+use super::settings::{configuration, sample_settings, server_parts, version_switch};
+use super::stand_in::{Notice, PeerStandIn, Run};
+use super::{DEADLINE, MS, SLACK, START};
+use crate::core::Core;
+use crate::ids::{ConnectionId, SidecarStream};
+use asterrill::{CallEnd, CallerId, RpcId, RunEnd, Us};
+use asterrill_engine::UpstreamLinkId;
+use asterrill_entries::{Change, Configuration};
+use asterrill_net::BufferPool;
+use asterrill_protocol::agent::NoticeId;
+use asterrill_protocol::sidecar::{RpcRequest, StreamId};
+use serde_json::{json, Value};
+use std::collections::{BTreeMap, VecDeque};
+
+pub(super) struct CoreHarness {
+    pub(super) core: Core,
+    pub(super) peers: PeerStandIn,
+    pub(super) now: Us,
+    pub(super) rpcs: BTreeMap<SidecarStream, (RpcRequest, bool)>, // and whether its caller is gone
+    pub(super) notices_read: usize,                               // notices that were read
+    pub(super) next_id: u64,
+    pub(super) killed_at: Option<Us>,
+    pub(super) version: u64,
+    pub(super) entries: Configuration,
+    /// A version that is going in, and what of it is still to be staged.
+    pub(super) staging: Option<(Configuration, VecDeque<Change>)>,
+}
+
+impl CoreHarness {
+    pub(super) fn new(seed: u64) -> CoreHarness {
+        CoreHarness::with_settings(seed, &sample_settings())
+    }
+    pub(super) fn with_settings(seed: u64, settings: &Value) -> CoreHarness {
+        let mut core = Core::new(START, server_parts(START, seed, settings, None), BufferPool::new(500), 4);
+        let mut out = PeerStandIn::default();
+        core.start(START, &mut out);
+        core.agent_connected(START);
+        core.agent_up(START, None, &mut out);
+        CoreHarness::with_core(core, out, START, settings)
+    }
+    pub(super) fn with_core(core: Core, peers: PeerStandIn, now: Us, settings: &Value) -> CoreHarness {
+        let entries = configuration(settings);
+        CoreHarness {
+            core,
+            peers,
+            now,
+            rpcs: BTreeMap::new(),
+            notices_read: 0,
+            next_id: 0,
+            killed_at: None,
+            version: 1,
+            entries,
+            staging: None,
+        }
+    }
+
+    /// Tries of one read have one key and one body.
+    pub(super) fn send_rpc(
+        &mut self, conn: u64, method: &str, patience: Us, key: Option<u64>,
+    ) -> SidecarStream {
+        let of = key.map_or_else(|| format!("own {}", self.next_id), |key| format!("of {key}"));
+        self.send_rpc_with_body(conn, method, patience, key, format!("body\r\n{of}").into_bytes())
+    }
+    pub(super) fn send_rpc_with_body(
+        &mut self, conn: u64, method: &str, patience: Us, key: Option<u64>, body: Vec<u8>,
+    ) -> SidecarStream {
+        self.next_id += 1;
+        let id = RpcId::new(&format!("{:016x}", self.next_id)).unwrap();
+        let stream_ref = SidecarStream { conn: ConnectionId(conn), stream: StreamId(self.next_id as u32) };
+        let (caller, due) = (CallerId(conn), Some(self.now + patience));
+        let (method, tenant) = (method.to_string(), "acme".to_string());
+        let ask = RpcRequest { id, method, tenant, caller, born: self.now - 3 * MS, due, size_kb: 20.0, key };
+        self.peers.bodies.insert(id, body.clone());
+        if self.core.rpc_received(self.now, stream_ref, ask.clone(), &body, &mut self.peers) {
+            self.rpcs.insert(stream_ref, (ask, false));
+        }
+        stream_ref
+    }
+
+    /// The agent ends a run, or lets it wait for a call; the core hears of it when it reads on.
+    pub(super) fn advance_run(&mut self, n: usize, call: bool) {
+        let going = |r: &&mut Run| !r.over && r.waits.is_none();
+        let count = self.peers.runs.values_mut().filter(|r| going(r)).count().max(1);
+        let Some((id, run)) = self.peers.runs.iter_mut().filter(|(_, r)| going(r)).nth(n % count) else {
+            return;
+        };
+        let id = *id;
+        let told = if call && !run.stopped {
+            let body = format!("call {n}").into_bytes();
+            run.waits = Some((self.peers.notices.len() as u64 + 1, body.clone()));
+            Notice::CallNeeded(id, body)
+        } else {
+            run.over = true;
+            let end = match (run.stopped, n % 5) {
+                (true, _) => RunEnd::Stopped,
+                (_, 0) => RunEnd::Aborted,
+                _ => RunEnd::Ok,
+            };
+            Notice::Ended(id, end, if end == RunEnd::Ok { PeerStandIn::result(id) } else { vec![] })
+        };
+        self.peers.notify(told);
+    }
+
+    /// Runs that wait for a call end once their RPC is over.
+    pub(super) fn end_abandoned_runs(&mut self) {
+        let answered = |id: &RpcId| {
+            self.rpcs.iter().any(|(stream_ref, (ask, gone))| {
+                ask.id == *id && (*gone || self.peers.answers.contains_key(stream_ref))
+            })
+        };
+        let over: Vec<RpcId> = self
+            .peers
+            .runs
+            .iter()
+            .filter(|(id, r)| r.waits.is_some() && answered(id))
+            .map(|(id, _)| *id)
+            .collect();
+        for id in over {
+            if let Some(run) = self.peers.runs.get_mut(&id) {
+                (run.over, run.waits) = (true, None);
+            }
+            self.peers.notify(Notice::Ended(id, RunEnd::Stopped, vec![]));
+        }
+    }
+
+    pub(super) fn deliver_notices(&mut self, most: usize) {
+        for _ in 0..most {
+            if self.peers.agent_unreachable || self.notices_read >= self.peers.notices.len() {
+                return;
+            }
+            let number = NoticeId(self.notices_read as u64 + 1);
+            self.notices_read += 1;
+            let told = std::mem::replace(
+                &mut self.peers.notices[self.notices_read - 1],
+                Notice::CallNeeded(empty_id(), vec![]),
+            );
+            match &told {
+                Notice::Ended(id, end, result) => {
+                    self.core.run_ended(self.now, number, *id, *end, result, &mut self.peers)
+                }
+                Notice::CallNeeded(id, body) => {
+                    self.core.call_needed(self.now, number, *id, Some(body), &mut self.peers)
+                }
+            }
+            self.peers.notices[number.0 as usize - 1] = told;
+        }
+    }
+
+    pub(super) fn end_call(&mut self, n: usize, end: CallEnd) {
+        let count = self.peers.calls.len().max(1);
+        let Some((id, link)) = self.peers.calls.iter().nth(n % count).map(|(id, link)| (*id, *link)) else {
+            return;
+        };
+        self.peers.calls.remove(&id);
+        let body = self.peers.runs.get(&id).and_then(|r| r.waits.clone()).map_or(vec![], |(_, body)| body);
+        let reply = if end == CallEnd::Ok { PeerStandIn::reply(&body) } else { vec![] };
+        self.core.call_ended(self.now, link, id, end, &reply, &mut self.peers);
+    }
+
+    /// The link to the agent stands again: what was not read comes again.
+    pub(super) fn reconnect_agent(&mut self) {
+        self.peers.agent_unreachable = false;
+        self.peers.samples.clear();
+        let last = self.core.agent_connected(self.now);
+        self.notices_read = last.0 as usize;
+        self.core.agent_up(self.now, None, &mut self.peers);
+        self.deliver_notices(usize::MAX);
+        self.peers.allows_repeats = true;
+        self.deliver_samples();
+        self.peers.allows_repeats = false;
+    }
+
+    pub(super) fn deliver_samples(&mut self) {
+        while let Some(tag) = self.peers.samples.pop_front() {
+            self.core.sample_received(self.now, tag, &[1.0, 1.0], &mut self.peers);
+        }
+    }
+
+    pub(super) fn advance(&mut self, span: Us) {
+        let until = self.now + span;
+        while let Some(at) = self.core.next_deadline().filter(|at| *at <= until) {
+            self.now = self.now.max(at);
+            self.core.tick(self.now, &mut self.peers);
+            self.deliver_samples();
+        }
+        self.now = until;
+    }
+
+    pub(super) fn cancel(&mut self, stream_ref: SidecarStream) {
+        if let Some((_, gone)) = self.rpcs.get_mut(&stream_ref) {
+            *gone |= !self.peers.answers.contains_key(&stream_ref);
+        }
+        self.core.rpc_cancelled(self.now, stream_ref, &mut self.peers);
+    }
+
+    /// Another version comes into force: methods in another order, one less, other memory and cores. What was coming
+    /// in comes into force first.
+    pub(super) fn switch_version(&mut self, n: usize) {
+        self.begin_staging(n);
+        self.continue_staging(usize::MAX);
+    }
+
+    /// Another version begins to come in; one that was coming in is in force before that.
+    pub(super) fn begin_staging(&mut self, n: usize) {
+        self.continue_staging(usize::MAX);
+        let mut settings = sample_settings();
+        let methods = settings["Categories"].as_array_mut().unwrap();
+        match n % 4 {
+            0 => {}
+            1 => methods.reverse(),
+            2 => drop(methods.pop()),
+            _ => methods.insert(
+                0,
+                json!({"Name": "more", "AimMs": 100, "DeadlineMs": 200, "Effect": "free", "Worth": 9}),
+            ),
+        }
+        settings["FamilyInfo"]["NCores"] = json!(1 + n % 3);
+        settings["FamilyInfo"]["RamKb"] = json!(2_000 + 500 * (n % 5));
+        settings["FamilyInfo"]["RunFactor"] = json!(2 + n % 4);
+        settings["FamilyInfo"]["ClassSkipWorth"] = json!([]);
+        if n % 5 == 4 {
+            // The tenant of all that is in hand is at another index, or nowhere.
+            let other = json!({"Name": "other", "QuotaRps": 5});
+            let acme = json!({"Name": "acme", "QuotaRps": 1_000_000});
+            settings["Tenants"] = if n % 10 == 4 { json!([other, acme]) } else { json!([other]) };
+        }
+        let to = configuration(&settings);
+        let step = self.entries.changes_to(&to);
+        self.core.check_capacity_for(&step, &[]).unwrap();
+        self.staging = Some((to, step.into()));
+    }
+
+    /// So many entries of the version that is coming in go in beside what is in force; with the last of them it turns
+    /// over, whole.
+    pub(super) fn continue_staging(&mut self, entries: usize) {
+        let Some((to, mut step)) = self.staging.take() else { return };
+        let slice: Vec<Change> = step.drain(..entries.min(step.len())).collect();
+        self.core.stage(&slice);
+        if !step.is_empty() {
+            self.staging = Some((to, step));
+            return;
+        }
+        self.version += 1;
+        self.core.switch_version(self.now, version_switch(self.now, self.version, &to), &mut self.peers);
+        self.entries = to;
+        if self.version.is_multiple_of(2) {
+            self.core.commit_change();
+        }
+        let _ = self.core.take_service_sample();
+    }
+
+    pub(super) fn random_step(&mut self, what: u8, n: usize) {
+        match what % 16 {
+            0..=3 => {
+                let method = ["look", "look", "book"][n % 3];
+                let key = Some((n % 4) as u64).filter(|_| n.is_multiple_of(2));
+                self.send_rpc(n as u64 % 3, method, [60, 400, 900][n / 3 % 3] * MS, key);
+            }
+            4 | 5 => self.advance_run(n, false),
+            6 => self.advance_run(n, true),
+            7 | 8 => self.deliver_notices(1 + n % 3),
+            9 => self.end_call(n, [CallEnd::Ok, CallEnd::Ok, CallEnd::TimedOut, CallEnd::Rejected][n % 4]),
+            10 => {
+                let count = self.rpcs.len().max(1);
+                if let Some(stream_ref) =
+                    self.rpcs.keys().nth(n % count).copied().filter(|_| n.is_multiple_of(3))
+                {
+                    self.cancel(stream_ref);
+                }
+            }
+            11 if n.is_multiple_of(4) => {
+                let on: Vec<SidecarStream> =
+                    self.rpcs.keys().filter(|p| p.conn.0 == n as u64 % 3).copied().collect();
+                for stream_ref in on {
+                    if let Some((_, gone)) = self.rpcs.get_mut(&stream_ref) {
+                        *gone |= !self.peers.answers.contains_key(&stream_ref);
+                    }
+                }
+                self.core.connection_closed(self.now, ConnectionId(n as u64 % 3), &mut self.peers);
+            }
+            12 if n.is_multiple_of(3) => self.peers.agent_unreachable = true,
+            12 => self.reconnect_agent(),
+            11 if n % 4 == 1 => self.switch_version(n / 4),
+            11 if n % 4 == 2 => self.begin_staging(n / 4),
+            11 => self.continue_staging(1 + n % 2),
+            13 if n.is_multiple_of(8) => {
+                let link = UpstreamLinkId(n / 8 % 4);
+                self.peers.calls.retain(|_, on| *on != link);
+                self.core.link_ended(self.now, link, n.is_multiple_of(16), &mut self.peers);
+                self.core.link_ready(link);
+                self.peers.refuses_calls = n.is_multiple_of(3);
+            }
+            14 if n.is_multiple_of(50) && self.killed_at.is_none() => {
+                self.killed_at = Some(self.now + 1_500 * MS);
+                self.core.drain(self.now, 1_500 * MS, &mut self.peers);
+            }
+            _ => self.advance((n as Us % 30) * MS),
+        }
+        self.end_abandoned_runs();
+        self.check_invariants();
+    }
+
+    pub(super) fn check_invariants(&self) {
+        assert_eq!(self.peers.violations, Vec::<String>::new());
+        for (stream_ref, (ask, gone)) in &self.rpcs {
+            let answer = self.peers.answers.get(stream_ref);
+            assert!(
+                answer.is_some() || *gone || self.now <= ask.due.unwrap_or(ask.born + DEADLINE) + SLACK,
+                "lost {ask:?}"
+            );
+            if let Some(("ok", body)) = answer {
+                // A read that repeats another may carry what the other's run made.
+                let made = |id: RpcId| {
+                    PeerStandIn::result(id) == *body && self.peers.runs.get(&id).is_some_and(|r| r.over)
+                };
+                let same = |other: &RpcRequest| {
+                    other.key.is_some() && (&other.method, other.key) == (&ask.method, ask.key)
+                };
+                let joined = self.rpcs.values().any(|(other, _)| same(other) && made(other.id));
+                assert!(made(ask.id) || joined, "ok without its result {ask:?}");
+            }
+        }
+    }
+
+    /// Everything comes to its end: all is answered and nothing is left in the tables.
+    pub(super) fn run_to_completion(&mut self) {
+        self.reconnect_agent();
+        for _ in 0..400 {
+            self.advance(5 * MS);
+            self.advance_run(1, false);
+            self.end_abandoned_runs();
+            self.deliver_notices(usize::MAX);
+            self.check_invariants();
+        }
+        assert_eq!((self.core.unanswered_rpcs(), self.core.open_rpcs()), (0, 0));
+        assert_eq!(self.core.stats().half_applied, 0);
+    }
+}
+
+pub(super) fn empty_id() -> RpcId {
+    RpcId::new("").unwrap()
+}
