--- a/daemon/src/operator_requests.rs
+++ b/daemon/src/operator_requests.rs
@@ -74,7 +74,7 @@
         std::mem::take(&mut *self.lock())
     }
 
-    /// Nothing is carried out any more; whoever waits for a reply is not kept waiting.
+    /// Nothing is carried out any more; whoever waits for a reply is answered at once.
     pub fn close(&self) {
         *self.lock() = PendingRequests { closed: true, ..PendingRequests::default() };
     }
--- a/rollout/src/check.rs
+++ b/rollout/src/check.rs
@@ -96,16 +96,16 @@
     }
 
     fn find_invalid_globals(&self, problems: &mut Problems) {
-        let GlobalFigures { cores, concurrency_per_core, memory_kb, call_quota } = self.new;
+        let GlobalFigures { cores, max_running_per_core, memory_kb, call_quota } = self.new;
         let ObservedLoad { in_use_kb, available_kb, .. } = *self.observed;
         if cores < 1.0 {
             problems.invalid(|| "there is no core".into());
         }
-        if concurrency_per_core < 1.0 {
-            problems.invalid(|| format!("the crowd survived is {concurrency_per_core}, under 1 a core"));
+        if max_running_per_core < 1.0 {
+            problems.invalid(|| format!("max running RPCs per core is {max_running_per_core}, under 1"));
         }
         if call_quota.is_some_and(|quota| quota <= 0.0) {
-            problems.invalid(|| "the share of the calls below is nothing".into());
+            problems.invalid(|| "the quota of upstream calls is 0".into());
         }
         if memory_kb < in_use_kb {
             problems
@@ -141,7 +141,7 @@
         }
         for name in self.touched.tenants.keys() {
             if let (Some(old), Some(new)) = (self.running.tenant(name), self.staged.tenant(name)) {
-                self.compare(&|| format!("the share of tenant {name}"), old, new, problems);
+                self.compare(&|| format!("the quota of tenant {name}"), old, new, problems);
             }
         }
     }
@@ -149,11 +149,11 @@
     fn find_risky_globals(&self, problems: &mut Problems) {
         let (old, new) = (&self.old, &self.new);
         self.compare(&|| "cores".into(), old.cores, new.cores, problems);
-        let crowd = || "the crowd survived".into();
-        self.compare(&crowd, old.concurrency_per_core, new.concurrency_per_core, problems);
+        let running = || "max running RPCs per core".into();
+        self.compare(&running, old.max_running_per_core, new.max_running_per_core, problems);
         self.compare(&|| "memory (kB)".into(), old.memory_kb, new.memory_kb, problems);
         if let (Some(old), Some(new)) = (old.call_quota, new.call_quota) {
-            self.compare(&|| "the share of the calls below".into(), old, new, problems);
+            self.compare(&|| "the quota of upstream calls".into(), old, new, problems);
         }
     }
 
@@ -175,7 +175,7 @@
         if added > RISKY_REJECTED_FRACTION {
             let percent = added * 100.0;
             problems.risky(|| {
-                format!("of the last minute's RPCs it would have turned away {percent:.0} in 100 more")
+                format!("it would have rejected {percent:.0} in 100 more of the last minute's RPCs")
             });
         }
     }
@@ -183,7 +183,7 @@
 
 fn find_invalid_terms(name: &Name, method: &Method, problems: &mut Problems) {
     if method.latency_target == 0 {
-        problems.invalid(|| format!("method {name}: its latency target is nothing"));
+        problems.invalid(|| format!("method {name}: its latency target is 0"));
     }
     if method.deadline < method.latency_target {
         let (deadline, target) = (method.deadline as f64 / 1e3, method.latency_target as f64 / 1e3);
@@ -192,9 +192,9 @@
         });
     }
     if method.late_value_ratio > 1.0 || method.skip_value_ratio > 1.0 {
-        problems.invalid(|| format!("method {name}: a share is above 1"));
+        problems.invalid(|| format!("method {name}: a value ratio is above 1"));
     }
     if method.idempotency == Idempotency::Keyed && method.idempotency_window == 0 {
-        problems.invalid(|| format!("method {name}: it is tokened, but has no window"));
+        problems.invalid(|| format!("method {name}: it takes idempotency keys, but has no window"));
     }
 }
--- a/rollout/src/difference.rs
+++ b/rollout/src/difference.rs
@@ -52,12 +52,12 @@
     }
 
     fn compare_globals(&mut self, old: &GlobalFigures, new: &GlobalFigures) {
-        let (crowd, new_crowd) = (old.concurrency_per_core, new.concurrency_per_core);
+        let (running, new_running) = (old.max_running_per_core, new.max_running_per_core);
         self.compare(&|| "cores".into(), old.cores, new.cores, "");
-        self.compare(&|| "crowd survived a core".into(), crowd, new_crowd, "");
+        self.compare(&|| "max running RPCs per core".into(), running, new_running, "");
         self.compare(&|| "memory".into(), old.memory_kb, new.memory_kb, " kB");
         let (quota, new_quota) = (old.call_quota.unwrap_or(0.0), new.call_quota.unwrap_or(0.0));
-        self.compare(&|| "share of the calls below".into(), quota, new_quota, "");
+        self.compare(&|| "quota of upstream calls".into(), quota, new_quota, "");
     }
 
     fn compare_methods(&mut self, name: &Name, old: &Method, new: &Method) {
@@ -67,8 +67,8 @@
         compare("criticality", old.criticality, new.criticality, "");
         compare("latency target", milliseconds(old.latency_target), milliseconds(new.latency_target), " ms");
         compare("deadline", milliseconds(old.deadline), milliseconds(new.deadline), " ms");
-        compare("late share", old.late_value_ratio, new.late_value_ratio, "");
-        compare("skip share", old.skip_value_ratio, new.skip_value_ratio, "");
+        compare("late value ratio", old.late_value_ratio, new.late_value_ratio, "");
+        compare("skip value ratio", old.skip_value_ratio, new.skip_value_ratio, "");
         compare("window", milliseconds(old.idempotency_window), milliseconds(new.idempotency_window), " ms");
     }
 }
--- a/rollout/src/probation.rs
+++ b/rollout/src/probation.rs
@@ -41,7 +41,7 @@
 /// Times the probation lasts at the longest while there is too little evidence.
 pub const MAX_EXTENSION: u64 = 3;
 
-/// RPCs' worth of evidence in a slot, below which it says nothing by itself.
+/// RPCs' worth of evidence in a slot, below which it proves nothing by itself.
 const MIN_SLOT_EVIDENCE: f64 = 3.0;
 /// Fraction of the cores beyond which work is more than the old version could do for long.
 const SUSTAINABLE_UTILIZATION: f64 = 0.9;
--- a/rollout/src/touched.rs
+++ b/rollout/src/touched.rs
@@ -35,8 +35,8 @@
 pub(crate) struct GlobalFigures {
     /// CPU cores of one server.
     pub(crate) cores: f64,
-    /// Running RPCs a core that are survived.
-    pub(crate) concurrency_per_core: f64,
+    /// Running RPCs a core that the server survives.
+    pub(crate) max_running_per_core: f64,
     /// Memory for RPCs, in kB.
     pub(crate) memory_kb: f64,
     /// This server's part of the calls that the upstream survives; `None` where it has none.
@@ -47,7 +47,7 @@
     pub(crate) fn of(globals: &GlobalSettings) -> GlobalFigures {
         GlobalFigures {
             cores: globals.cores as f64,
-            concurrency_per_core: globals.max_running_per_core,
+            max_running_per_core: globals.max_running_per_core,
             memory_kb: globals.ram_kb,
             call_quota: globals.upstream_call_quota.filter(|_| globals.upstream == UpstreamKind::Shared),
         }
