--- a/rollout/src/lib.rs
+++ b/rollout/src/lib.rs
@@ -63,8 +63,9 @@
     Loss, ProbationMonitor, Verdict, MARGIN, MAX_EXTENSION, MIN_EVIDENCE, RECENT_SLOTS, STANDARD_ERRORS,
 };
 pub use record::{
-    choose_start, hash, recover, write_snapshot, Damage, PersistedState, PersistedVersion, RecordFault,
-    RecordUpdate, Recovered, StartDecision, WrittenRecord, MAX_OPERATOR_FILE_BYTES, MIN_COMPACTION_BYTES,
+    choose_start, hash, recover, write_snapshot, Damage, PersistedState, PersistedVersion, RecordDamage,
+    RecordFault, RecordUpdate, Recovered, StartDecision, WrittenRecord, MAX_OPERATOR_FILE_BYTES,
+    MIN_COMPACTION_BYTES,
 };
 pub use sample::{MethodCounts, ServiceSample};
 pub use transaction::{Event, EventKind, Phase, Proposal, Rollout, RolloutError, StageOptions};
--- a/rollout/src/record.rs
+++ b/rollout/src/record.rs
@@ -27,6 +27,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | `state` | a version and all that a restart needs, and what a step makes of it |
+//! | `fault` | why a record or a file can't be used |
 //! | `format` | lines, heads and checksums of the file, written and read |
 //! | `update` | the steps that lead from one state to another |
 //! | `snapshot` | a complete version, and when it is written anew (compaction) |
@@ -36,6 +37,7 @@
 //! | `start` | what a process starts with |
 
 mod entry_reader;
+mod fault;
 mod format;
 mod recover;
 mod snapshot;
@@ -45,7 +47,8 @@
 mod step_reader;
 mod update;
 
-pub use format::{RecordFault, MAX_OPERATOR_FILE_BYTES};
+pub use fault::{RecordDamage, RecordFault};
+pub use format::MAX_OPERATOR_FILE_BYTES;
 pub use recover::{recover, Damage, Recovered};
 pub use snapshot::{write_snapshot, WrittenRecord, MIN_COMPACTION_BYTES};
 pub use start::{choose_start, StartDecision};
--- a/rollout/src/record/entry_reader.rs
+++ b/rollout/src/record/entry_reader.rs
@@ -1,5 +1,6 @@
 //! Entries of a body, taken in a piece at a time, so that a long text is never held completely.
 
+use super::fault::RecordDamage;
 use asterrill_entries::{read_step, Change, Configuration, GlobalSettings, StepError, MAX_CHANGES};
 
 /// Bytes of entries that are read and taken in together.
@@ -7,7 +8,7 @@
 
 /// Reads entries from lines. After a mistake nothing more is taken in, and the mistake is reported at the end.
 pub(super) struct EntryReader {
-    content: Result<Configuration, String>,
+    content: Result<Configuration, RecordDamage>,
     piece: Vec<u8>,
     mode: Mode,
 }
@@ -40,34 +41,34 @@
     }
 
     /// What the entries make of the base, or what is wrong with them.
-    pub(super) fn finish(mut self) -> Result<Configuration, String> {
+    pub(super) fn finish(mut self) -> Result<Configuration, RecordDamage> {
         self.take_piece();
         let changes = match self.mode {
             Mode::Snapshot => Vec::new(),
             Mode::Step(changes) => changes,
         };
-        self.content?.apply(&changes).map_err(|refused| refused.to_string())
+        Ok(self.content?.apply(&changes)?)
     }
 
     fn take_piece(&mut self) {
-        if let Err(why) = self.read_piece() {
-            self.content = Err(why);
+        if let Err(damage) = self.read_piece() {
+            self.content = Err(damage);
         }
         self.piece.clear();
     }
 
-    fn read_piece(&mut self) -> Result<(), String> {
+    fn read_piece(&mut self) -> Result<(), RecordDamage> {
         let Ok(content) = &self.content else { return Ok(()) };
-        let text = std::str::from_utf8(&self.piece).map_err(|e| e.to_string())?;
-        let step = read_step(text, content).map_err(|e| e.to_string())?;
+        let text = std::str::from_utf8(&self.piece)?;
+        let step = read_step(text, content)?;
         match &mut self.mode {
             Mode::Snapshot => {
-                self.content = Ok(content.apply(&step.changes).map_err(|refused| refused.to_string())?);
+                self.content = Ok(content.apply(&step.changes)?);
             }
             Mode::Step(changes) if changes.len() + step.changes.len() <= MAX_CHANGES => {
                 changes.extend(step.changes);
             }
-            Mode::Step(_) => return Err(StepError::TooManyChanges.to_string()),
+            Mode::Step(_) => return Err(StepError::TooManyChanges.into()),
         }
         Ok(())
     }
--- a/rollout/src/record/format.rs
+++ b/rollout/src/record/format.rs
@@ -20,29 +20,6 @@
 /// Bytes of the operator's file at the most, in a record.
 pub const MAX_OPERATOR_FILE_BYTES: u64 = 16 << 20;
 
-/// Why a file of versions can't be used.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RecordFault {
-    /// It does not begin as this file of the program does.
-    #[error("it is no file of versions of this program")]
-    Foreign,
-    /// Its format has another number; holds its first line.
-    #[error("it was written by another version of this program: {0:?}")]
-    OtherFormat(String),
-    /// Its snapshot is cut short or damaged; says where.
-    #[error("its whole version is cut short or damaged: {0}")]
-    Damaged(String),
-    /// Reading failed; holds the system's error.
-    #[error("it can't be read: {0}")]
-    Unreadable(String),
-}
-
-impl From<io::Error> for RecordFault {
-    fn from(error: io::Error) -> RecordFault {
-        RecordFault::Unreadable(error.to_string())
-    }
-}
-
 /// Passes text on, or only counts it, and knows its length and its sum.
 pub(super) struct SummedWriter<'a> {
     to: Option<&'a mut dyn Write>,
--- a/rollout/src/record/recover.rs
+++ b/rollout/src/record/recover.rs
@@ -1,6 +1,7 @@
 //! Reads a file of versions back after any crash.
 
-use super::format::{LineReader, RecordFault, StepHead, MAX_LINE_BYTES};
+use super::fault::{RecordDamage, RecordFault};
+use super::format::{LineReader, StepHead, MAX_LINE_BYTES};
 use super::snapshot_reader::Snapshot;
 use super::state::{PersistedState, StepKind};
 use super::step_reader::{read_step_body, ReadStep};
@@ -9,14 +10,14 @@
 use std::io::BufRead;
 
 /// A record that can't be used.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq)]
 pub struct Damage {
     /// Which one: the snapshot is 0, the first step 1.
     pub record: u64,
     /// Where it begins, in bytes.
     pub at: u64,
     /// What is wrong with it.
-    pub why: String,
+    pub why: RecordDamage,
 }
 
 impl fmt::Display for Damage {
@@ -91,7 +92,7 @@
     fn skip_unreadable(&mut self, at: u64) {
         if self.suspect.is_none() {
             self.record += 1;
-            let why = "its first line is damaged".into();
+            let why = RecordDamage::StepHead;
             self.suspect = Some(Damage { record: self.record, at, why });
         }
     }
@@ -108,10 +109,9 @@
             }
             return;
         }
-        let applied = step.version.and_then(|version| {
-            let applied = self.state.apply_step(head.kind, head.number, &head.hash, version);
-            applied.map_err(|fault| fault.to_string())
-        });
+        let applied = step
+            .version
+            .and_then(|version| self.state.apply_step(head.kind, head.number, &head.hash, version));
         match applied {
             Ok(()) => self.valid_bytes = end,
             Err(why) => {
--- a/rollout/src/record/snapshot_reader.rs
+++ b/rollout/src/record/snapshot_reader.rs
@@ -1,9 +1,9 @@
 //! Reads the snapshot at the begin of a file back.
 
 use super::entry_reader::EntryReader;
+use super::fault::{RecordDamage, RecordFault};
 use super::format::{
-    end_line, verify_head, LineReader, RecordFault, FIRST_LINE, FIRST_LINE_PREFIX, MAX_LINE_BYTES,
-    MAX_OPERATOR_FILE_BYTES,
+    end_line, verify_head, LineReader, FIRST_LINE, FIRST_LINE_PREFIX, MAX_LINE_BYTES, MAX_OPERATOR_FILE_BYTES,
 };
 use super::state::PersistedVersion;
 use crate::version::{RolledBack, VersionHash, MAX_ROLLED_BACK};
@@ -28,12 +28,8 @@
     operator_file_bytes: u64,
 }
 
-fn damaged(why: &str) -> RecordFault {
-    RecordFault::Damaged(why.into())
-}
-
-fn parse_number(word: &str) -> Result<u64, RecordFault> {
-    word.parse().map_err(|e: std::num::ParseIntError| damaged(&e.to_string()))
+fn parse_number(word: &str) -> Result<u64, RecordDamage> {
+    Ok(word.parse()?)
 }
 
 impl Snapshot {
@@ -58,7 +54,7 @@
         let content = self.read_entries()?;
         let version = PersistedVersion { number: head.number, content, operator_file: operator_file.into() };
         if version.hash() != head.hash {
-            return Err(damaged("its entries have another hash"));
+            return Err(RecordDamage::SnapshotHash.into());
         }
         Ok(Snapshot { version, rolled_back })
     }
@@ -76,7 +72,7 @@
             return Ok(());
         }
         if FIRST_LINE.as_bytes().starts_with(&self.line) {
-            return Err(damaged("it ends in its first line"));
+            return Err(RecordDamage::FirstLineCutShort.into());
         }
         let text = String::from_utf8_lossy(&self.line);
         let short = self.line.len() < FIRST_LINE_PREFIX.len() + MAX_FORMAT_DIGITS;
@@ -90,7 +86,7 @@
         self.next_line()?;
         let words = verify_head::<5>(&self.line);
         let Some(["whole", number, hash, rolled_back, file_bytes]) = words else {
-            return Err(damaged("its second line"));
+            return Err(RecordDamage::SnapshotHead.into());
         };
         Ok(SnapshotHead {
             number: parse_number(number)?,
@@ -106,7 +102,7 @@
             self.next_line()?;
             let text = std::str::from_utf8(&self.line).ok().and_then(|text| text.strip_suffix('\n'));
             let words = text.and_then(|text| text.strip_prefix("undone ")?.split_once(' '));
-            let (hash, number) = words.ok_or_else(|| damaged("a line of what was undone"))?;
+            let (hash, number) = words.ok_or(RecordDamage::RolledBackLine)?;
             rolled_back.push(RolledBack { hash: hash.into(), number: parse_number(number)? });
         }
         Ok(rolled_back)
@@ -115,7 +111,7 @@
     fn read_operator_file(&mut self, bytes: u64) -> Result<String, RecordFault> {
         let file = self.lines.next_bytes(bytes.min(MAX_OPERATOR_FILE_BYTES))?;
         self.sum.update(&file);
-        String::from_utf8(file).map_err(|e| damaged(&e.to_string()))
+        String::from_utf8(file).map_err(|e| RecordDamage::from(e.utf8_error()).into())
     }
 
     /// Reads entries up to the last line, and compares that.
@@ -125,7 +121,7 @@
         loop {
             self.lines.next_line(MAX_LINE_BYTES, &mut self.line)?;
             if self.line.is_empty() {
-                return Err(damaged("it has no end"));
+                return Err(RecordDamage::SnapshotCutShort.into());
             }
             if self.line.starts_with(b"end ") {
                 break;
@@ -135,8 +131,8 @@
             entries += 1;
         }
         if self.line != end_line(entries, self.sum.digest()).as_bytes() {
-            return Err(damaged("its sum is another"));
+            return Err(RecordDamage::SnapshotChecksum.into());
         }
-        reader.finish().map_err(RecordFault::Damaged)
+        Ok(reader.finish()?)
     }
 }
--- a/rollout/src/record/state.rs
+++ b/rollout/src/record/state.rs
@@ -1,5 +1,6 @@
 //! What a restart needs: versions as they persist, and what one step makes of them.
 
+use super::fault::RecordDamage;
 use crate::version::{remember_rolled_back, RolledBack, VersionHash};
 use asterrill_entries::Configuration;
 use std::sync::Arc;
@@ -85,20 +86,11 @@
     }
 }
 
-/// Why a step can't follow a state.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub(super) enum StepOrderFault {
-    #[error("what it settles was not on probation")]
-    NotOnProbation,
-    #[error("it holds no version")]
-    NoVersion,
-}
-
 impl PersistedState {
     /// Applies one step: `number` and `hash` of its version, and that version where the step holds one.
     pub(super) fn apply_step(
         &mut self, kind: StepKind, number: u64, hash: &str, version: Option<PersistedVersion>,
-    ) -> Result<(), StepOrderFault> {
+    ) -> Result<(), RecordDamage> {
         match (kind, version) {
             (StepKind::Good, Some(version)) => {
                 self.good = version;
@@ -109,13 +101,13 @@
                 let is_meant =
                     |version: &mut PersistedVersion| version.number == number && *version.hash() == *hash;
                 let confirmed = self.probation.take_if(is_meant);
-                self.good = confirmed.ok_or(StepOrderFault::NotOnProbation)?;
+                self.good = confirmed.ok_or(RecordDamage::NotOnProbation)?;
             }
             (StepKind::RolledBack, _) => {
                 self.probation.take_if(|version| version.number == number);
                 remember_rolled_back(&mut self.rolled_back, RolledBack { hash: hash.into(), number });
             }
-            (StepKind::Good | StepKind::Probation, None) => return Err(StepOrderFault::NoVersion),
+            (StepKind::Good | StepKind::Probation, None) => return Err(RecordDamage::NoVersion),
         }
         Ok(())
     }
--- a/rollout/src/record/step_reader.rs
+++ b/rollout/src/record/step_reader.rs
@@ -1,6 +1,7 @@
 //! Reads the body of a step back.
 
 use super::entry_reader::EntryReader;
+use super::fault::RecordDamage;
 use super::format::{LineReader, StepHead, MAX_OPERATOR_FILE_BYTES};
 use super::state::{PersistedVersion, StepKind};
 use std::io::{self, BufRead};
@@ -11,12 +12,12 @@
     /// All of it is there, as it was written.
     pub(super) intact: bool,
     /// The version that it leads to, if its kind has one; or why it leads nowhere.
-    pub(super) version: Result<Option<PersistedVersion>, String>,
+    pub(super) version: Result<Option<PersistedVersion>, RecordDamage>,
 }
 
 impl ReadStep {
-    fn broken(why: &str) -> ReadStep {
-        ReadStep { intact: false, version: Err(why.into()) }
+    fn broken(damage: RecordDamage) -> ReadStep {
+        ReadStep { intact: false, version: Err(damage) }
     }
 }
 
@@ -40,14 +41,14 @@
     while remaining > 0 {
         lines.next_line(remaining, &mut line)?;
         if line.is_empty() {
-            return Ok(ReadStep::broken("it is cut short"));
+            return Ok(ReadStep::broken(RecordDamage::StepCutShort));
         }
         sum.update(&line);
         remaining -= line.len() as u64;
         reader.push_line(&line);
     }
     if sum.digest() != head.body_sum {
-        return Ok(ReadStep::broken("its body is damaged"));
+        return Ok(ReadStep::broken(RecordDamage::StepChecksum));
     }
     let version = match head.kind {
         StepKind::Confirmed | StepKind::RolledBack => Ok(None),
@@ -59,18 +60,18 @@
 /// The version that an intact body leads to.
 fn make_version(
     head: &StepHead, good: &PersistedVersion, operator_file: Option<Vec<u8>>, reader: EntryReader,
-) -> Result<PersistedVersion, String> {
+) -> Result<PersistedVersion, RecordDamage> {
     if head.base != good.number {
-        return Err(format!("its base, version {}, is missing", head.base));
+        return Err(RecordDamage::MissingBase(head.base));
     }
     let operator_file = match operator_file {
-        Some(bytes) => String::from_utf8(bytes).map_err(|e| e.to_string())?.into(),
+        Some(bytes) => std::str::from_utf8(&bytes)?.into(),
         None => good.operator_file.clone(),
     };
     let version = PersistedVersion { number: head.number, content: reader.finish()?, operator_file };
-    let hash = version.hash();
-    if hash != head.hash {
-        return Err(format!("it leads to {hash}, not to {}", head.hash));
+    let found = version.hash();
+    if found != head.hash {
+        return Err(RecordDamage::StepHash { found, expected: head.hash.clone() });
     }
     Ok(version)
 }
--- a/rollout/tests/rollout/record.rs
+++ b/rollout/tests/rollout/record.rs
@@ -62,7 +62,10 @@
     let (body, _) = body.split_once('\0').unwrap();
     let sum = xxhash_rust::xxh3::xxh3_64(body.as_bytes());
     let record = format!("{body}end 4 {sum:016x}\n");
-    assert!(matches!(fault(&record), RecordFault::Damaged(why) if why.contains("Name")), "{record}");
+    assert!(
+        matches!(fault(&record), RecordFault::Damaged(why) if why.to_string().contains("Name")),
+        "{record}"
+    );
 }
 
 #[test]
@@ -84,7 +87,7 @@
     // A base of the same number that says something else shows by the hash.
     let other = ModelVersion::new(2, &[("nile", 9), ("oder", 7), ("po", 1)], "");
     let (text, _) = snapshot(&state(&other, None, &[]));
-    let damage = recovered(format!("{text}{step}").as_bytes()).damaged.unwrap().why;
+    let damage = recovered(format!("{text}{step}").as_bytes()).damaged.unwrap().why.to_string();
     assert!(damage.starts_with("it leads to"), "{damage}");
 }
 
