--- a/daemon/src/core/engine_outputs.rs
+++ b/daemon/src/core/engine_outputs.rs
@@ -1,4 +1,4 @@
-//! Carries out what the engine hands back: messages to sidecars, agent and upstream, and the records kept of them.
+//! Carries out what the engine hands back: messages to sidecars, agent and upstream, and the records of them.
 
 use super::state::CoreState;
 use crate::ids::Requester;
--- a/daemon/src/dispatcher/connections.rs
+++ b/daemon/src/dispatcher/connections.rs
@@ -46,8 +46,8 @@
         sidecar.partial_since =
             if has_partial { sidecar.partial_since.or_else(|| Some(now())) } else { None };
         // Something came on one that was about to be closed: that waits until it has been dealt with.
-        if let Some(driver_told) = outboxes.closing.get_mut(&conn) {
-            *driver_told = None;
+        if let Some(close_started) = outboxes.closing.get_mut(&conn) {
+            *close_started = None;
             outboxes.close_answered(core);
         }
     }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// No more is read from a connection: it is closed once no answer is owed on it. The sidecar is told of an error.
+    /// No more is read from a connection: it is closed once no answer is owed on it. The sidecar is sent the error.
     pub fn close_when_answered(&self, conn: ConnectionId, error: Option<&str>) {
         let mut locked = self.lock();
         let Locked { core, outboxes, .. } = &mut *locked;
@@ -84,7 +84,7 @@
         outboxes.close_answered(core);
     }
 
-    /// Whether no connection is left, and all that the broker is to be told has been written.
+    /// Whether no connection is left, and all that is for the broker has been written.
     pub fn all_closed(&self) -> bool {
         let outboxes = &self.lock().outboxes;
         outboxes.sidecars.is_empty() && outboxes.broker.iter().all(Outbox::is_empty)
--- a/daemon/src/dispatcher/eviction.rs
+++ b/daemon/src/dispatcher/eviction.rs
@@ -125,8 +125,8 @@
 
 /// Who reads so slowly that what it is owed is not written in time holds a slot that others need.
 fn cut_off_slow_readers(outboxes: &Outboxes, now: Us) {
-    for (conn, driver_told) in &outboxes.closing {
-        if driver_told.is_some_and(|since| since + CLOSE_TIMEOUT < now) {
+    for (conn, close_started) in &outboxes.closing {
+        if close_started.is_some_and(|since| since + CLOSE_TIMEOUT < now) {
             if let Some(sidecar) = outboxes.sidecars.get(conn) {
                 sidecar.out.close_now();
             }
--- a/daemon/src/dispatcher/outboxes.rs
+++ b/daemon/src/dispatcher/outboxes.rs
@@ -43,7 +43,7 @@
 /// What is written to the connections; the core sends through it.
 pub(super) struct Outboxes {
     pub(super) sidecars: BTreeMap<ConnectionId, SidecarConnectionState>,
-    /// Connections that are closed once no answer is owed on them, and since when their drivers have been told.
+    /// Connections that are closed once no answer is owed on them, and since when their drivers are closing them.
     pub(super) closing: BTreeMap<ConnectionId, Option<Us>>,
     pub(super) listener: ListenerHandle,
     pub(super) agent: Outbox,
@@ -52,7 +52,7 @@
     /// How many sidecar connections there may be.
     pub(super) max_connections: usize,
     close_lines: LineCount,
-    /// What the name service is told; `None` until there is something.
+    /// What is reported to the name service; `None` until that is certain.
     pub(super) serving: Option<bool>,
     /// Microseconds after which idle connections are closed.
     pub(super) idle_timeout: Us,
@@ -92,14 +92,14 @@
 
     /// Closes those of the closing connections on which no answer is owed any more.
     pub(super) fn close_answered(&mut self, core: &Core) {
-        for (conn, driver_told) in self.closing.iter_mut().filter(|(_, since)| since.is_none()) {
+        for (conn, close_started) in self.closing.iter_mut().filter(|(_, since)| since.is_none()) {
             let Some(sidecar) = self.sidecars.get(conn) else { continue };
             // The rest of a partial frame is awaited, but not where the slot is needed.
             let may_close = sidecar.evicted || sidecar.partial_since.is_none();
             if !may_close || core.pending_answers_on(*conn) > 0 {
                 continue;
             }
-            *driver_told = Some(now());
+            *close_started = Some(now());
             if sidecar.evicted {
                 sidecar.out.finish_without_linger();
             } else {
--- a/daemon/src/dispatcher/shared.rs
+++ b/daemon/src/dispatcher/shared.rs
@@ -52,7 +52,7 @@
     pub log: Logger,
     /// Notified when the clock task is to wake earlier than it was set to.
     pub clock: Notify,
-    /// Notified when the name service is to be told something new.
+    /// Notified when there is something new to report to the name service.
     pub load_report_bell: Notify,
     /// Whether configuration changes are taken: this backend is not cut off from the others.
     pub changes_allowed: AtomicBool,
@@ -143,7 +143,7 @@
         locked.armed_for
     }
 
-    /// What the name service is told: whether this backend takes work. `None` until there is something to tell.
+    /// What is reported to the name service: whether this backend takes work. `None` until that is certain.
     pub fn serving(&self) -> Option<bool> {
         self.lock().outboxes.serving
     }
--- a/daemon/src/outbound.rs
+++ b/daemon/src/outbound.rs
@@ -42,7 +42,7 @@
     /// Sets after how many microseconds idle connections are closed; 0 for never.
     fn set_idle_timeout(&mut self, timeout: Us);
 
-    /// What the name service is told from now on: whether this backend takes work.
+    /// Sets what is reported to the name service: whether this backend takes work.
     fn set_serving(&mut self, serving: bool);
 
     /// Bytes for the broker. False if they can't be sent: its connection is then about to end.
--- a/daemon/src/sidecar_registry.rs
+++ b/daemon/src/sidecar_registry.rs
@@ -9,7 +9,7 @@
 /// What is recorded of a connection that has brought an RPC.
 #[derive(Clone, Copy, Debug, Default)]
 struct SidecarState {
-    /// A run was made for it: its sidecar is known to the agent.
+    /// A run was made for it: the agent knows its sidecar.
     proven: bool,
     /// RPCs that could not be run, counted until one was.
     unrunnable_rpcs: u32,
--- a/daemon/src/tests/agent_link.rs
+++ b/daemon/src/tests/agent_link.rs
@@ -5,10 +5,10 @@
 #[test]
 fn resends_only_commands_lost_with_the_link() {
     let mut harness = CoreHarness::new(1);
-    let (lost, kept) = {
-        let kept = harness.send_rpc(1, "book", 900 * MS, None);
+    let (lost, delivered) = {
+        let delivered = harness.send_rpc(1, "book", 900 * MS, None);
         harness.peers.agent_unreachable = true;
-        (harness.send_rpc(1, "look", 900 * MS, None), kept)
+        (harness.send_rpc(1, "look", 900 * MS, None), delivered)
     };
     assert_eq!(harness.peers.runs.len(), 1);
     harness.reconnect_agent();
@@ -24,7 +24,7 @@
         harness.deliver_notices(1);
     }
     harness.check_invariants();
-    assert_eq!((harness.peers.answers[&kept].0, harness.peers.answers[&lost].0), ("ok", "ok"));
+    assert_eq!((harness.peers.answers[&delivered].0, harness.peers.answers[&lost].0), ("ok", "ok"));
 }
 
 /// What stood still in the laboratory: one launch that the agent never got, on a link that stands and carries.
@@ -34,11 +34,11 @@
     harness.peers.agent_unreachable = true;
     let lost = harness.send_rpc(1, "book", 900 * MS, None);
     harness.peers.agent_unreachable = false;
-    // The stop at its due time is the last that the agent is told of it, and that is not heard of either.
+    // The stop at its due time is the last message to the agent about it, and that gets no reply either.
     let longest = 400 * MS;
     harness.advance(880 * MS + 4 * longest);
     assert_eq!((harness.peers.runs.len(), harness.peers.agent_resets), (0, 0));
-    assert_eq!(harness.peers.answers[&lost].0, "aborted", "its caller waits no longer than told");
+    assert_eq!(harness.peers.answers[&lost].0, "aborted", "its caller waits no longer than its deadline");
     harness.advance(280 * MS);
     assert_eq!((harness.peers.agent_resets, harness.core.stats().agent_silent), (1, 1));
     // Until the lost run is over nothing is taken: all looks as if work had stopped finishing.
--- a/daemon/src/tests/agreed_lists.rs
+++ b/daemon/src/tests/agreed_lists.rs
@@ -23,12 +23,13 @@
         [1, 2, 3].map(|conn| {
             let (launched, stream_ref) =
                 (harness.peers.runs.len(), harness.send_rpc(conn, "look", 800 * MS, None));
-            let told = harness.peers.answers.get(&stream_ref).is_some_and(|(what, _)| *what == "pushed back");
-            assert!(!told || harness.peers.runs.len() == launched, "it runs and is turned away");
+            let rejected =
+                harness.peers.answers.get(&stream_ref).is_some_and(|(what, _)| *what == "pushed back");
+            assert!(!rejected || harness.peers.runs.len() == launched, "it runs and is turned away");
             // What runs ends, so that nobody else is in the way.
             (0..4).for_each(|n| harness.advance_run(n + 1, false));
             harness.deliver_notices(usize::MAX);
-            told
+            rejected
         })
     };
     assert_eq!(turned(&mut harness), [false; 3], "nobody agrees on anything yet");
--- a/daemon/src/tests/drain.rs
+++ b/daemon/src/tests/drain.rs
@@ -13,7 +13,7 @@
             && harness.peers.serving.last() == Some(&false)
             && !harness.core.is_drained()
     );
-    harness.advance(400 * MS); // the grace: what comes until then is run, so callers are told to leave only now
+    harness.advance(400 * MS); // the grace: what comes until then is run, so callers are asked to leave only now
     assert!(harness.peers.drain_announced && !harness.core.is_drained());
     harness.advance(599 * MS);
     assert_eq!(harness.peers.answers[&stream_ref].0, "aborted");
@@ -37,7 +37,7 @@
         harness.send_rpc(1, "book", 900 * MS, None);
         assert_eq!(harness.peers.runs.len(), 1, "within the grace it is run");
         harness.advance(START + 420 * MS - harness.now);
-        assert!(harness.peers.drain_announced, "callers are told to leave once the grace is over");
+        assert!(harness.peers.drain_announced, "callers are asked to leave once the grace is over");
         let late = harness.send_rpc(2, "book", 900 * MS, None);
         assert_eq!(
             (harness.peers.runs.len(), harness.peers.answers[&late].0),
--- a/daemon/src/tests/harness.rs
+++ b/daemon/src/tests/harness.rs
@@ -87,7 +87,7 @@
             return;
         };
         let id = *id;
-        let told = if call && !run.stopped {
+        let notice = if call && !run.stopped {
             let body = format!("call {n}").into_bytes();
             run.waits = Some((self.peers.notices.len() as u64 + 1, body.clone()));
             Notice::CallNeeded(id, body)
@@ -100,7 +100,7 @@
             };
             Notice::Ended(id, end, if end == RunEnd::Ok { PeerStandIn::result(id) } else { vec![] })
         };
-        self.peers.notify(told);
+        self.peers.notify(notice);
     }
 
     /// Runs that wait for a call end once their RPC is over.
@@ -132,11 +132,11 @@
             }
             let number = NoticeId(self.notices_read as u64 + 1);
             self.notices_read += 1;
-            let told = std::mem::replace(
+            let notice = std::mem::replace(
                 &mut self.peers.notices[self.notices_read - 1],
                 Notice::CallNeeded(empty_id(), vec![]),
             );
-            match &told {
+            match &notice {
                 Notice::Ended(id, end, result) => {
                     self.core.run_ended(self.now, number, *id, *end, result, &mut self.peers)
                 }
@@ -144,7 +144,7 @@
                     self.core.call_needed(self.now, number, *id, Some(body), &mut self.peers)
                 }
             }
-            self.peers.notices[number.0 as usize - 1] = told;
+            self.peers.notices[number.0 as usize - 1] = notice;
         }
     }
 
--- a/daemon/src/tests/recovery.rs
+++ b/daemon/src/tests/recovery.rs
@@ -5,7 +5,7 @@
 use asterrill_operator_config::RecoverySettings;
 use asterrill_recovery::{ClockReading, Snapshot, Stage};
 
-fn start(now: Us, kept: Option<Snapshot>) -> RecoveryTracker {
+fn tracker(now: Us, snapshot: Option<Snapshot>) -> RecoveryTracker {
     let moment = ClockReading { wall: now, uptime: now / 2, boot_id: 9 };
     let terms = RecoverySettings { snapshot_interval: 1_000 * MS, ..RecoverySettings::default() };
     let (name, settings, cores, memory_mb) = ("n1".to_string(), 77, 2.0, 64);
@@ -19,18 +19,18 @@
             memory_mb,
             moment,
             terms,
-            snapshot: kept,
+            snapshot,
             seed,
             persistent: lasting,
         },
     )
 }
-fn world(seed: u64, kept: Option<Snapshot>) -> CoreHarness {
+fn harness_with(seed: u64, snapshot: Option<Snapshot>) -> CoreHarness {
     let mut core =
         Core::new(START, server_parts(START, seed, &sample_settings(), None), BufferPool::new(500), 4);
     let mut out = PeerStandIn::default();
     core.start(START, &mut out);
-    core.start_recovery(START, start(START, kept), &mut out);
+    core.start_recovery(START, tracker(START, snapshot), &mut out);
     core.agent_connected(START);
     core.agent_up(START, None, &mut out);
     core.agent_greeted(START, false, &mut out);
@@ -51,24 +51,24 @@
 
 #[test]
 fn learned_state_is_stored_and_restored() {
-    let mut harness = world(1, None);
+    let mut harness = harness_with(1, None);
     assert_eq!(stage(&harness), Stage::Restoring);
     harness.advance(200 * MS);
     assert_eq!(stage(&harness), Stage::Cold);
     serve(&mut harness, 40);
     let then = ClockReading { wall: START, uptime: START / 2, boot_id: 9 };
-    let kept = harness.core.take_snapshot(harness.now, || then, false).unwrap();
+    let snapshot = harness.core.take_snapshot(harness.now, || then, false).unwrap();
     assert!(harness.core.take_snapshot(harness.now, || then, false).is_none(), "its beat is over");
     assert!(
         harness.core.take_snapshot(harness.now, || then, true).is_some(),
         "but at the notice to leave there is another"
     );
     assert_eq!(harness.core.stats().snapshots, 2);
-    let look = kept.methods.iter().find(|m| m.name == "look").unwrap();
+    let look = snapshot.methods.iter().find(|m| m.name == "look").unwrap();
     assert!((look.mean - 30_000.0).abs() < 15_000.0 && look.runs > 20.0, "{look:?}");
-    assert!(kept.methods.iter().all(|m| m.name != "book"), "of that nothing was learned");
-    let again = Snapshot::from_text(&kept.to_text()).unwrap();
-    let harness = world(2, Some(again));
+    assert!(snapshot.methods.iter().all(|m| m.name != "book"), "of that nothing was learned");
+    let again = Snapshot::from_text(&snapshot.to_text()).unwrap();
+    let harness = harness_with(2, Some(again));
     // Places are in the order of names: "book" stands before it.
     let recalled = harness.core.learned().costs[1];
     assert!((recalled.mean - look.mean).abs() < 1.0 && recalled.runs <= 8.0, "{recalled:?} of {look:?}");
@@ -76,17 +76,17 @@
 
 #[test]
 fn snapshot_of_another_backend_changes_nothing() {
-    let fresh = world(3, None).core.learned();
-    let mut harness = world(3, None);
+    let fresh = harness_with(3, None).core.learned();
+    let mut harness = harness_with(3, None);
     serve(&mut harness, 30);
-    let mut kept = harness.core.take_snapshot(harness.now, ClockReading::default, true).unwrap();
-    kept.name = "n2".into();
-    assert_eq!(world(3, Some(kept)).core.learned(), fresh);
+    let mut snapshot = harness.core.take_snapshot(harness.now, ClockReading::default, true).unwrap();
+    snapshot.name = "n2".into();
+    assert_eq!(harness_with(3, Some(snapshot)).core.learned(), fresh);
 }
 
 #[test]
 fn full_stage_needs_evidence() {
-    let mut harness = world(4, None);
+    let mut harness = harness_with(4, None);
     harness.advance(60_000 * MS);
     assert_eq!(stage(&harness), Stage::Cold, "a minute without an RPC proves nothing");
     serve(&mut harness, 15);
@@ -98,7 +98,7 @@
 
 #[test]
 fn calls_are_limited_after_a_start_and_opened_by_replies() {
-    let mut harness = world(5, None);
+    let mut harness = harness_with(5, None);
     let call = |harness: &mut CoreHarness, rpcs: u64| {
         for _ in 0..rpcs {
             harness.send_rpc(1, "look", 900 * MS, None);
--- a/daemon/src/tests/stand_in.rs
+++ b/daemon/src/tests/stand_in.rs
@@ -45,8 +45,8 @@
     pub(super) fn violation(&mut self, what: &str, id: RpcId) {
         self.violations.push(format!("{what} {id:?}"));
     }
-    pub(super) fn notify(&mut self, told: Notice) {
-        self.notices.push(told);
+    pub(super) fn notify(&mut self, notice: Notice) {
+        self.notices.push(notice);
     }
     /// The reply to the call with this body, and the result of the run of this RPC.
     pub(super) fn reply(body: &[u8]) -> Vec<u8> {
--- a/daemon/src/tests/versions.rs
+++ b/daemon/src/tests/versions.rs
@@ -81,7 +81,7 @@
         harness.peers.bodies.insert(id, b"body".to_vec());
         let ask = RpcRequest { id, method, tenant, caller, born, due, size_kb: 1.0, key: None };
         harness.core.rpc_received(harness.now, stream_ref, ask, b"body", &mut harness.peers);
-        // It runs, waits, or is pushed back, where it is known.
+        // It runs, waits, or is rejected, where its names are in force.
         harness.peers.answers.get(&stream_ref).is_none_or(|(what, _)| *what != "aborted")
     };
     let under = |harness: &mut CoreHarness| {
@@ -155,10 +155,10 @@
     let first = asterrill_settings::server_parts(START, 1, &half, None).unwrap();
     let (mut core, mut out) = (Core::new(START, first, BufferPool::new(50), 4), PeerStandIn::default());
     apply_change(&mut core, START, &half, &whole, 2, &mut out);
-    // Any figure of those that are known may change, however many.
+    // Any figure of those in the table may change, however many.
     apply_change(&mut core, START, &whole, &half, 3, &mut out);
     apply_change(&mut core, START, &half, &whole, 4, &mut out);
     let other = of(&mut (1..many + 1));
-    let told = core.check_capacity_for(&whole.changes_to(&other), &[]).unwrap_err();
-    assert!(told.contains("more than 20000 methods since the start"), "{told}");
+    let error = core.check_capacity_for(&whole.changes_to(&other), &[]).unwrap_err();
+    assert!(error.contains("more than 20000 methods since the start"), "{error}");
 }
--- a/daemon/tests/steps.rs
+++ b/daemon/tests/configuration_steps.rs
@@ -33,18 +33,18 @@
 impl Node {
     /// With so many tenants, `t00000` and on.
     fn new(name: &'static str, tenants: usize) -> Node {
-        let (listen, mut config, reports) = stand_ins(false);
+        let (listen, mut config, reports) = start_stand_ins(false);
         let all = (0..tenants).map(|n| json!({"Name": tenant(n), "QuotaRps": 100}));
         config["settings"]["Tenants"] = all.collect();
         config["settings"]["FamilyInfo"]["RamKb"] = json!(900_000);
         let dir = std::env::temp_dir().join(format!("asterrilld-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
-        let told = format!(
+        let reply = format!(
             "[changes]\ncontrol {}\nstate {}\nprobation 10m\n",
             dir.join("control").display(),
             dir.join("state").display()
         );
-        std::fs::write(dir.join("operator.conf"), told).unwrap();
+        std::fs::write(dir.join("operator.conf"), reply).unwrap();
         let mut node = Node { child: None, listen, config, name, dir, _reports: reports };
         node.start();
         node
@@ -53,45 +53,45 @@
     fn start(&mut self) {
         self.write();
         let mut command = Command::new(env!("CARGO_BIN_EXE_asterrilld"));
-        command.arg("--file").arg(self.dir.join("operator.conf")).env("GW_CONFIG", path(self.name));
+        command.arg("--file").arg(self.dir.join("operator.conf")).env("GW_CONFIG", config_path(self.name));
         self.child = Some(command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap());
         drop(connect(self.listen));
     }
     fn write(&self) {
-        std::fs::write(path(self.name), self.config.to_string()).unwrap();
+        std::fs::write(config_path(self.name), self.config.to_string()).unwrap();
     }
     fn signal(&self, name: &str) {
-        signal(self.child.as_ref().unwrap(), name);
+        send_signal(self.child.as_ref().unwrap(), name);
     }
     fn kill(&mut self) {
         let mut child = self.child.take().unwrap();
         child.kill().unwrap();
         child.wait().unwrap();
     }
-    fn do_it(&self, request: Value) -> Value {
-        told_by(&self.dir.join("control"), request)
+    fn request(&self, request: Value) -> Value {
+        control_request(&self.dir.join("control"), request)
     }
     fn stage(&self, step: &str) -> Value {
-        self.do_it(json!({"do": "stage", "step": step}))
+        self.request(json!({"do": "stage", "step": step}))
     }
     /// Stages and applies a step that has to be taken.
-    fn take(&self, step: &str) -> Value {
+    fn stage_and_apply(&self, step: &str) -> Value {
         let staged = self.stage(step);
         assert_eq!(staged["ok"], json!(true), "{staged}");
-        let applied = self.do_it(json!({"do": "apply"}));
+        let applied = self.request(json!({"do": "apply"}));
         assert_eq!(applied["ok"], json!(true), "{applied}");
         applied
     }
     fn status(&self) -> Value {
-        self.do_it(json!({"do": "status"}))
+        self.request(json!({"do": "status"}))
     }
     /// Ends it in order; what it counted has to be so.
-    fn ends(mut self, counted: &[&str]) {
+    fn finish(mut self, counted: &[&str]) {
         self.signal("TERM");
-        let output = ended(self.child.take().unwrap());
-        assert_eq!(output.status.code(), Some(0), "{}", text(&output));
+        let output = wait_for_exit(self.child.take().unwrap());
+        assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
         for counted in counted.iter().chain(&["half_applied=0 "]) {
-            assert!(text(&output).contains(counted), "{counted} {}", text(&output));
+            assert!(stderr_text(&output).contains(counted), "{counted} {}", stderr_text(&output));
         }
         std::fs::remove_dir_all(&self.dir).unwrap();
     }
@@ -111,7 +111,7 @@
     format!("t{n:05}")
 }
 
-fn told_by(socket: &Path, mut request: Value) -> Value {
+fn control_request(socket: &Path, mut request: Value) -> Value {
     request["v"] = json!(1);
     let until = Instant::now() + WAIT;
     let mut stream = loop {
@@ -140,7 +140,7 @@
         ("patience", "1900"),
         ("size", "9"),
     ];
-    frame(1, stream, &fields, b"body")
+    encode_frame(1, stream, &fields, b"body")
 }
 
 /// Asks one thing after the other on one connection.
@@ -159,7 +159,7 @@
         self.asked += 1;
         self.stream.write_all(&rpc(self.asked, self.of + u64::from(self.asked), tenant)).unwrap();
         loop {
-            let (kind, on, payload) = next(&mut self.stream).expect("an answer");
+            let (kind, on, payload) = read_frame(&mut self.stream).expect("an answer");
             if (kind, on) == (2, self.asked) {
                 return payload[0];
             }
@@ -179,41 +179,41 @@
 }
 
 #[test]
-fn a_step_is_in_force_at_once_and_undone_as_fast_and_what_it_says_is_told() {
+fn applies_and_undoes_a_step() {
     let node = Node::new("at-once", 3);
     let start = node.status();
     let mut sidecar = Sidecar::new(&node, 1);
     assert!(sidecar.serves(&tenant(0)) && !sidecar.serves("new"));
     let step =
         "{\"put\":\"tenant\",\"Name\":\"new\",\"QuotaRps\":7}\n{\"take\":\"tenant\",\"Name\":\"t00000\"}\n";
-    // Only told at first.
-    let diff = node.do_it(json!({"do": "diff", "step": step}));
+    // Only checked at first.
+    let diff = node.request(json!({"do": "diff", "step": step}));
     assert_eq!(
         (&diff["ok"], &diff["entries"]),
         (&json!(false), &json!(null)),
         "a tenant that goes is risky: {diff}"
     );
-    let diff = node.do_it(json!({"do": "diff", "step": step, "force": true}));
+    let diff = node.request(json!({"do": "diff", "step": step, "force": true}));
     let lines = json!(["tenant new: RPCs a second: 0 -> 7", "tenant t00000: removed"]);
     assert_eq!((&diff["entries"], &diff["changes"]), (&json!(2), &lines), "{diff}");
     assert_eq!(node.status()["staged"], json!(null));
-    let staged = node.do_it(json!({"do": "stage", "step": step, "force": true}));
+    let staged = node.request(json!({"do": "stage", "step": step, "force": true}));
     assert_eq!(
         (&staged["version"], &staged["entries"], &staged["hash"]),
         (&json!(2), &json!(2), &diff["hash"])
     );
     assert!(!sidecar.serves("new") && sidecar.serves(&tenant(0)), "staged only");
-    let applied = node.do_it(json!({"do": "apply"}));
+    let applied = node.request(json!({"do": "apply"}));
     assert_eq!((&applied["ok"], &applied["hash"]), (&json!(true), &diff["hash"]), "{applied}");
     assert!(sidecar.serves("new") && !sidecar.serves(&tenant(0)) && sidecar.serves(&tenant(1)));
-    let undone = node.do_it(json!({"do": "undo"}));
+    let undone = node.request(json!({"do": "undo"}));
     assert_eq!((&undone["hash"], &undone["entries"]), (&start["hash"], &json!(2)), "to exactly what was");
     assert!(!sidecar.serves("new") && sidecar.serves(&tenant(0)));
-    node.ends(&["changes=2 ", "changes_refused=1 "]);
+    node.finish(&["changes=2 ", "changes_refused=1 "]);
 }
 
 #[test]
-fn what_is_wrong_with_a_step_is_named_counted_and_changes_nothing() {
+fn rejects_invalid_steps() {
     let node = Node::new("wrong", 3);
     let start = node.status();
     let long = "n".repeat(129);
@@ -233,10 +233,10 @@
         (format!("{fine}\n{{\"put\":\"tenant\",\"Na"), ["line 2", "JSON"]),
         ("{\"frame\":{\"FamilyInfo\":{\"NCores\":0}}}".into(), ["checks", "no core"]),
     ] {
-        let told = node.stage(&step).to_string();
+        let reply = node.stage(&step).to_string();
         assert!(
-            told.contains("\"ok\":false") && parts.iter().all(|part| told.contains(part)),
-            "{step}: {told}"
+            reply.contains("\"ok\":false") && parts.iter().all(|part| reply.contains(part)),
+            "{step}: {reply}"
         );
     }
     // A name of 1 byte and one of 64, and a quota of zero, are none of these.
@@ -245,26 +245,26 @@
     let status = node.status();
     assert_eq!((&status["version"], &status["hash"]), (&json!(1), &start["hash"]));
     assert_eq!(status["counters"]["changes_refused"], json!(11), "{status}");
-    node.ends(&["changes=0 ", "changes_refused=11 "]);
+    node.finish(&["changes=0 ", "changes_refused=11 "]);
 }
 
 #[test]
-fn of_two_steps_that_cross_on_one_key_the_second_is_refused_by_its_base() {
+fn rejects_a_step_made_from_an_older_version() {
     let node = Node::new("cross", 3);
     let hash = node.status()["hash"].as_str().unwrap()[..32].to_string();
     let put = |quota: u32| {
         format!("{{\"base\":1,\"hash\":\"{hash}\"}}\n{{\"put\":\"tenant\",\"Name\":\"t00001\",\"QuotaRps\":{quota}}}")
     };
     let (first, second) = (put(120), put(130));
-    node.take(&first);
-    assert_eq!(node.do_it(json!({"do": "settle"}))["ok"], json!(true));
-    let told = node.stage(&second);
-    assert_eq!(told["error"], json!("it was made from version 1, but version 2 runs"));
+    node.stage_and_apply(&first);
+    assert_eq!(node.request(json!({"do": "settle"}))["ok"], json!(true));
+    let reply = node.stage(&second);
+    assert_eq!(reply["error"], json!("it was made from version 1, but version 2 runs"));
     // The same without a number, by its hash alone.
-    let told = node.stage(&second.replace("\"base\":1,", ""));
-    assert!(told["error"].as_str().is_some_and(|why| why.contains("made from hash")), "{told}");
+    let reply = node.stage(&second.replace("\"base\":1,", ""));
+    assert!(reply["error"].as_str().is_some_and(|why| why.contains("made from hash")), "{reply}");
     assert_eq!(node.status()["version"], json!(2));
-    node.ends(&["changes=1 ", "changes_refused=2 "]);
+    node.finish(&["changes=1 ", "changes_refused=2 "]);
 }
 
 /// Sidecars that ask all the time, for tenants that stay.
@@ -290,7 +290,7 @@
         Load { sidecars: (0..3).map(ask).collect(), over }
     }
     /// Each RPC was answered, and none as if its tenant were unknown. How many there were.
-    fn ends(self) -> u32 {
+    fn finish(self) -> u32 {
         self.over.store(true, Ordering::Relaxed);
         let ended = self.sidecars.into_iter().map(|sidecar| sidecar.join().unwrap());
         ended.fold(0, |all, (asked, aborted)| {
@@ -302,7 +302,7 @@
 
 /// A step that gives the first so many tenants another quota, takes those after them up to `all`, and puts as many new
 /// ones, `n00000` and on.
-fn great(quotas: usize, all: usize) -> String {
+fn large_step(quotas: usize, all: usize) -> String {
     let mut step = String::new();
     for n in 0..quotas {
         step.push_str(&format!("{{\"put\":\"tenant\",\"Name\":\"{}\",\"QuotaRps\":120}}\n", tenant(n)));
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn all_quotas_change_under_load_and_who_goes_and_who_comes_turns_over_in_one_moment() {
+fn all_quotas_change_under_load_at_one_moment() {
     const ALL: usize = 49_000;
     const STAY: usize = 47_000;
     let node = Node::new("all", ALL);
@@ -339,36 +339,36 @@
         }
         seen
     });
-    let staged = node.do_it(json!({"do": "stage", "step": great(STAY, ALL), "force": true}));
+    let staged = node.request(json!({"do": "stage", "step": large_step(STAY, ALL), "force": true}));
     assert_eq!((&staged["ok"], &staged["entries"]), (&json!(true), &json!(ALL + ALL - STAY)), "{staged}");
-    let applied = node.do_it(json!({"do": "apply"}));
+    let applied = node.request(json!({"do": "apply"}));
     assert_eq!(applied["ok"], json!(true), "{applied}");
     over.store(true, Ordering::Relaxed);
     let seen = prober.join().unwrap();
     assert!(seen[0] > 0 && seen[1] > 0, "{seen:?}");
     let mut sidecar = Sidecar::new(&node, 8);
-    let undone = node.do_it(json!({"do": "undo"}));
+    let undone = node.request(json!({"do": "undo"}));
     assert_eq!(undone["entries"], json!(ALL + ALL - STAY), "{undone}");
     assert!(sidecar.serves(&tenant(ALL - 1)) && !sidecar.serves("n48999"));
-    assert!(load.ends() > 100);
+    assert!(load.finish() > 100);
     assert_eq!(node.status()["counters"]["half_applied"], json!(0));
-    node.ends(&["changes=2 ", "no_buffer=0 "]);
+    node.finish(&["changes=2 ", "no_buffer=0 "]);
 }
 
 #[test]
-fn an_undo_in_the_middle_of_a_step_waits_for_its_last_slice_and_goes_back_to_what_was() {
+fn undo_waits_for_the_last_slice_of_a_step() {
     const ALL: usize = 8_000;
     let node = Node::new("undo", ALL);
     let start = node.status();
     let load = Load::new(&node, ALL / 2);
     for _ in 0..5 {
-        let staged = node.do_it(json!({"do": "stage", "step": great(ALL / 2, ALL), "force": true}));
+        let staged = node.request(json!({"do": "stage", "step": large_step(ALL / 2, ALL), "force": true}));
         assert_eq!(staged["ok"], json!(true), "{staged}");
         let socket = node.dir.join("control");
-        let applies = thread::spawn(move || told_by(&socket, json!({"do": "apply"})));
+        let applies = thread::spawn(move || control_request(&socket, json!({"do": "apply"})));
         // Asked for all the time: the first that comes once the change has begun is carried out after its last slice.
         let until = Instant::now() + WAIT;
-        while node.do_it(json!({"do": "undo"}))["ok"] != json!(true) {
+        while node.request(json!({"do": "undo"}))["ok"] != json!(true) {
             assert!(Instant::now() < until);
         }
         assert_eq!(applies.join().unwrap()["ok"], json!(true));
@@ -377,21 +377,21 @@
         let mut sidecar = Sidecar::new(&node, 9);
         assert!(sidecar.serves(&tenant(ALL - 1)) && !sidecar.serves(&format!("n{:05}", ALL - 1)));
     }
-    load.ends();
-    node.ends(&["changes=10 "]);
+    load.finish();
+    node.finish(&["changes=10 "]);
 }
 
 #[test]
-fn a_file_that_is_read_again_during_a_step_comes_whole_before_it_or_is_refused_whole_after_it() {
+fn reload_during_a_step_is_applied_before_it_or_rejected_after_it() {
     const ALL: usize = 8_000;
     for round in 0..3 {
         let mut node = Node::new("reload", ALL);
-        let staged = node.do_it(json!({"do": "stage", "step": great(ALL, ALL)}));
+        let staged = node.request(json!({"do": "stage", "step": large_step(ALL, ALL)}));
         assert_eq!(staged["ok"], json!(true), "{staged}");
         node.config["settings"]["Tenants"][0]["QuotaRps"] = json!(555);
         node.write();
         let socket = node.dir.join("control");
-        let applies = thread::spawn(move || told_by(&socket, json!({"do": "apply"})));
+        let applies = thread::spawn(move || control_request(&socket, json!({"do": "apply"})));
         if round > 0 {
             assert_eq!(node.status()["ok"], json!(true)); // it is under way, or over
         }
@@ -416,28 +416,28 @@
         }
         let mut sidecar = Sidecar::new(&node, 3);
         assert!(sidecar.serves(&tenant(ALL - 1)));
-        node.ends(&["changes=1 ", "reloads=1 "]);
+        node.finish(&["changes=1 ", "reloads=1 "]);
     }
 }
 
 #[test]
-fn during_a_drain_a_step_is_refused_and_a_notice_in_the_middle_of_one_is_not_held_up() {
+fn drain_rejects_steps_and_is_not_delayed_by_one() {
     const ALL: usize = 20_000;
     let node = Node::new("drain", ALL);
     let mut sidecar = Sidecar::new(&node, 1);
     assert!(sidecar.serves(&tenant(0)));
-    let staged = node.do_it(json!({"do": "stage", "step": great(ALL, ALL)}));
+    let staged = node.request(json!({"do": "stage", "step": large_step(ALL, ALL)}));
     assert_eq!(staged["ok"], json!(true), "{staged}");
     let socket = node.dir.join("control");
-    let applies = thread::spawn(move || told_by(&socket, json!({"do": "apply"})));
+    let applies = thread::spawn(move || control_request(&socket, json!({"do": "apply"})));
     node.signal("TERM");
     // What crosses the notice is served to the end, whichever way the two fell.
     let mut asked = 0;
-    while node.do_it(json!({"do": "drop"}))["error"] != json!("nothing is staged") {
+    while node.request(json!({"do": "drop"}))["error"] != json!("nothing is staged") {
         asked += u32::from(sidecar.serves(&tenant(1)));
     }
-    let told = node.stage("{\"put\":\"tenant\",\"Name\":\"late\",\"QuotaRps\":1}");
-    assert_eq!(told["error"], json!("the server leaves"), "{told}");
+    let reply = node.stage("{\"put\":\"tenant\",\"Name\":\"late\",\"QuotaRps\":1}");
+    assert_eq!(reply["error"], json!("the server leaves"), "{reply}");
     let applied = applies.join().unwrap();
     let wanted = ["the server leaves", "nothing is staged"].map(|why| json!(why));
     assert!(applied["ok"] == json!(true) || wanted.contains(&applied["error"]), "{applied} after {asked}");
@@ -445,24 +445,24 @@
     let rest = sidecar.stream.read_to_end(&mut Vec::new());
     assert!(rest.is_ok_and(|_| true), "it ends in order");
     let mut node = node;
-    let output = ended(node.child.take().unwrap());
-    assert_eq!(output.status.code(), Some(0), "{}", text(&output));
+    let output = wait_for_exit(node.child.take().unwrap());
+    assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
     assert!(
-        text(&output).contains("half_applied=0 ") && text(&output).contains("gone=0 "),
+        stderr_text(&output).contains("half_applied=0 ") && stderr_text(&output).contains("gone=0 "),
         "{}",
-        text(&output)
+        stderr_text(&output)
     );
     std::fs::remove_dir_all(&node.dir).unwrap();
 }
 
 #[test]
-fn killed_in_the_middle_of_a_step_or_of_a_whole_file_it_starts_on_the_last_good_version() {
+fn restarts_on_the_last_good_version_after_a_kill() {
     const ALL: usize = 8_000;
     let mut node = Node::new("killed", ALL);
     let good = node.status()["hash"].clone();
     // By steps: the file says what was good. Killed at several moments from the wish to the version in force.
     for moment in 0..6 {
-        let staged = node.do_it(json!({"do": "stage", "step": great(ALL / 2, ALL), "force": true}));
+        let staged = node.request(json!({"do": "stage", "step": large_step(ALL / 2, ALL), "force": true}));
         assert_eq!(staged["ok"], json!(true), "{staged}");
         let mut stream = UnixStream::connect(node.dir.join("control")).unwrap();
         stream.write_all(b"{\"v\":1,\"do\":\"apply\"}\n").unwrap();
@@ -485,9 +485,9 @@
     loop {
         let status = node.status();
         let hash = status["hash"].as_str().unwrap();
-        let kept = std::fs::read_to_string(node.dir.join("state/versions")).unwrap_or_default();
+        let stored = std::fs::read_to_string(node.dir.join("state/versions")).unwrap_or_default();
         let stands = |line: &str| line.starts_with("step probation") && line.contains(hash);
-        if status["probation"] != json!(null) && kept.lines().any(stands) {
+        if status["probation"] != json!(null) && stored.lines().any(stands) {
             break;
         }
         assert!(Instant::now() < until, "{status}");
@@ -498,17 +498,17 @@
     assert!(Sidecar::new(&node, 2).serves(&tenant(0)));
     // And one that is cut off in the middle changes nothing.
     let whole = file.to_string();
-    std::fs::write(path("killed"), &whole[..whole.len() / 2]).unwrap();
+    std::fs::write(config_path("killed"), &whole[..whole.len() / 2]).unwrap();
     node.signal("HUP");
     node.signal("USR1");
     let mut sidecar = Sidecar::new(&node, 3);
     assert!(sidecar.serves(&tenant(0)));
-    node.ends(&["reloads_failed=1 "]);
+    node.finish(&["reloads_failed=1 "]);
 }
 
 /// A peer that stops in the middle of a line is given up, and nobody else waits for it.
 #[test]
-fn a_client_that_leaves_in_the_middle_of_a_step_leaves_nothing_behind() {
+fn abandoned_request_leaves_nothing_behind() {
     let node = Node::new("leaves", 3);
     assert_eq!(node.status()["ok"], json!(true));
     let mut stream = UnixStream::connect(node.dir.join("control")).unwrap();
@@ -522,8 +522,8 @@
         other => assert!(other.is_err_and(|e| e.kind() != ErrorKind::WouldBlock)),
     }
     // What says what runs already is no entry of it.
-    node.take(&great(2, 2));
-    assert_eq!(node.do_it(json!({"do": "settle"}))["ok"], json!(true));
-    assert_eq!(node.take(&great(3, 3))["entries"], json!(1));
-    node.ends(&["changes=2 "]);
+    node.stage_and_apply(&large_step(2, 2));
+    assert_eq!(node.request(json!({"do": "settle"}))["ok"], json!(true));
+    assert_eq!(node.stage_and_apply(&large_step(3, 3))["entries"], json!(1));
+    node.finish(&["changes=2 "]);
 }
--- a/daemon/tests/program.rs
+++ b/daemon/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program on loopback sockets, from start to drain, against stand-ins for the agent, the layer below,
+//! The program on loopback sockets, from start to drain, against stand-ins for the agent, the upstream tier,
 //! the name service and a sidecar.
 
 mod stand_ins;
@@ -13,20 +13,21 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn it_serves_from_start_to_drain_and_outlives_bad_peers() {
-    let (listen, config, reports) = stand_ins(false);
-    let child = start("serves", &config.to_string());
+fn serves_from_start_to_drain_despite_bad_peers() {
+    let (listen, config, reports) = start_stand_ins(false);
+    let child = start_daemon("serves", &config.to_string());
     let mut checks = connect(listen);
-    checks.write_all(&frame(4, 1, &[("thorough", "1")], &[])).unwrap();
-    let (kind, stream, payload) = next(&mut checks).unwrap();
+    checks.write_all(&encode_frame(4, 1, &[("thorough", "1")], &[])).unwrap();
+    let (kind, stream, payload) = read_frame(&mut checks).unwrap();
     assert_eq!((kind, stream, payload[0]), (5, 1, 0));
     assert_eq!(reports.recv_timeout(WAIT).unwrap(), r#"PUT /ns/hosts/n1 HTTP/1.1 {"serving":"yes"}"#);
 
-    // A peer that breaks the framing gets told so, and is closed once what it is owed was answered.
+    // A peer that breaks the framing gets an error, and is closed once what it is owed was answered.
     let mut bad = connect(listen);
-    bad.write_all(&[ask(1, "00000000000000b1", b"owed"), frame(9, 2, &[], &[])].concat()).unwrap();
+    bad.write_all(&[rpc_frame(1, "00000000000000b1", b"owed"), encode_frame(9, 2, &[], &[])].concat())
+        .unwrap();
     let mut seen = Vec::new();
-    while let Some((kind, stream, _)) = next(&mut bad) {
+    while let Some((kind, stream, _)) = read_frame(&mut bad) {
         seen.push((kind, stream));
     }
     assert_eq!(seen, [(2, 0), (2, 1)]);
@@ -36,11 +37,11 @@
     // As many as a cold server takes at once, however they are read: more may be pushed back.
     for n in 1..=3 {
         let body = format!("{n}\r\n\0any bytes");
-        sidecar.write_all(&ask(n, &format!("00000000000000a{n}"), body.as_bytes())).unwrap();
+        sidecar.write_all(&rpc_frame(n, &format!("00000000000000a{n}"), body.as_bytes())).unwrap();
     }
     sidecar.shutdown(std::net::Shutdown::Write).unwrap();
     let mut answered = Vec::new();
-    while let Some((kind, stream, payload)) = next(&mut sidecar) {
+    while let Some((kind, stream, payload)) = read_frame(&mut sidecar) {
         let mut reply = format!("{stream}\r\n\0any bytes").into_bytes();
         reply.reverse();
         assert!((kind, payload[0]) == (2, 0) && payload.ends_with(&reply), "{kind} {payload:?}");
@@ -49,56 +50,60 @@
     answered.sort();
     assert_eq!(answered, [1, 2, 3]);
 
-    // The notice to leave: told on each connection, reported, and what crosses it is still answered.
+    // SIGTERM: announced on each connection, reported, and what crosses it is still answered.
     let mut last = connect(listen);
-    last.write_all(&ask(1, "00000000000000c1", b"before")).unwrap();
-    assert_eq!(next(&mut last).unwrap().1, 1);
-    signal(&child, "USR1");
-    signal(&child, "TERM");
-    assert_eq!(next(&mut last).unwrap(), (6, 0, vec![]));
-    last.write_all(&ask(2, "00000000000000c2", b"crossing")).unwrap();
-    let (kind, stream, payload) = next(&mut last).unwrap();
+    last.write_all(&rpc_frame(1, "00000000000000c1", b"before")).unwrap();
+    assert_eq!(read_frame(&mut last).unwrap().1, 1);
+    send_signal(&child, "USR1");
+    send_signal(&child, "TERM");
+    assert_eq!(read_frame(&mut last).unwrap(), (6, 0, vec![]));
+    last.write_all(&rpc_frame(2, "00000000000000c2", b"crossing")).unwrap();
+    let (kind, stream, payload) = read_frame(&mut last).unwrap();
     assert_eq!((kind, stream, payload[0]), (2, 2, 0));
     while !reports.recv_timeout(WAIT).unwrap().ends_with(r#"{"serving":"no"}"#) {}
-    let output = ended(child);
-    assert_eq!(output.status.code(), Some(0), "{}", text(&output));
-    assert!(text(&output).contains("rpcs=6 ") && text(&output).contains(" ok=6 "), "{}", text(&output));
+    let output = wait_for_exit(child);
+    assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
+    assert!(
+        stderr_text(&output).contains("rpcs=6 ") && stderr_text(&output).contains(" ok=6 "),
+        "{}",
+        stderr_text(&output)
+    );
 }
 
 #[test]
-fn after_a_pause_what_has_arrived_is_read_before_time_is_told() {
-    let (listen, config, reports) = stand_ins(false);
-    let child = start("pause", &config.to_string());
+fn reads_what_arrived_during_a_pause_before_time_passes() {
+    let (listen, config, reports) = start_stand_ins(false);
+    let child = start_daemon("pause", &config.to_string());
     assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
     let mut sidecar = connect(listen);
-    let rpc = ask(1, "00000000000000e1", b"slow");
+    let rpc = rpc_frame(1, "00000000000000e1", b"slow");
     let patience = rpc.windows(4).position(|four| four == b"1900").unwrap();
     sidecar.write_all(&[&rpc[..patience], b"0500", &rpc[patience + 4..]].concat()).unwrap();
     thread::sleep(Duration::from_millis(150));
-    signal(&child, "STOP");
+    send_signal(&child, "STOP");
     thread::sleep(Duration::from_millis(800)); // it ends meanwhile, and would have been due
-    signal(&child, "CONT");
-    let (kind, _, payload) = next(&mut sidecar).unwrap();
+    send_signal(&child, "CONT");
+    let (kind, _, payload) = read_frame(&mut sidecar).unwrap();
     assert_eq!((kind, payload[0]), (2, 0));
-    signal(&child, "TERM");
-    assert_eq!(ended(child).status.code(), Some(0));
+    send_signal(&child, "TERM");
+    assert_eq!(wait_for_exit(child).status.code(), Some(0));
 }
 
 #[test]
-fn who_says_nothing_whole_is_told_or_closed_in_time_and_leaves_room_for_who_asks() {
-    let (listen, config, reports) = stand_ins(false);
-    let child = start("mute", &config.to_string());
+fn closes_connections_without_a_complete_frame() {
+    let (listen, config, reports) = start_stand_ins(false);
+    let child = start_daemon("mute", &config.to_string());
     assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
     let start = Instant::now();
     let mut asked = connect(listen); // asks once and stays
-    asked.write_all(&ask(1, "0000000000000001", b"body")).unwrap();
-    assert_eq!(next(&mut asked).unwrap().2[0], 0);
+    asked.write_all(&rpc_frame(1, "0000000000000001", b"body")).unwrap();
+    assert_eq!(read_frame(&mut asked).unwrap().2[0], 0);
     let mut half = connect(listen);
-    half.write_all(&ask(1, "0000000000000002", b"body")[..40]).unwrap();
+    half.write_all(&rpc_frame(1, "0000000000000002", b"body")[..40]).unwrap();
     let mut mute: Vec<TcpStream> = (0..600).map(|_| connect(listen)).collect(); // more than there is room for
     let mut late = connect(listen);
-    late.write_all(&ask(1, "0000000000000003", b"body")).unwrap();
-    assert_eq!(next(&mut late).unwrap().2[0], 0);
+    late.write_all(&rpc_frame(1, "0000000000000003", b"body")).unwrap();
+    assert_eq!(read_frame(&mut late).unwrap().2[0], 0);
     assert!(start.elapsed() < Duration::from_millis(700), "{:?}", start.elapsed());
     for stream in mute.iter_mut().chain([&mut half]) {
         stream.set_read_timeout(Some(WAIT)).unwrap();
@@ -109,73 +114,73 @@
     let _checkers: Vec<TcpStream> = (0..60)
         .map(|_| {
             let mut stream = connect(listen);
-            stream.write_all(&frame(4, 1, &[], &[])).unwrap();
-            assert_eq!(next(&mut stream).unwrap().0, 5);
+            stream.write_all(&encode_frame(4, 1, &[], &[])).unwrap();
+            assert_eq!(read_frame(&mut stream).unwrap().0, 5);
             stream
         })
         .collect();
-    asked.write_all(&ask(2, "0000000000000004", b"body")).unwrap();
-    assert_eq!(next(&mut asked).unwrap().2[0], 0);
-    signal(&child, "TERM");
-    assert_eq!(ended(child).status.code(), Some(0));
+    asked.write_all(&rpc_frame(2, "0000000000000004", b"body")).unwrap();
+    assert_eq!(read_frame(&mut asked).unwrap().2[0], 0);
+    send_signal(&child, "TERM");
+    assert_eq!(wait_for_exit(child).status.code(), Some(0));
 }
 
 #[test]
-fn told_anew_it_goes_over_to_the_new_addresses_and_nothing_else_changes() {
+fn reload_moves_to_the_new_addresses_and_changes_nothing_else() {
     let notices = Notices::default();
-    let (listen, config, reports) = stand_ins_with(false, notices.clone());
-    let child = start("anew", &config.to_string());
+    let (listen, config, reports) = start_stand_ins_with(false, notices.clone());
+    let child = start_daemon("anew", &config.to_string());
     assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
     let mut sidecar = connect(listen);
     let mut serves = |stream: u32| {
-        sidecar.write_all(&ask(stream, &format!("00000000000000f{stream}"), b"body")).unwrap();
-        let (kind, on, payload) = next(&mut sidecar).unwrap();
+        sidecar.write_all(&rpc_frame(stream, &format!("00000000000000f{stream}"), b"body")).unwrap();
+        let (kind, on, payload) = read_frame(&mut sidecar).unwrap();
         assert!((kind, on, payload[0]) == (2, stream, 0) && payload.ends_with(b"ydob"), "{payload:?}");
     };
     serves(1);
-    let anew = |told: &str| {
-        std::fs::write(path("anew"), told).unwrap();
-        signal(&child, "HUP");
+    let anew = |config: &str| {
+        std::fs::write(config_path("anew"), config).unwrap();
+        send_signal(&child, "HUP");
     };
     anew(&config.to_string()[..90]); // half written
     serves(2);
     thread::sleep(Duration::from_millis(200)); // signals that wait are taken together
-    let (_, moved, moved_reports) = stand_ins_with(false, notices);
+    let (_, moved, moved_reports) = start_stand_ins_with(false, notices);
     anew(&moved.to_string());
     assert!(moved_reports.recv_timeout(WAIT).unwrap().contains("yes"));
     serves(3);
-    signal(&child, "TERM");
-    let output = ended(child);
-    assert_eq!(output.status.code(), Some(0), "{}", text(&output));
+    send_signal(&child, "TERM");
+    let output = wait_for_exit(child);
+    assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
     for counted in ["reloads=1 ", "reloads_failed=1 ", " ok=3 ", "agent_up=3 "] {
-        assert!(text(&output).contains(counted), "{counted} {}", text(&output));
+        assert!(stderr_text(&output).contains(counted), "{counted} {}", stderr_text(&output));
     }
 }
 
 #[test]
-fn nonsense_from_every_side_is_counted_and_outlived() {
-    let (listen, config, reports) = stand_ins(true);
-    let child = start("nonsense", &config.to_string());
+fn survives_and_counts_garbage_from_every_peer() {
+    let (listen, config, reports) = start_stand_ins(true);
+    let child = start_daemon("nonsense", &config.to_string());
     assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
     let mut sidecar = connect(listen);
-    sidecar.write_all(&ask(1, "00000000000000d1", b"body")).unwrap();
-    let (kind, stream, payload) = next(&mut sidecar).unwrap();
+    sidecar.write_all(&rpc_frame(1, "00000000000000d1", b"body")).unwrap();
+    let (kind, stream, payload) = read_frame(&mut sidecar).unwrap();
     assert!((kind, stream, payload[0]) == (2, 1, 0) && payload.ends_with(b"ydob"), "{payload:?}");
-    signal(&child, "TERM");
-    let output = ended(child);
-    assert_eq!(output.status.code(), Some(0), "{}", text(&output));
+    send_signal(&child, "TERM");
+    let output = wait_for_exit(child);
+    assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
     for counted in ["bad_agent=1 ", "bad_below=1 ", "bad_naming=1 ", "reports_lost=1 ", " ok=1 "] {
-        assert!(text(&output).contains(counted), "{counted} {}", text(&output));
+        assert!(stderr_text(&output).contains(counted), "{counted} {}", stderr_text(&output));
     }
 }
 
 #[test]
-fn what_it_was_told_wrongly_is_named_before_it_listens() {
-    let (listen, config, _) = stand_ins(false);
-    let fails = |name: &str, told: &str| {
-        let output = ended(start(name, told));
+fn names_configuration_errors_before_listening() {
+    let (listen, config, _) = start_stand_ins(false);
+    let fails = |name: &str, config: &str| {
+        let output = wait_for_exit(start_daemon(name, config));
         assert_eq!(output.status.code(), Some(1));
-        text(&output)
+        stderr_text(&output)
     };
     assert!(fails("junk", "{").contains("not JSON"));
     for (field, value) in
@@ -191,7 +196,7 @@
     let _taken = TcpListener::bind(listen).unwrap();
     assert!(fails("taken", &config.to_string()).contains(&listen.to_string()));
     let output = Command::new(env!("CARGO_BIN_EXE_asterrilld")).env_remove("GW_CONFIG").output().unwrap();
-    assert!(output.status.code() == Some(1) && text(&output).contains("GW_CONFIG"));
+    assert!(output.status.code() == Some(1) && stderr_text(&output).contains("GW_CONFIG"));
 }
 
 /// The line by which the platform starts a backend.
@@ -203,11 +208,11 @@
 }
 
 #[test]
-fn as_the_platform_starts_it_it_is_one_linked_process_without_children_and_without_other_sockets() {
+fn runs_as_one_process_with_only_its_own_sockets() {
     let run = run_line();
     assert_eq!(run, "exec target/release/asterrilld", "nothing new is on in run");
-    let (listen, config, reports) = stand_ins(false);
-    let path = path("platform");
+    let (listen, config, reports) = start_stand_ins(false);
+    let path = config_path("platform");
     std::fs::write(&path, config.to_string()).unwrap();
     let line = run.replace("target/release/asterrilld", env!("CARGO_BIN_EXE_asterrilld"));
     let mut command = Command::new("/bin/sh");
@@ -215,8 +220,8 @@
     let child = command.spawn().unwrap();
     assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
     let mut sidecar = connect(listen);
-    sidecar.write_all(&ask(1, "00000000000000f1", b"body")).unwrap();
-    assert_eq!(next(&mut sidecar).unwrap().2[0], 0);
+    sidecar.write_all(&rpc_frame(1, "00000000000000f1", b"body")).unwrap();
+    assert_eq!(read_frame(&mut sidecar).unwrap().2[0], 0);
 
     let (pid, read) = (child.id(), |path: String| std::fs::read_to_string(path).unwrap_or_default());
     // By exec: the process that was started is the program, and nothing has it for a parent.
@@ -248,8 +253,8 @@
     assert_eq!((of("tcp6", 9), of("udp", 9), of("udp6", 9)), (vec![], vec![], vec![]));
     let named: Vec<Vec<String>> = of("unix", 6).into_iter().filter(|row| row.len() > 7).collect();
     assert!(named.is_empty(), "{named:?}");
-    signal(&child, "TERM");
-    assert_eq!(ended(child).status.code(), Some(0));
+    send_signal(&child, "TERM");
+    assert_eq!(wait_for_exit(child).status.code(), Some(0));
 }
 
 /// Asks the control socket for the status.
@@ -269,17 +274,17 @@
 }
 
 #[test]
-fn what_was_learned_survives_a_kill_and_whatever_stands_in_its_place_does_no_harm() {
+fn snapshot_survives_a_kill_and_a_damaged_one_does_no_harm() {
     let dir = std::env::temp_dir().join(format!("asterrilld-{}-return", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let (state, socket, file) = (dir.join("state"), dir.join("control"), dir.join("operator.conf"));
     let (at, to) = (socket.display(), state.display());
-    let told = format!("[changes]\ncontrol {at}\nstate {to}\n[recovery]\nsnapshot 1s\n");
-    std::fs::write(&file, told).unwrap();
+    let config = format!("[changes]\ncontrol {at}\nstate {to}\n[recovery]\nsnapshot 1s\n");
+    std::fs::write(&file, config).unwrap();
     // One life: some RPCs are served, until a snapshot stands on disk if one is waited for; then it is killed.
     let life = |name: &str, snapshot: bool| {
-        let (listen, config, _reports) = stand_ins_with(false, Notices::default());
-        let path = path(name);
+        let (listen, config, _reports) = start_stand_ins_with(false, Notices::default());
+        let path = config_path(name);
         std::fs::write(&path, config.to_string()).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_asterrilld"));
         command.arg("--file").arg(&file).env("GW_CONFIG", &path);
@@ -287,19 +292,20 @@
         let mut sidecar = connect(listen);
         let until = Instant::now() + WAIT;
         let (mut stream, mut served) = (0, 0);
-        let known = || std::fs::read_to_string(state.join("learned")).is_ok_and(|t| t.contains("\nmethod "));
-        while (served < 12 || snapshot && !known()) && Instant::now() < until {
+        let has_methods =
+            || std::fs::read_to_string(state.join("learned")).is_ok_and(|t| t.contains("\nmethod "));
+        while (served < 12 || snapshot && !has_methods()) && Instant::now() < until {
             stream += 1;
-            sidecar.write_all(&ask(stream, &format!("{stream:016x}"), b"body")).unwrap();
-            served += u32::from(next(&mut sidecar).unwrap().2[0] == 0);
+            sidecar.write_all(&rpc_frame(stream, &format!("{stream:016x}"), b"body")).unwrap();
+            served += u32::from(read_frame(&mut sidecar).unwrap().2[0] == 0);
         }
         assert!(served >= 12, "{name}: {served}");
-        let told = status(&socket);
+        let status = status(&socket);
         let stages = ["restoring", "cold", "warming", "full"];
-        assert!(told["stage"]["name"].as_str().is_some_and(|name| stages.contains(&name)), "{told}");
-        assert!(told["stage"]["why"].is_string() && told["stage"]["since"].is_u64(), "{told}");
+        assert!(status["stage"]["name"].as_str().is_some_and(|name| stages.contains(&name)), "{status}");
+        assert!(status["stage"]["why"].is_string() && status["stage"]["since"].is_u64(), "{status}");
         child.kill().unwrap();
-        text(&child.wait_with_output().unwrap())
+        stderr_text(&child.wait_with_output().unwrap())
     };
     assert!(!life("return-1", true).contains("learned before"));
     let again = life("return-2", true);
--- a/daemon/tests/stand_ins/mod.rs
+++ b/daemon/tests/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the agent, the layer below, the name service and a sidecar, and the program itself.
+//! Stand-ins for the agent, the upstream tier, the name service and a sidecar, and the program itself.
 #![allow(dead_code)] // each test binary uses some of it
 
 use serde_json::{json, Value};
@@ -13,7 +13,7 @@
 
 pub const WAIT: Duration = Duration::from_secs(10);
 
-pub fn told(listen: SocketAddr, agent: SocketAddr, records: SocketAddr, naming: SocketAddr) -> Value {
+pub fn config(listen: SocketAddr, agent: SocketAddr, records: SocketAddr, naming: SocketAddr) -> Value {
     json!({"name": "n1", "listen": listen.to_string(), "agent": agent.to_string(),
         "records": records.to_string(), "naming": naming.to_string(), "seed": "00000000000000ff", "stop_ms": 900,
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64},
@@ -25,44 +25,44 @@
             "StopSendingWithinMs": 300}, "StepMs": 4}})
 }
 
-pub fn free() -> SocketAddr {
+pub fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-pub fn path(name: &str) -> PathBuf {
+pub fn config_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("asterrilld-{}-{name}.json", std::process::id()))
 }
 
-pub fn start(name: &str, told: &str) -> Child {
-    let path = path(name);
-    std::fs::write(&path, told).unwrap();
+pub fn start_daemon(name: &str, config: &str) -> Child {
+    let path = config_path(name);
+    std::fs::write(&path, config).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_asterrilld"));
     command.env("GW_CONFIG", &path).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap()
 }
 
-pub fn signal(child: &Child, name: &str) {
+pub fn send_signal(child: &Child, name: &str) {
     let sent = Command::new("kill").args(["-s", name, &child.id().to_string()]).status().unwrap();
     assert!(sent.success());
 }
 
-pub fn ended(mut child: Child) -> Output {
+pub fn wait_for_exit(mut child: Child) -> Output {
     let until = Instant::now() + WAIT;
     while child.try_wait().unwrap().is_none() {
         if Instant::now() > until {
             child.kill().unwrap();
-            panic!("it does not end: {}", text(&child.wait_with_output().unwrap()));
+            panic!("it does not end: {}", stderr_text(&child.wait_with_output().unwrap()));
         }
         thread::sleep(Duration::from_millis(10));
     }
     child.wait_with_output().unwrap()
 }
 
-pub fn text(output: &Output) -> String {
+pub fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 /// Reads a line and the body that its last word tells of, for the commands that carry one.
-pub fn command(from: &mut impl BufRead) -> Option<(Vec<String>, Vec<u8>)> {
+pub fn read_command(from: &mut impl BufRead) -> Option<(Vec<String>, Vec<u8>)> {
     let mut line = String::new();
     if from.read_line(&mut line).ok()? == 0 {
         return None;
@@ -79,7 +79,7 @@
 }
 
 /// Takes one connection, and answers what comes first on it with nonsense.
-pub fn spoil(at: &TcpListener, with: &[u8]) {
+pub fn answer_with_garbage(at: &TcpListener, with: &[u8]) {
     let mut stream = at.accept().unwrap().0;
     assert!(stream.read(&mut [0; 1024]).unwrap() > 0);
     stream.write_all(with).unwrap();
@@ -90,15 +90,15 @@
 pub type Notices = Arc<Mutex<Vec<Vec<u8>>>>;
 
 /// An agent whose first link breaks in the middle of a run. Each run makes one call; its result is the reply.
-pub fn agent(at: TcpListener, nonsense: bool, notices: Notices) {
+pub fn run_agent(at: TcpListener, nonsense: bool, notices: Notices) {
     let mut greeted = !notices.lock().unwrap().is_empty();
     if nonsense {
-        spoil(&at, b"greeting PERHAPS\r\n");
+        answer_with_garbage(&at, b"greeting PERHAPS\r\n");
     }
     for stream in at.incoming() {
         let mut to = stream.unwrap();
         let mut from = BufReader::new(to.try_clone().unwrap());
-        while let Some((words, body)) = command(&mut from) {
+        while let Some((words, body)) = read_command(&mut from) {
             let mut notices = notices.lock().unwrap();
             let mut tell = |bytes: Vec<u8>| drop(to.write_all(&bytes));
             let number = notices.len() + 1;
@@ -134,16 +134,16 @@
     }
 }
 
-/// A layer below that answers each call with its body, turned round.
-pub fn below(at: TcpListener, nonsense: bool) {
+/// A upstream tier that answers each call with its body, turned round.
+pub fn run_upstream(at: TcpListener, nonsense: bool) {
     if nonsense {
-        spoil(&at, b"what?\r\n");
+        answer_with_garbage(&at, b"what?\r\n");
     }
     for stream in at.incoming() {
         let mut to = stream.unwrap();
         let mut from = BufReader::new(to.try_clone().unwrap());
         thread::spawn(move || {
-            while let Some((words, mut body)) = command(&mut from) {
+            while let Some((words, mut body)) = read_command(&mut from) {
                 if words[0] == "OP" {
                     body.reverse();
                     let line = format!("{} DONE {}\r\n", words[1], body.len());
@@ -154,14 +154,14 @@
     }
 }
 
-pub fn naming(at: TcpListener, told: Sender<String>, nonsense: bool) {
+pub fn run_name_service(at: TcpListener, reports: Sender<String>, nonsense: bool) {
     if nonsense {
-        spoil(&at, b"HTTP/9 who?\r\n\r\n");
+        answer_with_garbage(&at, b"HTTP/9 who?\r\n\r\n");
     }
     for stream in at.incoming() {
         let mut to = stream.unwrap();
         let mut from = BufReader::new(to.try_clone().unwrap());
-        let told = told.clone();
+        let reports = reports.clone();
         thread::spawn(move || loop {
             let (mut head, mut line) = (String::new(), String::new());
             while from.read_line(&mut line).unwrap_or(0) > 2 {
@@ -172,13 +172,13 @@
             let mut body = vec![0; length];
             from.read_exact(&mut body).unwrap();
             let first = head.lines().next().unwrap_or("").to_string();
-            told.send(format!("{first} {}", String::from_utf8_lossy(&body))).unwrap_or_default();
+            reports.send(format!("{first} {}", String::from_utf8_lossy(&body))).unwrap_or_default();
             to.write_all(b"HTTP/1.1 204 No Content\r\n\r\n").unwrap_or_default();
         });
     }
 }
 
-pub fn frame(kind: u8, stream: u32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub fn encode_frame(kind: u8, stream: u32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut payload = vec![fields.len() as u8];
     for (name, value) in fields {
         payload.push(name.len() as u8);
@@ -191,7 +191,7 @@
     [&length.to_be_bytes()[..], &[kind], &stream.to_be_bytes(), &payload].concat()
 }
 
-pub fn ask(stream: u32, trace: &str, body: &[u8]) -> Vec<u8> {
+pub fn rpc_frame(stream: u32, trace: &str, body: &[u8]) -> Vec<u8> {
     let born = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis().to_string();
     let fields = [
         ("route", "look"),
@@ -201,11 +201,11 @@
         ("patience", "1900"),
         ("size", "9"),
     ];
-    frame(1, stream, &fields, body)
+    encode_frame(1, stream, &fields, body)
 }
 
 /// The next frame: its type, stream and payload. None at the end of the connection.
-pub fn next(from: &mut TcpStream) -> Option<(u8, u32, Vec<u8>)> {
+pub fn read_frame(from: &mut TcpStream) -> Option<(u8, u32, Vec<u8>)> {
     let mut head = [0; 9];
     from.set_read_timeout(Some(WAIT)).unwrap();
     from.read_exact(&mut head).ok()?;
@@ -226,18 +226,18 @@
     }
 }
 
-pub fn stand_ins(nonsense: bool) -> (SocketAddr, Value, Receiver<String>) {
-    stand_ins_with(nonsense, Notices::default())
+pub fn start_stand_ins(nonsense: bool) -> (SocketAddr, Value, Receiver<String>) {
+    start_stand_ins_with(nonsense, Notices::default())
 }
 
-pub fn stand_ins_with(nonsense: bool, notices: Notices) -> (SocketAddr, Value, Receiver<String>) {
+pub fn start_stand_ins_with(nonsense: bool, notices: Notices) -> (SocketAddr, Value, Receiver<String>) {
     let [a, r, n] = [(); 3].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let at = |l: &TcpListener| l.local_addr().unwrap();
-    let listen = free();
-    let config = told(listen, at(&a), at(&r), at(&n));
-    let (told, reports) = channel();
-    thread::spawn(move || agent(a, nonsense, notices));
-    thread::spawn(move || below(r, nonsense));
-    thread::spawn(move || naming(n, told, nonsense));
+    let listen = free_address();
+    let config = config(listen, at(&a), at(&r), at(&n));
+    let (reporter, reports) = channel();
+    thread::spawn(move || run_agent(a, nonsense, notices));
+    thread::spawn(move || run_upstream(r, nonsense));
+    thread::spawn(move || run_name_service(n, reporter, nonsense));
     (listen, config, reports)
 }
