--- a/lab/src/control.rs
+++ b/lab/src/control.rs
@@ -12,6 +12,7 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 const CONNECT_WITHIN: Duration = Duration::from_secs(3);
+const CONNECT_POLL: Duration = Duration::from_millis(5);
 
 /// How long an operator waits for the answer to a request of its own connection.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
@@ -83,15 +84,22 @@
     }
 }
 
-/// Connects to a socket that may not be there yet: the process may only just have started.
-fn open(path: &Path) -> std::io::Result<Connection> {
+/// Connects to a socket that may not be there yet: a process opens it shortly after it listens for sidecars.
+///
+/// # Errors
+/// Nobody listens there within three seconds.
+pub fn connect_when_ready(socket: &Path) -> std::io::Result<UnixStream> {
     let until = Instant::now() + CONNECT_WITHIN;
-    let stream = loop {
-        match UnixStream::connect(path) {
-            Err(_) if Instant::now() < until => thread::sleep(Duration::from_millis(5)),
-            done => break done?,
+    loop {
+        match UnixStream::connect(socket) {
+            Err(_) if Instant::now() < until => thread::sleep(CONNECT_POLL),
+            done => return done,
         }
-    };
+    }
+}
+
+fn open(socket: &Path) -> std::io::Result<Connection> {
+    let stream = connect_when_ready(socket)?;
     stream.set_read_timeout(Some(READ_TIMEOUT))?;
     stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
     Ok(Connection { stream: BufReader::new(stream), used: Instant::now() })
--- a/lab/src/rollout/storm.rs
+++ b/lab/src/rollout/storm.rs
@@ -3,13 +3,13 @@
 
 use super::stage::{accepted, check_framed, operator_file, Stage};
 use crate::broker::{Broker, FaultScript};
+use crate::control::connect_when_ready;
 use crate::load::{in_time, run_load, sum, RateSpan};
 use crate::method::FRAMED;
 use crate::queue::{endless_stock, report_broker_ledger};
 use crate::report::{Report, ScenarioError};
 use serde_json::{json, Value};
 use std::io::Write;
-use std::os::unix::net::UnixStream;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
@@ -37,7 +37,7 @@
         let rates = [RateSpan::new(LOAD, rate)];
         run_load(at, &FRAMED, &rates, seed, &AtomicBool::new(false)).map_err(|e| e.to_string())
     });
-    let mut half_line = UnixStream::connect(&stage.socket)?;
+    let mut half_line = connect_when_ready(&stage.socket)?;
     half_line.write_all(b"{\"v\": 1, \"do\": \"sta")?;
     std::thread::sleep(Duration::from_millis(1_000));
     let made = make_changes(report, &stage, &broker, changes)?;
--- a/lab/src/scale/agree/cluster.rs
+++ b/lab/src/scale/agree/cluster.rs
@@ -9,24 +9,18 @@
 
 use super::audit::VersionAudit;
 use super::node::{Acting, Node, Received, Usage, View};
-use super::units::MS;
 use asterrill::Us;
 use asterrill_consensus::{
-    ApplyMode, Change, CompletedProposal, Config, Datagram, DiskWrite, Node as ConsensusNode, Proposal,
-    ProposalOutcome, Version,
+    ApplyMode, Change, Config, DiskWrite, Node as ConsensusNode, Proposal, ProposalOutcome, Version,
 };
-use nix::time::{clock_gettime, ClockId};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::ops::Range;
 
-const ENVELOPE_BYTES: u64 = 1 + 33 + 16; // kind of the payload, head and keyed hash of `asterrill-membership`
-const MAX_UNSENT: usize = 4_096; // daemon/src/membership.rs: datagrams that wait to be sent
+/// Bytes that a message takes beyond its own.
+pub(super) const ENVELOPE_BYTES: u64 = 1 + 33 + 16; // kind of the payload, head and keyed hash of `asterrill-membership`
 const MAX_UNREAD: usize = 4_096; // membership/src/receive.rs: messages that wait to be taken
-const IDLE_SLEEP: Us = MS; // a loop that has nothing to read sleeps so long at the least
-const NETWORK_DELAY: Range<Us> = 200..3 * MS;
-const WRITE_TIME: Range<Us> = 100..4 * MS;
 const CLOCK_RATES: Range<u64> = 985..1_015; // thousandths
 
 /// Messages that were lost to a bound of the real process, in all.
@@ -40,7 +34,8 @@
     pub(super) rate_limited: u64,
 }
 
-enum Event {
+/// What happens at a moment.
+pub(super) enum Event {
     Message { from: usize, to: usize, bytes: Vec<u8> },
     Persisted { node: usize, start: u64, write: DiskWrite },
     Turn(usize),
@@ -49,9 +44,9 @@
 /// A proposal, by the node at which it was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ProposalKey {
-    node: usize,
-    start: u64,
-    number: u64,
+    pub(super) node: usize,
+    pub(super) start: u64,
+    pub(super) number: u64,
 }
 
 /// What came of a proposal, and when.
@@ -71,29 +66,7 @@
     }
 }
 
-/// What a node has to send, to write and to report after a turn.
-struct TurnOutput {
-    datagrams: Vec<Datagram>,
-    writes: Vec<DiskWrite>,
-    outcomes: Vec<CompletedProposal>,
-    /// By its own clock.
-    next_tick: Us,
-    leads: bool,
-}
-
-impl TurnOutput {
-    fn take(consensus: &mut ConsensusNode) -> TurnOutput {
-        TurnOutput {
-            datagrams: consensus.take_outgoing(),
-            writes: consensus.take_writes(),
-            outcomes: consensus.take_outcomes(),
-            next_tick: consensus.next_tick(),
-            leads: consensus.is_leader(),
-        }
-    }
-}
-
-/// The nodes, the messages between them and the virtual time.
+/// The nodes, the messages between them and the virtual time. Turns of nodes are in `turn.rs`.
 pub(super) struct Cluster {
     pub(super) now: Us,
     pub(super) config: Config,
@@ -104,12 +77,12 @@
     pub(super) loss: f64,
     /// Nodes that go on and hear nobody, and that nobody hears.
     pub(super) cut: HashSet<usize>,
-    charges_cpu: bool,
+    pub(super) charges_cpu: bool,
     events: BTreeMap<(Us, u64), Event>,
     events_pushed: u64,
     starts: u64,
-    names: Vec<String>,
-    indexes: HashMap<String, usize>,
+    pub(super) names: Vec<String>,
+    pub(super) indexes: HashMap<String, usize>,
     /// What came of each proposal, if anything has.
     pub(super) proposals: BTreeMap<ProposalKey, Option<Outcome>>,
     pub(super) audit: VersionAudit,
@@ -123,12 +96,6 @@
     pub(super) trace: u64,
 }
 
-/// CPU time of this thread.
-fn cpu_ns() -> u64 {
-    clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)
-        .map_or(0, |at| at.tv_sec() as u64 * 1_000_000_000 + at.tv_nsec() as u64)
-}
-
 /// A version, as a voter has it.
 fn find_version(nodes: &[Node], voters: usize, version: u64) -> Option<Version> {
     let logs = nodes.iter().take(voters).filter_map(|node| node.consensus.as_ref());
@@ -174,15 +141,15 @@
         n
     }
 
-    fn local_time(&self, n: usize) -> Us {
+    pub(super) fn local_time(&self, n: usize) -> Us {
         self.now * self.nodes[n].clock_rate / 1_000
     }
 
-    fn global_time(&self, n: usize, local: Us) -> Us {
+    pub(super) fn global_time(&self, n: usize, local: Us) -> Us {
         local.saturating_mul(1_000).div_ceil(self.nodes[n].clock_rate)
     }
 
-    fn push(&mut self, at: Us, event: Event) {
+    pub(super) fn push(&mut self, at: Us, event: Event) {
         self.events_pushed += 1;
         self.events.insert((at, self.events_pushed), event);
     }
@@ -211,7 +178,7 @@
         (node.consensus, node.turn, node.leads) = (None, None, false);
     }
 
-    fn wake(&mut self, n: usize, at: Us) {
+    pub(super) fn wake(&mut self, n: usize, at: Us) {
         let node = &mut self.nodes[n];
         let at = at.max(node.busy_until).max(self.now);
         if node.consensus.is_some() && node.turn.is_none_or(|turn| turn > at) {
@@ -284,75 +251,6 @@
         self.wake(n, self.now);
     }
 
-    /// One turn of a node's loop: what is on disk, what was received, what is due; then what comes of it. The number of the
-    /// proposal, if there is one.
-    fn take_turn(&mut self, n: usize, proposal: Option<Proposal>) -> Option<u64> {
-        let (at, now) = (self.local_time(n), self.now);
-        let names = &self.names;
-        let node = &mut self.nodes[n];
-        let consensus = node.consensus.as_mut()?;
-        let begun = cpu_ns();
-        let number = proposal.map(|proposal| consensus.propose(proposal));
-        for write in std::mem::take(&mut node.persisted) {
-            consensus.persisted(at, write);
-        }
-        for Received { from, bytes } in std::mem::take(&mut node.inbox) {
-            consensus.receive(at, &names[from], &bytes);
-        }
-        if consensus.next_tick() <= at {
-            consensus.tick(at, now);
-        }
-        let output = TurnOutput::take(consensus);
-        let cost = cpu_ns().saturating_sub(begun);
-        node.usage.cpu_ns += cost;
-        let end = if self.charges_cpu { now + cost / 1_000 } else { now };
-        node.busy_until = end;
-        self.finish_turn(n, end, output);
-        number
-    }
-
-    fn finish_turn(&mut self, n: usize, end: Us, output: TurnOutput) {
-        let start = self.nodes[n].start;
-        self.send(n, end, output.datagrams);
-        for write in output.writes {
-            let took = self.rng.random_range(WRITE_TIME);
-            let persisted = self.nodes[n].writing_until.max(end) + took;
-            self.nodes[n].writing_until = persisted;
-            self.push(persisted, Event::Persisted { node: n, start, write });
-        }
-        for CompletedProposal { number, outcome } in output.outcomes {
-            if let ProposalOutcome::Committed { number, hash } = &outcome {
-                self.audit.see(*number, *hash);
-            }
-            let key = ProposalKey { node: n, start, number };
-            self.proposals.insert(key, Some(Outcome { at: end, outcome }));
-        }
-        let led = std::mem::replace(&mut self.nodes[n].leads, output.leads);
-        self.elections += u64::from(output.leads && !led);
-        self.read_view(n);
-        self.wake(n, self.global_time(n, output.next_tick).max(end + IDLE_SLEEP));
-    }
-
-    fn send(&mut self, n: usize, end: Us, mut datagrams: Vec<Datagram>) {
-        let excess = datagrams.len().saturating_sub(MAX_UNSENT);
-        datagrams.drain(..excess);
-        self.bound_losses.unsent += excess as u64;
-        let usage = &mut self.nodes[n].usage;
-        usage.sent += datagrams.len() as u64;
-        usage.sent_bytes +=
-            datagrams.iter().map(|datagram| datagram.payload.len() as u64 + ENVELOPE_BYTES).sum::<u64>();
-        for Datagram { to, payload: bytes } in datagrams {
-            let Some(to) = self.indexes.get(&to).copied() else { continue };
-            let cut = self.cut.contains(&n) || self.cut.contains(&to);
-            if cut || (self.loss > 0.0 && self.rng.random::<f64>() < self.loss) {
-                self.lost += 1;
-                continue;
-            }
-            let delay = self.rng.random_range(NETWORK_DELAY);
-            self.push(end + delay, Event::Message { from: n, to, bytes });
-        }
-    }
-
     /// An operator proposes changes at a node.
     pub(super) fn propose(&mut self, n: usize, changes: Vec<Change>) -> Option<ProposalKey> {
         let number = self.take_turn(n, Some(Proposal::Change { base: None, changes }))?;
@@ -372,7 +270,7 @@
     }
 
     /// What a node acts on now, from its apply policy and its lease.
-    fn read_view(&mut self, n: usize) {
+    pub(super) fn read_view(&mut self, n: usize) {
         let at = self.local_time(n);
         let Some(consensus) = &self.nodes[n].consensus else { return };
         let (policy, until) = (consensus.apply_policy(), consensus.lease_until());
--- a/lab/src/scale/agree/mod.rs
+++ b/lab/src/scale/agree/mod.rs
@@ -13,6 +13,7 @@
 mod options;
 mod run;
 mod scenario;
+mod turn;
 mod units;
 
 pub use options::AgreeOptions;
--- a/lab/src/scale/members/deaths.rs
+++ b/lab/src/scale/members/deaths.rs
@@ -12,7 +12,7 @@
 impl Run<'_> {
     pub(super) fn play_deaths(&mut self) {
         let nodes = self.options.nodes;
-        let deaths = if self.options.quick { QUICK_DEATHS } else { DEATHS };
+        let deaths = if self.options.quick { QUICK_DEATHS } else { DEATHS.min(nodes - nodes / 2) };
         let first = self.simulation.now;
         let mut took = Vec::new();
         for death in 0..deaths {
