--- a/daemon/src/change/install.rs
+++ b/daemon/src/change/install.rs
@@ -30,12 +30,13 @@
     let configuration = &content.configuration;
     let global_parts = changed_global_parts(content, step, seed)?;
     let methods = configuration.methods().filter(|_| global_parts.is_some());
-    let longest = methods.map(|(_, method)| method.latency_target).max().unwrap_or(0);
+    let longest_latency_target = methods.map(|(_, method)| method.latency_target).max().unwrap_or(0);
     let queues = operator::queue_terms(content.operator_config.broker.as_ref(), configuration)?;
-    let tells_tenants = configuration.count(EntryKind::Tenant) > 0;
+    let requires_tenant = configuration.count(EntryKind::Tenant) > 0;
     dispatcher.with(|core, _, _| core.check_capacity_for(step, &queues)).map_err(SettingsError::new)?;
     stage_slices(dispatcher, step, entry_for, pause);
-    let switch = VersionSwitch { number: *number, bare: global_parts, longest, queues, tells_tenants };
+    let switch =
+        VersionSwitch { number: *number, global_parts, longest_latency_target, queues, requires_tenant };
     dispatcher.with(|core: &mut Core, outbound, now| core.switch_version(now, switch, outbound));
     dispatcher.with(|core, _, _| core.set_settings_hash(content.settings_hash()));
     let globals = configuration.globals();
--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -87,7 +87,7 @@
     /// The protocol's state machine.
     pub notices: agent::Reader,
     /// Builds the decision module anew when the agent greets for the first time.
-    pub make: BuildServer,
+    pub build_server: BuildServer,
     /// A notice has come on this link.
     pub useful: bool,
 }
@@ -96,7 +96,7 @@
     fn read_notices(&mut self, bytes: &mut &[u8]) -> Result<(), ProtocolError> {
         while let Some(notice) = self.notices.next(bytes)? {
             self.useful = true;
-            let build = &self.make;
+            let build = &self.build_server;
             self.dispatcher.with(|core, outbound, now| match notice {
                 Notice::Greeting { empty, ago } => {
                     let first = !core.agent_has_greeted();
--- a/daemon/src/core/active_names.rs
+++ b/daemon/src/core/active_names.rs
@@ -10,15 +10,19 @@
 
 /// The name table, restricted to what the decision module has in force.
 pub(super) struct ActiveNames<'a> {
+    /// All names in the table.
     pub(super) names: &'a NameTable,
+    /// Knows which of them are in force.
     pub(super) engine: &'a RpcEngine,
 }
 
 impl ActiveNames<'_> {
+    /// The index of a method that is in force.
     pub(super) fn method_id(&self, name: &str) -> Option<MethodId> {
         self.names.method_id(name).filter(|id| self.engine.has_method(*id))
     }
 
+    /// The index of a tenant that is in force.
     pub(super) fn tenant_index(&self, name: &str) -> Option<usize> {
         self.names.tenant_index(name).filter(|index| self.engine.has_tenant(*index))
     }
--- a/daemon/src/core/configuration.rs
+++ b/daemon/src/core/configuration.rs
@@ -16,13 +16,13 @@
     /// The number of the version.
     pub number: u64,
     /// The parts of the decision module that are not entries, if the global settings or a method change.
-    pub bare: Option<GlobalParts>,
+    pub global_parts: Option<GlobalParts>,
     /// The longest latency target in microseconds, in the same case.
-    pub longest: Us,
+    pub longest_latency_target: Us,
     /// The queues to consume.
     pub queues: Vec<ConsumerConfig>,
     /// Whether each RPC must name a tenant.
-    pub tells_tenants: bool,
+    pub requires_tenant: bool,
 }
 
 impl Core {
@@ -73,8 +73,14 @@
     /// Brings a version into force with all that was staged. All that follows is decided under it; RPCs in flight keep
     /// the settings under which they were received.
     pub fn switch_version(&mut self, now: Us, switch: VersionSwitch, outbound: &mut dyn Outbound) {
-        let VersionSwitch { number, bare, longest, queues: queue_configs, tells_tenants } = switch;
-        let limits = bare.as_ref().map(|globals| RetentionLimits {
+        let VersionSwitch {
+            number,
+            global_parts,
+            longest_latency_target,
+            queues: queue_configs,
+            requires_tenant,
+        } = switch;
+        let limits = global_parts.as_ref().map(|globals| RetentionLimits {
             result_ttl: globals.response_ttl,
             idempotency_result_bytes: self.result_bytes(),
             max_rpc_lifetime: globals.longest_deadline,
@@ -83,7 +89,7 @@
             let CoreState { stats, versions, service, queues, names, agent, .. } = &mut *outputs.state;
             stats.changes += 1;
             service.advance_to(now);
-            for (method, target) in names.apply_staged(tells_tenants) {
+            for (method, target) in names.apply_staged(requires_tenant) {
                 service.set_target(method.0, target);
             }
             versions.names = number;
@@ -91,8 +97,8 @@
                 queues.reconfigure(now, queue_configs);
             }
             versions.queues = number;
-            let control = bare.map(|globals| {
-                agent.set_longest_latency_target(longest);
+            let control = global_parts.map(|globals| {
+                agent.set_longest_latency_target(longest_latency_target);
                 names.gauges = globals.gauges;
                 globals.control
             });
--- a/daemon/src/core/engine_outputs.rs
+++ b/daemon/src/core/engine_outputs.rs
@@ -8,8 +8,11 @@
 
 /// The engine's outputs during one input.
 pub(super) struct EngineOutputs<'a> {
+    /// The moment of the input.
     pub(super) now: Us,
+    /// What the outputs change.
     pub(super) state: &'a mut CoreState,
+    /// Where messages go.
     pub(super) outbound: &'a mut dyn Outbound,
 }
 
--- a/daemon/src/core/exercise.rs
+++ b/daemon/src/core/exercise.rs
@@ -6,7 +6,9 @@
 /// Health checks that wait for the same exercise of the agent.
 #[derive(Default)]
 pub(super) struct Exercise {
+    /// Where the checks came from.
     pub(super) waiting: Vec<SidecarStream>,
+    /// The number of the exercise.
     pub(super) tag: u64,
     /// When the checks are answered at the latest.
     pub(super) deadline: Us,
--- a/daemon/src/core/state.rs
+++ b/daemon/src/core/state.rs
@@ -25,9 +25,11 @@
 
 /// The engine and all that surrounds it.
 pub struct Core {
+    /// All open RPCs around the decision module.
     pub(super) engine: RpcEngine,
     /// Holds the bodies of RPCs in flight.
     pub(super) body_pool: BufferPool,
+    /// All that surrounds the engine.
     pub(super) state: CoreState,
     /// The moment of the present input; never goes back.
     pub(super) now: Us,
@@ -37,24 +39,35 @@
 
 /// All that the core owns besides the engine.
 pub(super) struct CoreState {
+    /// The indices of method and tenant names.
     pub(super) names: NameTable,
+    /// What was sent to the agent and read from it.
     pub(super) agent: AgentSession,
+    /// The connections that have brought RPCs.
     pub(super) sidecars: SidecarRegistry,
+    /// The links that calls take.
     pub(super) upstream_links: UpstreamLinks,
+    /// The queues that are consumed, if any.
     pub(super) queues: Option<QueueConsumers>,
+    /// The exercise that thorough health checks wait for.
     pub(super) exercise: Exercise,
     /// The decision module's health, as last reported.
     pub(super) healthy: bool,
+    /// The graceful shutdown has begun.
     pub(super) draining: bool,
     /// When the agent greeted first; nothing was sent here before.
     pub(super) agent_up_since: Option<Us>,
+    /// What was served of each method.
     pub(super) service: ServiceStats,
+    /// The configuration version of each part.
     pub(super) versions: AppliedVersions,
+    /// How far this server has recovered, where that is tracked.
     pub(super) recovery: Option<RecoveryTracker>,
     /// This server's quota of what the settings divide, over the even one; `None` without members.
     pub(super) quota_fraction: Option<f64>,
     /// The agreed deny lists in force; `None` where nothing is agreed on.
     pub(super) apply_policy: Option<ApplyPolicy>,
+    /// The daemon's counters.
     pub(super) stats: Stats,
 }
 
@@ -62,16 +75,21 @@
 /// an RPC is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AppliedVersions {
+    /// Of the decision module.
     pub(super) module: u64,
+    /// Of the name table.
     pub(super) names: u64,
+    /// Of the queues.
     pub(super) queues: u64,
 }
 
 impl AppliedVersions {
+    /// All parts are at this version.
     pub(super) fn all(version: u64) -> AppliedVersions {
         AppliedVersions { module: version, names: version, queues: version }
     }
 
+    /// Whether a version is being applied.
     pub(super) fn differ(&self) -> bool {
         self.module != self.names || self.names != self.queues
     }
@@ -79,7 +97,9 @@
 
 /// The parts of a server that the engine is made from.
 pub(super) struct EngineParts {
+    /// The decision module.
     pub(super) control: Control,
+    /// What the engine is to observe.
     pub(super) config: EngineConfig,
 }
 
--- a/daemon/src/dispatcher/outboxes.rs
+++ b/daemon/src/dispatcher/outboxes.rs
@@ -35,6 +35,7 @@
 
 /// One link to the upstream tier.
 pub(super) struct UpstreamLinkState {
+    /// What is to be written to it.
     pub(super) out: Outbox,
     /// Since when a reply has arrived in part.
     pub(super) partial_since: Option<Us>,
@@ -42,12 +43,17 @@
 
 /// What is written to the connections; the core sends through it.
 pub(super) struct Outboxes {
+    /// The sidecar connections that are open.
     pub(super) sidecars: BTreeMap<ConnectionId, SidecarConnectionState>,
     /// Connections that are closed once no answer is owed on them, and since when their drivers are closing them.
     pub(super) closing: BTreeMap<ConnectionId, Option<Us>>,
+    /// Closes the listening socket.
     pub(super) listener: ListenerHandle,
+    /// What is to be written to the agent.
     pub(super) agent: Outbox,
+    /// The upstream links, by their ids.
     pub(super) upstream: Vec<UpstreamLinkState>,
+    /// What is to be written to the broker, where queues are consumed.
     pub(super) broker: Option<Outbox>,
     /// How many sidecar connections there may be.
     pub(super) max_connections: usize,
@@ -56,16 +62,20 @@
     pub(super) serving: Option<bool>,
     /// Microseconds after which idle connections are closed.
     pub(super) idle_timeout: Us,
+    /// Sidecars were asked to send no new RPC.
     pub(super) draining: bool,
     /// All connections are being closed, those that still come in as well.
     pub(super) closing_all: bool,
     /// The configuration version in force, for the log.
     pub(super) version: u64,
+    /// Holds a message while it is encoded.
     pub(super) scratch: Vec<u8>,
+    /// The log.
     pub(super) log: Logger,
 }
 
 impl Outboxes {
+    /// No sidecar is connected yet.
     pub(super) fn new(
         agent: Outbox, upstream: Vec<Outbox>, max_connections: usize, idle_timeout: Us,
         listener: ListenerHandle, log: Logger,
--- a/daemon/src/dispatcher/shared.rs
+++ b/daemon/src/dispatcher/shared.rs
@@ -25,7 +25,9 @@
 
 /// What is behind the lock.
 pub(super) struct Locked {
+    /// The core.
     pub(super) core: Core,
+    /// Where the core's messages go.
     pub(super) outboxes: Outboxes,
     /// When the clock task wakes.
     armed_for: Us,
--- a/daemon/src/dispatcher/sidecar_connection.rs
+++ b/daemon/src/dispatcher/sidecar_connection.rs
@@ -10,7 +10,9 @@
 
 /// A sidecar's connection.
 pub(super) struct SidecarConnectionState {
+    /// What is to be written to it.
     pub(super) out: Outbox,
+    /// When it was accepted.
     pub(super) opened_at: Us,
     /// A complete frame has come on it.
     pub(super) has_spoken: bool,
@@ -36,6 +38,7 @@
 }
 
 impl SidecarConnectionState {
+    /// One that was accepted now.
     pub(super) fn new(out: Outbox, now: Us) -> SidecarConnectionState {
         SidecarConnectionState {
             out,
@@ -47,7 +50,7 @@
         }
     }
 
-    /// `proven`: a run was made for an RPC of this connection.
+    /// Of how much use it is. `proven`: a run was made for an RPC of this connection.
     pub(super) fn idle_class(&self, proven: bool, now: Us) -> IdleClass {
         match (self.has_spoken, proven) {
             (false, _) if self.opened_at + NEW_CONNECTION_TIME < now => IdleClass::Silent,
--- a/daemon/src/membership/shared.rs
+++ b/daemon/src/membership/shared.rs
@@ -12,6 +12,7 @@
 
 /// What is behind the lock.
 pub(super) struct Locked {
+    /// The state machine of the membership protocol.
     pub(super) membership: Membership,
     /// Datagrams to send.
     pub(super) outgoing: VecDeque<Transmit>,
@@ -27,14 +28,17 @@
 
 /// The membership of this backend and the lists that the backends agree on.
 pub struct MembershipService {
+    /// Locked for a moment only, never over a wait.
     pub(super) locked: Mutex<Locked>,
     /// Notified when there is something to do before the next wakeup.
     pub(super) clock: Notify,
     /// Numbers of a voter's writes that are durable, for the raft node.
     pub(super) durable_writes: Arc<Mutex<Vec<u64>>>,
+    /// By how many members the settings divide what is shared.
     pub(super) expected_members: usize,
     /// A quota holds for so many microseconds after it was looked at last.
     pub(super) quota_lease: Us,
+    /// The log.
     pub(super) log: Logger,
 }
 
--- a/daemon/src/queues/consumers.rs
+++ b/daemon/src/queues/consumers.rs
@@ -33,17 +33,22 @@
 
 /// The queues that are consumed, and the session with their broker.
 pub struct QueueConsumers {
+    /// The connection's state machine.
     pub(super) session: Session,
+    /// The queues' state machines, by their channels.
     pub(super) queues: Vec<QueueConsumer>,
     cores: f64,
     delivery_capacity: f64,
     publishes_credit: bool,
+    /// Draws ids and seeds.
     pub(super) rng: WyRand,
     /// The channel for replies is open, and publishes are confirmed.
     pub(super) can_publish: bool,
+    /// The graceful shutdown has begun.
     pub(super) draining: bool,
     /// The broker has confirmed that the connection is closed for good.
     pub(super) close_confirmed: bool,
+    /// Counters of the connection.
     pub(super) stats: BrokerStats,
 }
 
--- a/daemon/src/recovery.rs
+++ b/daemon/src/recovery.rs
@@ -22,15 +22,15 @@
     /// This server's name.
     pub name: String,
     /// The hash of the settings in force.
-    pub settings: u64,
+    pub settings_hash: u64,
     /// Cores of this server.
     pub cores: f64,
     /// Its memory limit in MB.
     pub memory_mb: u64,
     /// The clocks at the start.
-    pub moment: ClockReading,
+    pub clocks: ClockReading,
     /// The operator's settings.
-    pub terms: RecoverySettings,
+    pub settings: RecoverySettings,
     /// The stored snapshot of a process before, if there is one.
     pub snapshot: Option<Snapshot>,
     /// Seed of the jitter.
@@ -86,7 +86,7 @@
 impl RecoveryTracker {
     /// Begins at a start.
     pub fn new(now: Us, config: RecoveryConfig) -> RecoveryTracker {
-        let interval = config.terms.snapshot_interval;
+        let interval = config.settings.snapshot_interval;
         let snapshot_interval = JitteredInterval::new(now, interval, config.seed, "snapshot");
         RecoveryTracker {
             config,
@@ -106,7 +106,7 @@
 
     /// Sets the hash of the settings that have come into force.
     pub fn set_settings_hash(&mut self, hash: u64) {
-        self.config.settings = hash;
+        self.config.settings_hash = hash;
     }
 
     /// The stages of recovery.
@@ -116,7 +116,7 @@
 
     /// The limits that the decision module is to observe now.
     pub fn limits(&self) -> RecoveryLimits {
-        let RecoverySettings { retry_percent, jitter_percent, .. } = self.config.terms;
+        let RecoverySettings { retry_percent, jitter_percent, .. } = self.config.settings;
         RecoveryLimits {
             calls_in_flight: self.slow_start.as_ref().map_or(f64::INFINITY, SlowStart::limit),
             retry_ratio: retry_percent as f64 / 100.0,
@@ -135,7 +135,7 @@
         if status.call_limit.is_finite() {
             let config = SlowStartConfig {
                 max_calls: status.call_limit.max(1.0),
-                initial_calls: self.config.terms.initial_calls as f64,
+                initial_calls: self.config.settings.initial_calls as f64,
                 update_interval: UPDATE_INTERVAL,
             };
             self.slow_start = Some(SlowStart::new(now, config));
@@ -147,12 +147,12 @@
     fn restore(&self, snapshot: &Snapshot, agent_empty: bool, active: &dyn ActiveCatalog) -> Restored {
         let current = CurrentServer {
             name: &self.config.name,
-            settings_hash: self.config.settings,
+            settings_hash: self.config.settings_hash,
             cores: self.config.cores,
             memory_mb: self.config.memory_mb,
-            now: self.config.moment,
+            now: self.config.clocks,
             agent_empty,
-            max_snapshot_age: self.config.terms.max_snapshot_age,
+            max_snapshot_age: self.config.settings.max_snapshot_age,
             targets: active.latency_targets(),
         };
         let restored = assess(snapshot, &current);
@@ -228,7 +228,7 @@
             |account: &LearnedBalance| AccountBalance { caller: account.caller.0, fraction: account.ratio };
         Snapshot {
             name: self.config.name.clone(),
-            settings_hash: self.config.settings,
+            settings_hash: self.config.settings_hash,
             cores: self.config.cores,
             memory_mb: self.config.memory_mb,
             taken_at: clocks,
--- a/daemon/src/startup.rs
+++ b/daemon/src/startup.rs
@@ -190,11 +190,11 @@
         let state_dir = self.state_dir();
         let config = RecoveryConfig {
             name: self.deployment.name.clone(),
-            settings,
+            settings_hash: settings,
             cores,
             memory_mb: self.deployment.memory_mb,
-            moment: read_clocks(),
-            terms,
+            clocks: read_clocks(),
+            settings: terms,
             snapshot: state_dir.and_then(|dir| read_learned(dir, self.log)),
             seed: self.process_seed,
             persistent: state_dir.is_some(),
--- a/daemon/src/tasks.rs
+++ b/daemon/src/tasks.rs
@@ -83,7 +83,7 @@
         let backoff = self.backoff(&AGENT_BACKOFF);
         let (dispatcher, pool) = (self.dispatcher.clone(), self.pool.clone());
         spawn("agent", move || {
-            let make = move |at, cold| {
+            let build_server = move |at, cold| {
                 let configuration = running.get().configuration;
                 asterrill_settings::server_parts(at, seed, &configuration, Some(cold)).ok()
             };
@@ -91,7 +91,7 @@
                 dispatcher,
                 out: outbox.clone(),
                 notices: agent::Reader::default(),
-                make: Box::new(make),
+                build_server: Box::new(build_server),
                 useful: false,
             };
             run_link(&addresses.agent, &outbox, &pool, true, backoff, &mut connection);
--- a/daemon/src/tests/recovery.rs
+++ b/daemon/src/tests/recovery.rs
@@ -6,24 +6,18 @@
 use asterrill_recovery::{ClockReading, Snapshot, Stage};
 
 fn tracker(now: Us, snapshot: Option<Snapshot>) -> RecoveryTracker {
-    let moment = ClockReading { wall: now, uptime: now / 2, boot_id: 9 };
-    let terms = RecoverySettings { snapshot_interval: 1_000 * MS, ..RecoverySettings::default() };
-    let (name, settings, cores, memory_mb) = ("n1".to_string(), 77, 2.0, 64);
-    let (seed, lasting) = (5, true);
-    RecoveryTracker::new(
-        now,
-        RecoveryConfig {
-            name,
-            settings,
-            cores,
-            memory_mb,
-            moment,
-            terms,
-            snapshot,
-            seed,
-            persistent: lasting,
-        },
-    )
+    let config = RecoveryConfig {
+        name: "n1".to_string(),
+        settings_hash: 77,
+        cores: 2.0,
+        memory_mb: 64,
+        clocks: ClockReading { wall: now, uptime: now / 2, boot_id: 9 },
+        settings: RecoverySettings { snapshot_interval: 1_000 * MS, ..RecoverySettings::default() },
+        snapshot,
+        seed: 5,
+        persistent: true,
+    };
+    RecoveryTracker::new(now, config)
 }
 fn harness_with(seed: u64, snapshot: Option<Snapshot>) -> CoreHarness {
     let mut core =
--- a/daemon/src/tests/settings.rs
+++ b/daemon/src/tests/settings.rs
@@ -33,10 +33,16 @@
 }
 /// What turns over to a version once its entries are in.
 pub(super) fn version_switch(at: Us, number: u64, to: &Configuration) -> VersionSwitch {
-    let bare = asterrill_settings::global_parts(at, 1, to).unwrap();
-    let longest = to.methods().map(|(_, method)| method.latency_target).max().unwrap_or(0);
-    let tells_tenants = to.count(EntryKind::Tenant) > 0;
-    VersionSwitch { number, bare: Some(bare), longest, queues: Vec::new(), tells_tenants }
+    let global_parts = asterrill_settings::global_parts(at, 1, to).unwrap();
+    let longest_latency_target = to.methods().map(|(_, method)| method.latency_target).max().unwrap_or(0);
+    let requires_tenant = to.count(EntryKind::Tenant) > 0;
+    VersionSwitch {
+        number,
+        global_parts: Some(global_parts),
+        longest_latency_target,
+        queues: Vec::new(),
+        requires_tenant,
+    }
 }
 /// A change from one version to another, whole.
 pub(super) fn apply_change(
