--- a/consumer/src/action.rs
+++ b/consumer/src/action.rs
@@ -14,7 +14,7 @@
     pub id: InFlightId,
     /// The method to run.
     pub method: MethodId,
-    /// The index of its tenant, where tenants are told apart.
+    /// The index of its tenant, where tenants are configured.
     pub tenant: Option<usize>,
     /// Its caller, for fair shares among callers.
     pub caller: CallerId,
--- a/consumer/src/dedup.rs
+++ b/consumer/src/dedup.rs
@@ -10,7 +10,7 @@
 pub(crate) enum MessageIdentity {
     /// The hash of its `message-id`: two deliveries with one id are one message.
     Named(u128),
-    /// The hash of all its content, where it has no id: equal messages are told apart only by how many there are.
+    /// The hash of all its content, where it has no id: equal messages are distinguished only by their number.
     Content(u128),
 }
 
--- a/consumer/src/execution.rs
+++ b/consumer/src/execution.rs
@@ -30,7 +30,7 @@
         let Some(message) = self.messages.get(&id) else { return };
         let MessageState::Submitted { run_started } = message.state else { return };
         let history = AttemptHistory {
-            effect: message.effect,
+            idempotency: message.idempotency,
             deadline: message.submission.deadline,
             runs: message.runs,
             consecutive_rejections: message.consecutive_rejections,
@@ -74,7 +74,7 @@
         }
         let Some(message) = self.messages.get(&id) else { return };
         let attempts_used_up =
-            history.effect == Idempotency::Idempotent && history.runs >= self.config.max_attempts;
+            history.idempotency == Idempotency::Idempotent && history.runs >= self.config.max_attempts;
         let count = match history.ran {
             true if attempts_used_up => &mut self.stats.poisoned,
             true => &mut self.stats.failed,
--- a/consumer/src/intake.rs
+++ b/consumer/src/intake.rs
@@ -34,11 +34,12 @@
             Err(error) => return self.reject_unrouted(tag, &error),
         };
         let identity = MessageIdentity::of(&delivery);
-        if self.absorb_duplicate(now, identity, &delivery, route.effect) {
+        if self.absorb_duplicate(now, identity, &delivery, route.idempotency) {
             return;
         }
         let prior_runs = prior_runs(&delivery);
-        let Some(deadline) = self.runnable_until(now, &delivery.headers, route.effect, prior_runs) else {
+        let Some(deadline) = self.runnable_until(now, &delivery.headers, route.idempotency, prior_runs)
+        else {
             self.settle_delivery(tag, Settle::Reject);
             return;
         };
@@ -51,9 +52,9 @@
 
     /// Counts the reason if a message must not be run; else says until when it may run.
     fn runnable_until(
-        &mut self, now: Us, headers: &Headers, effect: Idempotency, prior_runs: u32,
+        &mut self, now: Us, headers: &Headers, idempotency: Idempotency, prior_runs: u32,
     ) -> Option<Us> {
-        let may_have_run = prior_runs > 0 && effect == Idempotency::NonIdempotent;
+        let may_have_run = prior_runs > 0 && idempotency == Idempotency::NonIdempotent;
         if may_have_run && !self.config.run_unverified_redeliveries {
             self.stats.unverified += 1;
             return None;
@@ -95,7 +96,7 @@
         let correlation_id = headers.correlation_id;
         let message = Message {
             identity,
-            effect: route.effect,
+            idempotency: route.idempotency,
             submission: submission.clone(),
             body: body.unwrap_or_default(),
             delivery_tags: vec![tag],
@@ -114,9 +115,9 @@
     /// message without a name must be marked as redelivered for this, and is joined only to one whose own delivery was
     /// lost.
     fn absorb_duplicate(
-        &mut self, now: Us, identity: MessageIdentity, delivery: &Delivery, effect: Idempotency,
+        &mut self, now: Us, identity: MessageIdentity, delivery: &Delivery, idempotency: Idempotency,
     ) -> bool {
-        if !delivery.redelivered && (!identity.is_named() || effect == Idempotency::Idempotent) {
+        if !delivery.redelivered && (!identity.is_named() || idempotency == Idempotency::Idempotent) {
             return false;
         }
         if let Some(id) = self.in_flight_duplicate(identity) {
--- a/consumer/src/message.rs
+++ b/consumer/src/message.rs
@@ -8,7 +8,7 @@
 /// A message that was taken in and is not settled.
 pub(crate) struct Message {
     pub(crate) identity: MessageIdentity,
-    pub(crate) effect: Idempotency,
+    pub(crate) idempotency: Idempotency,
     pub(crate) submission: Submission,
     pub(crate) body: Vec<u8>,
     /// The tags of all its unsettled deliveries; empty while its channel is lost and it was not redelivered.
--- a/consumer/src/routes.rs
+++ b/consumer/src/routes.rs
@@ -17,7 +17,7 @@
     fn method(&self, name: &str) -> Option<(MethodId, Idempotency)>;
     /// The index of a tenant that is in force.
     fn tenant(&self, name: &str) -> Option<usize>;
-    /// Whether tenants are told apart: a delivery of none of them has no route then.
+    /// Whether tenants are configured: a delivery of none of them has no route then.
     fn requires_tenant(&self) -> bool;
 }
 
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Route {
     pub(crate) method: MethodId,
-    pub(crate) effect: Idempotency,
+    pub(crate) idempotency: Idempotency,
     pub(crate) tenant: Option<usize>,
     pub(crate) caller: CallerId,
 }
@@ -70,11 +70,11 @@
     headers: &Headers, config: &ConsumerConfig, catalog: &dyn Catalog,
 ) -> Result<Route, RouteError> {
     let method_name = config.method.read(headers).ok_or(RouteError::NoMethod)?;
-    let (method, effect) =
+    let (method, idempotency) =
         catalog.method(method_name).ok_or_else(|| RouteError::UnknownMethod(shown(method_name)))?;
     let tenant = tenant_of(headers, config, catalog)?;
     let caller = caller_number(config.caller.read(headers).unwrap_or(&config.name));
-    Ok(Route { method, effect, tenant, caller })
+    Ok(Route { method, idempotency, tenant, caller })
 }
 
 fn tenant_of(
--- a/consumer/src/settlement.rs
+++ b/consumer/src/settlement.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptHistory {
     /// Whether its method may run again.
-    pub(crate) effect: Idempotency,
+    pub(crate) idempotency: Idempotency,
     /// When it must be answered, in microseconds.
     pub(crate) deadline: Us,
     /// Runs that were made, here or before a redelivery, the last one included.
@@ -52,7 +52,8 @@
     /// 5. It ran: rejected, for the dead-letter side. An aborted run may have had its effect, and what must not take
     ///    effect twice is not run again.
     pub(crate) fn decide(&self, now: Us, answer: &FinalAnswer<'_>, history: AttemptHistory) -> Disposition {
-        let may_run_again = history.effect == Idempotency::Idempotent && history.runs < self.max_attempts;
+        let may_run_again =
+            history.idempotency == Idempotency::Idempotent && history.runs < self.max_attempts;
         let after_rejection = self.backoff.delay(history.consecutive_rejections);
         let retry = |delay| retry_before_deadline(now, delay, history.deadline);
         match answer {
--- a/consumer/src/tests/harness.rs
+++ b/consumer/src/tests/harness.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// One method of each effect; tenants are not told apart.
+/// One method of each idempotency; no tenants are configured.
 pub(super) struct TestCatalog;
 
 impl Catalog for TestCatalog {
--- a/engine/src/request.rs
+++ b/engine/src/request.rs
@@ -10,7 +10,7 @@
     pub id: RpcId,
     /// The method to run.
     pub method: MethodId,
-    /// The index of its tenant, where tenants are told apart.
+    /// The index of its tenant, where tenants are configured.
     pub tenant: Option<usize>,
     /// Its caller.
     pub caller: CallerId,
--- a/engine/src/settings.rs
+++ b/engine/src/settings.rs
@@ -1,4 +1,4 @@
-//! Start, changes of the settings, and what the decision module is told from outside.
+//! Start, changes of the settings, and inputs that set limits of the decision module.
 
 use crate::config::{EngineConfig, RetentionLimits};
 use crate::engine::Engine;
