--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -70,7 +70,7 @@
         self.dispatcher.close_when_answered(self.conn, None);
     }
     fn linger_us(&self) -> Option<u64> {
-        // One that never sent a complete frame is owed nothing, and others may need its slot.
+        // One that never sent a complete frame has no answer pending, and others may need its slot.
         Some(if self.has_spoken { LINGER } else { 0 })
     }
 }
@@ -86,7 +86,7 @@
     pub out: Outbox,
     /// The protocol's state machine.
     pub notices: agent::Reader,
-    /// Builds the decision module anew when the agent greets for the first time.
+    /// Rebuilds the decision module when the agent greets for the first time.
     pub build_server: BuildServer,
     /// A notice has come on this link.
     pub useful: bool,
--- a/daemon/src/core/agent.rs
+++ b/daemon/src/core/agent.rs
@@ -15,7 +15,7 @@
         self.state.agent.link_connected(self.now)
     }
 
-    /// The agent has greeted. `fresh` is the decision module built anew for the moment that the agent started, if this
+    /// The agent has greeted. `fresh` is the decision module rebuilt for the moment that the agent started, if this
     /// is its first greeting. Once all notices are read that were missed without a link, what may have been lost with
     /// the link before is sent again.
     pub fn agent_up(&mut self, now: Us, fresh: Option<ServerParts>, outbound: &mut dyn Outbound) {
--- a/daemon/src/core/lifecycle.rs
+++ b/daemon/src/core/lifecycle.rs
@@ -6,7 +6,7 @@
 use crate::recovery::RecoveryTracker;
 use asterrill::Us;
 
-/// Microseconds reserved before the kill to write out the answers that are owed.
+/// Microseconds reserved before the kill to write out the pending answers.
 const FLUSH_TIME: Us = 100_000;
 
 impl Core {
@@ -30,7 +30,7 @@
         });
     }
 
-    /// Whether the graceful shutdown is complete: no answer is owed any more.
+    /// Whether the graceful shutdown is complete: no answer is pending any more.
     pub fn is_drained(&self) -> bool {
         self.engine.is_drained()
     }
--- a/daemon/src/core/sidecars.rs
+++ b/daemon/src/core/sidecars.rs
@@ -152,12 +152,12 @@
         self.state.exercise.waiting.iter().filter(move |stream| stream.conn == conn)
     }
 
-    /// How many answers are owed on a connection, those to health checks included.
+    /// How many answers are pending on a connection, those to health checks included.
     pub fn pending_answers_on(&self, conn: ConnectionId) -> usize {
         self.unanswered_on(conn).count() + self.health_checks_on(conn).count()
     }
 
-    /// Whether an answer is owed on a connection.
+    /// Whether an answer is pending on a connection.
     pub fn has_pending_answers(&self, conn: ConnectionId) -> bool {
         self.unanswered_on(conn).next().is_some() || self.health_checks_on(conn).next().is_some()
     }
--- a/daemon/src/dispatcher/connections.rs
+++ b/daemon/src/dispatcher/connections.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// No more is read from a connection: it is closed once no answer is owed on it. The sidecar is sent the error.
+    /// No more is read from a connection: it is closed once no answer is pending on it. The sidecar is sent the error.
     pub fn close_when_answered(&self, conn: ConnectionId, error: Option<&str>) {
         let mut locked = self.lock();
         let Locked { core, outboxes, .. } = &mut *locked;
--- a/daemon/src/dispatcher/eviction.rs
+++ b/daemon/src/dispatcher/eviction.rs
@@ -16,7 +16,7 @@
 const FIRST_FRAME_TIMEOUT: Us = 2_000_000;
 /// A sidecar that was asked to close a connection does so within so many microseconds.
 const GOAWAY_TIMEOUT: Us = 1_000_000;
-/// Once a connection is being closed, its sidecar reads what it is owed within so many microseconds, or is cut off.
+/// Once a connection is being closed, its sidecar reads its pending answers within so many microseconds, or is cut off.
 const CLOSE_TIMEOUT: Us = 10_000_000;
 /// An idle upstream link is closed after so many microseconds, before the other side closes or forgets it.
 const UPSTREAM_IDLE_TIMEOUT: Us = 500_000;
@@ -69,7 +69,7 @@
         sweep_upstream_links(core, outboxes, now);
     }
 
-    /// There is no slot for another connection: some on which no answer is owed are closed at once. Nothing more is read
+    /// There is no slot for another connection: some on which no answer is pending are closed at once. Nothing more is read
     /// from them, so an RPC on its way was never taken. Those that may be of use are closed one at a time only.
     pub fn evict_idle(&self) {
         let now = now();
@@ -123,7 +123,7 @@
     found
 }
 
-/// Who reads so slowly that what it is owed is not written in time holds a slot that others need.
+/// A sidecar that reads too slowly for its answers to be written in time holds a slot that others need.
 fn cut_off_slow_readers(outboxes: &Outboxes, now: Us) {
     for (conn, close_started) in &outboxes.closing {
         if close_started.is_some_and(|since| since + CLOSE_TIMEOUT < now) {
--- a/daemon/src/dispatcher/outboxes.rs
+++ b/daemon/src/dispatcher/outboxes.rs
@@ -45,7 +45,7 @@
 pub(super) struct Outboxes {
     /// The sidecar connections that are open.
     pub(super) sidecars: BTreeMap<ConnectionId, SidecarConnectionState>,
-    /// Connections that are closed once no answer is owed on them, and since when their drivers are closing them.
+    /// Connections that are closed once no answer is pending on them, and since when their drivers are closing them.
     pub(super) closing: BTreeMap<ConnectionId, Option<Us>>,
     /// Closes the listening socket.
     pub(super) listener: ListenerHandle,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Closes those of the closing connections on which no answer is owed any more.
+    /// Closes those of the closing connections on which no answer is pending any more.
     pub(super) fn close_answered(&mut self, core: &Core) {
         for (conn, close_started) in self.closing.iter_mut().filter(|(_, since)| since.is_none()) {
             let Some(sidecar) = self.sidecars.get(conn) else { continue };
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Closes a connection once no answer is owed on it.
+    /// Closes a connection once no answer is pending on it.
     pub(super) fn close(&mut self, conn: ConnectionId) {
         self.closing.entry(conn).or_default();
     }
--- a/daemon/src/dispatcher/sidecar_connection.rs
+++ b/daemon/src/dispatcher/sidecar_connection.rs
@@ -5,7 +5,7 @@
 
 /// Microseconds in which a new connection may be about to send its first frame.
 const NEW_CONNECTION_TIME: Us = 100_000;
-/// Microseconds of idleness after which a connection may be closed to make room.
+/// Microseconds of idleness after which a connection may be closed to free its slot.
 const IDLE_TIME_WHEN_SCARCE: Us = 1_000_000;
 
 /// A sidecar's connection.
@@ -20,7 +20,7 @@
     pub(super) partial_since: Option<Us>,
     /// When the sidecar was asked to close it.
     pub(super) goaway_sent_at: Option<Us>,
-    /// It is closed to make room for another.
+    /// It is closed to free its slot for another.
     pub(super) evicted: bool,
 }
 
--- a/daemon/src/outbound.rs
+++ b/daemon/src/outbound.rs
@@ -25,14 +25,14 @@
     fn request_sample(&mut self, tag: u64);
     /// Requests an exercise of the agent, for a thorough health check.
     fn request_exercise(&mut self, tag: u64);
-    /// Drops the link to the agent at once; it is connected anew.
+    /// Drops the link to the agent at once; it is reconnected.
     fn reset_agent_link(&mut self);
 
     /// Sends an upstream call whose reply is awaited for `timeout` microseconds. False if it surely was not sent.
     fn send_call(&mut self, link: UpstreamLinkId, id: RpcId, timeout: Us, body: &[u8]) -> bool;
     /// Cancels an upstream call.
     fn cancel_call(&mut self, link: UpstreamLinkId, id: RpcId);
-    /// Closes a link without calls in flight; it is connected anew when it is needed. False if it is not connected.
+    /// Closes a link without calls in flight; it is reconnected when it is needed. False if it is not connected.
     fn close_upstream_link(&mut self, link: UpstreamLinkId) -> bool;
 
     /// Closes a connection whose RPCs could none of them be run.
--- a/daemon/src/tests/agent_link.rs
+++ b/daemon/src/tests/agent_link.rs
@@ -27,7 +27,7 @@
     assert_eq!((harness.peers.answers[&delivered].0, harness.peers.answers[&lost].0), ("ok", "ok"));
 }
 
-/// What stood still in the laboratory: one launch that the agent never got, on a link that stands and carries.
+/// Seen in the laboratory: one launch that the agent never received, on a link that works.
 #[test]
 fn recovers_a_launch_lost_on_a_working_link() {
     let mut harness = CoreHarness::new(4);
@@ -42,8 +42,8 @@
     harness.advance(280 * MS);
     assert_eq!((harness.peers.agent_resets, harness.core.stats().agent_silent), (1, 1));
     // Until the lost run is over nothing is taken: all looks as if work had stopped finishing.
-    let turned_away = harness.send_rpc(1, "look", 900 * MS, None);
-    assert_eq!(harness.peers.answers[&turned_away].0, "pushed back");
+    let rejected = harness.send_rpc(1, "look", 900 * MS, None);
+    assert_eq!(harness.peers.answers[&rejected].0, "pushed back");
     harness.reconnect_agent();
     harness.advance_run(0, false);
     harness.deliver_notices(9);
--- a/daemon/src/tests/agreed_lists.rs
+++ b/daemon/src/tests/agreed_lists.rs
@@ -25,7 +25,7 @@
                 (harness.peers.runs.len(), harness.send_rpc(conn, "look", 800 * MS, None));
             let rejected =
                 harness.peers.answers.get(&stream_ref).is_some_and(|(what, _)| *what == "pushed back");
-            assert!(!rejected || harness.peers.runs.len() == launched, "it runs and is turned away");
+            assert!(!rejected || harness.peers.runs.len() == launched, "it runs and is rejected");
             // What runs ends, so that nobody else is in the way.
             (0..4).for_each(|n| harness.advance_run(n + 1, false));
             harness.deliver_notices(usize::MAX);
--- a/daemon/src/tests/coalescing.rs
+++ b/daemon/src/tests/coalescing.rs
@@ -17,14 +17,14 @@
         let (method, tenant, caller) = (method.to_string(), "acme".to_string(), CallerId(conn));
         let (born, due, size_kb) = (harness.now, Some(harness.now + 800 * MS), 20.0 + conn as f64);
         harness.peers.bodies.insert(id, body.to_vec());
-        let ask = RpcRequest { id, method, tenant, caller, born, due, size_kb, key: None };
-        assert!(harness.core.rpc_received(harness.now, stream_ref, ask, body, &mut harness.peers));
+        let request = RpcRequest { id, method, tenant, caller, born, due, size_kb, key: None };
+        assert!(harness.core.rpc_received(harness.now, stream_ref, request, body, &mut harness.peers));
         stream_ref
     };
     // Of one sidecar, of another, and a while after the first has been answered.
     let first = try_of(&mut harness, 1, "pay", b"order 17");
     let others = [try_of(&mut harness, 1, "pay", b"order 17"), try_of(&mut harness, 2, "pay", b"order 17")];
-    assert_eq!(harness.peers.runs.len(), 1, "one run for all tries");
+    assert_eq!(harness.peers.runs.len(), 1, "one run for all attempts");
     harness.advance_run(1, false);
     harness.deliver_notices(1);
     harness.advance(300 * MS);
@@ -37,7 +37,7 @@
     try_of(&mut harness, 1, "pay", b"order 18");
     try_of(&mut harness, 1, "look", b"order 17");
     assert_eq!(harness.peers.runs.len(), 3);
-    // Once the window is over, it may be asked for anew.
+    // Once the window is over, it may run again.
     harness.advance(600 * MS);
     try_of(&mut harness, 1, "pay", b"order 17");
     assert_eq!(harness.peers.runs.len(), 4);
--- a/daemon/src/tests/cost.rs
+++ b/daemon/src/tests/cost.rs
@@ -18,10 +18,10 @@
         let (id, caller) = (RpcId::from_number(n + 1), CallerId(n));
         let (method, tenant, due) = ("look".to_string(), "acme".to_string(), Some(START + 900_000 * MS));
         out.bodies.insert(id, Vec::new());
-        let ask = RpcRequest { id, method, tenant, caller, born: START, due, size_kb: 1.0, key: None };
-        core.rpc_received(START, stream_ref, ask, b"", &mut out);
+        let request = RpcRequest { id, method, tenant, caller, born: START, due, size_kb: 1.0, key: None };
+        core.rpc_received(START, stream_ref, request, b"", &mut out);
     }
-    let in_hand = core.open_rpcs();
+    let in_flight = core.open_rpcs();
     let mut running = configuration(&settings);
     let mut spans: Vec<u128> = (0..101)
         .map(|n| {
@@ -51,8 +51,8 @@
     }
     let each = start.elapsed().as_nanos() / 1_000_000;
     println!(
-        "in hand {in_hand}; a change {} ns (median of 101), {} ns at most; the watch {each} ns an RPC",
+        "in flight {in_flight}; a change {} ns (median of 101), {} ns at most; the statistics {each} ns an RPC",
         spans[50], spans[100]
     );
-    assert!(in_hand >= 500 && each < 1_000);
+    assert!(in_flight >= 500 && each < 1_000);
 }
--- a/daemon/src/tests/sidecars.rs
+++ b/daemon/src/tests/sidecars.rs
@@ -84,8 +84,8 @@
         SidecarStream { conn: ConnectionId(1), stream: StreamId(1) },
     );
     let (method, tenant, caller) = ("look".to_string(), "acme".to_string(), CallerId(1));
-    let ask = RpcRequest { id, method, tenant, caller, born: 0, due: Some(1), size_kb: 20.0, key: None };
-    harness.core.rpc_received(harness.now, stream_ref, ask, b"", &mut harness.peers);
+    let request = RpcRequest { id, method, tenant, caller, born: 0, due: Some(1), size_kb: 20.0, key: None };
+    harness.core.rpc_received(harness.now, stream_ref, request, b"", &mut harness.peers);
     assert_eq!(harness.peers.answers[&stream_ref].0, "pushed back");
     let fine = harness.send_rpc(2, "look", 900 * MS, None);
     assert!(
@@ -103,8 +103,8 @@
     let (id, stream_ref) =
         (RpcId::from_number(9), SidecarStream { conn: ConnectionId(1), stream: StreamId(1) });
     let born = harness.now - 20 * MS;
-    let ask = RpcRequest { id, method, tenant, caller, born, due: None, size_kb: 20.0, key: None };
-    harness.core.rpc_received(harness.now, stream_ref, ask, b"", &mut harness.peers);
+    let request = RpcRequest { id, method, tenant, caller, born, due: None, size_kb: 20.0, key: None };
+    harness.core.rpc_received(harness.now, stream_ref, request, b"", &mut harness.peers);
     assert!(harness.peers.runs.contains_key(&id), "it is run like any other");
     let mut late = 0;
     while !harness.peers.answers.contains_key(&stream_ref) {
--- a/daemon/src/tests/upstream_links.rs
+++ b/daemon/src/tests/upstream_links.rs
@@ -74,10 +74,10 @@
     let (mut links, mut out) = (UpstreamLinks::new(2), PeerStandIn::default());
     let first = links.select(None).unwrap();
     links.call_placed(first);
-    links.call_finished(first, false, &mut out); // its reply came; a second copy may follow
+    links.call_finished(first, false, &mut out); // its reply came; a duplicate may follow
     let other = links.select(Some(first)).unwrap();
     assert_ne!(first, other);
-    // The other has broken off: it rests, and takes calls for when it stands again.
+    // The other has ended: it backs off, and takes calls for when it is connected again.
     links.disconnected(other);
     links.calls_drained(other);
     assert_eq!(links.select(Some(first)), Some(other), "not the link that the reply came by");
