--- a/lab/src/broker/channel.rs
+++ b/lab/src/broker/channel.rs
@@ -1,6 +1,6 @@
 //! One channel of a connection: its consumer, its tags, and what is published on it.
 
-use super::state::Message;
+use super::message::Message;
 use amq_protocol::protocol::basic::{AMQPProperties, Publish};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/lab/src/broker/delivery.rs
+++ b/lab/src/broker/delivery.rs
@@ -3,7 +3,8 @@
 use super::channel::{Channel, Consumer};
 use super::connection::Connection;
 use super::faults::BrokerFault;
-use super::state::{BrokerState, Message};
+use super::message::Message;
+use super::state::BrokerState;
 use crate::sync::lock;
 use amq_protocol::protocol::basic::{self, AMQPMethod as BasicMethod, AMQPProperties};
 use amq_protocol::protocol::connection::{self, AMQPMethod as ConnectionMethod};
--- a/lab/src/broker/mod.rs
+++ b/lab/src/broker/mod.rs
@@ -6,11 +6,12 @@
 mod delivery;
 mod faults;
 mod ledger;
+mod message;
 mod methods;
 mod server;
 mod state;
 
 pub use faults::{BrokerFault, FaultScript};
 pub use ledger::{BrokerLedger, Settlement};
+pub use message::{Endless, Message};
 pub use server::Broker;
-pub use state::{Endless, Message};
--- a/lab/src/broker/server.rs
+++ b/lab/src/broker/server.rs
@@ -3,7 +3,8 @@
 use super::connection::Connection;
 use super::faults::FaultScript;
 use super::ledger::BrokerLedger;
-use super::state::{BrokerState, Message};
+use super::message::Message;
+use super::state::BrokerState;
 use crate::sync::lock;
 use std::collections::VecDeque;
 use std::net::{SocketAddr, TcpListener};
--- a/lab/src/broker/state.rs
+++ b/lab/src/broker/state.rs
@@ -3,34 +3,9 @@
 use super::channel::Channel;
 use super::faults::FaultScript;
 use super::ledger::BrokerLedger;
+use super::message::{Endless, Message};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One message in the broker.
-#[derive(Clone, Debug, Default)]
-pub struct Message {
-    /// Its number, from 1.
-    pub number: u64,
-    /// Its `message-id`.
-    pub id: Option<String>,
-    /// Its `reply-to`.
-    pub reply_to: Option<String>,
-    /// Its `expiration`.
-    pub expiration: Option<String>,
-    /// Its body.
-    pub body: Vec<u8>,
-    /// How often it was delivered and came back.
-    pub delivered: u64,
-}
-
-/// A queue that never empties.
-#[derive(Clone)]
-pub struct Endless {
-    /// Its name.
-    pub queue: String,
-    /// Makes the message of a number.
-    pub make: fn(u64) -> Message,
-}
-
 /// What all connections of the broker share.
 pub struct BrokerState {
     /// Messages that are ready, by queue.
--- a/lab/src/scale/capacity/budgets.rs
+++ b/lab/src/scale/capacity/budgets.rs
@@ -6,14 +6,18 @@
 use serde::Deserialize;
 use std::path::Path;
 
+/// The format of the file.
 pub const FORMAT: u64 = 1;
 
 /// One of the fleet's sizes, which slopes are measured against.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
+    /// By which slopes name it.
     pub id: String,
+    /// What it counts, in words.
     pub what: String,
+    /// The fleet's.
     pub value: f64,
 }
 
@@ -21,18 +25,27 @@
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Rate {
+    /// By which terms name it.
     pub id: String,
+    /// What happens, in words.
     pub what: String,
+    /// How often it happens in the time.
     pub value: f64,
+    /// The time, in seconds.
     pub over: f64,
 }
 
+/// A limit.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
+    /// By which lines name it.
     pub id: String,
+    /// What is limited, in words.
     pub what: String,
+    /// The limit.
     pub most: f64,
+    /// Its unit.
     pub unit: String,
     /// Who says so.
     pub from: String,
@@ -41,10 +54,13 @@
 /// On what day.
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Day {
+    /// An ordinary day.
     #[serde(rename = "ordinary")]
     Ordinary,
+    /// The worst minute.
     #[serde(rename = "worst")]
     Worst,
+    /// A region is cut off.
     #[serde(rename = "cut")]
     Cut,
 }
@@ -53,7 +69,9 @@
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Term {
+    /// The slope's id.
     pub slope: String,
+    /// Rates that it is multiplied by.
     #[serde(default)]
     pub times: Vec<String>,
     /// At another of the sizes than that of the slope's axis.
@@ -65,14 +83,18 @@
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
+    /// Who spends it.
     pub role: Role,
+    /// On what day.
     pub day: Day,
     /// Which worst minute: a zone back, a change of everything, ...
     #[serde(default)]
     pub when: String,
     /// state, messages, CPU, memory, descriptors, disk, time
     pub part: String,
+    /// What is spent, in words.
     pub what: String,
+    /// The figure's unit, where no budget has it.
     #[serde(default)]
     pub unit: String,
     /// What it is the sum of; empty where nothing was measured.
@@ -81,6 +103,7 @@
     /// The same of the build before, where its way is another.
     #[serde(default)]
     pub before: Vec<Term>,
+    /// The id of its budget.
     #[serde(default)]
     pub budget: Option<String>,
     /// In place of terms, where none is measured; what it is taken from has to be said.
@@ -89,6 +112,7 @@
     /// What is taken for granted in it.
     #[serde(default)]
     pub assumed: Option<String>,
+    /// What carries it, or that nothing does yet.
     pub carried: String,
 }
 
@@ -96,35 +120,49 @@
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
+    /// What is bounded, in words.
     pub what: String,
+    /// The file and the constant.
     pub place: String,
-    /// In the build before, and now.
+    /// The bound in the build before.
     pub before: f64,
+    /// The bound now.
     pub bound: f64,
+    /// Its unit.
     pub unit: String,
     /// At the fleet's size: a number, or that of a slope.
     #[serde(default)]
     pub needed: Option<f64>,
+    /// Or the slope that says so.
     #[serde(default)]
     pub slope: Option<String>,
+    /// What carries it, or that nothing does yet.
     pub carried: String,
 }
 
+/// What `budgets.json` says.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Budgets {
     format: u64,
+    /// The fleet's sizes.
     pub sizes: Vec<Size>,
+    /// How often things happen.
     pub rates: Vec<Rate>,
+    /// What may be spent.
     pub budgets: Vec<Budget>,
+    /// Bounds of the program.
     pub bounds: Vec<Bound>,
+    /// The lines of the page.
     pub lines: Vec<Entry>,
 }
 
 /// What a line of the page says.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Figure {
+    /// In the line's unit.
     pub value: f64,
+    /// Where it comes from.
     pub basis: Basis,
     /// Slopes without points: the value is that of the rest.
     pub missing: Vec<String>,
@@ -133,7 +171,9 @@
 /// Which build a figure is of.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Build {
+    /// This build.
     Now,
+    /// The build before.
     Before,
 }
 
@@ -189,12 +229,14 @@
         let of = |slope: &String| Some(self.at(slopes.get(slope)?, Build::Now)?.0);
         bound.needed.or_else(|| bound.slope.as_ref().and_then(of))
     }
+    /// One of the fleet's sizes.
     pub fn size(&self, id: &str) -> Option<f64> {
         self.sizes.iter().find(|size| size.id == id).map(|size| size.value)
     }
     fn rate(&self, id: &str) -> Option<f64> {
         self.rates.iter().find(|rate| rate.id == id).map(|rate| rate.value / rate.over)
     }
+    /// A budget.
     pub fn budget(&self, id: &str) -> Option<&Budget> {
         self.budgets.iter().find(|budget| budget.id == id)
     }
--- a/lab/src/scale/capacity/over_budget.rs
+++ b/lab/src/scale/capacity/over_budget.rs
@@ -42,6 +42,7 @@
     over(slopes, budgets).iter().filter(|row| row.factor(&row.now) > 1.0).count()
 }
 
+/// The table of lines over their budget.
 pub fn over_table(slopes: &Slopes, budgets: &Budgets) -> String {
     let rows = over(slopes, budgets);
     let still = rows.iter().filter(|row| row.factor(&row.now) > 1.0).count();
--- a/lab/src/scale/capacity/slopes.rs
+++ b/lab/src/scale/capacity/slopes.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// What the file's form is called.
+/// The format of the file.
 pub const FORMAT: u64 = 1;
 /// Points lie on a line if none is off it by more than this share of the greatest.
 pub const WITHIN: f64 = 0.1;
@@ -18,24 +18,32 @@
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
+    /// A backend.
     Backend,
+    /// A voter, where it is more than a backend.
     Keeper,
+    /// The operators' tool.
     Tool,
+    /// A caller.
     Caller,
 }
 
 /// Where a figure comes from, the surest first.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Basis {
+    /// Measured.
     #[serde(rename = "measured")]
     Measured,
+    /// Worked out of figures that were measured.
     #[serde(rename = "worked out")]
     WorkedOut,
+    /// Assumed.
     #[serde(rename = "assumed")]
     Assumed,
 }
 
 impl Basis {
+    /// What it is called on the page.
     pub fn name(self) -> &'static str {
         match self {
             Basis::Measured => "measured",
@@ -49,9 +57,13 @@
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Provenance {
+    /// The date.
     pub date: String,
+    /// The machine, in words.
     pub machine: String,
+    /// Its cores.
     pub cores: u64,
+    /// The commit of the build.
     pub commit: String,
 }
 
@@ -59,11 +71,14 @@
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Before {
+    /// Size and value.
     pub points: Vec<(f64, f64)>,
+    /// Least and most, in words.
     pub spread: String,
     /// Whether a line may be drawn through them: it does at all sizes what it does at these.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub line: bool,
+    /// Where it differs from the file's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub taken: Option<Provenance>,
 }
@@ -72,33 +87,45 @@
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
+    /// By which terms name it.
     pub id: String,
+    /// Who spends it.
     pub role: Role,
     /// The part of the program: configuration, members, lists, ...
     pub part: String,
+    /// What is spent, in words.
     pub what: String,
+    /// The values' unit.
     pub unit: String,
     /// Which of the sizes in `budgets.json` the points are over; none for what grows with nothing that was tried.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub axis: Option<String>,
+    /// Where the values come from.
     pub basis: Basis,
+    /// What measures them.
     pub command: String,
     /// Size and value; empty while it is not measured.
     pub points: Vec<(f64, f64)>,
+    /// Least and most, in words.
     pub spread: String,
+    /// What else is to be said.
     pub note: String,
     /// Where it differs from the file's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub taken: Option<Provenance>,
+    /// The same of the build before.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub before: Option<Before>,
 }
 
+/// What `slopes.json` says.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Slopes {
+    /// When and where figures were measured, unless a row says otherwise.
     pub taken: Provenance,
     /// Of the figures of the build before.
     pub before: Provenance,
+    /// The rows.
     pub slopes: Vec<Slope>,
 }
 
@@ -133,6 +160,7 @@
         Ok(Slopes { taken: raw.taken, before: raw.before, slopes })
     }
 
+    /// A row.
     pub fn get(&self, id: &str) -> Option<&Slope> {
         self.slopes.iter().find(|slope| slope.id == id)
     }
--- a/lab/src/scale/test_bed/load.rs
+++ b/lab/src/scale/test_bed/load.rs
@@ -2,10 +2,11 @@
 
 use super::agent::TimedAgent;
 use super::ledger::{InFlight, InFlightTable, Ledger, PhaseStats, Violations};
+use super::rpc::{encode_rpc, PATIENCE};
 use super::settings::{method_name, tenant_name};
 use super::{health, version_order};
 use crate::report::ScenarioError;
-use crate::sidecar::{read_frame, RpcHeader, ANSWER, MAX_STREAMS, OK, REJECTED};
+use crate::sidecar::{read_frame, ANSWER, MAX_STREAMS, OK, REJECTED};
 use crate::sync::lock;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -17,8 +18,6 @@
 use std::time::{Duration, Instant};
 
 const CONNECTIONS: usize = 8; // that RPCs come on
-/// How long a caller waits for an answer.
-pub(super) const PATIENCE: Duration = Duration::from_secs(2);
 const LATE_ANSWERS: Duration = Duration::from_millis(500); // beyond the patience of the last RPC
 const SECOND_ANSWERS: Duration = Duration::from_millis(50); // until no RPC is answered a second time any more
 
@@ -37,13 +36,6 @@
     pub seed: u64,
 }
 
-/// Encodes one RPC, as a sidecar puts it.
-pub(super) fn encode_rpc(
-    stream: u32, method: &str, tenant: Option<&str>, caller: u64, trace: u64, body: &[u8],
-) -> Vec<u8> {
-    RpcHeader { method, trace, caller, patience: PATIENCE, tenant }.encode(stream, body)
-}
-
 /// A connection that RPCs are sent on.
 struct Connection {
     stream: TcpStream,
--- a/lab/src/scale/test_bed/mod.rs
+++ b/lab/src/scale/test_bed/mod.rs
@@ -8,6 +8,7 @@
 pub mod ledger;
 pub mod load;
 pub mod meter;
+mod rpc;
 pub mod settings;
 pub mod version_order;
 
--- a/lab/src/scale/test_bed/version_order.rs
+++ b/lab/src/scale/test_bed/version_order.rs
@@ -3,7 +3,7 @@
 
 use super::health::CHECK_INTERVAL;
 use super::ledger::Ledger;
-use super::load::{encode_rpc, PATIENCE};
+use super::rpc::{encode_rpc, PATIENCE};
 use super::settings::{method_name, sentinel_tenants, tenant_name};
 use crate::sidecar::{read_frame, ANSWER, OK, REJECTED};
 use crate::sync::lock;
