--- a/lab/src/fleet/agree/caller.rs
+++ b/lab/src/fleet/agree/caller.rs
@@ -2,10 +2,10 @@
 
 use crate::fleet::callers::UnansweredAttempt;
 use crate::fleet::cluster::Fleet;
-use crate::fleet::workload::ms;
 use crate::method::PRICE;
 use crate::sidecar::{read_frame, unix_us, Frame, RpcHeader, ABORTED, OK};
 use crate::sync::lock;
+use crate::time::ms;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/lab/src/fleet/cold_start.rs
+++ b/lab/src/fleet/cold_start.rs
@@ -3,11 +3,12 @@
 use super::cluster::Fleet;
 use super::single_call::look_up;
 use super::small_fleet::{member_setup, start_fleet};
-use super::workload::{ms, COLD, WARM_UP};
+use super::workload::{COLD, WARM_UP};
 use crate::method::{Method, LOOK};
 use crate::report::{Report, ScenarioError};
 use crate::sidecar::{Answer, ANSWER, MAX_STREAMS};
 use crate::sync::lock;
+use crate::time::ms;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::json;
--- a/lab/src/fleet/idle_flood.rs
+++ b/lab/src/fleet/idle_flood.rs
@@ -3,10 +3,10 @@
 use super::cluster::Fleet;
 use super::single_call::{call_once, is_healthy_by, ANSWERED_WITHIN};
 use super::small_fleet::{member_setup, start_fleet};
-use super::workload::ms;
 use crate::method::{Method, LOOK};
 use crate::report::{Report, ScenarioError};
 use crate::sidecar::{encode_health_check, OK, REQUEST};
+use crate::time::ms;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use std::io::{ErrorKind, Read, Write};
--- a/lab/src/fleet/members/cpu.rs
+++ b/lab/src/fleet/members/cpu.rs
@@ -3,11 +3,12 @@
 
 use super::setup::{member_setup, operator_file, FILE_WITHOUT_MEMBERS};
 use crate::fleet::cluster::{Fleet, Plan};
-use crate::fleet::workload::{ms, COLD};
+use crate::fleet::workload::COLD;
 use crate::load::{run_load, sum, RateSpan};
 use crate::method::{FRAMED, LOOK, PRICE};
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
+use crate::time::ms;
 use serde_json::json;
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
--- a/lab/src/fleet/members/observation.rs
+++ b/lab/src/fleet/members/observation.rs
@@ -5,7 +5,7 @@
 use super::setup::{request_within, GREET_MS, PROBE_MS, SETTLE_MS, SUSPICION_MS};
 use crate::fleet::cluster::Fleet;
 use crate::fleet::fault_injection::InjectedFaults;
-use crate::fleet::workload::ms;
+use crate::time::ms;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/lab/src/fleet/members/play.rs
+++ b/lab/src/fleet/members/play.rs
@@ -9,9 +9,10 @@
 use crate::fleet::fault_injection::InjectedFaults;
 use crate::fleet::fault_script;
 use crate::fleet::options::FleetOptions;
-use crate::fleet::workload::{caller_profile, mean_work, methods, ms, COLD, WEIGHTS};
+use crate::fleet::workload::{caller_profile, mean_work, methods, COLD, WEIGHTS};
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
+use crate::time::ms;
 use std::time::{Duration, Instant};
 
 const CORES: f64 = 2.0; // of each process
--- a/lab/src/fleet/members/setup.rs
+++ b/lab/src/fleet/members/setup.rs
@@ -1,9 +1,10 @@
 //! Processes that know each other: their files, intervals and promises.
 
 use crate::control::request_once;
-use crate::fleet::workload::{ms, WARM_UP};
+use crate::fleet::workload::WARM_UP;
 use crate::method::Method;
 use crate::setup::{Setup, UpstreamPart};
+use crate::time::ms;
 use serde_json::Value;
 use std::path::Path;
 use std::time::Duration;
--- a/lab/src/fleet/restart_recovery/play.rs
+++ b/lab/src/fleet/restart_recovery/play.rs
@@ -8,10 +8,11 @@
 use crate::fleet::fault_injection::InjectedFaults;
 use crate::fleet::fault_script::{FaultKind, ScheduledFault};
 use crate::fleet::options::{FleetOptions, Kind};
-use crate::fleet::workload::{caller_profile, mean_work, methods, ms, COLD, WARM_UP, WEIGHTS};
+use crate::fleet::workload::{caller_profile, mean_work, methods, COLD, WARM_UP, WEIGHTS};
 use crate::method::UPDATE;
 use crate::report::ScenarioError;
 use crate::setup::Setup;
+use crate::time::ms;
 use std::path::Path;
 use std::time::Duration;
 
--- a/lab/src/fleet/restart_recovery/service.rs
+++ b/lab/src/fleet/restart_recovery/service.rs
@@ -2,7 +2,8 @@
 
 use crate::fleet::callers::{in_time, Tenth, TENTH_MS};
 use crate::fleet::options::Kind;
-use crate::fleet::workload::{ms, COLD};
+use crate::fleet::workload::COLD;
+use crate::time::ms;
 
 const TENTHS: usize = 10; // of a second
 const FULL: f64 = 0.95; // of the service before
--- a/lab/src/fleet/single_call.rs
+++ b/lab/src/fleet/single_call.rs
@@ -1,8 +1,8 @@
 //! Health checks and RPCs on connections of their own.
 
-use super::workload::ms;
 use crate::method::LOOK;
 use crate::sidecar::{encode_health_check, read_frame, RpcHeader, HEALTH, OK};
+use crate::time::ms;
 use rand::rngs::StdRng;
 use rand::Rng;
 use std::io::Write;
--- a/lab/src/fleet/small_fleet.rs
+++ b/lab/src/fleet/small_fleet.rs
@@ -1,10 +1,11 @@
 //! Fleets without gossip and without a shared upstream, for the scenarios of single moments.
 
 use super::cluster::{Fleet, Plan};
-use super::workload::{ms, COLD, WARM_UP};
+use super::workload::{COLD, WARM_UP};
 use crate::method::Method;
 use crate::report::ScenarioError;
 use crate::setup::Setup;
+use crate::time::ms;
 use std::time::Duration;
 
 const CORES: usize = 2;
--- a/lab/src/fleet/workload.rs
+++ b/lab/src/fleet/workload.rs
@@ -4,6 +4,7 @@
 use crate::agent::ColdStart;
 use crate::load::MethodLoad;
 use crate::method::{Method, LOOK, PRICE, UPDATE};
+use crate::time::ms;
 use std::time::Duration;
 
 /// How often the methods of [`methods`] are called in relation to each other.
@@ -14,11 +15,6 @@
 pub const COLD: ColdStart = ColdStart { initial_speed: 0.3, warm_up: WARM_UP };
 const CALLERS: usize = 6;
 
-/// Milliseconds.
-pub const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
-}
-
 /// The methods of a fleet: one that calls the upstream, and one that must not run twice.
 pub fn methods() -> [Method; 3] {
     [
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -21,6 +21,7 @@
 mod sidecar;
 mod stand_ins;
 mod sync;
+mod time;
 
 use arguments::Arguments;
 use clap::Parser;
--- a/lab/src/method.rs
+++ b/lab/src/method.rs
@@ -1,6 +1,7 @@
 //! The methods of the stand-in deployment.
 
 use crate::load::MethodLoad;
+use crate::time::ms;
 use std::time::Duration;
 
 /// A method of the stand-in deployment.
@@ -24,10 +25,6 @@
     pub calls_upstream: bool,
 }
 
-const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
-}
-
 /// Critical and quick.
 pub const PRICE: Method = Method {
     name: "till-price",
--- a/lab/src/rollout/bad_change.rs
+++ b/lab/src/rollout/bad_change.rs
@@ -4,6 +4,7 @@
 use crate::load::{in_time, run_load, RateSpan};
 use crate::method::FRAMED;
 use crate::report::{Report, ScenarioError};
+use crate::time::ms;
 use serde_json::{json, Value};
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
@@ -12,10 +13,6 @@
 const WATCHED: Duration = Duration::from_secs(12); // for an undo
 const POLL: Duration = Duration::from_millis(20);
 
-const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
-}
-
 /// What is bad about a change.
 #[derive(Clone, Copy, PartialEq)]
 enum BadChange {
--- a/lab/src/rollout/good_change.rs
+++ b/lab/src/rollout/good_change.rs
@@ -4,6 +4,7 @@
 use crate::load::{in_time, run_load, RateSpan};
 use crate::method::FRAMED;
 use crate::report::{Report, ScenarioError};
+use crate::time::ms;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -14,10 +15,6 @@
 const PROBATION_US: u64 = 8_000_000;
 const POLL: Duration = Duration::from_millis(20);
 
-const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
-}
-
 /// How a probation ended.
 struct Settled {
     after_ms: u64,
--- a/lab/src/rollout/stage.rs
+++ b/lab/src/rollout/stage.rs
@@ -8,6 +8,7 @@
 use crate::node::Node;
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
+use crate::time::ms;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -16,10 +17,6 @@
 const PREFETCH: u64 = 32;
 const EXITS_WITHIN: Duration = Duration::from_secs(6);
 
-const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
-}
-
 /// A backend that listens to operators.
 pub(super) struct Stage {
     pub(super) backend: Backend,
--- a/lab/src/scale/config/scenario.rs
+++ b/lab/src/scale/config/scenario.rs
@@ -10,6 +10,7 @@
 use crate::scale::sizes::Sizes;
 use crate::scale::statistics::{medians, rounded};
 use crate::scale::test_bed::{BackgroundLoad, LoadProfile, SiteSettings, TestBed, Violations};
+use crate::time::ms;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use serde_json::{json, Map, Value};
@@ -24,10 +25,6 @@
 const AT_REST: Duration = Duration::from_millis(500); // until memory and load are what they stay at
 const QUICK_RELOADS: usize = 5;
 
-const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
-}
-
 /// The same build with a few methods and no tenants: its resident memory at rest, in kB.
 fn small_site_kb(program: Option<&Path>, report: &mut Report) -> Result<Value, ScenarioError> {
     let mut bed = TestBed::start(&SiteSettings::new(SMALL, 0, CALLERS), program, ms(2))?;
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -11,6 +11,7 @@
 use crate::process::status_kb_or_zero;
 use crate::report::{Report, ScenarioError};
 use crate::scale::statistics::round;
+use crate::time::ms;
 use asterrill::Us;
 use asterrill_membership::{LeaseTiming, MembershipConfig};
 use serde_json::{json, Value};
@@ -29,10 +30,6 @@
 const LATE_MS: u64 = 500; // that asking adds to what is promised
 const US_PER_MS: u64 = 1_000;
 
-const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
-}
-
 /// The same intervals as in the processes' file.
 fn intervals(nodes: usize) -> MembershipConfig {
     let us = |ms: u64| -> Us { ms * US_PER_MS };
