--- a/daemon/tests/configuration_steps.rs
+++ b/daemon/tests/configuration_steps.rs
@@ -124,10 +124,28 @@
     stream.set_read_timeout(Some(WAIT * 3)).unwrap();
     stream.write_all(format!("{request}\n").as_bytes()).unwrap();
     let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line).unwrap();
+    let mut reader = BufReader::new(&stream);
+    reader.read_line(&mut line).unwrap();
+    // The client's slot is given back before the connection ends: without the wait the next one could find none free.
+    stream.shutdown(std::net::Shutdown::Write).unwrap_or_default();
+    drop(reader.read_to_end(&mut Vec::new()));
     serde_json::from_str(&line).unwrap()
 }
 
+/// Whether the file of versions holds the complete step that puts this version on probation. Its head, `step probation
+/// NUMBER BASE HASH FILE BYTES SUM SUM`, can be on disk before the BYTES of its body.
+fn has_complete_probation_step(versions: &str, hash: &str) -> bool {
+    let mut rest = versions;
+    while let Some((line, after)) = rest.split_once('\n') {
+        if line.starts_with("step probation") && line.contains(hash) {
+            let body_bytes: usize = line.split(' ').nth(6).unwrap().parse().unwrap();
+            return after.len() >= body_bytes;
+        }
+        rest = after;
+    }
+    false
+}
+
 fn rpc(stream: u32, id: u64, tenant: &str) -> Vec<u8> {
     let born = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
     let (id, born) = (format!("{id:016x}"), born.to_string());
@@ -486,8 +504,7 @@
         let status = node.status();
         let hash = status["hash"].as_str().unwrap();
         let stored = std::fs::read_to_string(node.dir.join("state/versions")).unwrap_or_default();
-        let stands = |line: &str| line.starts_with("step probation") && line.contains(hash);
-        if status["probation"] != json!(null) && stored.lines().any(stands) {
+        if status["probation"] != json!(null) && has_complete_probation_step(&stored, hash) {
             break;
         }
         assert!(Instant::now() < until, "{status}");
--- a/daemon/tests/program.rs
+++ b/daemon/tests/program.rs
@@ -176,7 +176,7 @@
 
 #[test]
 fn names_configuration_errors_before_listening() {
-    let (listen, config, _) = start_stand_ins(false);
+    let (_, config, _) = start_stand_ins(false);
     let fails = |name: &str, config: &str| {
         let output = wait_for_exit(start_daemon(name, config));
         assert_eq!(output.status.code(), Some(1));
@@ -193,8 +193,12 @@
     let mut wrong = config.clone();
     wrong["settings"]["Safety"]["TipMultiple"] = json!("many");
     assert!(fails("settings", &wrong.to_string()).contains("TipMultiple"));
-    let _taken = TcpListener::bind(listen).unwrap();
-    assert!(fails("taken", &config.to_string()).contains(&listen.to_string()));
+    // A listener that does not share its port, as another program's would not.
+    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
+    let taken_address = taken.local_addr().unwrap().to_string();
+    let mut wrong = config.clone();
+    wrong["listen"] = json!(taken_address);
+    assert!(fails("taken", &wrong.to_string()).contains(&taken_address));
     let output = Command::new(env!("CARGO_BIN_EXE_asterrilld")).env_remove("GW_CONFIG").output().unwrap();
     assert!(output.status.code() == Some(1) && stderr_text(&output).contains("GW_CONFIG"));
 }
@@ -269,7 +273,11 @@
     };
     stream.write_all(b"{\"v\":1,\"do\":\"status\"}\n").unwrap();
     let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line).unwrap();
+    let mut reader = BufReader::new(&stream);
+    reader.read_line(&mut line).unwrap();
+    // The client's slot is given back before the connection ends: without the wait the next one could find none free.
+    stream.shutdown(std::net::Shutdown::Write).unwrap_or_default();
+    drop(reader.read_to_end(&mut Vec::new()));
     serde_json::from_str(&line).unwrap()
 }
 
@@ -307,7 +315,7 @@
         child.kill().unwrap();
         stderr_text(&child.wait_with_output().unwrap())
     };
-    assert!(!life("return-1", true).contains("learned before"));
+    assert!(!life("return-1", true).contains("snapshot restored"));
     let again = life("return-2", true);
     assert!(again.contains("snapshot restored: Costs"), "{again}");
     let whole = std::fs::read_to_string(state.join("learned")).unwrap();
--- a/daemon/tests/stand_ins/mod.rs
+++ b/daemon/tests/stand_ins/mod.rs
@@ -25,8 +25,15 @@
             "StopSendingWithinMs": 300}, "StepMs": 4}})
 }
 
+/// An address for the daemon to listen on. It stays bound here, without listening, as long as this process runs: the
+/// daemon shares ports (`SO_REUSEPORT`), while no other test's socket can be given this one in between.
 pub fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    socket.set_reuse_port(true).unwrap();
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    let address = socket.local_addr().unwrap().as_socket().unwrap();
+    std::mem::forget(socket);
+    address
 }
 
 pub fn config_path(name: &str) -> PathBuf {
