--- a/consumer/src/config.rs
+++ b/consumer/src/config.rs
@@ -1,6 +1,6 @@
 //! What the operators set for a queue.
 
-use crate::routes::FieldSource;
+use crate::field_source::FieldSource;
 use asterrill::Us;
 
 /// Messages that are held beyond three prefetch windows at the most.
--- a/consumer/src/lib.rs
+++ b/consumer/src/lib.rs
@@ -6,6 +6,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | `config` | what the operators set for a queue |
+//! | `field_source` | where a value of a delivery is read from |
 //! | `action` | what the owner of the session and of the engine is asked to do |
 //! | `routes` | the method, tenant and caller of a delivery |
 //! | `deadline` | by when a delivery must be answered |
@@ -35,6 +36,7 @@
 mod deadline;
 mod dedup;
 mod execution;
+mod field_source;
 mod intake;
 mod message;
 mod prefetch;
@@ -52,6 +54,7 @@
 
 pub use action::{Action, InFlightId, PendingReply, Submission};
 pub use config::{Backoff, ConsumerConfig};
+pub use field_source::FieldSource;
 pub use queue::QueueConsumer;
-pub use routes::{Catalog, FieldSource};
+pub use routes::Catalog;
 pub use stats::QueueStats;
--- a/consumer/src/routes.rs
+++ b/consumer/src/routes.rs
@@ -3,7 +3,6 @@
 use crate::config::ConsumerConfig;
 use asterrill::{CallerId, Idempotency, MethodId};
 use asterrill_protocol::amqp::Headers;
-use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Set in the numbers of callers that are made from a name, apart from those that sidecars give as 32 bits.
@@ -21,27 +20,6 @@
     fn requires_tenant(&self) -> bool;
 }
 
-/// Where a value of a delivery is read from: a header, or a default for the whole queue.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct FieldSource {
-    /// The header's name; none to use the default always.
-    pub header: Option<String>,
-    /// Values of the header that stand for others; one that is not listed stands for itself.
-    pub aliases: BTreeMap<String, String>,
-    /// The value without the header.
-    pub default: Option<String>,
-}
-
-impl FieldSource {
-    fn read<'a>(&'a self, headers: &'a Headers) -> Option<&'a str> {
-        let value = self.header.as_ref().and_then(|name| headers.fields.get(name));
-        match value {
-            Some(value) => Some(self.aliases.get(value).unwrap_or(value)),
-            None => self.default.as_deref(),
-        }
-    }
-}
-
 /// Where a delivery goes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Route {
