--- a/daemon/src/change/driver.rs
+++ b/daemon/src/change/driver.rs
@@ -125,7 +125,7 @@
             Verdict::RollBack { expected, observed } => {
                 let why = describe_loss(expected, observed);
                 if let Err(rejection) = self.roll_back(dispatcher, &why, pause) {
-                    warn!(dispatcher.log, "the change could not be undone"; "why" => rejection.error);
+                    warn!(dispatcher.log, "rolling the change back failed"; "why" => rejection.error);
                 }
             }
             Verdict::Confirm { expected, observed } => {
@@ -146,8 +146,8 @@
         }
         if let Err(rejection) = self.reload_changed(dispatcher, deployment, prepared, pause) {
             dispatcher.with(|core, _, _| core.stats_mut().changes_refused += 1);
-            warn!(dispatcher.log, "the settings stay as they were";
-                "why" => rejection.error, "problems" => ?rejection.problems.unwrap_or_default());
+            warn!(dispatcher.log, "settings unchanged";
+                "why" => rejection.error, "problems" => %serde_json::json!(rejection.problems));
         }
     }
 
--- a/daemon/src/control_loop.rs
+++ b/daemon/src/control_loop.rs
@@ -102,13 +102,13 @@
         let Reload { deployment, prepared } = match reload {
             Ok(reload) => reload,
             Err(fault) => {
-                warn!(dispatcher.log, "the configuration stays as it was"; "why" => %fault);
+                warn!(dispatcher.log, "configuration unchanged"; "why" => %fault);
                 return;
             }
         };
         self.shutdown.grace = deployment.shutdown_grace;
         self.addresses.update(dispatcher, &deployment);
-        info!(dispatcher.log, "the configuration was read again";
+        info!(dispatcher.log, "configuration reloaded";
             "agent" => %deployment.agent, "naming" => %deployment.name_service);
         let (queue, shutdown) = (&self.queue, &mut self.shutdown);
         let pause: &mut SlicePause<'_> =
--- a/daemon/src/control_socket.rs
+++ b/daemon/src/control_socket.rs
@@ -87,7 +87,7 @@
             match stream {
                 Ok(stream) => self.accept(stream),
                 Err(e) => {
-                    warn!(self.log, "an operator could not be taken in"; "error" => %e);
+                    warn!(self.log, "accepting an operator failed"; "error" => %e);
                     std::thread::sleep(ACCEPT_RETRY_DELAY);
                 }
             }
--- a/daemon/src/store/texts.rs
+++ b/daemon/src/store/texts.rs
@@ -19,7 +19,7 @@
     let path = dir.join(LEARNED_FILE);
     let read = read_parsed(&path, |text| Snapshot::from_text(text).map_err(|e| e.to_string()));
     read.unwrap_or_else(|why| {
-        warn!(log, "what was learned is not used"; "path" => %path.display(), "why" => why);
+        warn!(log, "snapshot not used"; "path" => %path.display(), "why" => why);
         None
     })
 }
@@ -36,7 +36,7 @@
         PersistedState::from_text(body).map_err(|e| e.to_string())
     });
     read.unwrap_or_else(|why| {
-        warn!(log, "the members of before are not used"; "path" => %path.display(), "why" => why);
+        warn!(log, "persisted members not used"; "path" => %path.display(), "why" => why);
         None
     })
 }
--- a/daemon/src/store/versions.rs
+++ b/daemon/src/store/versions.rs
@@ -27,11 +27,11 @@
         }
     };
     if recovered.torn_bytes > 0 {
-        warn!(log, "the last step of the state was not written completely and is left out";
+        warn!(log, "the last record of the state file is incomplete: ignored";
             "path" => %path.display(), "bytes" => recovered.torn_bytes);
     }
     if let Some(damage) = &recovered.damaged {
-        warn!(log, "the state is damaged: the part before that is used";
+        warn!(log, "the state file is damaged: only the records before the damage are used";
             "path" => %path.display(), "why" => %damage, "version" => recovered.state.good.number);
     }
     Some(recovered.state)
--- a/daemon/tests/program.rs
+++ b/daemon/tests/program.rs
@@ -322,7 +322,7 @@
     for odd in ["", "what?", &whole[..whole.len() / 2], &whole.replace("machine 2", "machine 3")] {
         std::fs::write(state.join("learned"), odd).unwrap();
         let log = life("return-3", false);
-        assert!(log.contains("what was learned is not used"), "{odd:?}: {log}");
+        assert!(log.contains("snapshot not used"), "{odd:?}: {log}");
     }
     std::fs::remove_dir_all(&state).unwrap();
     std::fs::write(&state, "no directory").unwrap();
--- a/lab/src/scale/config/session.rs
+++ b/lab/src/scale/config/session.rs
@@ -228,7 +228,7 @@
 
 /// Why a reload was rejected, if the log says that it was.
 fn reload_rejection(log: &str) -> Option<String> {
-    let messages = ["the settings stay as they were", "the configuration stays as it was"];
+    let messages = ["settings unchanged", "configuration unchanged"];
     let line = messages.iter().find_map(|message| log_line(log, message))?;
     let line: Value = serde_json::from_str(line).unwrap_or_default();
     let field = |name: &str| line[name].as_str().unwrap_or_default().to_string();
