--- a/daemon/src/core/sidecars.rs
+++ b/daemon/src/core/sidecars.rs
@@ -67,13 +67,13 @@
         let coalescible = self.state.sidecars.is_proven(conn);
         let keys = self.keys_of(method, request, body, coalescible);
         let now = self.engine.advance_to(now);
-        let received_from = request.born.max(self.state.agent_up_since.unwrap_or(now));
+        let received_from = request.arrived_at.max(self.state.agent_up_since.unwrap_or(now));
         Some(IncomingRpc {
             id: request.id,
             method,
             tenant,
             caller: request.caller,
-            deadline: request.due,
+            deadline: request.deadline,
             time_unread: now.saturating_sub(received_from),
             size_kb: request.size_kb,
             cache_key: keys.cache,
--- a/daemon/src/tests/coalescing.rs
+++ b/daemon/src/tests/coalescing.rs
@@ -15,9 +15,9 @@
             SidecarStream { conn: ConnectionId(conn), stream: StreamId(harness.next_id as u32) },
         );
         let (method, tenant, caller) = (method.to_string(), "acme".to_string(), CallerId(conn));
-        let (born, due, size_kb) = (harness.now, Some(harness.now + 800 * MS), 20.0 + conn as f64);
+        let (arrived_at, deadline, size_kb) = (harness.now, Some(harness.now + 800 * MS), 20.0 + conn as f64);
         harness.peers.bodies.insert(id, body.to_vec());
-        let request = RpcRequest { id, method, tenant, caller, born, due, size_kb, key: None };
+        let request = RpcRequest { id, method, tenant, caller, arrived_at, deadline, size_kb, key: None };
         assert!(harness.core.rpc_received(harness.now, stream_ref, request, body, &mut harness.peers));
         stream_ref
     };
--- a/daemon/src/tests/cost.rs
+++ b/daemon/src/tests/cost.rs
@@ -16,9 +16,10 @@
     for n in 0..1_000_u64 {
         let stream_ref = SidecarStream { conn: ConnectionId(n), stream: StreamId(1) };
         let (id, caller) = (RpcId::from_number(n + 1), CallerId(n));
-        let (method, tenant, due) = ("look".to_string(), "acme".to_string(), Some(START + 900_000 * MS));
+        let (method, tenant, deadline) = ("look".to_string(), "acme".to_string(), Some(START + 900_000 * MS));
         out.bodies.insert(id, Vec::new());
-        let request = RpcRequest { id, method, tenant, caller, born: START, due, size_kb: 1.0, key: None };
+        let request =
+            RpcRequest { id, method, tenant, caller, arrived_at: START, deadline, size_kb: 1.0, key: None };
         core.rpc_received(START, stream_ref, request, b"", &mut out);
     }
     let in_flight = core.open_rpcs();
--- a/daemon/src/tests/harness.rs
+++ b/daemon/src/tests/harness.rs
@@ -69,9 +69,18 @@
         self.next_id += 1;
         let id = RpcId::new(&format!("{:016x}", self.next_id)).unwrap();
         let stream_ref = SidecarStream { conn: ConnectionId(conn), stream: StreamId(self.next_id as u32) };
-        let (caller, due) = (CallerId(conn), Some(self.now + patience));
+        let (caller, deadline) = (CallerId(conn), Some(self.now + patience));
         let (method, tenant) = (method.to_string(), "acme".to_string());
-        let ask = RpcRequest { id, method, tenant, caller, born: self.now - 3 * MS, due, size_kb: 20.0, key };
+        let ask = RpcRequest {
+            id,
+            method,
+            tenant,
+            caller,
+            arrived_at: self.now - 3 * MS,
+            deadline,
+            size_kb: 20.0,
+            key,
+        };
         self.peers.bodies.insert(id, body.clone());
         if self.core.rpc_received(self.now, stream_ref, ask.clone(), &body, &mut self.peers) {
             self.rpcs.insert(stream_ref, (ask, false));
@@ -307,7 +316,9 @@
         for (stream_ref, (ask, gone)) in &self.rpcs {
             let answer = self.peers.answers.get(stream_ref);
             assert!(
-                answer.is_some() || *gone || self.now <= ask.due.unwrap_or(ask.born + DEADLINE) + SLACK,
+                answer.is_some()
+                    || *gone
+                    || self.now <= ask.deadline.unwrap_or(ask.arrived_at + DEADLINE) + SLACK,
                 "lost {ask:?}"
             );
             if let Some(("ok", body)) = answer {
--- a/daemon/src/tests/sidecars.rs
+++ b/daemon/src/tests/sidecars.rs
@@ -84,7 +84,8 @@
         SidecarStream { conn: ConnectionId(1), stream: StreamId(1) },
     );
     let (method, tenant, caller) = ("look".to_string(), "acme".to_string(), CallerId(1));
-    let request = RpcRequest { id, method, tenant, caller, born: 0, due: Some(1), size_kb: 20.0, key: None };
+    let request =
+        RpcRequest { id, method, tenant, caller, arrived_at: 0, deadline: Some(1), size_kb: 20.0, key: None };
     harness.core.rpc_received(harness.now, stream_ref, request, b"", &mut harness.peers);
     assert_eq!(harness.peers.answers[&stream_ref].0, "pushed back");
     let fine = harness.send_rpc(2, "look", 900 * MS, None);
@@ -102,15 +103,16 @@
     let (method, tenant, caller) = ("look".to_string(), "acme".to_string(), CallerId(1));
     let (id, stream_ref) =
         (RpcId::from_number(9), SidecarStream { conn: ConnectionId(1), stream: StreamId(1) });
-    let born = harness.now - 20 * MS;
-    let request = RpcRequest { id, method, tenant, caller, born, due: None, size_kb: 20.0, key: None };
+    let arrived_at = harness.now - 20 * MS;
+    let request =
+        RpcRequest { id, method, tenant, caller, arrived_at, deadline: None, size_kb: 20.0, key: None };
     harness.core.rpc_received(harness.now, stream_ref, request, b"", &mut harness.peers);
     assert!(harness.peers.runs.contains_key(&id), "it is run like any other");
     let mut late = 0;
     while !harness.peers.answers.contains_key(&stream_ref) {
         (harness.now, late) = (harness.now + MS, late + 1);
         harness.core.tick(harness.now, &mut harness.peers);
-        assert!(harness.now <= born + DEADLINE, "no answer by its deadline");
+        assert!(harness.now <= arrived_at + DEADLINE, "no answer by its deadline");
     }
-    assert!(harness.now + 50 * MS > born + DEADLINE && late > 100, "not before either: {late} ms");
+    assert!(harness.now + 50 * MS > arrived_at + DEADLINE && late > 100, "not before either: {late} ms");
 }
--- a/daemon/src/tests/versions.rs
+++ b/daemon/src/tests/versions.rs
@@ -53,8 +53,9 @@
     core.agent_up(START, Some(stale), &mut out);
     let stream_ref = SidecarStream { conn: ConnectionId(1), stream: StreamId(1) };
     let (id, caller) = (RpcId::new("00000000000000aa").unwrap(), CallerId(1));
-    let (method, tenant, due) = ("book".to_string(), "acme".to_string(), Some(START + 900 * MS));
-    let request = RpcRequest { id, method, tenant, caller, born: START, due, size_kb: 20.0, key: None };
+    let (method, tenant, deadline) = ("book".to_string(), "acme".to_string(), Some(START + 900 * MS));
+    let request =
+        RpcRequest { id, method, tenant, caller, arrived_at: START, deadline, size_kb: 20.0, key: None };
     core.rpc_received(START, stream_ref, request, b"", &mut out);
     assert_eq!(out.answers[&stream_ref].0, "aborted", "the version that runs does not know it");
     let mut harness = CoreHarness::new(32);
@@ -77,9 +78,10 @@
             SidecarStream { conn: ConnectionId(harness.next_id), stream: StreamId(1) },
         );
         let (method, tenant, caller) = (method.to_string(), tenant.to_string(), CallerId(1));
-        let (born, due) = (harness.now, Some(harness.now + 800 * MS));
+        let (arrived_at, deadline) = (harness.now, Some(harness.now + 800 * MS));
         harness.peers.bodies.insert(id, b"body".to_vec());
-        let request = RpcRequest { id, method, tenant, caller, born, due, size_kb: 1.0, key: None };
+        let request =
+            RpcRequest { id, method, tenant, caller, arrived_at, deadline, size_kb: 1.0, key: None };
         harness.core.rpc_received(harness.now, stream_ref, request, b"body", &mut harness.peers);
         // It runs, waits, or is rejected, where its names are in force.
         harness.peers.answers.get(&stream_ref).is_none_or(|(what, _)| *what != "aborted")
--- a/protocol/src/sidecar/message.rs
+++ b/protocol/src/sidecar/message.rs
@@ -31,9 +31,9 @@
     /// The caller's number.
     pub caller: CallerId,
     /// When it came to the machine, in microseconds.
-    pub born: Us,
+    pub arrived_at: Us,
     /// When its caller stops waiting, in microseconds; `None` where callers don't say.
-    pub due: Option<Us>,
+    pub deadline: Option<Us>,
     /// The memory it takes while it is in flight, in kilobytes, above 0 and under 2,000.
     pub size_kb: f64,
     /// The entity it is about, if it names one.
--- a/protocol/src/sidecar/reader.rs
+++ b/protocol/src/sidecar/reader.rs
@@ -241,7 +241,7 @@
         let is_trace =
             |text: &&str| text.len() == TRACE_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
         let id = self.value("trace").filter(is_trace)?;
-        let born = self.milliseconds("born")?;
+        let arrived_at = self.milliseconds("born")?;
         let patience = match self.value("patience") {
             Some(_) => Some(self.milliseconds("patience")?),
             None => None,
@@ -259,8 +259,8 @@
             method: self.value("route")?.to_string(),
             tenant: self.value("customer").unwrap_or("").to_string(),
             caller: CallerId(self.integer("client")?),
-            born,
-            due: patience.map(|patience| born + patience),
+            arrived_at,
+            deadline: patience.map(|patience| arrived_at + patience),
             size_kb: self.value("size")?.parse().ok().filter(|kb: &f64| *kb > 0.0 && *kb < MAX_SIZE_KB)?,
             key,
         })
