--- a/protocol/src/upstream.rs
+++ b/protocol/src/upstream.rs
@@ -43,7 +43,7 @@
         };
         match (id, end) {
             (Some(id), Some(end)) => Ok(Some(Reply { id, end, body: body.unwrap_or(&[]) })),
-            _ => Err(ProtocolError("a reply from below is not understood")),
+            _ => Err(ProtocolError("an upstream reply is not understood")),
         }
     }
 }
@@ -55,8 +55,8 @@
     }
     match words.next().and_then(|n| n.parse().ok()) {
         Some(n) if n <= MAX_BODY_BYTES => Ok(Some(n)),
-        Some(_) => Err(ProtocolError("a reply from below is too long")),
-        None => Err(ProtocolError("a reply from below lacks its length")),
+        Some(_) => Err(ProtocolError("an upstream reply is too long")),
+        None => Err(ProtocolError("an upstream reply lacks its length")),
     }
 }
 
