--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked --exclude asterrill-cli
 
 # The main job, to be looked at: a backend among stand-ins on loopback ports that the system chooses.
 demo: build
--- a/cli/src/arguments.rs
+++ b/cli/src/arguments.rs
@@ -11,8 +11,14 @@
     /// One JSON object instead of lines
     #[arg(long, global = true)]
     pub json: bool,
-    /// The control socket, as [changes] control names it
-    #[arg(long, global = true, env = "ASTERRILL_SOCKET", value_name = "PATH")]
+    /// The control socket, as `[changes]` control names it
+    #[arg(
+        long,
+        global = true,
+        env = "ASTERRILL_SOCKET",
+        value_name = "PATH",
+        help = "The control socket, as [changes] control names it"
+    )]
     pub socket: Option<PathBuf>,
 }
 
--- a/protocol/src/amqp/session/commands.rs
+++ b/protocol/src/amqp/session/commands.rs
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Closes the connection from this side (1.4.2.10); [`super::Event::CloseConfirmed`] follows. False if there is
+    /// Closes the connection from this side (1.4.2.10); [`crate::amqp::Event::CloseConfirmed`] follows. False if there is
     /// no connection to close in this way.
     pub fn close(&mut self, now: Us, code: u16, text: &str) -> bool {
         if matches!(self.state, State::Disconnected | State::Greeting | State::Closing) {
