--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -15,7 +15,7 @@
 mod idempotency_key;
 mod lifecycle;
 mod recovery;
-mod sidecars;
+mod sidecar_rpcs;
 mod state;
 #[cfg(test)]
 #[path = "tests/core_access.rs"]
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -12,7 +12,7 @@
 mod recovery;
 mod service_stats;
 mod settings;
-mod sidecars;
+mod sidecar_rpcs;
 mod stand_in;
 mod upstream_links;
 mod versions;
