--- a/engine/src/outcomes.rs
+++ b/engine/src/outcomes.rs
@@ -16,8 +16,8 @@
                 out.stop(id);
             }
         }
-        for KeyRetention { id, span } in outcome.retained_keys {
-            self.retain_key(id, self.now + span);
+        for KeyRetention { id, duration } in outcome.retained_keys {
+            self.retain_key(id, self.now + duration);
         }
         for id in outcome.released_keys {
             self.response_cache.remove(id);
--- a/simulator/src/encode.rs
+++ b/simulator/src/encode.rs
@@ -14,9 +14,9 @@
 pub fn encode(instance: u64, outcome: &Outcome, actions: &mut Vec<Value>) {
     actions.extend(outcome.answers.iter().map(|reply| answer_action(instance, reply)));
     by_id("Stop", instance, &outcome.cancellations, actions);
-    for KeyRetention { id, span } in &outcome.retained_keys {
-        let (id, span) = (id.as_str(), millis(*span));
-        actions.push(json!({"kind": "RecordKey", "I": instance, "Id": id, "ForTimeMs": span}));
+    for KeyRetention { id, duration } in &outcome.retained_keys {
+        let (id, duration) = (id.as_str(), millis(*duration));
+        actions.push(json!({"kind": "RecordKey", "I": instance, "Id": id, "ForTimeMs": duration}));
     }
     by_id("Unpin", instance, &outcome.released_keys, actions);
     by_id("Join", instance, &outcome.coalesced, actions);
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -200,7 +200,7 @@
         self.queue.push(key, forecast.work);
         if *retention > 0 {
             self.keys.retain(id, now + retention);
-            self.outcome.retained_keys.push(KeyRetention { id, span: *retention });
+            self.outcome.retained_keys.push(KeyRetention { id, duration: *retention });
         }
         // With nothing on the cores this one is a trial, whatever the estimates say.
         let latest_start = if self.cores.running > 0 {
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -56,7 +56,7 @@
     /// The RPC whose idempotency or cache key it is.
     pub id: RpcId,
     /// How long, from now.
-    pub span: Us,
+    pub duration: Us,
 }
 
 /// An upstream call to make.
--- a/src/tests/harness.rs
+++ b/src/tests/harness.rs
@@ -280,8 +280,8 @@
     }
 
     fn apply_keys(&mut self, outcome: &Outcome) {
-        for KeyRetention { id, span } in &outcome.retained_keys {
-            self.keys.insert(*id, self.now + span);
+        for KeyRetention { id, duration } in &outcome.retained_keys {
+            self.keys.insert(*id, self.now + duration);
         }
         for id in &outcome.released_keys {
             self.keys.remove(id);
