--- a/src/caller_feedback.rs
+++ b/src/caller_feedback.rs
@@ -1,43 +1,44 @@
-//! What callers learn of this server's load: the number published to them, health, and how long a connection may
-//! stay idle.
+//! Feedback to callers on this server's load: the published value, the health status and the idle timeout of
+//! connections.
 
 use crate::decaying_sum::DecayingSum;
 use crate::ids::Us;
 use crate::tuning::{ACTIVITY_WINDOW, TICK_INTERVAL};
 
-/// Mean time unread, in shortest latency targets, above which reading is behind.
-const UNREAD_LIMIT: f64 = 0.1;
-/// Fraction by which the published number has to move before it is published again.
-const PUBLISH_STEP: f64 = 0.1;
-/// Open connections for each active caller above which idle ones close sooner.
-const CONNECTIONS_PER_CALLER: f64 = 2.0;
-/// Open connections for each core that stay open anyway: a table holds more, and each handshake is work.
-const CONNECTIONS_PER_CORE: f64 = 10.0;
+/// Mean time unread above which reading has a backlog, as a fraction of the shortest latency target.
+const MAX_UNREAD_TARGET_FRACTION: f64 = 0.1;
+/// Minimum relative change of the value after which it is published again.
+const MIN_PUBLISHED_CHANGE_RATIO: f64 = 0.1;
+/// Open connections per active caller above which the idle timeout is shortened.
+const MAX_CONNECTIONS_PER_CALLER: f64 = 2.0;
+/// Open connections per core up to which the idle timeout is never shortened: the connection table holds more, and
+/// each handshake costs CPU time.
+const KEPT_CONNECTIONS_PER_CORE: f64 = 10.0;
 
-/// What callers make of the number published to them.
+/// The meaning of the value that is published to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FeedbackMode {
-    /// Nothing may be published.
+    /// Nothing is published.
     Off,
-    /// RPCs that each caller may have outstanding here.
+    /// The number of RPCs that each caller may have outstanding at this server.
     Credit,
-    /// Callers send nothing whose rank, 0 to 1, is below it.
+    /// The rank, 0 to 1, below which callers send no RPC.
     Threshold,
-    /// The probability, 0 to 1, that a caller does not pass this server over.
+    /// The probability, 0 to 1, with which a caller selects this server instead of skipping it.
     AcceptProbability,
 }
 
-/// The state of what is published.
+/// The state of the feedback to callers.
 pub struct CallerFeedback {
     pub(crate) mode: FeedbackMode,
-    /// Longest retry-after that is relayed to clients; 0 for none.
+    /// Maximum retry-after that is relayed to clients; 0 for none.
     pub(crate) max_retry_after: Us,
-    /// Decaying sum of the times that arrivals lay unread.
+    /// Decaying sum of the times for which arrivals were unread.
     unread: DecayingSum,
     /// Decaying count of arrivals.
     arrivals: DecayingSum,
-    /// Mean time unread, in microseconds, above which reading is behind.
-    pub(crate) unread_limit: f64,
+    /// Mean time unread above which reading has a backlog.
+    pub(crate) max_mean_unread_us: f64,
     published: f64,
     healthy: Option<bool>,
     max_idle: Us,
@@ -45,15 +46,17 @@
 }
 
 impl CallerFeedback {
-    /// `max_retry_after`: the longest retry-after that is relayed to clients, 0 where none is; `shortest_target`:
-    /// the shortest latency target; `max_idle`: when callers close an idle connection by themselves.
+    /// Creates the state before anything is published.
+    ///
+    /// `max_retry_after` is the maximum retry-after that is relayed to clients, 0 for none; `shortest_target` is the
+    /// shortest latency target; `max_idle` is the idle time after which callers close a connection themselves.
     pub fn new(mode: FeedbackMode, max_retry_after: Us, shortest_target: Us, max_idle: Us) -> CallerFeedback {
         CallerFeedback {
             mode,
             max_retry_after,
             unread: DecayingSum::new(ACTIVITY_WINDOW),
             arrivals: DecayingSum::new(ACTIVITY_WINDOW),
-            unread_limit: shortest_target as f64 * UNREAD_LIMIT,
+            max_mean_unread_us: shortest_target as f64 * MAX_UNREAD_TARGET_FRACTION,
             published: -1.0,
             healthy: None,
             max_idle,
@@ -61,40 +64,42 @@
         }
     }
 
-    /// An RPC was read that had lain unread for a while.
+    /// Records an RPC that was read after being unread for `unread_for`.
     pub(crate) fn record_arrival(&mut self, now: Us, unread_for: Us) {
         self.unread.add(now, unread_for as f64);
         self.arrivals.add(now, 1.0);
     }
 
-    /// How far reading is behind: the mean time unread over its limit, at least 1.
+    /// Returns the read backlog: the ratio of the mean time unread to its limit, at least 1.
     pub(crate) fn read_backlog(&mut self, now: Us) -> f64 {
         let mean_unread = self.unread.read(now) / self.arrivals.read(now).max(1.0);
-        (mean_unread / self.unread_limit).max(1.0)
+        (mean_unread / self.max_mean_unread_us).max(1.0)
     }
 
-    /// Returns the health to publish, if it has changed.
+    /// Returns the health status to publish, if it has changed.
     pub(crate) fn update_health(&mut self, healthy: bool) -> Option<bool> {
         (self.healthy.replace(healthy) != Some(healthy)).then_some(healthy)
     }
 
-    /// Returns the number to publish, if it has moved far enough.
+    /// Returns the value to publish, if it has changed enough.
     pub(crate) fn update_published(&mut self, value: f64) -> Option<f64> {
-        if (value - self.published).abs() > PUBLISH_STEP * self.published.max(0.0) {
+        if (value - self.published).abs() > MIN_PUBLISHED_CHANGE_RATIO * self.published.max(0.0) {
             self.published = value;
             return Some(value);
         }
         None
     }
 
-    /// Returns the idle timeout of connections, if it has changed. Guards against a table full of connections that
-    /// bring nothing: they tax the cores and leave callers without one. While more are open than twice the active
-    /// callers need, idle ones close sooner. It also covers a fleet or a crowd of callers that has grown. Harm: a
-    /// handshake for a caller that pauses.
+    /// Returns the idle timeout of connections, if it has changed.
+    ///
+    /// This guards against a connection table full of idle connections: they load the cores and leave no connection
+    /// for other callers. The timeout is shortened while more than `MAX_CONNECTIONS_PER_CALLER` connections are open
+    /// per active caller, which also covers growth of the fleet or of the number of callers. The drawback is an
+    /// additional handshake for a caller that pauses.
     pub(crate) fn adjust_idle_timeout(&mut self, open: f64, active_callers: f64, cores: f64) -> Option<Us> {
         let before = self.idle;
-        let wanted = CONNECTIONS_PER_CALLER * active_callers;
-        if open > wanted.max(CONNECTIONS_PER_CORE * cores) {
+        let wanted = MAX_CONNECTIONS_PER_CALLER * active_callers;
+        if open > wanted.max(KEPT_CONNECTIONS_PER_CORE * cores) {
             self.idle = (before / 2).max(TICK_INTERVAL).min(self.max_idle);
         } else if open < wanted / 2.0 {
             self.idle = (before * 2).min(self.max_idle);
@@ -102,10 +107,10 @@
         Some(self.idle).filter(|idle| *idle != before)
     }
 
-    /// Takes over another configuration; what was published and measured goes on.
+    /// Applies another configuration. Published values and measurements are kept.
     pub(crate) fn reconfigure(&mut self, other: &CallerFeedback) {
         (self.mode, self.max_retry_after) = (other.mode, other.max_retry_after);
-        (self.unread_limit, self.max_idle) = (other.unread_limit, other.max_idle);
+        (self.max_mean_unread_us, self.max_idle) = (other.max_mean_unread_us, other.max_idle);
         self.idle = self.idle.min(self.max_idle);
     }
 }
--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -1,4 +1,4 @@
-//! How RPCs end: answered, rejected, finished or never run.
+//! The end of RPCs: answered, rejected, finished or never run.
 
 use super::state::Control;
 use crate::cost_estimate::CostEstimate;
@@ -7,15 +7,16 @@
 use crate::method::StopMode;
 use crate::outcome::{Answer, Reply};
 use crate::rpc::Stage;
-use crate::tuning::{COST_SPREAD, SLOWDOWN_MEMORY, STALL_FACTOR};
+use crate::tuning::{COST_SPREAD, SLOWDOWN_SAMPLES, STALL_FACTOR};
 use nanorand::Rng;
 
-/// The constant factor of congestion_penalty.
+/// Constant factor of congestion_penalty.
 const PENALTY_FACTOR: f64 = 0.25;
 
 impl Control {
-    /// A final answer was given, or none is owed. A queued RPC is over; a running one is cancelled or left to end.
-    pub(super) fn settle(&mut self, id: RpcId) {
+    /// Marks an RPC as answered, or as not to be answered any more. A queued RPC ends; a running one is cancelled, or
+    /// left to finish if runs can't be cancelled.
+    pub(super) fn mark_answered(&mut self, id: RpcId) {
         let Some(rpc) = self.rpcs.get_mut(&id).filter(|rpc| !rpc.answered) else { return };
         rpc.answered = true;
         self.timers.remove(&(rpc.timer, id));
@@ -25,13 +26,13 @@
             Stage::Running if self.stop_mode != StopMode::Off => self.outcome.cancellations.push(id),
             Stage::Calling => {
                 rpc.stage = Stage::WaitingToCall;
-                self.calls.call_abandoned(self.now, id, self.random.generate::<f64>());
+                self.calls.record_call_abandoned(self.now, id, self.random.generate::<f64>());
             }
             Stage::Running | Stage::WaitingToCall => {}
         }
     }
 
-    /// An RPC that never ran leaves: its account gets back what was charged.
+    /// Removes an RPC that never ran, and returns its charge to the caller's account.
     fn discard(&mut self, id: RpcId) {
         let Some(rpc) = self.rpcs.remove(&id) else { return };
         self.timers.remove(&(rpc.timer, id));
@@ -45,44 +46,49 @@
         }
     }
 
-    /// Rejects an RPC. `wait`: microseconds from now until an RPC like it could be admitted. It is cut, since
-    /// waiting for long costs clients their latency target.
+    /// Rejects an RPC.
+    ///
+    /// `wait` is the time in microseconds until a similar RPC could be admitted. The retry-after is capped, because
+    /// clients that wait for long miss their latency target.
     pub(super) fn reject(&mut self, id: RpcId, terminal: bool, wait: f64) {
-        // Guards against callers that were rejected together and retry together. Harm: some wait longer.
+        // Jitter keeps callers that were rejected together from retrying together. The drawback is that some wait
+        // longer.
         let jitter = if self.recovery.retry_after_jitter > 0.0 {
             self.recovery.retry_after_jitter * self.random.generate::<f64>()
         } else {
             0.0
         };
-        let retry_after = (wait.min(self.feedback.unread_limit) * (1.0 + jitter)) as Us;
+        let retry_after = (wait.min(self.feedback.max_mean_unread_us) * (1.0 + jitter)) as Us;
         let retry_after = retry_after.min(self.feedback.max_retry_after);
         self.outcome.answers.push(Reply { id, answer: Answer::Rejected { terminal, retry_after } });
-        self.settle(id);
+        self.mark_answered(id);
     }
 
-    /// A run, or the wait of a coalesced RPC, has ended.
+    /// Ends a run, or the wait of a coalesced RPC.
     pub(super) fn finish(&mut self, id: RpcId, end: RunEnd) {
         if let Some(rpc) = self.rpcs.get_mut(&id).filter(|rpc| rpc.stage == Stage::Running) {
             self.cores.leave(rpc, self.now);
         }
-        self.settle(id);
+        self.mark_answered(id);
         let Some(rpc) = self.rpcs.remove(&id) else { return };
         self.memory.used_kb -= rpc.reserved_kb;
-        // A quick failure spent what it was admitted for: it must not refill the account.
+        // An aborted run keeps its full charge, so that quick failures don't refill the account.
         let real_cost = if end == RunEnd::Aborted { rpc.charged } else { rpc.run.served * 1e3 };
         let congestion_penalty = rpc.run.congestion * PENALTY_FACTOR;
         self.accounts.correct(self.now, rpc.caller, rpc.charged, real_cost, congestion_penalty);
-        self.learn(rpc.method, rpc.run.served, end);
+        self.update_estimates(rpc.method, rpc.run.served, end);
     }
 
-    /// Learns from a run that was on the cores for so many microseconds. One that was cancelled would have taken at
-    /// least as long; what a slow server takes is not learned as the cost.
-    fn learn(&mut self, method: MethodId, served: f64, end: RunEnd) {
+    /// Updates slowdown and cost with a run whose serving time was `served` microseconds.
+    ///
+    /// A cancelled run would have taken at least as long, so it can only raise the slowdown. The serving times of a
+    /// slow server are not learned as costs.
+    fn update_estimates(&mut self, method: MethodId, served: f64, end: RunEnd) {
         let Some(CostEstimate { samples, mean }) = self.costs.get(method.0) else { return };
-        let few_samples = *samples < SLOWDOWN_MEMORY;
+        let few_samples = *samples < SLOWDOWN_SAMPLES;
         let ratio = (served / mean).min(2.0 * STALL_FACTOR);
         if end == RunEnd::Ok || ratio > self.slowdown {
-            self.slowdown += (ratio - self.slowdown) / SLOWDOWN_MEMORY;
+            self.slowdown += (ratio - self.slowdown) / SLOWDOWN_SAMPLES;
         }
         if end == RunEnd::Ok && (self.slowdown < COST_SPREAD || few_samples) {
             self.costs.update(method.0, |cost| cost.learn(served));
--- a/src/control/inputs.rs
+++ b/src/control/inputs.rs
@@ -1,4 +1,4 @@
-//! The inputs: one method for each thing that happens to a server.
+//! The inputs of the decision module: one method for each kind of event.
 
 use super::state::Control;
 use crate::cost_estimate::CostEstimate;
@@ -7,50 +7,52 @@
 use crate::method::SettingsUpdate;
 use crate::outcome::Outcome;
 use crate::status::RecoveryLimits;
-use crate::tuning::{SLOWDOWN_MEMORY, TICKS_PER_WINDOW, TICK_INTERVAL};
+use crate::tuning::{SLOWDOWN_SAMPLES, TICKS_PER_WINDOW, TICK_INTERVAL};
 
 impl Control {
-    /// The start: what to publish, and when to wake first.
+    /// Returns the initial outcome: what to publish, and when to wake up first.
     pub fn start(&mut self) -> Outcome {
         self.handle(self.now, |_| ())
     }
 
-    /// An RPC was read.
+    /// Handles an RPC that was read.
     pub fn rpc_read(&mut self, now: Us, arrival: Arrival, tenant: Option<usize>) -> Outcome {
         self.handle(now, |control| control.admit(arrival, tenant))
     }
 
-    /// The caller of this RPC has cancelled it or left. A queued one is over; a running one ends with `run_ended`.
+    /// Handles the cancellation of an RPC by its caller, or the caller's disconnection.
+    ///
+    /// A queued RPC ends at once; a running one ends with `run_ended`.
     pub fn caller_cancelled(&mut self, now: Us, id: RpcId) -> Outcome {
-        self.handle(now, |control| control.settle(id))
+        self.handle(now, |control| control.mark_answered(id))
     }
 
-    /// A run has ended, or a coalesced RPC was answered.
+    /// Handles the end of a run, or the answer to a coalesced RPC.
     pub fn run_ended(&mut self, now: Us, id: RpcId, end: RunEnd) -> Outcome {
         self.handle(now, |control| control.finish(id, end))
     }
 
-    /// A run can't go on without an upstream call.
+    /// Handles a run that needs the result of an upstream call to continue.
     pub fn call_needed(&mut self, now: Us, id: RpcId) -> Outcome {
         self.handle(now, |control| control.wait_to_call(id))
     }
 
-    /// An upstream call has ended.
+    /// Handles the end of an upstream call.
     pub fn call_ended(&mut self, now: Us, id: RpcId, end: CallEnd) -> Outcome {
-        self.handle(now, |control| control.take_call_end(id, end))
+        self.handle(now, |control| control.handle_call_end(id, end))
     }
 
-    /// The notice to shut down came at `noticed`: the process is killed at `kill`.
+    /// Handles a shutdown notice that was received at `noticed`. The process will be killed at `kill`.
     pub fn drain(&mut self, now: Us, noticed: Us, kill: Us) -> Outcome {
         self.handle(now, |control| {
             let answers_due = kill.saturating_sub(2 * control.step);
             control.drain.begin(noticed, answers_due);
-            control.bring_deadlines_forward(answers_due);
+            control.cap_deadlines(answers_due);
             control.outcome.log.push("notice to leave".into());
         })
     }
 
-    /// A timer asked for has fired.
+    /// Handles a requested timer that has fired.
     pub fn timer_fired(&mut self, now: Us, gauges: Gauges) -> Outcome {
         self.handle(now, |control| {
             if control.now >= control.next_wake {
@@ -62,9 +64,11 @@
         })
     }
 
-    /// Stages settings beside those in force, in place of what was staged for the same methods and tenants before:
-    /// nothing of them shows until `commit`. A method that is removed keeps its index for open RPCs, with
-    /// criticality 0, and its learned cost is there when it comes again; a tenant then starts anew.
+    /// Stages settings, replacing what was staged for the same methods and tenants before. They have no effect until
+    /// `commit`.
+    ///
+    /// A removed method keeps its index and settings for open RPCs, with criticality 0, and its learned cost in case
+    /// it is added again. A tenant that is added again starts with a full allowance.
     pub fn stage(&mut self, updates: &[SettingsUpdate]) {
         for update in updates {
             match update {
@@ -79,9 +83,10 @@
         }
     }
 
-    /// All that was staged is in force from now on, at once, with the global settings of `globals`, of whose methods
-    /// and tenants nothing is taken. Accounts, learned costs, concurrency target, breaker, allowances of tenants, and
-    /// the settings under which each RPC was read go on.
+    /// Brings all staged settings into force at once, with the global settings of `globals` if given.
+    ///
+    /// The methods and tenants of `globals` are ignored. Accounts, learned costs, concurrency target, breaker,
+    /// allowances of tenants, and the settings under which each open RPC was read are kept.
     pub fn commit(&mut self, now: Us, globals: Option<Control>) -> Outcome {
         self.handle(now, |control| {
             control.methods.commit();
@@ -94,13 +99,12 @@
         })
     }
 
-    /// Limits of recovery, from now on.
+    /// Sets the limits that apply during recovery.
     pub fn set_recovery_limits(&mut self, now: Us, limits: RecoveryLimits) -> Outcome {
         self.handle(now, |control| control.recovery = limits)
     }
 
-    /// This server's part, from now on, of whatever the settings divide among servers, as a factor on what they
-    /// give it.
+    /// Sets the factor on this server's share of all quotas that the settings divide among servers.
     pub fn set_quota_fraction(&mut self, now: Us, fraction: f64) -> Outcome {
         self.handle(now, |control| {
             control.quotas.fraction = fraction;
@@ -108,7 +112,7 @@
         })
     }
 
-    /// Brings the integrals up to now, takes the input in, lets the rules act and returns what is to be done.
+    /// Advances the integrals to `now`, applies the input and the scheduling rules, and returns the outcome.
     pub(super) fn handle(&mut self, now: Us, input: impl FnOnce(&mut Control)) -> Outcome {
         let elapsed = now.saturating_sub(self.now) as f64;
         self.cores.advance(self.concurrency.target, elapsed * 1e3);
@@ -117,11 +121,12 @@
         input(self);
         self.run_rules();
         self.publish();
-        self.ask_for_wake();
+        self.schedule_wake();
         std::mem::take(&mut self.outcome)
     }
 
-    fn ask_for_wake(&mut self) {
+    /// Requests a wake-up for the next timer or tick, unless an earlier one is already requested.
+    fn schedule_wake(&mut self) {
         let next_timer = self.timers.first().map_or(self.next_tick, |(at, _)| self.next_tick.min(*at));
         let next = next_timer.max(self.now + 1);
         if next < self.next_wake {
@@ -130,7 +135,7 @@
         }
     }
 
-    /// The periodic adjustments.
+    /// Makes the periodic adjustments.
     fn tick(&mut self, gauges: Gauges) {
         self.next_tick = self.now + TICK_INTERVAL;
         self.keys.expire(self.now);
@@ -139,13 +144,13 @@
         self.outcome.close_idle_after = gauges.connections.and_then(|open| {
             self.feedback.adjust_idle_timeout(open, self.accounts.active, self.concurrency.cores)
         });
-        // With nothing running, nothing shows a recovery: the slowdown is forgiven step by step.
+        // Without runs nothing can show that the server has recovered, so the slowdown decays towards 1.
         if self.cores.running == 0 {
-            self.slowdown += (1.0 - self.slowdown) / SLOWDOWN_MEMORY / TICKS_PER_WINDOW as f64;
+            self.slowdown += (1.0 - self.slowdown) / SLOWDOWN_SAMPLES / TICKS_PER_WINDOW as f64;
         }
     }
 
-    /// Takes over the global settings of another instance.
+    /// Applies the global settings of another instance.
     fn reconfigure(&mut self, globals: &Control) {
         self.concurrency.reconfigure(&globals.concurrency);
         self.calls.reconfigure(&globals.calls);
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,8 +1,9 @@
-//! One server's decisions: what it admits, runs, rejects, calls upstream and publishes to its callers.
+//! The decisions of one server: which RPCs it admits, runs and rejects, which upstream calls it makes, and what it
+//! publishes to its callers.
 //!
-//! [`Control`] owns all of a server's decision state; each other file here holds the methods for one kind of
-//! decision. Inputs (`inputs.rs`) bring its clock up to date, change the state, let the scheduler's rules
-//! (`scheduling.rs`) act until none does, and hand back an [`crate::Outcome`].
+//! [`Control`] owns the whole decision state of a server; each of the other files here defines its methods for one kind
+//! of decision. An input (`inputs.rs`) advances the clock, changes the state, applies the scheduling rules
+//! (`scheduling.rs`) until none of them acts, and returns an [`crate::Outcome`].
 
 mod admission;
 mod completion;
--- a/src/control/publication.rs
+++ b/src/control/publication.rs
@@ -1,19 +1,24 @@
-//! What is published after each input: health, the number for callers, and the closing of connections.
+//! The feedback that is published after each input: health status, the value for callers, and the closing of
+//! connections.
 
 use super::state::Control;
 use crate::caller_feedback::FeedbackMode;
 use crate::tuning::TICK_INTERVAL;
 
-/// What a caller of a busy server may send above its part, where that is an RPC or more: demand varies by chance.
-const SPARE_PART: f64 = 0.5;
+/// Fraction by which a caller of a busy server may exceed its share of credit, as demand varies at random.
+///
+/// It applies in full to shares of one RPC or more, and in proportion to smaller ones.
+const SPARE_CREDIT_FRACTION: f64 = 0.5;
 
 impl Control {
+    /// Adds the values to publish to the outcome, as far as they have changed.
     pub(super) fn publish(&mut self) {
-        // Guards against arrivals outrunning the reading: what callers send is cut as the time unread grows.
+        // The backlog reduces what callers may send as the time unread grows, so that arrivals don't outrun reading.
         let backlog = self.feedback.read_backlog(self.now);
         let stalled = self.is_stalled();
         self.publish_health(stalled);
-        // While draining it takes what comes within the grace: those who stay may not have capacity for all at once.
+        // A draining server serves arrivals within the grace period, since the remaining servers may not have capacity
+        // for all of them at once.
         let closing = self.now >= self.drain.grace_ends.saturating_sub(TICK_INTERVAL);
         if closing && self.drain.take_close_connections() {
             self.outcome.close_idle_after = Some(0);
@@ -32,7 +37,8 @@
         }
     }
 
-    /// Health is off for a drain or a stall only: a slow server that left would push the others over.
+    /// Publishes the health status: unhealthy during a drain or a stall only. If a slow server left, its load would
+    /// overload the others.
     fn publish_health(&mut self, stalled: bool) {
         let healthy = !self.drain.is_draining() && !stalled;
         if let Some(healthy) = self.feedback.update_health(healthy) {
@@ -41,35 +47,37 @@
         }
     }
 
-    /// The fraction of demand that fits, 0 to 1; never above the speed of a cold server.
+    /// Returns the fraction of demand that the server can accept, 0 to 1. It is capped by the speed of a cold server.
     fn accept_ratio(&self, backlog: f64, serving: bool) -> f64 {
         let target = self.concurrency.target;
         let ratio = target / (target + self.queue.len() as f64) / backlog * f64::from(u8::from(serving));
         ratio.min(self.concurrency.speed(self.now))
     }
 
-    /// RPCs that each caller may have outstanding here.
+    /// Returns the number of RPCs that each caller may have outstanding at this server.
     fn credit(&mut self, backlog: f64, serving: bool) -> f64 {
         let target = self.concurrency.target;
-        let part = (target + self.calls.occupancy(self.now)) / self.accounts.active;
+        let share = (target + self.calls.occupancy(self.now)) / self.accounts.active;
         let idle = (self.cores.running as f64) < target && self.queue.is_empty() && backlog <= 1.0;
         if !serving {
             0.0
         } else if idle {
             self.concurrency.max_parallel_reqs(self.now).min(self.cold_credit())
         } else {
-            (part * (1.0 + SPARE_PART * part.min(1.0)) / backlog).min(self.cold_credit())
+            (share * (1.0 + SPARE_CREDIT_FRACTION * share.min(1.0)) / backlog).min(self.cold_credit())
         }
     }
 
-    /// Guards a cold server against the sum of what all callers send, those not met yet included: what they may have
-    /// outstanding together is what it survives now. Harm: callers that are few use a part of that. Infinite for a
-    /// warm server.
+    /// Returns the maximum credit per caller of a cold server; infinite for a warm server.
+    ///
+    /// This guards a cold server against the sum of what all callers send, including callers that it has not seen yet:
+    /// together they may have as many RPCs outstanding as the server sustains at present. The drawback is that few
+    /// active callers use only a part of that.
     fn cold_credit(&self) -> f64 {
         if self.concurrency.speed(self.now) >= 1.0 {
             return f64::INFINITY;
         }
         let callers = self.accounts.expected_callers.max(self.accounts.active);
-        self.concurrency.survivable(self.now) / callers
+        self.concurrency.sustainable_rpcs(self.now) / callers
     }
 }
--- a/src/control/scheduling.rs
+++ b/src/control/scheduling.rs
@@ -1,27 +1,28 @@
-//! The scheduler's rules: what is overdue ends, calls are made, queued RPCs start.
+//! The scheduling rules: overdue RPCs end, upstream calls are made, queued RPCs start.
 
 use super::state::Control;
 use crate::admission_queue::QueueKey;
 use crate::ids::{RpcId, Us};
 use crate::outcome::{Answer, CallRequest, Reply};
 use crate::rpc::Stage;
-use crate::upstream_calls::MAX_ATTEMPTS;
+use crate::upstream_calls::MAX_CALL_ATTEMPTS;
 
-/// Part of a run that a call in flight counts for: it returns to cores that other RPCs took.
-const CALL_WEIGHT: f64 = 0.5;
+/// Number of running RPCs that a call in flight counts as, since its RPC returns to cores that others occupy by then.
+const CALL_IN_FLIGHT_WEIGHT: f64 = 0.5;
 
-/// A rule acts once, if it can, and says whether it did.
+/// A scheduling rule: it acts once, if it can, and reports whether it did.
 type Rule = fn(&mut Control) -> bool;
 
-/// Tried in this order after every input until none acts.
+/// Rules in the order in which they are tried after every input, until none of them acts.
 const RULES: &[Rule] = &[Control::expire_overdue, Control::place_call, Control::start_run];
 
 impl Control {
+    /// Applies the rules until none of them acts.
     pub(super) fn run_rules(&mut self) {
         while RULES.iter().any(|rule| rule(self)) {}
     }
 
-    /// Sets when an RPC is looked at next.
+    /// Sets the timer of an RPC.
     pub(super) fn set_timer(&mut self, id: RpcId, at: Us) {
         if let Some(rpc) = self.rpcs.get_mut(&id) {
             self.timers.remove(&(rpc.timer, id));
@@ -30,7 +31,7 @@
         }
     }
 
-    /// An RPC comes on the cores; its timer is its deadline.
+    /// Starts or resumes an RPC on the cores, and sets its timer to its deadline.
     pub(super) fn enter_cores(&mut self, id: RpcId) {
         if let Some(rpc) = self.rpcs.get_mut(&id) {
             self.cores.enter(rpc, self.now);
@@ -39,19 +40,21 @@
         }
     }
 
-    /// All that is owed an answer must have it by this moment.
-    pub(super) fn bring_deadlines_forward(&mut self, latest: Us) {
+    /// Moves the deadlines of all unanswered RPCs to `latest` or earlier.
+    pub(super) fn cap_deadlines(&mut self, latest: Us) {
         for (id, rpc) in self.rpcs.iter_mut().filter(|(_, rpc)| !rpc.answered) {
             self.timers.remove(&(rpc.timer, *id));
             rpc.deadline = rpc.deadline.min(latest);
-            rpc.last_useful = rpc.last_useful.min(latest);
+            rpc.useful_until = rpc.useful_until.min(latest);
             rpc.timer = rpc.timer.min(latest);
             self.timers.insert((rpc.timer, *id));
         }
     }
 
-    /// An RPC whose timer has fired is answered: a queued one, which can't be ok in time any more, is rejected. One
-    /// that waits for a call that can be skipped goes on without it.
+    /// Handles one RPC whose timer has expired.
+    ///
+    /// A queued RPC can't finish in time any more, so it is rejected. An RPC that waits for a call that can be skipped
+    /// resumes without the call. Any other RPC is aborted.
     fn expire_overdue(&mut self) -> bool {
         let Some((_, id)) = self.timers.first().copied().filter(|(at, _)| *at <= self.now) else {
             return false;
@@ -65,13 +68,13 @@
             }
             _ => {
                 self.outcome.answers.push(Reply { id, answer: Answer::Aborted });
-                self.settle(id);
+                self.mark_answered(id);
             }
         }
         true
     }
 
-    /// A call is made within the limit; it is skipped, or its RPC given up, once it has no prospect.
+    /// Makes one upstream call within the limit. A call that can't be made any more is skipped, or its RPC aborted.
     fn place_call(&mut self) -> bool {
         let breaker_open = self.calls.breaker_open(self.now);
         let capacity = !breaker_open && self.calls.has_capacity(self.now, self.recovery.calls_in_flight);
@@ -88,25 +91,26 @@
             return self.expire_overdue();
         }
         rpc.stage = Stage::Calling;
-        let (deadline, first_attempt) = (rpc.deadline, rpc.call_attempts == MAX_ATTEMPTS);
+        let (deadline, first_attempt) = (rpc.deadline, rpc.call_attempts == MAX_CALL_ATTEMPTS);
         self.waiting_to_call.remove(&key);
-        self.calls.call_placed(self.now, key.id, first_attempt);
+        self.calls.record_call_placed(self.now, key.id, first_attempt);
         self.outcome.calls.push(CallRequest { id: key.id, timeout });
         self.set_timer(key.id, deadline);
         true
     }
 
-    /// The first in the queue starts while fewer than max_parallel_reqs run and its memory fits.
+    /// Starts the first queued RPC, if fewer than max_parallel_reqs run and its memory fits.
     fn start_run(&mut self) -> bool {
         let Some(key) = self.queue.first() else { return false };
         let Some(rpc) = self.rpcs.get_mut(&key.id) else { return false };
         let extra_kb = self.memory.extra_to_run(rpc.size_kb);
-        // All that waits for a call may come back at once: together they stay under the crowd survived.
+        // All RPCs that wait for a call may resume at once. Together with the running RPCs they must stay within what
+        // the server sustains.
         let calls = self.calls.in_flight as f64;
-        let survivable = self.concurrency.survivable(self.now).max(1.0);
-        let survivable = survivable - calls - self.waiting_to_call.len() as f64;
+        let sustainable_rpcs = self.concurrency.sustainable_rpcs(self.now).max(1.0);
+        let sustainable_rpcs = sustainable_rpcs - calls - self.waiting_to_call.len() as f64;
         let max_parallel_reqs = self.concurrency.max_parallel_reqs(self.now);
-        let limit = (max_parallel_reqs - CALL_WEIGHT * calls).min(survivable);
+        let limit = (max_parallel_reqs - CALL_IN_FLIGHT_WEIGHT * calls).min(sustainable_rpcs);
         if self.cores.running as f64 + 1.0 > limit || !self.memory.fits(self.keys.used_kb(), extra_kb) {
             return false;
         }
--- a/src/control/snapshot.rs
+++ b/src/control/snapshot.rs
@@ -1,5 +1,5 @@
-//! What a server has learned, handed out and restored, and where it stands. `asterrill-recovery` decides what of a
-//! snapshot is restored.
+//! Export and restoration of learned values, and the server's status. `asterrill-recovery` decides which values of a
+//! snapshot are restored.
 
 use super::state::Control;
 use crate::cost_estimate::CostEstimate;
@@ -8,14 +8,14 @@
 use crate::method::Method;
 use crate::outcome::Outcome;
 use crate::status::Status;
-use crate::tenant_quotas::{Allowance, MAX_ALLOWANCE};
-use crate::upstream_calls::BREAKER_THRESHOLD;
+use crate::tenant_quotas::{Allowance, MAX_ALLOWANCE_RPCS};
+use crate::upstream_calls::BREAKER_FAILURE_THRESHOLD;
 
-/// Callers whose accounts are handed out and restored, those seen last first.
-const MAX_CALLERS: usize = 1000;
+/// Maximum number of accounts that are exported and restored, the most recently seen first.
+const MAX_SNAPSHOT_CALLERS: usize = 1000;
 
 impl Control {
-    /// What was learned so far.
+    /// Returns the values learned so far.
     pub fn learned_state(&self) -> LearnedState {
         LearnedState {
             costs: self.learned_costs(),
@@ -30,7 +30,7 @@
 
     fn learned_costs(&self) -> Vec<LearnedCost> {
         let learned = |(index, cost): (usize, &CostEstimate)| {
-            // The initial guess counts as a run, and is none.
+            // The initial estimate counts as a sample, but is not a run.
             LearnedCost { method: MethodId(index), mean: cost.mean, runs: cost.samples - 1.0 }
         };
         self.costs.iter().map(learned).collect()
@@ -42,7 +42,7 @@
             let account = self.accounts.accounts.get(caller)?;
             Some(LearnedBalance { caller: *caller, ratio: (account.buf_value / limit).clamp(0.0, 1.0) })
         };
-        self.accounts.by_last_seen.iter().rev().take(MAX_CALLERS).filter_map(balance).collect()
+        self.accounts.by_last_seen.iter().rev().take(MAX_SNAPSHOT_CALLERS).filter_map(balance).collect()
     }
 
     fn learned_allowances(&self) -> Vec<LearnedAllowance> {
@@ -52,7 +52,7 @@
         self.quotas.rates.iter().filter_map(allowance).collect()
     }
 
-    /// Takes up what was learned before this start; what is absent stays as it is.
+    /// Restores values that were learned before a restart. Absent values are left unchanged.
     pub fn restore(&mut self, now: Us, learned: LearnedState) -> Outcome {
         self.handle(now, |control| {
             for LearnedCost { method, mean, runs } in learned.costs {
@@ -61,7 +61,7 @@
             let target = learned.concurrency_target.unwrap_or(control.concurrency.target);
             control.concurrency.set_target(control.now, target);
             control.slowdown = learned.slowdown.unwrap_or(control.slowdown);
-            control.calls.failures = learned.call_failures.min(BREAKER_THRESHOLD - 1);
+            control.calls.failures = learned.call_failures.min(BREAKER_FAILURE_THRESHOLD - 1);
             control.redistribute_accounts();
             control.restore_balances(learned.accounts);
             control.restore_allowances(learned.tenants, learned.age);
@@ -69,7 +69,7 @@
     }
 
     fn restore_balances(&mut self, balances: Vec<LearnedBalance>) {
-        for LearnedBalance { caller, ratio } in balances.into_iter().take(MAX_CALLERS) {
+        for LearnedBalance { caller, ratio } in balances.into_iter().take(MAX_SNAPSHOT_CALLERS) {
             let account = self.accounts.recharge(self.now, caller);
             account.buf_value *= ratio;
             let last_seen = account.last_seen;
@@ -84,42 +84,42 @@
                 continue;
             }
             if let Some(allowance) = self.quotas.allowances.get_mut(tenant) {
-                *allowance = Allowance { rpcs: rpcs.min(MAX_ALLOWANCE), updated_at };
+                *allowance = Allowance { rpcs: rpcs.min(MAX_ALLOWANCE_RPCS), updated_at };
             }
         }
     }
 
-    /// RPCs of this method can be read now.
+    /// Reports whether a method is in force.
     pub fn has_method(&self, method: MethodId) -> bool {
         self.method(method).is_some()
     }
 
-    /// This tenant has a quota now.
+    /// Reports whether a tenant has a quota in force.
     pub fn has_tenant(&self, tenant: usize) -> bool {
         self.tenant_rate(tenant).is_some()
     }
 
-    /// A method as it is in force.
+    /// Returns the settings of a method that are in force.
     pub fn method(&self, method: MethodId) -> Option<&Method> {
         self.methods.get(method.0)
     }
 
-    /// A tenant's quota as it is in force, in RPCs per second over the whole fleet.
+    /// Returns the quota of a tenant that is in force, in RPCs per second over the whole fleet.
     pub fn tenant_rate(&self, tenant: usize) -> Option<f64> {
         self.quotas.rates.get(tenant).copied()
     }
 
-    /// What serving an RPC of a method takes, as learned so far, in microseconds; 0 for an unknown method.
+    /// Returns the learned mean serving time of a method in microseconds; 0 for an unknown method.
     pub fn mean_cost(&self, method: MethodId) -> f64 {
         self.costs.get(method.0).map_or(0.0, |cost| cost.mean)
     }
 
-    /// Memory of queued and running RPCs, in kB.
+    /// Returns the memory reserved by queued and running RPCs, in kB.
     pub fn memory_used_kb(&self) -> f64 {
         self.memory.used_kb
     }
 
-    /// Where the server stands.
+    /// Returns the status of the server.
     pub fn status(&self) -> Status {
         Status {
             slowdown: self.slowdown,
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -1,4 +1,4 @@
-//! The state of one server's decisions.
+//! The decision state of one server.
 
 use crate::admission_queue::{AdmissionQueue, QueueKey};
 use crate::caller_accounts::CallerAccounts;
@@ -21,41 +21,41 @@
 use nanorand::WyRand;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a [`Control`] is made of.
+/// The components and settings of a [`Control`].
 pub struct ControlParts {
-    /// The least time between two inputs; answers are given two of them before they are due.
+    /// Minimum time between two inputs. Answers are given two steps before they are due.
     pub step: Us,
-    /// What cancelling a running RPC does.
+    /// The effect of cancelling a running RPC.
     pub stop_mode: StopMode,
     /// All methods, by [`crate::MethodId`].
     pub methods: Vec<Method>,
     /// Accounts of callers.
     pub accounts: CallerAccounts,
-    /// How many RPCs run at a time.
+    /// The limit on RPCs that run at a time.
     pub concurrency: ConcurrencyLimit,
-    /// Upstream calls.
+    /// Upstream calls, their limit and their circuit breaker.
     pub calls: UpstreamCalls,
     /// Retained idempotency and cache keys.
     pub keys: IdempotencyKeys,
-    /// Memory.
+    /// The memory budget.
     pub memory: MemoryBudget,
-    /// Graceful shutdown.
+    /// The drain before a shutdown.
     pub drain: Drain,
-    /// What is published to callers.
+    /// Feedback that is published to callers.
     pub feedback: CallerFeedback,
     /// Quotas of tenants.
     pub quotas: TenantQuotas,
 }
 
-/// One server's decisions.
+/// The decision module of one server.
 pub struct Control {
     pub(super) now: Us,
     pub(super) random: WyRand,
     pub(super) step: Us,
     pub(super) stop_mode: StopMode,
-    /// Ranked by criticality.
+    /// All methods, ranked by criticality.
     pub(super) methods: RankedTable<Method>,
-    /// Ranked by mean cost.
+    /// Costs by method, ranked by mean cost.
     pub(super) costs: RankedTable<CostEstimate>,
     pub(crate) accounts: CallerAccounts,
     pub(super) concurrency: ConcurrencyLimit,
@@ -69,25 +69,25 @@
     pub(super) recovery: RecoveryLimits,
     /// Open RPCs.
     pub(super) rpcs: BTreeMap<RpcId, Rpc>,
-    /// One timer for each open RPC that is owed an answer.
+    /// The timer of each open RPC that is not answered yet.
     pub(super) timers: BTreeSet<(Us, RpcId)>,
-    /// RPCs that wait for permission to make their upstream call, and are owed an answer.
+    /// Unanswered RPCs that wait for permission to make their upstream call.
     pub(super) waiting_to_call: BTreeSet<QueueKey>,
     pub(super) cores: CoreUsage,
-    /// Recent serving times over the learned costs; 1 for a server at its usual speed.
+    /// Ratio of recent serving times to the learned costs; 1 for a server at its usual speed.
     pub(super) slowdown: f64,
-    /// When the next periodic adjustment is due.
+    /// Time of the next periodic adjustment.
     pub(super) next_tick: Us,
-    /// The earliest wake that was asked for and has not come; `Us::MAX` for none.
+    /// The earliest requested wake-up that has not fired yet; `Us::MAX` for none.
     pub(super) next_wake: Us,
-    /// Arrivals so far.
+    /// Number of arrivals so far.
     pub(super) sequence: u64,
-    /// What is handed back after the current input.
+    /// The outcome that the current input returns.
     pub(super) outcome: Outcome,
 }
 
 impl Control {
-    /// Makes the decision state of a server that starts now. `seed` seeds all random draws.
+    /// Creates the decision module of a server that starts at `now`. `seed` seeds its random number generator.
     pub fn new(now: Us, seed: u64, parts: ControlParts) -> Control {
         let costs = parts.methods.iter().map(CostEstimate::new).collect();
         let mut control = Control {
@@ -121,20 +121,22 @@
         control
     }
 
-    /// The highest max_cost of all methods, in microseconds.
-    pub(super) fn highest_cost(&self) -> f64 {
-        self.costs.greatest(0.0) * COST_SPREAD
+    /// Returns the highest max_cost of all methods, in microseconds.
+    pub(super) fn highest_max_cost(&self) -> f64 {
+        self.costs.max_rank(0.0) * COST_SPREAD
     }
 
     pub(super) fn redistribute_accounts(&mut self) {
-        let highest_cost = self.highest_cost();
-        self.accounts.redistribute(self.now, self.concurrency.target, highest_cost);
+        let highest_max_cost = self.highest_max_cost();
+        self.accounts.redistribute(self.now, self.concurrency.target, highest_max_cost);
     }
 
-    /// Guards against work that stops finishing (hang, pause, dead disk): nothing comes on or off the cores.
-    /// Harm: a rare run of several times its cost with no other beside it.
+    /// Reports whether the server is stalled: RPCs are running, but none has started or ended for too long.
+    ///
+    /// This guards against runs that stop finishing because of a hang, a pause or a failed disk. The drawback is that
+    /// a single RPC that runs alone for several times its cost is taken for a stall.
     pub(super) fn is_stalled(&self) -> bool {
-        let stalled_after = STALL_FACTOR * self.highest_cost();
-        self.cores.running > 0 && (self.now - self.cores.last_change) as f64 > stalled_after
+        let stall_timeout = STALL_FACTOR * self.highest_max_cost();
+        self.cores.running > 0 && (self.now - self.cores.last_change) as f64 > stall_timeout
     }
 }
--- a/src/core_usage.rs
+++ b/src/core_usage.rs
@@ -1,29 +1,29 @@
-//! What runs on the cores, and how crowded they were.
+//! RPCs that run on the cores, and the congestion of the cores over time.
 
 use crate::admission_queue::PriorityBand;
 use crate::ids::Us;
 use crate::rpc::{Rpc, Stage};
 use std::collections::BTreeMap;
 
-/// One band on the cores.
+/// Usage of the cores by one band.
 #[derive(Default)]
 struct BandUsage {
     running: usize,
-    /// Integral over time of parallel_reqs, this band's and those of the bands above it, less the target.
+    /// Integral over time of parallel_reqs minus the target, where parallel_reqs counts this band and those above it.
     congestion: f64,
 }
 
-/// RPCs on the cores by band of priority weight.
+/// RPCs that run on the cores, by band of priority weight.
 #[derive(Default)]
 pub(crate) struct CoreUsage {
     bands: BTreeMap<PriorityBand, BandUsage>,
     pub(crate) running: usize,
-    /// When an RPC last came on or off the cores.
+    /// Time at which an RPC last started to occupy a core or left it.
     pub(crate) last_change: Us,
 }
 
 impl CoreUsage {
-    /// Advances the integrals by a span in nanoseconds.
+    /// Advances the integrals by `elapsed` nanoseconds.
     pub(crate) fn advance(&mut self, concurrency_target: f64, elapsed: f64) {
         let mut parallel_reqs = 0.0;
         for band in self.bands.values_mut() {
@@ -32,25 +32,25 @@
         }
     }
 
-    /// An RPC comes on the cores.
+    /// Records that an RPC starts to occupy a core.
     pub(crate) fn enter(&mut self, rpc: &mut Rpc, now: Us) {
         let band = self.bands.entry(rpc.band()).or_default();
         band.running += 1;
         self.running += 1;
         self.last_change = now;
         rpc.stage = Stage::Running;
-        rpc.run.since = now;
-        rpc.run.congestion_since = band.congestion;
+        rpc.run.entered_at = now;
+        rpc.run.congestion_at_entry = band.congestion;
     }
 
-    /// A running RPC comes off the cores.
+    /// Records that a running RPC leaves its core, and adds to its serving time and congestion.
     pub(crate) fn leave(&mut self, rpc: &mut Rpc, now: Us) {
         let band = self.bands.entry(rpc.band()).or_default();
         band.running -= 1;
         self.running -= 1;
         self.last_change = now;
         rpc.stage = Stage::WaitingToCall;
-        rpc.run.served += (now - rpc.run.since) as f64;
-        rpc.run.congestion += band.congestion - rpc.run.congestion_since;
+        rpc.run.served += (now - rpc.run.entered_at) as f64;
+        rpc.run.congestion += band.congestion - rpc.run.congestion_at_entry;
     }
 }
--- a/src/decaying_sum.rs
+++ b/src/decaying_sum.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::Us;
 
-/// A sum whose amounts decay exponentially with time; brought up to date when it is read.
+/// A sum whose amounts decay exponentially with time. The decay is applied when the sum is read or added to.
 pub(crate) struct DecayingSum {
     value: f64,
     updated_at: Us,
@@ -23,7 +23,7 @@
         self.value
     }
 
-    /// The sum now.
+    /// Returns the sum at `now`.
     pub(crate) fn read(&mut self, now: Us) -> f64 {
         self.add(now, 0.0)
     }
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -1,23 +1,23 @@
-//! The graceful shutdown: what is still admitted after the notice, and by when all is answered.
+//! The drain before a shutdown: the grace period for arrivals, and the time by which all RPCs are answered.
 
 use crate::ids::Us;
 
 /// The state of a drain.
 pub struct Drain {
-    /// RPCs that arrive later than this after the notice are not run.
+    /// Grace period: RPCs that arrive later than this after the shutdown notice are not run.
     pub(crate) grace: Us,
-    /// When the grace ends; `Us::MAX` without a notice.
+    /// End of the grace period; `Us::MAX` before a shutdown notice.
     pub(crate) grace_ends: Us,
-    /// When everything must be answered; `Us::MAX` without a notice.
+    /// Time by which all RPCs must be answered; `Us::MAX` before a shutdown notice.
     pub(crate) answers_due: Us,
-    /// Callers were not yet asked to close their connections.
-    connections_open: bool,
+    /// Whether the request to close connections is still to be made.
+    close_pending: bool,
 }
 
 impl Drain {
-    /// `grace`: how long after the notice arrivals are still served.
+    /// Creates the state before a shutdown notice. `grace` is the time after the notice for which arrivals are served.
     pub fn new(grace: Us) -> Drain {
-        Drain { grace, grace_ends: Us::MAX, answers_due: Us::MAX, connections_open: true }
+        Drain { grace, grace_ends: Us::MAX, answers_due: Us::MAX, close_pending: true }
     }
 
     pub(crate) fn begin(&mut self, noticed: Us, answers_due: Us) {
@@ -28,8 +28,8 @@
         self.grace_ends != Us::MAX
     }
 
-    /// True once: the first time that connections are to be closed.
+    /// Reports whether connections are to be closed; true for the first call only.
     pub(crate) fn take_close_connections(&mut self) -> bool {
-        std::mem::take(&mut self.connections_open)
+        std::mem::take(&mut self.close_pending)
     }
 }
--- a/src/events.rs
+++ b/src/events.rs
@@ -1,61 +1,61 @@
-//! What the server reports to the decision module: arrivals, ends of runs and calls, gauges.
+//! Events that the server reports to the decision module: arrivals, ends of runs and calls, gauges.
 
 use crate::ids::{CallerId, MethodId, RpcId, Us};
 
 /// One RPC as it was read from its connection.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its id.
+    /// The RPC's id.
     pub id: RpcId,
-    /// The method it asks for.
+    /// The requested method.
     pub method: MethodId,
-    /// Who sent it.
+    /// The caller that sent it.
     pub caller: CallerId,
-    /// When its caller gives up, where that is sent; otherwise the method's deadline counts.
+    /// The deadline that the caller sent. Without one, the method's deadline applies.
     pub deadline: Option<Us>,
-    /// Memory taken while it is queued, in kB.
+    /// Memory that it occupies while queued, in kB.
     pub size_kb: f64,
-    /// How long it lay unread in this server's buffers.
+    /// Time for which it waited unread in this server's receive buffers.
     pub unread_for: Us,
-    /// The earlier RPC, still open or with its key retained, that this one repeats.
+    /// The earlier RPC that this one repeats; it is still open, or its key is retained.
     pub original: Option<RpcId>,
-    /// What it reads, for methods whose answers may be shared among equal reads.
+    /// The cache key of what it reads, for methods whose answers may be shared among equal reads.
     pub cache_key: Option<u64>,
 }
 
-/// How a run ended.
+/// The result of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// With a result.
+    /// The run ended with a result.
     Ok,
-    /// With an error.
+    /// The run ended with an error.
     Aborted,
-    /// Cancelled, or ended at an upstream call after it was answered or its caller had left.
+    /// The run was cancelled, or ended at an upstream call after its RPC was answered or its caller had left.
     Stopped,
-    /// It was over before it began.
+    /// The RPC ended before its run started.
     NotStarted,
 }
 
-/// How an upstream call ended.
+/// The result of an upstream call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// With a result.
+    /// The call ended with a result.
     Ok,
-    /// It failed or was cut off, and may have taken effect.
+    /// The call failed or its connection was lost. It may have taken effect.
     Aborted,
-    /// Abandoned after its timeout; it may have taken effect and may still run upstream.
+    /// The call was abandoned after its timeout. It may have taken effect and may still run upstream.
     TimedOut,
-    /// It certainly never ran.
+    /// The call was rejected. It is certain that it never ran.
     Rejected,
 }
 
-/// The server's own measurements, each 0 or more.
+/// Measurements of the server itself, each 0 or more.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// Tasks that want a core now, running ones included.
+    /// Runnable tasks: those that run on a core and those that wait for one.
     pub runnable: Option<f64>,
     /// Fraction of memory in use.
     pub memory_ratio: Option<f64>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: Option<f64>,
 }
--- a/src/idempotency_keys.rs
+++ b/src/idempotency_keys.rs
@@ -1,26 +1,26 @@
-//! How long idempotency keys and cache keys are retained, and what they take.
+//! Retention times and memory use of idempotency keys and cache keys.
 
 use crate::ids::{RpcId, Us};
 use crate::method::{Idempotency, Method};
 use std::collections::BTreeMap;
 
-/// Retained keys: what each entry takes, and until when it lives.
+/// Retained keys with their expiry and memory use.
 pub struct IdempotencyKeys {
     /// Memory of one entry, in kB.
     pub(crate) entry_kb: f64,
-    /// How long a read's answer may serve equal reads; 0 for never.
+    /// Time for which a read's answer may be used for equal reads; 0 for never.
     freshness: Us,
     expiry: BTreeMap<RpcId, Us>,
 }
 
 impl IdempotencyKeys {
-    /// `entry_kb`: memory of one entry in kB; `freshness`: how long a read's answer may serve equal reads, 0 for
-    /// never.
+    /// Creates an empty set. `entry_kb` is the memory of one entry in kB; `freshness` is the time for which a read's
+    /// answer may be used for equal reads, 0 for never.
     pub fn new(entry_kb: f64, freshness: Us) -> IdempotencyKeys {
         IdempotencyKeys { entry_kb, freshness, expiry: BTreeMap::new() }
     }
 
-    /// How long the key of an RPC is to be retained; 0 for not at all. `serving_time` in microseconds.
+    /// Returns how long the key of an RPC is to be retained; 0 for not at all. `serving_time` is in microseconds.
     pub(crate) fn retention(
         &self, method: &Method, cacheable: bool, unread_for: Us, serving_time: f64, step: Us,
     ) -> Us {
@@ -35,7 +35,7 @@
         self.expiry.insert(id, until);
     }
 
-    /// Returns whether there was such a key.
+    /// Removes the key of an RPC and reports whether it was retained.
     pub(crate) fn release(&mut self, id: RpcId) -> bool {
         self.expiry.remove(&id).is_some()
     }
@@ -44,7 +44,7 @@
         self.expiry.retain(|_, until| *until > now);
     }
 
-    /// Memory of all entries, in kB.
+    /// Returns the memory of all entries, in kB.
     pub(crate) fn used_kb(&self) -> f64 {
         self.expiry.len() as f64 * self.entry_kb
     }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,43 +1,45 @@
-//! Time, and the ids of RPCs, methods and callers.
+//! Time, and the identifiers of RPCs, methods and callers.
 
 use std::fmt;
 
-/// A point in time or a duration, in whole microseconds. The clock is monotonic and has no particular origin; as
-/// a duration it is never negative. The short name is kept because nearly every signature has one.
+/// A point in time or a duration, in whole microseconds.
+///
+/// The clock is monotonic and has an arbitrary origin. A duration is never negative. The name is short because most
+/// signatures contain it.
 pub type Us = u64;
 
-/// Longest RPC id in bytes: a UUID in text form.
-const MAX_ID_LEN: usize = 36;
+/// Maximum length of an RPC id: that of a UUID in text form.
+const MAX_ID_BYTES: usize = 36;
 
-/// The id of one RPC: up to 36 bytes of text, stored inline and given back as it came.
+/// The id of one RPC: up to 36 bytes of text, stored inline and returned unchanged.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RpcId([u8; MAX_ID_LEN]);
+pub struct RpcId([u8; MAX_ID_BYTES]);
 
 impl RpcId {
-    /// Sorts before all other ids.
-    pub const MIN: RpcId = RpcId([0; MAX_ID_LEN]);
-    /// Sorts after all other ids.
-    pub const MAX: RpcId = RpcId([0xff; MAX_ID_LEN]);
+    /// The id that sorts before all others.
+    pub const MIN: RpcId = RpcId([0; MAX_ID_BYTES]);
+    /// The id that sorts after all others.
+    pub const MAX: RpcId = RpcId([0xff; MAX_ID_BYTES]);
 
-    /// An id of at most 36 bytes; `None` for a longer one.
+    /// Creates an id from at most 36 bytes of text. Returns `None` for a longer text.
     pub fn new(name: &str) -> Option<RpcId> {
-        let mut bytes = [0; MAX_ID_LEN];
+        let mut bytes = [0; MAX_ID_BYTES];
         bytes.get_mut(..name.len())?.copy_from_slice(name.as_bytes());
         Some(RpcId(bytes))
     }
 
-    /// The id whose text is the number in 16 hex digits.
+    /// Creates the id whose text is the number in 16 hexadecimal digits.
     pub fn from_number(number: u64) -> RpcId {
-        let mut bytes = [0; MAX_ID_LEN];
+        let mut bytes = [0; MAX_ID_BYTES];
         for (i, byte) in bytes.iter_mut().take(16).enumerate() {
             *byte = b"0123456789abcdef"[(number >> (60 - 4 * i) & 15) as usize];
         }
         RpcId(bytes)
     }
 
-    /// The text as it came.
+    /// Returns the text that the id was created from.
     pub fn as_str(&self) -> &str {
-        let end = self.0.iter().position(|byte| *byte == 0).unwrap_or(MAX_ID_LEN);
+        let end = self.0.iter().position(|byte| *byte == 0).unwrap_or(MAX_ID_BYTES);
         std::str::from_utf8(&self.0[..end]).unwrap_or("")
     }
 }
@@ -48,7 +50,7 @@
     }
 }
 
-/// The index of a method in the list given at start, or of one staged later.
+/// The index of a method in the list given at start, or of a method staged later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MethodId(pub usize);
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! Admission and scheduling decisions for servers that sit behind other people's balancers.
+//! Admission and scheduling decisions for servers behind load balancers that they don't control.
 //!
-//! A server keeps one [`Control`] and calls one method for each thing that happens to it: an RPC was read, its caller
-//! left, a run ended, an upstream call is needed or has ended, the notice to shut down came, a timer fired. Each
-//! returns an [`Outcome`]: what to answer, cancel, start, call and publish, in the order of its lists. The module
-//! does no input or output, reads no clock and shares nothing; the same inputs with the same seed give the same
-//! outcomes.
+//! A server keeps one [`Control`] and calls one of its methods for each event: an RPC was read, its caller left, a run
+//! ended, an upstream call is needed or has ended, a shutdown notice was received, a timer fired. Each method returns
+//! an [`Outcome`]: the RPCs to answer, cancel and start, the calls to make and the values to publish, to be carried out
+//! in the order of its lists. The crate performs no I/O, reads no clock and has no shared state; the same inputs with
+//! the same seed give the same outcomes.
 //!
-//! The mechanism, what it takes from its source and where it departs from it: `docs/design.md`.
+//! `docs/design.md` describes the algorithm, the published design that it is based on, and its deviations from it.
 #![warn(missing_docs)]
 
 mod admission_queue;
--- a/src/max_tree.rs
+++ b/src/max_tree.rs
@@ -1,14 +1,15 @@
-//! The greatest of many numbers, of those in force and of those staged: a tournament tree, in which only the matches
-//! on the path of a number that changes are played again.
+//! A tournament tree that maintains the maximum of many numbers, both of those in force and of those staged.
+//!
+//! A change recomputes only the nodes on the path from the changed leaf to the root.
 
-/// A pair of numbers: the one in force and the one after the next commit.
+/// A number in force, and the number that replaces it at the next commit.
 #[derive(Clone, Copy)]
 struct Pair {
     current: f64,
     next: f64,
 }
 
-/// Below all numbers: an index without one.
+/// The pair of an index without a number; it is less than all numbers.
 const NO_PAIR: Pair = Pair { current: f64::NEG_INFINITY, next: f64::NEG_INFINITY };
 
 impl Pair {
@@ -24,15 +25,15 @@
 #[derive(Clone, Copy)]
 struct Node {
     pair: Pair,
-    /// The version from which `pair.next` is in force.
+    /// Version of the tree from which `pair.next` is in force.
     next_from: u64,
 }
 
 const EMPTY_NODE: Node = Node { pair: NO_PAIR, next_from: 0 };
 
-/// The greatest of numbers by index; as in a staged table, those staged come into force all at once.
+/// The maximum of numbers by index. As in a staged table, all staged numbers come into force at once.
 pub(crate) struct MaxTree {
-    /// The winner of all is node 1, the halves of node n are 2n and 2n+1, the leaves are the second half.
+    /// Nodes in heap order: the root is node 1, the children of node n are 2n and 2n+1, the leaves are the second half.
     nodes: Vec<Node>,
     version: u64,
 }
@@ -46,26 +47,27 @@
         tree
     }
 
-    /// The greatest number in force; minus infinity where there is none.
-    pub(crate) fn greatest(&self) -> f64 {
-        self.nodes.get(1).map_or(f64::NEG_INFINITY, |winner| self.read(winner).current)
+    /// Returns the maximum of the numbers in force; negative infinity if there is none.
+    pub(crate) fn max(&self) -> f64 {
+        self.nodes.get(1).map_or(f64::NEG_INFINITY, |root| self.read(root).current)
     }
 
-    /// Sets the number in force at this index, and the one after the next commit.
+    /// Sets the number in force at this index, and the number that replaces it at the next commit.
     pub(crate) fn set(&mut self, index: usize, current: Option<f64>, next: Option<f64>) {
         if index >= self.nodes.len() / 2 {
             let leaves = self.nodes.split_off(self.nodes.len() / 2);
             self.build(&leaves, index + 1);
         }
         let mut at = self.nodes.len() / 2 + index;
-        self.put(at, Pair::new(current, next));
+        self.write(at, Pair::new(current, next));
         while at > 1 {
             at /= 2;
-            let winner = self.play(at);
-            if self.read(&self.nodes[at]).same_bits(&winner) {
-                return; // nothing changes further up
+            let max = self.max_of_children(at);
+            // The nodes above depend only on this one, so they are unchanged too.
+            if self.read(&self.nodes[at]).same_bits(&max) {
+                return;
             }
-            self.put(at, winner);
+            self.write(at, max);
         }
     }
 
@@ -74,25 +76,25 @@
         self.version += 1;
     }
 
-    /// Plays all matches, for at least so many leaves.
-    fn build(&mut self, leaves: &[Node], least: usize) {
-        let half = least.next_power_of_two();
+    /// Computes all nodes of a tree with room for at least `min_leaves` leaves.
+    fn build(&mut self, leaves: &[Node], min_leaves: usize) {
+        let half = min_leaves.next_power_of_two();
         self.nodes = vec![EMPTY_NODE; half];
         self.nodes.extend_from_slice(leaves);
         self.nodes.resize(2 * half, EMPTY_NODE);
         for at in (1..half).rev() {
-            let winner = self.play(at);
-            self.put(at, winner);
+            let max = self.max_of_children(at);
+            self.write(at, max);
         }
     }
 
-    fn play(&self, at: usize) -> Pair {
+    fn max_of_children(&self, at: usize) -> Pair {
         let left = self.read(&self.nodes[2 * at]);
         let right = self.read(&self.nodes[2 * at + 1]);
         Pair { current: left.current.max(right.current), next: left.next.max(right.next) }
     }
 
-    fn put(&mut self, at: usize, pair: Pair) {
+    fn write(&mut self, at: usize, pair: Pair) {
         self.nodes[at] = Node { pair, next_from: self.version + 1 };
     }
 
--- a/src/memory_budget.rs
+++ b/src/memory_budget.rs
@@ -1,4 +1,4 @@
-//! Memory of queued and running RPCs, reserved before anything is done.
+//! Memory of queued and running RPCs, which is reserved before an RPC is queued or started.
 
 use crate::tuning::SAFETY_FACTOR;
 
@@ -10,18 +10,18 @@
 }
 
 impl MemoryBudget {
-    /// `total_kb`: the machine's memory; a running RPC takes `run_factor` times what it takes while queued, at
-    /// least once.
+    /// Creates a budget of which nothing is used. `total_kb` is the machine's memory; a running RPC takes `run_factor`
+    /// times its memory while queued. Factors below 1 count as 1.
     pub fn new(total_kb: f64, run_factor: f64) -> MemoryBudget {
         MemoryBudget { total_kb, run_factor: run_factor.max(1.0), used_kb: 0.0 }
     }
 
-    /// So much more fits beside what is in use and the memory of retained keys.
+    /// Reports whether `more_kb` fits in addition to the used memory and the memory of retained keys.
     pub(crate) fn fits(&self, keys_kb: f64, more_kb: f64) -> bool {
         self.used_kb + more_kb + keys_kb <= self.total_kb * SAFETY_FACTOR
     }
 
-    /// What an RPC takes when it runs, besides what it takes while queued.
+    /// Returns the memory that an RPC takes while running in addition to its memory while queued.
     pub(crate) fn extra_to_run(&self, queued_kb: f64) -> f64 {
         queued_kb * (self.run_factor - 1.0)
     }
--- a/src/method.rs
+++ b/src/method.rs
@@ -1,19 +1,19 @@
-//! Methods as the operators configure them, and the changes that may be staged for methods and tenants.
+//! Settings of methods, and the changes that can be staged for methods and tenants.
 
 use crate::ids::{MethodId, Us};
 
 /// Whether an RPC of a method may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running it again does no harm.
+    /// The RPC may run more than once.
     Idempotent,
-    /// It carries an idempotency key: of all attempts with that key within the method's window, one runs.
+    /// The RPC carries an idempotency key: of all attempts with that key within the method's window, only one runs.
     Keyed,
-    /// It must never run twice.
+    /// The RPC must never run twice.
     NonIdempotent,
 }
 
-/// What cancelling a running RPC does.
+/// The effect of cancelling a running RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopMode {
     /// Running RPCs can't be cancelled.
@@ -24,32 +24,33 @@
     Suspend,
 }
 
-/// One method as the operators describe it.
+/// The settings of one method.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Method {
-    /// Latency objective, from the client's first attempt: an ok answer within it earns the whole criticality.
+    /// Latency objective, counted from the client's first attempt. A successful answer within it earns the full
+    /// criticality.
     pub latency_target: Us,
-    /// How long a client waits for an answer altogether.
+    /// Total time for which a client waits for an answer.
     pub deadline: Us,
-    /// Whether an RPC may run again.
+    /// Whether an RPC may run more than once.
     pub idempotency: Idempotency,
-    /// Priority weight: what an ok answer in time is worth, 0 or more.
+    /// Priority weight: the value of a successful answer within the latency target, 0 or more.
     pub criticality: f64,
-    /// Fraction of the criticality, 0 to 1, that an ok answer after the latency target earns.
+    /// Fraction of the criticality, 0 to 1, that a successful answer after the latency target earns.
     pub late_value_ratio: f64,
-    /// For keyed methods: how long after its arrival another attempt with the same key may come.
+    /// For keyed methods, the time after an RPC's arrival within which another attempt with the same key may arrive.
     pub idempotency_window: Us,
-    /// Fraction of the criticality, 0 to 1, earned when an upstream call is skipped; 0 where skipping is not
-    /// allowed.
+    /// Fraction of the criticality, 0 to 1, that a successful answer earns when its upstream call was skipped; 0 if
+    /// the call must not be skipped.
     pub skip_value_ratio: f64,
 }
 
-/// A change to one method or tenant, staged to come into force at the next commit.
+/// A change to one method or tenant, which is staged and takes effect at the next commit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingsUpdate {
-    /// A method's settings; `None` removes it.
+    /// The settings of a method; `None` removes the method.
     Method(MethodId, Option<Method>),
-    /// The quota of the tenant with this index, in RPCs per second over the whole fleet, 0 or more; `None`
-    /// removes it.
+    /// The quota of the tenant with this index, in RPCs per second over the whole fleet, 0 or more; `None` removes
+    /// the tenant.
     Tenant(usize, Option<f64>),
 }
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -1,34 +1,34 @@
-//! What the decision module hands back: answers, and what the server is to do.
+//! Results of an input to the decision module: final answers, and the actions that the server has to take.
 
 use crate::ids::{RpcId, Us};
 
 /// A final answer given by the decision module itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// It never ran here.
+    /// The RPC never ran on this server.
     Rejected {
-        /// The caller is asked not to try another server.
+        /// Whether the caller is asked not to try another server.
         terminal: bool,
-        /// How long the caller should wait before it tries this server again; 0 for no advice.
+        /// How long the caller should wait before it retries on this server; 0 for no advice.
         retry_after: Us,
     },
-    /// An error that promises nothing about what was done.
+    /// An error that does not tell whether the RPC took effect.
     Aborted,
 }
 
-/// A final answer as it goes to the caller.
+/// A final answer as it is sent to the caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalAnswer<'a> {
-    /// With the result of its run.
+    /// The result of the RPC's run.
     Ok(&'a [u8]),
-    /// It never ran here.
+    /// The RPC never ran on this server.
     Rejected {
-        /// The caller is asked not to try another server.
+        /// Whether the caller is asked not to try another server.
         terminal: bool,
-        /// How long the caller should wait before it tries this server again; 0 for no advice.
+        /// How long the caller should wait before it retries on this server; 0 for no advice.
         retry_after: Us,
     },
-    /// An error that promises nothing about what was done.
+    /// An error that does not tell whether the RPC took effect.
     Aborted,
 }
 
@@ -50,12 +50,12 @@
     pub answer: Answer,
 }
 
-/// A key to retain.
+/// An idempotency or cache key to retain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyRetention {
-    /// The RPC whose idempotency or cache key it is.
+    /// The RPC that the key belongs to.
     pub id: RpcId,
-    /// How long, from now.
+    /// How long to retain it, from now.
     pub duration: Us,
 }
 
@@ -64,22 +64,22 @@
 pub struct CallRequest {
     /// The RPC that makes it.
     pub id: RpcId,
-    /// When to abandon it, from now; more than 0.
+    /// Time from now after which to abandon the call; more than 0.
     pub timeout: Us,
 }
 
-/// What is to be done after an input, list by list in this order.
+/// Actions to take after an input, list by list in the order of the fields.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Final answers.
     pub answers: Vec<Reply>,
-    /// Running RPCs to cancel. Comes after the answers, so that what is answered ends for good.
+    /// Running RPCs to cancel. This follows the answers, so that a run that is already answered ends for good.
     pub cancellations: Vec<RpcId>,
     /// Idempotency and cache keys to retain.
     pub retained_keys: Vec<KeyRetention>,
-    /// Keys to release. Comes after the retained ones, as an RPC may be admitted and given up at once.
+    /// Keys to release. This follows the keys to retain, as one input may admit an RPC and end it.
     pub released_keys: Vec<RpcId>,
-    /// Queued RPCs to answer with the result of the one they repeat.
+    /// Queued RPCs to answer with the result of the RPC that they repeat.
     pub coalesced: Vec<RpcId>,
     /// Queued RPCs to start.
     pub starts: Vec<RpcId>,
@@ -87,13 +87,13 @@
     pub calls: Vec<CallRequest>,
     /// RPCs to resume without their upstream call.
     pub skipped_calls: Vec<RpcId>,
-    /// The number to publish to callers; what it means is [`crate::FeedbackMode`].
+    /// The value to publish to callers, in the meaning of the [`crate::FeedbackMode`].
     pub credit: Option<f64>,
     /// The answer to health checks from now on.
     pub healthy: Option<bool>,
-    /// Connections idle for longer than this are to be closed.
+    /// The idle timeout: connections that are idle for longer are to be closed.
     pub close_idle_after: Option<Us>,
-    /// When to call [`crate::Control::timer_fired`], from now, besides the timers asked for before.
+    /// Time from now after which to call [`crate::Control::timer_fired`], in addition to the timers requested before.
     pub wake_after: Option<Us>,
     /// Lines for the operators' log.
     pub log: Vec<String>,
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -1,45 +1,45 @@
-//! One open RPC as the decision module tracks it.
+//! The state of one open RPC.
 
 use crate::admission_queue::{PriorityBand, QueueKey};
 use crate::ids::{CallerId, MethodId, Us};
 use crate::method::Idempotency;
 
-/// Where an open RPC is.
+/// The stage of an open RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Admitted, waiting for a core.
+    /// Admitted, and waiting for a core.
     Queued,
     /// Waiting for the RPC that it repeats.
     Coalesced,
-    /// On the cores.
+    /// Running on a core.
     Running,
-    /// Off the cores, waiting for permission to make its upstream call.
+    /// Off the cores, and waiting for permission to make its upstream call.
     WaitingToCall,
-    /// Off the cores, waiting for its upstream call.
+    /// Off the cores, and waiting for its upstream call to end.
     Calling,
 }
 
-/// An open RPC. Idempotency, skip value and memory are those of the settings under which it was read.
+/// An open RPC. Its idempotency, skip value and memory follow the settings in force when it was read.
 pub(crate) struct Rpc {
     pub(crate) method: MethodId,
     pub(crate) caller: CallerId,
-    /// Memory while queued, in kB.
+    /// Memory that it takes while queued, in kB.
     pub(crate) size_kb: f64,
     pub(crate) stage: Stage,
     pub(crate) key: QueueKey,
-    /// When it must have its answer.
+    /// Time by which it must be answered.
     pub(crate) deadline: Us,
-    /// The last moment at which an ok answer earns anything.
-    pub(crate) last_useful: Us,
-    /// When its timer fires.
+    /// Latest time at which a successful answer earns any value.
+    pub(crate) useful_until: Us,
+    /// Time at which its timer fires.
     pub(crate) timer: Us,
-    /// Expected serving time, in microseconds, when it was read.
+    /// Expected serving time in microseconds, as estimated when it was read.
     pub(crate) work: f64,
-    /// Deducted from its caller's account, in nanoseconds.
+    /// Amount deducted from its caller's account, in nanoseconds.
     pub(crate) charged: f64,
     pub(crate) run: RunAccounting,
     pub(crate) answered: bool,
-    /// Attempts left for its upstream call.
+    /// Remaining attempts of its upstream call.
     pub(crate) call_attempts: u32,
     pub(crate) idempotency: Idempotency,
     pub(crate) skip_value_ratio: f64,
@@ -53,15 +53,15 @@
     }
 }
 
-/// What an RPC's time on the cores adds up to.
+/// Accumulated serving time and congestion of an RPC.
 #[derive(Default)]
 pub(crate) struct RunAccounting {
-    /// When it last came on the cores.
-    pub(crate) since: Us,
-    /// Its band's congestion integral then.
-    pub(crate) congestion_since: f64,
+    /// Time at which it last started to occupy a core.
+    pub(crate) entered_at: Us,
+    /// Congestion integral of its band at that time.
+    pub(crate) congestion_at_entry: f64,
     /// Serving time before that, in microseconds.
     pub(crate) served: f64,
-    /// congestion_penalty before that, without its factor.
+    /// congestion_penalty before that, without its constant factor.
     pub(crate) congestion: f64,
 }
--- a/src/staged_table.rs
+++ b/src/staged_table.rs
@@ -1,13 +1,13 @@
-//! A table of settings by index, where changes are staged beside what is in force and committed all at once.
+//! A table of settings by index whose changes are staged and then committed all at once.
 
-/// Whether the value of a slot may be used.
+/// The state of a value in a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// It was never in force.
+    /// The value was never in force.
     Absent,
-    /// It is in force.
+    /// The value is in force.
     Active,
-    /// It was in force, and stays for open RPCs that were read under it.
+    /// The value was in force. It is kept for open RPCs that were read while it was.
     Removed,
 }
 
@@ -21,12 +21,14 @@
 struct Slot<T> {
     current: Version<T>,
     staged: Version<T>,
-    /// The table's version from which `staged` is in force.
+    /// Version of the table from which `staged` is in force.
     staged_from: u64,
 }
 
-/// Values by index. A commit brings all staged values into force by one count, however many there are: each slot
-/// holds two values and the version from which the second one counts.
+/// Values by index, with staged changes.
+///
+/// A commit brings all staged values into force in constant time by incrementing the table's version: each slot holds
+/// two values and the version from which the second one is in force.
 #[derive(Clone, Debug)]
 pub struct StagedTable<T> {
     slots: Vec<Slot<T>>,
@@ -34,7 +36,7 @@
 }
 
 impl<T: Clone> StagedTable<T> {
-    /// A table of these values, in force from the start.
+    /// Creates a table of these values, which are in force from the start.
     pub fn new(values: impl IntoIterator<Item = T>) -> StagedTable<T> {
         let slot = |value: T| {
             let version = Version { value, state: State::Active };
@@ -43,14 +45,14 @@
         StagedTable { slots: values.into_iter().map(slot).collect(), version: 0 }
     }
 
-    /// The value in force at this index.
+    /// Returns the value in force at this index.
     pub fn get(&self, index: usize) -> Option<&T> {
         self.version_in_force(index)
             .filter(|version| version.state == State::Active)
             .map(|version| &version.value)
     }
 
-    /// The value in force at this index, to be altered while nothing else is staged there.
+    /// Returns the value in force at this index for modification. Nothing else may be staged there.
     pub fn get_mut(&mut self, index: usize) -> Option<&mut T> {
         let slot = self.slots.get_mut(index)?;
         let committed = slot.staged_from <= self.version;
@@ -58,26 +60,26 @@
         (version.state == State::Active).then_some(&mut version.value)
     }
 
-    /// The value in force at this index, or the one that was in force there last.
+    /// Returns the value in force at this index, or the one that was last in force.
     pub fn latest(&self, index: usize) -> Option<&T> {
         self.version_in_force(index)
             .filter(|version| version.state != State::Absent)
             .map(|version| &version.value)
     }
 
-    /// The value that will be in force at this index after the next commit.
+    /// Returns the value that will be in force at this index after the next commit.
     pub fn next(&self, index: usize) -> Option<&T> {
         let staged = self.slots.get(index).map(|slot| &slot.staged);
         staged.filter(|version| version.state == State::Active).map(|version| &version.value)
     }
 
-    /// The values in force, with their indexes.
+    /// Returns the values in force with their indexes.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &T)> {
         (0..self.slots.len()).filter_map(|index| self.get(index).map(|value| (index, value)))
     }
 
-    /// Stages a value, or its removal for `None`, in place of what was staged at this index before. The table grows
-    /// up to the index.
+    /// Stages a value, or its removal for `None`, replacing what was staged at this index before. The table grows up
+    /// to the index.
     pub fn stage(&mut self, index: usize, value: Option<T>) {
         if let (Some(value), true) = (&value, index >= self.slots.len()) {
             let absent = Version { value: value.clone(), state: State::Absent };
@@ -96,7 +98,7 @@
         };
     }
 
-    /// Brings all that was staged into force.
+    /// Brings all staged values into force.
     pub fn commit(&mut self) {
         self.version += 1;
     }
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,18 +1,19 @@
-//! Where a server stands, for stages of recovery and for statistics, and the limits of its recovery.
+//! The server's status for recovery and statistics, and the limits that apply during recovery.
 
 /// Limits while a server recovers from a restart or an upstream outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveryLimits {
-    /// Upstream calls in flight at most, besides what the settings allow; infinite for no further limit.
+    /// Maximum number of upstream calls in flight, in addition to the limit of the settings; infinite for no
+    /// further limit.
     pub calls_in_flight: f64,
-    /// Retries of upstream calls for each first attempt, over ten seconds; infinite for no limit.
+    /// Maximum ratio of retries to first attempts of upstream calls over ten seconds; infinite for no limit.
     pub retry_ratio: f64,
-    /// Fraction by which a retry-after may be longer, drawn for each answer; 0 for none.
+    /// Maximum fraction by which a retry-after is extended at random for each answer; 0 for no jitter.
     pub retry_after_jitter: f64,
 }
 
 impl RecoveryLimits {
-    /// No limits: the server does not recover from anything.
+    /// No limits, for a server that is not recovering.
     pub const NONE: RecoveryLimits = RecoveryLimits {
         calls_in_flight: f64::INFINITY,
         retry_ratio: f64::INFINITY,
@@ -20,21 +21,21 @@
     };
 }
 
-/// The state of a server's decisions.
+/// The status of a server's decision module.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Status {
-    /// Recent serving times over the learned costs; 1 for a server at its usual speed.
+    /// Ratio of recent serving times to the learned costs; 1 for a server at its usual speed.
     pub slowdown: f64,
-    /// The slow start is over.
+    /// Whether the slow start is over.
     pub warm: bool,
-    /// The circuit breaker holds upstream calls back.
+    /// Whether the circuit breaker blocks upstream calls.
     pub breaker_open: bool,
-    /// RPCs have stopped finishing.
+    /// Whether the server is stalled: RPCs run, but none finishes.
     pub stalled: bool,
-    /// Upstream calls in flight that the settings allow; infinite where they don't bound them.
+    /// Maximum number of upstream calls in flight by the settings; infinite for no limit.
     pub call_limit: f64,
-    /// Upstream calls in flight.
+    /// Number of upstream calls in flight.
     pub calls_in_flight: usize,
-    /// RPCs that wait for permission to make their upstream call.
+    /// Number of RPCs that wait for permission to make their upstream call.
     pub waiting_to_call: usize,
 }
--- a/src/tests/commit.rs
+++ b/src/tests/commit.rs
@@ -1,4 +1,4 @@
-//! Settings staged and committed while RPCs are open.
+//! Tests of settings that are staged and committed while RPCs are open.
 
 use super::fixtures::{control_parts, control_with, control_with_factor, method, read_rpc};
 use super::harness::Harness;
@@ -6,24 +6,24 @@
 use crate::*;
 
 #[test]
-fn commit_keeps_open_rpcs_and_counts_from_the_next_rpc_on() {
+fn commit_keeps_open_rpcs_and_applies_to_later_rpcs() {
     let mut control = control_with(0, &[1.0, 2.0], 1, 1_000.0);
     assert_eq!(read_rpc(&mut control, 0, 1, 0).starts, [RpcId::from_number(1)]);
     assert!(read_rpc(&mut control, 0, 2, 1).starts.is_empty());
-    // Four cores, and a method more in front: the others stay at their indexes.
-    let at =
+    // The commit sets four cores and adds a method of higher criticality. The other methods keep their indexes.
+    let update =
         |index, criticality: Option<f64>| SettingsUpdate::Method(MethodId(index), criticality.map(method));
     control.stage(&[
-        at(2, Some(9.0)),
-        at(0, Some(1.0)),
-        at(1, Some(2.0)),
+        update(2, Some(9.0)),
+        update(0, Some(1.0)),
+        update(1, Some(2.0)),
         SettingsUpdate::Tenant(0, Some(1.0)),
     ]);
     let outcome = control.commit(MS, Some(control_with(MS, &[], 4, 1_000.0)));
-    assert_eq!(outcome.starts, [RpcId::from_number(2)], "there is capacity for what was queued");
+    assert_eq!(outcome.starts, [RpcId::from_number(2)], "the added cores must run the queued RPC");
     assert!(read_rpc(&mut control, 2 * MS, 3, 2).starts == [RpcId::from_number(3)]);
-    // Back to one method: what runs of the others is finished and given back like any other.
-    control.stage(&[at(0, None), at(1, Some(2.0)), at(2, None)]);
+    // The next commit leaves one method and one core. Running RPCs of the removed methods finish like any others.
+    control.stage(&[update(0, None), update(1, Some(2.0)), update(2, None)]);
     let outcome = control.commit(3 * MS, Some(control_with(3 * MS, &[], 1, 1_000.0)));
     assert!(outcome.answers.is_empty() && outcome.cancellations.is_empty());
     for n in 1..=3 {
@@ -44,7 +44,7 @@
         };
         Control::new(now, 3, parts)
     };
-    // Two that began together; one has its settings changed to the same half way up.
+    // Two servers start together. One of them commits unchanged settings half-way through the slow start.
     let (mut unchanged, mut changed) = (cold(0), cold(0));
     unchanged.start();
     changed.start();
@@ -55,7 +55,7 @@
         (from..from + 40).map(|n| read_rpc(control, now, n, 0).starts.len()).sum::<usize>()
     };
     let [unchanged, changed] = [&mut unchanged, &mut changed].map(|control| count(control, 600 * MS, 1));
-    assert_eq!(unchanged, changed, "it would be colder if the commit had restarted the slow start");
+    assert_eq!(unchanged, changed, "a restarted slow start would admit fewer RPCs");
     let mut restarted = cold(590 * MS);
     restarted.start();
     assert!(count(&mut restarted, 600 * MS, 1) < unchanged);
@@ -63,7 +63,8 @@
 
 #[test]
 fn memory_is_released_as_it_was_reserved_across_a_commit() {
-    let mut control = control_with(0, &[1.0], 8, 100.0); // 80 kB may be used: four that run
+    // 80 kB may be used, which is enough for four running RPCs.
+    let mut control = control_with(0, &[1.0], 8, 100.0);
     for n in 0..3 {
         assert_eq!(read_rpc(&mut control, 0, n, 0).starts.len(), 1);
     }
@@ -71,12 +72,12 @@
     for n in 0..3 {
         control.run_ended(2 * MS, RpcId::from_number(n), RunEnd::Ok);
     }
-    // All of it is free again: one that takes the whole of 80 kB by the new factor runs.
+    // All memory is free again: an RPC that takes all of the 80 kB with the new factor starts.
     assert_eq!(read_rpc(&mut control, 3 * MS, 9, 0).starts.len(), 1);
-    assert!(read_rpc(&mut control, 3 * MS, 10, 0).starts.is_empty(), "and no second one");
+    assert!(read_rpc(&mut control, 3 * MS, 10, 0).starts.is_empty(), "a second RPC must not fit");
 }
 
-/// The same inputs to one that has settings staged and one that has none: nothing of what they return differs, until the
+/// Sends the same inputs to a server with staged settings and to one without. Their outcomes must be equal until the
 /// commit.
 #[test]
 fn staged_settings_change_no_decision_before_commit() {
@@ -97,7 +98,7 @@
             staged.control.stage(&[update, SettingsUpdate::Tenant(n as usize % 7, Some(0.1))]);
             let now = 5_000 * MS + n * 7 * MS;
             let ended = RpcId::from_number(n.saturating_sub(6));
-            let [one, other] = [&mut plain, &mut staged].map(|harness| {
+            let [without_staged, with_staged] = [&mut plain, &mut staged].map(|harness| {
                 let arrival = Arrival {
                     id: RpcId::from_number(n),
                     method: MethodId(n as usize % 2),
@@ -113,7 +114,7 @@
                 let fired = harness.control.timer_fired(now + 2 * MS, Gauges::default());
                 format!("{read:?} {ended:?} {fired:?} {:?}", harness.control.learned_state())
             });
-            assert_eq!(one, other, "seed {seed}, input {n}");
+            assert_eq!(without_staged, with_staged, "seed {seed}, input {n}");
         }
         staged.control.commit(9_000 * MS, None);
         assert!(staged.control.has_tenant(6) && !plain.control.has_tenant(6));
--- a/src/tests/fixtures.rs
+++ b/src/tests/fixtures.rs
@@ -1,10 +1,10 @@
-//! A bare `Control`, with other methods, cores and memory, for tests that need no observer.
+//! A `Control` with configurable methods, cores and memory, for tests that don't need the harness.
 
 use super::server_config::MS;
 use crate::*;
 use std::ops::Range;
 
-/// A warm server with methods of these criticalities, and one tenant.
+/// Creates a warm server with methods of these criticalities and one tenant.
 pub(super) fn control_with(now: Us, criticality: &[f64], cores: usize, memory_kb: f64) -> Control {
     control_with_factor(now, criticality, cores, memory_kb, 2.0)
 }
@@ -45,7 +45,7 @@
     }
 }
 
-/// The n-th RPC is read.
+/// Reads the RPC with the number `n`.
 pub(super) fn read_rpc(control: &mut Control, now: Us, n: u64, method: usize) -> Outcome {
     let arrival = Arrival {
         id: RpcId::from_number(n),
@@ -60,7 +60,7 @@
     control.rpc_read(now, arrival, Some(0))
 }
 
-/// RPCs are read and want their call. Returns how many calls are made at once.
+/// Reads RPCs that need an upstream call, and returns the number of calls that are made at once.
 pub(super) fn calls_placed(control: &mut Control, now: Us, rpcs: Range<u64>) -> usize {
     for n in rpcs.clone() {
         read_rpc(control, now, n, 0);
--- a/src/tests/harness.rs
+++ b/src/tests/harness.rs
@@ -1,23 +1,23 @@
-//! One server, played in memory, and an observer of it: every invariant is checked on what the observer saw, never on
-//! the module's own figures.
+//! A server simulated in memory, with an independent record of its RPCs. Every invariant is checked on that record
+//! instead of the decision module's own counters.
 
 use super::server_config::{ServerConfig, CORES, GRACE, KEY_KB, LINGER, MS, RPC_KB, RUN_FACTOR};
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long after its deadline an RPC may be without its answer.
-const SLACK: Us = 100 * MS;
-/// When a server starts.
+/// Time after its deadline within which an RPC must be answered.
+const DEADLINE_TOLERANCE: Us = 100 * MS;
+/// Time at which a server starts.
 const START: Us = 5_000 * MS;
 
-/// Where an RPC is, as observed.
+/// The position of an RPC, as observed.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Position {
     Queued,
     Coalesced,
     Running,
     WaitingToCall,
-    /// Until its timeout.
+    /// Waiting for its upstream call, which times out at this time.
     Calling(Us),
 }
 
@@ -28,12 +28,12 @@
     pub(super) arrived: Us,
     pub(super) deadline: Us,
     pub(super) position: Position,
-    /// It is owed an answer.
-    pub(super) owed: bool,
+    /// Whether an answer is still due.
+    pub(super) answer_due: bool,
     pub(super) ran: bool,
-    /// A call of an RPC that may not be repeated may have taken effect.
+    /// Whether a call of an RPC that must not be repeated may have taken effect.
     pub(super) call_may_have_run: bool,
-    pub(super) over: bool,
+    pub(super) ended: bool,
 }
 
 impl ObservedRpc {
@@ -50,15 +50,15 @@
     }
 }
 
-/// What was on the cores and upstream from one moment on.
+/// Running RPCs and upstream calls from a point in time on.
 pub(super) struct LoadSample {
     at: Us,
     running: f64,
     calls: f64,
 }
 
-/// A drain's notice.
-pub(super) struct Notice {
+/// A shutdown notice.
+pub(super) struct ShutdownNotice {
     pub(super) at: Us,
     pub(super) kill: Us,
 }
@@ -68,10 +68,10 @@
     pub(super) control: Control,
     pub(super) now: Us,
     pub(super) rpcs: BTreeMap<RpcId, ObservedRpc>,
-    pub(super) drain: Option<Notice>,
+    pub(super) drain: Option<ShutdownNotice>,
     pub(super) credit: Option<f64>,
     pub(super) health: Option<bool>,
-    /// The last outcome.
+    /// The outcome of the last input.
     pub(super) last: Outcome,
     wakes: BTreeSet<Us>,
     keys: BTreeMap<RpcId, Us>,
@@ -80,7 +80,7 @@
     next_id: u64,
 }
 
-/// A warm server of four cores with nothing to do.
+/// Creates an idle, warm server with four cores.
 pub(super) fn idle_server() -> Harness {
     Harness::new(ServerConfig::default(), 1)
 }
@@ -108,24 +108,24 @@
         harness
     }
 
-    /// An RPC is read that lay unread for a while; its caller waits for `patience` in all.
+    /// Reads an RPC that was unread for `unread_for`. Its caller waits for `timeout` from its arrival.
     pub(super) fn read(
-        &mut self, method: usize, caller: u64, unread_for: Us, patience: Us, original: Option<RpcId>,
+        &mut self, method: usize, caller: u64, unread_for: Us, timeout: Us, original: Option<RpcId>,
     ) -> RpcId {
         let id = RpcId::new(&format!("rpc-{}", self.next_id)).unwrap();
         self.next_id += 1;
         let arrived = self.now - unread_for;
-        let patience = if self.config.sends_deadline { patience } else { 1_500 * MS };
-        let deadline = arrived + patience;
+        let timeout = if self.config.sends_deadline { timeout } else { 1_500 * MS };
+        let deadline = arrived + timeout;
         let observed = ObservedRpc {
             method,
             arrived,
             deadline: deadline.max(self.now),
             position: Position::Queued,
-            owed: true,
+            answer_due: true,
             ran: false,
             call_may_have_run: false,
-            over: false,
+            ended: false,
         };
         self.rpcs.insert(id, observed);
         let arrival = Arrival {
@@ -143,15 +143,15 @@
         id
     }
 
-    /// RPCs of the first method and the first caller.
+    /// Reads RPCs of the first method and the first caller.
     pub(super) fn read_many(&mut self, count: usize) -> Vec<RpcId> {
         (0..count).map(|_| self.read(0, 0, 0, 1_500 * MS, None)).collect()
     }
 
     pub(super) fn end_run(&mut self, id: RpcId, end: RunEnd) {
         let rpc = self.rpcs.get_mut(&id).unwrap();
-        rpc.over = true;
-        rpc.owed &= !matches!(end, RunEnd::Ok | RunEnd::Aborted);
+        rpc.ended = true;
+        rpc.answer_due &= !matches!(end, RunEnd::Ok | RunEnd::Aborted);
         let outcome = self.control.run_ended(self.now, id, end);
         self.apply(outcome);
     }
@@ -176,8 +176,8 @@
 
     pub(super) fn cancel(&mut self, id: RpcId) {
         let rpc = self.rpcs.get_mut(&id).unwrap();
-        rpc.owed = false;
-        rpc.over = rpc.waits_to_run();
+        rpc.answer_due = false;
+        rpc.ended = rpc.waits_to_run();
         if let Position::Calling(_) = rpc.position {
             self.lingering.push(self.now + LINGER);
             rpc.position = Position::WaitingToCall;
@@ -187,18 +187,18 @@
     }
 
     pub(super) fn notify_drain(&mut self, kill: Us) {
-        self.drain = Some(Notice { at: self.now, kill });
+        self.drain = Some(ShutdownNotice { at: self.now, kill });
         let outcome = self.control.drain(self.now, self.now, kill);
         self.apply(outcome);
     }
 
-    /// Lets time pass, with every wake and call timeout on the way.
-    pub(super) fn pass(&mut self, span: Us) {
-        let until = self.now + span;
+    /// Advances the time, firing all wake-ups and call timeouts that are due.
+    pub(super) fn advance(&mut self, duration: Us) {
+        let until = self.now + duration;
         loop {
             let wake = self.wakes.first().copied().unwrap_or(Us::MAX);
             let timeout = |(id, rpc): (&RpcId, &ObservedRpc)| match rpc.position {
-                Position::Calling(at) if !rpc.over => Some((at, *id)),
+                Position::Calling(at) if !rpc.ended => Some((at, *id)),
                 _ => None,
             };
             let call = self.rpcs.iter().filter_map(timeout).min();
@@ -221,10 +221,10 @@
         self.now = until;
     }
 
-    /// The n-th open RPC of a kind, counted around.
-    pub(super) fn nth_open(&self, n: usize, of: impl Fn(&ObservedRpc) -> bool) -> Option<RpcId> {
+    /// Returns the n-th open RPC that matches, modulo their number.
+    pub(super) fn nth_open(&self, n: usize, matches: impl Fn(&ObservedRpc) -> bool) -> Option<RpcId> {
         let ids: Vec<RpcId> =
-            self.rpcs.iter().filter(|(_, rpc)| !rpc.over && of(rpc)).map(|(id, _)| *id).collect();
+            self.rpcs.iter().filter(|(_, rpc)| !rpc.ended && matches(rpc)).map(|(id, _)| *id).collect();
         ids.get(n % ids.len().max(1)).copied()
     }
 
@@ -232,12 +232,12 @@
         self.keys.contains_key(id)
     }
 
-    /// Open RPCs of a kind.
-    pub(super) fn count(&self, of: impl Fn(&ObservedRpc) -> bool) -> f64 {
-        self.rpcs.values().filter(|rpc| !rpc.over && of(rpc)).count() as f64
+    /// Returns the number of open RPCs that match.
+    pub(super) fn count(&self, matches: impl Fn(&ObservedRpc) -> bool) -> f64 {
+        self.rpcs.values().filter(|rpc| !rpc.ended && matches(rpc)).count() as f64
     }
 
-    /// Carries an outcome out as the server would, checking each step of it.
+    /// Carries out an outcome as a server would, and checks each action.
     pub(super) fn apply(&mut self, outcome: Outcome) {
         self.apply_answers(&outcome);
         self.apply_keys(&outcome);
@@ -247,7 +247,7 @@
         self.health = outcome.healthy.or(self.health);
         assert!(outcome.credit.is_none() || self.config.feedback != FeedbackMode::Off);
         assert!(outcome.credit.is_none_or(|credit| credit >= 0.0 && credit.is_finite()));
-        self.wakes.extend(outcome.wake_after.map(|span| self.now + span));
+        self.wakes.extend(outcome.wake_after.map(|delay| self.now + delay));
         self.last = outcome;
         let now = self.now;
         self.keys.retain(|_, until| *until > now);
@@ -260,14 +260,14 @@
 
     fn apply_answers(&mut self, outcome: &Outcome) {
         for Reply { id, answer } in &outcome.answers {
-            let rpc = self.rpcs.get_mut(id).expect("an RPC that was read");
-            assert!(rpc.owed, "{id:?} answered twice");
-            rpc.owed = false;
+            let rpc = self.rpcs.get_mut(id).expect("answered RPC was read before");
+            assert!(rpc.answer_due, "{id:?} answered twice");
+            rpc.answer_due = false;
             let runs_once = self.config.idempotency[rpc.method] != Idempotency::Idempotent;
             if let Answer::Rejected { .. } = answer {
-                assert!(!(runs_once && rpc.ran), "{id:?} rejected after it ran");
+                assert!(!(runs_once && rpc.ran), "{id:?} rejected after it had run");
             }
-            rpc.over = rpc.waits_to_run();
+            rpc.ended = rpc.waits_to_run();
             if let Position::Calling(_) = rpc.position {
                 self.lingering.push(self.now + LINGER);
                 rpc.position = Position::WaitingToCall;
@@ -275,7 +275,7 @@
         }
         for id in &outcome.cancellations {
             assert!(self.config.stop_mode != StopMode::Off);
-            assert!(!self.rpcs[id].owed, "{id:?} cancelled with its answer owed");
+            assert!(!self.rpcs[id].answer_due, "{id:?} cancelled before it was answered");
         }
     }
 
@@ -294,11 +294,14 @@
         }
         for id in &outcome.starts {
             let rpc = self.rpcs.get_mut(id).unwrap();
-            assert!(rpc.position == Position::Queued && rpc.owed && !rpc.ran, "{id:?} started out of turn");
+            assert!(
+                rpc.position == Position::Queued && rpc.answer_due && !rpc.ran,
+                "{id:?} started without being queued and unanswered"
+            );
             let in_grace = self.drain.as_ref().is_none_or(|notice| rpc.arrived < notice.at + GRACE);
-            assert!(in_grace, "{id:?} run after the grace");
+            assert!(in_grace, "{id:?} started after the grace period");
             let keyed = self.config.idempotency[rpc.method] == Idempotency::Keyed;
-            assert!(!keyed || self.keys.contains_key(id), "{id:?} run without its key retained");
+            assert!(!keyed || self.keys.contains_key(id), "{id:?} started without its key retained");
             (rpc.position, rpc.ran) = (Position::Running, true);
         }
     }
@@ -306,7 +309,7 @@
     fn apply_calls(&mut self, outcome: &Outcome) {
         for CallRequest { id, timeout } in &outcome.calls {
             let rpc = self.rpcs.get_mut(id).unwrap();
-            assert!(rpc.position == Position::WaitingToCall && rpc.owed && *timeout > 0);
+            assert!(rpc.position == Position::WaitingToCall && rpc.answer_due && *timeout > 0);
             assert!(!rpc.call_may_have_run, "{id:?} calls again after a call that may have run");
             rpc.position = Position::Calling(self.now + timeout);
         }
@@ -318,37 +321,46 @@
     }
 
     fn check_memory(&self) {
-        let open = self.rpcs.values().filter(|rpc| !rpc.over);
+        let open = self.rpcs.values().filter(|rpc| !rpc.ended);
         let used = open.map(ObservedRpc::memory_kb).sum::<f64>() + self.keys.len() as f64 * KEY_KB;
         let memory_kb = self.config.memory_kb;
-        assert!(used <= memory_kb, "memory {used} over {memory_kb}");
+        assert!(used <= memory_kb, "{used} kB of memory in use, limit is {memory_kb} kB");
     }
 
-    /// Checks that every RPC is answered in time, and that neither cores nor upstream are overloaded.
+    /// Checks that every RPC is answered in time, and that neither the cores nor the upstream are overloaded.
     pub(super) fn check(&self) {
-        for (id, rpc) in self.rpcs.iter().filter(|(_, rpc)| rpc.owed) {
+        for (id, rpc) in self.rpcs.iter().filter(|(_, rpc)| rpc.answer_due) {
             let (deadline, now) = (rpc.deadline, self.now);
-            assert!(now < deadline + SLACK, "{id:?} lost: due {deadline} now {now}");
-            let alive = self.drain.as_ref().is_none_or(|notice| now < notice.kill);
-            assert!(alive, "{id:?} unanswered at the kill");
+            assert!(
+                now < deadline + DEADLINE_TOLERANCE,
+                "{id:?} not answered by its deadline {deadline}, now {now}"
+            );
+            let before_kill = self.drain.as_ref().is_none_or(|notice| now < notice.kill);
+            assert!(before_kill, "{id:?} not answered when the process is killed");
         }
         let elapsed = (self.now as f64 / 1e3 - 5_000.0).min(3_000.0) / 3e3;
         let speed = self.config.cold_speed + (1.0 - self.config.cold_speed) * elapsed;
-        let survivable = (1.0 + (self.config.survivable_per_core - 1.0) * speed) * CORES as f64;
-        assert!(self.mean(2_000 * MS, |load| load.running) <= survivable, "the cores are crowded");
+        let sustainable_rpcs = (1.0 + (self.config.sustainable_rpcs_per_core - 1.0) * speed) * CORES as f64;
+        assert!(
+            self.mean(2_000 * MS, |load| load.running) <= sustainable_rpcs,
+            "more RPCs run than the server sustains"
+        );
         if let Upstream::Shared { quota, window } = self.config.upstream {
-            assert!(self.mean(window, |load| load.calls) <= quota.max(1.0), "the upstream is over its quota");
+            assert!(
+                self.mean(window, |load| load.calls) <= quota.max(1.0),
+                "more calls in flight than the quota of the upstream"
+            );
         }
     }
 
-    /// Mean over a span that ends now.
-    fn mean(&self, span: Us, of: impl Fn(&LoadSample) -> f64) -> f64 {
-        let (from, mut sum, mut until) = (self.now.saturating_sub(span), 0.0, self.now);
+    /// Returns the mean of a value over the last `window`.
+    fn mean(&self, window: Us, value: impl Fn(&LoadSample) -> f64) -> f64 {
+        let (from, mut sum, mut until) = (self.now.saturating_sub(window), 0.0, self.now);
         for sample in self.load.iter().rev() {
             let since = sample.at.max(from);
-            sum += of(sample) * until.saturating_sub(since) as f64;
+            sum += value(sample) * until.saturating_sub(since) as f64;
             until = until.min(since);
         }
-        sum / span as f64
+        sum / window as f64
     }
 }
--- a/src/tests/invariants.rs
+++ b/src/tests/invariants.rs
@@ -1,20 +1,20 @@
-//! Random inputs to random servers, with the invariants checked after every step.
+//! Tests of the invariants, which are checked after every step of random inputs to random servers.
 
 use super::harness::{Harness, ObservedRpc, Position};
 use super::server_config::{ServerConfig, MS};
 use crate::*;
 use quickcheck::{Gen, QuickCheck};
 
-/// Takes one random step: `what` chooses its kind, `n` its details.
-fn step(harness: &mut Harness, what: u8, n: usize) {
-    let span = (n as Us % 40) * MS;
-    match what % 16 {
+/// Takes one random step: `kind` selects the input, `n` its details.
+fn step(harness: &mut Harness, kind: u8, n: usize) {
+    let duration = (n as Us % 40) * MS;
+    match kind % 16 {
         0..=4 => {
-            let patience = [40, 300, 1_500][n % 3] * MS;
-            harness.read(n % 2, n as u64 % 3, span.min(30 * MS), patience, None);
+            let timeout = [40, 300, 1_500][n % 3] * MS;
+            harness.read(n % 2, n as u64 % 3, duration.min(30 * MS), timeout, None);
         }
         5 => repeat_keyed(harness, n),
-        6..=8 => end_some_run(harness, n),
+        6..=8 => end_nth_run(harness, n),
         9 | 10 => {
             let running = harness.nth_open(n, |rpc| rpc.position == Position::Running);
             if let Some(id) = running.filter(|_| harness.config.upstream != Upstream::Absent) {
@@ -28,23 +28,24 @@
             }
         }
         12 => {
-            let abandoned = |rpc: &ObservedRpc| !rpc.owed && rpc.position == Position::WaitingToCall;
-            if let Some(id) = harness.nth_open(n, abandoned) {
+            let without_caller =
+                |rpc: &ObservedRpc| !rpc.answer_due && rpc.position == Position::WaitingToCall;
+            if let Some(id) = harness.nth_open(n, without_caller) {
                 harness.end_run(id, RunEnd::Stopped);
             }
-            if let Some(id) = harness.nth_open(n, |rpc| rpc.owed).filter(|_| n.is_multiple_of(3)) {
+            if let Some(id) = harness.nth_open(n, |rpc| rpc.answer_due).filter(|_| n.is_multiple_of(3)) {
                 harness.cancel(id);
             }
         }
         13 if harness.drain.is_none() && n.is_multiple_of(10) => {
             harness.notify_drain(harness.now + [600, 3_000][n / 10 % 2] * MS);
         }
-        _ => harness.pass(span),
+        _ => harness.advance(duration),
     }
     harness.check();
 }
 
-/// A queued keyed RPC is sent again.
+/// Reads a repetition of a queued keyed RPC.
 fn repeat_keyed(harness: &mut Harness, n: usize) {
     let keyed = |rpc: &ObservedRpc| {
         harness.config.idempotency[rpc.method] == Idempotency::Keyed && rpc.position == Position::Queued
@@ -55,9 +56,10 @@
     }
 }
 
-fn end_some_run(harness: &mut Harness, n: usize) {
+/// Ends one of the running RPCs.
+fn end_nth_run(harness: &mut Harness, n: usize) {
     if let Some(id) = harness.nth_open(n, |rpc| rpc.position == Position::Running) {
-        let answered = !harness.rpcs[&id].owed;
+        let answered = !harness.rpcs[&id].answer_due;
         let end = if n.is_multiple_of(7) { RunEnd::Aborted } else { RunEnd::Ok };
         harness.end_run(id, if answered { RunEnd::Stopped } else { end });
     }
@@ -68,10 +70,10 @@
     fn holds(seed: u64, steps: Vec<(u8, u16)>) -> bool {
         let mut g = Gen::from_size_and_seed(10, seed);
         let mut harness = Harness::new(ServerConfig::random(&mut g), seed);
-        for (what, n) in &steps {
-            step(&mut harness, *what, usize::from(*n));
+        for (kind, n) in &steps {
+            step(&mut harness, *kind, usize::from(*n));
         }
-        harness.pass(4_000 * MS);
+        harness.advance(4_000 * MS);
         harness.check();
         true
     }
--- a/src/tests/mod.rs
+++ b/src/tests/mod.rs
@@ -1,5 +1,5 @@
-//! Tests of the decision module, a file for each concern. Most play a whole server in memory (`harness.rs`) or a bare
-//! `Control` (`fixtures.rs`).
+//! Tests of the decision module, one file per subject. Most of them simulate a whole server in memory (`harness.rs`) or
+//! drive a `Control` directly (`fixtures.rs`).
 
 mod accounts;
 mod admission;
--- a/src/tests/restore.rs
+++ b/src/tests/restore.rs
@@ -1,4 +1,4 @@
-//! What a server has learned, handed out and restored.
+//! Tests of the export and restoration of learned values.
 
 use super::fixtures::{control_with, read_rpc};
 use super::server_config::MS;
@@ -14,7 +14,7 @@
     }
     let mut learned = control.learned_state();
     assert!((learned.costs[0].mean - 8_000.0).abs() < 3_500.0 && learned.costs[0].runs > 30.0, "{learned:?}");
-    assert_eq!((learned.costs[1].runs, learned.accounts.len()), (0.0, 2), "the second was never run");
+    assert_eq!((learned.costs[1].runs, learned.accounts.len()), (0.0, 2), "the second method was never run");
     learned.call_failures = 9;
     learned.accounts = vec![LearnedBalance { caller: CallerId(5), ratio: 0.25 }];
     learned.tenants = vec![LearnedAllowance { tenant: 0, rpcs: 2.0 }];
@@ -29,7 +29,11 @@
     );
     assert!(!fresh.status().breaker_open);
     read_rpc(&mut fresh, MS, 1, 0);
-    assert_eq!(fresh.call_needed(2 * MS, RpcId::from_number(1)).calls.len(), 1, "calls are placed at once");
+    assert_eq!(
+        fresh.call_needed(2 * MS, RpcId::from_number(1)).calls.len(),
+        1,
+        "a call must be made at once after a restart"
+    );
     fresh.call_ended(3 * MS, RpcId::from_number(1), CallEnd::TimedOut);
-    assert!(fresh.status().breaker_open, "and one failure opens it again");
+    assert!(fresh.status().breaker_open, "one failure must open the breaker again");
 }
--- a/src/tests/server_config.rs
+++ b/src/tests/server_config.rs
@@ -1,4 +1,4 @@
-//! The servers that the tests of this folder play, fixed or drawn at random.
+//! Configurations of the servers that the tests simulate, fixed or random.
 
 use crate::*;
 use quickcheck::Gen;
@@ -6,23 +6,24 @@
 pub(super) const MS: Us = 1_000;
 /// Time between two inputs.
 pub(super) const STEP: Us = 2 * MS;
-/// How long after a drain's notice arrivals are still served.
+/// Time after a shutdown notice for which arrivals are served.
 pub(super) const GRACE: Us = 400 * MS;
 pub(super) const CORES: usize = 4;
 /// The latency target of all methods.
 pub(super) const TARGET: Us = 500 * MS;
-/// How long an abandoned call may go on upstream.
+/// Time for which an abandoned call may still run upstream.
 pub(super) const LINGER: Us = 200 * MS;
-/// Memory of a queued RPC, and its factor once it runs.
+/// Memory of a queued RPC.
 pub(super) const RPC_KB: f64 = 10.0;
+/// Factor on the memory of an RPC while it runs.
 pub(super) const RUN_FACTOR: f64 = 4.0;
 /// Memory of a retained key.
 pub(super) const KEY_KB: f64 = 3.0;
 
-/// What differs among the servers.
+/// Settings in which the servers differ.
 #[derive(Clone, Debug)]
 pub(super) struct ServerConfig {
-    /// Of each method.
+    /// Idempotency of each method.
     pub(super) idempotency: Vec<Idempotency>,
     pub(super) skip_value: f64,
     pub(super) late_value: f64,
@@ -30,9 +31,9 @@
     pub(super) upstream: Upstream,
     pub(super) feedback: FeedbackMode,
     pub(super) cold_speed: f64,
-    pub(super) survivable_per_core: f64,
+    pub(super) sustainable_rpcs_per_core: f64,
     pub(super) memory_kb: f64,
-    /// Callers send their deadline.
+    /// Whether callers send their deadline.
     pub(super) sends_deadline: bool,
 }
 
@@ -46,7 +47,7 @@
             upstream: Upstream::Absent,
             feedback: FeedbackMode::Credit,
             cold_speed: 1.0,
-            survivable_per_core: 8.0,
+            sustainable_rpcs_per_core: 8.0,
             memory_kb: 1e6,
             sends_deadline: true,
         }
@@ -72,7 +73,7 @@
             upstream: *g.choose(&upstreams).unwrap(),
             feedback: *g.choose(&modes).unwrap(),
             cold_speed: *g.choose(&[0.2, 1.0]).unwrap(),
-            survivable_per_core: *g.choose(&[3.0, 8.0]).unwrap(),
+            sustainable_rpcs_per_core: *g.choose(&[3.0, 8.0]).unwrap(),
             memory_kb: *g.choose(&[150.0, 400.0, 1e6]).unwrap(),
             sends_deadline: *g.choose(&[true, true, false]).unwrap(),
         }
@@ -96,7 +97,7 @@
             concurrency: ConcurrencyLimit::new(
                 now,
                 CORES,
-                self.survivable_per_core,
+                self.sustainable_rpcs_per_core,
                 self.cold_speed,
                 3_000 * MS,
             ),
--- a/src/tests/staged_table.rs
+++ b/src/tests/staged_table.rs
@@ -1,27 +1,27 @@
-//! Staged tables and the tournament tree.
+//! Tests of staged tables and the tournament tree.
 
 use crate::max_tree::MaxTree;
 use crate::*;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
-/// Staging and changes at random against a plain map of what is in force.
+/// Compares random staging and commits with plain maps of the values in force.
 #[test]
-fn staged_values_show_only_after_commit_and_max_tree_is_the_greatest() {
+fn staged_values_are_visible_only_after_commit_and_the_max_tree_returns_their_maximum() {
     for seed in 0..2_000 {
         let mut random = WyRand::new_seed(seed);
-        let (mut staged, mut greatest) = (StagedTable::new([1.0, 2.0]), MaxTree::new([1.0, 2.0]));
+        let (mut staged, mut max_tree) = (StagedTable::new([1.0, 2.0]), MaxTree::new([1.0, 2.0]));
         let mut current = BTreeMap::from([(0, 1.0), (1, 2.0)]);
         let (mut latest, mut next) = (current.clone(), current.clone());
         for _ in 0..60 {
             let index = random.generate_range(0..12_usize);
             if random.generate_range(0..8) == 0 {
                 staged.commit();
-                greatest.commit();
+                max_tree.commit();
                 current = next.clone();
                 latest.extend(current.clone());
             } else {
-                // A value, a removal, or the way back to what is in force.
+                // Stage a new value, a removal, or the value in force.
                 let value = match random.generate_range(0..4) {
                     0 => None,
                     1 => current.get(&index).copied(),
@@ -32,15 +32,15 @@
                     Some(value) => _ = next.insert(index, value),
                     None => _ = next.remove(&index),
                 }
-                greatest.set(index, current.get(&index).copied(), value);
+                max_tree.set(index, current.get(&index).copied(), value);
             }
             for index in 0..13 {
                 assert_eq!(staged.get(index), current.get(&index), "seed {seed}");
                 assert_eq!(staged.latest(index), latest.get(&index), "seed {seed}");
                 assert_eq!(staged.next(index), next.get(&index), "seed {seed}");
             }
-            let fold = current.values().copied().fold(f64::NEG_INFINITY, f64::max);
-            assert_eq!(greatest.greatest().to_bits(), fold.to_bits(), "seed {seed}");
+            let expected_max = current.values().copied().fold(f64::NEG_INFINITY, f64::max);
+            assert_eq!(max_tree.max().to_bits(), expected_max.to_bits(), "seed {seed}");
         }
     }
 }
--- a/src/tests/upstream.rs
+++ b/src/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstream calls: breaker, skipping, recovery limits and retry budget.
+//! Tests of upstream calls: breaker, skipping, recovery limits and retry budget.
 
 use super::fixtures::{calls_placed, control_with, read_rpc};
 use super::harness::{Harness, Position};
@@ -6,18 +6,18 @@
 use crate::*;
 
 #[test]
-fn breaker_opens_after_consecutive_failures_and_closes_by_a_single_trial() {
+fn breaker_opens_after_consecutive_failures_and_closes_after_a_successful_trial_call() {
     let mut calls = UpstreamCalls::new(Upstream::Tier, 4, 0, 500 * MS);
     let id = RpcId::new("a").unwrap();
     for _ in 0..20 {
-        calls.call_ended(0, id, CallEnd::Aborted, 0.5);
+        calls.record_call_end(0, id, CallEnd::Aborted, 0.5);
     }
     assert!(calls.breaker_open(100 * MS) && !calls.breaker_open(400 * MS));
-    calls.trial = Some(id);
-    assert!(calls.breaker_open(400 * MS), "one trial at a time");
-    calls.call_ended(400 * MS, id, CallEnd::TimedOut, 0.5);
-    assert!(calls.breaker_open(500 * MS), "a failed trial opens it again");
-    calls.call_ended(900 * MS, id, CallEnd::Ok, 0.5);
+    calls.trial_call = Some(id);
+    assert!(calls.breaker_open(400 * MS), "only one trial call must be in flight");
+    calls.record_call_end(400 * MS, id, CallEnd::TimedOut, 0.5);
+    assert!(calls.breaker_open(500 * MS), "a failed trial call must open the breaker again");
+    calls.record_call_end(900 * MS, id, CallEnd::Ok, 0.5);
     assert!(!calls.breaker_open(900 * MS));
 }
 
@@ -28,8 +28,12 @@
     let id = harness.read(0, 0, 0, 1_500 * MS, None);
     harness.need_call(id);
     assert!(matches!(harness.rpcs[&id].position, Position::Calling(_)));
-    harness.pass(490 * MS);
-    assert_eq!(harness.rpcs[&id].position, Position::Running, "skipped before the latency target");
+    harness.advance(490 * MS);
+    assert_eq!(
+        harness.rpcs[&id].position,
+        Position::Running,
+        "the call must be skipped before the latency target"
+    );
 }
 
 #[test]
@@ -38,10 +42,14 @@
     let running = harness.read_many(CORES + 1);
     let queued = [harness.read(0, 1, 0, 1_500 * MS, None), harness.read(0, 2, 0, 1_500 * MS, None)];
     harness.need_call(running[0]);
-    assert_eq!(harness.rpcs[&queued[0]].position, Position::Queued, "half a run has left the cores");
+    assert_eq!(
+        harness.rpcs[&queued[0]].position,
+        Position::Queued,
+        "a call in flight still counts as half a run"
+    );
     harness.need_call(running[1]);
     let started = queued.iter().filter(|id| harness.rpcs[*id].position == Position::Running).count();
-    assert_eq!(started, 1, "two halves leave capacity for one");
+    assert_eq!(started, 1, "two calls in flight must free capacity for one run");
 }
 
 #[test]
@@ -52,7 +60,7 @@
         harness.need_call(id);
         harness.cancel(id);
         harness.end_run(id, RunEnd::Stopped);
-        harness.pass(250 * MS);
+        harness.advance(250 * MS);
     }
     let next = harness.read(0, 0, 0, 1_500 * MS, None);
     harness.need_call(next);
@@ -75,13 +83,13 @@
     assert_eq!(
         answers,
         [Reply { id: RpcId::from_number(2), answer: Answer::Aborted }],
-        "once, and it is over"
+        "the RPC must be answered exactly once"
     );
     assert!(control.timer_fired(901 * MS, Gauges::default()).answers.is_empty());
 }
 
 #[test]
-fn recovery_limit_bounds_calls_and_releases_them_as_it_grows() {
+fn recovery_limit_bounds_calls_and_permits_more_as_it_grows() {
     let mut control = control_with(0, &[1.0], 8, 1e6);
     control.set_recovery_limits(0, RecoveryLimits { calls_in_flight: 2.0, ..RecoveryLimits::NONE });
     assert_eq!(calls_placed(&mut control, 0, 1..7), 2);
@@ -94,20 +102,20 @@
         1
     );
     assert_eq!(control.set_recovery_limits(2 * MS, RecoveryLimits::NONE).calls.len(), 3);
-    // Never none at all, or nothing could tell that the upstream is back.
+    // At least one call is permitted, or the server could not detect that the upstream has recovered.
     let mut control = control_with(0, &[1.0], 8, 1e6);
     control.set_recovery_limits(0, RecoveryLimits { calls_in_flight: 0.0, ..RecoveryLimits::NONE });
     assert_eq!(calls_placed(&mut control, 0, 1..3), 1);
 }
 
 #[test]
-fn call_retries_stay_within_the_budget_and_the_rest_are_skipped() {
+fn call_retries_stay_within_the_budget_and_other_calls_are_skipped() {
     let retries = |budget: f64| {
         let mut control = control_with(0, &[1.0], 8, 1e6);
         control.set_recovery_limits(0, RecoveryLimits { retry_ratio: budget, ..RecoveryLimits::NONE });
         let mut retried = 0;
         for n in 1..=40 {
-            // One whose call goes well comes first, so that the breaker stays closed.
+            // An RPC with a successful call precedes each failure, so that the breaker stays closed.
             let (now, other) = (n * 10 * MS, RpcId::from_number(100 + n));
             read_rpc(&mut control, now, 100 + n, 0);
             control.call_needed(now, other);
@@ -117,7 +125,11 @@
             control.call_needed(now, RpcId::from_number(n));
             let outcome = control.call_ended(now + MS, RpcId::from_number(n), CallEnd::Rejected);
             retried += outcome.calls.len();
-            assert_eq!(outcome.calls.len() + outcome.skipped_calls.len(), 1, "retried, or skipped");
+            assert_eq!(
+                outcome.calls.len() + outcome.skipped_calls.len(),
+                1,
+                "the call must be either retried or skipped"
+            );
             if outcome.calls.len() == 1 {
                 control.call_ended(now + 2 * MS, RpcId::from_number(n), CallEnd::Ok);
             }
@@ -126,6 +138,9 @@
         retried
     };
     assert_eq!(retries(f64::INFINITY), 40);
-    let few = retries(0.1);
-    assert!((8..=12).contains(&few), "three, and one for each ten of 80 calls: {few}");
+    let limited = retries(0.1);
+    assert!(
+        (8..=12).contains(&limited),
+        "expected 3 retries plus one for every 10 of 80 calls, found {limited}"
+    );
 }
--- a/src/tuning.rs
+++ b/src/tuning.rs
@@ -1,24 +1,25 @@
-//! Tuned values that several decisions share. A value that one decision uses stands beside it.
+//! Constants that several decisions share. A constant that a single decision uses is defined next to it.
 
 use crate::ids::Us;
 
-/// Fraction made use of, of whatever limit the server, its memory or its upstream survives.
+/// Fraction that is used of each limit that the server, its memory or its upstream sustains.
 pub(crate) const SAFETY_FACTOR: f64 = 0.8;
 
-/// Callers seen within this time are active and share the target (the source's last second). In microseconds.
+/// Time within which a caller must have been seen to be active and share the target, as in the published design.
 pub(crate) const ACTIVITY_WINDOW: Us = 1_000_000;
 
-/// Periodic adjustments in one activity window.
+/// Number of periodic adjustments in one activity window.
 pub(crate) const TICKS_PER_WINDOW: u64 = 10;
 
-/// Time between periodic adjustments, in microseconds.
+/// Time between periodic adjustments.
 pub(crate) const TICK_INTERVAL: Us = ACTIVITY_WINDOW / TICKS_PER_WINDOW;
 
-/// max_cost over the mean cost. A slowdown within it may be chance, as work varies by its mean.
+/// Ratio of max_cost to the mean cost. A slowdown within it may be random variation, as the work of an RPC varies by
+/// its mean.
 pub(crate) const COST_SPREAD: f64 = 1.6;
 
-/// Multiples of the highest max_cost without a run ending after which the server is broken, not just busy.
+/// Multiple of the highest max_cost without a run ending after which the server is stalled instead of merely busy.
 pub(crate) const STALL_FACTOR: f64 = 5.0;
 
-/// Runs of any method that the server's slowdown remembers.
-pub(crate) const SLOWDOWN_MEMORY: f64 = 12.0;
+/// Number of runs of any method over which the slowdown is averaged.
+pub(crate) const SLOWDOWN_SAMPLES: f64 = 12.0;
