--- a/simulator/src/batch.rs
+++ b/simulator/src/batch.rs
@@ -1,7 +1,7 @@
-//! One batch: a line of items in, a reply of actions out.
+//! Processing of one batch: a line of items is the request, a list of actions the reply.
 
-use crate::decode::feed;
-use crate::encode::encode;
+use crate::decode::apply_item;
+use crate::encode::push_actions;
 use crate::error::WireError;
 use crate::instance::Instance;
 use asterrill::Us;
@@ -12,11 +12,11 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// All instances, by their number on the wire.
+/// All instances by their number on the wire.
 pub type Instances = BTreeMap<u64, Instance>;
 
-/// Plays one batch and returns the reply.
-pub fn answer(line: &str, instances: &mut Instances) -> Result<Value, WireError> {
+/// Processes one batch and returns the reply.
+pub fn process_batch(line: &str, instances: &mut Instances) -> Result<Value, WireError> {
     let batch: Value = serde_json::from_str(line)?;
     let number = integer(&batch, "n")?;
     let now = time(&batch, "TimeMs")?;
@@ -24,13 +24,15 @@
     let items = items.ok_or_else(|| SettingsError::invalid_field("items"))?;
     let mut actions = Vec::new();
     for item in items {
-        play(now, item, instances, &mut actions)?;
+        process_item(now, item, instances, &mut actions)?;
     }
     Ok(json!({"n": number, "output": actions}))
 }
 
-/// Plays one item.
-fn play(now: Us, item: &Value, instances: &mut Instances, actions: &mut Vec<Value>) -> Result<(), WireError> {
+/// Processes one item and appends its actions.
+fn process_item(
+    now: Us, item: &Value, instances: &mut Instances, actions: &mut Vec<Value>,
+) -> Result<(), WireError> {
     let kind = text(item, "kind")?;
     let number = integer(item, "I")?;
     match kind {
@@ -47,9 +49,10 @@
     let instance = instances
         .get_mut(&number)
         .ok_or_else(|| WireError::NotStarted { kind: kind.into(), instance: number })?;
-    // A panic in the decision module must not look like a silent adapter.
-    match catch_unwind(AssertUnwindSafe(|| feed(now, kind, item, instance))) {
-        Ok(outcome) => encode(number, &outcome?, actions),
+    // A panic in the decision module is reported as an action, so that the simulator doesn't see an adapter that exits
+    // without a reply.
+    match catch_unwind(AssertUnwindSafe(|| apply_item(now, kind, item, instance))) {
+        Ok(outcome) => push_actions(number, &outcome?, actions),
         Err(panic) => {
             let message = panic_message(panic.as_ref());
             actions.push(json!({"kind": "Broken", "I": number, "Words": message}));
--- a/simulator/src/decode.rs
+++ b/simulator/src/decode.rs
@@ -1,4 +1,4 @@
-//! Items of a batch, decoded into inputs of the decision module. The wire's names end here.
+//! Decoding of batch items into inputs of the decision module, whose API doesn't use the names of the wire.
 
 use crate::error::WireError;
 use crate::instance::Instance;
@@ -9,8 +9,8 @@
 use asterrill_settings::SettingsError;
 use serde_json::Value;
 
-/// Feeds one item to its instance and returns what the decision module makes of it.
-pub fn feed(now: Us, kind: &str, item: &Value, instance: &mut Instance) -> Result<Outcome, WireError> {
+/// Applies one item to its instance and returns the outcome.
+pub fn apply_item(now: Us, kind: &str, item: &Value, instance: &mut Instance) -> Result<Outcome, WireError> {
     Ok(match kind {
         "NewInstance" => instance.control.start(),
         "JobIn" => {
--- a/simulator/src/instance.rs
+++ b/simulator/src/instance.rs
@@ -1,4 +1,4 @@
-//! One server: its decision module, and the ids behind the names that the wire gives.
+//! One simulated server: its decision module, and the ids of the method and tenant names on the wire.
 
 use crate::error::WireError;
 use asterrill::{Control, MethodId, Us};
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// One server.
+/// One simulated server.
 pub struct Instance {
     pub(crate) control: Control,
     methods: BTreeMap<Name, MethodId>,
@@ -16,7 +16,7 @@
 }
 
 impl Instance {
-    /// Makes a server from its `NewInstance` item.
+    /// Creates a server from its `NewInstance` item.
     pub fn new(now: Us, item: &Value) -> Result<Instance, WireError> {
         let (seed, settings) = (integer(item, "Nonce64")?, object(item, "Params")?);
         let server = server_parts_from_json(now, seed, settings, None)?;
@@ -29,12 +29,12 @@
         })
     }
 
-    /// The method of this name.
+    /// Returns the method of this name.
     pub fn method(&self, name: &str) -> Result<MethodId, WireError> {
         self.methods.get(name).copied().ok_or_else(|| WireError::UnknownMethod(name.into()))
     }
 
-    /// The tenant of this name, if the settings have it.
+    /// Returns the tenant of this name, if the settings contain it.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.get(name).copied()
     }
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -1,5 +1,7 @@
-//! Wire adapter: decodes batches into inputs of the decision module and encodes what it hands back. It decides nothing.
-//! A batch is a line of JSON on standard input; each gets a reply, flushed, on standard output; the adapter ends with
+//! JSON adapter for the decision module.
+//!
+//! It decodes batches into inputs and encodes the outcomes, and makes no decisions itself. A batch is a line of JSON on
+//! standard input. Each batch gets one reply line on standard output, which is flushed. The adapter exits at the end of
 //! its input.
 
 mod batch;
@@ -8,12 +10,12 @@
 mod error;
 mod instance;
 
-use batch::{answer, Instances};
+use batch::{process_batch, Instances};
 use error::WireError;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-fn serve() -> Result<(), WireError> {
+fn run() -> Result<(), WireError> {
     let mut instances = Instances::new();
     let mut out = io::BufWriter::new(io::stdout().lock());
     for line in io::stdin().lock().lines() {
@@ -21,7 +23,7 @@
         if line.trim().is_empty() {
             continue;
         }
-        let reply = answer(&line, &mut instances)?;
+        let reply = process_batch(&line, &mut instances)?;
         serde_json::to_writer(&mut out, &reply).map_err(io::Error::from)?;
         out.write_all(b"\n")?;
         out.flush()?;
@@ -30,7 +32,7 @@
 }
 
 fn main() -> ExitCode {
-    match serve() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("asterrill-drill: {error}");
