--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,24 +1,28 @@
-//! What a cold server publishes to all its callers together, against the crowd that it survives at that moment: played
-//! over 1,000 seeds, with callers it has not met yet, callers that restart and forget, and several cold servers at once.
+//! Tests that a cold server never publishes more credit to all its callers together than the RPCs that it sustains at
+//! that time.
+//!
+//! The simulation covers 1,000 seeds, callers that the server has not seen yet, callers that restart and lose their
+//! credit, and several cold servers at once.
 
 use asterrill::*;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
 const MS: Us = 1_000;
-/// Time between two looks at a server.
+/// Time between two steps of the simulation.
 const STEP: Us = 5 * MS;
-/// How long the slow start is played.
-const PLAYED: Us = 3_000 * MS;
-/// A caller remembers a published credit for so long.
+/// Simulated duration of the slow start.
+const SIMULATED_TIME: Us = 3_000 * MS;
+/// Time after which a caller discards a published credit.
 const CREDIT_LIFETIME: Us = 1_000 * MS;
-const TARGET: Us = 800 * MS;
+/// Latency target of the only method.
+const LATENCY_TARGET: Us = 800 * MS;
 
-/// The settings of a server, as far as its slow start goes.
+/// The settings of a server's slow start.
 #[derive(Clone, Copy, Debug)]
 struct SlowStart {
     cores: usize,
-    survivable_per_core: f64,
+    sustainable_rpcs_per_core: f64,
     cold_speed: f64,
     duration: Us,
 }
@@ -27,22 +31,22 @@
     fn random(random: &mut WyRand) -> SlowStart {
         SlowStart {
             cores: [2, 4, 6][random.generate_range(0..3_usize)],
-            survivable_per_core: [5.0, 6.0, 8.0][random.generate_range(0..3_usize)],
+            sustainable_rpcs_per_core: [5.0, 6.0, 8.0][random.generate_range(0..3_usize)],
             cold_speed: [0.2, 0.3, 0.5][random.generate_range(0..3_usize)],
             duration: [5_000, 17_000][random.generate_range(0..2_usize)] * MS,
         }
     }
 
-    /// RPCs that the server survives at that time since its start.
-    fn budget(&self, at: Us) -> f64 {
+    /// Returns the number of running RPCs that the server sustains at a time after its start.
+    fn sustainable_rpcs(&self, at: Us) -> f64 {
         let warmed = (at as f64 / self.duration as f64).min(1.0);
         let speed = self.cold_speed + (1.0 - self.cold_speed) * warmed;
-        (1.0 + (self.survivable_per_core - 1.0) * speed) * self.cores as f64
+        (1.0 + (self.sustainable_rpcs_per_core - 1.0) * speed) * self.cores as f64
     }
 
     fn control(&self, seed: u64, callers: usize) -> Control {
         let method = Method {
-            latency_target: TARGET,
+            latency_target: LATENCY_TARGET,
             deadline: 2_000 * MS,
             idempotency: Idempotency::Idempotent,
             criticality: 1.0,
@@ -50,29 +54,29 @@
             idempotency_window: 0,
             skip_value_ratio: 0.0,
         };
-        let SlowStart { cores, survivable_per_core, cold_speed, duration } = *self;
+        let SlowStart { cores, sustainable_rpcs_per_core, cold_speed, duration } = *self;
         let parts = ControlParts {
             step: 4 * MS,
             stop_mode: StopMode::Abort,
             methods: vec![method],
-            accounts: CallerAccounts::new(TARGET, callers),
-            concurrency: ConcurrencyLimit::new(0, cores, survivable_per_core, cold_speed, duration),
-            calls: UpstreamCalls::new(Upstream::Absent, cores, 0, TARGET),
+            accounts: CallerAccounts::new(LATENCY_TARGET, callers),
+            concurrency: ConcurrencyLimit::new(0, cores, sustainable_rpcs_per_core, cold_speed, duration),
+            calls: UpstreamCalls::new(Upstream::Absent, cores, 0, LATENCY_TARGET),
             keys: IdempotencyKeys::new(0.0, 0),
             memory: MemoryBudget::new(1e9, 4.0),
             drain: Drain::new(1_000 * MS),
-            feedback: CallerFeedback::new(FeedbackMode::Credit, 1_000 * MS, TARGET, 30_000 * MS),
+            feedback: CallerFeedback::new(FeedbackMode::Credit, 1_000 * MS, LATENCY_TARGET, 30_000 * MS),
             quotas: TenantQuotas::new(&[], 3, 1.0),
         };
         Control::new(0, seed, parts)
     }
 }
 
-/// A cold server with what it runs and owes.
+/// A cold server with its running and unanswered RPCs.
 struct Server {
     control: Control,
     credit: f64,
-    /// Runs by their end, with a random number that tells equal ones apart.
+    /// Runs by their end time, with a random number that makes equal times distinct.
     run_ends: BTreeMap<(Us, u64), RpcId>,
     wakes: Vec<Us>,
     /// The caller of each open RPC.
@@ -88,10 +92,10 @@
         server
     }
 
-    /// Carries an outcome out and returns the callers that got an answer.
+    /// Carries out an outcome and returns the callers of the answered RPCs.
     fn apply(&mut self, now: Us, random: &mut WyRand, outcome: Outcome) -> Vec<usize> {
         self.credit = outcome.credit.unwrap_or(self.credit);
-        self.wakes.extend(outcome.wake_after.map(|span| now + span));
+        self.wakes.extend(outcome.wake_after.map(|delay| now + delay));
         for id in outcome.starts {
             let work = 60 * MS + random.generate_range(0..400 * MS);
             self.run_ends.insert((now + work, random.generate()), id);
@@ -99,7 +103,7 @@
         outcome.answers.into_iter().filter_map(|reply| self.callers.remove(&reply.id)).collect()
     }
 
-    /// Ends the runs that are over and fires the timers. Returns the callers that got an answer.
+    /// Ends the runs that are due and fires the timers. Returns the callers of the answered RPCs.
     fn advance(&mut self, now: Us, random: &mut WyRand) -> Vec<usize> {
         let mut answered = Vec::new();
         while let Some(run) = self.run_ends.first_entry().filter(|run| run.key().0 <= now) {
@@ -117,7 +121,7 @@
         answered
     }
 
-    /// Reads an RPC and returns the callers that got an answer at once.
+    /// Reads an RPC and returns the callers of RPCs that are answered at once.
     fn read(&mut self, now: Us, random: &mut WyRand, number: u64, caller: usize) -> Vec<usize> {
         let id = RpcId::from_number(number);
         self.callers.insert(id, caller);
@@ -136,27 +140,27 @@
     }
 }
 
-/// A credit as a caller received it.
+/// A credit as received by a caller.
 #[derive(Clone, Copy)]
 struct ReceivedCredit {
     published: f64,
-    /// RPCs that the caller may have outstanding: the credit with its fraction rounded at random.
+    /// Number of RPCs that the caller may have outstanding: the credit, rounded up or down at random.
     limit: usize,
     at: Us,
 }
 
-/// A caller as seen from one server.
+/// The state of a caller towards one server.
 #[derive(Clone, Default)]
 struct Caller {
     credit: Option<ReceivedCredit>,
-    /// RPCs outstanding that were sent under a credit.
+    /// Number of outstanding RPCs that were sent with a credit.
     outstanding: usize,
-    /// RPCs outstanding that were sent without one.
+    /// Number of outstanding RPCs that were sent without a credit.
     outstanding_without_credit: usize,
 }
 
 impl Caller {
-    /// An answer comes, with the credit that every answer carries.
+    /// Receives an answer and the credit that it carries.
     fn receive_answer(&mut self, now: Us, published: f64, random: &mut WyRand) {
         match self.outstanding {
             0 => self.outstanding_without_credit = self.outstanding_without_credit.saturating_sub(1),
@@ -167,15 +171,15 @@
         self.credit = Some(ReceivedCredit { published, limit, at: now });
     }
 
-    /// Forgets an old credit; a caller that restarts forgets any.
-    fn age_credit(&mut self, now: Us, random: &mut WyRand) {
+    /// Discards an expired credit. A caller restarts at random, which discards any credit.
+    fn expire_credit(&mut self, now: Us, random: &mut WyRand) {
         self.credit = self.credit.filter(|credit| credit.at + CREDIT_LIFETIME > now);
         if random.generate_range(0..2_000_u32) == 0 {
             self.credit = None;
         }
     }
 
-    /// Sends one more RPC, if it may and wants to. One without a credit sends seldom.
+    /// Decides whether to send one more RPC, and counts it. A caller without a credit sends rarely.
     fn sends(&mut self, random: &mut WyRand) -> bool {
         match self.credit {
             Some(credit) => {
@@ -193,22 +197,23 @@
     }
 }
 
-/// Checks one server against its budget. Returns the excess of what is outstanding under a credit, in roots of it.
-fn check_budget(seed: u64, now: Us, budget: f64, callers: &[Caller]) -> f64 {
+/// Checks one server against the RPCs that it sustains. Returns the excess of RPCs outstanding with a credit, in
+/// multiples of the square root of that limit.
+fn check_outstanding(seed: u64, now: Us, limit: f64, callers: &[Caller]) -> f64 {
     let published: f64 =
         callers.iter().filter_map(|caller| caller.credit).map(|credit| credit.published).sum();
-    assert!(published <= budget, "seed {seed}: credits of {published} for {budget} at {now}");
+    assert!(published <= limit, "seed {seed}: credits sum to {published}, limit is {limit} at {now}");
     let outstanding: usize = callers.iter().map(|caller| caller.outstanding).sum();
     assert!(
-        outstanding as f64 <= budget + 2.0 * budget.sqrt() + 2.0,
-        "seed {seed}: {outstanding} outstanding of {budget} at {now}, {} callers",
+        outstanding as f64 <= limit + 2.0 * limit.sqrt() + 2.0,
+        "seed {seed}: {outstanding} RPCs outstanding, limit is {limit} at {now}, {} callers",
         callers.len()
     );
-    (outstanding as f64 - budget) / budget.sqrt()
+    (outstanding as f64 - limit) / limit.sqrt()
 }
 
-/// Plays one draw. Returns the worst excess of what is outstanding over the budget, in roots of it.
-fn play(seed: u64, callers: usize, expected_callers: usize) -> f64 {
+/// Simulates one seed. Returns the highest excess of outstanding RPCs, in multiples of the square root of the limit.
+fn simulate(seed: u64, callers: usize, expected_callers: usize) -> f64 {
     let mut random = WyRand::new_seed(seed);
     let slow_start = SlowStart::random(&mut random);
     let count = random.generate_range(1..4_usize);
@@ -218,14 +223,14 @@
         servers.push((Server::start(control, &mut random), vec![Caller::default(); callers]));
     }
     let (mut now, mut rpcs, mut worst) = (0, 0, f64::MIN);
-    while now < PLAYED {
+    while now < SIMULATED_TIME {
         now += STEP;
         for (server, callers) in &mut servers {
             for caller in server.advance(now, &mut random) {
                 callers[caller].receive_answer(now, server.credit, &mut random);
             }
             for sender in 0..callers.len() {
-                callers[sender].age_credit(now, &mut random);
+                callers[sender].expire_credit(now, &mut random);
                 if !callers[sender].sends(&mut random) {
                     continue;
                 }
@@ -234,25 +239,25 @@
                     callers[caller].receive_answer(now, server.credit, &mut random);
                 }
             }
-            worst = worst.max(check_budget(seed, now, slow_start.budget(now), callers));
+            worst = worst.max(check_outstanding(seed, now, slow_start.sustainable_rpcs(now), callers));
         }
     }
     worst
 }
 
 #[test]
-fn outstanding_rpcs_at_a_cold_server_stay_within_what_it_survives() {
+fn outstanding_rpcs_of_a_cold_server_stay_within_what_it_sustains() {
     let mut worst = f64::MIN;
     for seed in 0..1_000 {
         let callers = [3, 20, 30][seed as usize % 3];
-        worst = worst.max(play(seed, callers, callers));
+        worst = worst.max(simulate(seed, callers, callers));
     }
-    println!("the most outstanding over the budget, in roots of it: {worst:.2}");
-    assert!(worst > -3.0, "nobody came near the budget: {worst}");
+    println!("highest excess of outstanding RPCs, in square roots of the limit: {worst:.2}");
+    assert!(worst > -3.0, "no server came near the limit: highest excess is {worst}");
 }
 
 #[test]
 fn more_callers_than_expected_share_the_credit_once_they_are_seen() {
-    // Fewer were expected at the start: the bound is met by those seen in the last second.
-    (0..200).for_each(|seed| _ = play(seed, 12, 10));
+    // Fewer callers than these are expected at the start, so the credit has to adapt to those seen in the last second.
+    (0..200).for_each(|seed| _ = simulate(seed, 12, 10));
 }
