--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,7 +1,8 @@
 //! Tests that a cold server never publishes more credit to all its callers together than the RPCs that it sustains at
 //! that time.
 //!
-//! The simulation covers 1,000 seeds, callers that the server has not seen yet, callers that restart and lose their
+//! Callers round their credit at random, so the RPCs that are outstanding may exceed that limit by a small multiple of
+//! its square root. The simulation covers 1,000 seeds, callers that the server has not seen yet, callers that restart and lose their
 //! credit, and several cold servers at once.
 
 use asterrill::*;
@@ -198,7 +199,7 @@
 }
 
 /// Checks one server against the RPCs that it sustains. Returns the excess of RPCs outstanding with a credit, in
-/// multiples of the square root of that limit.
+/// multiples of the square root of the limit.
 fn check_outstanding(seed: u64, now: Us, limit: f64, callers: &[Caller]) -> f64 {
     let published: f64 =
         callers.iter().filter_map(|caller| caller.credit).map(|credit| credit.published).sum();
