--- a/daemon/src/core/agent.rs
+++ b/daemon/src/core/agent.rs
@@ -27,7 +27,7 @@
         }
         if self.state.agent_up_since.is_none() {
             self.state.agent_up_since = Some(self.now);
-            self.engine.gauges_available();
+            self.engine.enable_gauges();
             outbound.set_serving(self.state.healthy && !self.state.draining);
         }
         let tag = self.state.agent.greeted(self.now);
--- a/daemon/src/core/engine_outputs.rs
+++ b/daemon/src/core/engine_outputs.rs
@@ -4,7 +4,7 @@
 use crate::ids::Requester;
 use crate::outbound::Outbound;
 use asterrill::{FinalAnswer, MethodId, RpcId, Us};
-use asterrill_engine::{Outputs, Served, UpstreamLinkId};
+use asterrill_engine::{AnsweredRpc, Outputs, UpstreamLinkId};
 
 /// The engine's outputs during one input.
 pub(super) struct EngineOutputs<'a> {
@@ -18,7 +18,7 @@
 
 impl Outputs<Requester> for EngineOutputs<'_> {
     fn answer(
-        &mut self, to: Requester, answer: FinalAnswer<'_>, credit: Option<f64>, served: Option<Served>,
+        &mut self, to: Requester, answer: FinalAnswer<'_>, credit: Option<f64>, served: Option<AnsweredRpc>,
     ) {
         self.state.stats.half_applied += u64::from(self.state.versions.differ());
         if let Some(served) = served {
--- a/daemon/src/core/sidecar_rpcs.rs
+++ b/daemon/src/core/sidecar_rpcs.rs
@@ -74,7 +74,7 @@
             tenant,
             caller: request.caller,
             deadline: request.deadline,
-            time_unread: now.saturating_sub(received_from),
+            read_delay: now.saturating_sub(received_from),
             size_kb: request.size_kb,
             cache_key: keys.cache,
             coalescible,
--- a/daemon/src/queues/actions.rs
+++ b/daemon/src/queues/actions.rs
@@ -84,7 +84,7 @@
         tenant: submission.tenant,
         caller: submission.caller,
         deadline: Some(submission.deadline),
-        time_unread: 0,
+        read_delay: 0,
         size_kb: submission.size_kb,
         cache_key: None,
         coalescible: false,
--- a/daemon/src/recovery.rs
+++ b/daemon/src/recovery.rs
@@ -144,14 +144,14 @@
         Some(self.restore(&snapshot, empty, active))
     }
 
-    fn restore(&self, snapshot: &Snapshot, agent_empty: bool, active: &dyn ActiveCatalog) -> Restored {
+    fn restore(&self, snapshot: &Snapshot, agent_cold: bool, active: &dyn ActiveCatalog) -> Restored {
         let current = CurrentServer {
             name: &self.config.name,
             settings_hash: self.config.settings_hash,
             cores: self.config.cores,
             memory_mb: self.config.memory_mb,
             now: self.config.clocks,
-            agent_empty,
+            agent_cold,
             max_snapshot_age: self.config.settings.max_snapshot_age,
             targets: active.latency_targets(),
         };
@@ -171,7 +171,7 @@
             costs: restored.costs.iter().filter_map(cost).collect(),
             concurrency_target: restored.concurrency_target,
             slowdown: restored.slowdown,
-            call_failures: if restored.careful { u32::MAX } else { 0 },
+            call_failures: if restored.trip_breaker_on_first_failure { u32::MAX } else { 0 },
             accounts: restored.accounts.iter().map(balance).collect(),
             tenants: restored.tenants.iter().filter_map(allowance).collect(),
             age: restored.age,
@@ -194,10 +194,10 @@
         };
         let limits_changed =
             self.slow_start.as_mut().is_some_and(|slow_start| slow_start.update(now, sample));
-        let calls_open = self
+        let calls_unrestricted = self
             .slow_start
             .as_ref()
-            .is_none_or(|slow_start| slow_start.is_fully_open() || status.waiting_to_call == 0);
+            .is_none_or(|slow_start| slow_start.is_complete() || status.waiting_to_call == 0);
         let evidence = StageEvidence {
             snapshot_assessed: self.assessed,
             runs_ok: stats.runs_ok - previous.runs_ok,
@@ -205,7 +205,7 @@
             rejected: stats.rejected - previous.rejected,
             slowdown: status.slowdown,
             ramp_complete: status.warm,
-            calls_open,
+            calls_unrestricted,
             unhealthy: status.breaker_open || status.stalled,
         };
         RecoveryUpdate {
--- a/daemon/src/service_stats.rs
+++ b/daemon/src/service_stats.rs
@@ -2,7 +2,7 @@
 //! time in the number of methods that were used since the last one, whatever the number of methods there are.
 
 use asterrill::{MethodId, Us};
-use asterrill_engine::Served;
+use asterrill_engine::AnsweredRpc;
 use asterrill_entries::Name;
 use asterrill_rollout::{MethodCounts, MethodLoad, ObservedLoad, ServiceSample};
 
@@ -106,7 +106,7 @@
     }
 
     /// An RPC was answered.
-    pub fn record_answered(&mut self, served: Served, ok: bool) {
+    pub fn record_answered(&mut self, served: AnsweredRpc, ok: bool) {
         let Some(method) = self.methods.get_mut(served.method.0) else { return };
         let in_time = ok && served.latency <= method.baseline_target;
         method.answered += 1;
--- a/daemon/src/stats.rs
+++ b/daemon/src/stats.rs
@@ -126,7 +126,7 @@
         self.ok += engine.ok;
         self.rejected += engine.rejected;
         self.aborted += engine.aborted;
-        self.callers_gone += engine.callers_gone;
+        self.callers_gone += engine.cancelled;
         self.coalesced += engine.coalesced;
         self.results_evicted += engine.results_evicted;
         self.idempotency_keys_full += engine.idempotency_keys_full;
--- a/daemon/src/tests/cost.rs
+++ b/daemon/src/tests/cost.rs
@@ -42,7 +42,7 @@
         let method = asterrill::MethodId(n as usize % 2);
         service.record_received(method);
         service.record_answered(
-            asterrill_engine::Served { method, latency: n % 900_000, upstream_failed: n % 50 == 0 },
+            asterrill_engine::AnsweredRpc { method, latency: n % 900_000, upstream_failed: n % 50 == 0 },
             n % 3 > 0,
         );
         if n % 20 == 0 {
--- a/daemon/src/tests/service_stats.rs
+++ b/daemon/src/tests/service_stats.rs
@@ -16,7 +16,7 @@
         service.record_received(of(7));
         service.record_received(of(4_000));
         service.record_answered(
-            asterrill_engine::Served { method: of(7), latency: 1, upstream_failed: false },
+            asterrill_engine::AnsweredRpc { method: of(7), latency: 1, upstream_failed: false },
             true,
         );
     }
@@ -27,7 +27,7 @@
     assert_eq!((counted("m4000").answered, counted("m4000").work_us), (0.0, 6.0));
     assert!(service.take_sample(name, |_| 2.0).methods.is_empty() && asked.get() == 2);
     service.record_answered(
-        asterrill_engine::Served { method: of(4_000), latency: 1, upstream_failed: true },
+        asterrill_engine::AnsweredRpc { method: of(4_000), latency: 1, upstream_failed: true },
         false,
     );
     assert_eq!(service.take_sample(name, |_| 2.0).methods["m4000"].upstream_failed, 1.0);
--- a/engine/src/answers.rs
+++ b/engine/src/answers.rs
@@ -1,7 +1,7 @@
 //! The one final answer of each RPC, and what follows once no answer is due any more.
 
 use crate::engine::{Deferred, Engine};
-use crate::outputs::{Outputs, Served};
+use crate::outputs::{AnsweredRpc, Outputs};
 use crate::rpc::RpcState;
 use asterrill::{FinalAnswer, RpcId};
 
@@ -10,7 +10,7 @@
     pub(crate) fn answer(&mut self, id: RpcId, answer: FinalAnswer<'_>, out: &mut dyn Outputs<ReplyTo>) {
         let Some(rpc) = self.rpcs.get(id).filter(|rpc| rpc.awaits_answer) else { return };
         let reply_to = rpc.reply_to;
-        let served = Served {
+        let served = AnsweredRpc {
             method: rpc.request.method,
             latency: self.now.saturating_sub(rpc.arrived_at),
             upstream_failed: rpc.upstream_failed,
--- a/engine/src/intake.rs
+++ b/engine/src/intake.rs
@@ -15,7 +15,7 @@
     ) -> bool {
         self.advance_to(now);
         let id = request.id;
-        let arrived_at = self.now.saturating_sub(request.time_unread);
+        let arrived_at = self.now.saturating_sub(request.read_delay);
         if self.rpcs.contains(id) || self.rpcs.unanswered(reply_to).is_some() {
             return false;
         }
@@ -108,7 +108,7 @@
     pub fn caller_cancelled(&mut self, now: Us, reply_to: ReplyTo, out: &mut dyn Outputs<ReplyTo>) -> bool {
         self.advance_to(now);
         let Some(id) = self.rpcs.remove_unanswered(reply_to) else { return false };
-        self.stats.callers_gone += 1;
+        self.stats.cancelled += 1;
         self.answer_no_longer_due(id, out);
         let outcome = self.control.caller_cancelled(self.now, id);
         self.apply(outcome, out);
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -73,6 +73,6 @@
 pub use config::{CopyBody, EngineConfig, RetentionLimits};
 pub use engine::Engine;
 pub use idempotency::IdempotencyKey;
-pub use outputs::{Outputs, Served, UpstreamLinkId};
+pub use outputs::{AnsweredRpc, Outputs, UpstreamLinkId};
 pub use request::{Command, IncomingRpc};
 pub use stats::EngineStats;
--- a/engine/src/outputs.rs
+++ b/engine/src/outputs.rs
@@ -8,7 +8,7 @@
 
 /// An RPC that was answered, well or not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Served {
+pub struct AnsweredRpc {
     /// Its method.
     pub method: MethodId,
     /// The time from its arrival, reading included, to its answer, in microseconds.
@@ -21,7 +21,9 @@
 pub trait Outputs<ReplyTo> {
     /// Sends the one final answer to an RPC. `credit` is the number published to callers, where there is one; `served`
     /// is none for an RPC that never entered the table.
-    fn answer(&mut self, to: ReplyTo, answer: FinalAnswer<'_>, credit: Option<f64>, served: Option<Served>);
+    fn answer(
+        &mut self, to: ReplyTo, answer: FinalAnswer<'_>, credit: Option<f64>, served: Option<AnsweredRpc>,
+    );
     /// An RPC left the table: no answer is due and nothing runs. Its id may be used again.
     fn closed(&mut self, id: RpcId);
     /// Starts the run of an RPC.
--- a/engine/src/request.rs
+++ b/engine/src/request.rs
@@ -18,7 +18,7 @@
     /// from its arrival.
     pub deadline: Option<Us>,
     /// How long it lay unread here, in microseconds.
-    pub time_unread: Us,
+    pub read_delay: Us,
     /// Memory taken while it is queued, in kB.
     pub size_kb: f64,
     /// Of a read: RPCs of one method with the same key have the same result.
--- a/engine/src/stats.rs
+++ b/engine/src/stats.rs
@@ -14,7 +14,7 @@
     /// Final answers: aborted.
     pub aborted: u64,
     /// RPCs whose caller left before its answer.
-    pub callers_gone: u64,
+    pub cancelled: u64,
     /// RPCs coalesced with another, whose result they waited for.
     pub coalesced: u64,
     /// Results of RPCs with an idempotency key that were evicted while a repeat might come.
--- a/engine/src/tests/harness.rs
+++ b/engine/src/tests/harness.rs
@@ -2,7 +2,7 @@
 //! says so.
 
 use crate::{
-    Engine, EngineConfig, IdempotencyKey, IncomingRpc, Outputs, RetentionLimits, Served, UpstreamLinkId,
+    AnsweredRpc, Engine, EngineConfig, IdempotencyKey, IncomingRpc, Outputs, RetentionLimits, UpstreamLinkId,
 };
 use asterrill::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -70,7 +70,7 @@
 }
 
 impl Outputs<u64> for Recorder {
-    fn answer(&mut self, to: u64, answer: FinalAnswer<'_>, _: Option<f64>, served: Option<Served>) {
+    fn answer(&mut self, to: u64, answer: FinalAnswer<'_>, _: Option<f64>, served: Option<AnsweredRpc>) {
         if served.is_none() {
             self.violations.push(format!("{to}: answered without its figures"));
         }
@@ -187,7 +187,7 @@
             tenant: None,
             caller: CallerId(requester % 3),
             deadline: Some(self.now + timeout),
-            time_unread: unread,
+            read_delay: unread,
             size_kb: 10.0,
             cache_key: None,
             coalescible: false,
--- a/engine/src/timers.rs
+++ b/engine/src/timers.rs
@@ -11,7 +11,7 @@
 
 impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
     /// Gauges can be had from now on.
-    pub fn gauges_available(&mut self) {
+    pub fn enable_gauges(&mut self) {
         self.gauges_available = true;
     }
 
--- a/recovery/src/assessment.rs
+++ b/recovery/src/assessment.rs
@@ -92,7 +92,7 @@
     /// Serving times over those that are learned.
     pub slowdown: Option<f64>,
     /// One failure of an upstream call opens the breaker; until then nothing is withheld.
-    pub careful: bool,
+    pub trip_breaker_on_first_failure: bool,
     /// Callers' accounts.
     pub accounts: Vec<AccountBalance>,
     /// Tenants' allowances as they were in the snapshot; they have grown for the age of it since.
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -16,7 +16,7 @@
 //! - A snapshot is read whole or not at all: what is cut short, damaged, of another program or invalid is an error,
 //!   never a panic and never half of it.
 //! - Nothing restored is more pessimistic than a server that has learned nothing by more than [`MAX_COST_FRACTION`], and
-//!   nothing restored withholds an RPC or a call for longer than [`MAX_EFFECT_TIME`] without fresh evidence.
+//!   nothing restored withholds an RPC or a call for longer than [`MAX_EFFECT_TIME_US`] without fresh evidence.
 //! - An age that can't be trusted counts as too old.
 //!
 //! ```
@@ -49,5 +49,5 @@
 };
 pub use stages::{Stage, StageEvidence, StageReason, StageTracker};
 pub use staleness::{
-    assess, CurrentServer, LatencyTargets, MAX_COST_FRACTION, MAX_EFFECT_TIME, MAX_RESTORED_RUNS,
+    assess, CurrentServer, LatencyTargets, MAX_COST_FRACTION, MAX_EFFECT_TIME_US, MAX_RESTORED_RUNS,
 };
--- a/recovery/src/slow_start.rs
+++ b/recovery/src/slow_start.rs
@@ -95,7 +95,7 @@
     }
 
     /// All that the configuration allows is allowed.
-    pub fn is_fully_open(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.lifted || self.limit >= self.config.max_calls
     }
 
--- a/recovery/src/stages.rs
+++ b/recovery/src/stages.rs
@@ -37,7 +37,7 @@
     /// So many runs ended ok that the server is not cold any more.
     RunsEnded,
     /// Three seconds in a row were served in full.
-    ServedInFull,
+    SustainedFullService,
     /// The breaker is open, or the agent does not answer.
     Unhealthy,
     /// The ramp after the start is not over.
@@ -57,7 +57,7 @@
             StageReason::Started => "the process has started",
             StageReason::SnapshotAssessed => "the snapshot has been assessed",
             StageReason::RunsEnded => "ten runs have ended ok",
-            StageReason::ServedInFull => "three seconds in a row were served in full",
+            StageReason::SustainedFullService => "three seconds in a row were served in full",
             StageReason::Unhealthy => "the agent or the upstream tier fails",
             StageReason::RampIncomplete => "the warm-up ramp is not complete",
             StageReason::CallsLimited => "slow start still limits upstream calls",
@@ -83,7 +83,7 @@
     /// The concurrency of a warm server is allowed.
     pub ramp_complete: bool,
     /// Upstream calls are limited by the settings only.
-    pub calls_open: bool,
+    pub calls_unrestricted: bool,
     /// The breaker is open or the agent does not answer.
     pub unhealthy: bool,
 }
@@ -201,7 +201,7 @@
     fn judge_good(&mut self, now: Us) -> Option<Stage> {
         (self.good, self.bad) = (self.good + 1, 0);
         if self.stage == Stage::Warming && self.good >= GOOD_UNTIL_FULL {
-            return self.enter(now, Stage::Full, StageReason::ServedInFull);
+            return self.enter(now, Stage::Full, StageReason::SustainedFullService);
         }
         None
     }
@@ -224,7 +224,7 @@
         Some(StageReason::Unhealthy)
     } else if !evidence.ramp_complete {
         Some(StageReason::RampIncomplete)
-    } else if !evidence.calls_open {
+    } else if !evidence.calls_unrestricted {
         Some(StageReason::CallsLimited)
     } else if evidence.slowdown > MAX_SLOWDOWN {
         Some(StageReason::SlowRuns)
--- a/recovery/src/staleness.rs
+++ b/recovery/src/staleness.rs
@@ -8,7 +8,7 @@
 
 /// Beyond this time after a start nothing that was restored withholds an RPC or a call, unless fresh evidence says the
 /// same. In microseconds.
-pub const MAX_EFFECT_TIME: Us = 10_000_000;
+pub const MAX_EFFECT_TIME_US: Us = 10_000_000;
 /// A restored cost counts for so many runs at the most, so that as many fresh ones outweigh it.
 pub const MAX_RESTORED_RUNS: f64 = 8.0;
 /// A restored cost is at most this fraction of its latency target: twice that of a server that has learned nothing.
@@ -21,17 +21,17 @@
 /// The weight from which a cost counts as not discounted.
 const FULL_WEIGHT: f64 = 0.999;
 /// A concurrency target is of its minute's load. Microseconds.
-const MAX_TARGET_AGE: Us = MAX_EFFECT_TIME;
+const MAX_TARGET_AGE: Us = MAX_EFFECT_TIME_US;
 /// A slowdown may have been a short one. Microseconds.
 const MAX_SLOWDOWN_AGE: Us = 2_000_000;
 /// Failures of upstream calls are a reason for care so long. Microseconds.
 const MAX_FAILURE_AGE: Us = 60_000_000;
 /// The weight of a breaker that is restored as careful.
-const CAREFUL_WEIGHT: f64 = 0.5;
+const RESTORED_BREAKER_WEIGHT: f64 = 0.5;
 /// The shortest latency targets in which an empty account fills up (`buf_limit` over `mrr`).
 const ACCOUNT_FILL_TARGETS: f64 = 0.5;
 /// Tenants' allowances are full again after this time at the latest. Microseconds.
-const MAX_ALLOWANCE_AGE: Us = MAX_EFFECT_TIME;
+const MAX_ALLOWANCE_AGE: Us = MAX_EFFECT_TIME_US;
 
 /// The latency targets of the methods in force, in microseconds.
 pub trait LatencyTargets {
@@ -65,7 +65,7 @@
     /// Now.
     pub now: ClockReading,
     /// The agent has started without a warm cache.
-    pub agent_empty: bool,
+    pub agent_cold: bool,
     /// How old a snapshot may be at all, in microseconds.
     pub max_snapshot_age: Us,
     /// The latency targets in force.
@@ -79,11 +79,11 @@
 ///    they count for at most [`MAX_RESTORED_RUNS`] runs and [`MAX_COST_FRACTION`] of their latency target. A method whose
 ///    target changed is new.
 /// 3. The concurrency target is accepted with a warm agent under the same settings on the same machine within
-///    [`MAX_EFFECT_TIME`] only.
+///    [`MAX_EFFECT_TIME_US`] only.
 /// 4. The slowdown likewise, within 2 s: a slow spell from before is no reason to reject anything.
 /// 5. An open breaker never comes back open. Within a minute one failure opens it again.
 /// 6. Accounts are accepted within the time in which an empty one fills up anyway, tenants' allowances within
-///    [`MAX_EFFECT_TIME`].
+///    [`MAX_EFFECT_TIME_US`].
 pub fn assess(snapshot: &Snapshot, server: &CurrentServer<'_>) -> Assessment {
     let age = match age(&server.now, &snapshot.taken_at) {
         _ if snapshot.name != server.name => return Assessment::discard_all(DiscardReason::OtherBackend),
@@ -122,7 +122,7 @@
             DiscardReason::OtherSettings
         } else if !self.same_machine() {
             DiscardReason::OtherMachine
-        } else if needs_warm_agent && self.server.agent_empty {
+        } else if needs_warm_agent && self.server.agent_cold {
             DiscardReason::AgentEmpty
         } else if self.age > max_age {
             DiscardReason::TooOld
@@ -148,7 +148,7 @@
     }
 
     fn cost_weight(&self) -> f64 {
-        let halvings = [!self.same_settings(), !self.same_machine(), self.server.agent_empty];
+        let halvings = [!self.same_settings(), !self.same_machine(), self.server.agent_cold];
         let halvings = halvings.into_iter().filter(|applies| *applies).count() as i32;
         0.5_f64.powf(self.age as f64 / COST_HALF_LIFE + f64::from(halvings))
     }
@@ -179,11 +179,11 @@
 
     fn assess_breaker(&self, assessment: &mut Assessment) {
         let failed = self.snapshot.call_failures > 0;
-        assessment.careful = failed && self.age <= MAX_FAILURE_AGE;
+        assessment.trip_breaker_on_first_failure = failed && self.age <= MAX_FAILURE_AGE;
         let verdict = if !failed {
             Verdict::Discarded(DiscardReason::NoValue)
-        } else if assessment.careful {
-            Verdict::Discounted(CAREFUL_WEIGHT)
+        } else if assessment.trip_breaker_on_first_failure {
+            Verdict::Discounted(RESTORED_BREAKER_WEIGHT)
         } else {
             Verdict::Discarded(DiscardReason::TooOld)
         };
--- a/recovery/tests/common/mod.rs
+++ b/recovery/tests/common/mod.rs
@@ -50,7 +50,7 @@
         cores: 2.0,
         memory_mb: 64,
         now: ClockReading { wall: then.wall + after, uptime: then.uptime + after, boot_id: 5 },
-        agent_empty: false,
+        agent_cold: false,
         max_snapshot_age: 86_400 * S,
         targets,
     }
--- a/recovery/tests/slow_start.rs
+++ b/recovery/tests/slow_start.rs
@@ -26,7 +26,7 @@
     assert_eq!(update(&mut slow_start, 0, 0), 1.0, "nothing was answered");
     let limits: Vec<f64> = (0..5).map(|_| update(&mut slow_start, 3, 0)).collect();
     assert_eq!(limits, [1.5, 2.25, 3.375, 5.0625, 6.0]);
-    assert!(slow_start.is_fully_open() && slow_start.limit().is_finite());
+    assert!(slow_start.is_complete() && slow_start.limit().is_finite());
     updates(&mut slow_start, 0..60, 3, 0);
     assert!(slow_start.limit().is_infinite(), "open for good");
     assert_eq!(update(&mut slow_start, 20, 1), f64::INFINITY, "one failure in twenty changes nothing");
--- a/recovery/tests/stages.rs
+++ b/recovery/tests/stages.rs
@@ -12,7 +12,7 @@
         received: 20,
         slowdown: 1.0,
         ramp_complete: true,
-        calls_open: true,
+        calls_unrestricted: true,
         ..StageEvidence::default()
     }
 }
@@ -36,7 +36,7 @@
     for bad in [
         StageEvidence { slowdown: 2.0, ..good() },
         StageEvidence { ramp_complete: false, ..good() },
-        StageEvidence { calls_open: false, ..good() },
+        StageEvidence { calls_unrestricted: false, ..good() },
         StageEvidence { unhealthy: true, ..good() },
         StageEvidence { rejected: 2, ..good() },
     ] {
--- a/recovery/tests/staleness.rs
+++ b/recovery/tests/staleness.rs
@@ -4,7 +4,7 @@
 
 use asterrill_recovery::{
     age, assess, Assessment, ClockReading, CurrentServer, DiscardReason, Snapshot, ValueKind, Verdict,
-    MAX_COST_FRACTION, MAX_EFFECT_TIME, MAX_RESTORED_RUNS,
+    MAX_COST_FRACTION, MAX_EFFECT_TIME_US, MAX_RESTORED_RUNS,
 };
 use common::{server, snapshot, targets, S};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -26,16 +26,16 @@
     ] {
         assert_eq!(verdict(&soon, kind), Verdict::Accepted, "{kind:?}");
     }
-    assert!(soon.careful && soon.concurrency_target == Some(4.2));
+    assert!(soon.trip_breaker_on_first_failure && soon.concurrency_target == Some(4.2));
     assert!(soon.costs.iter().all(|cost| cost.runs <= MAX_RESTORED_RUNS));
 
     let later = assess(&snapshot, &server(&targets, 60 * S));
     assert_eq!((later.concurrency_target, later.slowdown), (None, None));
-    assert_eq!((later.accounts.len(), later.careful), (0, true));
+    assert_eq!((later.accounts.len(), later.trip_breaker_on_first_failure), (0, true));
     assert_eq!(verdict(&later, ValueKind::ConcurrencyTarget), Verdict::Discarded(DiscardReason::TooOld));
-    assert!(!assess(&snapshot, &server(&targets, 61 * S)).careful);
+    assert!(!assess(&snapshot, &server(&targets, 61 * S)).trip_breaker_on_first_failure);
 
-    let empty = assess(&snapshot, &CurrentServer { agent_empty: true, ..server(&targets, S) });
+    let empty = assess(&snapshot, &CurrentServer { agent_cold: true, ..server(&targets, S) });
     assert_eq!(verdict(&empty, ValueKind::ConcurrencyTarget), Verdict::Discarded(DiscardReason::AgentEmpty));
     assert!(
         matches!(verdict(&empty, ValueKind::Costs), Verdict::Discounted(weight) if (weight - 0.5).abs() < 0.01)
@@ -103,7 +103,7 @@
         let withholds = restored.concurrency_target.is_some()
             || restored.slowdown.is_some()
             || !restored.accounts.is_empty();
-        let young = age.is_some_and(|age| age <= MAX_EFFECT_TIME && age <= max_snapshot_age) || !withholds;
+        let young = age.is_some_and(|age| age <= MAX_EFFECT_TIME_US && age <= max_snapshot_age) || !withholds;
         let nothing = Assessment { verdicts: restored.verdicts.clone(), ..Assessment::default() };
         let none = age.is_some() || restored == nothing;
         cheap && young && none && restored.verdicts.len() == 6
