--- a/engine/src/answers.rs
+++ b/engine/src/answers.rs
@@ -1,4 +1,4 @@
-//! The one final answer of each RPC, and what follows once no answer is due any more.
+//! Final answers, and the release of an RPC whose requester no longer awaits one.
 
 use crate::engine::{Deferred, Engine};
 use crate::outputs::{AnsweredRpc, Outputs};
@@ -6,11 +6,11 @@
 use asterrill::{FinalAnswer, RpcId};
 
 impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
-    /// Gives the final answer that is due; does nothing if none is.
+    /// Sends the final answer of an RPC; does nothing if the RPC does not await one.
     pub(crate) fn answer(&mut self, id: RpcId, answer: FinalAnswer<'_>, out: &mut dyn Outputs<ReplyTo>) {
         let Some(rpc) = self.rpcs.get(id).filter(|rpc| rpc.awaits_answer) else { return };
         let reply_to = rpc.reply_to;
-        let served = AnsweredRpc {
+        let answered = AnsweredRpc {
             method: rpc.request.method,
             latency: self.now.saturating_sub(rpc.arrived_at),
             upstream_failed: rpc.upstream_failed,
@@ -21,13 +21,14 @@
             FinalAnswer::Aborted => &mut self.stats.aborted,
         };
         *count += 1;
-        out.answer(reply_to, answer, self.credit, Some(served));
+        out.answer(reply_to, answer, self.credit, Some(answered));
         self.rpcs.remove_unanswered(reply_to);
-        self.answer_no_longer_due(id, out);
+        self.release_rpc(id, out);
     }
 
-    /// No answer is due for an RPC any more. One that does not run is closed; a run ends by itself.
-    pub(crate) fn answer_no_longer_due(&mut self, id: RpcId, out: &mut dyn Outputs<ReplyTo>) {
+    /// Releases an RPC that no longer awaits an answer. An RPC that is not running is closed; a running one is closed
+    /// when its run ends.
+    pub(crate) fn release_rpc(&mut self, id: RpcId, out: &mut dyn Outputs<ReplyTo>) {
         let Some(rpc) = self.rpcs.get_mut(id) else { return };
         rpc.awaits_answer = false;
         match rpc.state {
--- a/engine/src/calls.rs
+++ b/engine/src/calls.rs
@@ -1,16 +1,16 @@
-//! Upstream calls: runs ask for them, the decision module places them, and each ends in one way.
+//! Upstream calls: a run requests one, the decision module allows or skips it, and each ends exactly once.
 
 use crate::engine::{CallTimeout, Deferred, Engine};
 use crate::outputs::{Outputs, UpstreamLinkId};
 use crate::rpc::{PendingCall, RpcState, SentCommand};
 use asterrill::{CallEnd, RpcId, Us};
 
-/// The time beyond a call's timeout until its reply is not waited for any more, in microseconds.
-const REPLY_GRACE: Us = 30_000;
+/// Time for which the engine still waits for a reply after the timeout of its call.
+const REPLY_GRACE_US: Us = 30_000;
 
 impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
-    /// A run waits for an upstream call with this body; none where it is too long to be passed on. False if no run of
-    /// this RPC goes on.
+    /// Requests an upstream call with this body for a run, which waits for it. `body` is none if it is too long to be
+    /// forwarded. Returns false if this RPC is not running.
     pub fn call_needed(
         &mut self, now: Us, id: RpcId, body: Option<&[u8]>, out: &mut dyn Outputs<ReplyTo>,
     ) -> bool {
@@ -32,7 +32,7 @@
         let waiting = self.rpcs.get_mut(id).filter(|rpc| rpc.state == RpcState::NeedsCall);
         let Some(rpc) = waiting else { return };
         self.stats.calls += 1;
-        let expires_at = self.now + timeout + REPLY_GRACE;
+        let expires_at = self.now + timeout + REPLY_GRACE_US;
         let body = rpc.body.as_ref().map(Body::as_ref);
         let link = body.and_then(|body| out.send_call(rpc.last_link, id, timeout, body));
         rpc.state = RpcState::Calling(PendingCall { link, expires_at });
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Lets a run go on without the upstream call that it waits for.
+    /// Lets a run continue without the upstream call that it waits for.
     pub(crate) fn skip_call(&mut self, id: RpcId, out: &mut dyn Outputs<ReplyTo>) {
         let waiting = self.rpcs.get_mut(id).filter(|rpc| rpc.state == RpcState::NeedsCall);
         let Some(rpc) = waiting else { return };
@@ -53,7 +53,8 @@
         out.skip(id);
     }
 
-    /// A reply to a call came on this link, or the call ended otherwise.
+    /// Ends a call on this link, with its reply or with another result. An end that no call waits for is counted as a
+    /// late reply.
     pub fn call_ended(
         &mut self, now: Us, link: UpstreamLinkId, id: RpcId, end: CallEnd, reply: &[u8],
         out: &mut dyn Outputs<ReplyTo>,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// An upstream link is gone; all calls on it end in this way.
+    /// Ends all calls on an upstream link that was lost, with the result `end`.
     pub fn upstream_link_ended(
         &mut self, now: Us, link: UpstreamLinkId, end: CallEnd, out: &mut dyn Outputs<ReplyTo>,
     ) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The reply to a call did not come in time.
+    /// Ends a call whose reply did not arrive in time.
     pub(crate) fn call_timed_out(&mut self, timeout: CallTimeout, out: &mut dyn Outputs<ReplyTo>) {
         self.call_timeouts.remove(&timeout);
         if let Some(RpcState::Calling(call)) = self.rpcs.state(timeout.id) {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Nobody waits for a call any more; `late` if its reply did not come in time.
+    /// Cancels a call that no run waits for. `late` tells that its reply did not arrive in time.
     pub(crate) fn abandon_call(
         &mut self, id: RpcId, call: PendingCall, late: bool, out: &mut dyn Outputs<ReplyTo>,
     ) {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// A call has ended: its reply resumes the run, or the decision module says what follows.
+    /// Resumes the run with the reply to its call, or asks the decision module how to proceed if there is no reply.
     pub(crate) fn finish_call(
         &mut self, id: RpcId, end: CallEnd, reply: &[u8], out: &mut dyn Outputs<ReplyTo>,
     ) {
--- a/engine/src/config.rs
+++ b/engine/src/config.rs
@@ -1,26 +1,26 @@
-//! What an engine is made with.
+//! Configuration of the engine.
 
 use asterrill::Us;
 
-/// The configuration of an [`crate::Engine`].
+/// Configuration of an [`crate::Engine`].
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
-    /// For each method, in the order of their ids: whether idempotent RPCs of it may share the result of one run.
+    /// Whether idempotent RPCs of each method may share the result of one run, indexed by method id.
     pub coalescible_methods: Vec<bool>,
-    /// What applies to all methods alike.
+    /// Limits that apply to all methods.
     pub limits: RetentionLimits,
 }
 
-/// How long, and how much of, what has ended is retained for repeats.
+/// Limits on how much of the ended RPCs is retained for retries and duplicates, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionLimits {
-    /// How long the result of a read may be served to others, in microseconds; 0 switches the response cache off.
+    /// Lifetime of a read's result in the response cache, in microseconds; 0 disables the cache.
     pub result_ttl: Us,
-    /// Total bytes of results retained for repeats with the same idempotency key.
+    /// Maximum total size of the results retained for retries with the same idempotency key, in bytes.
     pub idempotency_result_bytes: usize,
-    /// The longest that any RPC may be open, in microseconds.
+    /// Longest time that any RPC may be open, in microseconds.
     pub max_rpc_lifetime: Us,
 }
 
-/// Makes the copy of a body that the engine retains; none while there is no buffer for it.
+/// Function that copies a body for the engine to retain; returns none while no buffer is available for it.
 pub type CopyBody<Body> = Box<dyn Fn(&[u8]) -> Option<Body> + Send>;
--- a/engine/src/drain.rs
+++ b/engine/src/drain.rs
@@ -5,7 +5,7 @@
 use asterrill::Us;
 
 impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
-    /// Starts the drain: everything is to be answered by `deadline`. A second call changes nothing.
+    /// Starts the drain: every RPC must be answered by `deadline`. A second call has no effect.
     pub fn drain(&mut self, now: Us, deadline: Us, out: &mut dyn Outputs<ReplyTo>) {
         self.advance_to(now);
         if self.drain.is_some() {
@@ -16,7 +16,7 @@
         self.apply(outcome, out);
     }
 
-    /// Whether the deadline of the drain has passed and no answer is due any more.
+    /// Reports whether the deadline of the drain has passed and no RPC awaits an answer.
     pub fn is_drained(&self) -> bool {
         let deadline_passed = self.drain.is_some_and(|drain| self.now >= drain.deadline);
         deadline_passed && self.rpcs.unanswered_count() == 0
--- a/engine/src/engine.rs
+++ b/engine/src/engine.rs
@@ -1,5 +1,5 @@
-//! The engine's state, its construction and its figures. Its inputs are in the modules `settings`, `intake`, `runs`,
-//! `calls`, `drain` and `timers`; what they lead to is in `answers` and `outcomes`.
+//! State, constructor and accessors of the engine. The inputs are implemented in the modules `settings`, `intake`,
+//! `runs`, `calls`, `drain` and `timers`, their effects in `answers` and `outcomes`.
 
 use crate::config::{CopyBody, EngineConfig, RetentionLimits};
 use crate::idempotency::IdempotencyTable;
@@ -12,70 +12,70 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::ops::RangeBounds;
 
-/// When the reply to an upstream call is not waited for any more.
+/// Time at which the engine stops waiting for the reply to an upstream call.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CallTimeout {
     pub(crate) at: Us,
     pub(crate) id: RpcId,
 }
 
-/// Gauges and when they were sampled.
+/// Gauges with the time at which they were sampled.
 pub(crate) struct GaugeSample {
     pub(crate) sampled_at: Us,
     pub(crate) gauges: Gauges,
 }
 
-/// A graceful shutdown.
+/// Graceful shutdown in progress.
 #[derive(Clone, Copy)]
 pub(crate) struct Drain {
     pub(crate) started_at: Us,
-    /// When everything must have been answered, in microseconds.
+    /// Time by which every RPC must have been answered, in microseconds.
     pub(crate) deadline: Us,
 }
 
-/// What an outcome leads to at once. The decision module hears of it only after the whole outcome was applied, so that
-/// nothing older is overtaken.
+/// Follow-up action of an outcome. It is reported to the decision module only after the whole outcome was applied, so
+/// that events are processed in order.
 pub(crate) enum Deferred {
-    /// An upstream call could not be sent: it ends as rejected.
+    /// Ends an upstream call that could not be sent as rejected.
     RejectCall(RpcId),
-    /// The original of a coalesced RPC has ended already: the RPC is answered.
+    /// Answers a coalesced RPC whose original has already ended.
     FinishCoalesced(RpcId),
-    /// The original of a coalesced RPC never ran: the RPC is submitted again.
+    /// Submits a coalesced RPC again because its original never ran.
     Resubmit(RpcId),
 }
 
-/// The table of open RPCs around the decision module; see the crate's documentation. `ReplyTo` says who waits for an
-/// answer, `Body` is how the bytes of a body are retained.
+/// Table of open RPCs around the decision module; see the crate documentation. `ReplyTo` identifies the destination of
+/// an answer, `Body` is the type that stores the bytes of a body.
 pub struct Engine<ReplyTo, Body> {
     pub(crate) control: Control,
-    /// By method.
+    /// Whether each method may be coalesced, indexed by method id.
     pub(crate) coalescible_methods: StagedTable<bool>,
-    /// How long the result of a read may serve others, in microseconds; 0 if never.
+    /// Lifetime of a cached result, in microseconds; 0 disables the response cache.
     pub(crate) result_ttl: Us,
     pub(crate) copy_body: CopyBody<Body>,
     pub(crate) now: Us,
     pub(crate) rpcs: RpcTable<ReplyTo, Body>,
     pub(crate) response_cache: ResponseCache<Body>,
     pub(crate) idempotency: IdempotencyTable,
-    /// When the decision module asked to be woken.
+    /// Times at which the decision module asked to be woken.
     pub(crate) wakeups: BTreeSet<Us>,
     pub(crate) gauges_available: bool,
-    /// The gauges for the first of the wakeups were asked for.
+    /// Whether the gauges for the earliest wakeup have been requested.
     pub(crate) gauges_requested: bool,
     pub(crate) gauges: Option<GaugeSample>,
     pub(crate) call_timeouts: BTreeSet<CallTimeout>,
-    /// The number published to callers.
+    /// Credit published to callers.
     pub(crate) credit: Option<f64>,
     pub(crate) drain: Option<Drain>,
     pub(crate) deferred: VecDeque<Deferred>,
     pub(crate) running_deferred: bool,
-    /// What was counted since the start.
+    /// Counters since the start.
     pub stats: EngineStats,
 }
 
 impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
-    /// An engine without RPCs, which owns the decision module. `copy_body` makes the copies of bodies that are
-    /// retained.
+    /// Creates an engine without open RPCs that owns the decision module. `copy_body` copies the bodies that the engine
+    /// retains.
     pub fn new(now: Us, control: Control, config: EngineConfig, copy_body: CopyBody<Body>) -> Self {
         let RetentionLimits { result_ttl, idempotency_result_bytes, max_rpc_lifetime } = config.limits;
         Engine {
@@ -100,74 +100,74 @@
         }
     }
 
-    /// Advances the engine's time and returns it. The clock may be set back; the engine's time never is.
+    /// Advances the engine's time and returns it. The time stays unchanged if the clock was set back.
     pub fn advance_to(&mut self, now: Us) -> Us {
         self.now = self.now.max(now);
         self.now
     }
 
-    /// Whether RPCs of this method are accepted now.
+    /// Reports whether RPCs of this method are currently accepted.
     pub fn has_method(&self, method: MethodId) -> bool {
         self.control.has_method(method)
     }
 
-    /// Whether this tenant has a quota now.
+    /// Reports whether this tenant currently has a quota.
     pub fn has_tenant(&self, tenant: usize) -> bool {
         self.control.has_tenant(tenant)
     }
 
-    /// Whether idempotent RPCs of this method may share the result of one run.
+    /// Reports whether idempotent RPCs of this method may share the result of one run.
     pub fn is_coalescible(&self, method: MethodId) -> bool {
         self.result_ttl > 0 && self.coalescible_methods.get(method.0).copied().unwrap_or(false)
     }
 
-    /// The mean time to serve an RPC of a method, as learned so far, in microseconds.
+    /// Returns the mean time to serve an RPC of a method, as learned so far, in microseconds.
     pub fn mean_cost(&self, method: MethodId) -> f64 {
         self.control.mean_cost(method)
     }
 
-    /// Memory of the RPCs that are queued and run, in kB.
+    /// Returns the memory used by queued and running RPCs, in kB.
     pub fn memory_in_use_kb(&self) -> f64 {
         self.control.memory_used_kb()
     }
 
-    /// What the decision module has learned.
+    /// Returns the state that the decision module has learned.
     pub fn learned_state(&self) -> LearnedState {
         self.control.learned_state()
     }
 
-    /// Where the decision module stands.
+    /// Returns the status of the decision module.
     pub fn status(&self) -> Status {
         self.control.status()
     }
 
-    /// The number published to callers, where there is one.
+    /// Returns the credit published to callers, if there is one.
     pub fn credit(&self) -> Option<f64> {
         self.credit
     }
 
-    /// Open RPCs.
+    /// Returns the number of open RPCs.
     pub fn open_rpcs(&self) -> usize {
         self.rpcs.len()
     }
 
-    /// Answers due in all.
+    /// Returns the number of RPCs that still await their final answer.
     pub fn unanswered(&self) -> usize {
         self.rpcs.unanswered_count()
     }
 
-    /// The requesters in a range to whom an answer is due.
+    /// Returns the requesters in a range that still await an answer.
     pub fn unanswered_in(&self, range: impl RangeBounds<ReplyTo>) -> impl Iterator<Item = &ReplyTo> {
         self.rpcs.unanswered_in(range)
     }
 
-    /// Whether an answer is due to this requester and the run for it was started.
+    /// Reports whether this requester still awaits an answer and its run has been started.
     pub fn is_launched(&self, reply_to: ReplyTo) -> bool {
         let state = self.rpcs.unanswered(reply_to).and_then(|id| self.rpcs.state(id));
         state.is_some_and(|state| !matches!(state, RpcState::Queued | RpcState::Coalesced))
     }
 
-    /// The last command that the executor of this RPC was sent, while its run goes on.
+    /// Returns the last command sent to the executor of this RPC while its run is in progress.
     pub fn last_command(&self, id: RpcId) -> Option<Command<'_>> {
         self.rpcs.get(id)?.last_command()
     }
--- a/engine/src/idempotency.rs
+++ b/engine/src/idempotency.rs
@@ -1,44 +1,45 @@
-//! RPCs by their idempotency keys: which attempt has run, or is about to, and with which result.
+//! Table of idempotency keys: the attempt that has run or is about to run for each key, and its result.
 //!
-//! An attempt is recorded once the decision module retains its key. It stays recorded for as long as a repeat may come,
-//! counted from the arrival of the attempt that ran, and a little longer, as a repeat that arrived in time may be read
-//! late. No record is dropped early: when the table is full, RPCs with new keys are rejected. Only results may be
-//! evicted, the oldest first; the repeat of an RPC whose result is gone is aborted and never run.
+//! An attempt is recorded once the decision module retains its key. The record is kept for as long as a retry may
+//! arrive, counted from the arrival of the attempt that ran, and for the lifetime of an RPC beyond that, because a
+//! retry that arrived in time may be read late. No record is dropped early: when the table is full, RPCs with new keys
+//! are rejected. Only results may be evicted, the oldest first; a retry of an RPC whose result was evicted is aborted
+//! and never run.
 
 use asterrill::{RpcId, Us};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Keys recorded at a time, some 200 bytes each without their results.
+/// Maximum number of recorded keys. Each takes about 200 bytes without its result.
 const MAX_KEYS: usize = 16_384;
-/// Added to the time in which a repeat may come, in microseconds: clocks round to milliseconds.
-const CLOCK_MARGIN: Us = 100_000;
+/// Margin added to the time in which a retry may arrive, because clocks round to milliseconds.
+const CLOCK_MARGIN_US: Us = 100_000;
 
-/// What all attempts of one RPC have in common, and no other RPC has.
+/// Key that identifies an RPC across all of its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct IdempotencyKey(pub [u8; 16]);
 
-/// The attempt that is recorded for a key.
+/// Attempt recorded for a key.
 struct Entry {
     id: RpcId,
-    /// Until when a repeat may arrive, in microseconds.
-    repeats_until: Us,
-    /// Once its run has ended: when the record expires, in microseconds.
+    /// Time until which a retry may arrive, in microseconds.
+    retries_until: Us,
+    /// Time at which the record expires, in microseconds; none until the run has ended.
     expires_at: Option<Us>,
     result: Option<Box<[u8]>>,
 }
 
-/// The place of an ended attempt in the order of expiry.
+/// Index entry of an ended attempt, ordered by expiry.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Us,
     key: IdempotencyKey,
 }
 
-/// The recorded attempts, by key, by id and by expiry.
+/// Recorded attempts, indexed by key, id and expiry.
 pub(crate) struct IdempotencyTable {
     entries: BTreeMap<IdempotencyKey, Entry>,
     by_id: BTreeMap<RpcId, IdempotencyKey>,
-    /// Attempts whose runs have ended.
+    /// Attempts whose run has ended.
     by_expiry: BTreeSet<Expiry>,
     result_bytes: usize,
     max_result_bytes: usize,
@@ -46,7 +47,8 @@
 }
 
 impl IdempotencyTable {
-    /// Retains at most `max_result_bytes` of results. An RPC may still be read `max_rpc_lifetime` after its arrival.
+    /// Creates an empty table that retains at most `max_result_bytes` of results. `max_rpc_lifetime` is the longest
+    /// time between the arrival of an RPC and its being read.
     pub(crate) fn new(max_result_bytes: usize, max_rpc_lifetime: Us) -> IdempotencyTable {
         IdempotencyTable {
             entries: BTreeMap::new(),
@@ -58,37 +60,38 @@
         }
     }
 
-    /// Changes the limits, for what is recorded already and what comes. The lifetime never becomes shorter.
+    /// Changes the limits for existing and future records. The lifetime never becomes shorter.
     pub(crate) fn set_limits(&mut self, max_result_bytes: usize, max_rpc_lifetime: Us) {
         self.max_result_bytes = max_result_bytes;
         self.max_rpc_lifetime = self.max_rpc_lifetime.max(max_rpc_lifetime);
     }
 
-    /// The attempt that an RPC with this key repeats, if it arrived in time.
+    /// Returns the recorded attempt of which an RPC with this key is a retry, if the RPC arrived in time.
     pub(crate) fn original(&self, key: IdempotencyKey, arrived_at: Us) -> Option<RpcId> {
         let entry = self.entries.get(&key)?;
-        let in_time = entry.expires_at.is_none() || arrived_at < entry.repeats_until;
+        let in_time = entry.expires_at.is_none() || arrived_at < entry.retries_until;
         in_time.then_some(entry.id)
     }
 
-    /// Whether no further key can be recorded.
+    /// Reports whether no further key can be recorded.
     pub(crate) fn is_full(&self) -> bool {
         self.entries.len() >= MAX_KEYS
     }
 
-    /// Records the attempt that repeats wait for from now on: it is about to run, and repeats may arrive until then.
-    pub(crate) fn record(&mut self, key: IdempotencyKey, id: RpcId, repeats_until: Us) {
+    /// Records an attempt that is about to run. Retries that arrive until `retries_until` wait for it.
+    pub(crate) fn record(&mut self, key: IdempotencyKey, id: RpcId, retries_until: Us) {
         self.remove_key(key);
-        let repeats_until = repeats_until + CLOCK_MARGIN;
+        let retries_until = retries_until + CLOCK_MARGIN_US;
         self.by_id.insert(id, key);
-        self.entries.insert(key, Entry { id, repeats_until, expires_at: None, result: None });
+        self.entries.insert(key, Entry { id, retries_until, expires_at: None, result: None });
     }
 
-    /// The run of an attempt has ended, with a result if it was ok. Returns how many results were evicted for it.
+    /// Records the end of an attempt's run, with a result if it was ok. Returns the number of results that were evicted
+    /// to make room.
     pub(crate) fn complete(&mut self, id: RpcId, result: Option<&[u8]>) -> u64 {
         let Some(key) = self.by_id.get(&id).copied() else { return 0 };
         let Some(entry) = self.entries.get_mut(&key) else { return 0 };
-        let at = entry.repeats_until + self.max_rpc_lifetime;
+        let at = entry.retries_until + self.max_rpc_lifetime;
         entry.expires_at = Some(at);
         self.by_expiry.insert(Expiry { at, key });
         let Some(result) = result.filter(|result| result.len() <= self.max_result_bytes) else { return 0 };
@@ -97,7 +100,7 @@
         self.evict_results()
     }
 
-    /// Drops the oldest results until the rest fits. Returns how many were dropped.
+    /// Evicts the oldest results until the rest fits. Returns the number of evicted results.
     fn evict_results(&mut self) -> u64 {
         let mut evicted = 0;
         for oldest in &self.by_expiry {
@@ -112,26 +115,26 @@
         evicted
     }
 
-    /// The result of an attempt's run, while it is retained.
+    /// Returns the result of an attempt's run, while it is retained.
     pub(crate) fn result(&self, id: RpcId) -> Option<&[u8]> {
         self.entries.get(self.by_id.get(&id)?)?.result.as_deref()
     }
 
-    /// Removes an attempt that never ran: it is as if it had not come.
+    /// Removes an attempt that never ran, so that a retry counts as a new RPC.
     pub(crate) fn remove(&mut self, id: RpcId) {
         if let Some(key) = self.by_id.get(&id).copied() {
             self.remove_key(key);
         }
     }
 
-    /// Removes what has expired.
+    /// Removes expired records.
     pub(crate) fn expire(&mut self, now: Us) {
         while let Some(expired) = self.by_expiry.first().copied().filter(|expiry| expiry.at <= now) {
             self.remove_key(expired.key);
         }
     }
 
-    /// The one place where a record is removed from all indexes.
+    /// Removes a record from all indexes.
     fn remove_key(&mut self, key: IdempotencyKey) {
         let Some(entry) = self.entries.remove(&key) else { return };
         self.by_id.remove(&entry.id);
--- a/engine/src/intake.rs
+++ b/engine/src/intake.rs
@@ -1,4 +1,4 @@
-//! Inputs from the front ends: RPCs that come, and callers that leave.
+//! Inputs from the front ends: incoming RPCs and cancellations by callers.
 
 use crate::engine::Engine;
 use crate::outputs::Outputs;
@@ -8,7 +8,8 @@
 use asterrill::{Arrival, FinalAnswer, RpcId, Us};
 
 impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
-    /// A complete RPC was read. False if its id or its requester is that of an open one: nothing was taken in then.
+    /// Accepts an RPC that was received completely. Returns false, without any effect, if its id or its requester
+    /// already belongs to an open RPC.
     pub fn request_received(
         &mut self, now: Us, reply_to: ReplyTo, request: IncomingRpc, body: &[u8],
         out: &mut dyn Outputs<ReplyTo>,
@@ -49,7 +50,7 @@
         request.idempotency_key.is_some_and(|key| self.idempotency.original(key, arrived_at).is_none())
     }
 
-    /// Submits a queued RPC to the decision module, together with the one that it repeats.
+    /// Submits a queued RPC to the decision module, together with the RPC that it duplicates.
     pub(crate) fn submit(&mut self, id: RpcId, out: &mut dyn Outputs<ReplyTo>) {
         let Some(rpc) = self.rpcs.get(id) else { return };
         let request = &rpc.request;
@@ -80,14 +81,14 @@
         self.apply(outcome, out);
     }
 
-    /// The key under which the result of an RPC may be shared, if it may be.
+    /// Returns the key under which the result of an RPC may be shared, or none if it may not be shared.
     fn cache_key(&self, request: &IncomingRpc) -> Option<CacheKey> {
         let may_share = request.coalescible && self.is_coalescible(request.method);
         let key = request.cache_key.filter(|_| may_share)?;
         Some(CacheKey { method: request.method, key })
     }
 
-    /// An RPC came that could never be run here: it is aborted at once.
+    /// Aborts an incoming RPC that this server can't run, without adding it to the table.
     pub fn abort_unserviceable(&mut self, now: Us, reply_to: ReplyTo, out: &mut dyn Outputs<ReplyTo>) {
         self.advance_to(now);
         self.stats.requests += 1;
@@ -95,7 +96,8 @@
         out.answer(reply_to, FinalAnswer::Aborted, self.credit, None);
     }
 
-    /// An RPC came that is not to be served here: it is rejected at once, and its caller is not to retry elsewhere.
+    /// Rejects an incoming RPC that this server must not serve, without adding it to the table. The rejection is
+    /// terminal, so that the caller does not retry elsewhere.
     pub fn reject(&mut self, now: Us, reply_to: ReplyTo, out: &mut dyn Outputs<ReplyTo>) {
         self.advance_to(now);
         self.stats.requests += 1;
@@ -104,12 +106,12 @@
         out.answer(reply_to, answer, self.credit, None);
     }
 
-    /// A requester does not wait for its answer any more. False if none was due.
+    /// Cancels the RPC of a requester that no longer waits for its answer. Returns false if no answer was due.
     pub fn caller_cancelled(&mut self, now: Us, reply_to: ReplyTo, out: &mut dyn Outputs<ReplyTo>) -> bool {
         self.advance_to(now);
         let Some(id) = self.rpcs.remove_unanswered(reply_to) else { return false };
         self.stats.cancelled += 1;
-        self.answer_no_longer_due(id, out);
+        self.release_rpc(id, out);
         let outcome = self.control.caller_cancelled(self.now, id);
         self.apply(outcome, out);
         true
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -1,29 +1,31 @@
-//! The open RPCs of one server, from the moment each is read to its one final answer.
+//! State machine for the open RPCs of one server, from arrival to the single final answer of each RPC.
 //!
-//! An [`Engine`] is the sole owner of the decision module ([`asterrill::Control`]), of the table of open RPCs, of the
-//! wakeups that the module asked for, of idempotency keys with their results, and of cached results of reads. It has no
-//! socket, no clock and no coroutine, and knows no protocol: whoever owns those brings it one input at a time, with the
-//! time, and carries out what it hands back through [`Outputs`].
+//! An [`Engine`] is the sole owner of the decision module ([`asterrill::Control`]), the table of open RPCs, the wakeups
+//! requested by the module, the idempotency keys with their results, and the cached results of reads. It performs no
+//! I/O: it has no socket, no clock and no coroutine, and it is independent of any protocol. The embedding program
+//! passes in one input at a time together with the current time, and carries out the actions requested through
+//! [`Outputs`].
 //!
-//! Four kinds of surroundings meet here, and know nothing of one another:
+//! Four kinds of components use the engine, and none of them depends on another:
 //!
-//! | who | brings | is called by |
+//! | component | inputs | outputs |
 //! | --- | --- | --- |
-//! | front ends, which read RPCs and send answers | [`Engine::request_received`], [`Engine::caller_cancelled`] | [`Outputs::answer`] |
-//! | executors, which run them | [`Engine::run_ended`], [`Engine::call_needed`], [`Engine::launch_failed`] | [`Outputs::launch`], [`Outputs::resume`], [`Outputs::skip`], [`Outputs::stop`] |
+//! | front ends, which receive RPCs and send answers | [`Engine::request_received`], [`Engine::caller_cancelled`] | [`Outputs::answer`] |
+//! | executors, which run RPCs | [`Engine::run_ended`], [`Engine::call_needed`], [`Engine::launch_failed`] | [`Outputs::launch`], [`Outputs::resume`], [`Outputs::skip`], [`Outputs::stop`] |
 //! | the upstream tier | [`Engine::call_ended`], [`Engine::upstream_link_ended`] | [`Outputs::send_call`], [`Outputs::cancel_call`] |
-//! | the owner of time and gauges | [`Engine::tick`], [`Engine::gauges_sampled`], [`Engine::drain`] | [`Outputs::request_gauges`] |
+//! | the event loop, which owns the clock and the gauges | [`Engine::tick`], [`Engine::gauges_sampled`], [`Engine::drain`] | [`Outputs::request_gauges`] |
 //!
-//! The type parameter `ReplyTo` says where an answer goes: any small value that the front ends tell apart by themselves,
-//! such as a stream of a connection, a message of a queue, or the number of a request in the same process.
+//! The type parameter `ReplyTo` identifies the destination of an answer. It is any small value that is unique across
+//! the front ends, such as a stream of a connection, a message of a queue, or the number of a request in the same
+//! process.
 //!
 //! Guarantees:
-//! - Each RPC that [`Engine::request_received`] took is answered once, or given up by [`Engine::caller_cancelled`],
-//!   never both.
-//! - An RPC is launched at most once. An executor that lost a command is sent it again by its owner
-//!   ([`Engine::last_command`]), not by the engine.
-//! - Nothing is handed back for an RPC after [`Outputs::closed`]; then its id may be used again.
-//! - Time never goes back here, whatever the clock does.
+//! - Each RPC accepted by [`Engine::request_received`] is either answered exactly once or cancelled by
+//!   [`Engine::caller_cancelled`], never both.
+//! - An RPC is launched at most once. If an executor loses a command, the owner of its connection resends it
+//!   ([`Engine::last_command`]); the engine does not.
+//! - No output concerns an RPC after [`Outputs::closed`]; from then on its id may be reused.
+//! - The engine's time is monotonic even if the clock is set back.
 //!
 //! ```
 //! use asterrill_engine::{Engine, EngineConfig, RetentionLimits};
--- a/engine/src/outcomes.rs
+++ b/engine/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the decision module has decided is carried out here, list by list in the order of an [`Outcome`].
+//! Execution of the decision module's decisions, list by list in the order of the fields of an [`Outcome`].
 
 use crate::engine::{Deferred, Engine};
 use crate::outputs::Outputs;
@@ -6,7 +6,7 @@
 use asterrill::{CallEnd, CallRequest, KeyRetention, Outcome, Reply, RpcId, RunEnd, Us};
 
 impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
-    /// Carries out an outcome, and then what it leads to at once.
+    /// Carries out an outcome, then its deferred follow-up actions.
     pub(crate) fn apply(&mut self, outcome: Outcome, out: &mut dyn Outputs<ReplyTo>) {
         for Reply { id, answer } in outcome.answers {
             self.answer(id, answer.into(), out);
@@ -51,7 +51,7 @@
         self.run_deferred(out);
     }
 
-    /// Repeats of this RPC are answered with its result until then.
+    /// Answers retries and duplicates of this RPC with its result until `until`.
     fn retain_key(&mut self, id: RpcId, until: Us) {
         self.response_cache.retain_until(id, until);
         if let Some(key) = self.rpcs.get(id).and_then(|rpc| rpc.request.idempotency_key) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Lets an RPC wait for its original, which is open or ended a short while ago.
+    /// Makes an RPC wait for its original, which is open or has ended recently.
     fn coalesce(&mut self, id: RpcId) {
         let Some(original) = self.rpcs.get(id).and_then(|rpc| rpc.original) else { return };
         self.stats.coalesced += 1;
@@ -76,7 +76,8 @@
         out.launch(rpc.reply_to, id, rpc.request.method, rpc.body_bytes());
     }
 
-    /// Carries out what was deferred, unless that is being done already: the outcomes of it may defer more.
+    /// Carries out deferred actions. Returns at once in a nested call, because the outcomes of deferred actions may
+    /// defer more; the outermost call carries those out without recursion.
     fn run_deferred(&mut self, out: &mut dyn Outputs<ReplyTo>) {
         if std::mem::replace(&mut self.running_deferred, true) {
             return;
@@ -98,7 +99,7 @@
         self.running_deferred = false;
     }
 
-    /// A copy of the result that the original of a coalesced RPC has left.
+    /// Returns a copy of the retained result of a coalesced RPC's original.
     fn retained_result(&self, id: RpcId) -> Option<Body> {
         let original = self.rpcs.get(id)?.original?;
         let cached = self.response_cache.result(original).map(Body::as_ref);
@@ -106,7 +107,8 @@
         (self.copy_body)(result)
     }
 
-    /// The original of a coalesced RPC never ran: the RPC is treated as if it came now, and others may wait for it.
+    /// Submits a coalesced RPC again because its original never ran. It is treated as a new RPC that others may be
+    /// coalesced with.
     fn resubmit(&mut self, id: RpcId, out: &mut dyn Outputs<ReplyTo>) {
         if !self.rpcs.uncoalesce(id) {
             return;
--- a/engine/src/outputs.rs
+++ b/engine/src/outputs.rs
@@ -1,55 +1,55 @@
-//! What the engine hands back to its surroundings.
+//! Outputs of the engine, which the embedding program carries out.
 
 use asterrill::{FinalAnswer, MethodId, RpcId, Us};
 
-/// A link to the upstream tier, as the owner of the links numbers them.
+/// Number of a link to the upstream tier, assigned by the owner of the links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UpstreamLinkId(pub usize);
 
-/// An RPC that was answered, well or not.
+/// RPC that was answered, with any result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnsweredRpc {
-    /// Its method.
+    /// Method of the RPC.
     pub method: MethodId,
-    /// The time from its arrival, reading included, to its answer, in microseconds.
+    /// Time from its arrival, before it was read, to its answer, in microseconds.
     pub latency: Us,
-    /// Whether an upstream call of it has failed or timed out.
+    /// Whether one of its upstream calls has failed or timed out.
     pub upstream_failed: bool,
 }
 
-/// What the engine asks of its surroundings. Each is carried out at once; nothing here may wait.
+/// Actions that the engine requests. Implementations carry out each action at once and must not block.
 pub trait Outputs<ReplyTo> {
-    /// Sends the one final answer to an RPC. `credit` is the number published to callers, where there is one; `served`
-    /// is none for an RPC that never entered the table.
+    /// Sends the final answer to an RPC. `credit` is the credit published to callers, if there is one; `answered` is
+    /// none for an RPC that was never in the table.
     fn answer(
-        &mut self, to: ReplyTo, answer: FinalAnswer<'_>, credit: Option<f64>, served: Option<AnsweredRpc>,
+        &mut self, to: ReplyTo, answer: FinalAnswer<'_>, credit: Option<f64>, answered: Option<AnsweredRpc>,
     );
-    /// An RPC left the table: no answer is due and nothing runs. Its id may be used again.
+    /// Reports that an RPC was removed from the table: it neither awaits an answer nor runs, and its id may be reused.
     fn closed(&mut self, id: RpcId);
     /// Starts the run of an RPC.
     fn launch(&mut self, reply_to: ReplyTo, id: RpcId, method: MethodId, body: &[u8]);
-    /// Stops a run; it still ends by [`crate::Engine::run_ended`].
+    /// Stops a run. The end of the run is still reported by [`crate::Engine::run_ended`].
     fn stop(&mut self, id: RpcId);
-    /// Gives a run the reply to the call that it waits for.
+    /// Resumes a run with the reply to the call that it waits for.
     fn resume(&mut self, id: RpcId, reply: &[u8]);
-    /// Lets a run go on without the call that it waits for.
+    /// Resumes a run without the call that it waits for.
     fn skip(&mut self, id: RpcId);
-    /// A run made for this requester has ended, ok or aborted.
+    /// Reports that a run for this requester has ended, either ok or aborted.
     fn run_completed(&mut self, reply_to: ReplyTo);
-    /// Asks for the gauges; [`crate::Engine::gauges_sampled`] brings them.
+    /// Requests a sample of the gauges, to be passed to [`crate::Engine::gauges_sampled`].
     fn request_gauges(&mut self);
-    /// Sends an upstream call that is waited for `timeout` microseconds. `previous` is the link of the RPC's call
-    /// before. Returns the link that it was sent on; none if it was surely not sent.
+    /// Sends an upstream call with a timeout in microseconds. `previous` is the link of the RPC's previous call.
+    /// Returns the link that the call was sent on, or none if it is certain that the call was not sent.
     fn send_call(
         &mut self, previous: Option<UpstreamLinkId>, id: RpcId, timeout: Us, body: &[u8],
     ) -> Option<UpstreamLinkId>;
-    /// Nobody waits for this call any more.
+    /// Cancels a call that no run waits for.
     fn cancel_call(&mut self, link: UpstreamLinkId, id: RpcId);
-    /// One call fewer is in flight on this link; `late` if its reply did not come in time.
+    /// Reports that a call on this link is no longer in flight. `late` tells that its reply did not arrive in time.
     fn call_finished(&mut self, link: UpstreamLinkId, late: bool);
-    /// Sets the answer to health checks.
+    /// Sets the health status that health checks report.
     fn set_health(&mut self, healthy: bool);
-    /// Connections idle for this long, in microseconds, are to be closed; 0 once callers are to leave for good.
+    /// Sets the time in microseconds after which idle connections are closed; 0 once callers must disconnect for good.
     fn close_idle(&mut self, idle_time: Us);
     /// Writes a line to the operators' log.
     fn log(&mut self, line: &str);
--- a/engine/src/response_cache.rs
+++ b/engine/src/response_cache.rs
@@ -1,34 +1,34 @@
-//! Reads whose result may serve others: open, or ended ok a short while ago.
+//! Response cache: reads that are open or have recently ended ok, and whose result other RPCs may share.
 
 use asterrill::{MethodId, RpcId, Us};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Reads registered at a time; a read beyond this is run by itself.
+/// Maximum number of registered reads. Further reads are run without coalescing.
 const MAX_ENTRIES: usize = 1024;
 
-/// What a read is about: reads with one key may share a result.
+/// Key of a read; reads with the same key may share a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct CacheKey {
     pub(crate) method: MethodId,
-    /// The key that the request came with.
+    /// Key given in the request.
     pub(crate) key: u64,
 }
 
 struct Entry<Body> {
     key: CacheKey,
     expires_at: Us,
-    /// Once its run has ended ok.
+    /// Result of the read; none until its run has ended ok.
     result: Option<Body>,
 }
 
-/// The place of an entry in the order of expiry.
+/// Index entry of a read, ordered by expiry.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Us,
     id: RpcId,
 }
 
-/// The registered reads, by id, by expiry and by key.
+/// Registered reads, indexed by id, expiry and key.
 pub(crate) struct ResponseCache<Body> {
     entries: BTreeMap<RpcId, Entry<Body>>,
     by_expiry: BTreeSet<Expiry>,
@@ -40,13 +40,13 @@
         ResponseCache { entries: BTreeMap::new(), by_expiry: BTreeSet::new(), by_key: BTreeMap::new() }
     }
 
-    /// The read with this key that is open or ended ok a short while ago.
+    /// Returns the read with this key that is open or has a cached result.
     pub(crate) fn original(&self, key: CacheKey, now: Us) -> Option<RpcId> {
         let id = self.by_key.get(&key)?;
         self.entries.get(id).filter(|entry| entry.expires_at > now).map(|_| *id)
     }
 
-    /// Makes an open read the one that others of its key wait for, if there is capacity.
+    /// Registers an open read as the one that later reads with the same key wait for, if there is capacity.
     pub(crate) fn register(&mut self, key: CacheKey, id: RpcId) {
         if self.entries.len() < MAX_ENTRIES {
             self.by_key.insert(key, id);
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Sets when a read stops to serve others.
+    /// Sets the time until which other reads may share the result of this one.
     pub(crate) fn retain_until(&mut self, id: RpcId, expires_at: Us) {
         if let Some(entry) = self.entries.get_mut(&id) {
             self.by_expiry.remove(&Expiry { at: entry.expires_at, id });
@@ -63,7 +63,7 @@
         }
     }
 
-    /// A read has ended: its result is cached, or it serves nobody.
+    /// Caches the result of a read that has ended, or removes the read if there is no result.
     pub(crate) fn complete(&mut self, id: RpcId, expires_at: Us, result: impl FnOnce() -> Option<Body>) {
         self.retain_until(id, expires_at);
         let Some(entry) = self.entries.get_mut(&id) else { return };
@@ -73,12 +73,12 @@
         }
     }
 
-    /// The cached result of a read.
+    /// Returns the cached result of a read.
     pub(crate) fn result(&self, id: RpcId) -> Option<&Body> {
         self.entries.get(&id)?.result.as_ref()
     }
 
-    /// The one place where an entry is removed from all indexes.
+    /// Removes an entry from all indexes.
     pub(crate) fn remove(&mut self, id: RpcId) {
         if let Some(entry) = self.entries.remove(&id) {
             self.by_expiry.remove(&Expiry { at: entry.expires_at, id });
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Removes the reads that have ended; others may still wait for those that are open.
+    /// Removes the reads that have ended. Open ones stay, because other RPCs may wait for them.
     pub(crate) fn remove_completed(&mut self) {
         let completed = self.entries.iter().filter(|(_, entry)| entry.result.is_some());
         let completed: Vec<RpcId> = completed.map(|(id, _)| *id).collect();
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Removes what has expired.
+    /// Removes expired entries.
     pub(crate) fn expire(&mut self, now: Us) {
         while let Some(expired) = self.by_expiry.first().copied().filter(|expiry| expiry.at <= now) {
             self.remove(expired.id);
--- a/engine/src/rpc.rs
+++ b/engine/src/rpc.rs
@@ -1,35 +1,35 @@
-//! The state of one open RPC.
+//! State of one open RPC.
 
 use crate::outputs::UpstreamLinkId;
 use crate::request::{Command, IncomingRpc};
 use asterrill::{RpcId, Us};
 
-/// An RPC from the moment it was taken in until no answer is due and nothing of it runs.
+/// RPC from its acceptance until it neither awaits an answer nor runs.
 pub(crate) struct OpenRpc<ReplyTo, Body> {
     pub(crate) reply_to: ReplyTo,
     pub(crate) request: IncomingRpc,
-    /// When it arrived, in microseconds.
+    /// Time of arrival, in microseconds.
     pub(crate) arrived_at: Us,
-    /// Whether its final answer is still to be given.
+    /// Whether its final answer is still due.
     pub(crate) awaits_answer: bool,
-    /// The RPC that it repeats, or whose result it may share.
+    /// RPC that it is a retry of, or whose result it may share.
     pub(crate) original: Option<RpcId>,
     pub(crate) state: RpcState,
-    /// The body of the RPC until its run started, then of its upstream call, then the reply to that.
+    /// Body of the RPC at first, later that of its last upstream call, then the reply to that call.
     pub(crate) body: Option<Body>,
-    /// The link of its last upstream call.
+    /// Link of its last upstream call.
     pub(crate) last_link: Option<UpstreamLinkId>,
-    /// Whether an upstream call of it has failed or timed out.
+    /// Whether one of its upstream calls has failed or timed out.
     pub(crate) upstream_failed: bool,
 }
 
 impl<ReplyTo, Body: AsRef<[u8]>> OpenRpc<ReplyTo, Body> {
-    /// The bytes of the body; none of them if there was no buffer for it.
+    /// Returns the bytes of the body, which are empty if there was no buffer for it.
     pub(crate) fn body_bytes(&self) -> &[u8] {
         self.body.as_ref().map_or(&[], Body::as_ref)
     }
 
-    /// The last command that its executor was sent, while its run goes on.
+    /// Returns the last command sent to its executor while its run is in progress.
     pub(crate) fn last_command(&self) -> Option<Command<'_>> {
         let RpcState::Running(sent) = self.state else { return None };
         Some(match sent {
@@ -40,14 +40,14 @@
     }
 }
 
-/// Where an open RPC stands.
+/// Stage of an open RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RpcState {
-    /// Not started.
+    /// Waits to be started.
     Queued,
     /// Waits for the result of its original.
     Coalesced,
-    /// With the executor, which was sent this command last.
+    /// Runs at the executor, which was sent this command last.
     Running(SentCommand),
     /// Its run waits for a decision about an upstream call.
     NeedsCall,
@@ -55,7 +55,7 @@
     Calling(PendingCall),
 }
 
-/// A command that the executor of a run was sent.
+/// Last command sent to the executor of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SentCommand {
     Launch,
@@ -63,11 +63,11 @@
     Skip,
 }
 
-/// An upstream call that is waited for.
+/// Upstream call whose reply a run waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PendingCall {
-    /// The link that it was sent on; none if it could not be sent and its end is deferred.
+    /// Link that it was sent on; none if it could not be sent and its end is deferred.
     pub(crate) link: Option<UpstreamLinkId>,
-    /// Until when its reply is waited for, in microseconds.
+    /// Time until which the engine waits for its reply, in microseconds.
     pub(crate) expires_at: Us,
 }
--- a/engine/src/runs.rs
+++ b/engine/src/runs.rs
@@ -1,4 +1,4 @@
-//! Inputs from the executor about runs, and what the end of a run means for those that waited for its result.
+//! Inputs from the executor about runs, and the answers to coalesced RPCs when a run ends.
 
 use crate::engine::Engine;
 use crate::outputs::Outputs;
@@ -6,7 +6,7 @@
 use asterrill::{FinalAnswer, RpcId, RunEnd, Us};
 
 impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
-    /// A run has ended, with `result` if it was ok.
+    /// Ends a run, with `result` if it was ok.
     pub fn run_ended(
         &mut self, now: Us, id: RpcId, end: RunEnd, result: &[u8], out: &mut dyn Outputs<ReplyTo>,
     ) {
@@ -46,7 +46,8 @@
         *count += 1;
     }
 
-    /// The executor can't run what it was sent to launch. Returns who asked for it, if it was sent so.
+    /// Ends a run that the executor could not start. Returns the requester, or none if the last command sent
+    /// for this RPC was not its launch.
     pub fn launch_failed(&mut self, now: Us, id: RpcId, out: &mut dyn Outputs<ReplyTo>) -> Option<ReplyTo> {
         let rpc = self.rpcs.get(id).filter(|rpc| rpc.state == RpcState::Running(SentCommand::Launch))?;
         let reply_to = rpc.reply_to;
@@ -65,7 +66,7 @@
         self.apply(outcome, out);
     }
 
-    /// An RPC leaves the table.
+    /// Removes an RPC from the table.
     pub(crate) fn close(&mut self, id: RpcId, out: &mut dyn Outputs<ReplyTo>) {
         if self.rpcs.remove(id) {
             out.closed(id);
--- a/engine/src/settings.rs
+++ b/engine/src/settings.rs
@@ -1,4 +1,4 @@
-//! Start, changes of the settings, and inputs that set limits of the decision module.
+//! Start of the engine, changes of the settings, and inputs that set limits of the decision module.
 
 use crate::config::{EngineConfig, RetentionLimits};
 use crate::engine::Engine;
@@ -8,14 +8,14 @@
 };
 
 impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
-    /// Starts the decision module, which says what to publish.
+    /// Starts the decision module and applies its first outcome, such as the credit to publish.
     pub fn start(&mut self, now: Us, out: &mut dyn Outputs<ReplyTo>) {
         self.advance_to(now);
         let outcome = self.control.start();
         self.apply(outcome, out);
     }
 
-    /// Starts with another decision module, before any RPC was read.
+    /// Replaces the decision module and starts the new one. May be called only before any RPC was received.
     pub fn restart(
         &mut self, now: Us, control: Control, config: EngineConfig, out: &mut dyn Outputs<ReplyTo>,
     ) {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes settings in beside those in force: nothing of them shows until [`Engine::apply_staged`]. See
+    /// Stages settings alongside those in force. They have no effect until [`Engine::apply_staged`]; see
     /// [`Control::stage`].
     pub fn stage(&mut self, updates: &[SettingsUpdate]) {
         for update in updates {
@@ -42,8 +42,9 @@
         self.control.stage(updates);
     }
 
-    /// Puts all that was staged in force at once, with the global settings of `globals` and these limits where there
-    /// are any; see [`Control::commit`]. Cached reads serve nobody under the new settings.
+    /// Puts all staged settings into force at once, together with the global settings of `globals` and with `limits`,
+    /// if given; see [`Control::commit`]. Cached results are removed, because they were produced under the old
+    /// settings.
     pub fn apply_staged(
         &mut self, now: Us, globals: Option<Control>, limits: Option<RetentionLimits>,
         out: &mut dyn Outputs<ReplyTo>,
@@ -63,14 +64,14 @@
         self.result_ttl = limits.result_ttl;
     }
 
-    /// Restores what the decision module had learned before this start.
+    /// Restores the state that the decision module had learned before this start.
     pub fn restore(&mut self, now: Us, learned: LearnedState, out: &mut dyn Outputs<ReplyTo>) {
         self.advance_to(now);
         let outcome = self.control.restore(self.now, learned);
         self.apply(outcome, out);
     }
 
-    /// Limits what the decision module does while the server or its upstream recovers.
+    /// Sets the limits of the decision module while the server or its upstream tier recovers.
     pub fn set_recovery_limits(&mut self, now: Us, limits: RecoveryLimits, out: &mut dyn Outputs<ReplyTo>) {
         self.advance_to(now);
         let outcome = self.control.set_recovery_limits(self.now, limits);
--- a/engine/src/stats.rs
+++ b/engine/src/stats.rs
@@ -1,25 +1,25 @@
-//! What the engine has counted.
+//! Counters of the engine.
 
-/// RPCs, runs and upstream calls since the start.
+/// Counters of RPCs, runs and upstream calls since the start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineStats {
-    /// RPCs read, whether they could be taken or not.
+    /// RPCs received, whether accepted or not.
     pub requests: u64,
-    /// Of these, RPCs aborted because there was no buffer for their body.
+    /// RPCs among `requests` that were aborted because there was no buffer for their body.
     pub no_buffer: u64,
-    /// Final answers: ok.
+    /// Final answers that were ok.
     pub ok: u64,
-    /// Final answers: rejected, the RPC never ran.
+    /// Final answers that were rejections; these RPCs never ran.
     pub rejected: u64,
-    /// Final answers: aborted.
+    /// Final answers that were aborts.
     pub aborted: u64,
-    /// RPCs whose caller left before its answer.
+    /// RPCs cancelled by their caller before they were answered.
     pub cancelled: u64,
-    /// RPCs coalesced with another, whose result they waited for.
+    /// RPCs coalesced with another one to share its result.
     pub coalesced: u64,
-    /// Results of RPCs with an idempotency key that were evicted while a repeat might come.
+    /// Results of RPCs with an idempotency key that were evicted while a retry might still arrive.
     pub results_evicted: u64,
-    /// RPCs rejected because no more idempotency keys could be remembered.
+    /// RPCs rejected because the table of idempotency keys was full.
     pub idempotency_keys_full: u64,
     /// Runs started.
     pub runs: u64,
@@ -31,24 +31,24 @@
     pub runs_stopped: u64,
     /// Runs that the executor could not start.
     pub runs_not_started: u64,
-    /// Upstream calls made.
+    /// Upstream calls started, including those that could not be sent.
     pub calls: u64,
-    /// Upstream calls with a reply.
+    /// Upstream calls that ended with a reply.
     pub calls_ok: u64,
-    /// Upstream calls rejected, or not sent.
+    /// Upstream calls that were rejected or could not be sent.
     pub calls_rejected: u64,
-    /// Upstream calls aborted.
+    /// Upstream calls that were aborted.
     pub calls_aborted: u64,
     /// Upstream calls that timed out.
     pub calls_timed_out: u64,
-    /// Upstream calls skipped.
+    /// Upstream calls that were skipped.
     pub calls_skipped: u64,
     /// Wakeups of the decision module.
     pub wakeups: u64,
     /// Wakeups without fresh gauges.
     pub wakeups_without_gauges: u64,
-    /// Ends of runs, and needs of calls, of RPCs that were not running.
+    /// Events of runs (ends and requests for calls) for RPCs that were not running.
     pub stale_events: u64,
-    /// Replies from upstream that no call waited for.
+    /// Upstream replies that no call waited for.
     pub late_replies: u64,
 }
--- a/engine/src/table.rs
+++ b/engine/src/table.rs
@@ -1,18 +1,18 @@
-//! The table of open RPCs: by id, by who waits for their answers, and by the RPC whose result they wait for.
+//! Table of open RPCs, indexed by id, by requester, and by the RPC whose result they wait for.
 
 use crate::rpc::{OpenRpc, RpcState};
 use asterrill::RpcId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeBounds;
 
-/// An RPC that waits for the result of another.
+/// Index entry of an RPC that waits for the result of another.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Coalescing {
     original: RpcId,
     follower: RpcId,
 }
 
-/// All open RPCs and their indexes.
+/// Open RPCs and their indexes.
 pub(crate) struct RpcTable<ReplyTo, Body> {
     open: BTreeMap<RpcId, OpenRpc<ReplyTo, Body>>,
     unanswered: BTreeMap<ReplyTo, RpcId>,
@@ -24,13 +24,13 @@
         RpcTable { open: BTreeMap::new(), unanswered: BTreeMap::new(), coalesced: BTreeSet::new() }
     }
 
-    /// Adds an RPC whose answer is due.
+    /// Adds an RPC that awaits its answer.
     pub(crate) fn insert(&mut self, rpc: OpenRpc<ReplyTo, Body>) {
         self.unanswered.insert(rpc.reply_to, rpc.request.id);
         self.open.insert(rpc.request.id, rpc);
     }
 
-    /// The one place where an RPC leaves the table; false if it was not in it.
+    /// Removes an RPC from the table. Returns false if it was not in the table.
     pub(crate) fn remove(&mut self, id: RpcId) -> bool {
         let Some(rpc) = self.open.remove(&id) else { return false };
         self.coalesced.remove(&Coalescing { original: rpc.original.unwrap_or(id), follower: id });
@@ -53,37 +53,37 @@
         self.open.get(&id).map(|rpc| rpc.state)
     }
 
-    /// Open RPCs.
+    /// Returns the number of open RPCs.
     pub(crate) fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// All open RPCs, in the order of their ids.
+    /// Iterates over all open RPCs in the order of their ids.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &OpenRpc<ReplyTo, Body>> {
         self.open.values()
     }
 
-    /// The RPC whose answer is due to this requester.
+    /// Returns the RPC whose answer this requester awaits.
     pub(crate) fn unanswered(&self, reply_to: ReplyTo) -> Option<RpcId> {
         self.unanswered.get(&reply_to).copied()
     }
 
-    /// No answer is due to this requester any more; returns the RPC that it was due for.
+    /// Removes the requester from those that await an answer. Returns the RPC that it waited for.
     pub(crate) fn remove_unanswered(&mut self, reply_to: ReplyTo) -> Option<RpcId> {
         self.unanswered.remove(&reply_to)
     }
 
-    /// Answers due.
+    /// Returns the number of requesters that await an answer.
     pub(crate) fn unanswered_count(&self) -> usize {
         self.unanswered.len()
     }
 
-    /// The requesters in a range to whom an answer is due.
+    /// Returns the requesters in a range that await an answer.
     pub(crate) fn unanswered_in(&self, range: impl RangeBounds<ReplyTo>) -> impl Iterator<Item = &ReplyTo> {
         self.unanswered.range(range).map(|(reply_to, _)| reply_to)
     }
 
-    /// Lets an RPC wait for the result of its original.
+    /// Makes an RPC wait for the result of its original.
     pub(crate) fn coalesce(&mut self, follower: RpcId, original: RpcId) {
         self.coalesced.insert(Coalescing { original, follower });
         if let Some(rpc) = self.open.get_mut(&follower) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Queues an RPC that waited for its original; false if it did not wait.
+    /// Returns a coalesced RPC to the queue. Returns false if it was not coalesced.
     pub(crate) fn uncoalesce(&mut self, follower: RpcId) -> bool {
         let rpc = self.open.get_mut(&follower).filter(|rpc| rpc.state == RpcState::Coalesced);
         let Some(rpc) = rpc else { return false };
@@ -101,7 +101,7 @@
         true
     }
 
-    /// The RPCs that wait for the result of this one.
+    /// Returns the RPCs that wait for the result of this one.
     pub(crate) fn followers(&self, original: RpcId) -> Vec<RpcId> {
         let first = Coalescing { original, follower: RpcId::MIN };
         let last = Coalescing { original, follower: RpcId::MAX };
--- a/engine/src/timers.rs
+++ b/engine/src/timers.rs
@@ -1,37 +1,38 @@
-//! Time: upstream calls time out, retained results expire, and the decision module is woken with fresh gauges.
+//! Timers: timeouts of upstream calls, expiry of retained results, and wakeups of the decision module with fresh
+//! gauges.
 
 use crate::engine::{Engine, GaugeSample};
 use crate::outputs::Outputs;
 use asterrill::{Gauges, Us};
 
-/// Gauges are asked for this long before the wakeup that they are for, in microseconds.
-const GAUGE_LEAD_TIME: Us = 5_000;
-/// Gauges older than this are not passed on, in microseconds.
-const MAX_GAUGE_AGE: Us = 50_000;
+/// Time before a wakeup at which its gauges are requested.
+const GAUGE_LEAD_TIME_US: Us = 5_000;
+/// Age beyond which gauges are not passed to the decision module.
+const MAX_GAUGE_AGE_US: Us = 50_000;
 
 impl<ReplyTo: Copy + Ord, Body: AsRef<[u8]>> Engine<ReplyTo, Body> {
-    /// Gauges can be had from now on.
+    /// Enables requests for gauges, which are available from now on.
     pub fn enable_gauges(&mut self) {
         self.gauges_available = true;
     }
 
-    /// The gauges that were asked for came.
+    /// Stores the gauges that were requested.
     pub fn gauges_sampled(&mut self, now: Us, gauges: Gauges) {
         let sampled_at = self.advance_to(now);
         self.gauges = Some(GaugeSample { sampled_at, gauges });
     }
 
-    /// When [`Engine::tick`] is to be called next, in microseconds.
+    /// Returns the time at which [`Engine::tick`] must be called next, in microseconds.
     pub fn next_timer(&self) -> Option<Us> {
         let must_request_gauges = self.gauges_available && !self.gauges_requested;
-        let lead_time = if must_request_gauges { GAUGE_LEAD_TIME } else { 0 };
+        let lead_time = if must_request_gauges { GAUGE_LEAD_TIME_US } else { 0 };
         let wakeup = self.wakeups.first().map(|at| at.saturating_sub(lead_time));
         let call = self.call_timeouts.first().map(|timeout| timeout.at);
         let drain = self.drain.map(|drain| drain.deadline).filter(|deadline| *deadline > self.now);
         [wakeup, call, drain].into_iter().flatten().min()
     }
 
-    /// Time has passed.
+    /// Advances the time to `now`, handles expired timers and wakes the decision module if a wakeup is due.
     pub fn tick(&mut self, now: Us, out: &mut dyn Outputs<ReplyTo>) {
         self.advance_to(now);
         while let Some(timeout) = self.call_timeouts.first().copied().filter(|timeout| timeout.at <= self.now)
@@ -41,7 +42,7 @@
         self.response_cache.expire(self.now);
         self.idempotency.expire(self.now);
         let Some(wakeup) = self.wakeups.first().copied() else { return };
-        if self.gauges_available && !self.gauges_requested && wakeup <= self.now + GAUGE_LEAD_TIME {
+        if self.gauges_available && !self.gauges_requested && wakeup <= self.now + GAUGE_LEAD_TIME_US {
             self.gauges_requested = true;
             out.request_gauges();
         }
@@ -50,11 +51,11 @@
         }
     }
 
-    /// Wakes the decision module, for all wakeups that have come.
+    /// Wakes the decision module once for all wakeups that are due.
     fn wake(&mut self, out: &mut dyn Outputs<ReplyTo>) {
         self.wakeups = self.wakeups.split_off(&(self.now + 1));
         self.gauges_requested = false;
-        let fresh = self.gauges.take().filter(|sample| sample.sampled_at + MAX_GAUGE_AGE > self.now);
+        let fresh = self.gauges.take().filter(|sample| sample.sampled_at + MAX_GAUGE_AGE_US > self.now);
         self.stats.wakeups += 1;
         self.stats.wakeups_without_gauges += u64::from(fresh.is_none());
         let gauges = fresh.map(|sample| sample.gauges).unwrap_or_default();
