--- a/engine/src/tests/engine.rs
+++ b/engine/src/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine as a library embeds it, without sockets.
+//! Tests of the engine embedded as a library, without sockets.
 
 use super::harness::{Harness, KEYED_METHOD, MS, WINDOW};
 use crate::{Command, IdempotencyKey, IncomingRpc};
@@ -20,36 +20,37 @@
     runs.quickcheck(holds as fn(Vec<(u8, u16)>) -> bool);
 }
 
-/// The state in which a repeat finds the attempt before it.
+/// State of the first attempt when its retries arrive.
 #[derive(Clone, Copy, Debug)]
-enum Before {
+enum FirstAttempt {
     Queued,
     Running,
     Ended(RunEnd),
 }
 
 #[test]
-fn repeats_with_an_idempotency_key_share_one_run() {
-    for (before, answer) in [
-        (Before::Queued, "ok"),
-        (Before::Running, "ok"),
-        (Before::Ended(RunEnd::Ok), "ok"),
-        (Before::Ended(RunEnd::Aborted), "aborted"),
-        (Before::Ended(RunEnd::Stopped), "aborted"),
+fn retries_with_an_idempotency_key_share_one_run() {
+    for (first_attempt, answer) in [
+        (FirstAttempt::Queued, "ok"),
+        (FirstAttempt::Running, "ok"),
+        (FirstAttempt::Ended(RunEnd::Ok), "ok"),
+        (FirstAttempt::Ended(RunEnd::Aborted), "aborted"),
+        (FirstAttempt::Ended(RunEnd::Stopped), "aborted"),
     ] {
         let mut harness = Harness::new(Upstream::Absent);
-        if let Before::Queued = before {
-            (0..4).for_each(|_| _ = harness.request(1, 900 * MS)); // these take all the cores
+        if let FirstAttempt::Queued = first_attempt {
+            // These RPCs occupy all cores.
+            (0..4).for_each(|_| _ = harness.request(1, 900 * MS));
         }
         let first = harness.request_attempt(KEYED_METHOD, 900 * MS, Some(7), 0);
         let id = harness.recorder.requests[&first];
-        assert_eq!(harness.recorder.launched.contains(&id), !matches!(before, Before::Queued));
-        if let Before::Ended(end) = before {
+        assert_eq!(harness.recorder.launched.contains(&id), !matches!(first_attempt, FirstAttempt::Queued));
+        if let FirstAttempt::Ended(end) = first_attempt {
             harness.recorder.runs.remove(&id);
             harness.end_run(id, end);
         }
-        // Two at once, and one that lay unread.
-        let again = [0, 0, 20 * MS].map(|unread| {
+        // Two retries arrive together, and one is read 20 ms after its arrival.
+        let retries = [0, 0, 20 * MS].map(|unread| {
             harness.advance(if unread > 0 { 30 * MS } else { 0 });
             harness.request_attempt(KEYED_METHOD, 800 * MS, Some(7), unread)
         });
@@ -58,8 +59,8 @@
         }
         harness.check();
         assert!(
-            again.iter().all(|requester| harness.recorder.answers[requester] == answer),
-            "{before:?}: {:?}",
+            retries.iter().all(|requester| harness.recorder.answers[requester] == answer),
+            "{first_attempt:?}: {:?}",
             harness.recorder.answers
         );
     }
@@ -69,33 +70,35 @@
 fn idempotency_window_counts_from_the_arrival_of_the_attempt_that_ran() {
     let mut harness = Harness::new(Upstream::Absent);
     harness.advance(100 * MS);
-    let first = harness.request_attempt(KEYED_METHOD, 900 * MS, Some(1), 40 * MS); // arrived at 60 ms
+    // The first attempt is read at 100 ms, but arrived at 60 ms.
+    let first = harness.request_attempt(KEYED_METHOD, 900 * MS, Some(1), 40 * MS);
     harness.end_nth_run(0, RunEnd::Ok);
     harness.advance(60 * MS + WINDOW - harness.now - MS);
     let inside = harness.request_attempt(KEYED_METHOD, 900 * MS, Some(1), 0);
-    // A repeat that arrived in time is read long after the window has ended.
+    // A retry that arrived within the window is read long after its end.
     harness.advance(500 * MS);
     let read_late = harness.request_attempt(KEYED_METHOD, 900 * MS, Some(1), 501 * MS);
     assert_eq!(harness.recorder.launched.len(), 1);
     assert!([first, inside, read_late].iter().all(|requester| harness.recorder.answers[requester] == "ok"));
-    // One that came after the window is another RPC: the record of the first has expired.
+    // An RPC that arrives after the window is a new one, because the record of the first has expired.
     harness.request_attempt(KEYED_METHOD, 900 * MS, Some(1), 0);
     assert_eq!(harness.recorder.launched.len(), 2);
     harness.end_nth_run(0, RunEnd::Ok);
     harness.check();
-    // Other keys are other RPCs, even at the same moment.
+    // RPCs with other keys are independent, even if they arrive at the same time.
     harness.request_attempt(KEYED_METHOD, 900 * MS, Some(2), 0);
     harness.request_attempt(KEYED_METHOD, 900 * MS, Some(3), 0);
     assert_eq!(harness.recorder.launched.len(), 4);
 }
 
 #[test]
-fn repeats_replace_an_attempt_that_never_ran_one_by_one() {
+fn retries_replace_an_attempt_that_never_ran_one_by_one() {
     let mut harness = Harness::new(Upstream::Absent);
-    (0..2).for_each(|_| _ = harness.request(1, 900 * MS)); // these take all the cores
+    // These RPCs occupy all cores.
+    (0..2).for_each(|_| _ = harness.request(1, 900 * MS));
     let attempts: Vec<u64> =
         (0..200).map(|_| harness.request_attempt(KEYED_METHOD, 900 * MS, Some(4), 0)).collect();
-    // The caller of each cancels in turn; the others wait for the next attempt then.
+    // The caller of each attempt cancels in turn; the others then wait for the next attempt.
     for requester in &attempts[..199] {
         harness.deadlines.remove(requester);
         assert!(
@@ -109,8 +112,9 @@
     }
     assert_eq!(harness.recorder.answers.get(&attempts[199]), Some(&"ok"), "{:?}", harness.recorder.answers);
     assert_eq!((harness.engine.open_rpcs(), harness.engine.unanswered()), (0, 0));
-    // All that wait when the first expires in the queue are decided at once, without recursion.
-    (0..2).for_each(|_| _ = harness.request(1, 900 * MS)); // these take all the cores
+    // When the first attempt expires in the queue, all RPCs coalesced with it are decided at once, without recursion.
+    // The first two RPCs occupy all cores.
+    (0..2).for_each(|_| _ = harness.request(1, 900 * MS));
     let queued = harness.request_attempt(KEYED_METHOD, 200 * MS, Some(5), 0);
     let others: Vec<u64> =
         (0..200).map(|_| harness.request_attempt(KEYED_METHOD, 200 * MS, Some(5), 0)).collect();
@@ -125,7 +129,7 @@
     let mut harness = Harness::new(Upstream::Absent);
     let mut requesters = Vec::new();
     for key in 0..100 {
-        // Ids have one or two digits, and 64 bytes of results are retained.
+        // Results are ids of one or two digits, and at most 64 bytes of results are retained.
         requesters.push(harness.request_attempt(KEYED_METHOD, 900 * MS, Some(key), 0));
         harness.end_nth_run(0, RunEnd::Ok);
     }
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn rejects_new_idempotency_keys_but_not_repeats_when_the_table_is_full() {
+fn rejects_new_idempotency_keys_but_not_retries_when_the_table_is_full() {
     let mut harness = Harness::new(Upstream::Absent);
     let request = |n: u32| IncomingRpc {
         id: RpcId::from_number(n.into()),
@@ -156,7 +160,7 @@
     };
     let mut n = 0;
     while harness.engine.stats.idempotency_keys_full == 0 {
-        assert!(n < 20_000, "no bound");
+        assert!(n < 20_000, "the table of idempotency keys is unbounded");
         harness.engine.request_received(harness.now, n.into(), request(n), b"", &mut harness.recorder);
         harness.engine.run_ended(
             harness.now,
@@ -168,14 +172,14 @@
         n += 1;
     }
     assert_eq!(harness.recorder.answers[&u64::from(n - 1)], "rejected");
-    let again = IncomingRpc { id: RpcId::from_number(1 << 40), ..request(7) };
-    harness.engine.request_received(harness.now, 1 << 40, again, b"", &mut harness.recorder);
-    assert_eq!(harness.recorder.answers[&(1 << 40)], "ok", "its key was never dropped");
+    let retry = IncomingRpc { id: RpcId::from_number(1 << 40), ..request(7) };
+    harness.engine.request_received(harness.now, 1 << 40, retry, b"", &mut harness.recorder);
+    assert_eq!(harness.recorder.answers[&(1 << 40)], "ok", "a recorded key must not be dropped");
     harness.advance(2 * WINDOW + 900 * MS);
     harness.engine.request_received(harness.now, u64::from(n), request(n), b"", &mut harness.recorder);
     assert!(
         harness.recorder.launched.contains(&RpcId::from_number(n.into())),
-        "capacity again once the windows have ended"
+        "a new key must be accepted once the windows have ended"
     );
 }
 
@@ -197,7 +201,7 @@
 }
 
 #[test]
-fn refuses_an_open_id_or_requester_and_retains_the_first() {
+fn refuses_an_id_or_requester_in_use_and_keeps_the_open_rpc() {
     let mut harness = Harness::new(Upstream::Absent);
     let requester = harness.request(1, 900 * MS);
     let id = harness.recorder.requests[&requester];
--- a/engine/src/tests/harness.rs
+++ b/engine/src/tests/harness.rs
@@ -1,5 +1,5 @@
-//! Front ends, an executor and an upstream tier that the test plays: requesters are numbers, and runs end when the test
-//! says so.
+//! Test harness that simulates front ends, an executor and an upstream tier. Requesters are numbers, and each test
+//! decides when runs end.
 
 use crate::{
     AnsweredRpc, Engine, EngineConfig, IdempotencyKey, IncomingRpc, Outputs, RetentionLimits, UpstreamLinkId,
@@ -8,7 +8,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 pub(super) const MS: Us = 1_000;
-pub(super) const WINDOW: Us = 700 * MS; // of the method with idempotency keys
+/// Idempotency window, which applies to RPCs with idempotency keys.
+pub(super) const WINDOW: Us = 700 * MS;
+/// Index of the method whose RPCs have idempotency keys.
 pub(super) const KEYED_METHOD: usize = 2;
 
 pub(super) fn control(upstream: Upstream) -> Control {
@@ -45,7 +47,7 @@
     )
 }
 
-/// The engine's surroundings: they record what they are asked for, and check the guarantees with each.
+/// Outputs that record all requested actions and check the guarantees of the engine.
 #[derive(Default)]
 pub(super) struct Recorder {
     pub(super) requests: BTreeMap<u64, RpcId>,
@@ -55,13 +57,16 @@
     pub(super) closed: BTreeSet<RpcId>,
     pub(super) calls: BTreeMap<RpcId, UpstreamLinkId>,
     pub(super) violations: Vec<String>,
-    pub(super) calls_fail: bool, // upstream calls can't be sent
-    pub(super) attempts: BTreeMap<RpcId, (IdempotencyKey, Us)>, // of RPCs with idempotency keys, with their arrivals
-    pub(super) last_run: BTreeMap<IdempotencyKey, (RpcId, Us)>, // the attempt that ran last, and its arrival
+    /// Whether upstream calls can't be sent.
+    pub(super) calls_fail: bool,
+    /// Attempts of RPCs with idempotency keys, with their times of arrival.
+    pub(super) attempts: BTreeMap<RpcId, (IdempotencyKey, Us)>,
+    /// Attempt that ran last for each key, with its time of arrival.
+    pub(super) last_run: BTreeMap<IdempotencyKey, (RpcId, Us)>,
 }
 
 impl Recorder {
-    /// Whether this is the result of a run with the same idempotency key.
+    /// Reports whether this is the result of a run with the same idempotency key.
     pub(super) fn is_result_of_same_key(&self, to: u64, result: &[u8]) -> bool {
         let key_of = |id: &RpcId| self.attempts.get(id).map(|(key, _)| *key);
         let key = self.requests.get(&to).and_then(key_of);
@@ -70,22 +75,22 @@
 }
 
 impl Outputs<u64> for Recorder {
-    fn answer(&mut self, to: u64, answer: FinalAnswer<'_>, _: Option<f64>, served: Option<AnsweredRpc>) {
-        if served.is_none() {
-            self.violations.push(format!("{to}: answered without its figures"));
+    fn answer(&mut self, to: u64, answer: FinalAnswer<'_>, _: Option<f64>, answered: Option<AnsweredRpc>) {
+        if answered.is_none() {
+            self.violations.push(format!("{to}: answered without details of the RPC"));
         }
         let kind = match answer {
             FinalAnswer::Ok(result) => {
                 let own = self.requests.get(&to).is_some_and(|id| id.as_str().as_bytes() == result);
                 if !own && !self.is_result_of_same_key(to, result) {
-                    self.violations.push(format!("{to}: a result of another run"));
+                    self.violations.push(format!("{to}: answered with the result of another run"));
                 }
                 "ok"
             }
             FinalAnswer::Rejected { .. }
                 if self.requests.get(&to).is_some_and(|id| self.launched.contains(id)) =>
             {
-                self.violations.push(format!("{to}: rejected though it ran"));
+                self.violations.push(format!("{to}: rejected although it ran"));
                 "rejected"
             }
             FinalAnswer::Rejected { .. } => {
@@ -93,7 +98,7 @@
                 let ran = attempt
                     .and_then(|(key, at)| self.last_run.get(key).filter(|(_, ran)| *at < ran + WINDOW));
                 if ran.is_some() {
-                    self.violations.push(format!("{to}: rejected though an attempt of it ran"));
+                    self.violations.push(format!("{to}: rejected although an attempt of it ran"));
                 }
                 "rejected"
             }
@@ -110,11 +115,11 @@
     }
     fn launch(&mut self, _: u64, id: RpcId, _: MethodId, _: &[u8]) {
         if !self.launched.insert(id) || self.closed.contains(&id) {
-            self.violations.push(format!("{id:?}: launched twice, or after it closed"));
+            self.violations.push(format!("{id:?}: launched twice or after it was closed"));
         }
         if let Some((key, at)) = self.attempts.get(&id).copied() {
             if self.last_run.insert(key, (id, at)).is_some_and(|(_, ran)| at < ran + WINDOW) {
-                self.violations.push(format!("{id:?}: run again within the window"));
+                self.violations.push(format!("{id:?}: run again within the idempotency window"));
             }
         }
         self.runs.insert(id);
@@ -133,7 +138,7 @@
     ) -> Option<UpstreamLinkId> {
         let link = UpstreamLinkId(previous.map_or(0, |link| link.0 + 1));
         if !self.calls_fail && self.calls.insert(id, link).is_some() {
-            self.violations.push(format!("{id:?}: two calls at a time"));
+            self.violations.push(format!("{id:?}: two concurrent calls"));
         }
         Some(link).filter(|_| !self.calls_fail)
     }
@@ -148,7 +153,7 @@
     fn log(&mut self, _: &str) {}
 }
 
-/// The engine under test and its surroundings.
+/// Engine under test with recorded outputs.
 pub(super) struct Harness {
     pub(super) engine: Engine<u64, Vec<u8>>,
     pub(super) recorder: Recorder,
@@ -174,7 +179,7 @@
     pub(super) fn request(&mut self, method: usize, timeout: Us) -> u64 {
         self.request_attempt(method, timeout, None, 0)
     }
-    /// Requests an attempt of the RPC with this idempotency key, which lay unread for so long.
+    /// Sends an attempt of the RPC with this idempotency key, which is read `unread` after its arrival.
     pub(super) fn request_attempt(&mut self, method: usize, timeout: Us, key: Option<u8>, unread: Us) -> u64 {
         let key = key.map(|n| IdempotencyKey([n; 16]));
         let requester = self.recorder.requests.len() as u64 + 1;
@@ -206,7 +211,7 @@
         self.recorder.runs.remove(&id);
         self.end_run(id, end);
     }
-    /// Ends a run, with its id as the result.
+    /// Ends a run with its id as the result.
     pub(super) fn end_run(&mut self, id: RpcId, end: RunEnd) {
         self.engine.run_ended(self.now, id, end, id.as_str().as_bytes(), &mut self.recorder);
     }
