--- a/recovery/src/checksummed.rs
+++ b/recovery/src/checksummed.rs
@@ -1,43 +1,47 @@
-//! Text files in which a crash or a bad disk is noticed: a line with the kind and the format, a line with a checksum,
-//! and the body. Whoever owns files writes the text beside its place, syncs and renames.
+//! Text format that detects files truncated by a crash or damaged by a disk: a line with the kind and the format, a
+//! line with a checksum, and the body. The owner of the files writes the text to a temporary file in the same
+//! directory, syncs and renames it.
 //!
-//! Used for snapshots here, and for the state of members and of configuration versions elsewhere.
+//! The format is used for snapshots in this crate, and for the state of members and of configuration versions
+//! elsewhere.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of a checksummed text at the most.
+/// Maximum size of a checksummed text.
 pub const MAX_TEXT_BYTES: usize = 1 << 20;
 
-/// The first word of each text.
+/// First word of each text.
 const PROGRAM: &str = "asterrill";
-/// Digits of a checksum.
+/// Hexadecimal digits of a checksum.
 const CHECKSUM_DIGITS: usize = 16;
-/// Digits of another format's number at the most, for the text to be recognized as one of this program.
+/// Maximum number of digits in a format number. A longer one is not recognized as text of this program.
 const MAX_FORMAT_DIGITS: usize = 20;
 
-/// Why a checksummed text can't be used.
+/// Error in a checksummed text.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChecksumError {
-    /// It does not begin as texts of this kind do, or is longer than any of them. With the kind that was expected.
-    #[error("it is not a {0} file of this program")]
+    /// The text has an unknown header or is longer than [`MAX_TEXT_BYTES`]. Contains the expected kind.
+    #[error("not a {0} file of this program: unknown header, or too long")]
     UnknownKind(&'static str),
-    /// Its format has another number. With the first line.
-    #[error("it was written by another version of this program: {0:?}")]
+    /// The format number is not the expected one. Contains the first line.
+    #[error("unsupported file format, written by another version of this program: {0:?}")]
     UnsupportedFormat(String),
-    /// It is cut short, or its checksum does not match.
-    #[error("it is cut short or damaged")]
+    /// The text is truncated, or its checksum does not match.
+    #[error("file is truncated or its checksum does not match")]
     Corrupt,
 }
 
-/// A body with its kind, format and checksum. `kind` is a word such as `state`; `format` the number of the body's format.
+/// Adds a header with kind, format and checksum to a body. `kind` is a word such as `state`; `format` is the number of
+/// the body's format.
 pub fn encode_checksummed(kind: &str, format: u32, body: &str) -> String {
     format!("{PROGRAM} {kind} {format}\nsum {:016x}\n{body}", xxh3_64(body.as_bytes()))
 }
 
-/// The body of a text that [`encode_checksummed`] made.
+/// Returns the body of a text that was written by [`encode_checksummed`].
 ///
 /// # Errors
-/// [`ChecksumError`]: another kind or program, another format, or not the bytes that were written.
+/// Returns a [`ChecksumError`] if the text is of another kind or program, has another format, or was truncated or
+/// changed.
 pub fn decode_checksummed<'a>(
     kind: &'static str, format: u32, text: &'a str,
 ) -> Result<&'a str, ChecksumError> {
@@ -54,13 +58,13 @@
     }
 }
 
-/// What follows the line with the kind and the format.
+/// Returns the text after the line with the kind and the format.
 fn strip_header<'a>(kind: &'static str, format: u32, text: &'a str) -> Result<&'a str, ChecksumError> {
     let prefix = format!("{PROGRAM} {kind} ");
     let expected = format!("{prefix}{format}");
     let Some((header, rest)) = text.split_once('\n') else {
-        let is_cut_short = expected.starts_with(text);
-        return Err(if is_cut_short { ChecksumError::Corrupt } else { ChecksumError::UnknownKind(kind) });
+        let is_truncated = expected.starts_with(text);
+        return Err(if is_truncated { ChecksumError::Corrupt } else { ChecksumError::UnknownKind(kind) });
     };
     if header == expected {
         return Ok(rest);
--- a/recovery/src/snapshot.rs
+++ b/recovery/src/snapshot.rs
@@ -1,6 +1,6 @@
-//! What a server has learned, as text.
+//! Snapshot of the state that a server has learned, and its text format.
 //!
-//! A checksummed text of kind `learned`, format 1, with one line for each value: `moment WALL UPTIME BOOT`,
+//! The text is a checksummed text of kind `learned`, format 1, with one line for each value: `moment WALL UPTIME BOOT`,
 //! `settings HASH`, `machine CORES MEMORY_MB`, `target N`, `pace N`, `failures N`, `method TARGET MEAN RUNS NAME`,
 //! `account CALLER FRACTION`, `tenant RPCS NAME`, `name NAME`.
 
@@ -9,93 +9,94 @@
 use asterrill::Us;
 use std::fmt::{Arguments, Write as _};
 
-/// Methods in a snapshot at the most.
+/// Maximum number of methods in a snapshot.
 pub const MAX_METHODS: usize = 1024;
-/// Callers' accounts in a snapshot at the most: those heard last.
+/// Maximum number of callers' accounts in a snapshot. The most recently active ones are kept.
 pub const MAX_ACCOUNTS: usize = 1000;
-/// Tenants in a snapshot at the most.
+/// Maximum number of tenants in a snapshot.
 pub const MAX_TENANTS: usize = 1024;
 
 const KIND: &str = "learned";
 const FORMAT: u32 = 1;
-/// Bytes of a name; longer ones are left out.
+/// Maximum length of a name. Longer names are omitted.
 const MAX_NAME_BYTES: usize = 256;
 
-/// What was learned of one method.
+/// Learned cost of one method.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MethodCost {
-    /// The method.
+    /// Name of the method.
     pub name: String,
-    /// Its latency target when that was learned, in microseconds.
+    /// Latency target of the method at the time of the snapshot, in microseconds.
     pub latency_target: Us,
-    /// What serving an RPC takes, in microseconds.
+    /// Mean time to serve an RPC, in microseconds.
     pub mean: f64,
-    /// Runs on which that rests.
+    /// Number of runs on which the mean is based.
     pub runs: f64,
 }
 
-/// What a caller has left of its account.
+/// Balance of a caller's account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AccountBalance {
-    /// The caller's number.
+    /// Number of the caller.
     pub caller: u64,
-    /// The fraction of a full account, 0 to 1.
+    /// Balance as a fraction of a full account, 0 to 1.
     pub fraction: f64,
 }
 
-/// What a tenant may still send beyond its quota.
+/// Remaining allowance of a tenant beyond its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantAllowance {
-    /// The tenant.
+    /// Name of the tenant.
     pub name: String,
-    /// RPCs by which it may still exceed its quota.
+    /// Number of RPCs by which the tenant may still exceed its quota.
     pub rpcs: f64,
 }
 
-/// What a server has learned by serving.
+/// State that a server has learned while serving.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// The backend's name.
+    /// Name of the backend.
     pub name: String,
-    /// The hash of the settings in force.
+    /// Hash of the settings in force.
     pub settings_hash: u64,
-    /// Cores of the machine.
+    /// Number of cores of the machine.
     pub cores: f64,
     /// Memory of the machine, in MB.
     pub memory_mb: u64,
-    /// When the snapshot was taken.
+    /// Clock readings at the time of the snapshot.
     pub taken_at: ClockReading,
-    /// What was learned of methods.
+    /// Costs of the methods.
     pub methods: Vec<MethodCost>,
-    /// RPCs that run at a time; 0 if that was not learned.
+    /// Target number of concurrent runs; 0 if none was learned.
     pub concurrency_target: f64,
-    /// Serving times over those that are learned; 0 if that was not learned.
+    /// Ratio of the current serving times to the learned ones; 0 if none was learned.
     pub slowdown: f64,
-    /// Upstream calls that failed in a row.
+    /// Number of consecutive failed upstream calls.
     pub call_failures: u32,
-    /// Accounts of callers, the one heard last first.
+    /// Accounts of the callers, most recently active first.
     pub accounts: Vec<AccountBalance>,
-    /// Allowances of tenants.
+    /// Allowances of the tenants.
     pub tenants: Vec<TenantAllowance>,
 }
 
-/// Why a snapshot can't be used.
+/// Error in the text of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// It is no checksummed text of this kind and format.
+    /// The text is not a checksummed text of this kind and format.
     #[error(transparent)]
     Checksum(#[from] ChecksumError),
-    /// The checksum holds, and yet the line with this number, from 1, is none that this program writes.
-    #[error("line {0} is not valid")]
+    /// The checksum matches, but this program does not write such a line. Contains the line number, counted from 1.
+    #[error("line {0} of the body is invalid")]
     InvalidLine(usize),
-    /// It has more methods, accounts or tenants than this program writes.
-    #[error("it has too many methods, accounts or tenants")]
+    /// The snapshot has more methods, accounts or tenants than this program writes.
+    #[error("too many methods, accounts or tenants")]
     TooManyEntries,
 }
 
 impl Snapshot {
-    /// As checksummed text: at most 1,024 methods and tenants and 1,000 accounts, so some 400 kB. Names that would break
-    /// their line are left out.
+    /// Returns the snapshot as checksummed text of at most about 400 kB: 1,024 methods, 1,024 tenants and 1,000
+    /// accounts. Methods and tenants whose names are too long or contain control characters, such as line breaks, are
+    /// omitted.
     pub fn to_text(&self) -> String {
         let ClockReading { wall, uptime, boot_id } = self.taken_at;
         let mut body = format!("moment {wall} {uptime} {boot_id:016x}\n");
@@ -123,27 +124,28 @@
         encode_checksummed(KIND, FORMAT, &body)
     }
 
-    /// Reads a text that [`Snapshot::to_text`] wrote, as a whole or not at all.
+    /// Parses a text written by [`Snapshot::to_text`], completely or not at all.
     ///
     /// # Errors
-    /// [`SnapshotError`]. A number that is negative, infinite or not a number makes its line invalid.
+    /// Returns a [`SnapshotError`] if the text is not valid. A line with a number that is negative, infinite or not a
+    /// number is invalid.
     pub fn from_text(text: &str) -> Result<Snapshot, SnapshotError> {
         let body = decode_checksummed(KIND, FORMAT, text)?;
         let mut snapshot = Snapshot::default();
         for (i, line) in body.lines().enumerate() {
-            snapshot.read_line(line).ok_or(SnapshotError::InvalidLine(i + 1))?;
+            snapshot.parse_line(line).ok_or(SnapshotError::InvalidLine(i + 1))?;
         }
-        let is_bounded = snapshot.methods.len() <= MAX_METHODS
+        let within_limits = snapshot.methods.len() <= MAX_METHODS
             && snapshot.accounts.len() <= MAX_ACCOUNTS
             && snapshot.tenants.len() <= MAX_TENANTS;
-        if is_bounded {
+        if within_limits {
             Ok(snapshot)
         } else {
             Err(SnapshotError::TooManyEntries)
         }
     }
 
-    fn read_line(&mut self, line: &str) -> Option<()> {
+    fn parse_line(&mut self, line: &str) -> Option<()> {
         let (key, values) = line.split_once(' ')?;
         let mut words = values.split(' ');
         let mut word = || words.next();
@@ -154,11 +156,11 @@
             }
             "settings" => self.settings_hash = parse_hash(word()?)?,
             "machine" => {
-                self.cores = parse_figure(word()?)?;
+                self.cores = parse_non_negative(word()?)?;
                 self.memory_mb = word()?.parse().ok()?;
             }
-            "target" => self.concurrency_target = parse_figure(word()?)?,
-            "pace" => self.slowdown = parse_figure(word()?)?,
+            "target" => self.concurrency_target = parse_non_negative(word()?)?,
+            "pace" => self.slowdown = parse_non_negative(word()?)?,
             "failures" => self.call_failures = word()?.parse().ok()?,
             "method" => self.methods.push(parse_method(values)?),
             "account" => self.accounts.push(parse_account(values)?),
@@ -170,7 +172,7 @@
     }
 }
 
-/// Names go to the end of their line, so they may contain spaces.
+/// Reports whether a name can be stored. Spaces are allowed, because a name extends to the end of its line.
 fn is_valid_name(name: &str) -> bool {
     name.len() <= MAX_NAME_BYTES && !name.chars().any(char::is_control)
 }
@@ -179,8 +181,8 @@
     let mut words = values.splitn(4, ' ');
     Some(MethodCost {
         latency_target: words.next()?.parse().ok()?,
-        mean: parse_figure(words.next()?)?,
-        runs: parse_figure(words.next()?)?,
+        mean: parse_non_negative(words.next()?)?,
+        runs: parse_non_negative(words.next()?)?,
         name: words.next()?.to_string(),
     })
 }
@@ -188,20 +190,20 @@
 fn parse_account(values: &str) -> Option<AccountBalance> {
     let mut words = values.split(' ');
     let caller = words.next()?.parse().ok()?;
-    let fraction = parse_figure(words.next()?).filter(|fraction| *fraction <= 1.0)?;
+    let fraction = parse_non_negative(words.next()?).filter(|fraction| *fraction <= 1.0)?;
     Some(AccountBalance { caller, fraction })
 }
 
 fn parse_tenant(values: &str) -> Option<TenantAllowance> {
     let (rpcs, name) = values.split_once(' ')?;
-    Some(TenantAllowance { rpcs: parse_figure(rpcs)?, name: name.to_string() })
+    Some(TenantAllowance { rpcs: parse_non_negative(rpcs)?, name: name.to_string() })
 }
 
 fn parse_hash(word: &str) -> Option<u64> {
     u64::from_str_radix(word, 16).ok()
 }
 
-/// A figure that is finite and not negative.
-fn parse_figure(word: &str) -> Option<f64> {
-    word.parse().ok().filter(|figure: &f64| figure.is_finite() && *figure >= 0.0)
+/// Parses a number that is finite and not negative.
+fn parse_non_negative(word: &str) -> Option<f64> {
+    word.parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0)
 }
