--- a/recovery/src/assessment.rs
+++ b/recovery/src/assessment.rs
@@ -1,27 +1,27 @@
-//! What is restored of a snapshot, and what became of each value in it.
+//! Result of assessing a snapshot: the values to restore, and a verdict on each kind of value.
 
 use crate::snapshot::{AccountBalance, TenantAllowance};
 use asterrill::Us;
 
-/// The kinds of values in a snapshot.
+/// Kind of value in a snapshot. The names of the variants appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ValueKind {
-    /// What serving an RPC of each method takes.
+    /// Mean serving times of the methods.
     Costs,
-    /// RPCs that run at a time.
+    /// Target number of concurrent runs.
     ConcurrencyTarget,
-    /// Serving times over those that are learned.
+    /// Ratio of the current serving times to the learned ones.
     Slowdown,
-    /// Whether upstream calls failed.
+    /// State of the circuit breaker for upstream calls.
     Breaker,
-    /// Callers' accounts.
+    /// Accounts of the callers.
     Accounts,
-    /// Tenants' allowances.
+    /// Allowances of the tenants.
     Tenants,
 }
 
 impl ValueKind {
-    /// All kinds, in the order in which they are assessed.
+    /// All kinds, in the order of their assessment.
     pub const ALL: [ValueKind; 6] = [
         ValueKind::Costs,
         ValueKind::ConcurrencyTarget,
@@ -32,79 +32,79 @@
     ];
 }
 
-/// Why a value is discarded.
+/// Reason for discarding a value. The names of the variants appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscardReason {
-    /// The clocks don't tell how old the snapshot is.
+    /// The clocks do not determine the age of the snapshot.
     AgeUnknown,
-    /// It is older than values of its kind may be.
+    /// The snapshot is older than is allowed for values of this kind.
     TooOld,
-    /// Another backend wrote it.
+    /// The snapshot was written by another backend.
     OtherBackend,
-    /// Other settings were in force.
+    /// The snapshot was taken under other settings.
     OtherSettings,
-    /// The machine had other cores or memory.
+    /// The machine had a different number of cores or a different amount of memory.
     OtherMachine,
     /// The agent has started without a warm cache.
     AgentEmpty,
-    /// The snapshot has no value of this kind, or only of what does not exist any more.
+    /// The snapshot has no value of this kind, or only values of methods that no longer exist.
     NoValue,
 }
 
-/// What becomes of a value.
+/// Decision on a value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It is restored as it is.
+    /// The value is restored unchanged.
     Accepted,
-    /// It is restored with this weight, above 0 and below 1.
+    /// The value is restored with this weight, which is above 0 and below 1.
     Discounted(f64),
-    /// It is not restored.
+    /// The value is not restored.
     Discarded(DiscardReason),
 }
 
-/// The verdict on one kind of values.
+/// Verdict on one kind of value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ValueVerdict {
-    /// Which kind.
+    /// Kind of the value.
     pub kind: ValueKind,
-    /// What becomes of it.
+    /// Decision on the value.
     pub verdict: Verdict,
 }
 
-/// A method's cost to be restored.
+/// Cost of a method that is to be restored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredCost {
-    /// The method.
+    /// Name of the method.
     pub method: String,
-    /// What serving an RPC takes, in microseconds.
+    /// Mean time to serve an RPC, in microseconds.
     pub mean: f64,
-    /// The runs that it counts for.
+    /// Number of runs that the mean counts as.
     pub runs: f64,
 }
 
-/// What the decision module is to restore. Whatever is not in it begins as on a server that has learned nothing.
+/// Values that the decision module restores. All others start as on a server that has learned nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Assessment {
     /// Costs of methods.
     pub costs: Vec<RestoredCost>,
-    /// RPCs that run at a time.
+    /// Target number of concurrent runs.
     pub concurrency_target: Option<f64>,
-    /// Serving times over those that are learned.
+    /// Ratio of the current serving times to the learned ones.
     pub slowdown: Option<f64>,
-    /// One failure of an upstream call opens the breaker; until then nothing is withheld.
+    /// Whether a single failed upstream call opens the breaker. No call is withheld until then.
     pub trip_breaker_on_first_failure: bool,
-    /// Callers' accounts.
+    /// Accounts of the callers.
     pub accounts: Vec<AccountBalance>,
-    /// Tenants' allowances as they were in the snapshot; they have grown for the age of it since.
+    /// Allowances of the tenants as they were in the snapshot, without their growth over its age.
     pub tenants: Vec<TenantAllowance>,
-    /// The age of the snapshot, in microseconds.
+    /// Age of the snapshot, in microseconds.
     pub age: Us,
-    /// What became of each kind of values, in the order of [`ValueKind::ALL`].
+    /// Verdict on each kind of value, in the order of [`ValueKind::ALL`].
     pub verdicts: Vec<ValueVerdict>,
 }
 
 impl Assessment {
-    /// Nothing is restored, for one reason.
+    /// Returns an assessment that discards all values for the same reason.
     pub(crate) fn discard_all(reason: DiscardReason) -> Assessment {
         let verdict = Verdict::Discarded(reason);
         let verdicts = ValueKind::ALL.map(|kind| ValueVerdict { kind, verdict });
@@ -115,13 +115,13 @@
         self.verdicts.push(ValueVerdict { kind, verdict });
     }
 
-    /// For the log, such as `Costs discounted to 0.50, ConcurrencyTarget discarded: TooOld`.
+    /// Returns a summary for the log, such as `Costs discounted to 0.50, ConcurrencyTarget discarded: TooOld`.
     pub fn summary(&self) -> String {
-        let one = |ValueVerdict { kind, verdict }: &ValueVerdict| match verdict {
+        let describe = |ValueVerdict { kind, verdict }: &ValueVerdict| match verdict {
             Verdict::Accepted => format!("{kind:?} accepted"),
             Verdict::Discounted(weight) => format!("{kind:?} discounted to {weight:.2}"),
             Verdict::Discarded(reason) => format!("{kind:?} discarded: {reason:?}"),
         };
-        self.verdicts.iter().map(one).collect::<Vec<_>>().join(", ")
+        self.verdicts.iter().map(describe).collect::<Vec<_>>().join(", ")
     }
 }
--- a/recovery/src/clock.rs
+++ b/recovery/src/clock.rs
@@ -1,22 +1,22 @@
-//! The age of something that was written by an earlier process, although a clock may have been set meanwhile.
+//! Age of data written by an earlier process, even if a clock was set since.
 
 use asterrill::Us;
 
-/// One moment as three clocks show it.
+/// Readings of three clocks at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The Unix clock, in microseconds; it may be set at any time.
+    /// Unix time, in microseconds. The clock may be set at any time.
     pub wall: Us,
-    /// The time since the machine was started, in microseconds.
+    /// Time since the machine was booted, in microseconds.
     pub uptime: Us,
-    /// A hash that identifies this start of the machine; 0 where it is not available.
+    /// Hash that identifies this boot of the machine; 0 where it is not available.
     pub boot_id: u64,
 }
 
-/// How long ago `then` was, in microseconds; none where that can't be trusted.
+/// Returns the time from `then` to `now`, in microseconds, or none if it can't be trusted.
 ///
-/// Within one start of the machine its uptime tells, whatever became of the Unix clock. Across starts the Unix clock has
-/// to: it must not lie before `then`, and at least as much time has passed as the machine is up now.
+/// Within one boot of the machine the age is the difference of the uptimes, even if the Unix clock was set. Across
+/// boots it is the difference of the Unix times, which must not be negative and must be at least the current uptime.
 pub fn age(now: &ClockReading, then: &ClockReading) -> Option<Us> {
     if now.boot_id == 0 || then.boot_id == 0 {
         return None;
--- a/recovery/src/lib.rs
+++ b/recovery/src/lib.rs
@@ -1,28 +1,28 @@
 //! Recovery after a restart, an outage of the upstream tier, or the loss of stored state.
 //!
-//! Each question is decided by a state machine or a pure function of its own. Time, randomness, ages and the results of
-//! upstream calls are passed in; the text of a snapshot goes out and comes in.
+//! Each decision is made by a state machine or a pure function of its own. Time, randomness, ages, the results of
+//! upstream calls and the text of a snapshot are passed in; the crate performs no I/O.
 //!
-//! | question | where |
+//! | decision | items |
 //! | --- | --- |
-//! | what is worth storing, and in which form | [`Snapshot`], [`encode_checksummed`] |
-//! | what of it still holds after this start | [`assess`], [`Assessment`] |
-//! | how many calls the upstream tier gets after a start or an outage | [`SlowStart`] |
-//! | who waits how long, so that processes that start together don't act in step | [`seed`], [`phase`], [`JitteredInterval`] |
-//! | how far a server has recovered, by what evidence | [`StageTracker`] |
+//! | which learned state is stored, and in which format | [`Snapshot`], [`encode_checksummed`] |
+//! | which stored values are still valid after this start | [`assess`], [`Assessment`] |
+//! | how many calls may be in flight to the upstream tier after a start or an outage | [`SlowStart`] |
+//! | how periodic work is spread, so that processes started together do not act in lockstep | [`seed`], [`phase`], [`JitteredInterval`] |
+//! | how far a server has recovered, and on which evidence | [`StageTracker`] |
 //!
-//! Promises:
+//! Guarantees:
 //!
-//! - A snapshot is read whole or not at all: what is cut short, damaged, of another program or invalid is an error,
-//!   never a panic and never half of it.
-//! - Nothing restored is more pessimistic than a server that has learned nothing by more than [`MAX_COST_FRACTION`], and
-//!   nothing restored withholds an RPC or a call for longer than [`MAX_EFFECT_TIME_US`] without fresh evidence.
-//! - An age that can't be trusted counts as too old.
+//! - A snapshot is parsed completely or not at all: text that is truncated, damaged, written by another program or
+//!   invalid is an error, never a panic or a partial result.
+//! - No restored cost exceeds [`MAX_COST_FRACTION`] of its latency target, and no restored value withholds an RPC or a
+//!   call for longer than [`MAX_EFFECT_TIME_US`] without fresh evidence.
+//! - An age that can't be trusted is treated as too old.
 //!
 //! ```
 //! use asterrill_recovery::{age, ClockReading};
 //! let then = ClockReading { wall: 7_200_000_000, uptime: 1_000_000, boot_id: 7 };
-//! // The wall clock was set back by an hour meanwhile; the machine has not been restarted, so its age is known.
+//! // The wall clock was set back by an hour, but the machine was not rebooted, so the age is known from the uptime.
 //! let now = ClockReading { wall: 3_600_000_000, uptime: 3_000_000, boot_id: 7 };
 //! assert_eq!(age(&now, &then), Some(2_000_000));
 //! ```
--- a/recovery/src/slow_start.rs
+++ b/recovery/src/slow_start.rs
@@ -1,76 +1,77 @@
-//! The number of upstream calls in flight after a start or an outage. Nobody knows then what the upstream tier bears: its
-//! caches may be cold, and all its callers come back together. So the limit grows slowly, by what is really answered.
+//! Limit on the upstream calls in flight after a start or an outage. The capacity of the upstream tier is unknown then:
+//! its caches may be cold, and all its callers reconnect at the same time. The limit therefore grows slowly, and only
+//! as calls are answered.
 
 use asterrill::Us;
 
-/// The limits of a slow start.
+/// Limits of a slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartConfig {
-    /// Calls in flight at the most, as configured; infinite where nothing bounds them.
+    /// Configured maximum of calls in flight; infinite if there is none.
     pub max_calls: f64,
-    /// Calls in flight to begin with, 1 or more.
+    /// Initial limit on calls in flight, 1 or more.
     pub initial_calls: f64,
-    /// The least time between two updates, in microseconds: about that of one call.
+    /// Minimum time between two updates, in microseconds. It should be about the duration of one call.
     pub update_interval: Us,
 }
 
-/// What became of upstream calls since the last update.
+/// Results of upstream calls since the last update.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallSample {
     /// Calls that were answered.
     pub ok: u64,
-    /// Calls that were aborted, timed out, or were rejected upstream.
+    /// Calls that were aborted, timed out or were rejected by the upstream tier.
     pub failed: u64,
-    /// Calls in flight now.
+    /// Calls currently in flight.
     pub in_flight: usize,
-    /// RPCs that wait to make a call.
+    /// RPCs that wait for permission to make a call.
     pub waiting: usize,
 }
 
-/// Growth of the limit at an update, while calls are answered and the limit is what withholds more.
+/// Factor by which the limit grows at a good update below the threshold.
 const GROWTH_FACTOR: f64 = 1.5;
-/// The same above the threshold, in calls.
-const GROWTH_STEP: f64 = 0.1;
-/// Of the limit, what stays after an update with failures.
+/// Number of calls by which the limit grows at a good update above the threshold.
+const GROWTH_STEP_CALLS: f64 = 0.1;
+/// Factor by which the limit is multiplied after an update with failures.
 const BACKOFF_FACTOR: f64 = 0.5;
-/// Of the limit, the part of which calls in flight show that it is needed.
-const USED_FRACTION: f64 = 0.5;
-/// The fraction of failed calls up to which an update counts as ok: one call in ten may fail by itself.
-const TOLERATED_FAILURES: f64 = 0.1;
-/// Updates in a row with nothing but failures that are an outage.
-const OUTAGE_UPDATES: u32 = 3;
-/// Updates in a row that were ok, at the maximum, until the limit is lifted.
-const UPDATES_UNTIL_LIFTED: u32 = 50;
+/// Fraction of the limit that calls in flight must reach for the limit to grow.
+const MIN_USED_FRACTION: f64 = 0.5;
+/// Fraction of failed calls up to which an update counts as ok. One call in ten may fail for reasons other than overload.
+const MAX_FAILED_FRACTION: f64 = 0.1;
+/// Consecutive updates without a successful call that count as an outage.
+const FAILED_UPDATES_UNTIL_OUTAGE: u32 = 3;
+/// Consecutive ok updates after which the limit is lifted, if it is at the maximum.
+const OK_UPDATES_UNTIL_LIFTED: u32 = 50;
 
-/// A limit on calls in flight that grows slowly.
+/// Limit on calls in flight that grows slowly.
 ///
-/// Guards against a fleet that starts together, or comes back together after an outage, and sends the upstream tier at
-/// once all that each of them may. The cost: after a start some calls wait for a few round trips.
+/// It prevents a fleet of servers that start together, or reconnect together after an outage, from all sending their
+/// maximum of calls to the upstream tier at once. As a consequence some calls wait for a few round trips after a start.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     config: SlowStartConfig,
     limit: f64,
-    /// The limit at which calls failed last: below it growth is quick, above it slow.
+    /// Limit at which calls failed last. Growth is multiplicative below it and additive above it.
     threshold: f64,
-    updated: Us,
-    /// Updates in a row with nothing but failures.
+    updated_at: Us,
+    /// Consecutive updates without a successful call.
     failed_updates: u32,
-    /// Updates in a row that were ok.
+    /// Consecutive ok updates.
     ok_updates: u32,
-    /// Only the configured maximum applies, until an outage.
+    /// Whether only the configured maximum applies, until the next outage.
     lifted: bool,
     /// Outages since the start.
     pub outages: u64,
 }
 
 impl SlowStart {
-    /// A server has started, or the upstream tier was away.
+    /// Begins a slow start, after the start of the server or an outage of the upstream tier.
     pub fn new(now: Us, config: SlowStartConfig) -> SlowStart {
         SlowStart {
             config,
             limit: config.initial_calls.max(1.0).min(config.max_calls),
             threshold: config.max_calls,
-            updated: now,
+            updated_at: now,
             failed_updates: 0,
             ok_updates: 0,
             lifted: false,
@@ -78,14 +79,14 @@
         }
     }
 
-    /// Another configuration from now on; a limit that is lifted stays so.
+    /// Changes the configuration. A limit that has been lifted stays lifted.
     pub fn set_config(&mut self, config: SlowStartConfig) {
         self.config = config;
         self.limit = self.limit.min(config.max_calls);
         self.threshold = config.max_calls;
     }
 
-    /// Calls in flight at the most, now; infinite once the limit is lifted.
+    /// Returns the current limit on calls in flight; infinite once the limit is lifted.
     pub fn limit(&self) -> f64 {
         if self.lifted {
             f64::INFINITY
@@ -94,38 +95,40 @@
         }
     }
 
-    /// All that the configuration allows is allowed.
+    /// Reports whether all calls allowed by the configuration may be in flight.
     pub fn is_complete(&self) -> bool {
         self.lifted || self.limit >= self.config.max_calls
     }
 
-    /// When the next update is due, in microseconds.
+    /// Returns the time at which the next update is due, in microseconds.
     pub fn next_update(&self) -> Us {
-        self.updated + self.config.update_interval
+        self.updated_at + self.config.update_interval
     }
 
-    /// Takes in what became of calls; true if the limit has changed. The rules, in order:
+    /// Updates the limit with the results of calls. Returns true if the limit has changed. The rules, in order:
     ///
-    /// 1. No call ended: the limit stays.
-    /// 2. Nothing but failures, three updates in a row: an outage. It begins anew, with the threshold at half of the limit.
-    /// 3. More than a tenth failed: half of the limit, one at the least; the threshold is there.
-    /// 4. Else, if the limit withholds calls or half of it is used: it grows by half up to the threshold, then slowly.
-    /// 5. Ok for long at the maximum: the limit is lifted until an outage.
+    /// 1. If no call ended, the limit stays unchanged.
+    /// 2. Three consecutive updates without a successful call are an outage: the slow start begins again, with the
+    ///    threshold at half of the limit.
+    /// 3. If more than a tenth of the calls failed, the limit is halved, to 1 at least, and becomes the threshold.
+    /// 4. Otherwise the limit grows if calls wait for it or half of it is used: by half up to the threshold, by a tenth
+    ///    of a call above it.
+    /// 5. After 50 consecutive ok updates at the maximum the limit is lifted until the next outage.
     pub fn update(&mut self, now: Us, sample: CallSample) -> bool {
         if now < self.next_update() {
             return false;
         }
-        self.updated = now;
+        self.updated_at = now;
         let before = self.limit();
         let ended = sample.ok + sample.failed;
         if ended == 0 {
             return false;
         }
-        let failing = sample.failed as f64 > TOLERATED_FAILURES * ended as f64;
+        let failing = sample.failed as f64 > MAX_FAILED_FRACTION * ended as f64;
         self.failed_updates = if sample.ok == 0 { self.failed_updates + 1 } else { 0 };
         self.ok_updates = if failing { 0 } else { self.ok_updates + 1 };
-        if self.failed_updates >= OUTAGE_UPDATES {
-            self.begin_anew(now);
+        if self.failed_updates >= FAILED_UPDATES_UNTIL_OUTAGE {
+            self.restart(now);
         } else if failing && !self.lifted {
             self.limit = self.backed_off_limit();
             self.threshold = self.limit;
@@ -139,8 +142,8 @@
         (self.limit * BACKOFF_FACTOR).max(1.0)
     }
 
-    fn begin_anew(&mut self, now: Us) {
-        let is_new_outage = self.failed_updates == OUTAGE_UPDATES;
+    fn restart(&mut self, now: Us) {
+        let is_new_outage = self.failed_updates == FAILED_UPDATES_UNTIL_OUTAGE;
         *self = SlowStart {
             threshold: self.backed_off_limit(),
             failed_updates: self.failed_updates,
@@ -150,14 +153,14 @@
     }
 
     fn grow(&mut self, sample: CallSample) {
-        let is_needed = sample.waiting > 0 || sample.in_flight as f64 + 1.0 >= self.limit * USED_FRACTION;
+        let is_needed = sample.waiting > 0 || sample.in_flight as f64 + 1.0 >= self.limit * MIN_USED_FRACTION;
         if is_needed && self.limit < self.threshold {
             self.limit = (self.limit * GROWTH_FACTOR).min(self.threshold);
         } else if is_needed {
-            self.limit += GROWTH_STEP;
+            self.limit += GROWTH_STEP_CALLS;
         }
         self.limit = self.limit.min(self.config.max_calls);
         let at_maximum = self.limit >= self.config.max_calls;
-        self.lifted |= at_maximum && self.ok_updates >= UPDATES_UNTIL_LIFTED;
+        self.lifted |= at_maximum && self.ok_updates >= OK_UPDATES_UNTIL_LIFTED;
     }
 }
--- a/recovery/src/stages.rs
+++ b/recovery/src/stages.rs
@@ -1,22 +1,22 @@
-//! How far a server has recovered, as a stage with a reason and a moment.
+//! Recovery progress of a server: its stage, the reason for it and the time at which it was entered.
 
 use asterrill::Us;
 
-/// The stages of a recovery, in their order.
+/// Stages of a recovery, in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// The snapshot is not assessed yet: the agent has not sent its greeting.
+    /// The snapshot has not been assessed, because the agent has not sent its greeting.
     Restoring,
-    /// Nothing has shown yet what a run takes here.
+    /// Too few runs have ended for serving times to be known.
     Cold,
-    /// Runs end, but not yet as they should.
+    /// Runs end ok, but the criteria for full service are not met.
     Warming,
-    /// All that the settings allow is served.
+    /// The server provides all the service that the settings allow.
     Full,
 }
 
 impl Stage {
-    /// The word for it in the log and on the control socket.
+    /// Returns the name of the stage in the log and on the control socket.
     pub fn name(self) -> &'static str {
         match self {
             Stage::Restoring => "restoring",
@@ -27,31 +27,31 @@
     }
 }
 
-/// Why a server is at its stage.
+/// Reason for the current stage of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StageReason {
     /// The process has started.
     Started,
-    /// The snapshot was assessed, or there was none.
+    /// The snapshot has been assessed, or there was none.
     SnapshotAssessed,
-    /// So many runs ended ok that the server is not cold any more.
+    /// Enough runs have ended ok for the server to be no longer cold.
     RunsEnded,
-    /// Three seconds in a row were served in full.
+    /// All criteria for full service were met in three consecutive intervals.
     SustainedFullService,
     /// The breaker is open, or the agent does not answer.
     Unhealthy,
-    /// The ramp after the start is not over.
+    /// The warm-up ramp after the start is not complete.
     RampIncomplete,
-    /// Slow start still withholds upstream calls.
+    /// Slow start still limits upstream calls.
     CallsLimited,
-    /// Serving times are longer than those that were learned.
+    /// Serving times are longer than the learned ones.
     SlowRuns,
     /// Too many RPCs are rejected.
     Rejecting,
 }
 
 impl StageReason {
-    /// For the log and for operators.
+    /// Returns the description of the reason for the log and the control socket.
     pub fn as_str(self) -> &'static str {
         match self {
             StageReason::Started => "the process has started",
@@ -67,10 +67,10 @@
     }
 }
 
-/// What was seen since the last update.
+/// Observations since the last update.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StageEvidence {
-    /// The snapshot was assessed, or there was none.
+    /// Whether the snapshot has been assessed, or there was none.
     pub snapshot_assessed: bool,
     /// Runs that ended ok.
     pub runs_ok: u64,
@@ -78,46 +78,48 @@
     pub received: u64,
     /// RPCs rejected.
     pub rejected: u64,
-    /// Serving times over those that were learned; about 1 on an idle machine.
+    /// Ratio of the current serving times to the learned ones; about 1 on an idle machine.
     pub slowdown: f64,
-    /// The concurrency of a warm server is allowed.
+    /// Whether the concurrency of a warm server is allowed.
     pub ramp_complete: bool,
-    /// Upstream calls are limited by the settings only.
+    /// Whether upstream calls are limited by the settings only.
     pub calls_unrestricted: bool,
-    /// The breaker is open or the agent does not answer.
+    /// Whether the breaker is open or the agent does not answer.
     pub unhealthy: bool,
 }
 
-/// Runs ended ok until a server is not cold any more: as many as it takes to learn serving times.
-const RUNS_UNTIL_WARMING: u64 = 10;
-/// The slowdown up to which runs take what they should: work varies by its mean.
+/// Number of ok runs after which a server is no longer cold. That many are needed to learn serving times.
+const OK_RUNS_UNTIL_WARMING: u64 = 10;
+/// Slowdown up to which serving times count as normal, because the work of a run varies around its mean.
 const MAX_SLOWDOWN: f64 = 1.6;
-/// The fraction of RPCs that may be rejected at full service.
-const MAX_REJECTED: f64 = 0.05;
-/// The time that one judgement is about, in microseconds.
-const JUDGEMENT_INTERVAL: Us = 1_000_000;
-/// Good judgements in a row until a server is at full service.
-const GOOD_UNTIL_FULL: u32 = 3;
-/// Bad judgements in a row until it is not any more.
-const BAD_UNTIL_WARMING: u32 = 5;
-
-/// Decides the stage from evidence. A server without RPCs stays where it is: time alone proves nothing.
+/// Fraction of RPCs that may be rejected at full service.
+const MAX_REJECTED_FRACTION: f64 = 0.05;
+/// Time covered by one evaluation of the criteria for full service.
+const EVALUATION_INTERVAL_US: Us = 1_000_000;
+/// Consecutive good intervals after which a server is at full service.
+const GOOD_INTERVALS_UNTIL_FULL: u32 = 3;
+/// Consecutive bad intervals after which a server is no longer at full service.
+const BAD_INTERVALS_UNTIL_WARMING: u32 = 5;
+
+/// State machine that derives the stage from evidence. A server that receives no RPCs stays at its stage, because the
+/// passage of time is no evidence of recovery.
 #[derive(Clone, Debug)]
 pub struct StageTracker {
     stage: Stage,
     since: Us,
     reason: StageReason,
     runs_ok: u64,
-    /// RPCs received and rejected since the last judgement.
+    /// RPCs received since the last evaluation.
     received: u64,
+    /// RPCs rejected since the last evaluation.
     rejected: u64,
-    judged: Us,
-    good: u32,
-    bad: u32,
+    interval_started_at: Us,
+    good_intervals: u32,
+    bad_intervals: u32,
 }
 
 impl StageTracker {
-    /// A process has started.
+    /// Creates a tracker for a process that has just started.
     pub fn new(now: Us) -> StageTracker {
         StageTracker {
             stage: Stage::Restoring,
@@ -126,41 +128,42 @@
             runs_ok: 0,
             received: 0,
             rejected: 0,
-            judged: now,
-            good: 0,
-            bad: 0,
+            interval_started_at: now,
+            good_intervals: 0,
+            bad_intervals: 0,
         }
     }
 
-    /// The stage now.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Why the server is at its stage.
+    /// Returns the reason for the current stage.
     pub fn reason(&self) -> StageReason {
         self.reason
     }
 
-    /// When it entered its stage, in microseconds.
+    /// Returns the time at which the current stage was entered, in microseconds.
     pub fn since(&self) -> Us {
         self.since
     }
 
-    /// Takes evidence in; hands back the stage that was entered, if one was. The rules, in order:
+    /// Updates the stage with new evidence. Returns the stage that was entered, if it has changed. The rules, in order:
     ///
-    /// 1. Restoring until the snapshot is assessed.
-    /// 2. Cold until ten runs have ended ok.
-    /// 3. Each second with RPCs is judged: it is good with the ramp complete, calls open, no slowdown, nothing unhealthy,
-    ///    and at most 5 in 100 RPCs rejected. Three good ones in a row: full. Five bad ones: warming again.
+    /// 1. The stage is `Restoring` until the snapshot has been assessed.
+    /// 2. The stage is `Cold` until ten runs have ended ok.
+    /// 3. Each interval of one second with RPCs is evaluated. It is good if the ramp is complete, calls are
+    ///    unrestricted, there is no slowdown, nothing is unhealthy, and at most 5 in 100 RPCs were rejected. Three
+    ///    consecutive good intervals lead to `Full`, five consecutive bad ones back to `Warming`.
     pub fn update(&mut self, now: Us, evidence: StageEvidence) -> Option<Stage> {
         self.runs_ok += evidence.runs_ok;
         match self.stage {
             Stage::Restoring if !evidence.snapshot_assessed => None,
             Stage::Restoring => self.enter(now, Stage::Cold, StageReason::SnapshotAssessed),
-            Stage::Cold if self.runs_ok < RUNS_UNTIL_WARMING => None,
+            Stage::Cold if self.runs_ok < OK_RUNS_UNTIL_WARMING => None,
             Stage::Cold => {
-                self.begin_judgement(now);
+                self.begin_interval(now);
                 self.enter(now, Stage::Warming, StageReason::RunsEnded)
             }
             Stage::Warming | Stage::Full => self.update_serving(now, evidence),
@@ -171,44 +174,44 @@
         self.stage = stage;
         self.since = now;
         self.reason = reason;
-        (self.good, self.bad) = (0, 0);
+        (self.good_intervals, self.bad_intervals) = (0, 0);
         Some(stage)
     }
 
-    fn begin_judgement(&mut self, now: Us) {
-        self.judged = now;
+    fn begin_interval(&mut self, now: Us) {
+        self.interval_started_at = now;
         (self.received, self.rejected) = (0, 0);
     }
 
     fn update_serving(&mut self, now: Us, evidence: StageEvidence) -> Option<Stage> {
         self.received += evidence.received;
         self.rejected += evidence.rejected;
-        if now < self.judged + JUDGEMENT_INTERVAL {
+        if now < self.interval_started_at + EVALUATION_INTERVAL_US {
             return None;
         }
         let (received, rejected) = (self.received, self.rejected);
-        self.begin_judgement(now);
+        self.begin_interval(now);
         if received == 0 {
             return None;
         }
-        let rejecting = rejected as f64 > MAX_REJECTED * received as f64;
-        match shortcoming(&evidence, rejecting) {
-            None => self.judge_good(now),
-            Some(reason) => self.judge_bad(now, reason),
+        let rejects_too_many = rejected as f64 > MAX_REJECTED_FRACTION * received as f64;
+        match unmet_criterion(&evidence, rejects_too_many) {
+            None => self.record_good_interval(now),
+            Some(reason) => self.record_bad_interval(now, reason),
         }
     }
 
-    fn judge_good(&mut self, now: Us) -> Option<Stage> {
-        (self.good, self.bad) = (self.good + 1, 0);
-        if self.stage == Stage::Warming && self.good >= GOOD_UNTIL_FULL {
+    fn record_good_interval(&mut self, now: Us) -> Option<Stage> {
+        (self.good_intervals, self.bad_intervals) = (self.good_intervals + 1, 0);
+        if self.stage == Stage::Warming && self.good_intervals >= GOOD_INTERVALS_UNTIL_FULL {
             return self.enter(now, Stage::Full, StageReason::SustainedFullService);
         }
         None
     }
 
-    fn judge_bad(&mut self, now: Us, reason: StageReason) -> Option<Stage> {
-        (self.good, self.bad) = (0, self.bad + 1);
-        if self.stage == Stage::Full && self.bad >= BAD_UNTIL_WARMING {
+    fn record_bad_interval(&mut self, now: Us, reason: StageReason) -> Option<Stage> {
+        (self.good_intervals, self.bad_intervals) = (0, self.bad_intervals + 1);
+        if self.stage == Stage::Full && self.bad_intervals >= BAD_INTERVALS_UNTIL_WARMING {
             return self.enter(now, Stage::Warming, reason);
         }
         if self.stage == Stage::Warming {
@@ -218,8 +221,8 @@
     }
 }
 
-/// What a second lacks to be a good one: the first that applies.
-fn shortcoming(evidence: &StageEvidence, rejecting: bool) -> Option<StageReason> {
+/// Returns the first criterion for full service that is not met, if any.
+fn unmet_criterion(evidence: &StageEvidence, rejects_too_many: bool) -> Option<StageReason> {
     if evidence.unhealthy {
         Some(StageReason::Unhealthy)
     } else if !evidence.ramp_complete {
@@ -228,7 +231,7 @@
         Some(StageReason::CallsLimited)
     } else if evidence.slowdown > MAX_SLOWDOWN {
         Some(StageReason::SlowRuns)
-    } else if rejecting {
+    } else if rejects_too_many {
         Some(StageReason::Rejecting)
     } else {
         None
--- a/recovery/src/staleness.rs
+++ b/recovery/src/staleness.rs
@@ -1,4 +1,4 @@
-//! What of a snapshot still holds after this start. This is the one table; `docs/design/recovery.md` describes it.
+//! Rules for which values of a snapshot are still valid after a start. `docs/design/recovery.md` describes them.
 
 use crate::assessment::{Assessment, DiscardReason, RestoredCost, ValueKind, Verdict};
 use crate::clock::{age, ClockReading};
@@ -6,38 +6,38 @@
 use asterrill::Us;
 use std::collections::BTreeMap;
 
-/// Beyond this time after a start nothing that was restored withholds an RPC or a call, unless fresh evidence says the
-/// same. In microseconds.
+/// Time after a start beyond which no restored value withholds an RPC or a call, unless fresh evidence confirms it.
 pub const MAX_EFFECT_TIME_US: Us = 10_000_000;
-/// A restored cost counts for so many runs at the most, so that as many fresh ones outweigh it.
+/// Maximum number of runs that a restored cost counts as, so that the same number of fresh runs outweighs it.
 pub const MAX_RESTORED_RUNS: f64 = 8.0;
-/// A restored cost is at most this fraction of its latency target: twice that of a server that has learned nothing.
+/// Maximum restored cost as a fraction of its latency target: twice the cost assumed by a server that has learned
+/// nothing.
 pub const MAX_COST_FRACTION: f64 = 0.4;
 
-/// The age at which a cost counts for half, in microseconds: methods change with releases.
-const COST_HALF_LIFE: f64 = 86_400_000_000.0;
-/// Runs below which a cost is not worth restoring.
-const MIN_RUNS: f64 = 0.5;
-/// The weight from which a cost counts as not discounted.
-const FULL_WEIGHT: f64 = 0.999;
-/// A concurrency target is of its minute's load. Microseconds.
-const MAX_TARGET_AGE: Us = MAX_EFFECT_TIME_US;
-/// A slowdown may have been a short one. Microseconds.
-const MAX_SLOWDOWN_AGE: Us = 2_000_000;
-/// Failures of upstream calls are a reason for care so long. Microseconds.
-const MAX_FAILURE_AGE: Us = 60_000_000;
-/// The weight of a breaker that is restored as careful.
+/// Age at which the weight of a cost is halved, because methods change with releases.
+const COST_HALF_LIFE_US: f64 = 86_400_000_000.0;
+/// Number of runs below which a cost is not restored, because it has too little weight.
+const MIN_RESTORED_RUNS: f64 = 0.5;
+/// Weight from which a cost counts as not discounted.
+const MIN_UNDISCOUNTED_WEIGHT: f64 = 0.999;
+/// Maximum age of a concurrency target, because it depends on the load at its time.
+const MAX_TARGET_AGE_US: Us = MAX_EFFECT_TIME_US;
+/// Maximum age of a slowdown, because it may have been short.
+const MAX_SLOWDOWN_AGE_US: Us = 2_000_000;
+/// Maximum age of failed upstream calls for a single further failure to open the breaker.
+const MAX_FAILURE_AGE_US: Us = 60_000_000;
+/// Weight reported for a breaker that opens on the first failure.
 const RESTORED_BREAKER_WEIGHT: f64 = 0.5;
-/// The shortest latency targets in which an empty account fills up (`buf_limit` over `mrr`).
-const ACCOUNT_FILL_TARGETS: f64 = 0.5;
-/// Tenants' allowances are full again after this time at the latest. Microseconds.
-const MAX_ALLOWANCE_AGE: Us = MAX_EFFECT_TIME_US;
+/// Time in which an empty account fills up (`buf_limit` over `mrr`), in units of the shortest latency target.
+const ACCOUNT_FILL_TIME_IN_TARGETS: f64 = 0.5;
+/// Maximum age of tenants' allowances, which are full again after this time at the latest.
+const MAX_ALLOWANCE_AGE_US: Us = MAX_EFFECT_TIME_US;
 
-/// The latency targets of the methods in force, in microseconds.
+/// Latency targets of the methods in force, in microseconds.
 pub trait LatencyTargets {
-    /// None for a method that is not in force.
+    /// Returns the target of a method, or none if the method is not in force.
     fn target(&self, method: &str) -> Option<Us>;
-    /// The shortest of all; 0 where there is no method.
+    /// Returns the shortest target of all methods, or 0 if there is no method.
     fn shortest(&self) -> Us;
 }
 
@@ -51,39 +51,41 @@
     }
 }
 
-/// What this start is like.
+/// State of the server at the current start.
 #[derive(Clone)]
 pub struct CurrentServer<'a> {
-    /// The backend's name.
+    /// Name of the backend.
     pub name: &'a str,
-    /// The hash of the settings in force.
+    /// Hash of the settings in force.
     pub settings_hash: u64,
-    /// Cores of the machine.
+    /// Number of cores of the machine.
     pub cores: f64,
     /// Memory of the machine, in MB.
     pub memory_mb: u64,
-    /// Now.
+    /// Current clock readings.
     pub now: ClockReading,
-    /// The agent has started without a warm cache.
+    /// Whether the agent has started without a warm cache.
     pub agent_cold: bool,
-    /// How old a snapshot may be at all, in microseconds.
+    /// Maximum age of a snapshot, in microseconds.
     pub max_snapshot_age: Us,
-    /// The latency targets in force.
+    /// Latency targets in force.
     pub targets: &'a dyn LatencyTargets,
 }
 
-/// Assesses a snapshot against this start. The rules, in order:
+/// Assesses which values of a snapshot are valid at the current start. The rules, in order:
 ///
-/// 1. Another backend's snapshot, or one whose age can't be trusted or is beyond `max_snapshot_age`: all is discarded.
-/// 2. Costs are discounted by half a day, by half under other settings, on other cores and while the agent is empty;
-///    they count for at most [`MAX_RESTORED_RUNS`] runs and [`MAX_COST_FRACTION`] of their latency target. A method whose
-///    target changed is new.
-/// 3. The concurrency target is accepted with a warm agent under the same settings on the same machine within
-///    [`MAX_EFFECT_TIME_US`] only.
-/// 4. The slowdown likewise, within 2 s: a slow spell from before is no reason to reject anything.
-/// 5. An open breaker never comes back open. Within a minute one failure opens it again.
-/// 6. Accounts are accepted within the time in which an empty one fills up anyway, tenants' allowances within
-///    [`MAX_EFFECT_TIME_US`].
+/// 1. All values are discarded if the snapshot is of another backend, its age can't be trusted, or it is older than
+///    `max_snapshot_age`.
+/// 2. The weight of costs is halved for each day of age, and halved again for each of these: other settings, another
+///    machine, and a cold agent. Costs count as at most [`MAX_RESTORED_RUNS`] runs and are at most
+///    [`MAX_COST_FRACTION`] of their latency target. The cost of a method whose target has changed is discarded.
+/// 3. The concurrency target is accepted only with a warm agent, under the same settings, on the same machine and up to
+///    an age of [`MAX_EFFECT_TIME_US`].
+/// 4. The slowdown is accepted under the same conditions up to an age of 2 s, because an earlier short slowdown must
+///    not cause rejections now.
+/// 5. The breaker is never restored as open. If calls had failed, one failure opens it up to an age of one minute.
+/// 6. Accounts and tenants' allowances are accepted under the same settings on the same machine. Accounts are accepted
+///    up to the age at which an empty one would be full again, allowances up to [`MAX_EFFECT_TIME_US`].
 pub fn assess(snapshot: &Snapshot, server: &CurrentServer<'_>) -> Assessment {
     let age = match age(&server.now, &snapshot.taken_at) {
         _ if snapshot.name != server.name => return Assessment::discard_all(DiscardReason::OtherBackend),
@@ -100,7 +102,7 @@
     assessment
 }
 
-/// A snapshot of this backend, and its age.
+/// Assessment of a snapshot of this backend, with its age.
 struct Assessor<'a> {
     snapshot: &'a Snapshot,
     server: &'a CurrentServer<'a>,
@@ -116,7 +118,7 @@
         self.snapshot.cores == self.server.cores && self.snapshot.memory_mb == self.server.memory_mb
     }
 
-    /// Of a value that holds only under the same settings on the same machine and up to some age.
+    /// Returns the verdict on a value that is valid only under the same settings, on the same machine and up to an age.
     fn verdict(&self, max_age: Us, needs_warm_agent: bool, has_value: bool) -> Verdict {
         let reason = if !self.same_settings() {
             DiscardReason::OtherSettings
@@ -139,7 +141,7 @@
         assessment.costs = self.restored_costs(weight);
         let verdict = if assessment.costs.is_empty() {
             Verdict::Discarded(DiscardReason::NoValue)
-        } else if weight >= FULL_WEIGHT {
+        } else if weight >= MIN_UNDISCOUNTED_WEIGHT {
             Verdict::Accepted
         } else {
             Verdict::Discounted(weight)
@@ -150,7 +152,7 @@
     fn cost_weight(&self) -> f64 {
         let halvings = [!self.same_settings(), !self.same_machine(), self.server.agent_cold];
         let halvings = halvings.into_iter().filter(|applies| *applies).count() as i32;
-        0.5_f64.powf(self.age as f64 / COST_HALF_LIFE + f64::from(halvings))
+        0.5_f64.powf(self.age as f64 / COST_HALF_LIFE_US + f64::from(halvings))
     }
 
     fn restored_costs(&self, weight: f64) -> Vec<RestoredCost> {
@@ -158,7 +160,7 @@
         for method in &self.snapshot.methods {
             let runs = method.runs.min(MAX_RESTORED_RUNS) * weight;
             let same_target = self.server.targets.target(&method.name) == Some(method.latency_target);
-            if same_target && runs >= MIN_RUNS && method.mean > 0.0 {
+            if same_target && runs >= MIN_RESTORED_RUNS && method.mean > 0.0 {
                 let mean = method.mean.min(method.latency_target as f64 * MAX_COST_FRACTION);
                 costs.push(RestoredCost { method: method.name.clone(), mean, runs });
             }
@@ -166,20 +168,20 @@
         costs
     }
 
-    /// The concurrency target and the slowdown.
+    /// Assesses the concurrency target and the slowdown.
     fn assess_load(&self, assessment: &mut Assessment) {
         let (target, slowdown) = (self.snapshot.concurrency_target, self.snapshot.slowdown);
-        let verdict = self.verdict(MAX_TARGET_AGE, true, target > 0.0);
+        let verdict = self.verdict(MAX_TARGET_AGE_US, true, target > 0.0);
         assessment.concurrency_target = (verdict == Verdict::Accepted).then_some(target);
         assessment.record(ValueKind::ConcurrencyTarget, verdict);
-        let verdict = self.verdict(MAX_SLOWDOWN_AGE, true, slowdown > 0.0);
+        let verdict = self.verdict(MAX_SLOWDOWN_AGE_US, true, slowdown > 0.0);
         assessment.slowdown = (verdict == Verdict::Accepted).then_some(slowdown);
         assessment.record(ValueKind::Slowdown, verdict);
     }
 
     fn assess_breaker(&self, assessment: &mut Assessment) {
         let failed = self.snapshot.call_failures > 0;
-        assessment.trip_breaker_on_first_failure = failed && self.age <= MAX_FAILURE_AGE;
+        assessment.trip_breaker_on_first_failure = failed && self.age <= MAX_FAILURE_AGE_US;
         let verdict = if !failed {
             Verdict::Discarded(DiscardReason::NoValue)
         } else if assessment.trip_breaker_on_first_failure {
@@ -190,16 +192,16 @@
         assessment.record(ValueKind::Breaker, verdict);
     }
 
-    /// Callers' accounts and tenants' allowances.
+    /// Assesses the accounts of the callers and the allowances of the tenants.
     fn assess_balances(&self, assessment: &mut Assessment) {
         let Snapshot { accounts, tenants, .. } = self.snapshot;
-        let fill_time = (self.server.targets.shortest() as f64 * ACCOUNT_FILL_TARGETS) as Us;
+        let fill_time = (self.server.targets.shortest() as f64 * ACCOUNT_FILL_TIME_IN_TARGETS) as Us;
         let verdict = self.verdict(fill_time, false, !accounts.is_empty());
         if verdict == Verdict::Accepted {
             assessment.accounts = accounts.clone();
         }
         assessment.record(ValueKind::Accounts, verdict);
-        let verdict = self.verdict(MAX_ALLOWANCE_AGE, false, !tenants.is_empty());
+        let verdict = self.verdict(MAX_ALLOWANCE_AGE_US, false, !tenants.is_empty());
         if verdict == Verdict::Accepted {
             assessment.tenants = tenants.clone();
         }
