--- a/recovery/tests/clock.rs
+++ b/recovery/tests/clock.rs
@@ -1,4 +1,4 @@
-//! Ages across clocks that were set and machines that were restarted.
+//! Tests of ages when clocks were set or machines were rebooted.
 
 use asterrill::Us;
 use asterrill_recovery::{age, ClockReading};
@@ -15,7 +15,7 @@
     }
     let after = |wall, uptime| age(&ClockReading { wall, uptime, boot_id: 2 }, &then);
     assert_eq!(after(5_060 * S, 20 * S), Some(60 * S));
-    assert_eq!(after(5_060 * S, 90 * S), None, "it has been up for longer than the clock says has passed");
+    assert_eq!(after(5_060 * S, 90 * S), None, "the uptime exceeds the difference of the Unix times");
     assert_eq!(after(4_000 * S, 20 * S), None, "the clock was set back");
     assert_eq!(age(&ClockReading { boot_id: 0, ..then }, &then), None);
     assert_eq!(age(&ClockReading { uptime: 99 * S, ..then }, &then), None);
--- a/recovery/tests/common/mod.rs
+++ b/recovery/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A snapshot and a server that fit each other.
+//! Snapshot and matching server for the tests.
 
 use asterrill::Us;
 use asterrill_recovery::{
@@ -6,9 +6,10 @@
 };
 use std::collections::BTreeMap;
 
-/// A second in microseconds.
+/// One second in microseconds.
 pub const S: Us = 1_000_000;
 
+/// Returns a snapshot with a value of each kind.
 pub fn snapshot() -> Snapshot {
     let method = |name: &str, latency_target: Us| MethodCost {
         name: name.into(),
@@ -34,13 +35,13 @@
     }
 }
 
-/// The latency targets of the methods in that snapshot.
+/// Returns the latency targets of the methods in [`snapshot`].
 #[allow(dead_code, reason = "not each test file assesses snapshots")]
 pub fn targets() -> BTreeMap<String, Us> {
     [("till price".to_string(), 200_000), ("look-up".to_string(), 400_000)].into()
 }
 
-/// The server of that snapshot, so long after it was taken.
+/// Returns the server of [`snapshot`], `after` microseconds after the snapshot was taken.
 #[allow(dead_code, reason = "not each test file assesses snapshots")]
 pub fn server(targets: &BTreeMap<String, Us>, after: Us) -> CurrentServer<'_> {
     let then = snapshot().taken_at;
--- a/recovery/tests/staleness.rs
+++ b/recovery/tests/staleness.rs
@@ -1,4 +1,4 @@
-//! What of a snapshot is accepted, discounted or discarded.
+//! Tests of which values of a snapshot are accepted, discounted or discarded.
 
 mod common;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn each_value_is_assessed_as_the_table_says() {
+fn each_value_is_assessed_by_its_rule() {
     let (snapshot, targets) = (snapshot(), targets());
     let soon = assess(&snapshot, &server(&targets, 100_000));
     for kind in [
@@ -58,17 +58,17 @@
     let unknown = CurrentServer { now: set_back, ..server(&targets, S) };
     assert!(all(&assess(&snapshot, &unknown), DiscardReason::AgeUnknown));
 
-    // A method whose target changed, or that is gone, has no cost to be restored.
+    // No cost is restored for a method whose target has changed or that was removed.
     let changed = [("till price".to_string(), 300_000)].into();
     let costs = verdict(&assess(&snapshot, &server(&changed, S)), ValueKind::Costs);
     assert_eq!(costs, Verdict::Discarded(DiscardReason::NoValue));
 }
 
 #[derive(Clone, Debug)]
-struct AnySnapshot(Snapshot, [u64; 4]);
+struct ArbitrarySnapshot(Snapshot, [u64; 4]);
 
-impl Arbitrary for AnySnapshot {
-    fn arbitrary(g: &mut Gen) -> AnySnapshot {
+impl Arbitrary for ArbitrarySnapshot {
+    fn arbitrary(g: &mut Gen) -> ArbitrarySnapshot {
         let mut any = snapshot();
         let number = |g: &mut Gen| {
             (u32::arbitrary(g) % 3_000_000) as f64 * if bool::arbitrary(g) { 1.0 } else { 1e-4 }
@@ -82,19 +82,24 @@
             uptime: u64::arbitrary(g),
             boot_id: u64::arbitrary(g) % 3,
         };
-        AnySnapshot(any, [u64::arbitrary(g), u64::arbitrary(g), u64::arbitrary(g) % 3, u64::arbitrary(g)])
+        ArbitrarySnapshot(
+            any,
+            [u64::arbitrary(g), u64::arbitrary(g), u64::arbitrary(g) % 3, u64::arbitrary(g)],
+        )
     }
 }
 
-/// Whatever stands in a file, however old it is, whatever the clocks say.
+/// Guards the bounds for arbitrary values in a snapshot, arbitrary ages and arbitrary clock readings.
 #[test]
 fn no_restored_value_exceeds_its_bound_or_the_effect_time() {
-    fn holds(AnySnapshot(snapshot, [wall, uptime, boot_id, max_snapshot_age]): AnySnapshot) -> bool {
+    fn holds(
+        ArbitrarySnapshot(snapshot, [wall, uptime, boot_id, max_snapshot_age]): ArbitrarySnapshot,
+    ) -> bool {
         let targets = targets();
         let now = ClockReading { wall, uptime, boot_id };
         let server = CurrentServer { now, max_snapshot_age, ..server(&targets, 0) };
         let restored = assess(&snapshot, &server);
-        let cheap = restored.costs.iter().all(|cost| {
+        let costs_bounded = restored.costs.iter().all(|cost| {
             cost.mean <= targets[&cost.method] as f64 * MAX_COST_FRACTION
                 && cost.mean > 0.0
                 && cost.runs <= MAX_RESTORED_RUNS
@@ -103,10 +108,11 @@
         let withholds = restored.concurrency_target.is_some()
             || restored.slowdown.is_some()
             || !restored.accounts.is_empty();
-        let young = age.is_some_and(|age| age <= MAX_EFFECT_TIME_US && age <= max_snapshot_age) || !withholds;
-        let nothing = Assessment { verdicts: restored.verdicts.clone(), ..Assessment::default() };
-        let none = age.is_some() || restored == nothing;
-        cheap && young && none && restored.verdicts.len() == 6
+        let within_effect_time =
+            age.is_some_and(|age| age <= MAX_EFFECT_TIME_US && age <= max_snapshot_age) || !withholds;
+        let empty = Assessment { verdicts: restored.verdicts.clone(), ..Assessment::default() };
+        let known_age_or_empty = age.is_some() || restored == empty;
+        costs_bounded && within_effect_time && known_age_or_empty && restored.verdicts.len() == 6
     }
-    QuickCheck::new().tests(5_000).quickcheck(holds as fn(AnySnapshot) -> bool);
+    QuickCheck::new().tests(5_000).quickcheck(holds as fn(ArbitrarySnapshot) -> bool);
 }
