--- a/daemon/src/membership/status.rs
+++ b/daemon/src/membership/status.rs
@@ -41,7 +41,7 @@
             "own": {"name": own.name.as_str(), "at": own.addr.to_string(), "start": own.generation,
                 "incarnation": own.incarnation, "out": membership.is_displaced()},
             "part": locked.role(self.expected_members).quota_factor,
-            "transition_ms": membership.quota_transfer_time() / 1_000,
+            "transition_ms": membership.quota_reassignment_delay() / 1_000,
             "members": members,
             "counters": describe_counters(&membership.counters, locked.unlogged_events)})
     }
--- a/membership/src/config.rs
+++ b/membership/src/config.rs
@@ -47,7 +47,7 @@
     /// The configuration of the SWIM implementation for a cluster of `members`.
     pub(crate) fn swim_config(&self, members: usize) -> foca::Config {
         let one = NonZeroUsize::MIN;
-        let to_one_every =
+        let periodic =
             |interval: Us| Some(PeriodicParams { frequency: duration(interval), num_members: one });
         foca::Config {
             probe_period: duration(self.probe_interval),
@@ -59,9 +59,9 @@
             remove_down_after: Some(duration(self.forget_after)),
             max_packet_size: NonZeroUsize::new(MAX_PAYLOAD_BYTES).unwrap_or(one),
             notify_down_members: true,
-            periodic_announce: to_one_every(self.announce_interval * LIVE_ANNOUNCE_FACTOR),
-            periodic_announce_to_down_members: to_one_every(self.announce_interval),
-            periodic_gossip: to_one_every(self.probe_interval),
+            periodic_announce: periodic(self.announce_interval * LIVE_ANNOUNCE_FACTOR),
+            periodic_announce_to_down_members: periodic(self.announce_interval),
+            periodic_gossip: periodic(self.probe_interval),
         }
     }
 }
--- a/membership/src/envelope.rs
+++ b/membership/src/envelope.rs
@@ -13,7 +13,7 @@
 use crate::replay::ReplayFilter;
 use xxhash_rust::xxh3::xxh3_64;
 
-const VERSION: u8 = 1;
+const ENVELOPE_VERSION: u8 = 1;
 const NUMBER_BYTES: usize = 8;
 /// The version, then cluster, sender, generation and sequence number.
 const HEADER_BYTES: usize = 1 + NUMBER_BYTES * 4;
@@ -84,7 +84,7 @@
     pub fn encode(&mut self, payload: &[u8]) -> Vec<u8> {
         self.last_sequence += 1;
         let mut bytes = Vec::with_capacity(HEADER_BYTES + MAC_BYTES + payload.len());
-        bytes.push(VERSION);
+        bytes.push(ENVELOPE_VERSION);
         for number in [self.cluster, self.sender, self.generation, self.last_sequence] {
             bytes.extend_from_slice(&number.to_le_bytes());
         }
@@ -102,10 +102,10 @@
         let (header, rest) = bytes.split_first_chunk::<HEADER_BYTES>().ok_or(EnvelopeError::TooShort)?;
         let (mac, payload) = rest.split_first_chunk::<MAC_BYTES>().ok_or(EnvelopeError::TooShort)?;
         let (version, numbers) = (header[0], &header[1..]);
-        if version != VERSION {
+        if version != ENVELOPE_VERSION {
             return Err(EnvelopeError::UnsupportedVersion);
         }
-        let mut numbers = numbers.chunks_exact(NUMBER_BYTES).map(little_endian);
+        let mut numbers = numbers.chunks_exact(NUMBER_BYTES).map(u64_from_le);
         let mut next = || numbers.next().unwrap_or_default();
         let (cluster, sender, generation, sequence) = (next(), next(), next(), next());
         if cluster != self.cluster {
@@ -130,6 +130,6 @@
     }
 }
 
-fn little_endian(bytes: &[u8]) -> u64 {
+fn u64_from_le(bytes: &[u8]) -> u64 {
     bytes.try_into().map_or(0, u64::from_le_bytes)
 }
--- a/membership/src/event.rs
+++ b/membership/src/event.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 /// Events that wait to be taken; beyond it the oldest are dropped.
-const MAX_EVENTS: usize = 1024;
+const MAX_QUEUED_EVENTS: usize = 1024;
 
 /// A change in this member's picture of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
 
 impl EventQueue {
     pub(crate) fn push(&mut self, event: Event) {
-        if self.0.len() >= MAX_EVENTS {
+        if self.0.len() >= MAX_QUEUED_EVENTS {
             self.0.pop_front();
         }
         self.0.push_back(event);
--- a/membership/src/flap.rs
+++ b/membership/src/flap.rs
@@ -36,7 +36,7 @@
     }
 
     /// A damped member is stable again.
-    pub(crate) fn has_calmed(&self, now: Us, window: Us) -> bool {
+    pub(crate) fn is_below_release_threshold(&self, now: Us, window: Us) -> bool {
         self.decayed(now, window) < RELEASE_THRESHOLD
     }
 }
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -109,7 +109,7 @@
     }
 
     /// Dead or left.
-    pub(crate) fn is_gone(&self) -> bool {
+    pub(crate) fn is_dead_or_left(&self) -> bool {
         matches!(self.status, MemberStatus::Dead | MemberStatus::Left)
     }
 
--- a/membership/src/member_name.rs
+++ b/membership/src/member_name.rs
@@ -9,7 +9,7 @@
 pub(crate) const MAX_NAME_BYTES: usize = 64;
 
 /// The name of a peer of which only the address is known.
-const UNKNOWN: &str = "?";
+const UNKNOWN_NAME: &str = "?";
 
 /// A member's name: 1 to 64 bytes without control characters.
 ///
@@ -30,7 +30,7 @@
 
     /// Stands for the name of a peer of which only the address is known.
     pub(crate) fn unknown() -> MemberName {
-        MemberName(UNKNOWN.into())
+        MemberName(UNKNOWN_NAME.into())
     }
 
     /// Decoding does not check names, so that one bad name does not hide the rest of a datagram from the counters.
--- a/membership/src/persisted_state.rs
+++ b/membership/src/persisted_state.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 /// Names, and addresses, in a text at the most.
-const MAX_ENTRIES: usize = 4096;
+const MAX_ENTRIES_PER_KIND: usize = 4096;
 
 /// The state that survives a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -73,10 +73,10 @@
         match key {
             "start" => self.generation = value.parse().ok()?,
             "wall" => self.written_at = value.parse().ok()?,
-            "agreed" if self.agreed_members.len() < MAX_ENTRIES => {
+            "agreed" if self.agreed_members.len() < MAX_ENTRIES_PER_KIND => {
                 self.agreed_members.insert(MemberName::new(value)?);
             }
-            "at" if self.addresses.len() < MAX_ENTRIES => self.addresses.push(value.parse().ok()?),
+            "at" if self.addresses.len() < MAX_ENTRIES_PER_KIND => self.addresses.push(value.parse().ok()?),
             _ => return None,
         }
         Some(())
--- a/membership/src/quorum.rs
+++ b/membership/src/quorum.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Agreed members, and newcomers, at the most.
-const MAX_AGREED: usize = 4096;
+const MAX_AGREED_MEMBERS: usize = 4096;
 /// Missing members that evidence names.
 const MAX_MISSING_SHOWN: usize = 5;
 
@@ -53,7 +53,7 @@
     ) -> Quorum {
         let mut agreed = agreed;
         agreed.insert(local.clone());
-        let alone_is_enough = agreed.len().max(expected_members) <= 1;
+        let is_single_member = agreed.len().max(expected_members) <= 1;
         Quorum {
             local,
             expected_members,
@@ -69,7 +69,7 @@
             rebuild_newcomers: false,
             join_delay,
             forget_after,
-            view: if alone_is_enough { View::Complete } else { View::Isolated },
+            view: if is_single_member { View::Complete } else { View::Isolated },
             since: now,
             quorum_since: None,
         }
@@ -96,7 +96,7 @@
     }
 
     /// A member announced that it leaves: at once it is no agreed member any more.
-    pub fn remove_left(&mut self, name: &MemberName) {
+    pub fn remove_departed(&mut self, name: &MemberName) {
         if *name == self.local {
             return;
         }
@@ -166,7 +166,7 @@
         let (present, agreed) = (self.present.contains(name), self.agreed.contains(name));
         if !present {
             self.newcomers.remove(name);
-        } else if !agreed && self.newcomers.len() < MAX_AGREED && !self.newcomers.contains_key(name) {
+        } else if !agreed && self.newcomers.len() < MAX_AGREED_MEMBERS && !self.newcomers.contains_key(name) {
             self.newcomers.insert(name.clone(), now);
             self.earliest_newcomer = self.earliest_newcomer.min(now);
         }
@@ -202,7 +202,7 @@
             return;
         }
         for name in names_where(&self.newcomers, settled) {
-            if self.agreed.len() < MAX_AGREED {
+            if self.agreed.len() < MAX_AGREED_MEMBERS {
                 self.newcomers.remove(&name);
                 self.add_agreed(name);
             }
--- a/membership/src/rate_limit.rs
+++ b/membership/src/rate_limit.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 
 /// Addresses with a bucket that is not full; datagrams of more are dropped.
-const MAX_SOURCES: usize = 4096;
+const MAX_TRACKED_SOURCES: usize = 4096;
 /// Datagrams that one address may send at once.
-const BURST: f64 = 2_000.0;
+const MAX_BURST_DATAGRAMS: f64 = 2_000.0;
 /// Datagrams that one address may send a second.
-const RATE: f64 = 1_000.0;
+const MAX_DATAGRAMS_PER_SECOND: f64 = 1_000.0;
 const US_PER_SECOND: f64 = 1e6;
 
 struct TokenBucket {
@@ -19,11 +19,11 @@
 
 impl TokenBucket {
     fn tokens_at(&self, now: Us) -> f64 {
-        self.tokens + RATE * (now - self.updated) as f64 / US_PER_SECOND
+        self.tokens + MAX_DATAGRAMS_PER_SECOND * (now - self.updated) as f64 / US_PER_SECOND
     }
 
     fn try_take(&mut self, now: Us) -> bool {
-        self.tokens = self.tokens_at(now).min(BURST);
+        self.tokens = self.tokens_at(now).min(MAX_BURST_DATAGRAMS);
         self.updated = now;
         let available = self.tokens >= 1.0;
         self.tokens -= f64::from(u8::from(available));
@@ -41,14 +41,15 @@
 impl SourceRateLimiter {
     /// Whether a datagram of this address is within its rate.
     pub(crate) fn allows(&mut self, now: Us, source: SocketAddr) -> bool {
-        if self.buckets.len() >= MAX_SOURCES && !self.buckets.contains_key(&source) {
+        if self.buckets.len() >= MAX_TRACKED_SOURCES && !self.buckets.contains_key(&source) {
             // A full bucket is the same as none.
-            self.buckets.retain(|_, bucket| bucket.tokens_at(now) < BURST);
-            if self.buckets.len() >= MAX_SOURCES {
+            self.buckets.retain(|_, bucket| bucket.tokens_at(now) < MAX_BURST_DATAGRAMS);
+            if self.buckets.len() >= MAX_TRACKED_SOURCES {
                 return false;
             }
         }
-        let bucket = self.buckets.entry(source).or_insert(TokenBucket { tokens: BURST, updated: now });
+        let bucket =
+            self.buckets.entry(source).or_insert(TokenBucket { tokens: MAX_BURST_DATAGRAMS, updated: now });
         bucket.try_take(now)
     }
 }
--- a/membership/src/receive.rs
+++ b/membership/src/receive.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 /// Messages that wait to be taken; beyond it they are dropped.
-const MAX_MESSAGES: usize = 4_096;
+const MAX_QUEUED_MESSAGES: usize = 4_096;
 
 impl Membership {
     /// A datagram came from an address. Whatever its bytes are, they change nothing but this member's picture of others.
@@ -123,7 +123,7 @@
     fn handle_message(&mut self, sender: u64, generation: u64, body: &[u8]) {
         match self.sender_name(sender, generation).cloned() {
             None => self.counters.malformed += 1,
-            Some(_) if self.messages.len() >= MAX_MESSAGES => self.counters.over_capacity += 1,
+            Some(_) if self.messages.len() >= MAX_QUEUED_MESSAGES => self.counters.over_capacity += 1,
             Some(from) => self.messages.push_back(Message { from, body: body.to_vec() }),
         }
     }
@@ -138,7 +138,7 @@
         member.set_status(MemberStatus::Left, StatusReason::LeaveAnnounced, self.now);
         let down = foca::Member::down(member.id.clone());
         self.changed.insert(name.clone());
-        self.quorum.remove_left(&name);
+        self.quorum.remove_departed(&name);
         self.events.push(Event::Left { name });
         let mut actions = SwimActions::default();
         // An identity that foca does not have is nothing to be taken down.
--- a/membership/src/replay.rs
+++ b/membership/src/replay.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 /// Senders that are remembered; beyond it the one heard longest ago is forgotten.
-const MAX_SENDERS: usize = 4096;
+const MAX_TRACKED_SENDERS: usize = 4096;
 /// Sequence numbers behind the highest that are still accepted, as datagrams overtake each other.
-const WINDOW: u64 = 128;
+const WINDOW_BITS: u64 = 128;
 
 /// The sequence numbers that came from one process of one sender.
 struct SenderWindow {
@@ -26,12 +26,12 @@
     fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let ahead = sequence - self.highest;
-            self.received = if ahead >= WINDOW { 1 } else { self.received << ahead | 1 };
+            self.received = if ahead >= WINDOW_BITS { 1 } else { self.received << ahead | 1 };
             self.highest = sequence;
             return true;
         }
         let behind = self.highest - sequence;
-        if sequence == 0 || behind >= WINDOW || self.received >> behind & 1 == 1 {
+        if sequence == 0 || behind >= WINDOW_BITS || self.received >> behind & 1 == 1 {
             return false;
         }
         self.received |= 1 << behind;
@@ -64,7 +64,7 @@
     }
 
     fn make_room_for(&mut self, sender: u64) {
-        if self.senders.contains_key(&sender) || self.senders.len() < MAX_SENDERS {
+        if self.senders.contains_key(&sender) || self.senders.len() < MAX_TRACKED_SENDERS {
             return;
         }
         let oldest = self.senders.iter().min_by_key(|(_, window)| window.last_heard);
--- a/membership/src/state.rs
+++ b/membership/src/state.rs
@@ -167,7 +167,7 @@
     }
 
     /// From the loss of a member until the others may use its quota, in microseconds.
-    pub fn quota_transfer_time(&self) -> Us {
+    pub fn quota_reassignment_delay(&self) -> Us {
         self.lease_timing(self.agreed_size()).reassignment_delay()
     }
 
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -25,7 +25,7 @@
             self.release_stable_members();
         }
         if self.members.len() > MAX_MEMBERS {
-            self.evict_oldest_gone();
+            self.evict_oldest_dead_or_left();
         }
     }
 
@@ -79,7 +79,7 @@
         let mut stable = Vec::new();
         for name in &self.flapping {
             let Some(member) = self.members.get_mut(name) else { continue };
-            if member.flaps.has_calmed(now, window) {
+            if member.flaps.is_below_release_threshold(now, window) {
                 member.damped = false;
                 stable.push(name.clone());
             }
@@ -92,9 +92,9 @@
     }
 
     /// Forgets the member that has been dead or left for longest.
-    fn evict_oldest_gone(&mut self) {
-        let gone = self.members.values().filter(|member| member.is_gone());
-        let oldest = gone.min_by_key(|member| member.since).map(|member| member.id.name.clone());
+    fn evict_oldest_dead_or_left(&mut self) {
+        let removable = self.members.values().filter(|member| member.is_dead_or_left());
+        let oldest = removable.min_by_key(|member| member.since).map(|member| member.id.name.clone());
         if let Some(name) = oldest {
             self.members.remove(&name);
             self.flapping.remove(&name);
--- a/membership/src/tests/cluster.rs
+++ b/membership/src/tests/cluster.rs
@@ -6,36 +6,36 @@
 const ROUNDING: f64 = 1e-9;
 
 /// All of the quota is used, and never more of it was.
-fn assert_all_used(network: &Network) {
+fn assert_quota_fully_used(network: &Network) {
     let (sum, max) = (network.quota_sum(), network.max_quota_sum);
     assert!((sum - 1.0).abs() < ROUNDING && max <= 1.0 + ROUNDING, "{sum} {max}");
 }
 
-fn assert_never_over(network: &Network) {
+fn assert_quota_not_exceeded(network: &Network) {
     assert!(network.max_quota_sum <= 1.0 + ROUNDING, "{}", network.max_quota_sum);
 }
 
 /// One member as another sees it.
-fn seen_by(member: &Membership, n: usize) -> Option<MemberInfo> {
+fn member_info(member: &Membership, n: usize) -> Option<MemberInfo> {
     member.members().into_iter().find(|info| info.id.name == name(n))
 }
 
 fn has_status(member: &Membership, n: usize, status: MemberStatus) -> bool {
-    seen_by(member, n).is_some_and(|info| info.status == status)
+    member_info(member, n).is_some_and(|info| info.status == status)
 }
 
 #[test]
 fn members_find_each_other_from_three_contacts_and_divide_the_quota() {
     for members in [2, 5, 12] {
-        let network = Network::complete(members, members as u64);
-        assert_never_over(&network);
-        assert_eq!(network.deaths.len(), 0);
+        let network = Network::converged(members, members as u64);
+        assert_quota_not_exceeded(&network);
+        assert_eq!(network.detections.len(), 0);
     }
 }
 
 #[test]
 fn killed_member_is_detected_and_its_quota_is_reassigned_after_the_transfer_time() {
-    let mut network = Network::complete(8, 3);
+    let mut network = Network::converged(8, 3);
     network.kill(5);
     let start = network.now;
     let detected = |network: &Network| network.alive().all(|m| has_status(m, 5, MemberStatus::Dead));
@@ -43,20 +43,20 @@
     assert!(took < 6 * S, "{took}");
     assert_eq!(network.member(0).quota_fraction(), 1.0 / 8.0, "not yet");
     let taken = network.run_until(60 * S, |network| network.quota_sum() > 0.99).expect("used at last");
-    assert!(network.now - start >= network.quota_transfer_time(), "{taken}");
+    assert!(network.now - start >= network.quota_reassignment_delay(), "{taken}");
     assert_eq!(network.member(0).quota_fraction(), 1.0 / 7.0);
     // Back at the same name: a later start takes its place, and all shrink.
     network.restart(5);
     network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("complete again");
-    network.run(2 * network.quota_transfer_time());
-    assert_all_used(&network);
+    network.run(2 * network.quota_reassignment_delay());
+    assert_quota_fully_used(&network);
 }
 
 #[test]
 fn only_the_majority_side_of_a_partition_has_quota_and_both_sides_rejoin() {
-    let mut network = Network::complete(5, 4);
+    let mut network = Network::converged(5, 4);
     network.partition(&[&[0, 1, 2], &[3, 4]]);
-    let wait = network.quota_transfer_time();
+    let wait = network.quota_reassignment_delay();
     network.run(wait + S);
     let views: Vec<View> = network.views();
     assert_eq!(views, [View::Majority, View::Majority, View::Majority, View::Minority, View::Minority]);
@@ -69,18 +69,18 @@
     let heal = network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("healed");
     assert!(heal < 20 * S, "{heal}");
     network.run(2 * wait);
-    assert_all_used(&network);
+    assert_quota_fully_used(&network);
 }
 
 #[test]
 fn halves_thirds_and_single_members_never_have_a_quorum() {
-    let mut network = Network::complete(6, 5);
+    let mut network = Network::converged(6, 5);
     network.partition(&[&[0, 1, 2], &[3, 4, 5]]);
-    network.run(2 * network.quota_transfer_time());
+    network.run(2 * network.quota_reassignment_delay());
     assert!(network.all_see(View::Minority) && network.quota_sum() == 0.0, "{:?}", network.views());
     network.blocked.clear();
     network.partition(&[&[0, 1], &[2, 3], &[4], &[5]]);
-    network.run(2 * network.quota_transfer_time());
+    network.run(2 * network.quota_reassignment_delay());
     let views = (network.view(0), network.view(3), network.view(4));
     assert_eq!(views, (View::Minority, View::Minority, View::Isolated));
     assert_eq!(network.quota_sum(), 0.0);
@@ -89,32 +89,32 @@
 }
 
 #[test]
-fn member_that_nobody_hears_has_no_quota() {
-    let mut network = Network::complete(5, 6);
+fn member_whose_datagrams_are_all_lost_has_no_quota() {
+    let mut network = Network::converged(5, 6);
     network.blocked.extend((0..4).map(|to| (4, to)));
-    network.run(2 * network.quota_transfer_time());
+    network.run(2 * network.quota_reassignment_delay());
     assert_eq!(network.member(4).quota_fraction(), 0.0);
-    assert_never_over(&network);
+    assert_quota_not_exceeded(&network);
 }
 
 #[test]
-fn member_that_hears_both_sides_keeps_them_together() {
-    let mut network = Network::complete(5, 7);
+fn member_that_reaches_both_sides_preserves_the_quorum() {
+    let mut network = Network::converged(5, 7);
     for (a, b) in [(0, 2), (0, 3), (1, 2), (1, 3)] {
         network.blocked.insert((a, b));
         network.blocked.insert((b, a));
     }
-    network.run(2 * network.quota_transfer_time());
-    assert_never_over(&network);
+    network.run(2 * network.quota_reassignment_delay());
+    assert_quota_not_exceeded(&network);
     let all = network.alive().all(|member| member.view().has_quorum());
     assert!(all, "4 forwards gossip and probes: {:?}", network.views());
 }
 
 #[test]
-fn paused_process_gives_up_its_quota_and_declares_nobody_dead() {
+fn paused_process_releases_its_quota_and_declares_no_member_dead() {
     for pause in [S, 5 * S, 30 * S] {
-        let mut network = Network::complete(6, 8);
-        network.deaths.clear();
+        let mut network = Network::converged(6, 8);
+        network.detections.clear();
         network.paused.insert(2, network.now + pause);
         network.run(pause);
         network.run(200 * MS);
@@ -122,28 +122,28 @@
             assert_eq!(network.member(2).quota_fraction(), 0.0, "it does not use its old quota");
         }
         network.run(20 * S);
-        let declared = network.deaths.iter().filter(|death| death.by == 2).count();
+        let declared = network.detections.iter().filter(|detection| detection.by == 2).count();
         assert_eq!(declared, 0, "{pause}");
         network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("complete again");
-        network.run(2 * network.quota_transfer_time());
-        assert_all_used(&network);
+        network.run(2 * network.quota_reassignment_delay());
+        assert_quota_fully_used(&network);
     }
 }
 
 #[test]
 fn restarted_cluster_reassembles_and_leaving_member_is_never_suspected() {
-    let mut network = Network::complete(6, 9);
+    let mut network = Network::converged(6, 9);
     (0..6).for_each(|n| network.restart(n));
     network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("all back");
-    network.run(2 * network.quota_transfer_time());
-    network.deaths.clear();
+    network.run(2 * network.quota_reassignment_delay());
+    network.detections.clear();
     let now = network.now;
     network.members[3].as_mut().unwrap().leave(now);
     network.take_output(3);
     network.run(S);
     network.kill(3);
     network.run(20 * S);
-    assert_eq!(network.deaths.len(), 0);
+    assert_eq!(network.detections.len(), 0);
     let complete = network.alive().all(|m| m.view() == View::Complete || m.agreed_size() == 6);
     assert!(complete, "{:?}", network.views());
     assert!(network.alive().all(|member| has_status(member, 3, MemberStatus::Left)));
@@ -151,7 +151,7 @@
 
 #[test]
 fn later_start_displaces_an_earlier_one_with_the_same_name() {
-    let mut network = Network::complete(4, 10);
+    let mut network = Network::converged(4, 10);
     // A copy of n1 comes up at the address of a fifth.
     let copy = MemberId { addr: addr(4), ..id(1, 99) };
     let contacts = (0..CONTACTS).map(addr).collect();
@@ -160,20 +160,20 @@
     network.run(15 * S);
     assert!(network.member(1).is_displaced() && !network.member(4).is_displaced());
     assert_eq!(network.member(1).quota_fraction(), 0.0);
-    let seen = seen_by(network.member(0), 1).unwrap();
+    let seen = member_info(network.member(0), 1).unwrap();
     assert_eq!((seen.id.generation, seen.id.addr), (99, addr(4)), "the others see the later one");
 }
 
 #[test]
-fn generation_grows_although_the_clock_was_set_back() {
+fn generation_increases_although_the_clock_was_set_back() {
     assert_eq!(MemberId::next_generation(Some(500), 400), 501);
     assert_eq!(MemberId::next_generation(None, 400), 400);
 }
 
 #[test]
 fn flapping_member_is_damped_until_it_is_stable() {
-    let mut network = Network::complete(4, 12);
-    let damped = |network: &Network| seen_by(network.member(0), 3).is_some_and(|info| info.flapping);
+    let mut network = Network::converged(4, 12);
+    let damped = |network: &Network| member_info(network.member(0), 3).is_some_and(|info| info.flapping);
     for _ in 0..8 {
         network.blocked.extend((0..3).flat_map(|n| [(3, n), (n, 3)]));
         network.run(4 * S);
--- a/membership/src/tests/datagrams.rs
+++ b/membership/src/tests/datagrams.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn floods_from_one_address_and_invented_members_are_bounded() {
+fn floods_from_one_address_and_fabricated_members_are_bounded() {
     let mut receiver = member(START, 0, 1, 2, 0);
     let mut sender = codec(1, 1);
     for _ in 0..3_000 {
@@ -57,9 +57,9 @@
     // Ten thousand names, each a member of its own that has the secret.
     let mut receiver = member(START, 0, 1, 2, 0);
     for n in 0..10_000_usize {
-        let mut invented = member(START, n + 1, 1, 2, 1);
-        invented.tick(START + n as u64);
-        for transmit in invented.take_datagrams() {
+        let mut fabricated = member(START, n + 1, 1, 2, 1);
+        fabricated.tick(START + n as u64);
+        for transmit in fabricated.take_datagrams() {
             receiver.handle_datagram(START + n as u64, addr(n + 1), &transmit.contents);
         }
     }
--- a/membership/src/tests/incremental.rs
+++ b/membership/src/tests/incremental.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// A quorum and a lease that see only what has changed, and the references beside them.
-struct Pair {
+struct ComparedQuorums {
     quorum: Quorum,
     lease: QuotaLease,
     reference: ReferenceQuorum,
@@ -19,10 +19,10 @@
     changed: BTreeSet<MemberName>,
 }
 
-impl Pair {
-    fn new(expected: usize, agreed: BTreeSet<MemberName>) -> Pair {
+impl ComparedQuorums {
+    fn new(expected: usize, agreed: BTreeSet<MemberName>) -> ComparedQuorums {
         let timing = LeaseTiming { detection_time: 3, margin: 1 };
-        Pair {
+        ComparedQuorums {
             quorum: Quorum::new(0, name(0), expected, agreed.clone(), 3, 12),
             lease: QuotaLease::new(timing),
             reference: ReferenceQuorum::new(name(0), expected, agreed, 3, 12),
@@ -37,8 +37,8 @@
         match kind {
             0 => {
                 self.flapping.remove(&one);
-                self.quorum.remove_left(&one);
-                self.reference.remove_left(&one);
+                self.quorum.remove_departed(&one);
+                self.reference.remove_departed(&one);
             }
             1..4 => drop(self.flapping.remove(&one)),
             // One that flaps is reachable, and does not count.
@@ -48,7 +48,7 @@
     }
 
     fn update_and_compare(&mut self, now: Us, seed: u64) {
-        let Pair { quorum, lease, reference, reference_lease, flapping, changed } = self;
+        let ComparedQuorums { quorum, lease, reference, reference_lease, flapping, changed } = self;
         let present: BTreeSet<MemberName> =
             flapping.iter().filter(|(_, flaps)| !**flaps).map(|(name, _)| name.clone()).collect();
         let reachable: BTreeSet<MemberName> = flapping.keys().cloned().collect();
@@ -80,17 +80,17 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let (others, expected) = (rng.random_range(1..9), rng.random_range(1..9));
         let agreed: BTreeSet<MemberName> = (1..=others).filter(|_| rng.random::<bool>()).map(name).collect();
-        let mut pair = Pair::new(expected, agreed);
+        let mut compared = ComparedQuorums::new(expected, agreed);
         let mut now = 0;
         for _ in 0..rng.random_range(5..60) {
             now += rng.random_range(0..3);
             for _ in 0..rng.random_range(0..4) {
                 let one = name(rng.random_range(1..=others));
-                pair.change(one, rng.random_range(0..8));
+                compared.change(one, rng.random_range(0..8));
             }
-            pair.update_and_compare(now, seed);
-            with_quorum += usize::from(pair.reference.view.has_quorum());
-            with_quota += usize::from(pair.lease.fraction() > 0.0);
+            compared.update_and_compare(now, seed);
+            with_quorum += usize::from(compared.reference.view.has_quorum());
+            with_quota += usize::from(compared.lease.fraction() > 0.0);
         }
     }
     let enough = with_quorum > 10_000 && with_quota > 5_000;
--- a/membership/src/tests/lease_model.rs
+++ b/membership/src/tests/lease_model.rs
@@ -42,9 +42,9 @@
         }
     }
 
-    /// The fractions that the members use, by the lease itself. `planted_fault`: fractions grow at once.
-    fn fractions(&self, planted_fault: bool) -> [f64; MEMBERS] {
-        let delay = if planted_fault { 0 } else { DETECTION_TIME + 1 };
+    /// The fractions that the members use, by the lease itself. `without_delay`: fractions grow at once.
+    fn fractions(&self, without_delay: bool) -> [f64; MEMBERS] {
+        let delay = if without_delay { 0 } else { DETECTION_TIME + 1 };
         let mut fractions = [0.0; MEMBERS];
         for n in (0..MEMBERS).filter(|n| !self.paused[*n]) {
             if let Some(quorum_for) = self.quorum_for[n] {
@@ -85,7 +85,7 @@
             }
         }
         successors.extend((0..MEMBERS).map(|n| self.pause_or_resume(n)));
-        successors.extend((0..1_u8 << MEMBERS).map(|early| self.pass_time(early)));
+        successors.extend((0..1_u8 << MEMBERS).map(|early_mask| self.pass_time(early_mask)));
         successors
     }
 
@@ -101,21 +101,21 @@
 
     /// Time passes: each member of the mask notices now what has changed, and each has to by the end of its detection
     /// time. A paused one uses nothing meanwhile, as it answers nothing, but what it believes stays.
-    fn pass_time(&self, early: u8) -> State {
+    fn pass_time(&self, early_mask: u8) -> State {
         let mut next = self.clone();
         for n in (0..MEMBERS).filter(|n| !self.paused[*n]) {
             next.since_change[n] += 1;
             next.quorum_for[n] = next.quorum_for[n].map(|age| (age + 1).min(MAX_AGE));
             next.lost_for[n].iter_mut().for_each(|age| *age = (*age + 1).min(MAX_AGE));
-            if early >> n & 1 == 1 || next.since_change[n] >= DETECTION_TIME {
-                next.notice(n, self);
+            if early_mask >> n & 1 == 1 || next.since_change[n] >= DETECTION_TIME {
+                next.detect_changes(n, self);
             }
         }
         next
     }
 
     /// A member notices who can be heard.
-    fn notice(&mut self, n: usize, actual: &State) {
+    fn detect_changes(&mut self, n: usize, actual: &State) {
         for m in others(n) {
             let heard = actual.side[n] == actual.side[m] && !actual.paused[m];
             if self.present[n][m] && !heard {
@@ -140,13 +140,13 @@
 }
 
 /// The number of states that can be reached, and the greatest sum of fractions in any of them.
-fn explore(planted_fault: bool) -> (usize, f64) {
+fn explore(without_delay: bool) -> (usize, f64) {
     let initial = State::initial();
     let (mut seen, mut frontier, mut max) = (HashSet::from([initial.clone()]), vec![initial], 0.0_f64);
     for _ in 0..DEPTH {
         let mut next = Vec::new();
         for state in frontier.iter().flat_map(State::successors) {
-            max = max.max(state.fractions(planted_fault).iter().sum());
+            max = max.max(state.fractions(without_delay).iter().sum());
             if seen.insert(state.clone()) {
                 next.push(state);
             }
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn no_interleaving_uses_more_than_the_quota_and_the_planted_fault_is_found() {
+fn no_interleaving_exceeds_the_quota_and_a_missing_delay_is_detected() {
     let (states, max) = explore(false);
     println!("{states} states, at most {max} of the quota");
     assert!(states > 1_000, "{states}");
--- a/membership/src/tests/network.rs
+++ b/membership/src/tests/network.rs
@@ -14,7 +14,7 @@
 }
 
 /// A member that was declared dead.
-pub struct Death {
+pub struct Detection {
     pub at: Us,
     /// Who declared it.
     pub by: usize,
@@ -45,7 +45,7 @@
     pub bytes: u64,
     /// All events, as one number.
     pub trace: u64,
-    pub deaths: Vec<Death>,
+    pub detections: Vec<Detection>,
     /// The greatest sum of the quota fractions so far.
     pub max_quota_sum: f64,
     /// Beside members, where a test wants that: the same worked out from whole sets.
@@ -71,17 +71,17 @@
             sent: 0,
             bytes: 0,
             trace: 0,
-            deaths: Vec::new(),
+            detections: Vec::new(),
             max_quota_sum: 0.0,
             references: Vec::new(),
         }
     }
 
     /// A network whose members have found each other and use all of the quota.
-    pub fn complete(members: usize, seed: u64) -> Network {
+    pub fn converged(members: usize, seed: u64) -> Network {
         let mut network = Network::new(members, seed);
         network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("all find each other");
-        let wait = network.member(0).quota_transfer_time();
+        let wait = network.member(0).quota_reassignment_delay();
         network.run(wait + 2 * S);
         assert!((network.quota_sum() - 1.0).abs() < 1e-9, "all of it is used: {}", network.quota_sum());
         network
@@ -127,7 +127,7 @@
         for event in events {
             self.trace = self.trace.wrapping_mul(31).wrapping_add(self.now).wrapping_add(n as u64);
             if let Event::Dead { name } = event {
-                self.deaths.push(Death { at: self.now, by: n, name });
+                self.detections.push(Detection { at: self.now, by: n, name });
             }
         }
         for transmit in out {
@@ -253,7 +253,7 @@
     }
 
     /// The longest time that any member waits until it uses the quota of a lost one.
-    pub fn quota_transfer_time(&self) -> Us {
-        self.alive().map(Membership::quota_transfer_time).max().unwrap_or(0)
+    pub fn quota_reassignment_delay(&self) -> Us {
+        self.alive().map(Membership::quota_reassignment_delay).max().unwrap_or(0)
     }
 }
--- a/membership/src/tests/quorum.rs
+++ b/membership/src/tests/quorum.rs
@@ -23,7 +23,7 @@
     assert_eq!(quorum.view(), View::Majority);
     quorum.update(203 * S, &names(&[1, 2, 7]));
     assert_eq!(quorum.agreed_size(), 6, "a majority admits newcomers after the join delay");
-    quorum.remove_left(&name(3));
+    quorum.remove_departed(&name(3));
     assert_eq!(quorum.agreed_size(), 5, "who announces that it leaves counts no more");
     quorum.update(400 * S, &names(&[1, 2, 7]));
     let found = (quorum.agreed_size(), quorum.view());
--- a/membership/src/tests/reference.rs
+++ b/membership/src/tests/reference.rs
@@ -47,7 +47,7 @@
         self.agreed.iter().filter(|name| **name != self.local).cloned().collect()
     }
 
-    pub fn remove_left(&mut self, name: &MemberName) {
+    pub fn remove_departed(&mut self, name: &MemberName) {
         if *name != self.local {
             self.agreed.remove(name);
             self.newcomers.remove(name);
@@ -136,7 +136,7 @@
     pub fn check(&mut self, now: Us, member: &Membership, events: &[Event]) {
         for event in events {
             match event {
-                Event::Left { name } => self.quorum.remove_left(name),
+                Event::Left { name } => self.quorum.remove_departed(name),
                 Event::Rejoined | Event::Paused { .. } => self.lease.revoke(),
                 _ => {}
             }
--- a/membership/src/tests/seeded.rs
+++ b/membership/src/tests/seeded.rs
@@ -1,13 +1,13 @@
 //! Seeded cases, and measurements on the same network.
 
-use super::network::{Death, Network};
+use super::network::{Detection, Network};
 use super::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 /// One seeded case: faults, and what is checked after each. Hands back the trace.
-fn case(seed: u64, members: usize) -> u64 {
-    let mut network = Network::complete(members, seed);
+fn run_case(seed: u64, members: usize) -> u64 {
+    let mut network = Network::converged(members, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0xca5e);
     network.loss = [0.0, 0.0, 0.05, 0.15][rng.random_range(0..4)];
     network.duplicate_rate = [0.0, 0.1][rng.random_range(0..2)];
@@ -15,7 +15,7 @@
     for _ in 0..rng.random_range(1..4) {
         inject_fault(&mut network, &mut rng);
         network.run(rng.random_range(1..15) * S);
-        assert_never_over(&network, seed);
+        assert_quota_not_exceeded(&network, seed);
     }
     network.blocked.clear();
     network.loss = 0.0;
@@ -27,8 +27,8 @@
     }
     let healed = network.run_until(180 * S, |network| network.all_see(View::Complete));
     assert!(healed.is_some(), "seed {seed}: {:?}", network.views());
-    network.run(2 * network.quota_transfer_time());
-    assert_never_over(&network, seed);
+    network.run(2 * network.quota_reassignment_delay());
+    assert_quota_not_exceeded(&network, seed);
     let sum = network.quota_sum();
     assert!((sum - 1.0).abs() < 1e-9, "seed {seed}: {sum} is used");
     network.trace
@@ -51,7 +51,7 @@
     }
 }
 
-fn assert_never_over(network: &Network, seed: u64) {
+fn assert_quota_not_exceeded(network: &Network, seed: u64) {
     let max = network.max_quota_sum;
     assert!(max <= 1.0 + 1e-9, "seed {seed}: all sides together used {max}");
 }
@@ -59,9 +59,9 @@
 #[test]
 fn seeded_cases_hold_and_replay_to_the_same_trace() {
     for seed in 0..30 {
-        case(seed, 5);
+        run_case(seed, 5);
     }
-    assert_eq!(case(7, 6), case(7, 6));
+    assert_eq!(run_case(7, 6), run_case(7, 6));
 }
 
 #[test]
@@ -72,7 +72,7 @@
         .map(|t| {
             std::thread::spawn(move || {
                 let seeds = 10_000 + t * 334..10_000 + (t + 1) * 334;
-                seeds.clone().for_each(|seed| assert_ne!(case(seed, 10), 0));
+                seeds.clone().for_each(|seed| assert_ne!(run_case(seed, 10), 0));
                 seeds.count()
             })
         })
@@ -96,24 +96,24 @@
     network.run_until(300 * S, |network| network.all_see(View::Complete)).expect("all find each other");
     network.run(5 * S);
     network.loss = loss;
-    network.deaths.clear();
+    network.detections.clear();
     let (sent, bytes, from) = (network.sent, network.bytes, network.now);
     network.run(30 * S);
     let rate = |n: u64| n as f64 / members as f64 / ((network.now - from) as f64 / 1e6);
     let (datagrams, bytes) = (rate(network.sent - sent), rate(network.bytes - bytes));
-    let false_positives = network.deaths.len();
-    network.deaths.clear();
+    let false_positives = network.detections.len();
+    network.detections.clear();
     let (start, killed) = (network.now, members / 2);
     network.kill(killed);
-    let is_of_killed = |death: &&Death| death.name == name(killed);
+    let is_of_killed = |detection: &&Detection| detection.name == name(killed);
     let detected_by_all = |network: &Network| {
-        let deaths = network.deaths.iter().filter(is_of_killed);
-        let by: BTreeSet<usize> = deaths.map(|death| death.by).collect();
+        let detections = network.detections.iter().filter(is_of_killed);
+        let by: BTreeSet<usize> = detections.map(|detection| detection.by).collect();
         by.len() + 1 >= members
     };
     let all = network.run_until(60 * S, detected_by_all);
-    let deaths = network.deaths.iter().filter(is_of_killed);
-    let mut took: Vec<Us> = deaths.map(|death| (death.at - start) / MS).collect();
+    let detections = network.detections.iter().filter(is_of_killed);
+    let mut took: Vec<Us> = detections.map(|detection| (detection.at - start) / MS).collect();
     took.sort_unstable();
     println!(
         "{members} members, loss {loss}: detected after {:?} ms median, {:?} ms by all; {false_positives} false \
--- a/membership/src/tick.rs
+++ b/membership/src/tick.rs
@@ -10,9 +10,9 @@
 use std::net::SocketAddr;
 
 /// A wakeup up to so late is a busy machine, not a pause.
-const SCHEDULING_TOLERANCE: Us = 20_000;
+const SCHEDULING_TOLERANCE_US: Us = 20_000;
 /// Addresses that are announced to at a time.
-const ANNOUNCEMENTS: usize = 2;
+const ANNOUNCEMENTS_PER_ROUND: usize = 2;
 /// Announcements are 0.75 to 1.25 of their interval apart, so that members don't announce in step.
 const ANNOUNCE_JITTER_MIN: f64 = 0.75;
 const ANNOUNCE_JITTER_RANGE: f64 = 0.5;
@@ -43,7 +43,7 @@
         let late = now.saturating_sub(expected);
         self.now = self.now.max(now);
         let has_deadline = expected > 0 && expected != Us::MAX;
-        if has_deadline && late > SCHEDULING_TOLERANCE + self.config.probe_timeout() {
+        if has_deadline && late > SCHEDULING_TOLERANCE_US + self.config.probe_timeout() {
             self.handle_pause(late);
         }
     }
@@ -76,7 +76,7 @@
         if missing.is_empty() {
             return;
         }
-        for _ in 0..ANNOUNCEMENTS {
+        for _ in 0..ANNOUNCEMENTS_PER_ROUND {
             let addr = missing[self.rng.random_range(0..missing.len())];
             let mut actions = SwimActions::default();
             // An announcement that could not be encoded is as one that was lost: others follow.
--- a/membership/src/transitions.rs
+++ b/membership/src/transitions.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 /// Probes without an answer that are remembered, to measure round trips.
-const MAX_PINGS: usize = MAX_MEMBERS;
+const MAX_PENDING_PINGS: usize = MAX_MEMBERS;
 
 impl Membership {
     /// Puts a payload into an envelope and queues it for sending.
@@ -49,7 +49,7 @@
 
     fn send_swim(&mut self, to: &MemberId, datagram: &[u8]) {
         if is_ping(datagram) {
-            if self.pinged_at.len() >= MAX_PINGS {
+            if self.pinged_at.len() >= MAX_PENDING_PINGS {
                 self.pinged_at.clear();
             }
             self.pinged_at.insert(to.name.clone(), self.now);
@@ -83,7 +83,7 @@
 
     fn mark_dead(&mut self, id: &MemberId) {
         let Some(member) = self.members.get_mut(&id.name) else { return };
-        if member.id.precedence() > id.precedence() || member.is_gone() {
+        if member.id.precedence() > id.precedence() || member.is_dead_or_left() {
             return;
         }
         member.set_status(MemberStatus::Dead, StatusReason::Unreachable, self.now);
--- a/membership/tests/compatibility.rs
+++ b/membership/tests/compatibility.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn reads_and_writes_the_persisted_state_of_the_build_before() {
+fn reads_and_writes_the_persisted_state_of_the_previous_build() {
     let state = PersistedState {
         generation: 1_700_000_000_000_007,
         written_at: 1_700_000_001_000_000,
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn encodes_and_decodes_the_envelopes_of_the_build_before() {
+fn encodes_and_decodes_the_envelopes_of_the_previous_build() {
     let secret = b"a secret of the tests";
     let mut sender = EnvelopeCodec::new(secret, CLUSTER, "n1", 7);
     assert_eq!(sender.encode(b"a payload"), bytes(PAYLOAD_DATAGRAM));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn sends_the_announcement_of_the_build_before() {
+fn sends_the_announcement_of_the_previous_build() {
     let mut sender = member(1, 7);
     sender.tick(START);
     let first = sender.take_datagrams().swap_remove(0);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn learns_a_member_from_the_announcement_of_the_build_before() {
+fn learns_a_member_from_the_announcement_of_the_previous_build() {
     let mut receiver = member(2, 1);
     receiver.handle_datagram(START, SocketAddr::from(([10, 0, 0, 2], 7_946)), &bytes(SWIM_DATAGRAM));
     let members = receiver.members();
