--- a/membership/src/config.rs
+++ b/membership/src/config.rs
@@ -1,4 +1,4 @@
-//! The intervals of failure detection and agreement, and the limits that are not configurable.
+//! Intervals of failure detection and agreement, and the limits that are not configurable.
 
 use crate::quota_lease::scaled_suspicion_timeout;
 use asterrill::Us;
@@ -6,45 +6,45 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Members in the table at the most, dead ones included.
+/// Maximum number of members in the table, including dead ones.
 pub(crate) const MAX_MEMBERS: usize = 2048;
-/// Bytes of a datagram's payload: below the MTU of any path, so that none is fragmented.
+/// Maximum size of a datagram payload. It is below the MTU of any path, so that no datagram is fragmented.
 const MAX_PAYLOAD_BYTES: usize = 1200;
-/// Others that are asked to probe a member that did not answer (SWIM's indirect probes).
+/// Number of members asked for an indirect probe of a member that did not answer a direct one.
 const INDIRECT_PROBES: usize = 3;
-/// Times that an update is gossiped.
+/// Maximum number of times that an update is gossiped.
 const MAX_TRANSMISSIONS: u8 = 10;
-/// A direct answer to a probe is awaited for this part of the probe interval.
+/// Divisor of the probe interval that yields the timeout of a direct probe.
 const PROBE_TIMEOUT_DIVISOR: Us = 4;
-/// Announcements to live members are this many times rarer than those to dead ones.
+/// Ratio of the announce interval for live members to that for dead ones.
 const LIVE_ANNOUNCE_FACTOR: Us = 4;
 
-/// The intervals, as the operator sets them, in microseconds.
+/// Intervals in microseconds and the expected cluster size, as configured by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipConfig {
-    /// Between probes; a quarter of it is the timeout of a direct answer.
+    /// Interval between probes; a quarter of it is the timeout of a direct probe.
     pub probe_interval: Us,
-    /// From a failed probe until the suspect is declared dead, among up to ten members.
+    /// Time from a failed probe until the suspect is declared dead, in a cluster of up to ten members.
     pub suspicion_timeout: Us,
-    /// Between announcements to configured contacts while members are missing.
+    /// Interval between announcements to missing members and contacts.
     pub announce_interval: Us,
-    /// How long a newcomer is present until it is one of the agreed members.
+    /// Time for which a newcomer has to be present before it becomes an agreed member.
     pub join_delay: Us,
-    /// How long a member is absent until it is no agreed member any more.
+    /// Time of absence after which a member is removed from the agreed members.
     pub forget_after: Us,
-    /// Time constant with which the count of a member's flaps decays.
+    /// Time constant of the exponential decay of a member's flap score.
     pub flap_window: Us,
-    /// Members that the operator expects at the least.
+    /// Minimum number of members that the operator expects.
     pub expected_members: usize,
 }
 
 impl MembershipConfig {
-    /// A probe that is not answered directly within this time goes to indirect probes.
+    /// Returns the timeout of a direct probe, after which indirect probes are sent.
     pub(crate) fn probe_timeout(&self) -> Us {
         self.probe_interval / PROBE_TIMEOUT_DIVISOR
     }
 
-    /// The configuration of the SWIM implementation for a cluster of `members`.
+    /// Returns the configuration of `foca` for a cluster of `members`.
     pub(crate) fn swim_config(&self, members: usize) -> foca::Config {
         let one = NonZeroUsize::MIN;
         let periodic =
@@ -55,7 +55,7 @@
             num_indirect_probes: NonZeroUsize::new(INDIRECT_PROBES).unwrap_or(one),
             max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: duration(scaled_suspicion_timeout(self.suspicion_timeout, members)),
-            // Long, or a late update brings back a member that has died.
+            // This has to be long. Otherwise a late update would add a dead member again.
             remove_down_after: Some(duration(self.forget_after)),
             max_packet_size: NonZeroUsize::new(MAX_PAYLOAD_BYTES).unwrap_or(one),
             notify_down_members: true,
--- a/membership/src/counters.rs
+++ b/membership/src/counters.rs
@@ -1,28 +1,28 @@
-//! What a member counts.
+//! Counters of a member.
 
 /// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Datagrams sent.
     pub sent: u64,
-    /// Bytes of the datagrams sent, envelopes included.
+    /// Bytes of the datagrams sent, including envelopes.
     pub sent_bytes: u64,
     /// SWIM and leave datagrams received and processed.
     pub accepted: u64,
-    /// Dropped: shorter than an envelope.
+    /// Datagrams dropped because they are shorter than an envelope.
     pub too_short: u64,
-    /// Dropped: of another envelope version or another cluster.
+    /// Datagrams dropped because of another envelope version or another cluster.
     pub foreign: u64,
-    /// Dropped: the keyed hash does not match.
+    /// Datagrams dropped because the MAC does not match.
     pub bad_mac: u64,
-    /// Dropped: received before, or of an earlier process of its sender.
+    /// Datagrams dropped because they were received before or come from an earlier process of their sender.
     pub replayed: u64,
-    /// Dropped: the source address exceeded its rate.
+    /// Datagrams dropped because the source address exceeded its rate.
     pub rate_limited: u64,
-    /// Authentic, and yet malformed, or with names that are not valid.
+    /// Authentic datagrams that are malformed or contain invalid names.
     pub malformed: u64,
-    /// Dropped: the member table or the queue of messages is full.
+    /// Datagrams dropped because the member table or the message queue is full.
     pub over_capacity: u64,
-    /// Times that this process was paused or starved.
+    /// Pauses of this process, or periods without CPU time.
     pub pauses: u64,
 }
--- a/membership/src/envelope.rs
+++ b/membership/src/envelope.rs
@@ -1,13 +1,13 @@
-//! The envelope of a datagram, which authenticates its sender.
+//! Datagram envelope, which authenticates the sender.
 //!
 //! | bytes | content |
 //! | --- | --- |
 //! | 1 | version |
-//! | 8 | hash of the cluster's name, little-endian like all numbers here |
-//! | 8 | sender: hash of the member's name |
+//! | 8 | hash of the cluster name, little-endian like all numbers in the envelope |
+//! | 8 | sender: hash of the member name |
 //! | 8 | generation: the process start of the sender |
 //! | 8 | sequence number, from 1 |
-//! | 16 | MAC over all of the above and the payload: BLAKE3 in keyed mode, truncated |
+//! | 16 | MAC over all preceding fields and the payload: BLAKE3 in keyed mode, truncated |
 //! | rest | payload |
 
 use crate::replay::ReplayFilter;
@@ -15,44 +15,44 @@
 
 const ENVELOPE_VERSION: u8 = 1;
 const NUMBER_BYTES: usize = 8;
-/// The version, then cluster, sender, generation and sequence number.
+/// Size of the version and of the cluster, sender, generation and sequence number.
 const HEADER_BYTES: usize = 1 + NUMBER_BYTES * 4;
 const MAC_BYTES: usize = 16;
-/// Separates this use of the shared secret from any other.
+/// Key derivation context, which separates this use of the shared secret from any other.
 const KEY_CONTEXT: &str = "asterrill membership datagrams 1";
 
-/// Why a datagram was dropped before its payload was read.
+/// Reasons to drop a datagram before its payload is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EnvelopeError {
-    /// It is shorter than an envelope.
-    #[error("the datagram is shorter than an envelope")]
+    /// The datagram is shorter than an envelope.
+    #[error("the datagram is shorter than an envelope of {} bytes", HEADER_BYTES + MAC_BYTES)]
     TooShort,
-    /// Its envelope has another version.
-    #[error("the envelope has another version")]
+    /// The envelope has an unsupported version.
+    #[error("the envelope version is unsupported; expected version {}", ENVELOPE_VERSION)]
     UnsupportedVersion,
-    /// It belongs to a cluster of another name.
-    #[error("the datagram belongs to another cluster")]
+    /// The datagram belongs to a cluster with another name.
+    #[error("the cluster hash in the envelope is not that of this cluster")]
     OtherCluster,
-    /// Its MAC was not made with the shared secret, or something in it was changed.
-    #[error("the MAC does not match")]
+    /// The MAC was computed with another secret, or the datagram was modified.
+    #[error("the MAC does not match the datagram and the shared secret")]
     BadMac,
-    /// It came before, is too old to tell, or is of an earlier process of its sender.
-    #[error("the datagram was received before or is of an earlier process of its sender")]
+    /// The datagram was received before, is too old to tell, or comes from an earlier process of its sender.
+    #[error("the datagram is a replay, too old, or from an earlier process of its sender")]
     Replayed,
 }
 
-/// The content of an authentic datagram.
+/// Contents of an authentic datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Envelope<'a> {
-    /// See [`EnvelopeCodec::sender_id`].
+    /// Identifier of the sender; see [`EnvelopeCodec::sender_id`].
     pub sender: u64,
-    /// Which process start of the sender it is of.
+    /// Generation of the sender's process.
     pub generation: u64,
-    /// What the envelope protects.
+    /// Payload that the envelope protects.
     pub payload: &'a [u8],
 }
 
-/// Encodes envelopes of this member and decodes those of others.
+/// Codec that encodes envelopes of this member and decodes those of others.
 pub struct EnvelopeCodec {
     key: [u8; 32],
     cluster: u64,
@@ -63,7 +63,9 @@
 }
 
 impl EnvelopeCodec {
-    /// `secret`: what all members share; `cluster`: its name; `name` and `generation`: of this member.
+    /// Creates the codec of the member with this `name` and `generation`.
+    ///
+    /// All members of a cluster share `secret` and the cluster name `cluster`.
     pub fn new(secret: &[u8], cluster: &str, name: &str, generation: u64) -> EnvelopeCodec {
         EnvelopeCodec {
             key: blake3::derive_key(KEY_CONTEXT, secret),
@@ -75,12 +77,12 @@
         }
     }
 
-    /// The number that identifies a member in envelopes: a hash of its name.
+    /// Returns the identifier of a member in envelopes, which is a hash of its name.
     pub fn sender_id(name: &str) -> u64 {
         xxh3_64(name.as_bytes())
     }
 
-    /// A datagram with this payload and the next sequence number.
+    /// Returns a datagram with this payload and the next sequence number.
     pub fn encode(&mut self, payload: &[u8]) -> Vec<u8> {
         self.last_sequence += 1;
         let mut bytes = Vec::with_capacity(HEADER_BYTES + MAC_BYTES + payload.len());
@@ -94,10 +96,10 @@
         bytes
     }
 
-    /// Checks a datagram and hands back what is in it. Each is decoded once: a second time it is a replay.
+    /// Verifies a datagram and returns its contents. A second call with the same datagram rejects it as a replay.
     ///
     /// # Errors
-    /// [`EnvelopeError`] says which check failed, in the order of its variants.
+    /// Returns the [`EnvelopeError`] of the first check that failed; the checks run in the order of its variants.
     pub fn decode<'a>(&mut self, bytes: &'a [u8]) -> Result<Envelope<'a>, EnvelopeError> {
         let (header, rest) = bytes.split_first_chunk::<HEADER_BYTES>().ok_or(EnvelopeError::TooShort)?;
         let (mac, payload) = rest.split_first_chunk::<MAC_BYTES>().ok_or(EnvelopeError::TooShort)?;
@@ -120,7 +122,9 @@
         Ok(Envelope { sender, generation, payload })
     }
 
-    /// Compares the MAC in constant time: all its bytes, wherever the first difference is.
+    /// Reports whether the MAC matches.
+    ///
+    /// The comparison takes constant time: it covers all bytes, wherever the first difference is.
     fn is_authentic(&self, header: &[u8], payload: &[u8], mac: &[u8; MAC_BYTES]) -> bool {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(header).update(payload);
--- a/membership/src/event.rs
+++ b/membership/src/event.rs
@@ -1,4 +1,4 @@
-//! What a member reports to the program around it.
+//! Events that a member reports to its caller.
 
 use crate::member::StatusReason;
 use crate::member_name::MemberName;
@@ -7,77 +7,77 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Events that wait to be taken; beyond it the oldest are dropped.
+/// Maximum number of queued events; beyond it the oldest are dropped.
 const MAX_QUEUED_EVENTS: usize = 1024;
 
-/// A change in this member's picture of the cluster.
+/// Change in this member's state or in what it knows of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A member joined, or is alive again.
     Alive {
-        /// Who it is.
+        /// Name of the member.
         name: MemberName,
-        /// Where it is reached.
+        /// Address at which the member is reached.
         addr: SocketAddr,
-        /// Which of its process starts it is.
+        /// Generation of the member's process.
         generation: u64,
     },
-    /// A member is suspected, by this member's own probes or by gossip.
+    /// A member is suspected because of this member's own probes or of gossip.
     Suspect {
-        /// Who it is.
+        /// Name of the member.
         name: MemberName,
-        /// Why.
+        /// Reason for the suspicion.
         reason: StatusReason,
     },
     /// A member was declared dead.
     Dead {
-        /// Who it is.
+        /// Name of the member.
         name: MemberName,
     },
     /// A member announced that it leaves.
     Left {
-        /// Who it is.
+        /// Name of the member.
         name: MemberName,
     },
-    /// A member dies and comes back so often that it does not count for the view.
+    /// A member died and returned so often that it does not count for the view.
     Flapping {
-        /// Who it is.
+        /// Name of the member.
         name: MemberName,
     },
-    /// A member that flapped is stable and counts again.
+    /// A flapping member is stable and counts for the view again.
     Stable {
-        /// Who it is.
+        /// Name of the member.
         name: MemberName,
     },
-    /// Another process uses this member's name. The later start stays.
+    /// Another process uses this member's name. The one that started later remains a member.
     DuplicateName {
-        /// Where the other process is reached.
+        /// Address of the other process.
         addr: SocketAddr,
-        /// The other one is the later start: this process takes no further part.
+        /// True if the other process started later, so that this one ignores all further input.
         displaced: bool,
     },
-    /// The others had declared this member dead; it rejoined with the next incarnation.
+    /// The other members had declared this one dead, and it rejoined with the next incarnation.
     Rejoined,
     /// This process was paused or starved of CPU time.
     Paused {
-        /// For how long, in microseconds.
+        /// Duration of the pause in microseconds.
         duration: Us,
     },
     /// The view has changed.
     ViewChanged {
-        /// The new view.
+        /// New view.
         view: View,
-        /// On what it rests.
+        /// Evidence for the new view.
         evidence: ViewEvidence,
     },
     /// This member's leased fraction of the divided limits has changed.
     QuotaChanged {
-        /// The new fraction in thousandths, 0 to 1000.
+        /// New fraction in thousandths, 0 to 1000.
         per_mille: u32,
     },
 }
 
-/// Events that wait to be taken.
+/// Bounded queue of events that the caller has not taken yet.
 #[derive(Default)]
 pub(crate) struct EventQueue(VecDeque<Event>);
 
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,19 +1,20 @@
-//! Which backends are alive, which have failed, and what a backend does while members disagree or are cut off.
+//! Cluster membership: failure detection among backends, and their policy during partitions.
 //!
-//! Time, randomness and datagrams are passed in; datagrams and events come out. Probing, suspicion and gossip are those
-//! of `foca` (SWIM, after Das, Gupta and Motivala 2002). What is built around it:
+//! The crate performs no I/O. The caller passes in time, a random seed and datagrams, and takes out datagrams and
+//! events. Probing, suspicion and gossip are implemented by `foca` (SWIM, after Das, Gupta and Motivala 2002). This
+//! crate adds:
 //!
-//! | part | job |
+//! | part | purpose |
 //! | --- | --- |
-//! | [`MemberId`] | a name, its address, and which process start it is: a later start takes its place |
-//! | [`EnvelopeCodec`] | authenticates datagrams and drops what is foreign, forged or replayed before it is read |
-//! | [`Membership`] | the state machine: pauses, damping of flapping members, duplicate names, contacts, bounds |
-//! | [`View`], [`Quorum`] | how much of the agreed cluster is present |
-//! | [`role_policy()`] | the table: what each part of a backend does in each view |
-//! | [`PersistedState`] | what a restart needs of the process before |
-//! | [`QuotaLease`] | the fraction of a divided limit that this member may use: shrinks at once, grows late |
+//! | [`MemberId`] | identifies a member by name, address and process start; a later start replaces an earlier one |
+//! | [`EnvelopeCodec`] | authenticates datagrams and drops foreign, forged and replayed ones before parsing them |
+//! | [`Membership`] | the state machine: pause detection, flap damping, duplicate names, contacts, capacity limits |
+//! | [`View`], [`Quorum`] | compare the members that are present with the agreed members |
+//! | [`role_policy()`] | maps each view to what the parts of a backend may do |
+//! | [`PersistedState`] | holds the state that a process leaves for its successor |
+//! | [`QuotaLease`] | computes this member's fraction of a divided limit: shrinks at once, grows after a delay |
 //!
-//! A view never decides about an RPC. It changes one figure of the decision module, and nothing waits for it.
+//! A view never decides about a single RPC. It changes one parameter of the decision module, and no RPC waits for it.
 
 #![warn(missing_docs)]
 
--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -1,39 +1,39 @@
-//! One entry of the member table.
+//! Entries of the member table, and their form for operators.
 
 use crate::flap::FlapScore;
 use crate::member_id::MemberId;
 use asterrill::Us;
 
-/// The state of a member, in the terms of SWIM.
+/// State of a member, in the terms of SWIM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberStatus {
-    /// It answers probes.
+    /// The member answers probes.
     Alive,
-    /// A probe failed; it is dead if it does not refute that in time.
+    /// A probe failed; the member is declared dead unless it refutes the suspicion in time.
     Suspect,
-    /// It was declared dead.
+    /// The member was declared dead.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced that it leaves.
     Left,
 }
 
-/// Why a member has its status.
+/// Reason for the status of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusReason {
-    /// It is alive; there is nothing to explain.
+    /// The member is alive, which needs no reason.
     Alive,
-    /// A probe of it, by this member or another, was not answered.
+    /// The member did not answer a probe by this member or another one.
     ProbeFailed,
-    /// Direct and indirect probes were not answered until the suspicion timeout.
+    /// The member did not answer direct or indirect probes until the suspicion timeout.
     Unreachable,
-    /// It announced that it leaves.
+    /// The member announced that it leaves.
     LeaveAnnounced,
-    /// It uses this member's name.
+    /// Another process uses this member's name.
     DuplicateName,
 }
 
 impl StatusReason {
-    /// For the log and for operators; empty for [`StatusReason::Alive`].
+    /// Returns the reason as text for the log and the control socket; empty for [`StatusReason::Alive`].
     pub fn as_str(self) -> &'static str {
         match self {
             StatusReason::Alive => "",
@@ -45,26 +45,26 @@
     }
 }
 
-/// One member as operators see it.
+/// Status of a member as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberInfo {
-    /// Its identity, as it was gossiped last.
+    /// Identity of the member, as it was last gossiped.
     pub id: MemberId,
-    /// Its state.
+    /// State of the member.
     pub status: MemberStatus,
-    /// When it got that status, in microseconds of this machine's monotonic clock.
+    /// Time at which the member got that status, in microseconds of this machine's monotonic clock.
     pub since: Us,
-    /// When its last datagram came, by the same clock; none if there was none.
+    /// Arrival time of the member's last datagram, by the same clock; none if there was none.
     pub last_heard: Option<Us>,
-    /// Of its last answer to a probe, in microseconds.
+    /// Round-trip time of the last answered probe, in microseconds.
     pub round_trip: Option<Us>,
-    /// Why it has that status.
+    /// Reason for that status.
     pub reason: StatusReason,
-    /// It died and came back so often that it does not count for the view.
+    /// True if the member died and returned so often that it does not count for the view.
     pub flapping: bool,
 }
 
-/// What the table stores of a member.
+/// Entry of the member table.
 pub(crate) struct Member {
     pub(crate) id: MemberId,
     pub(crate) status: MemberStatus,
@@ -73,12 +73,12 @@
     pub(crate) round_trip: Option<Us>,
     pub(crate) reason: StatusReason,
     pub(crate) flaps: FlapScore,
-    /// It flaps: it does not count for the view until its score has decayed.
+    /// True if the member flaps and does not count for the view until its score has decayed.
     pub(crate) damped: bool,
 }
 
 impl Member {
-    /// A member of which nothing was heard directly.
+    /// Creates the entry of a member from which no datagram was received yet.
     pub(crate) fn new(id: MemberId, status: MemberStatus, reason: StatusReason, now: Us) -> Member {
         Member {
             id,
@@ -98,22 +98,22 @@
         self.reason = reason;
     }
 
-    /// Alive or suspect: whatever it leased is still its own.
+    /// Reports whether the member is alive or suspect, so that its leased quota still belongs to it.
     pub(crate) fn is_reachable(&self) -> bool {
         matches!(self.status, MemberStatus::Alive | MemberStatus::Suspect)
     }
 
-    /// It counts for the view.
+    /// Reports whether the member counts for the view.
     pub(crate) fn counts_for_view(&self) -> bool {
         self.is_reachable() && !self.damped
     }
 
-    /// Dead or left.
+    /// Reports whether the member is dead or has left.
     pub(crate) fn is_dead_or_left(&self) -> bool {
         matches!(self.status, MemberStatus::Dead | MemberStatus::Left)
     }
 
-    /// It has not left and its address is one that can be sent to.
+    /// Reports whether the member has not left and has an address to which datagrams can be sent.
     pub(crate) fn is_addressable(&self) -> bool {
         self.status != MemberStatus::Left && !self.id.addr.ip().is_unspecified()
     }
--- a/membership/src/member_id.rs
+++ b/membership/src/member_id.rs
@@ -1,4 +1,4 @@
-//! The identity of a member, as it is gossiped.
+//! Gossiped identity of a member.
 
 use crate::member_name::{is_valid_text, MemberName};
 use asterrill::Us;
@@ -7,32 +7,35 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-/// One process start of one member. The order of the fields is that of their bytes in a datagram.
+/// Identity of one process start of a member.
+///
+/// The order of the fields is the order of their bytes in a datagram.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct MemberId {
-    /// Unique among the members of a cluster.
+    /// Name of the member, unique in a cluster.
     pub name: MemberName,
-    /// Where others reach it, which need not be where it listens.
+    /// Address at which others reach the member, which may differ from the address on which it listens.
     pub addr: SocketAddr,
-    /// Grows with every process start: see [`MemberId::next_generation`].
+    /// Number that increases with every process start; see [`MemberId::next_generation`].
     pub generation: u64,
-    /// Times that this process rejoined after the others had declared it dead.
+    /// Number of times that this process rejoined after the others had declared it dead.
     pub incarnation: u32,
-    /// Its failure zone, at most 64 bytes; empty where none is configured.
+    /// Failure zone of the member, at most 64 bytes; empty if none is configured.
     pub zone: String,
-    /// Its capacity, in a unit of the operator's choice.
+    /// Capacity of the member in a unit that the operator chooses.
     pub capacity: u32,
 }
 
 impl MemberId {
-    /// The generation of a new process: greater than that of the process before, if it was persisted, and at least the
-    /// Unix clock in microseconds. So a clock that was set back across a restart does not make the new process look
-    /// older.
+    /// Returns the generation of a new process.
+    ///
+    /// It is greater than the generation of the previous process, if that was persisted, and at least the Unix time in
+    /// microseconds. A clock that was set back across a restart therefore does not make the new process look older.
     pub fn next_generation(previous: Option<u64>, wall_clock: Us) -> u64 {
         wall_clock.max(previous.map_or(0, |previous| previous.saturating_add(1)))
     }
 
-    /// A peer of which only the address is known, to be sent an announcement.
+    /// Returns a placeholder identity for a peer of which only the address is known, as the target of an announcement.
     pub(crate) fn unknown_at(addr: SocketAddr) -> MemberId {
         MemberId {
             name: MemberName::unknown(),
@@ -44,12 +47,12 @@
         }
     }
 
-    /// Of two identities with one name the one with the greater precedence is current.
+    /// Returns the precedence. Of two identities with the same name, the one with the greater precedence is current.
     pub(crate) fn precedence(&self) -> (u64, u32) {
         (self.generation, self.incarnation)
     }
 
-    /// Whether the texts in it are such as a member may send.
+    /// Reports whether the name and the zone are valid.
     pub(crate) fn is_valid(&self) -> bool {
         self.name.is_valid() && is_valid_text(&self.zone)
     }
@@ -58,7 +61,9 @@
 impl Identity for MemberId {
     type Addr = SocketAddr;
 
-    /// Declared dead by mistake: the same process with the next incarnation.
+    /// Returns the identity for rejoining after a false declaration as dead.
+    ///
+    /// It is the same process with the next incarnation.
     fn renew(&self) -> Option<MemberId> {
         Some(MemberId { incarnation: self.incarnation.checked_add(1)?, ..self.clone() })
     }
@@ -67,7 +72,9 @@
         self.addr
     }
 
-    /// Of two at one address the later start wins, and among equals the name that sorts first.
+    /// Reports whether this identity wins against another one at the same address.
+    ///
+    /// The later start wins, and between equals the name that sorts first.
     fn win_addr_conflict(&self, other: &MemberId) -> bool {
         (self.precedence(), Reverse(&self.name)) > (other.precedence(), Reverse(&other.name))
     }
--- a/membership/src/member_name.rs
+++ b/membership/src/member_name.rs
@@ -1,39 +1,41 @@
-//! The names of members.
+//! Member names.
 
 use serde::de::{self, Deserializer, Visitor};
 use serde::{Deserialize, Serialize, Serializer};
 use std::fmt;
 use std::sync::Arc;
 
-/// Bytes of a member's name, and of its zone, at the most.
+/// Maximum size of a member name and of a zone.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
 
-/// The name of a peer of which only the address is known.
+/// Placeholder for the name of a peer of which only the address is known.
 const UNKNOWN_NAME: &str = "?";
 
-/// A member's name: 1 to 64 bytes without control characters.
+/// Name of a member: 1 to 64 bytes without control characters.
 ///
-/// Cloning is cheap, as all clones share one string: a member stores the name of each other in a dozen places.
+/// All clones share one string, because a member stores the name of each other member in a dozen places.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct MemberName(Arc<str>);
 
 impl MemberName {
-    /// None if it is empty, longer than 64 bytes, or contains a control character.
+    /// Creates a name. Returns none if it is empty, longer than 64 bytes, or contains a control character.
     pub fn new(name: &str) -> Option<MemberName> {
         is_valid(name).then(|| MemberName(name.into()))
     }
 
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// Stands for the name of a peer of which only the address is known.
+    /// Returns the placeholder for the name of a peer of which only the address is known.
     pub(crate) fn unknown() -> MemberName {
         MemberName(UNKNOWN_NAME.into())
     }
 
-    /// Decoding does not check names, so that one bad name does not hide the rest of a datagram from the counters.
+    /// Reports whether the name is valid.
+    ///
+    /// Decoding does not check names, so that one invalid name does not hide the rest of a datagram from the counters.
     pub(crate) fn is_valid(&self) -> bool {
         is_valid(&self.0)
     }
@@ -43,7 +45,7 @@
     !name.is_empty() && is_valid_text(name)
 }
 
-/// Whether a text from a peer is short enough and has no control characters.
+/// Reports whether a text from a peer is short enough and has no control characters.
 pub(crate) fn is_valid_text(text: &str) -> bool {
     text.len() <= MAX_NAME_BYTES && !text.chars().any(char::is_control)
 }
--- a/membership/src/persisted_state.rs
+++ b/membership/src/persisted_state.rs
@@ -1,7 +1,7 @@
-//! What a member persists for its next process: its generation, the agreed members, and where they were reached. Text in
-//! and out; the owner of the file adds the checksum (`asterrill_recovery::encode_checksummed`).
+//! State that a member persists for its next process: its generation, the agreed members and their addresses.
 //!
-//! One line each: `start N`, `wall US`, `agreed NAME` for each agreed member, `at ADDRESS` for each address.
+//! The text has the lines `start N` and `wall US`, a line `agreed NAME` for each agreed member, and a line `at ADDRESS`
+//! for each address. The owner of the file adds the checksum (`asterrill_recovery::encode_checksummed`).
 
 use crate::member_id::MemberId;
 use crate::member_name::MemberName;
@@ -9,45 +9,49 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Names, and addresses, in a text at the most.
+/// Maximum number of names, and of addresses, in a text.
 const MAX_ENTRIES_PER_KIND: usize = 4096;
 
-/// The state that survives a restart.
+/// State that survives a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistedState {
-    /// The generation of the process that wrote it.
+    /// Generation of the process that wrote the state.
     pub generation: u64,
-    /// The Unix clock when it was written, in microseconds.
+    /// Unix time at which the state was written, in microseconds.
     pub written_at: Us,
-    /// The agreed members.
+    /// Agreed members.
     pub agreed_members: BTreeSet<MemberName>,
-    /// Where members were reached.
+    /// Addresses of the members that were alive.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// What a new process starts with.
+/// Initial state of a new process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RestoredState {
-    /// The generation of the new process.
+    /// Generation of the new process.
     pub generation: u64,
-    /// The agreed members; empty if what was persisted is not used.
+    /// Agreed members; empty if the persisted ones are not used.
     pub agreed_members: BTreeSet<MemberName>,
-    /// Addresses to contact; empty if what was persisted is not used.
+    /// Addresses to contact; empty if the persisted ones are not used.
     pub addresses: Vec<SocketAddr>,
 }
 
-/// A persisted text can't be read.
+/// Error of a persisted text that can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("line {line} is not understood: {text:?}")]
+#[error(
+    "membership state, line {line}: expected \"start\", \"wall\", \"agreed\" or \"at\" with a valid value and \
+     at most {} entries of a kind, found {text:?}",
+    MAX_ENTRIES_PER_KIND
+)]
 pub struct ParseStateError {
-    /// The number of the line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The line.
+    /// Contents of the line.
     pub text: String,
 }
 
 impl PersistedState {
-    /// As text.
+    /// Returns the state as text.
     pub fn to_text(&self) -> String {
         let mut text = format!("start {}\nwall {}\n", self.generation, self.written_at);
         self.agreed_members.iter().for_each(|name| text.push_str(&format!("agreed {name}\n")));
@@ -55,11 +59,11 @@
         text
     }
 
-    /// Reads a text that [`PersistedState::to_text`] wrote.
+    /// Parses a text that [`PersistedState::to_text`] wrote.
     ///
     /// # Errors
-    /// [`ParseStateError`] names the first line that is of no known kind, has a value that is not valid, or is one too
-    /// many.
+    /// Returns a [`ParseStateError`] with the first line that is of an unknown kind, has an invalid value, or exceeds
+    /// the maximum number of names or addresses.
     pub fn from_text(text: &str) -> Result<PersistedState, ParseStateError> {
         let mut state = PersistedState::default();
         for (i, line) in text.lines().enumerate() {
@@ -82,9 +86,11 @@
         Some(())
     }
 
-    /// What a new process uses of what the one before persisted: its generation always; the rest unless it is older than
-    /// `forget_after` (microseconds) or its age can't be determined, as the agreed members of long ago may have been replaced
-    /// since.
+    /// Returns the initial state of a new process.
+    ///
+    /// The previous generation is always used. The agreed members and addresses are used only if their age is known and
+    /// below `forget_after` (microseconds), because older agreed members may have been replaced since. The age is
+    /// unknown if the state was written in the future by the present clock.
     pub fn restore(previous: Option<PersistedState>, wall_clock: Us, forget_after: Us) -> RestoredState {
         let generation =
             MemberId::next_generation(previous.as_ref().map(|state| state.generation), wall_clock);
--- a/membership/src/quorum.rs
+++ b/membership/src/quorum.rs
@@ -1,52 +1,59 @@
-//! The agreed members, and the view against their number rather than against who happens to be visible.
+//! The agreed members, and the view computed against their number.
+//!
+//! A view computed against the members that are visible would let each side of a partition see a complete cluster.
 
 use crate::member_name::MemberName;
 use crate::view::{View, ViewEvidence};
 use asterrill::Us;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Agreed members, and newcomers, at the most.
+/// Maximum number of agreed members, and of newcomers.
 const MAX_AGREED_MEMBERS: usize = 4096;
-/// Missing members that evidence names.
+/// Maximum number of missing members that [`ViewEvidence`] names.
 const MAX_MISSING_SHOWN: usize = 5;
 
-/// The set of agreed members. While a majority of it is present, it grows by newcomers that stay for long enough, and
-/// shrinks by members that announce that they leave or are absent for very long.
+/// Set of agreed members, and the view that follows from it.
 ///
-/// An update costs what has changed since the last one, not what there is.
+/// While a majority of the set is present, newcomers that stay for the join delay are added to it, and members that are
+/// absent for the forget time are removed. A member that announces that it leaves is removed at once.
+///
+/// The cost of an update grows with the number of members that changed since the last one, not with the cluster size.
 #[derive(Clone, Debug)]
 pub struct Quorum {
     local: MemberName,
     expected_members: usize,
     agreed: BTreeSet<MemberName>,
-    /// Others that are present, and how many of them are agreed members.
+    /// Other members that are present.
     present: BTreeSet<MemberName>,
+    /// Number of members in `present` that are agreed members.
     agreed_present: usize,
-    /// Present members that are not agreed members, and since when each is present without a break.
+    /// Present members that are not agreed members, and the start of their uninterrupted presence.
     newcomers: BTreeMap<MemberName, Us>,
-    /// Agreed members that are absent, and since when.
+    /// Agreed members that are absent, and the start of their absence.
     absent: BTreeMap<MemberName, Us>,
-    /// Lower bounds of the times in the two tables: until they are old enough neither table is searched.
+    /// Lower bounds of the times in the two tables. A table is searched only once its bound is old enough.
     earliest_newcomer: Us,
     earliest_absence: Us,
-    /// Members that may belong to another of these tables: all before the first update.
+    /// Members whose table has to be determined again; before the first update, all agreed members.
     unclassified: BTreeSet<MemberName>,
-    /// The table of newcomers has to be built again.
+    /// True if the table of newcomers has to be rebuilt.
     rebuild_newcomers: bool,
-    /// Members that were added to the agreed ones or removed from them, until somebody takes them.
+    /// Members added to or removed from the agreed members since the last [`Quorum::take_agreement_changes`].
     agreement_changes: BTreeSet<MemberName>,
     join_delay: Us,
     forget_after: Us,
     view: View,
     since: Us,
-    /// Since when there is a quorum, without a break.
+    /// Start of the current uninterrupted quorum.
     quorum_since: Option<Us>,
 }
 
 impl Quorum {
-    /// `expected_members`: so many the operator expects at the least; `agreed`: the agreed members before a restart;
-    /// `join_delay`: how long a newcomer is present until it is an agreed member; `forget_after`: how long an agreed
-    /// member is absent until it is none. Times are microseconds.
+    /// Creates the quorum of the member `local`.
+    ///
+    /// `expected_members` is the minimum number of members that the operator expects. `agreed` are the agreed members
+    /// from before a restart. A newcomer becomes an agreed member after `join_delay` of presence, and an agreed member
+    /// is removed after `forget_after` of absence. Times are microseconds.
     pub fn new(
         now: Us, local: MemberName, expected_members: usize, agreed: BTreeSet<MemberName>, join_delay: Us,
         forget_after: Us,
@@ -75,27 +82,27 @@
         }
     }
 
-    /// The view at the last update.
+    /// Returns the view as of the last update.
     pub fn view(&self) -> View {
         self.view
     }
 
-    /// The agreed size: the number of agreed members, or that which the operator expects, if that is greater.
+    /// Returns the agreed size: the number of agreed members or of expected members, whichever is greater.
     pub fn agreed_size(&self) -> usize {
         self.agreed.len().max(self.expected_members).max(1)
     }
 
-    /// The agreed members, this one included.
+    /// Returns the agreed members, including this one.
     pub fn agreed_members(&self) -> &BTreeSet<MemberName> {
         &self.agreed
     }
 
-    /// Members that were added to the agreed ones or removed from them since the last call.
+    /// Returns the members added to or removed from the agreed members since the last call.
     pub(crate) fn take_agreement_changes(&mut self) -> BTreeSet<MemberName> {
         std::mem::take(&mut self.agreement_changes)
     }
 
-    /// A member announced that it leaves: at once it is no agreed member any more.
+    /// Removes a member that announced that it leaves from the agreed members, with or without a quorum.
     pub fn remove_departed(&mut self, name: &MemberName) {
         if *name == self.local {
             return;
@@ -106,7 +113,7 @@
         self.unclassified.insert(name.clone());
     }
 
-    /// Updates the view from the whole set of other members that are present; true if it has changed.
+    /// Updates the view from the complete set of other members that are present. Returns true if the view changed.
     pub fn update(&mut self, now: Us, present: &BTreeSet<MemberName>) -> bool {
         let arrived: Vec<MemberName> = present.difference(&self.present).cloned().collect();
         let departed: Vec<MemberName> = self.present.difference(present).cloned().collect();
@@ -115,8 +122,10 @@
         self.advance(now)
     }
 
-    /// One member's part of an update. To be called for each that may have come or gone, and then
-    /// [`Quorum::advance`]: together they are the same as [`Quorum::update`].
+    /// Records whether a member is present.
+    ///
+    /// Calls of this function for every member whose presence may have changed, followed by [`Quorum::advance`], are
+    /// equivalent to [`Quorum::update`].
     pub(crate) fn set_present(&mut self, name: &MemberName, present: bool) {
         if present == self.present.contains(name) {
             return;
@@ -132,13 +141,13 @@
         self.unclassified.insert(name.clone());
     }
 
-    /// Time has passed over who is present now; true if the view has changed.
+    /// Advances the time and updates the agreed members and the view. Returns true if the view changed.
     pub(crate) fn advance(&mut self, now: Us) -> bool {
         self.classify_changed(now);
         let before = self.view;
         self.view = self.current_view();
         self.quorum_since = self.quorum_since.or(Some(now)).filter(|_| self.view.has_quorum());
-        // Without a quorum the agreed members stay: two sides of a partition must never both come to have one.
+        // Without a quorum the agreed members stay unchanged. Otherwise both sides of a partition could reach a quorum.
         if let Some(quorum_since) = self.quorum_since {
             self.admit_newcomers(now, quorum_since);
             self.forget_absent(now, quorum_since);
@@ -161,7 +170,7 @@
         }
     }
 
-    /// Puts a member among the newcomers or the absent, or in neither table.
+    /// Moves a member into the table of newcomers, into that of absent members, or out of both.
     fn classify(&mut self, now: Us, name: &MemberName) {
         let (present, agreed) = (self.present.contains(name), self.agreed.contains(name));
         if !present {
@@ -178,8 +187,10 @@
         }
     }
 
-    /// A new cluster: fewer agreed members than the operator expects, and no quorum yet. With enough newcomers that have
-    /// stayed for long enough there is one.
+    /// Forms the first quorum of a new cluster, which has fewer agreed members than the operator expects.
+    ///
+    /// Newcomers that were present for the join delay become agreed members once they complete a majority of the agreed
+    /// size.
     fn bootstrap(&mut self, now: Us) {
         let settled = |since: Us| now.saturating_sub(since) >= self.join_delay;
         let admitted =
@@ -194,8 +205,9 @@
         self.view = self.current_view();
     }
 
-    /// Newcomers that were present for long enough become agreed members. What was seen before there was a quorum is no
-    /// evidence: their time counts from then.
+    /// Makes newcomers that were present for the join delay agreed members.
+    ///
+    /// Presence before the start of the quorum is no evidence, so the delay counts from that start at the earliest.
     fn admit_newcomers(&mut self, now: Us, quorum_since: Us) {
         let settled = |since: Us| now.saturating_sub(since.max(quorum_since)) >= self.join_delay;
         if !settled(self.earliest_newcomer) {
@@ -210,7 +222,9 @@
         self.earliest_newcomer = earliest(&self.newcomers);
     }
 
-    /// Agreed members that were absent for very long are none any more. Their time counts as that of newcomers does.
+    /// Removes agreed members that were absent for `forget_after`.
+    ///
+    /// As for newcomers, that time counts from the start of the quorum at the earliest.
     fn forget_absent(&mut self, now: Us, quorum_since: Us) {
         let expired = |since: Us| now.saturating_sub(since.max(quorum_since)) >= self.forget_after;
         if !expired(self.earliest_absence) {
@@ -247,7 +261,7 @@
         }
     }
 
-    /// On what the view rests. `present`: the other members that are present.
+    /// Returns the evidence for the view. `present` are the other members that are present.
     pub fn evidence(&self, present: &BTreeSet<MemberName>) -> ViewEvidence {
         ViewEvidence {
             present: 1 + self.agreed.intersection(present).count(),
--- a/membership/src/quota_lease.rs
+++ b/membership/src/quota_lease.rs
@@ -1,31 +1,37 @@
-//! Which fraction of a limit that the members divide among themselves this one may use. The rule: what one member gives
-//! up may be used by others only after it must have noticed itself. So a fraction shrinks at once and grows late.
+//! Leases on the limits that the members divide among themselves.
+//!
+//! The quota of a lost member may be used by others only after that member must itself have detected the loss. A
+//! fraction therefore shrinks at once and grows after a delay.
 
 use crate::member_name::MemberName;
 use crate::view::View;
 use asterrill::Us;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The intervals from which the delay of a quota's reassignment is derived.
+/// Intervals from which the delay of a quota reassignment is derived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTiming {
-    /// Until a member that is cut off must have noticed: two rounds of probes over all members, and a suspicion.
-    /// Microseconds.
+    /// Time within which a member that is cut off detects it, in microseconds.
+    ///
+    /// It consists of two rounds of probes over all members and one suspicion timeout.
     pub detection_time: Us,
-    /// Beyond it for datagrams in flight and clocks that run at different speeds (one in twenty). Microseconds.
+    /// Additional time in microseconds for datagrams in flight and for clocks that run at different speeds (one in
+    /// twenty).
     pub margin: Us,
 }
 
-/// How long a suspicion lasts among so many members, in microseconds: as configured up to ten, then growing with the
-/// logarithm, as a refutation takes that much longer to reach all where datagrams are lost (SWIM, section 4.2, and what
-/// was measured here).
+/// Returns the suspicion timeout in a cluster of `members`, in microseconds.
+///
+/// It is the configured timeout for up to ten members and grows with the decimal logarithm beyond. With datagram
+/// loss, a refutation takes that much longer to reach all members (SWIM, section 4.2, confirmed by measurement).
 pub(crate) fn scaled_suspicion_timeout(suspicion_timeout: Us, members: usize) -> Us {
     (suspicion_timeout as f64 * (members.max(1) as f64).log10().max(1.0)) as Us
 }
 
 impl LeaseTiming {
-    /// From the probe interval, the suspicion timeout (both in microseconds) and the number of members. A member probes
-    /// in the order of a shuffled list, so each is probed once in two rounds at the latest.
+    /// Derives the timing from the intervals (in microseconds) and the number of members.
+    ///
+    /// A member probes the others in the order of a shuffled list, so each is probed at least once in two rounds.
     pub fn from_intervals(probe_interval: Us, suspicion_timeout: Us, members: usize) -> LeaseTiming {
         let suspicion = scaled_suspicion_timeout(suspicion_timeout, members);
         let probes = 2 * members.max(2) as u64 + 2;
@@ -33,56 +39,61 @@
         LeaseTiming { detection_time, margin: detection_time / 10 + probe_interval }
     }
 
-    /// From the loss of a member until the others may use its quota, in microseconds.
+    /// Returns the time from the loss of a member until the others may use its quota, in microseconds.
     pub fn reassignment_delay(&self) -> Us {
         self.detection_time.saturating_add(self.margin)
     }
 }
 
-/// The lease of this member on its fraction of the divided limits.
+/// Lease of this member on its fraction of the divided limits.
 ///
-/// Guards against two sides of a partition that together use more than there is. The cost: after a loss the others leave
-/// the quota of the lost member unused for the reassignment delay; a minority uses nothing, and neither does anybody if
-/// no side has a quorum.
+/// It prevents the sides of a partition from using more than the limit together. The cost: after a loss, the quota of
+/// the lost member stays unused for the reassignment delay. A minority uses no leased quota, and if no side has a
+/// quorum, no member does.
 #[derive(Clone, Debug)]
 pub struct QuotaLease {
     timing: LeaseTiming,
-    /// Agreed members that are absent, and since when.
+    /// Agreed members that are not reachable, and the time at which each was lost.
     lost_since: BTreeMap<MemberName, Us>,
-    /// Since when this member is on the side with the quorum, without a break.
+    /// Start of the current uninterrupted quorum as this member sees it.
     quorum_since: Option<Us>,
-    /// It was without a quorum, or is new: once it has one, it waits until the others must have seen it come back.
+    /// True if this member has just started or had no quorum.
+    ///
+    /// Once it has a quorum, it waits until the others must have detected its return.
     must_wait: bool,
     fraction: f64,
 }
 
 impl QuotaLease {
-    /// The lease of a member that has just started. The others may use the quota of its process before, so it waits as
-    /// after a partition.
+    /// Creates the lease of a member that has just started.
+    ///
+    /// The others may still use the quota of its previous process, so it waits as after a partition.
     pub fn new(timing: LeaseTiming) -> QuotaLease {
         QuotaLease { timing, lost_since: BTreeMap::new(), quorum_since: None, must_wait: true, fraction: 0.0 }
     }
 
-    /// Other intervals, or another number of members.
+    /// Sets the timing after a change of the intervals or of the number of members.
     pub fn set_timing(&mut self, timing: LeaseTiming) {
         self.timing = timing;
     }
 
-    /// The fraction of what all divide that this member may use, 0 to 1.
+    /// Returns the fraction, 0 to 1, of the divided limits that this member may use.
     pub fn fraction(&self) -> f64 {
         self.fraction
     }
 
-    /// Gives the quota up until there has been a quorum for the reassignment delay: there is none, or this process was
-    /// paused, for how long it can't tell.
+    /// Revokes the lease until there has been a quorum for the reassignment delay.
+    ///
+    /// Called when there is no quorum, or when this process was paused for a time that it cannot determine.
     pub fn revoke(&mut self) {
         self.quorum_since = None;
         self.must_wait = true;
         self.fraction = 0.0;
     }
 
-    /// Updates the lease from whole sets; true if the fraction has changed. `agreed` and `reachable` are without this
-    /// member, `agreed_size` is with it.
+    /// Updates the lease from complete sets. Returns true if the fraction changed.
+    ///
+    /// `agreed` and `reachable` exclude this member; `agreed_size` includes it.
     pub fn update(
         &mut self, now: Us, view: View, agreed: &BTreeSet<MemberName>, reachable: &BTreeSet<MemberName>,
         agreed_size: usize,
@@ -94,8 +105,10 @@
         self.advance(now, view, agreed_size)
     }
 
-    /// One member's part of an update: whether it is an agreed member and not reachable. To be called for each of which
-    /// that may have changed, and then [`QuotaLease::advance`]: together they are the same as [`QuotaLease::update`].
+    /// Records whether a member is lost, that is, an agreed member and not reachable.
+    ///
+    /// Calls of this function for every member for which that may have changed, followed by [`QuotaLease::advance`],
+    /// are equivalent to [`QuotaLease::update`].
     pub(crate) fn set_lost(&mut self, now: Us, name: &MemberName, lost: bool) {
         if !lost {
             self.lost_since.remove(name);
@@ -104,17 +117,19 @@
         }
     }
 
-    /// Time has passed over who is lost now; true if the fraction has changed.
+    /// Advances the time and updates the fraction. Returns true if the fraction changed.
     pub(crate) fn advance(&mut self, now: Us, view: View, agreed_size: usize) -> bool {
         let before = self.fraction;
         self.fraction = self.next_fraction(now, view, agreed_size);
         self.fraction != before
     }
 
-    /// 1. Without a quorum: nothing, at once.
-    /// 2. With one again, or for the first time: nothing until the others must have seen this member come back.
-    /// 3. Else an equal part of the agreed size, less those that have been lost for longer than it takes them to notice.
-    ///    Whoever comes back counts at once.
+    /// Returns the fraction that this member may use from now on.
+    ///
+    /// 1. Without a quorum it is 0 at once.
+    /// 2. After a quorum is reached, it stays 0 until the others must have detected this member's return.
+    /// 3. Otherwise the limit is divided equally by the agreed size, less the members that have been lost for at least
+    ///    the reassignment delay. A member that returns counts again at once.
     fn next_fraction(&mut self, now: Us, view: View, agreed_size: usize) -> f64 {
         if !view.has_quorum() {
             self.revoke();
--- a/membership/src/rate_limit.rs
+++ b/membership/src/rate_limit.rs
@@ -1,14 +1,14 @@
-//! A token bucket for each source address.
+//! Rate limit for each source address, by token buckets.
 
 use asterrill::Us;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Addresses with a bucket that is not full; datagrams of more are dropped.
+/// Maximum number of addresses whose bucket is not full; datagrams of further addresses are dropped.
 const MAX_TRACKED_SOURCES: usize = 4096;
-/// Datagrams that one address may send at once.
+/// Maximum number of datagrams in a burst of one address.
 const MAX_BURST_DATAGRAMS: f64 = 2_000.0;
-/// Datagrams that one address may send a second.
+/// Sustained rate of datagrams allowed to one address.
 const MAX_DATAGRAMS_PER_SECOND: f64 = 1_000.0;
 const US_PER_SECOND: f64 = 1e6;
 
@@ -31,18 +31,19 @@
     }
 }
 
-/// Guards against one address that takes all of this member's time. The cost: a burst of a real member is cut, and what
-/// was in it is gossiped again.
+/// Rate limiter that keeps one address from using all of this member's CPU time.
+///
+/// The cost: a burst of a genuine member is truncated, and its updates have to be gossiped again.
 #[derive(Default)]
 pub(crate) struct SourceRateLimiter {
     buckets: BTreeMap<SocketAddr, TokenBucket>,
 }
 
 impl SourceRateLimiter {
-    /// Whether a datagram of this address is within its rate.
+    /// Reports whether a datagram of this address is within its rate, and counts it.
     pub(crate) fn allows(&mut self, now: Us, source: SocketAddr) -> bool {
         if self.buckets.len() >= MAX_TRACKED_SOURCES && !self.buckets.contains_key(&source) {
-            // A full bucket is the same as none.
+            // A full bucket is equivalent to no bucket.
             self.buckets.retain(|_, bucket| bucket.tokens_at(now) < MAX_BURST_DATAGRAMS);
             if self.buckets.len() >= MAX_TRACKED_SOURCES {
                 return false;
--- a/membership/src/receive.rs
+++ b/membership/src/receive.rs
@@ -1,4 +1,4 @@
-//! Datagrams in: checks, and the way to what they are for.
+//! Checks and dispatch of received datagrams.
 
 use crate::config::MAX_MEMBERS;
 use crate::envelope::{EnvelopeCodec, EnvelopeError};
@@ -12,16 +12,18 @@
 use asterrill::Us;
 use std::net::SocketAddr;
 
-/// Messages that wait to be taken; beyond it they are dropped.
+/// Maximum number of queued messages; beyond it new ones are dropped.
 const MAX_QUEUED_MESSAGES: usize = 4_096;
 
 impl Membership {
-    /// A datagram came from an address. Whatever its bytes are, they change nothing but this member's picture of others.
+    /// Processes a datagram received from an address.
+    ///
+    /// The contents of a datagram can change only what this member knows about the cluster.
     pub fn handle_datagram(&mut self, now: Us, from: SocketAddr, bytes: &[u8]) {
         if self.is_finished() {
             return;
         }
-        // It may be the first input after a pause: the pause has to be noticed before it is believed.
+        // This may be the first input after a pause, which has to be detected before the datagram is processed.
         self.advance_clock(now);
         if !self.rate_limiter.allows(self.now, from) {
             self.counters.rate_limited += 1;
@@ -53,7 +55,7 @@
 
     fn handle_swim(&mut self, sender: u64, generation: u64, bytes: &[u8]) {
         let datagram = SwimDatagram::decode(bytes);
-        // Who authenticates a datagram speaks for itself only.
+        // A sender may only send SWIM datagrams under its own name and generation.
         let Some(datagram) = datagram.filter(|datagram| is_from(datagram.source(), sender, generation))
         else {
             self.counters.malformed += 1;
@@ -83,7 +85,7 @@
         self.revalidate(pinged_at.map(|_| &source.name));
     }
 
-    /// Whether the members that a datagram names fit into the table.
+    /// Reports whether the members that a datagram names fit into the table.
     fn has_room_for(&self, datagram: &SwimDatagram) -> bool {
         let new = datagram.identities().filter(|id| !self.members.contains_key(&id.name)).count();
         self.foca.iter_membership_state().len() + new <= MAX_MEMBERS
@@ -102,8 +104,10 @@
         }
     }
 
-    /// After a pause a majority has to answer a probe before any quota is used: an answer was asked for since, while what
-    /// had waited in a queue during the pause proves nothing.
+    /// Records that a member answered a probe, and ends the revalidation after a pause once a majority has.
+    ///
+    /// No quota is used before that. Only the answer to a probe sent since the pause proves that a member is reachable;
+    /// a datagram that was queued during the pause does not.
     fn revalidate(&mut self, answered: Option<&MemberName>) {
         let size = self.quorum.agreed_size();
         let Some(revalidated_by) = &mut self.revalidated_by else { return };
@@ -113,7 +117,7 @@
         }
     }
 
-    /// The member that sent an envelope, if it is in the table with that generation.
+    /// Returns the name of the member that sent an envelope, if it is in the table with that generation.
     fn sender_name(&self, sender: u64, generation: u64) -> Option<&MemberName> {
         let name = self.senders.get(&sender)?;
         let member = self.members.get(name)?;
@@ -141,7 +145,7 @@
         self.quorum.remove_departed(&name);
         self.events.push(Event::Left { name });
         let mut actions = SwimActions::default();
-        // An identity that foca does not have is nothing to be taken down.
+        // An error means that foca does not have this identity, so there is nothing to mark as down.
         self.foca.apply_many(std::iter::once(down), false, &mut actions).unwrap_or_default();
         self.apply_swim_actions(actions);
     }
--- a/membership/src/replay.rs
+++ b/membership/src/replay.rs
@@ -2,18 +2,18 @@
 
 use std::collections::BTreeMap;
 
-/// Senders that are remembered; beyond it the one heard longest ago is forgotten.
+/// Maximum number of tracked senders; beyond it the sender heard longest ago is evicted.
 const MAX_TRACKED_SENDERS: usize = 4096;
-/// Sequence numbers behind the highest that are still accepted, as datagrams overtake each other.
+/// Size of the window of sequence numbers, up to the highest one, within which reordered datagrams are accepted.
 const WINDOW_BITS: u64 = 128;
 
-/// The sequence numbers that came from one process of one sender.
+/// Sequence numbers received from one process of a sender.
 struct SenderWindow {
     generation: u64,
     highest: u64,
-    /// Bit `n` is set if the number `n` below the highest came.
+    /// Bitmap in which bit `n` is set if the number `n` below the highest was received.
     received: u128,
-    /// When it was heard last, by the filter's count of datagrams.
+    /// Count of the filter's datagrams at the last datagram of this sender.
     last_heard: u64,
 }
 
@@ -22,7 +22,7 @@
         SenderWindow { generation, highest: 0, received: 0, last_heard }
     }
 
-    /// Whether this number is new; from then on it is not.
+    /// Reports whether a sequence number is new, and marks it as received.
     fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let ahead = sequence - self.highest;
@@ -39,7 +39,7 @@
     }
 }
 
-/// Tells datagrams that are new from those that were received before.
+/// Filter that rejects datagrams that were received before.
 #[derive(Default)]
 pub(crate) struct ReplayFilter {
     senders: BTreeMap<u64, SenderWindow>,
@@ -47,7 +47,9 @@
 }
 
 impl ReplayFilter {
-    /// Whether a datagram is new: not of an earlier process of its sender, not received before, not too far behind.
+    /// Reports whether a datagram is new, and marks it as received.
+    ///
+    /// It is new if it is not from an earlier process of its sender, was not received before, and is within the window.
     pub(crate) fn accept(&mut self, sender: u64, generation: u64, sequence: u64) -> bool {
         self.datagrams += 1;
         let now = self.datagrams;
--- a/membership/src/role_policy.rs
+++ b/membership/src/role_policy.rs
@@ -1,37 +1,45 @@
-//! What each part of a backend does in each view. This is the one table; `docs/design/membership.md` describes it.
+//! Policy of a backend in each view. `docs/design/membership.md` describes the table that this module implements.
 
 use crate::view::View;
 
-/// The fraction of the divided limits that is divided evenly for good: each member uses its part of it in every view, so
-/// that a side of a partition without a quorum still sends some calls upstream. The rest is divided by leases.
+/// Fraction of the divided limits that is permanently divided in equal parts.
+///
+/// Each member uses its part in every view, so that a side of a partition without a quorum still sends some calls
+/// upstream. The rest is divided by leases.
 pub const STATIC_QUOTA_FRACTION: f64 = 0.25;
 
-/// Which changes of the configuration an operator may make here.
+/// Configuration changes that an operator may make on this backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AllowedChanges {
-    /// All.
+    /// All changes are allowed.
     Any,
-    /// Undoing a change, or accepting the running version.
+    /// Only undoing a change and accepting the running version are allowed.
     RollbackOnly,
 }
 
-/// What a backend does in a view.
+/// Policy of a backend in a view.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolePolicy {
-    /// This member's part of the limits that the settings divide among the expected members, over an even part (1 is
-    /// even): tenants' quotas, and the bound on calls to an upstream tier that all share.
+    /// Ratio of this member's share of the divided limits to an equal share; 1 is an equal share.
+    ///
+    /// The settings divide these limits among the expected members: the tenants' quotas, and the bound on calls to an
+    /// upstream tier that all members share.
     pub quota_factor: f64,
-    /// Which changes an operator may make.
+    /// Configuration changes that an operator may make.
     pub allowed_changes: AllowedChanges,
-    /// It reports that it is ready, as far as its own work goes: callers that are cut off from the rest have only it.
+    /// True if the backend reports that it is ready, as far as membership is concerned.
+    ///
+    /// Callers that are cut off from the other backends have only this one.
     pub ready: bool,
 }
 
-/// The policy of a view. `leased_fraction`: the fraction, 0 to 1, of what is divided by leases that this member holds;
-/// `expected_members`: among how many the settings divide; `agreed_size`: of the cluster.
+/// Returns the policy of a view.
+///
+/// `leased_fraction` is the fraction, 0 to 1, of the leased part of the limits that this member holds. The settings
+/// divide the limits among `expected_members`. `agreed_size` is the agreed size of the cluster.
 ///
-/// The factors of all sides of a partition together are at most `expected_members`: [`STATIC_QUOTA_FRACTION`] of it in
-/// static parts, the rest by leases, whose sum is at most 1.
+/// The sum of the factors on all sides of a partition is at most `expected_members`: [`STATIC_QUOTA_FRACTION`] of it in
+/// static parts and the rest by leases, whose sum is at most 1.
 pub fn role_policy(
     view: View, leased_fraction: f64, expected_members: usize, agreed_size: usize,
 ) -> RolePolicy {
--- a/membership/src/send.rs
+++ b/membership/src/send.rs
@@ -1,4 +1,4 @@
-//! What this member sends by itself: messages, and that it leaves.
+//! Datagrams that the caller requests: messages, and the announcement that this member leaves.
 
 use crate::member::MemberStatus;
 use crate::member_name::MemberName;
@@ -8,7 +8,9 @@
 use std::net::SocketAddr;
 
 impl Membership {
-    /// Sends a message to a member, once. It is lost if the member is not in the table, as it may be on the way.
+    /// Sends a message to a member once, without retransmission.
+    ///
+    /// The message is dropped if the member is not in the table, and it may be lost on the network.
     pub fn send_message(&mut self, to: &MemberName, body: &[u8]) {
         if self.is_finished() {
             return;
@@ -19,8 +21,9 @@
         }
     }
 
-    /// This member leaves: it says so to all that are present, so that nobody has to suspect it. From then on no input
-    /// changes anything.
+    /// Announces to the other members that this one leaves, so that they don't suspect it.
+    ///
+    /// Damped members are not informed. Further input has no effect.
     pub fn leave(&mut self, now: Us) {
         self.now = self.now.max(now);
         if std::mem::replace(&mut self.leaving, true) || self.displaced {
@@ -32,7 +35,7 @@
         for addr in addresses {
             self.send(addr, &PayloadKind::Leave.payload(&[]));
         }
-        // Not gossiped besides: that would overtake the announcement itself, and look like a failure.
+        // The departure is not gossiped as well. Gossip could overtake the announcement and look like a failure.
         self.timers.clear();
         self.lease.revoke();
     }
--- a/membership/src/state.rs
+++ b/membership/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of one member's state machine, and what can be read from it.
+//! The membership state machine of one member: its state, constructor and accessors.
 
 use crate::config::MembershipConfig;
 use crate::counters::Counters;
@@ -21,12 +21,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// The state machine of one member: datagrams and time in, datagrams and events out.
+/// State machine of one member, which consumes datagrams and time and produces datagrams and events.
 ///
 /// After each input ([`Membership::handle_datagram`], [`Membership::tick`], [`Membership::leave`],
-/// [`Membership::send_message`]) the caller sends what [`Membership::take_datagrams`] hands back, handles
-/// [`Membership::take_events`], and calls [`Membership::tick`] at [`Membership::next_wakeup`] at the latest. Times are
-/// microseconds of one monotonic clock.
+/// [`Membership::send_message`]) the caller sends the datagrams that [`Membership::take_datagrams`] returns and handles
+/// the events that [`Membership::take_events`] returns. It calls [`Membership::tick`] no later than
+/// [`Membership::next_wakeup`]. All times are microseconds of one monotonic clock.
 pub struct Membership {
     pub(crate) foca: Foca<MemberId, PostcardCodec, StdRng, NoCustomBroadcast>,
     pub(crate) local: MemberId,
@@ -35,41 +35,45 @@
     pub(crate) now: Us,
     pub(crate) timers: Timers,
     pub(crate) members: BTreeMap<MemberName, Member>,
-    /// Members whose presence may have changed since the last update of the view: an update costs what has changed, not
-    /// what there is.
+    /// Members whose presence may have changed since the last update of the view. The cost of an update grows with
+    /// their number, not with the size of the table.
     pub(crate) changed: BTreeSet<MemberName>,
-    /// Members that `foca` may suspect, and those that are suspects in the table.
+    /// Members that `foca` may suspect, and members that are suspects in the table.
     pub(crate) possible_suspects: BTreeSet<MemberName>,
-    /// Members that are damped.
+    /// Members that are damped because they flap.
     pub(crate) flapping: BTreeSet<MemberName>,
-    /// The names of senders, by their numbers in envelopes.
+    /// Names of senders by their identifiers in envelopes.
     pub(crate) senders: BTreeMap<u64, MemberName>,
     pub(crate) rate_limiter: SourceRateLimiter,
     /// Addresses at which other members may be reached.
     pub(crate) contacts: Vec<SocketAddr>,
     pub(crate) next_announce: Us,
-    /// When each member that has not answered yet was probed.
+    /// Times of the direct probes that have not been answered yet.
     pub(crate) pinged_at: BTreeMap<MemberName, Us>,
     pub(crate) quorum: Quorum,
     pub(crate) lease: QuotaLease,
-    /// The agreed size for which the intervals were set last.
+    /// Agreed size for which the intervals were last configured.
     pub(crate) configured_size: usize,
     pub(crate) rng: StdRng,
     pub(crate) outgoing: Vec<Transmit>,
     pub(crate) events: EventQueue,
     pub(crate) messages: VecDeque<Message>,
     pub(crate) leaving: bool,
-    /// A later start of the same name was heard of: this process takes no further part.
+    /// True once a later process start with this member's name is known; this process then ignores all input.
     pub(crate) displaced: bool,
-    /// After a pause: who has answered a probe since. Until that is a majority no quota is used.
+    /// Members that have answered a probe since the last long pause, or none if no revalidation is needed.
+    ///
+    /// No quota is used until they are a majority together with this member.
     pub(crate) revalidated_by: Option<BTreeSet<MemberName>>,
-    /// What was counted since the start.
+    /// Counters since the start of the process.
     pub counters: Counters,
 }
 
 impl Membership {
-    /// `contacts`: addresses at which others may be reached, from a list and from the persisted state; `agreed`: the
-    /// agreed members before a restart; `seed`: for all random choices.
+    /// Creates the state machine of a member that has just started.
+    ///
+    /// `contacts` are addresses at which other members may be reached, from the configuration and from the persisted
+    /// state. `agreed` are the agreed members from before a restart. `seed` determines all random choices.
     pub fn new(
         now: Us, local: MemberId, codec: EnvelopeCodec, config: MembershipConfig, contacts: Vec<SocketAddr>,
         agreed: BTreeSet<MemberName>, seed: u64,
@@ -124,22 +128,24 @@
         }
     }
 
-    /// The datagrams that are to be sent now.
+    /// Returns the datagrams to be sent now, and removes them from the queue.
     pub fn take_datagrams(&mut self) -> Vec<Transmit> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// What has changed since the last call; at most the 1,024 latest events.
+    /// Returns the events since the last call, at most the latest 1,024.
     pub fn take_events(&mut self) -> Vec<Event> {
         self.events.take()
     }
 
-    /// Messages that came since the last call.
+    /// Returns the messages received since the last call.
     pub fn take_messages(&mut self) -> Vec<Message> {
         self.messages.drain(..).collect()
     }
 
-    /// When [`Membership::tick`] has to be called at the latest; [`Us::MAX`] once this member takes no further part.
+    /// Returns the latest time for the next call of [`Membership::tick`].
+    ///
+    /// It is [`Us::MAX`] once this member has left or is displaced.
     pub fn next_wakeup(&self) -> Us {
         if self.is_finished() {
             return Us::MAX;
@@ -147,17 +153,17 @@
         self.timers.next_deadline().min(self.next_announce).max(self.now)
     }
 
-    /// How much of the cluster this member sees.
+    /// Returns how much of the cluster this member sees.
     pub fn view(&self) -> View {
         self.quorum.view()
     }
 
-    /// On what the view rests.
+    /// Returns the evidence for the current view.
     pub fn evidence(&self) -> ViewEvidence {
         self.quorum.evidence(&self.present_members())
     }
 
-    /// The leased fraction, 0 to 1, of what all members divide that this one may use.
+    /// Returns the leased fraction, 0 to 1, of the divided limits that this member may use.
     pub fn quota_fraction(&self) -> f64 {
         if self.revalidated_by.is_some() || self.displaced {
             0.0
@@ -166,27 +172,27 @@
         }
     }
 
-    /// From the loss of a member until the others may use its quota, in microseconds.
+    /// Returns the time from the loss of a member until the others may use its quota, in microseconds.
     pub fn quota_reassignment_delay(&self) -> Us {
         self.lease_timing(self.agreed_size()).reassignment_delay()
     }
 
-    /// The agreed size of the cluster.
+    /// Returns the agreed size of the cluster.
     pub fn agreed_size(&self) -> usize {
         self.quorum.agreed_size()
     }
 
-    /// This member, as it is gossiped now.
+    /// Returns the identity that this member currently gossips.
     pub fn local_id(&self) -> &MemberId {
         self.foca.identity()
     }
 
-    /// A later start of the same name was heard of: this process takes no further part.
+    /// Reports whether a later process start with this member's name is known. This process then ignores all input.
     pub fn is_displaced(&self) -> bool {
         self.displaced
     }
 
-    /// What is to be persisted for the next process, with this as the time of writing (Unix clock, microseconds).
+    /// Returns the state to persist for the next process. `written_at` is the Unix time in microseconds.
     pub fn persisted_state(&self, written_at: Us) -> PersistedState {
         let alive = self.members.values().filter(|member| member.status == MemberStatus::Alive);
         PersistedState {
@@ -197,23 +203,23 @@
         }
     }
 
-    /// The other members that are in the table, in the order of their names.
+    /// Returns the other members in the table, sorted by name.
     pub fn members(&self) -> Vec<MemberInfo> {
         self.members.values().map(Member::info).collect()
     }
 
-    /// It leaves or is displaced: no input changes anything any more.
+    /// Reports whether this member has left or is displaced, so that further input has no effect.
     pub(crate) fn is_finished(&self) -> bool {
         self.displaced || self.leaving
     }
 
-    /// Others that count for the view.
+    /// Returns the names of the other members that count for the view.
     fn present_members(&self) -> BTreeSet<MemberName> {
         let present = self.members.values().filter(|member| member.counts_for_view());
         present.map(|member| member.id.name.clone()).collect()
     }
 
-    /// The timing of leases in a cluster of this size.
+    /// Returns the lease timing for a cluster of `agreed_size` members.
     pub(crate) fn lease_timing(&self, agreed_size: usize) -> LeaseTiming {
         LeaseTiming::from_intervals(self.config.probe_interval, self.config.suspicion_timeout, agreed_size)
     }
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! Keeps the member table in step with what `foca` does not report: suspicions, and flaps that have decayed.
+//! Updates of the member table that `foca` does not report: suspicions, and flap scores that have decayed.
 
 use crate::config::MAX_MEMBERS;
 use crate::event::Event;
@@ -9,7 +9,7 @@
 use foca::State;
 use std::collections::BTreeSet;
 
-/// What `foca` has of a member that may be a suspect.
+/// State in `foca` of a member that may be a suspect.
 struct SwimState {
     name: MemberName,
     generation: u64,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Looks only at members that probes or gossip may have brought under suspicion, and those that are under it.
+    /// Updates the members that are suspects in the table and those that probes or gossip may have made suspects.
     fn update_suspects(&mut self) {
         let mut suspected = BTreeSet::new();
         for SwimState { name, generation, state } in self.states_of_possible_suspects() {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Forgets the member that has been dead or left for longest.
+    /// Removes the member that has been dead or has left for the longest time.
     fn evict_oldest_dead_or_left(&mut self) {
         let removable = self.members.values().filter(|member| member.is_dead_or_left());
         let oldest = removable.min_by_key(|member| member.since).map(|member| member.id.name.clone());
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -1,4 +1,4 @@
-//! The adapter to `foca`, which implements SWIM: its datagrams, and what it wants done.
+//! Adapter to `foca`, which implements SWIM: decoding of its datagrams, and collection of the actions it requests.
 
 use crate::member_id::MemberId;
 use crate::member_name::MemberName;
@@ -7,14 +7,14 @@
 use foca::{Codec, Header, Message, Notification, PostcardCodec, Runtime, State, Timer};
 use std::time::Duration;
 
-/// A datagram of `foca`, decoded before it is handed on, so that nothing invalid reaches it.
+/// Decoded datagram of `foca`. Datagrams are decoded before `foca` handles them, so that it receives no invalid ones.
 pub(crate) struct SwimDatagram {
     header: Header<MemberId>,
     updates: Vec<foca::Member<MemberId>>,
 }
 
 impl SwimDatagram {
-    /// None if it is malformed, or an identity in it is not valid.
+    /// Decodes a datagram. Returns none if it is malformed or contains an invalid identity.
     pub(crate) fn decode(mut bytes: &[u8]) -> Option<SwimDatagram> {
         let header: Header<MemberId> = PostcardCodec.decode_header(&mut bytes).ok()?;
         let mut updates = Vec::new();
@@ -28,45 +28,45 @@
         (valid && bytes.is_empty()).then_some(SwimDatagram { header, updates })
     }
 
-    /// Who sent it, by its own account.
+    /// Returns the sender that the datagram claims.
     pub(crate) fn source(&self) -> &MemberId {
         &self.header.src
     }
 
-    /// All identities in it, the source first.
+    /// Returns all identities in the datagram, the source first.
     pub(crate) fn identities(&self) -> impl Iterator<Item = &MemberId> {
         std::iter::once(&self.header.src).chain(self.updates.iter().map(foca::Member::id))
     }
 
-    /// Members that the sender suspects.
+    /// Returns the members that the sender suspects.
     pub(crate) fn suspects(&self) -> impl Iterator<Item = &MemberName> {
         let suspected = self.updates.iter().filter(|update| update.state() == State::Suspect);
         suspected.map(|update| &update.id().name)
     }
 
-    /// It answers a direct probe.
+    /// Reports whether the datagram answers a direct probe.
     pub(crate) fn is_ack(&self) -> bool {
         matches!(self.header.message, Message::Ack(_))
     }
 }
 
-/// Whether an outgoing datagram of `foca` is a direct probe.
+/// Reports whether an outgoing datagram of `foca` is a direct probe.
 pub(crate) fn is_ping(bytes: &[u8]) -> bool {
     let header: Result<Header<MemberId>, _> = PostcardCodec.decode_header(bytes);
     header.is_ok_and(|header| matches!(header.message, Message::Ping(_)))
 }
 
-/// What one call of `foca` wants done.
+/// Actions that one call of `foca` requests, and notifications that it emits.
 #[derive(Default)]
 pub(crate) struct SwimActions {
     pub(crate) datagrams: Vec<(MemberId, Vec<u8>)>,
-    /// Timers, and after how many microseconds they expire.
+    /// Timers and the delays in microseconds after which they expire.
     pub(crate) timers: Vec<(Timer<MemberId>, Us)>,
     pub(crate) up: Vec<MemberId>,
     pub(crate) down: Vec<MemberId>,
-    /// Identities at one address: the earlier one, and the one that took its place.
+    /// Pairs of identities at one address: the earlier one, and the one that replaced it.
     pub(crate) replaced: Vec<(MemberId, MemberId)>,
-    /// The others had declared this member dead.
+    /// True if the other members had declared this one dead.
     pub(crate) declared_dead: bool,
 }
 
--- a/membership/src/tests/persisted_state.rs
+++ b/membership/src/tests/persisted_state.rs
@@ -31,7 +31,10 @@
 #[test]
 fn parse_errors_name_the_line() {
     let error = PersistedState::from_text("start 7\nwall 9\nagreed\n").unwrap_err();
-    assert_eq!(error.to_string(), r#"line 3 is not understood: "agreed""#);
+    let expected =
+        r#"membership state, line 3: expected "start", "wall", "agreed" or "at" with a valid value"#;
+    let text = format!(r#"{expected} and at most 4096 entries of a kind, found "agreed""#);
+    assert_eq!(error.to_string(), text);
 }
 
 #[test]
--- a/membership/src/timers.rs
+++ b/membership/src/timers.rs
@@ -1,4 +1,4 @@
-//! The timers that the SWIM implementation has requested.
+//! Timers that the SWIM implementation has requested.
 
 use crate::config::MAX_MEMBERS;
 use crate::member_id::MemberId;
@@ -6,9 +6,10 @@
 use foca::Timer;
 use std::collections::BTreeMap;
 
+/// Maximum number of scheduled timers.
 const MAX_TIMERS: usize = 4 * MAX_MEMBERS;
 
-/// A bounded queue of timers, in the order of their deadlines, then in that in which they were scheduled.
+/// Bounded queue of timers, ordered by deadline and then by the order of scheduling.
 #[derive(Default)]
 pub(crate) struct Timers {
     queue: BTreeMap<(Us, u64), Timer<MemberId>>,
@@ -16,7 +17,9 @@
 }
 
 impl Timers {
-    /// Drops the timer if there are too many: probes and gossip are scheduled again by others that run.
+    /// Schedules a timer, or drops it if the queue is full.
+    ///
+    /// A dropped timer is not critical: timers that remain queued schedule probes and gossip again.
     pub(crate) fn schedule(&mut self, deadline: Us, timer: Timer<MemberId>) {
         if self.queue.len() < MAX_TIMERS {
             self.last_sequence += 1;
@@ -24,7 +27,7 @@
         }
     }
 
-    /// The earliest deadline; [`Us::MAX`] if there is no timer.
+    /// Returns the earliest deadline, or [`Us::MAX`] if there is no timer.
     pub(crate) fn next_deadline(&self) -> Us {
         self.queue.first_key_value().map_or(Us::MAX, |((deadline, _), _)| *deadline)
     }
@@ -35,7 +38,7 @@
         (deadline <= now).then(|| first.remove())
     }
 
-    /// Moves all deadlines into the future.
+    /// Postpones all deadlines by `delay`.
     pub(crate) fn postpone_all(&mut self, delay: Us) {
         let queue = std::mem::take(&mut self.queue);
         self.queue = queue.into_iter().map(|((deadline, n), timer)| ((deadline + delay, n), timer)).collect();
--- a/membership/src/transitions.rs
+++ b/membership/src/transitions.rs
@@ -1,4 +1,4 @@
-//! What SWIM reports: members that are alive or dead, and other processes under this member's name.
+//! Status transitions that SWIM reports, and other processes with this member's name.
 
 use crate::config::MAX_MEMBERS;
 use crate::event::Event;
@@ -10,11 +10,11 @@
 use foca::Timer;
 use std::net::SocketAddr;
 
-/// Probes without an answer that are remembered, to measure round trips.
+/// Maximum number of unanswered probes whose send times are stored to measure round-trip times.
 const MAX_PENDING_PINGS: usize = MAX_MEMBERS;
 
 impl Membership {
-    /// Puts a payload into an envelope and queues it for sending.
+    /// Encodes a payload in an envelope and queues the datagram for sending.
     pub(crate) fn send(&mut self, destination: SocketAddr, payload: &[u8]) {
         let contents = self.codec.encode(payload);
         self.counters.sent += 1;
@@ -22,7 +22,7 @@
         self.outgoing.push(Transmit { destination, contents });
     }
 
-    /// Does what `foca` wants done, and records what it reports.
+    /// Performs the actions that `foca` requested, and records what it reported.
     pub(crate) fn apply_swim_actions(&mut self, actions: SwimActions) {
         for (to, datagram) in actions.datagrams {
             self.send_swim(&to, &datagram);
@@ -64,7 +64,7 @@
         self.changed.insert(id.name.clone());
         let mut member = Member::new(id.clone(), MemberStatus::Alive, StatusReason::Alive, self.now);
         if let Some(before) = self.members.get(&id.name) {
-            // An earlier start never takes the place of a later one, wherever it is.
+            // An earlier process start never replaces a later one, even from another address.
             if before.id.precedence() > id.precedence() {
                 return;
             }
@@ -91,15 +91,18 @@
         self.events.push(Event::Dead { name: id.name.clone() });
     }
 
-    /// Another process under this member's name.
+    /// Reports whether an identity is that of another process with this member's name.
+    ///
+    /// An earlier generation at this member's own address is its previous process and no duplicate.
     pub(crate) fn is_duplicate(&self, id: &MemberId) -> bool {
         id.name == self.local.name
             && id.generation != self.local.generation
             && (id.generation > self.local.generation || id.addr != self.local.addr)
     }
 
-    /// Of two processes with one name the later start stays, and the earlier one takes no further part. True if that is
-    /// this one.
+    /// Resolves a duplicate name. Returns true if this process is displaced.
+    ///
+    /// The process that started later remains a member, and the earlier one is displaced.
     pub(crate) fn resolve_duplicate(&mut self, duplicate: &MemberId) -> bool {
         let displaced = duplicate.generation > self.local.generation;
         let reported = self.members.get(&duplicate.name);
--- a/membership/src/transmit.rs
+++ b/membership/src/transmit.rs
@@ -1,22 +1,22 @@
-//! What goes from one member to another.
+//! Datagrams, payloads and messages between members.
 
 use crate::member_name::MemberName;
 use std::net::SocketAddr;
 
-/// The first byte of a datagram's payload: what follows.
+/// Kind of a datagram's payload, encoded as its first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum PayloadKind {
-    /// A datagram of SWIM.
+    /// A SWIM datagram follows.
     Swim = 0,
-    /// The sender leaves; nothing follows.
+    /// The sender leaves; the payload has no body.
     Leave = 1,
-    /// A message for what is built on top of membership.
+    /// A message for a layer above membership follows.
     Message = 2,
 }
 
 impl PayloadKind {
-    /// The kind of a payload, and what follows; none if it is of no known kind.
+    /// Returns the kind and the body of a payload, or none if the kind is unknown.
     pub(crate) fn split(payload: &[u8]) -> Option<(PayloadKind, &[u8])> {
         let (first, body) = payload.split_first()?;
         let kinds = [PayloadKind::Swim, PayloadKind::Leave, PayloadKind::Message];
@@ -24,26 +24,26 @@
         Some((kind, body))
     }
 
-    /// A payload of this kind.
+    /// Returns a payload of this kind with the given body.
     pub(crate) fn payload(self, body: &[u8]) -> Vec<u8> {
         [&[self as u8], body].concat()
     }
 }
 
-/// A datagram to be sent.
+/// Datagram to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transmit {
-    /// Where it goes.
+    /// Destination address.
     pub destination: SocketAddr,
-    /// Its bytes, the envelope included.
+    /// Bytes of the datagram, including the envelope.
     pub contents: Vec<u8>,
 }
 
-/// A message of another member for what is built on top of membership.
+/// Message from another member for a layer above membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Who sent it.
+    /// Name of the sender.
     pub from: MemberName,
-    /// Its bytes.
+    /// Bytes of the message.
     pub body: Vec<u8>,
 }
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -1,24 +1,25 @@
-//! How much of the cluster a member sees.
+//! The view: how much of the cluster a member sees.
 
 use crate::member_name::MemberName;
 use asterrill::Us;
 
-/// What a member sees of the cluster, against the agreed size. What each part of a backend does in each view:
-/// [`crate::role_policy`].
+/// Share of the agreed members that a member sees as present.
+///
+/// [`crate::role_policy`] defines what each part of a backend does in each view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum View {
     /// All agreed members are present.
     Complete,
-    /// More than half of them.
+    /// More than half of the agreed members are present, but not all.
     Majority,
-    /// Half of them or fewer.
+    /// At most half of the agreed members are present.
     Minority,
-    /// Nobody else, though there should be.
+    /// No other member is present, although the agreed size is greater than 1.
     Isolated,
 }
 
 impl View {
-    /// The word for it in the log and on the control socket.
+    /// Returns the name of the view in the log and on the control socket.
     pub fn name(self) -> &'static str {
         match self {
             View::Complete => "whole",
@@ -28,22 +29,23 @@
         }
     }
 
-    /// More than half of the agreed members are present. In a partition this holds on one side at most, which may take
-    /// over the quota of the others.
+    /// Reports whether more than half of the agreed members are present.
+    ///
+    /// During a partition this holds on at most one side, which may therefore take over the quota of the others.
     pub fn has_quorum(self) -> bool {
         matches!(self, View::Complete | View::Majority)
     }
 }
 
-/// On what a view rests.
+/// Evidence for a view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewEvidence {
-    /// Agreed members that are present, this one included.
+    /// Number of agreed members that are present, including this one.
     pub present: usize,
-    /// The agreed size of the cluster.
+    /// Agreed size of the cluster.
     pub agreed_size: usize,
-    /// Agreed members that are absent: the first five by name.
+    /// Agreed members that are absent, the first five in the order of their names.
     pub missing: Vec<MemberName>,
-    /// When the view changed last, in microseconds of the monotonic clock.
+    /// Time of the last change of the view, in microseconds of the monotonic clock.
     pub since: Us,
 }
--- a/membership/src/view_update.rs
+++ b/membership/src/view_update.rs
@@ -1,4 +1,4 @@
-//! The view and the quota after an input.
+//! Update of the view and the quota after an input.
 
 use crate::event::Event;
 use crate::member::Member;
@@ -6,7 +6,7 @@
 use crate::state::Membership;
 
 impl Membership {
-    /// Brings the view and the quota up to date with the members that have changed.
+    /// Updates the view and the quota for the members that have changed.
     pub(crate) fn update_view_and_quota(&mut self) {
         if self.displaced {
             return;
@@ -36,15 +36,19 @@
         }
     }
 
-    /// Probes and suspicions that run go on as they are; the next ones last as long as so many members need.
+    /// Sets the timeouts for a cluster of `agreed_size` members.
+    ///
+    /// Probes and suspicions in progress keep their deadlines.
     fn configure_for_size(&mut self, agreed_size: usize) {
         self.configured_size = agreed_size;
-        // It fails only if a period changes; nothing but the suspicion timeout depends on the size.
+        // This fails only if a period changes, and only the suspicion timeout depends on the size.
         self.foca.set_config(self.config.swim_config(agreed_size)).unwrap_or_default();
         self.lease.set_timing(self.lease_timing(agreed_size));
     }
 
-    /// Another agreed member that is not reachable. One that flaps is: what it leased is still its own.
+    /// Reports whether another agreed member is not reachable.
+    ///
+    /// A flapping member counts as reachable, because its leased quota still belongs to it.
     fn is_lost(&self, name: &MemberName) -> bool {
         let agreed = *name != self.local.name && self.quorum.agreed_members().contains(name);
         agreed && !self.members.get(name).is_some_and(Member::is_reachable)
