--- a/membership/src/tests.rs
+++ b/membership/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the whole state machine, on virtual time.
+//! Tests of the complete state machine in virtual time.
 
 use crate::*;
 use asterrill::Us;
@@ -16,9 +16,9 @@
 
 const MS: Us = 1_000;
 const S: Us = 1_000 * MS;
-/// When the tests begin.
+/// Virtual time at the start of a test.
 const START: Us = 1_000 * S;
-/// Members that each knows at its start.
+/// Number of contacts that each member knows at its start.
 const CONTACTS: usize = 3;
 const SECRET: &[u8] = b"a secret of the tests";
 const CLUSTER: &str = "test";
@@ -47,12 +47,12 @@
     MemberId { name: name(n), addr: addr(n), generation, incarnation: 0, zone: String::new(), capacity: 1 }
 }
 
-/// The codec of a member.
+/// Returns the codec of member `n`.
 fn codec(n: usize, generation: u64) -> EnvelopeCodec {
     EnvelopeCodec::new(SECRET, CLUSTER, &format!("n{n}"), generation)
 }
 
-/// A member of so many, which knows the first `contacts` of them.
+/// Returns member `n` of `expected` members, which knows the addresses of the first `contacts` members.
 fn member(now: Us, n: usize, generation: u64, expected: usize, contacts: usize) -> Membership {
     let contacts = (0..contacts).map(addr).collect();
     let seed = generation * 1_000 + n as u64;
--- a/membership/src/tests/cluster.rs
+++ b/membership/src/tests/cluster.rs
@@ -1,21 +1,22 @@
-//! Plain cases of a cluster: deaths, partitions, pauses, duplicate names, flapping.
+//! Basic cluster scenarios: failures, partitions, pauses, duplicate names, flapping.
 
 use super::network::Network;
 use super::*;
 
 const ROUNDING: f64 = 1e-9;
 
-/// All of the quota is used, and never more of it was.
+/// Asserts that the members use the whole quota and never exceeded it.
 fn assert_quota_fully_used(network: &Network) {
     let (sum, max) = (network.quota_sum(), network.max_quota_sum);
     assert!((sum - 1.0).abs() < ROUNDING && max <= 1.0 + ROUNDING, "{sum} {max}");
 }
 
+/// Asserts that the members together never exceeded the quota.
 fn assert_quota_not_exceeded(network: &Network) {
     assert!(network.max_quota_sum <= 1.0 + ROUNDING, "{}", network.max_quota_sum);
 }
 
-/// One member as another sees it.
+/// Returns the entry of member `n` in the table of another member.
 fn member_info(member: &Membership, n: usize) -> Option<MemberInfo> {
     member.members().into_iter().find(|info| info.id.name == name(n))
 }
@@ -41,11 +42,12 @@
     let detected = |network: &Network| network.alive().all(|m| has_status(m, 5, MemberStatus::Dead));
     let took = network.run_until(20 * S, detected).expect("detected");
     assert!(took < 6 * S, "{took}");
-    assert_eq!(network.member(0).quota_fraction(), 1.0 / 8.0, "not yet");
-    let taken = network.run_until(60 * S, |network| network.quota_sum() > 0.99).expect("used at last");
+    assert_eq!(network.member(0).quota_fraction(), 1.0 / 8.0, "reassigned before the transfer time");
+    let taken =
+        network.run_until(60 * S, |network| network.quota_sum() > 0.99).expect("the quota is reassigned");
     assert!(network.now - start >= network.quota_reassignment_delay(), "{taken}");
     assert_eq!(network.member(0).quota_fraction(), 1.0 / 7.0);
-    // Back at the same name: a later start takes its place, and all shrink.
+    // The member returns under the same name: the later start replaces the earlier one, and all fractions shrink.
     network.restart(5);
     network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("complete again");
     network.run(2 * network.quota_reassignment_delay());
@@ -107,7 +109,7 @@
     network.run(2 * network.quota_reassignment_delay());
     assert_quota_not_exceeded(&network);
     let all = network.alive().all(|member| member.view().has_quorum());
-    assert!(all, "4 forwards gossip and probes: {:?}", network.views());
+    assert!(all, "member 4 should forward gossip and probes: {:?}", network.views());
 }
 
 #[test]
@@ -119,7 +121,7 @@
         network.run(pause);
         network.run(200 * MS);
         if pause > 5 * S {
-            assert_eq!(network.member(2).quota_fraction(), 0.0, "it does not use its old quota");
+            assert_eq!(network.member(2).quota_fraction(), 0.0, "the paused member still uses its quota");
         }
         network.run(20 * S);
         let declared = network.detections.iter().filter(|detection| detection.by == 2).count();
@@ -134,7 +136,7 @@
 fn restarted_cluster_reassembles_and_leaving_member_is_never_suspected() {
     let mut network = Network::converged(6, 9);
     (0..6).for_each(|n| network.restart(n));
-    network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("all back");
+    network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("complete again");
     network.run(2 * network.quota_reassignment_delay());
     network.detections.clear();
     let now = network.now;
@@ -152,16 +154,21 @@
 #[test]
 fn later_start_displaces_an_earlier_one_with_the_same_name() {
     let mut network = Network::converged(4, 10);
-    // A copy of n1 comes up at the address of a fifth.
-    let copy = MemberId { addr: addr(4), ..id(1, 99) };
+    // A second process named n1 starts at the address of a fifth member.
+    let duplicate_id = MemberId { addr: addr(4), ..id(1, 99) };
     let contacts = (0..CONTACTS).map(addr).collect();
-    let copy = Membership::new(network.now, copy, codec(1, 99), config(4), contacts, BTreeSet::new(), 5);
-    network.members.push(Some(copy));
+    let duplicate =
+        Membership::new(network.now, duplicate_id, codec(1, 99), config(4), contacts, BTreeSet::new(), 5);
+    network.members.push(Some(duplicate));
     network.run(15 * S);
     assert!(network.member(1).is_displaced() && !network.member(4).is_displaced());
     assert_eq!(network.member(1).quota_fraction(), 0.0);
     let seen = member_info(network.member(0), 1).unwrap();
-    assert_eq!((seen.id.generation, seen.id.addr), (99, addr(4)), "the others see the later one");
+    assert_eq!(
+        (seen.id.generation, seen.id.addr),
+        (99, addr(4)),
+        "member 0 does not have the later start in its table"
+    );
 }
 
 #[test]
@@ -181,7 +188,7 @@
         network.run(4 * S);
     }
     assert!(damped(&network));
-    assert!(network.view(0) != View::Complete, "it does not count while it flaps");
+    assert!(network.view(0) != View::Complete, "a flapping member counts for the view");
     network.run(60 * S);
     assert!(!damped(&network));
     network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("stable again");
--- a/membership/src/tests/datagrams.rs
+++ b/membership/src/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams of strangers, replays, floods, and any bytes whatever.
+//! Tests with foreign and replayed datagrams, floods, and arbitrary bytes.
 
 use super::*;
 use quickcheck::QuickCheck;
@@ -10,7 +10,7 @@
     let valid = sender.encode(&[0, 1, 2, 3]);
     receiver.handle_datagram(START, addr(1), &valid);
     let counted = (receiver.counters.malformed, receiver.counters.replayed);
-    assert_eq!(counted, (1, 0), "authentic, and yet malformed");
+    assert_eq!(counted, (1, 0), "an authentic but malformed datagram");
     receiver.handle_datagram(START, addr(1), &valid);
     assert_eq!(receiver.counters.replayed, 1);
     for changed_byte in 0..valid.len() {
@@ -18,7 +18,7 @@
         changed[changed_byte] ^= 1;
         receiver.handle_datagram(START, addr(1), &changed);
     }
-    assert_eq!(receiver.counters.foreign, 9, "version and cluster");
+    assert_eq!(receiver.counters.foreign, 9, "changed bytes of the version and the cluster");
     assert_eq!(receiver.counters.bad_mac, valid.len() as u64 - 9);
     let other_secret = EnvelopeCodec::new(b"another secret", CLUSTER, "n1", 1).encode(&[0]);
     receiver.handle_datagram(START, addr(1), &other_secret);
@@ -27,7 +27,7 @@
     receiver.handle_datagram(START, addr(1), &[]);
     let Counters { bad_mac, foreign, too_short, .. } = receiver.counters;
     assert_eq!((bad_mac, foreign, too_short), (valid.len() as u64 - 8, 10, 1));
-    // Recorded datagrams of an earlier start are replays.
+    // Datagrams of an earlier process start count as replays once a later start is known.
     receiver.handle_datagram(START, addr(1), &codec(1, 5).encode(&[0]));
     let replayed = receiver.counters.replayed;
     receiver.handle_datagram(START, addr(1), &sender.encode(&[0]));
@@ -54,7 +54,7 @@
     }
     let counted = (receiver.counters.rate_limited, receiver.counters.malformed);
     assert_eq!(counted, (1_000, 2_000));
-    // Ten thousand names, each a member of its own that has the secret.
+    // Ten thousand names, each of a separate member with the shared secret.
     let mut receiver = member(START, 0, 1, 2, 0);
     for n in 0..10_000_usize {
         let mut fabricated = member(START, n + 1, 1, 2, 1);
@@ -75,7 +75,7 @@
         let mut other = codec(2, 1);
         receiver.handle_datagram(START, addr(2), &other.encode(&bytes));
         receiver.handle_datagram(START, addr(2), &other.encode(&[&[0], &bytes[..]].concat()));
-        // A real datagram with its payload changed or cut, in a valid envelope.
+        // A genuine datagram with its payload modified or truncated, in a valid envelope.
         sender.tick(START + 1);
         let mut decoder = codec(9, 1);
         for transmit in sender.take_datagrams() {
--- a/membership/src/tests/incremental.rs
+++ b/membership/src/tests/incremental.rs
@@ -1,5 +1,6 @@
-//! The view and the quota cost what has changed since the last update. They have to be the same as worked out from whole
-//! sets.
+//! Comparison of incremental updates of the view and the quota with recomputation from complete sets.
+//!
+//! An incremental update that misses a changed member would leave a wrong view or quota until the next change.
 
 use super::network::Network;
 use super::reference::{Reference, ReferenceQuorum};
@@ -8,13 +9,13 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// A quorum and a lease that see only what has changed, and the references beside them.
+/// Incrementally updated quorum and lease, and the reference models with which they are compared.
 struct ComparedQuorums {
     quorum: Quorum,
     lease: QuotaLease,
     reference: ReferenceQuorum,
     reference_lease: QuotaLease,
-    /// Reachable members, and whether each flaps.
+    /// Reachable members, with true for those that flap.
     flapping: BTreeMap<MemberName, bool>,
     changed: BTreeSet<MemberName>,
 }
@@ -32,19 +33,19 @@
         }
     }
 
-    /// A member leaves, is gone, flaps, or is present.
-    fn change(&mut self, one: MemberName, kind: u32) {
+    /// Applies a change of one member: it leaves, is lost, flaps, or is present.
+    fn change(&mut self, member: MemberName, kind: u32) {
         match kind {
             0 => {
-                self.flapping.remove(&one);
-                self.quorum.remove_departed(&one);
-                self.reference.remove_departed(&one);
+                self.flapping.remove(&member);
+                self.quorum.remove_departed(&member);
+                self.reference.remove_departed(&member);
             }
-            1..4 => drop(self.flapping.remove(&one)),
-            // One that flaps is reachable, and does not count.
-            kind => drop(self.flapping.insert(one.clone(), kind == 4)),
+            1..4 => drop(self.flapping.remove(&member)),
+            // A flapping member is reachable, but does not count for the view.
+            kind => drop(self.flapping.insert(member.clone(), kind == 4)),
         }
-        self.changed.insert(one);
+        self.changed.insert(member);
     }
 
     fn update_and_compare(&mut self, now: Us, seed: u64) {
@@ -60,9 +61,9 @@
         let evidence = quorum.evidence(&present);
         assert!(evidence.missing.iter().eq(reference.absent.keys().take(5)), "seed {seed} at {now}");
         changed.append(&mut quorum.take_agreement_changes());
-        for one in std::mem::take(changed) {
-            let agreed = one != name(0) && quorum.agreed_members().contains(&one);
-            lease.set_lost(now, &one, agreed && !reachable.contains(&one));
+        for member in std::mem::take(changed) {
+            let agreed = member != name(0) && quorum.agreed_members().contains(&member);
+            lease.set_lost(now, &member, agreed && !reachable.contains(&member));
         }
         let size = reference.agreed_size();
         assert_eq!(
@@ -85,8 +86,8 @@
         for _ in 0..rng.random_range(5..60) {
             now += rng.random_range(0..3);
             for _ in 0..rng.random_range(0..4) {
-                let one = name(rng.random_range(1..=others));
-                compared.change(one, rng.random_range(0..8));
+                let member = name(rng.random_range(1..=others));
+                compared.change(member, rng.random_range(0..8));
             }
             compared.update_and_compare(now, seed);
             with_quorum += usize::from(compared.reference.view.has_quorum());
@@ -94,9 +95,10 @@
         }
     }
     let enough = with_quorum > 10_000 && with_quota > 5_000;
-    assert!(enough, "too little happened: {with_quorum} {with_quota}");
+    assert!(enough, "too few updates with a quorum ({with_quorum}) or a quota ({with_quota})");
 }
 
+/// Runs a seeded scenario in which each member is compared with its reference model after each input.
 fn compare_members(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5ad0);
     let members = rng.random_range(2..7);
--- a/membership/src/tests/lease_model.rs
+++ b/membership/src/tests/lease_model.rs
@@ -1,31 +1,34 @@
-//! Every interleaving of partition, heal, pause and time on three leases, where each member notices as late as it may.
+//! Exhaustive model of three leases under all interleavings of partitions, heals, pauses and time.
+//!
+//! Each member detects a change at any time up to the end of its detection time.
 
 use super::*;
 use std::cmp::Reverse;
 use std::collections::HashSet;
 
-/// Members of the model.
+/// Number of members in the model.
 const MEMBERS: usize = 3;
-/// Steps of time within which each member must have noticed what has changed.
+/// Number of time steps within which each member detects a change.
 const DETECTION_TIME: u64 = 2;
-/// Steps that are explored.
+/// Number of transitions that are explored from the initial state.
 const DEPTH: usize = 6;
-/// Ages beyond which states don't differ.
+/// Age at which counters saturate, so that older states are the same.
 const MAX_AGE: u64 = 50;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// The side of each; members on one side hear each other.
+    /// Side of each member. Members on the same side receive each other's datagrams.
     side: [u8; MEMBERS],
     paused: [bool; MEMBERS],
-    /// For how long each is on its present side.
+    /// Age of the current partition for each member.
     since_change: [u64; MEMBERS],
-    /// Whom each believes to be present, and how long ago it lost each.
+    /// Members that each member considers present.
     present: [[bool; MEMBERS]; MEMBERS],
+    /// Time since each member lost each other one.
     lost_for: [[u64; MEMBERS]; MEMBERS],
-    /// For how long each believes to have a quorum.
+    /// Time for which each member has considered itself part of a quorum.
     quorum_for: [Option<u64>; MEMBERS],
-    /// It waits until the others must have seen it come back.
+    /// Members that wait until the others must have detected their return.
     must_wait: [bool; MEMBERS],
 }
 
@@ -42,7 +45,8 @@
         }
     }
 
-    /// The fractions that the members use, by the lease itself. `without_delay`: fractions grow at once.
+    /// Returns the fractions that the members use, computed by the lease under test. With `without_delay`, fractions
+    /// grow at once.
     fn fractions(&self, without_delay: bool) -> [f64; MEMBERS] {
         let delay = if without_delay { 0 } else { DETECTION_TIME + 1 };
         let mut fractions = [0.0; MEMBERS];
@@ -54,7 +58,8 @@
         fractions
     }
 
-    /// Brings a lease to where a member is: with a quorum for so long, without each lost member for so long.
+    /// Returns the fraction of a lease that is brought into the state of member `n`: it has had a quorum for
+    /// `quorum_for`, and has missed each lost member for the time recorded in `lost_for`.
     fn fraction(&self, n: usize, quorum_for: u64, delay: Us) -> f64 {
         const NOW: Us = 1_000;
         let mut lease = QuotaLease::new(LeaseTiming { detection_time: delay, margin: 0 });
@@ -76,7 +81,7 @@
         lease.fraction()
     }
 
-    /// All states that may follow.
+    /// Returns all possible next states.
     fn successors(&self) -> Vec<State> {
         let mut successors = Vec::new();
         for side in [[0, 0, 0], [0, 0, 1], [0, 1, 0], [1, 0, 0], [0, 1, 2]] {
@@ -93,14 +98,16 @@
         let mut next = self.clone();
         next.paused[n] = !next.paused[n];
         if !next.paused[n] {
-            // It doubts itself before it does anything else.
+            // A resumed member revokes its lease before anything else.
             (next.quorum_for[n], next.must_wait[n]) = (None, true);
         }
         next
     }
 
-    /// Time passes: each member of the mask notices now what has changed, and each has to by the end of its detection
-    /// time. A paused one uses nothing meanwhile, as it answers nothing, but what it believes stays.
+    /// Returns the state after one time step.
+    ///
+    /// The members in the mask detect changes now, and all others at the end of their detection time at the latest. A
+    /// paused member uses no quota, as it answers nothing, but its state stays unchanged.
     fn pass_time(&self, early_mask: u8) -> State {
         let mut next = self.clone();
         for n in (0..MEMBERS).filter(|n| !self.paused[*n]) {
@@ -114,7 +121,7 @@
         next
     }
 
-    /// A member notices who can be heard.
+    /// Updates the members that member `n` considers present, its quorum and its waiting state.
     fn detect_changes(&mut self, n: usize, actual: &State) {
         for m in others(n) {
             let heard = actual.side[n] == actual.side[m] && !actual.paused[m];
@@ -139,7 +146,7 @@
     (0..MEMBERS).filter(move |m| *m != n)
 }
 
-/// The number of states that can be reached, and the greatest sum of fractions in any of them.
+/// Returns the number of reachable states, and the greatest sum of fractions in any of them.
 fn explore(without_delay: bool) -> (usize, f64) {
     let initial = State::initial();
     let (mut seen, mut frontier, mut max) = (HashSet::from([initial.clone()]), vec![initial], 0.0_f64);
@@ -159,9 +166,9 @@
 #[test]
 fn no_interleaving_exceeds_the_quota_and_a_missing_delay_is_detected() {
     let (states, max) = explore(false);
-    println!("{states} states, at most {max} of the quota");
+    println!("{states} states, greatest sum of fractions {max}");
     assert!(states > 1_000, "{states}");
     assert!(max <= 1.0 + 1e-9, "{max}");
     let (_, max) = explore(true);
-    assert!(max > 1.0 + 1e-9, "fractions that grow at once were not noticed: {max}");
+    assert!(max > 1.0 + 1e-9, "fractions that grow without delay were not detected: {max}");
 }
--- a/membership/src/tests/network.rs
+++ b/membership/src/tests/network.rs
@@ -1,4 +1,4 @@
-//! Many members in memory on virtual time: partitions, loss, delays, pauses and restarts, from a seed.
+//! Simulated network of members in virtual time, with seeded partitions, loss, delays, pauses and restarts.
 
 use super::reference::Reference;
 use super::*;
@@ -6,49 +6,49 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// A datagram on its way.
+/// Datagram in flight.
 struct InFlight {
     from: usize,
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// A member that was declared dead.
+/// Declaration of a member as dead by another one.
 pub struct Detection {
     pub at: Us,
-    /// Who declared it.
+    /// Number of the member that made the declaration.
     pub by: usize,
     pub name: MemberName,
 }
 
-/// A network in memory. Everything in it follows from the seed.
+/// In-memory network, whose behavior is fully determined by its seed.
 pub struct Network {
     pub now: Us,
     pub members: Vec<Option<Membership>>,
     in_flight: BTreeMap<(Us, u64), InFlight>,
     sequence: u64,
     rng: StdRng,
-    /// The probability that a datagram is lost.
+    /// Probability that a datagram is lost.
     pub loss: f64,
-    /// The probability that a datagram comes twice.
+    /// Probability that a datagram is duplicated.
     pub duplicate_rate: f64,
-    /// The least and the longest time that a datagram takes.
+    /// Minimum and maximum delay of a datagram.
     pub delay: (Us, Us),
-    /// Directions that carry nothing: from, to.
+    /// Blocked directions, as pairs of sender and receiver.
     pub blocked: BTreeSet<(usize, usize)>,
-    /// Members whose process is paused, and until when.
+    /// Paused members and the times at which they resume.
     pub paused: BTreeMap<usize, Us>,
-    /// What waits in the socket buffers of paused members: from, and the bytes.
+    /// Datagrams in the socket buffers of paused members, as pairs of sender and bytes.
     queued: BTreeMap<usize, Vec<(usize, Vec<u8>)>>,
     last_generation: u64,
     pub sent: u64,
     pub bytes: u64,
-    /// All events, as one number.
+    /// Hash of the times and members of all events.
     pub trace: u64,
     pub detections: Vec<Detection>,
-    /// The greatest sum of the quota fractions so far.
+    /// Greatest sum of the quota fractions so far.
     pub max_quota_sum: f64,
-    /// Beside members, where a test wants that: the same worked out from whole sets.
+    /// Reference models that recompute the state of a member from complete sets. Empty unless a test uses them.
     pub references: Vec<Option<Reference>>,
 }
 
@@ -77,13 +77,17 @@
         }
     }
 
-    /// A network whose members have found each other and use all of the quota.
+    /// Returns a network whose members have found each other and use the whole quota.
     pub fn converged(members: usize, seed: u64) -> Network {
         let mut network = Network::new(members, seed);
         network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("all find each other");
         let wait = network.member(0).quota_reassignment_delay();
         network.run(wait + 2 * S);
-        assert!((network.quota_sum() - 1.0).abs() < 1e-9, "all of it is used: {}", network.quota_sum());
+        assert!(
+            (network.quota_sum() - 1.0).abs() < 1e-9,
+            "sum of the quota fractions: {}",
+            network.quota_sum()
+        );
         network
     }
 
@@ -91,12 +95,12 @@
         self.members[n].as_ref().unwrap()
     }
 
-    /// Members whose process runs or is paused.
+    /// Returns the members whose process runs or is paused.
     pub fn alive(&self) -> impl Iterator<Item = &Membership> {
         self.members.iter().flatten()
     }
 
-    /// No side hears any other.
+    /// Blocks all datagrams between different sides.
     pub fn partition(&mut self, sides: &[&[usize]]) {
         for (i, a) in sides.iter().enumerate() {
             for (_, b) in sides.iter().enumerate().filter(|(j, _)| *j != i) {
@@ -117,7 +121,7 @@
         self.members[n] = Some(member(self.now, n, self.last_generation, self.members.len(), CONTACTS));
     }
 
-    /// Takes what a member has to send and to report.
+    /// Takes the events and datagrams of a member, checks them against its reference model, and sends the datagrams.
     pub fn take_output(&mut self, n: usize) {
         let Some(member) = &mut self.members[n] else { return };
         let (out, events) = (member.take_datagrams(), member.take_events());
@@ -159,9 +163,9 @@
         }
     }
 
-    /// The sum of what all use, which must not be over 1.
+    /// Returns the sum of the quota fractions in use, which must not exceed 1.
     pub fn quota_sum(&self) -> f64 {
-        // A paused process uses nothing, whatever it believes.
+        // A paused process uses nothing, whatever fraction it holds.
         let awake = self.members.iter().enumerate().filter(|(n, _)| !self.paused.contains_key(n));
         awake.filter_map(|(_, member)| member.as_ref()).map(Membership::quota_fraction).sum()
     }
@@ -172,7 +176,9 @@
         self.now = until;
     }
 
-    /// Plays what comes next, unless that is later than `until`: a resumed process, a datagram, or a wakeup.
+    /// Executes the next event up to `until`, or returns false if there is none.
+    ///
+    /// An event is a resumed process, a datagram, or a wakeup.
     fn step(&mut self, until: Us) -> bool {
         let arrival = self.in_flight.first_key_value().map_or(Us::MAX, |((at, _), _)| *at);
         let (wakeup, awake) = self.next_wakeup();
@@ -203,7 +209,7 @@
 
     fn resume(&mut self, n: usize) {
         self.paused.remove(&n);
-        // What waited in the socket buffer is read before the clock.
+        // The queued datagrams of the socket buffer are processed before the timers.
         for (from, bytes) in self.queued.remove(&n).unwrap_or_default() {
             self.deliver(from, n, &bytes);
         }
@@ -228,7 +234,7 @@
         }
     }
 
-    /// Runs until a condition holds, at most so long; how long that took.
+    /// Runs until a condition holds, but at most for `limit`. Returns the time that took, or none at the limit.
     pub fn run_until(&mut self, limit: Us, holds: impl Fn(&Network) -> bool) -> Option<Us> {
         let start = self.now;
         while !holds(self) {
@@ -252,7 +258,7 @@
         self.member(n).view()
     }
 
-    /// The longest time that any member waits until it uses the quota of a lost one.
+    /// Returns the longest delay after which any member uses the quota of a lost one.
     pub fn quota_reassignment_delay(&self) -> Us {
         self.alive().map(Membership::quota_reassignment_delay).max().unwrap_or(0)
     }
--- a/membership/src/tests/quorum.rs
+++ b/membership/src/tests/quorum.rs
@@ -1,4 +1,4 @@
-//! The agreed members and the view.
+//! Tests of the agreed members and the view.
 
 use super::*;
 
@@ -13,21 +13,21 @@
     assert!(quorum.update(S, &names(&[1, 2, 3, 4])) && quorum.view() == View::Complete);
     assert!(quorum.update(2 * S, &names(&[1, 2])) && quorum.view() == View::Majority);
     assert!(quorum.update(3 * S, &names(&[1])) && quorum.view() == View::Minority);
-    // Newcomers do not help a minority, however many and however long they are present.
+    // Newcomers do not turn a minority into a majority, however many they are and however long they are present.
     for second in 3..200 {
         quorum.update(second * S, &names(&[1, 7, 8, 9]));
     }
     let found = (quorum.view(), quorum.agreed_size());
-    assert_eq!(found, (View::Minority, 5), "and nobody who is absent is forgotten there");
+    assert_eq!(found, (View::Minority, 5), "a minority removed absent members or admitted newcomers");
     quorum.update(200 * S, &names(&[1, 2, 7]));
     assert_eq!(quorum.view(), View::Majority);
     quorum.update(203 * S, &names(&[1, 2, 7]));
-    assert_eq!(quorum.agreed_size(), 6, "a majority admits newcomers after the join delay");
+    assert_eq!(quorum.agreed_size(), 6, "a majority should admit newcomers after the join delay");
     quorum.remove_departed(&name(3));
-    assert_eq!(quorum.agreed_size(), 5, "who announces that it leaves counts no more");
+    assert_eq!(quorum.agreed_size(), 5, "a member that announced that it leaves should not count");
     quorum.update(400 * S, &names(&[1, 2, 7]));
     let found = (quorum.agreed_size(), quorum.view());
-    assert_eq!(found, (4, View::Complete), "nor who has been absent for very long");
+    assert_eq!(found, (4, View::Complete), "a member that was absent for the forget time should not count");
 }
 
 #[test]
--- a/membership/src/tests/reference.rs
+++ b/membership/src/tests/reference.rs
@@ -1,10 +1,11 @@
-//! What the view and the quota have to be, worked out again from whole sets after each input. The code under test does
-//! that from what has changed.
+//! Reference model of the view and the quota, recomputed from complete sets after each input.
+//!
+//! The code under test updates them incrementally.
 
 use super::*;
 use std::collections::BTreeMap;
 
-/// The agreed members, from the whole set of who is present.
+/// Agreed members and view, computed from the complete set of present members.
 pub struct ReferenceQuorum {
     local: MemberName,
     expected_members: usize,
@@ -42,7 +43,7 @@
         self.agreed.len().max(self.expected_members).max(1)
     }
 
-    /// The agreed members but this one.
+    /// Returns the agreed members except this one.
     pub fn others(&self) -> BTreeSet<MemberName> {
         self.agreed.iter().filter(|name| **name != self.local).cloned().collect()
     }
@@ -115,11 +116,11 @@
     table.iter().filter(|(_, since)| holds(**since)).map(|(name, _)| name.clone()).collect()
 }
 
-/// A quorum and a lease beside those of a member.
+/// Reference quorum and lease of a member.
 pub struct Reference {
     quorum: ReferenceQuorum,
     lease: QuotaLease,
-    /// Datagrams that the member dropped before it read them.
+    /// Number of datagrams that the member dropped before it read their payload.
     dropped: u64,
     config: MembershipConfig,
 }
@@ -132,7 +133,7 @@
         Reference { quorum, lease: QuotaLease::new(timing(&config, expected_members)), dropped: 0, config }
     }
 
-    /// After each input of the member.
+    /// Updates the reference after an input of the member, and compares the two.
     pub fn check(&mut self, now: Us, member: &Membership, events: &[Event]) {
         for event in events {
             match event {
@@ -141,7 +142,7 @@
                 _ => {}
             }
         }
-        // A datagram that is dropped unread updates nothing.
+        // The member does not update its view after a datagram that it drops unread.
         let dropped = dropped(&member.counters);
         if std::mem::replace(&mut self.dropped, dropped) != dropped || member.is_displaced() {
             return;
@@ -160,7 +161,7 @@
         let size = self.quorum.agreed_size();
         assert_eq!((member.view(), member.agreed_size()), (*view, size), "{local} at {now}");
         assert!(member.persisted_state(0).agreed_members.iter().eq(agreed), "{local} at {now}");
-        // One that revalidates uses nothing, whatever its lease is.
+        // A member that revalidates after a pause uses no quota, whatever its lease is.
         let fraction = member.quota_fraction();
         assert!([0.0, self.lease.fraction()].contains(&fraction), "{local} at {now}: {fraction}");
         let missing: Vec<MemberName> = absent.keys().take(5).cloned().collect();
@@ -172,12 +173,13 @@
     LeaseTiming::from_intervals(config.probe_interval, config.suspicion_timeout, members)
 }
 
+/// Returns the number of datagrams that a member dropped before it read their payload.
 fn dropped(counters: &Counters) -> u64 {
     let Counters { too_short, foreign, bad_mac, replayed, rate_limited, .. } = counters;
     too_short + foreign + bad_mac + replayed + rate_limited
 }
 
-/// Members that are alive or suspected, with those that flap or without.
+/// Returns the names of the members that are alive or suspect. `with_flapping` includes flapping members.
 fn reachable(members: &[MemberInfo], with_flapping: bool) -> BTreeSet<MemberName> {
     let reachable = |info: &&MemberInfo| matches!(info.status, MemberStatus::Alive | MemberStatus::Suspect);
     let members = members.iter().filter(reachable).filter(|info| with_flapping || !info.flapping);
--- a/membership/src/tests/role_policy.rs
+++ b/membership/src/tests/role_policy.rs
@@ -17,6 +17,6 @@
         let all = majority as f64 * leading + lost as f64 * minority.quota_factor;
         assert!((all - 5.0).abs() < 1e-9, "{all}");
     }
-    // More members than are expected divide the same.
+    // More members than expected divide the same limit.
     assert!((6.0 * role_policy(View::Complete, 1.0 / 6.0, 5, 6).quota_factor - 5.0).abs() < 1e-9);
 }
--- a/membership/src/tests/seeded.rs
+++ b/membership/src/tests/seeded.rs
@@ -1,11 +1,11 @@
-//! Seeded cases, and measurements on the same network.
+//! Randomized fault scenarios from a seed, and measurements on the same simulated network.
 
 use super::network::{Detection, Network};
 use super::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// One seeded case: faults, and what is checked after each. Hands back the trace.
+/// Runs one seeded scenario and checks the quota after each fault. Returns the trace.
 fn run_case(seed: u64, members: usize) -> u64 {
     let mut network = Network::converged(members, seed);
     let mut rng = StdRng::seed_from_u64(seed ^ 0xca5e);
@@ -30,7 +30,7 @@
     network.run(2 * network.quota_reassignment_delay());
     assert_quota_not_exceeded(&network, seed);
     let sum = network.quota_sum();
-    assert!((sum - 1.0).abs() < 1e-9, "seed {seed}: {sum} is used");
+    assert!((sum - 1.0).abs() < 1e-9, "seed {seed}: the sum of the quota fractions is {sum}");
     network.trace
 }
 
@@ -53,7 +53,7 @@
 
 fn assert_quota_not_exceeded(network: &Network, seed: u64) {
     let max = network.max_quota_sum;
-    assert!(max <= 1.0 + 1e-9, "seed {seed}: all sides together used {max}");
+    assert!(max <= 1.0 + 1e-9, "seed {seed}: the sum of the quota fractions reached {max}");
 }
 
 #[test]
--- a/membership/src/tests/suspicion.rs
+++ b/membership/src/tests/suspicion.rs
@@ -1,9 +1,9 @@
-//! What tests see of `suspicion.rs`.
+//! Accessor to `suspicion.rs` for tests.
 
 use super::*;
 
 impl Membership {
-    /// Right after a tick: whom `foca` suspects, of all that it has, is a suspect in the table, and nobody else.
+    /// Reports whether the suspects in the table are those of `foca`. This holds directly after a tick.
     pub(crate) fn suspects_match_foca(&self) -> bool {
         self.foca.iter_members().all(|swim| {
             let member = self.members.get(&swim.id().name);
--- a/membership/tests/compatibility.rs
+++ b/membership/tests/compatibility.rs
@@ -1,4 +1,6 @@
-//! Persisted state and datagrams of the build before are read unchanged, and written byte for byte.
+//! Compatibility with the persisted state and the datagrams of the previous build.
+//!
+//! They are read unchanged and written byte for byte.
 
 use asterrill_membership::{
     EnvelopeCodec, MemberId, MemberName, MemberStatus, Membership, MembershipConfig, PersistedState,
@@ -10,13 +12,14 @@
 const START: u64 = 1_000 * S;
 const CLUSTER: &str = "test";
 
-/// The persisted state that the build before wrote.
+/// Persisted state that the previous build wrote.
 const STATE: &str = include_str!("fixtures/state.txt");
-/// Datagrams of member `n1`, generation 7, with sequence numbers 1 and 2: the payload `a payload`, and the message `hi`.
+/// Datagram of member `n1`, generation 7, sequence number 1, with the payload `a payload`.
 const PAYLOAD_DATAGRAM: &str = "0140fc7d8d91f7c99e949bb4d46da233d707000000000000000100000000000000a970479f58e0f00d6a1cc7be63c26af161207061796c6f6164";
+/// Datagram of the same member, sequence number 2, with the message `hi`.
 const MESSAGE_DATAGRAM: &str =
     "0140fc7d8d91f7c99e949bb4d46da233d70700000000000000020000000000000031686d8d49b657d3bd0cf3672890b7b4026869";
-/// The announcement of member `n1` (10.0.0.2:7946, zone `z`, capacity 3) to a contact, under the secret `secret`.
+/// Announcement of member `n1` (10.0.0.2:7946, zone `z`, capacity 3) to a contact, under the secret `secret`.
 const SWIM_DATAGRAM: &str = "0140fc7d8d91f7c99e949bb4d46da233d7070000000000000001000000000000009d52545fa1f2222611fb6ae9bd497b2c00026e31000a0000028a3e0700017a0300013f000a0000038a3e0000000006";
 
 fn bytes(hex: &str) -> Vec<u8> {
@@ -30,7 +33,7 @@
     MemberName::new(name).unwrap()
 }
 
-/// A member of two, which knows the addresses of the first three.
+/// Returns member `n` of two expected members, which knows the addresses of the first three members.
 fn member(n: u8, generation: u64) -> Membership {
     let config = MembershipConfig {
         probe_interval: 200_000,
