--- a/membership/src/tests/cluster.rs
+++ b/membership/src/tests/cluster.rs
@@ -3,17 +3,17 @@
 use super::network::Network;
 use super::*;
 
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// Asserts that the members use the whole quota and never exceeded it.
 fn assert_quota_fully_used(network: &Network) {
     let (sum, max) = (network.quota_sum(), network.max_quota_sum);
-    assert!((sum - 1.0).abs() < ROUNDING && max <= 1.0 + ROUNDING, "{sum} {max}");
+    assert!((sum - 1.0).abs() < ROUNDING_TOLERANCE && max <= 1.0 + ROUNDING_TOLERANCE, "{sum} {max}");
 }
 
 /// Asserts that the members together never exceeded the quota.
 fn assert_quota_not_exceeded(network: &Network) {
-    assert!(network.max_quota_sum <= 1.0 + ROUNDING, "{}", network.max_quota_sum);
+    assert!(network.max_quota_sum <= 1.0 + ROUNDING_TOLERANCE, "{}", network.max_quota_sum);
 }
 
 /// Returns the entry of member `n` in the table of another member.
@@ -35,17 +35,17 @@
 }
 
 #[test]
-fn killed_member_is_detected_and_its_quota_is_reassigned_after_the_transfer_time() {
+fn killed_member_is_detected_and_its_quota_is_reassigned_after_the_reassignment_delay() {
     let mut network = Network::converged(8, 3);
     network.kill(5);
     let start = network.now;
     let detected = |network: &Network| network.alive().all(|m| has_status(m, 5, MemberStatus::Dead));
-    let took = network.run_until(20 * S, detected).expect("detected");
-    assert!(took < 6 * S, "{took}");
-    assert_eq!(network.member(0).quota_fraction(), 1.0 / 8.0, "reassigned before the transfer time");
-    let taken =
+    let elapsed = network.run_until(20 * S, detected).expect("detected");
+    assert!(elapsed < 6 * S, "{elapsed}");
+    assert_eq!(network.member(0).quota_fraction(), 1.0 / 8.0, "reassigned before the delay");
+    let reassigned_after =
         network.run_until(60 * S, |network| network.quota_sum() > 0.99).expect("the quota is reassigned");
-    assert!(network.now - start >= network.quota_reassignment_delay(), "{taken}");
+    assert!(network.now - start >= network.quota_reassignment_delay(), "{reassigned_after}");
     assert_eq!(network.member(0).quota_fraction(), 1.0 / 7.0);
     // The member returns under the same name: the later start replaces the earlier one, and all fractions shrink.
     network.restart(5);
@@ -65,11 +65,11 @@
     network.run(wait);
     let fractions: Vec<f64> = network.alive().map(Membership::quota_fraction).collect();
     let (majority, minority) = fractions.split_at(3);
-    assert!(majority.iter().all(|f| (f - 1.0 / 3.0).abs() < ROUNDING), "{fractions:?}");
+    assert!(majority.iter().all(|f| (f - 1.0 / 3.0).abs() < ROUNDING_TOLERANCE), "{fractions:?}");
     assert_eq!(minority, [0.0, 0.0], "{fractions:?}");
     network.blocked.clear();
-    let heal = network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("healed");
-    assert!(heal < 20 * S, "{heal}");
+    let healed_after = network.run_until(60 * S, |network| network.all_see(View::Complete)).expect("healed");
+    assert!(healed_after < 20 * S, "{healed_after}");
     network.run(2 * wait);
     assert_quota_fully_used(&network);
 }
--- a/membership/src/tests/lease_model.rs
+++ b/membership/src/tests/lease_model.rs
@@ -9,11 +9,11 @@
 /// Number of members in the model.
 const MEMBERS: usize = 3;
 /// Number of time steps within which each member detects a change.
-const DETECTION_TIME: u64 = 2;
+const DETECTION_STEPS: u64 = 2;
 /// Number of transitions that are explored from the initial state.
-const DEPTH: usize = 6;
+const MAX_TRANSITIONS: usize = 6;
 /// Age at which counters saturate, so that older states are the same.
-const MAX_AGE: u64 = 50;
+const MAX_AGE_STEPS: u64 = 50;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
@@ -40,7 +40,7 @@
             since_change: [0; MEMBERS],
             present: [[true; MEMBERS]; MEMBERS],
             lost_for: [[0; MEMBERS]; MEMBERS],
-            quorum_for: [Some(MAX_AGE); MEMBERS],
+            quorum_for: [Some(MAX_AGE_STEPS); MEMBERS],
             must_wait: [false; MEMBERS],
         }
     }
@@ -48,7 +48,7 @@
     /// Returns the fractions that the members use, computed by the lease under test. With `without_delay`, fractions
     /// grow at once.
     fn fractions(&self, without_delay: bool) -> [f64; MEMBERS] {
-        let delay = if without_delay { 0 } else { DETECTION_TIME + 1 };
+        let delay = if without_delay { 0 } else { DETECTION_STEPS + 1 };
         let mut fractions = [0.0; MEMBERS];
         for n in (0..MEMBERS).filter(|n| !self.paused[*n]) {
             if let Some(quorum_for) = self.quorum_for[n] {
@@ -112,9 +112,9 @@
         let mut next = self.clone();
         for n in (0..MEMBERS).filter(|n| !self.paused[*n]) {
             next.since_change[n] += 1;
-            next.quorum_for[n] = next.quorum_for[n].map(|age| (age + 1).min(MAX_AGE));
-            next.lost_for[n].iter_mut().for_each(|age| *age = (*age + 1).min(MAX_AGE));
-            if early_mask >> n & 1 == 1 || next.since_change[n] >= DETECTION_TIME {
+            next.quorum_for[n] = next.quorum_for[n].map(|age| (age + 1).min(MAX_AGE_STEPS));
+            next.lost_for[n].iter_mut().for_each(|age| *age = (*age + 1).min(MAX_AGE_STEPS));
+            if early_mask >> n & 1 == 1 || next.since_change[n] >= DETECTION_STEPS {
                 next.detect_changes(n, self);
             }
         }
@@ -136,7 +136,7 @@
         } else if self.quorum_for[n].is_none() {
             self.quorum_for[n] = Some(0);
         }
-        if self.must_wait[n] && self.quorum_for[n].is_some_and(|age| age > DETECTION_TIME) {
+        if self.must_wait[n] && self.quorum_for[n].is_some_and(|age| age > DETECTION_STEPS) {
             self.must_wait[n] = false;
         }
     }
@@ -150,7 +150,7 @@
 fn explore(without_delay: bool) -> (usize, f64) {
     let initial = State::initial();
     let (mut seen, mut frontier, mut max) = (HashSet::from([initial.clone()]), vec![initial], 0.0_f64);
-    for _ in 0..DEPTH {
+    for _ in 0..MAX_TRANSITIONS {
         let mut next = Vec::new();
         for state in frontier.iter().flat_map(State::successors) {
             max = max.max(state.fractions(without_delay).iter().sum());
--- a/membership/src/tests/seeded.rs
+++ b/membership/src/tests/seeded.rs
@@ -113,12 +113,12 @@
     };
     let all = network.run_until(60 * S, detected_by_all);
     let detections = network.detections.iter().filter(is_of_killed);
-    let mut took: Vec<Us> = detections.map(|detection| (detection.at - start) / MS).collect();
-    took.sort_unstable();
+    let mut detected_after: Vec<Us> = detections.map(|detection| (detection.at - start) / MS).collect();
+    detected_after.sort_unstable();
     println!(
         "{members} members, loss {loss}: detected after {:?} ms median, {:?} ms by all; {false_positives} false \
          positives; {datagrams:.1} datagrams and {bytes:.0} bytes a second each",
-        took.get(took.len() / 2),
+        detected_after.get(detected_after.len() / 2),
         all.map(|all| all / MS)
     );
 }
