--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -1,4 +1,4 @@
-//! Keeps the member table in step with what `foca` does not report: suspicions, and flaps that have decayed.
+//! Updates of the member table that `foca` does not report: suspicions, and flap scores that have decayed.
 
 use crate::config::MAX_MEMBERS;
 use crate::event::Event;
@@ -9,7 +9,7 @@
 use foca::State;
 use std::collections::BTreeSet;
 
-/// What `foca` has of a member that may be a suspect.
+/// State in `foca` of a member that may be a suspect.
 struct SwimState {
     name: MemberName,
     generation: u64,
@@ -25,11 +25,11 @@
             self.release_stable_members();
         }
         if self.members.len() > MAX_MEMBERS {
-            self.evict_oldest_gone();
+            self.evict_oldest_dead_or_left();
         }
     }
 
-    /// Looks only at members that probes or gossip may have brought under suspicion, and those that are under it.
+    /// Updates the members that are suspects in the table and those that probes or gossip may have made suspects.
     fn update_suspects(&mut self) {
         let mut suspected = BTreeSet::new();
         for SwimState { name, generation, state } in self.states_of_possible_suspects() {
@@ -79,7 +79,7 @@
         let mut stable = Vec::new();
         for name in &self.flapping {
             let Some(member) = self.members.get_mut(name) else { continue };
-            if member.flaps.has_calmed(now, window) {
+            if member.flaps.is_below_release_threshold(now, window) {
                 member.damped = false;
                 stable.push(name.clone());
             }
@@ -91,10 +91,10 @@
         }
     }
 
-    /// Forgets the member that has been dead or left for longest.
-    fn evict_oldest_gone(&mut self) {
-        let gone = self.members.values().filter(|member| member.is_gone());
-        let oldest = gone.min_by_key(|member| member.since).map(|member| member.id.name.clone());
+    /// Removes the member that has been dead or has left for the longest time.
+    fn evict_oldest_dead_or_left(&mut self) {
+        let removable = self.members.values().filter(|member| member.is_dead_or_left());
+        let oldest = removable.min_by_key(|member| member.since).map(|member| member.id.name.clone());
         if let Some(name) = oldest {
             self.members.remove(&name);
             self.flapping.remove(&name);
--- a/membership/src/tests/incremental.rs
+++ b/membership/src/tests/incremental.rs
@@ -1,5 +1,6 @@
-//! The view and the quota cost what has changed since the last update. They have to be the same as worked out from whole
-//! sets.
+//! Comparison of incremental updates of the view and the quota with recomputation from complete sets.
+//!
+//! An incremental update that misses a changed member would leave a wrong view or quota until the next change.
 
 use super::network::Network;
 use super::reference::{Reference, ReferenceQuorum};
@@ -8,21 +9,21 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 
-/// A quorum and a lease that see only what has changed, and the references beside them.
-struct Pair {
+/// Incrementally updated quorum and lease, and the reference models with which they are compared.
+struct ComparedQuorums {
     quorum: Quorum,
     lease: QuotaLease,
     reference: ReferenceQuorum,
     reference_lease: QuotaLease,
-    /// Reachable members, and whether each flaps.
+    /// Reachable members, with true for those that flap.
     flapping: BTreeMap<MemberName, bool>,
     changed: BTreeSet<MemberName>,
 }
 
-impl Pair {
-    fn new(expected: usize, agreed: BTreeSet<MemberName>) -> Pair {
+impl ComparedQuorums {
+    fn new(expected: usize, agreed: BTreeSet<MemberName>) -> ComparedQuorums {
         let timing = LeaseTiming { detection_time: 3, margin: 1 };
-        Pair {
+        ComparedQuorums {
             quorum: Quorum::new(0, name(0), expected, agreed.clone(), 3, 12),
             lease: QuotaLease::new(timing),
             reference: ReferenceQuorum::new(name(0), expected, agreed, 3, 12),
@@ -32,23 +33,23 @@
         }
     }
 
-    /// A member leaves, is gone, flaps, or is present.
-    fn change(&mut self, one: MemberName, kind: u32) {
+    /// Applies a change of one member: it leaves, is lost, flaps, or is present.
+    fn change(&mut self, member: MemberName, kind: u32) {
         match kind {
             0 => {
-                self.flapping.remove(&one);
-                self.quorum.remove_left(&one);
-                self.reference.remove_left(&one);
+                self.flapping.remove(&member);
+                self.quorum.remove_departed(&member);
+                self.reference.remove_departed(&member);
             }
-            1..4 => drop(self.flapping.remove(&one)),
-            // One that flaps is reachable, and does not count.
-            kind => drop(self.flapping.insert(one.clone(), kind == 4)),
+            1..4 => drop(self.flapping.remove(&member)),
+            // A flapping member is reachable, but does not count for the view.
+            kind => drop(self.flapping.insert(member.clone(), kind == 4)),
         }
-        self.changed.insert(one);
+        self.changed.insert(member);
     }
 
     fn update_and_compare(&mut self, now: Us, seed: u64) {
-        let Pair { quorum, lease, reference, reference_lease, flapping, changed } = self;
+        let ComparedQuorums { quorum, lease, reference, reference_lease, flapping, changed } = self;
         let present: BTreeSet<MemberName> =
             flapping.iter().filter(|(_, flaps)| !**flaps).map(|(name, _)| name.clone()).collect();
         let reachable: BTreeSet<MemberName> = flapping.keys().cloned().collect();
@@ -60,9 +61,9 @@
         let evidence = quorum.evidence(&present);
         assert!(evidence.missing.iter().eq(reference.absent.keys().take(5)), "seed {seed} at {now}");
         changed.append(&mut quorum.take_agreement_changes());
-        for one in std::mem::take(changed) {
-            let agreed = one != name(0) && quorum.agreed_members().contains(&one);
-            lease.set_lost(now, &one, agreed && !reachable.contains(&one));
+        for member in std::mem::take(changed) {
+            let agreed = member != name(0) && quorum.agreed_members().contains(&member);
+            lease.set_lost(now, &member, agreed && !reachable.contains(&member));
         }
         let size = reference.agreed_size();
         assert_eq!(
@@ -80,23 +81,24 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let (others, expected) = (rng.random_range(1..9), rng.random_range(1..9));
         let agreed: BTreeSet<MemberName> = (1..=others).filter(|_| rng.random::<bool>()).map(name).collect();
-        let mut pair = Pair::new(expected, agreed);
+        let mut compared = ComparedQuorums::new(expected, agreed);
         let mut now = 0;
         for _ in 0..rng.random_range(5..60) {
             now += rng.random_range(0..3);
             for _ in 0..rng.random_range(0..4) {
-                let one = name(rng.random_range(1..=others));
-                pair.change(one, rng.random_range(0..8));
+                let member = name(rng.random_range(1..=others));
+                compared.change(member, rng.random_range(0..8));
             }
-            pair.update_and_compare(now, seed);
-            with_quorum += usize::from(pair.reference.view.has_quorum());
-            with_quota += usize::from(pair.lease.fraction() > 0.0);
+            compared.update_and_compare(now, seed);
+            with_quorum += usize::from(compared.reference.view.has_quorum());
+            with_quota += usize::from(compared.lease.fraction() > 0.0);
         }
     }
     let enough = with_quorum > 10_000 && with_quota > 5_000;
-    assert!(enough, "too little happened: {with_quorum} {with_quota}");
+    assert!(enough, "too few updates with a quorum ({with_quorum}) or a quota ({with_quota})");
 }
 
+/// Runs a seeded scenario in which each member is compared with its reference model after each input.
 fn compare_members(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5ad0);
     let members = rng.random_range(2..7);
