--- a/consensus/src/config.rs
+++ b/consensus/src/config.rs
@@ -9,7 +9,7 @@
     /// Names of the voters, the same and in the same order on each node.
     pub voters: Vec<String>,
     /// Length of a lease, in microseconds.
-    pub lease: Us,
+    pub lease_duration: Us,
     /// Between two requests of a node for its lease, in microseconds.
     pub renew_interval: Us,
     /// Length of a tick of the voters, in microseconds; after ten without a message of the leader another may be elected.
@@ -19,7 +19,7 @@
 impl Config {
     /// The longest time for which two nodes may act on contradicting versions, in microseconds.
     pub fn contradiction_bound(&self) -> Us {
-        contradiction_bound(self.lease, self.renew_interval)
+        contradiction_bound(self.lease_duration, self.renew_interval)
     }
 
     /// The place of a voter in [`Config::voters`].
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -16,7 +16,7 @@
 //! use asterrill_consensus::{Access, Change, Config, ListEntry, ListKind, Node, Proposal};
 //! let config = Config {
 //!     voters: vec!["n1".into()],
-//!     lease: 1_000_000,
+//!     lease_duration: 1_000_000,
 //!     renew_interval: 200_000,
 //!     tick_interval: 10_000,
 //! };
--- a/consensus/src/node/catch_up.rs
+++ b/consensus/src/node/catch_up.rs
@@ -81,7 +81,7 @@
                 self.replica_log.reset_to(version);
                 self.caught_up();
             }
-            None => self.counters.invalid += 1,
+            None => self.counters.invalid_messages += 1,
         }
     }
 
--- a/consensus/src/node/driver.rs
+++ b/consensus/src/node/driver.rs
@@ -37,7 +37,7 @@
         let Some(bytes) = self.reassembler.receive(from, payload) else { return };
         match postcard::from_bytes(&bytes) {
             Ok(message) => self.handle(from, message),
-            Err(_) => self.counters.invalid += 1,
+            Err(_) => self.counters.invalid_messages += 1,
         }
         self.process_voter();
         self.refresh_policy();
@@ -82,7 +82,7 @@
         if !leads {
             self.lessor = None;
         } else if self.lessor.is_none() || self.lessor_term != term {
-            self.lessor = Some(Lessor::new(self.now, self.config.lease, term));
+            self.lessor = Some(Lessor::new(self.now, self.config.lease_duration, term));
         }
         self.lessor_term = term;
     }
--- a/consensus/src/node/leases.rs
+++ b/consensus/src/node/leases.rs
@@ -78,7 +78,7 @@
         };
         if diverged && self.voter.is_none() {
             // A copied disk, or one from before something was undone: nothing of it is to be trusted.
-            self.counters.diverged += 1;
+            self.counters.divergence_resets += 1;
             self.replica_log = VersionLog::default();
             self.incoming = None;
         }
@@ -87,7 +87,7 @@
         }
         // Only a node that has the active version may act under the lease.
         let has_active = !diverged && self.version_log().version(active).is_some();
-        if has_active && self.lease.granted(round, self.config.lease) {
+        if has_active && self.lease.granted(round, self.config.lease_duration) {
             self.leased_version = active;
             self.counters.lease_renewals += 1;
         }
@@ -100,7 +100,7 @@
     pub(super) fn grant_leases(&mut self, passed_barriers: Vec<u64>, active: u64, newest: &Version) {
         for barrier in passed_barriers {
             let Some(lessor) = &mut self.lessor else { break };
-            for request in lessor.barrier_passed(self.now, barrier, self.config.lease) {
+            for request in lessor.barrier_passed(self.now, barrier, self.config.lease_duration) {
                 let (newest, hash) = (newest.number, newest.hash());
                 let grant = Message::LeaseGrant { round: request.round, active, newest, hash };
                 self.send(&request.requester, &grant);
--- a/consensus/src/node/messaging.rs
+++ b/consensus/src/node/messaging.rs
@@ -17,10 +17,10 @@
         let fragments =
             postcard::to_stdvec(message).ok().and_then(|bytes| fragment(self.last_message, &bytes));
         let Some(fragments) = fragments.filter(|f| self.outgoing.len() + f.len() <= MAX_OUTGOING) else {
-            self.counters.dropped += 1;
+            self.counters.dropped_messages += 1;
             return;
         };
-        self.counters.sent += fragments.len() as u64;
+        self.counters.sent_datagrams += fragments.len() as u64;
         let datagrams = fragments.into_iter().map(|payload| Datagram { to: to.to_string(), payload });
         self.outgoing.extend(datagrams);
     }
@@ -70,7 +70,7 @@
             (Some(id), Some(voter)) => voter.receive(id, bytes),
             _ => false,
         };
-        self.counters.invalid += u64::from(!accepted);
+        self.counters.invalid_messages += u64::from(!accepted);
     }
 
     fn voter_id(&self, name: &str) -> Option<VoterId> {
--- a/consensus/src/node/state.rs
+++ b/consensus/src/node/state.rs
@@ -17,19 +17,19 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Datagrams that were sent.
-    pub sent: u64,
+    pub sent_datagrams: u64,
     /// Messages that made no sense and were dropped.
-    pub invalid: u64,
+    pub invalid_messages: u64,
     /// Leases that were granted to this node.
     pub lease_renewals: u64,
     /// How often this node fell back to acting without a lease.
     pub lease_expirations: u64,
     /// How often this node dropped its versions because the leader has another history.
-    pub diverged: u64,
+    pub divergence_resets: u64,
     /// How often this node took in versions that it lacked.
     pub catch_ups: u64,
     /// Outgoing messages that were dropped because too many datagrams wait.
-    pub dropped: u64,
+    pub dropped_messages: u64,
 }
 
 /// A datagram to another node.
--- a/consensus/tests/consensus/cluster.rs
+++ b/consensus/tests/consensus/cluster.rs
@@ -160,7 +160,7 @@
     cluster.start(3);
     cluster.run(2 * SECOND);
     let node = cluster.node(3);
-    assert_eq!((node.apply_policy().effective_number(), node.counters.diverged), (1, 1));
+    assert_eq!((node.apply_policy().effective_number(), node.counters.divergence_resets), (1, 1));
     assert_eq!(node.version_log().newest(), cluster.node(0).version_log().newest());
     let entry = ListEntry { access: Access::Denied, expires_at: cluster.now + 2 * SECOND };
     cluster.commit(0, vec![Change::Put { kind: ListKind::Callers, key: "7".into(), entry }]);
--- a/consensus/tests/consensus/support.rs
+++ b/consensus/tests/consensus/support.rs
@@ -21,7 +21,7 @@
 pub fn config(voters: usize) -> Config {
     Config {
         voters: (0..voters).map(name).collect(),
-        lease: SECOND,
+        lease_duration: SECOND,
         renew_interval: 200 * MS,
         tick_interval: 20 * MS,
     }
--- a/daemon/src/membership/consensus.rs
+++ b/daemon/src/membership/consensus.rs
@@ -21,7 +21,7 @@
 ) -> Result<Node, SettingsError> {
     let config = Config {
         voters: fleet.voters.clone(),
-        lease: fleet.lease,
+        lease_duration: fleet.lease,
         renew_interval: fleet.renew_interval,
         tick_interval: fleet.tick_interval,
     };
--- a/daemon/src/membership/status.rs
+++ b/daemon/src/membership/status.rs
@@ -87,9 +87,10 @@
         "keeper": node.is_voter(), "leads": node.is_leader(), "leader": node.leader(),
         "holders": node.lease_holders().map(|count| json!({"all": count.leased, "have": count.up_to_date})),
         "versions": versions,
-        "counters": {"sent": counters.sent, "odd": counters.invalid, "renewed": counters.lease_renewals,
-            "lapsed": counters.lease_expirations, "differs": counters.diverged,
-            "fetched": counters.catch_ups, "dropped": counters.dropped}})
+        "counters": {"sent": counters.sent_datagrams, "odd": counters.invalid_messages,
+            "renewed": counters.lease_renewals, "lapsed": counters.lease_expirations,
+            "differs": counters.divergence_resets, "fetched": counters.catch_ups,
+            "dropped": counters.dropped_messages}})
 }
 
 fn describe_member(member: &MemberInfo, now: Us) -> Value {
--- a/lab/src/scale/agree/build.rs
+++ b/lab/src/scale/agree/build.rs
@@ -23,7 +23,7 @@
 pub(super) fn build(report: &mut Report, options: &AgreeOptions, seed: u64) -> Result<Run, ScenarioError> {
     let config = Config {
         voters: (0..VOTERS).map(|n| format!("keeper-{n}")).collect(),
-        lease: LEASE,
+        lease_duration: LEASE,
         renew_interval: LEASE / 5,
         tick_interval: TICK,
     };
--- a/lab/src/scale/agree/changes.rs
+++ b/lab/src/scale/agree/changes.rs
@@ -209,7 +209,7 @@
     let has_newest = |cluster: &Cluster| cluster.nodes[n].version_number().is_some_and(|v| v >= newest);
     let took = run.wait_until(DISK_BACK_WITHIN, has_newest);
     report.set("keeper_back_ms", json!(took.map(ms)));
-    let dropped = run.count(|counters| counters.dropped);
+    let dropped = run.count(|counters| counters.dropped_messages);
     report.set("keeper_back_dropped", json!(dropped));
     if took.is_none() {
         run.cluster.kill(n);
