--- a/consensus/src/node.rs
+++ b/consensus/src/node.rs
@@ -1,13 +1,13 @@
-//! One node: always a lease holder, and a voter if the configuration names it.
+//! Nodes of the agreement: each is a lease holder, and a voter if the configuration names it.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `state` | the fields of [`Node`], its start, and what can be read from it |
-//! | `driver` | time, datagrams and finished writes come in, and what the voter does in response |
+//! | `state` | the fields of [`Node`], its start and its accessors |
+//! | `driver` | input of time, datagrams and completed writes, and the handling of the voter's output |
 //! | `messaging` | sending and dispatching of messages |
-//! | `proposals` | operators' proposals, at the node that takes them and at the leader |
-//! | `leases` | requests for leases, and their grants |
-//! | `activation` | when a version becomes active, and what this node acts on |
+//! | `proposals` | operators' proposals, at the node where they are made and at the leader |
+//! | `leases` | lease requests and grants |
+//! | `activation` | activation of versions, and the policy that this node enforces |
 //! | `catch_up` | fetching of versions that a node lacks |
 
 mod activation;
--- a/consensus/src/node/activation.rs
+++ b/consensus/src/node/activation.rs
@@ -1,4 +1,4 @@
-//! When a committed version becomes active, and what this node acts on.
+//! Activation of committed versions, and the policy that this node enforces.
 
 use super::state::{CompatibleVersions, Node, ProposedActivation};
 use crate::apply_policy::{ApplyMode, ApplyPolicy};
@@ -8,12 +8,13 @@
 use crate::version::Version;
 use asterrill::Us;
 
-const EXPIRY_SWEEP_INTERVAL: Us = 1_000_000;
-const REPROPOSE_INTERVAL: Us = 1_000_000; // before the same activation is proposed again
+const EXPIRY_SWEEP_INTERVAL_US: Us = 1_000_000;
+/// Minimum time before the same activation is proposed again.
+const REPROPOSE_INTERVAL_US: Us = 1_000_000;
 
 impl Node {
-    /// As the leader, proposes that newer versions become active: the newest once all nodes have it or have no lease any
-    /// more; before that, those that don't contradict the active one.
+    /// Proposes, as the leader, that newer versions become active: the newest one once each node has it or has no lease
+    /// any more, and before that those that don't contradict the active one.
     pub(super) fn propose_activation(&mut self, active: u64, newest: &Version) {
         let Some(lessor) = &self.lessor else { return };
         if newest.number <= active {
@@ -23,16 +24,16 @@
         let all_ready = lessor.may_activate(self.now, newest.number);
         let compatible = self.last_compatible(&active_version, newest.number);
         let next = if all_ready { Some(newest.number) } else { Some(compatible).filter(|c| *c > active) };
-        // Each version once, and again only if it has not been committed for long.
+        // Each version is proposed once, and again only if it is not committed within the interval.
         let last = self.proposed_activation;
-        let next = next.filter(|next| *next > last.number || last.at + REPROPOSE_INTERVAL <= self.now);
+        let next = next.filter(|next| *next > last.number || last.at + REPROPOSE_INTERVAL_US <= self.now);
         if let (Some(number), Some(voter)) = (next, &mut self.voter) {
             self.proposed_activation = ProposedActivation { number, at: self.now };
             voter.propose(&Command::Activate(number));
         }
     }
 
-    /// The last version up to which no step contradicts the active version. Each step is compared once.
+    /// Returns the last version up to which no step contradicts the active version. Each step is compared once.
     fn last_compatible(&mut self, active: &Version, newest: u64) -> u64 {
         let mut compatible = self.compatible;
         if compatible.active != active.number {
@@ -45,12 +46,12 @@
         compatible.last
     }
 
-    /// As the leader, proposes the removal of entries that have expired.
+    /// Proposes, as the leader, the removal of entries that have expired.
     pub(super) fn sweep_expired_entries(&mut self, unix_now: Us) {
         if !self.is_leader() || self.now < self.next_expiry_sweep {
             return;
         }
-        self.next_expiry_sweep = self.now + EXPIRY_SWEEP_INTERVAL;
+        self.next_expiry_sweep = self.now + EXPIRY_SWEEP_INTERVAL_US;
         let changes = self.version_log().newest().expired_changes(unix_now, MAX_STEP_CHANGES);
         if !changes.is_empty() {
             let base = Some(self.version_log().number());
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Works out what this node acts on now.
+    /// Updates the policy that this node enforces.
     pub(super) fn refresh_policy(&mut self) {
         let newest = self.version_log().newest();
         let leased = self.version_log().version(self.leased_version);
@@ -67,16 +68,16 @@
             Some(leased) => ApplyPolicy::transition(leased, newest),
             None => ApplyPolicy::safe(newest),
         };
-        if !is_same(&policy, &self.apply_policy) {
+        if !is_same_policy(&policy, &self.apply_policy) {
             let fell_back = policy.mode == ApplyMode::Safe && self.apply_policy.mode != policy.mode;
             self.counters.lease_expirations += u64::from(fell_back);
             self.apply_policy = policy;
         }
-        self.policy_unread = true;
+        self.policy_updated = true;
     }
 }
 
-fn is_same(one: &ApplyPolicy, other: &ApplyPolicy) -> bool {
+fn is_same_policy(one: &ApplyPolicy, other: &ApplyPolicy) -> bool {
     one.mode == other.mode
         && one.effective_number() == other.effective_number()
         && one.newest_number() == other.newest_number()
--- a/consensus/src/node/catch_up.rs
+++ b/consensus/src/node/catch_up.rs
@@ -1,19 +1,22 @@
-//! How a node that is no voter gets versions that it lacks: steps while the voter still has them, else a complete version in
-//! parts.
+//! Fetching of missing versions by nodes that are not voters.
+//!
+//! A voter sends steps while it retains them, otherwise a complete version in parts.
 
 use super::state::{IncomingVersion, Node};
 use crate::message::{Message, PartialTransfer};
 use crate::step::Step;
 use crate::version::{Version, VersionContents};
 
-const MAX_STEPS_BYTES: usize = 16 * 1024; // of steps in one message
-const PART_BYTES: usize = 16 * 1024; // of a complete version in one message
+/// Maximum length of the steps in one message.
+const MAX_STEPS_BYTES: usize = 16 * 1024;
+/// Maximum length of the part of a complete version in one message.
+const MAX_PART_BYTES: usize = 16 * 1024;
 const MAX_VERSION_BYTES: usize = 64 << 20;
 
 impl Node {
-    /// Asks a voter for what is missing up to a version, going on with a transfer of that version that has begun.
+    /// Requests the missing versions up to `newest` from a voter. A transfer of that version that has begun is continued.
     pub(super) fn fetch_missing(&mut self, from: &str, newest: u64, hash: u64) {
-        let incoming = self.incoming.as_ref().filter(|i| i.number == newest && i.hash == hash);
+        let incoming = self.incoming_version.as_ref().filter(|i| i.number == newest && i.hash == hash);
         let transfer = incoming.map(IncomingVersion::transfer);
         self.send_fetch(from, transfer);
     }
@@ -23,7 +26,7 @@
         self.send(to, &Message::Fetch { number: own.number, hash: own.hash(), transfer });
     }
 
-    /// Another node lacks versions after `number`.
+    /// Answers another node that lacks versions after `number`.
     pub(super) fn on_fetch(&mut self, from: &str, number: u64, hash: u64, transfer: Option<PartialTransfer>) {
         let steps = self.version_log().steps_after(number, hash, MAX_STEPS_BYTES);
         if let Some(steps) = steps.filter(|_| transfer.is_none()) {
@@ -37,26 +40,26 @@
         }
     }
 
-    /// The next part of a version; `None` if this node does not have the version, or the offset is beyond its end.
+    /// Returns the next part of a version; `None` if this node does not have the version, or the offset is beyond its end.
     fn version_part(&self, transfer: PartialTransfer) -> Option<Message> {
         let PartialTransfer { number, offset } = transfer;
         let version = self.version_log().version(number).filter(|version| !version.is_empty())?;
         let bytes = postcard::to_stdvec(&version.contents()).ok()?;
         let rest = bytes.get(offset as usize..)?;
-        let part = rest.get(..PART_BYTES.min(rest.len()))?.to_vec();
+        let part = rest.get(..MAX_PART_BYTES.min(rest.len()))?.to_vec();
         let (hash, total) = (version.hash(), bytes.len() as u64);
         Some(Message::VersionPart { number, hash, offset, total, bytes: part })
     }
 
-    /// Steps after a version have arrived.
+    /// Handles received steps after a version.
     pub(super) fn on_steps(&mut self, after: u64, steps: Vec<Step>, hash: u64) {
         let expected = self.voter.is_none() && after == self.replica_log.number();
         if expected && self.replica_log.apply_steps(steps, hash) {
-            self.caught_up();
+            self.on_caught_up();
         }
     }
 
-    /// A part of a version has arrived.
+    /// Handles a received part of a version.
     pub(super) fn on_version_part(
         &mut self, from: &str, number: u64, hash: u64, offset: u64, total: u64, bytes: &[u8],
     ) {
@@ -64,29 +67,29 @@
         if !wanted || total as usize > MAX_VERSION_BYTES || bytes.is_empty() {
             return;
         }
-        let incoming = self.incoming.take().filter(|i| i.number == number && i.hash == hash);
+        let incoming = self.incoming_version.take().filter(|i| i.number == number && i.hash == hash);
         let mut incoming = incoming.unwrap_or_else(|| IncomingVersion::new(number, hash));
         if incoming.received() != offset {
-            self.incoming = Some(incoming);
+            self.incoming_version = Some(incoming);
             return;
         }
         incoming.bytes.extend_from_slice(bytes);
         if incoming.received() < total {
             let transfer = Some(incoming.transfer());
-            self.incoming = Some(incoming);
+            self.incoming_version = Some(incoming);
             return self.send_fetch(from, transfer);
         }
         match incoming.into_version() {
             Some(version) => {
                 self.replica_log.reset_to(version);
-                self.caught_up();
+                self.on_caught_up();
             }
             None => self.counters.invalid_messages += 1,
         }
     }
 
-    /// This node has more versions now: it requests its lease again at once, which says so.
-    fn caught_up(&mut self) {
+    /// Schedules an immediate lease request, which reports the versions that this node has obtained.
+    fn on_caught_up(&mut self) {
         self.counters.catch_ups += 1;
         self.next_renewal = self.next_renewal.min(self.now);
     }
@@ -105,7 +108,7 @@
         PartialTransfer { number: self.number, offset: self.received() }
     }
 
-    /// The version, if the bytes are one with the hash that was announced.
+    /// Decodes the version. Returns `None` if the bytes are not a version with the announced hash.
     fn into_version(self) -> Option<Version> {
         let contents = postcard::from_bytes::<VersionContents>(&self.bytes).ok()?;
         Version::from_contents(contents, self.hash)
--- a/consensus/src/node/driver.rs
+++ b/consensus/src/node/driver.rs
@@ -1,4 +1,4 @@
-//! Input of a node: time, datagrams and finished writes, and what follows from what its voter does.
+//! Input of time, datagrams and completed writes into a node, and the handling of its voter's output.
 
 use super::state::Node;
 use crate::lessor::Lessor;
@@ -7,7 +7,7 @@
 use asterrill::Us;
 
 impl Node {
-    /// When [`Node::tick`] is to be called next.
+    /// Returns the time at which [`Node::tick`] must be called next.
     pub fn next_tick(&self) -> Us {
         let voter = self.voter.as_ref().map_or(Us::MAX, Voter::next_tick);
         let lease_end = Some(self.lease.until()).filter(|until| *until > self.now).unwrap_or(Us::MAX);
@@ -15,7 +15,7 @@
         voter.min(lease_end).min(proposal).min(self.next_renewal).max(self.now)
     }
 
-    /// Time has passed. `unix_now` is the Unix clock in microseconds, for entries that expire.
+    /// Advances the time. `unix_now` is the Unix clock in microseconds, by which entries expire.
     pub fn tick(&mut self, now: Us, unix_now: Us) {
         self.now = self.now.max(now);
         if let Some(voter) = &mut self.voter {
@@ -31,7 +31,7 @@
         self.refresh_policy();
     }
 
-    /// A datagram of another node has arrived.
+    /// Handles a datagram from another node.
     pub fn receive(&mut self, now: Us, from: &str, payload: &[u8]) {
         self.now = self.now.max(now);
         let Some(bytes) = self.reassembler.receive(from, payload) else { return };
@@ -43,7 +43,7 @@
         self.refresh_policy();
     }
 
-    /// All writes up to this number are on disk.
+    /// Records that all writes up to this number are on disk.
     pub fn persisted(&mut self, now: Us, number: u64) {
         self.now = self.now.max(now);
         if let Some(voter) = &mut self.voter {
@@ -53,13 +53,13 @@
         self.refresh_policy();
     }
 
-    /// Handles what the voter has done, and does what a leader has to do.
+    /// Handles the output of the voter, and performs the duties of a leader.
     fn process_voter(&mut self) {
         let Some(voter) = &mut self.voter else { return };
         let (leads, term) = (voter.is_leader(), voter.term());
         let leader_to_notify = voter.take_leader_to_notify();
         let outgoing = voter.take_outgoing();
-        let passed_barriers = voter.take_passed_barriers();
+        let confirmed_barriers = voter.take_confirmed_barriers();
         let resolved = voter.take_resolved();
 
         self.update_lessor(leads, term);
@@ -70,10 +70,10 @@
         self.deliver_resolved(resolved, leads);
         let newest = self.version_log().newest();
         let active = self.version_log().active();
-        self.grant_leases(passed_barriers, active, &newest);
+        self.grant_leases(confirmed_barriers, active, &newest);
         self.start_barrier();
         self.propose_activation(active, &newest);
-        // Messages that follow from all this are sent now. Other consequences wait for the next input.
+        // Raft messages that result from these steps are sent now. Other results wait for the next input.
         let outgoing = self.voter.as_mut().map(Voter::take_outgoing).unwrap_or_default();
         self.send_raft(outgoing);
     }
--- a/consensus/src/node/leases.rs
+++ b/consensus/src/node/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: requested by every node, granted by the leader after a majority has confirmed that it leads.
+//! Lease requests of every node, and grants by the leader after a majority has confirmed that it leads.
 
 use super::state::Node;
 use crate::lessor::{LeaseRequest, Lessor};
@@ -7,32 +7,33 @@
 use crate::version_log::VersionLog;
 use crate::voter::Voter;
 
-/// After a redirect to another voter the lease is requested again after this part of the renewal interval, so that no lease
-/// expires because the leader changed.
-const REDIRECT_DIVISOR: u64 = 8;
+/// Divisor of the renewal interval for the time between a redirect to another voter and the next lease request.
+///
+/// It is short so that no lease expires because the leader changed.
+const REDIRECT_INTERVAL_DIVISOR: u64 = 8;
 
 impl Node {
-    /// The voter that requests go to: the leader, if it has been heard of.
+    /// Returns the voter that requests are sent to: the leader, if this node knows it.
     pub(super) fn request_target(&self) -> String {
         match self.leader() {
             Some(leader) => leader.into(),
-            None => self.config.voters.get(self.contact).cloned().unwrap_or_default(),
+            None => self.config.voters.get(self.contact_index).cloned().unwrap_or_default(),
         }
     }
 
-    fn next_contact(&mut self) {
-        self.contact = (self.contact + 1) % self.config.voters.len().max(1);
+    fn advance_contact(&mut self) {
+        self.contact_index = (self.contact_index + 1) % self.config.voters.len().max(1);
     }
 
-    /// Requests the lease.
+    /// Sends a request for the lease.
     pub(super) fn request_lease(&mut self) {
-        // Nobody answered the last request: perhaps another voter does.
+        // The last request was not answered, so another voter is tried.
         if !std::mem::take(&mut self.contact_answered) {
-            self.next_contact();
+            self.advance_contact();
         }
         let newest = self.version_log().newest();
         let round = self.lease.begin_round(self.now);
-        if self.voter.as_ref().is_some_and(Voter::is_empty) {
+        if self.voter.as_ref().is_some_and(Voter::is_log_empty) {
             for voter in self.config.voters.clone() {
                 self.send(&voter, &Message::EmptyLog);
             }
@@ -42,7 +43,7 @@
         self.send(&to, &Message::LeaseRequest { incarnation, round, version, hash });
     }
 
-    /// Another node requests its lease.
+    /// Handles a lease request of a node.
     pub(super) fn on_lease_request(
         &mut self, from: &str, incarnation: u64, round: u64, version: u64, hash: u64,
     ) {
@@ -51,25 +52,25 @@
             let leader = self.leader().map(str::to_string);
             return self.send(from, &Message::Redirect { leader });
         };
-        // A node with another history has no version of this one, whatever its number.
+        // A node with another history does not have any version of this history, whatever number it reports.
         let version = if same_history { version } else { 0 };
-        lessor.request(LeaseRequest { requester: from.into(), incarnation, round }, version);
+        lessor.add_request(LeaseRequest { requester: from.into(), incarnation, round }, version);
     }
 
-    /// The voter that was asked does not lead.
+    /// Handles the reply that the contacted voter does not lead.
     pub(super) fn on_redirect(&mut self, leader: Option<String>) {
         self.contact_answered = true;
         match leader.and_then(|leader| self.config.voter_index(&leader)) {
-            Some(index) if index != self.contact => {
-                self.contact = index;
-                let soon = self.now + self.config.renew_interval / REDIRECT_DIVISOR;
-                self.next_renewal = self.next_renewal.min(soon);
+            Some(index) if index != self.contact_index => {
+                self.contact_index = index;
+                let retry_at = self.now + self.config.renew_interval / REDIRECT_INTERVAL_DIVISOR;
+                self.next_renewal = self.next_renewal.min(retry_at);
             }
-            _ => self.next_contact(),
+            _ => self.advance_contact(),
         }
     }
 
-    /// The lease is granted, for version `active`; `newest` is the newest committed version and `hash` its hash.
+    /// Handles the grant of the lease for version `active`; `newest` is the newest committed version and `hash` its hash.
     pub(super) fn on_lease_grant(&mut self, from: &str, round: u64, active: u64, newest: u64, hash: u64) {
         self.contact_answered = true;
         let diverged = match self.version_log().version(newest) {
@@ -77,17 +78,18 @@
             None => self.version_log().number() > newest,
         };
         if diverged && self.voter.is_none() {
-            // A copied disk, or one from before something was undone: nothing of it is to be trusted.
+            // The disk was copied from elsewhere, or dates from before a change was undone. None of its versions can be
+            // trusted.
             self.counters.divergence_resets += 1;
             self.replica_log = VersionLog::default();
-            self.incoming = None;
+            self.incoming_version = None;
         }
         if self.voter.is_none() {
             self.replica_log.observe_active(active);
         }
-        // Only a node that has the active version may act under the lease.
+        // Only a node that has the active version may use the lease.
         let has_active = !diverged && self.version_log().version(active).is_some();
-        if has_active && self.lease.granted(round, self.config.lease_duration) {
+        if has_active && self.lease.accept_grant(round, self.config.lease_duration) {
             self.leased_version = active;
             self.counters.lease_renewals += 1;
         }
@@ -97,10 +99,10 @@
     }
 
     /// Grants the leases whose barriers a majority has confirmed.
-    pub(super) fn grant_leases(&mut self, passed_barriers: Vec<u64>, active: u64, newest: &Version) {
-        for barrier in passed_barriers {
+    pub(super) fn grant_leases(&mut self, confirmed_barriers: Vec<u64>, active: u64, newest: &Version) {
+        for barrier in confirmed_barriers {
             let Some(lessor) = &mut self.lessor else { break };
-            for request in lessor.barrier_passed(self.now, barrier, self.config.lease_duration) {
+            for request in lessor.confirm_barrier(self.now, barrier, self.config.lease_duration) {
                 let (newest, hash) = (newest.number, newest.hash());
                 let grant = Message::LeaseGrant { round: request.round, active, newest, hash };
                 self.send(&request.requester, &grant);
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Starts a barrier for requests that wait.
+    /// Starts a barrier for the waiting requests.
     pub(super) fn start_barrier(&mut self) {
         let barrier = self.lessor.as_mut().and_then(Lessor::start_barrier);
         if let (Some(barrier), Some(voter)) = (barrier, &mut self.voter) {
--- a/consensus/src/node/messaging.rs
+++ b/consensus/src/node/messaging.rs
@@ -1,11 +1,12 @@
-//! Sending of messages, and which part of a node handles which.
+//! Sending of messages, and dispatching of received messages to their handlers.
 
 use super::state::{Datagram, Node};
 use crate::fragment::fragment;
 use crate::message::Message;
 use crate::voter::VoterId;
 
-const MAX_OUTGOING: usize = 16_384; // datagrams that wait to be sent
+/// Maximum number of datagrams that wait to be sent.
+const MAX_OUTGOING_DATAGRAMS: usize = 16_384;
 
 impl Node {
     /// Sends a message to a node, which may be this one.
@@ -13,10 +14,12 @@
         if to == self.name {
             return self.send_to_self(message);
         }
-        self.last_message = self.last_message.wrapping_add(1);
+        self.last_message_number = self.last_message_number.wrapping_add(1);
         let fragments =
-            postcard::to_stdvec(message).ok().and_then(|bytes| fragment(self.last_message, &bytes));
-        let Some(fragments) = fragments.filter(|f| self.outgoing.len() + f.len() <= MAX_OUTGOING) else {
+            postcard::to_stdvec(message).ok().and_then(|bytes| fragment(self.last_message_number, &bytes));
+        let has_room =
+            |fragments: &Vec<Vec<u8>>| self.outgoing.len() + fragments.len() <= MAX_OUTGOING_DATAGRAMS;
+        let Some(fragments) = fragments.filter(has_room) else {
             self.counters.dropped_messages += 1;
             return;
         };
@@ -25,7 +28,7 @@
         self.outgoing.extend(datagrams);
     }
 
-    /// Encoded and decoded like any other, so that both take the same way.
+    /// Handles a message to this node itself. It is encoded and decoded like any other, so that both use the same code path.
     fn send_to_self(&mut self, message: &Message) {
         let message = postcard::to_stdvec(message).ok().and_then(|bytes| postcard::from_bytes(&bytes).ok());
         if let Some(message) = message {
@@ -34,18 +37,18 @@
         }
     }
 
-    /// Handles a message.
+    /// Handles a received message.
     pub(super) fn handle(&mut self, from: &str, message: Message) {
         match message {
             Message::Raft(bytes) => self.on_raft(from, &bytes),
             Message::EmptyLog => {
                 if let (Some(id), Some(voter)) = (self.voter_id(from), &mut self.voter) {
-                    voter.peer_is_empty(id);
+                    voter.on_peer_log_empty(id);
                 }
             }
             Message::LostLog => {
                 if let (Some(id), Some(voter)) = (self.voter_id(from), &mut self.voter) {
-                    voter.peer_lost_log(id);
+                    voter.on_peer_log_lost(id);
                 }
             }
             Message::LeaseRequest { incarnation, round, version, hash } => {
--- a/consensus/src/node/proposals.rs
+++ b/consensus/src/node/proposals.rs
@@ -7,37 +7,42 @@
 use crate::step::Step;
 use asterrill::Us;
 
-const MAX_OPEN_PROPOSALS: usize = 256; // at one node
-const PROPOSAL_TIMEOUT: Us = 5_000_000;
-const RESEND_INTERVAL: Us = 200_000;
-const MAX_RECENTLY_PROPOSED: usize = 4_096; // at the leader
-const REPROPOSE_INTERVAL: Us = 1_000_000; // at the leader, before the same proposal is proposed again
+/// Maximum number of open proposals at one node.
+const MAX_OPEN_PROPOSALS: usize = 256;
+const PROPOSAL_TIMEOUT_US: Us = 5_000_000;
+const RESEND_INTERVAL_US: Us = 200_000;
+/// Maximum number of proposals that the leader remembers as recently proposed.
+const MAX_RECENTLY_PROPOSED: usize = 4_096;
+/// Minimum time before the leader proposes the same proposal again.
+const REPROPOSE_INTERVAL_US: Us = 1_000_000;
 
 impl Node {
-    /// An operator proposes a change at this node. Returns its number, under which it is among
-    /// [`Node::take_outcomes`] within 5 seconds.
+    /// Proposes a change of an operator of this node.
+    ///
+    /// Returns the number of the proposal, whose outcome [`Node::take_outcomes`] returns within 5 seconds.
     pub fn propose(&mut self, proposal: Proposal) -> u64 {
-        self.last_proposal += 1;
-        let number = self.last_proposal;
+        self.last_proposal_number += 1;
+        let number = self.last_proposal_number;
         if self.open_proposals.len() >= MAX_OPEN_PROPOSALS {
-            let outcome = ProposalOutcome::Rejected("too many proposals are open at this node".into());
+            let reason = format!("too many proposals are open at this node (limit {MAX_OPEN_PROPOSALS})");
+            let outcome = ProposalOutcome::Rejected(reason);
             self.completed.push_back(CompletedProposal { number, outcome });
             return number;
         }
         let id = ProposalId { proposer: self.name.clone(), incarnation: self.incarnation, number };
-        let open = OpenProposal { proposal, deadline: self.now + PROPOSAL_TIMEOUT, next_send: self.now };
+        let open = OpenProposal { proposal, deadline: self.now + PROPOSAL_TIMEOUT_US, next_send: self.now };
         self.open_proposals.insert(id, open);
         self.send_open_proposals();
         self.refresh_policy();
         number
     }
 
-    /// When an open proposal is to be sent again or given up next.
+    /// Returns the time at which the next open proposal must be sent again or times out.
     pub(super) fn next_proposal_event(&self) -> Option<Us> {
         self.open_proposals.values().map(|open| open.next_send.min(open.deadline)).min()
     }
 
-    /// Gives up proposals whose deadline has passed, and sends those again whose turn it is.
+    /// Completes proposals whose deadline has passed, and sends those again that are due.
     pub(super) fn send_open_proposals(&mut self) {
         self.expire_proposals();
         let now = self.now;
@@ -46,7 +51,7 @@
             .iter_mut()
             .filter(|(_, open)| open.next_send <= now)
             .map(|(id, open)| {
-                open.next_send = now + RESEND_INTERVAL;
+                open.next_send = now + RESEND_INTERVAL_US;
                 (id.clone(), open.proposal.clone())
             })
             .collect();
@@ -67,20 +72,20 @@
         }
     }
 
-    /// A proposal arrives at this node as the leader.
+    /// Handles a proposal, as the leader.
     pub(super) fn on_propose(&mut self, from: &str, id: ProposalId, proposal: Proposal) {
         if let Some(outcome) = self.version_log().outcome(&id).cloned() {
             return self.send(from, &Message::Resolved { id, outcome });
         }
         let (now, leads) = (self.now, self.is_leader());
-        self.recently_proposed.retain(|_, at| *at + REPROPOSE_INTERVAL > now && leads);
+        self.recently_proposed.retain(|_, at| *at + REPROPOSE_INTERVAL_US > now && leads);
         if self.recently_proposed.contains_key(&id) {
             return;
         }
         if leads && self.recently_proposed.len() < MAX_RECENTLY_PROPOSED {
             self.recently_proposed.insert(id.clone(), now);
         }
-        // A proposal that is committed twice has one outcome all the same.
+        // A proposal that is committed twice still has one outcome.
         let command = command_of(id, proposal);
         if !(leads && self.voter.as_mut().is_some_and(|voter| voter.propose(&command))) {
             let leader = self.leader().map(str::to_string);
@@ -88,7 +93,7 @@
         }
     }
 
-    /// Proposals were committed: completes those of this node; as the leader, notifies the nodes of others.
+    /// Completes the committed proposals of this node and, as the leader, notifies the nodes of the others.
     pub(super) fn deliver_resolved(&mut self, resolved: Vec<ResolvedProposal>, leads: bool) {
         for ResolvedProposal { id, outcome } in resolved {
             if id.proposer == self.name {
--- a/consensus/src/voter.rs
+++ b/consensus/src/voter.rs
@@ -1,11 +1,11 @@
-//! A voter: one of a few named nodes whose majority orders commands and has them on disk, by the crate `raft`.
+//! Voters: the few named nodes whose majority orders commands and stores them on disk, by the crate `raft`.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `types` | what a voter puts out |
-//! | `state` | the fields of [`Voter`], its start, and what can be read and taken from it |
-//! | `input` | time, messages, proposals and barriers |
-//! | `ready` | what `raft` has ready: writes, messages, committed commands, compaction |
+//! | `types` | types of a voter's output |
+//! | `state` | the fields of [`Voter`], its start and its accessors |
+//! | `input` | input of time, messages, proposals and barriers |
+//! | `ready` | processing of ready states of `raft`: writes, messages, committed commands, compaction |
 //! | `recovery` | voters whose file is lost or damaged |
 
 mod input;
--- a/consensus/src/voter/input.rs
+++ b/consensus/src/voter/input.rs
@@ -1,4 +1,4 @@
-//! What is passed to a voter: time, messages, proposals and barriers.
+//! Input into a voter: time, messages, proposals and barriers.
 
 use super::state::Voter;
 use super::types::VoterId;
@@ -8,12 +8,13 @@
 use raft::eraftpb::{Message, MessageType};
 
 impl Voter {
-    /// Time has passed.
+    /// Advances the time.
     pub fn tick(&mut self, now: Us) {
         if now < self.next_tick {
             return;
         }
-        // After a pause only one tick counts: that nothing was heard meanwhile is this voter's own fault.
+        // After a pause only one tick is counted, because the voter received nothing while it was paused itself. More ticks
+        // would time out a leader that is alive.
         self.next_tick = now + self.tick_interval;
         if !self.non_voting {
             self.raft.tick();
@@ -21,7 +22,7 @@
         self.process_ready();
     }
 
-    /// A message of another voter. False if it makes no sense and was dropped.
+    /// Handles a message of another voter. Returns false if the message is invalid and was dropped.
     pub fn receive(&mut self, from: VoterId, bytes: &[u8]) -> bool {
         let Ok(message) = Message::parse_from_bytes(bytes) else { return false };
         if message.get_from() != from || message.get_to() != self.id {
@@ -44,7 +45,7 @@
         accepted
     }
 
-    /// Proposes a command. False if this voter does not lead, or too many bytes are uncommitted.
+    /// Proposes a command. Returns false if this voter does not lead, or too many bytes are uncommitted.
     pub fn propose(&mut self, command: &Command) -> bool {
         let Ok(bytes) = postcard::to_stdvec(command) else { return false };
         let accepted = self.is_leader() && self.raft.propose(Vec::new(), bytes).is_ok();
@@ -52,8 +53,10 @@
         accepted
     }
 
-    /// Starts a barrier: once a majority has confirmed, after this moment, that this voter leads, the number is among
-    /// [`Voter::take_passed_barriers`].
+    /// Starts a barrier.
+    ///
+    /// Once a majority has confirmed, after this moment, that this voter leads, [`Voter::take_confirmed_barriers`]
+    /// returns the number.
     pub fn start_barrier(&mut self, number: u64) {
         self.raft.read_index(number.to_le_bytes().to_vec());
         self.process_ready();
--- a/consensus/src/voter/ready.rs
+++ b/consensus/src/voter/ready.rs
@@ -1,5 +1,5 @@
-//! What `raft` has ready: records are written, messages that depend on them are sent after that, and committed commands are
-//! applied.
+//! Processing of ready states of `raft`: records are written, messages that depend on them are sent after that, and
+//! committed commands are applied.
 
 use super::state::{PendingReady, Voter, ELECTION_TICKS};
 use super::types::{DiskWrite, RaftMessage};
@@ -11,10 +11,11 @@
 use raft::{ReadState, Ready};
 use xxhash_rust::xxh3::xxh3_64;
 
-const MAX_LOG_ENTRIES: usize = 512; // after the snapshot, before the log is compacted
+/// Maximum number of log entries after the snapshot before the log is compacted.
+const MAX_UNCOMPACTED_ENTRIES: usize = 512;
 
 impl Voter {
-    /// All writes up to this number are on disk.
+    /// Records that all writes up to this number are on disk.
     pub fn persisted(&mut self, number: u64) {
         while self.pending.front().is_some_and(|pending| pending.number <= number) {
             self.complete_first_pending();
@@ -24,7 +25,7 @@
 
     fn complete_first_pending(&mut self) {
         let Some(pending) = self.pending.pop_front() else { return };
-        // In this order: `raft` panics if a snapshot is applied that is not persisted yet.
+        // The order matters: `raft` panics if a snapshot is applied that is not persisted yet.
         self.raft.on_persist_ready(pending.number);
         for record in &pending.records {
             if let Record::Snapshot(snapshot) = record {
@@ -43,26 +44,26 @@
         }
     }
 
-    /// The election timeout follows from the id and the term, not from the random numbers of `raft`, so that runs can be
-    /// replayed.
+    /// Sets the election timeout by a hash of the id and the term instead of the random numbers of `raft`, so that runs
+    /// can be replayed.
     fn set_election_timeout(&mut self) {
         let hash = xxh3_64(&[self.id.to_le_bytes(), self.raft.raft.term.to_le_bytes()].concat());
         let extra = (hash % ELECTION_TICKS as u64) as usize;
         self.raft.raft.set_randomized_election_timeout(ELECTION_TICKS + extra);
     }
 
-    /// Does everything that `raft` has ready.
+    /// Processes all ready states of `raft`.
     pub(super) fn process_ready(&mut self) {
         self.set_election_timeout();
         while self.raft.has_ready() {
             let ready = self.raft.ready();
             self.process_one_ready(ready);
-            // A ready state with nothing to write only waits for those before it.
+            // A ready state without writes only waits for the earlier ones.
             while self.pending.front().is_some_and(|pending| pending.records.is_empty()) {
                 self.complete_first_pending();
             }
         }
-        if self.pending.is_empty() && self.raft.store().entry_count() > MAX_LOG_ENTRIES {
+        if self.pending.is_empty() && self.raft.store().entry_count() > MAX_UNCOMPACTED_ENTRIES {
             self.compact();
         }
     }
@@ -70,27 +71,27 @@
     fn process_one_ready(&mut self, mut ready: Ready) {
         let number = ready.number();
         self.send(ready.take_messages());
-        let records = records_of(&mut ready);
-        self.collect_passed_barriers(ready.take_read_states());
+        let records = take_records(&mut ready);
+        self.collect_confirmed_barriers(ready.take_read_states());
         let committed = ready.take_committed_entries();
         let messages = ready.take_persisted_messages();
-        // `raft` can read the records from here on; the messages that depend on them wait until they are on disk.
+        // `raft` can read the records from here on. The messages that depend on them wait until the records are on disk.
         for record in &records {
             self.raft.mut_store().apply(record);
         }
         self.raft.advance_append_async(ready);
         self.apply_committed(committed);
         if !records.is_empty() {
-            self.last_write = number;
+            self.last_write_number = number;
             self.writes.push(DiskWrite { number, bytes: encode_records(&records), replace: false });
         }
         self.pending.push_back(PendingReady { number, records, messages });
     }
 
-    fn collect_passed_barriers(&mut self, read_states: Vec<ReadState>) {
+    fn collect_confirmed_barriers(&mut self, read_states: Vec<ReadState>) {
         for read_state in read_states {
             let number = read_state.request_ctx.as_slice().try_into().map(u64::from_le_bytes);
-            self.passed_barriers.extend(number);
+            self.confirmed_barriers.extend(number);
         }
     }
 
@@ -116,12 +117,12 @@
         let storage = self.raft.mut_store();
         storage.apply(&Record::Snapshot(snapshot));
         let bytes = encode_records(&storage.records());
-        self.writes.push(DiskWrite { number: self.last_write, bytes, replace: true });
+        self.writes.push(DiskWrite { number: self.last_write_number, bytes, replace: true });
     }
 }
 
-/// What of a ready state has to be on disk: snapshot, entries, hard state.
-fn records_of(ready: &mut Ready) -> Vec<Record> {
+/// Returns the records of a ready state that must be on disk: snapshot, entries, hard state.
+fn take_records(ready: &mut Ready) -> Vec<Record> {
     let mut records = Vec::new();
     if !ready.snapshot().is_empty() {
         let metadata = ready.snapshot().get_metadata();
--- a/consensus/src/voter/state.rs
+++ b/consensus/src/voter/state.rs
@@ -1,4 +1,4 @@
-//! The fields of a voter, its start, and what can be read and taken from it.
+//! Fields of a voter, its start and its accessors.
 
 use super::types::{DiskWrite, RaftMessage, VoterId};
 use crate::command::ResolvedProposal;
@@ -10,53 +10,60 @@
 use raft::{RawNode, ReadOnlyOption, StateRole};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Ticks without a message of a leader until another may be elected.
+/// Number of ticks without a message from a leader until another voter may be elected.
 pub(super) const ELECTION_TICKS: usize = 10;
 const HEARTBEAT_TICKS: usize = 2;
-const MAX_MESSAGE_BYTES: u64 = 32 * 1024; // of entries in one message
+/// Maximum length of the log entries in one message.
+const MAX_MESSAGE_ENTRIES_BYTES: u64 = 32 * 1024;
 const MAX_INFLIGHT_MESSAGES: usize = 64;
 const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
 
-/// A ready state of `raft` whose records are being written.
+/// Ready state of `raft` whose records are being written.
 pub(super) struct PendingReady {
     pub number: u64,
     pub records: Vec<Record>,
-    /// Sent once the records are on disk.
+    /// Messages that are sent once the records are on disk.
     pub messages: Vec<Message>,
 }
 
-/// One voter. Messages, ticks and finished writes are passed in; messages and writes are taken out.
+/// Raft voter without I/O. Messages, ticks and completed writes are passed in; messages and writes are taken out.
 pub struct Voter {
     pub(super) raft: RawNode<VoterStorage>,
     pub(super) id: VoterId,
     pub(super) voter_count: usize,
     pub(super) version_log: VersionLog,
     pub(super) pending: VecDeque<PendingReady>,
-    pub(super) last_write: u64,
+    pub(super) last_write_number: u64,
     pub(super) tick_interval: Us,
     pub(super) next_tick: Us,
-    /// The file is lost or damaged: this voter may have acknowledged more than it has, and has no vote until it has caught up.
+    /// True while this voter has no vote.
+    ///
+    /// Its file is lost or damaged, so that it may have acknowledged entries that it no longer has; it may vote again
+    /// once it has caught up.
     pub(super) non_voting: bool,
-    /// Voters that have said that their log is empty, this one included.
+    /// Voters that have reported that their log is empty, including this one.
     pub(super) empty_voters: BTreeSet<VoterId>,
     pub(super) valid_log_len: usize,
     pub(super) outgoing: Vec<RaftMessage>,
     pub(super) writes: Vec<DiskWrite>,
-    pub(super) passed_barriers: Vec<u64>,
+    pub(super) confirmed_barriers: Vec<u64>,
     pub(super) resolved: Vec<ResolvedProposal>,
     pub(super) leader_to_notify: Option<VoterId>,
 }
 
 impl Voter {
-    /// `id`: from 1 to `voter_count`; `file`: the bytes of its file, empty for none; `tick_interval`: microseconds.
+    /// Starts a voter.
+    ///
+    /// `id` is from 1 to `voter_count`. `file` has the bytes of the voter's file, and is empty if there is none.
+    /// `tick_interval` is in microseconds.
     ///
     /// # Errors
-    /// What `raft` says about a file that it can't use.
+    /// [`raft::Error`] if `raft` can't use the file.
     pub fn new(
         now: Us, id: VoterId, voter_count: usize, tick_interval: Us, file: &[u8],
     ) -> Result<Voter, raft::Error> {
         let decoded = decode_records(file);
-        // What is torn at the end was never acknowledged. Anything else that is damaged may have been.
+        // A torn tail was never acknowledged. Any other damaged part may have been.
         let non_voting = decoded.records.is_empty() || is_damaged(file, decoded.valid_len);
         let storage = VoterStorage::from_records(voter_count, &decoded.records)?;
         let snapshot = storage.stored_snapshot();
@@ -70,7 +77,7 @@
             voter_count,
             version_log,
             pending: VecDeque::new(),
-            last_write: 0,
+            last_write_number: 0,
             tick_interval,
             next_tick: now + tick_interval,
             non_voting,
@@ -78,7 +85,7 @@
             valid_log_len: decoded.valid_len,
             outgoing: Vec::new(),
             writes: Vec::new(),
-            passed_barriers: Vec::new(),
+            confirmed_barriers: Vec::new(),
             resolved: Vec::new(),
             leader_to_notify: None,
         };
@@ -87,38 +94,38 @@
         Ok(voter)
     }
 
-    /// How many bytes of the file are valid: the rest is to be cut off before anything is appended.
+    /// Returns the length of the valid part of the file, in bytes. The file must be truncated to it before an append.
     pub fn valid_log_len(&self) -> usize {
         self.valid_log_len
     }
 
-    /// The versions that are committed as far as this voter has heard.
+    /// Returns the versions that this voter knows to be committed.
     pub fn version_log(&self) -> &VersionLog {
         &self.version_log
     }
 
-    /// Whether this voter is the leader.
+    /// Reports whether this voter is the leader.
     pub fn is_leader(&self) -> bool {
         self.raft.raft.state == StateRole::Leader
     }
 
-    /// The leader, as far as this voter has heard.
+    /// Returns the leader, if this voter knows it.
     pub fn leader(&self) -> Option<VoterId> {
         Some(self.raft.raft.leader_id).filter(|id| *id > 0)
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.raft.raft.term
     }
 
-    /// When [`Voter::tick`] is to be called next.
+    /// Returns the time at which [`Voter::tick`] must be called next.
     pub fn next_tick(&self) -> Us {
         self.next_tick
     }
 
-    /// Whether the log is empty: perhaps no voter ever had anything.
-    pub fn is_empty(&self) -> bool {
+    /// Reports whether the log is empty. In a new cluster the logs of all voters are empty.
+    pub fn is_log_empty(&self) -> bool {
         self.last_index() == 0
     }
 
@@ -126,27 +133,27 @@
         self.raft.raft.raft_log.last_index()
     }
 
-    /// Messages to other voters.
+    /// Takes the messages to other voters.
     pub fn take_outgoing(&mut self) -> Vec<RaftMessage> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// What is to be written, in this order.
+    /// Takes the writes that must be made, in this order.
     pub fn take_writes(&mut self) -> Vec<DiskWrite> {
         std::mem::take(&mut self.writes)
     }
 
-    /// Numbers of barriers that a majority has confirmed: this voter led after they were started.
-    pub fn take_passed_barriers(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.passed_barriers)
+    /// Takes the numbers of barriers that a majority has confirmed: this voter led after they were started.
+    pub fn take_confirmed_barriers(&mut self) -> Vec<u64> {
+        std::mem::take(&mut self.confirmed_barriers)
     }
 
-    /// Proposals that were committed.
+    /// Takes the committed proposals.
     pub fn take_resolved(&mut self) -> Vec<ResolvedProposal> {
         std::mem::take(&mut self.resolved)
     }
 
-    /// The leader that must be notified that this voter has less than it had, if any.
+    /// Takes the leader that must be notified that this voter has lost log entries, if any.
     pub fn take_leader_to_notify(&mut self) -> Option<VoterId> {
         self.leader_to_notify.take()
     }
@@ -158,7 +165,7 @@
         election_tick: ELECTION_TICKS,
         heartbeat_tick: HEARTBEAT_TICKS,
         applied,
-        max_size_per_msg: MAX_MESSAGE_BYTES,
+        max_size_per_msg: MAX_MESSAGE_ENTRIES_BYTES,
         max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
         check_quorum: true,
         pre_vote: true,
