--- a/consensus/tests/consensus/main.rs
+++ b/consensus/tests/consensus/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the package: many nodes in memory on virtual time, and the parts by themselves.
+//! Tests of the package: clusters of nodes in memory on virtual time, and unit tests of single parts.
 
 mod cluster;
 mod decoding;
--- a/consensus/tests/consensus/seeded.rs
+++ b/consensus/tests/consensus/seeded.rs
@@ -1,32 +1,35 @@
-//! Seeded cases of many overlapping faults.
+//! Tests with seeded sequences of overlapping faults.
 
-use crate::support::{config, put, Cluster, MS, SECOND};
+use crate::support::{config, put_tenant, Cluster, MS, SECOND};
 use asterrill::Us;
 use asterrill_consensus::{Access, ApplyMode, Change, ListKind};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeSet;
 
-/// The result of a seeded case.
+/// Result of a seeded case.
 #[derive(Debug, PartialEq)]
 struct CaseResult {
-    trace: u64,
-    worst_contradiction: Us,
+    trace_hash: u64,
+    longest_contradiction: Us,
 }
 
-/// One seeded case: faults that overlap, keys that are allowed and denied in turns, and the invariants after every step.
+/// Runs one seeded case: faults overlap, keys are allowed and denied in turns, and the invariants are checked throughout.
 fn run_case(seed: u64, nodes: usize) -> CaseResult {
     let mut cluster = Cluster::new(nodes, 3, seed);
-    cluster.run(1_500 * MS);
+    cluster.run_for(1_500 * MS);
     let mut rng = StdRng::seed_from_u64(seed ^ 77);
     for _ in 0..6 {
         match rng.random_range(0..8) {
             0 => {
-                let some: Vec<usize> = (0..nodes).filter(|_| rng.random()).collect();
-                cluster.cut.clear();
-                cluster.partition(&some);
+                let one_side: Vec<usize> = (0..nodes).filter(|_| rng.random()).collect();
+                cluster.blocked_links.clear();
+                cluster.partition(&one_side);
+            }
+            1 => {
+                cluster.blocked_links =
+                    BTreeSet::from([(rng.random_range(0..nodes), rng.random_range(0..nodes))])
             }
-            1 => cluster.cut = BTreeSet::from([(rng.random_range(0..nodes), rng.random_range(0..nodes))]),
             2 => {
                 cluster.paused.insert(rng.random_range(0..nodes));
             }
@@ -35,38 +38,39 @@
                 let n = rng.random_range(0..nodes);
                 cluster.paused.remove(&n);
                 cluster.kill(n);
-                cluster.run(rng.random_range(0..300) * MS);
+                cluster.run_for(rng.random_range(0..300) * MS);
                 cluster.start(n);
             }
-            5 => cluster.loss = [0.0, 0.05, 0.2][rng.random_range(0..3)],
+            5 => cluster.loss_probability = [0.0, 0.05, 0.2][rng.random_range(0..3)],
             6 => {
                 if let Some(n) = cluster.leader() {
                     cluster.kill(n);
-                    cluster.run(rng.random_range(0..400) * MS);
+                    cluster.run_for(rng.random_range(0..400) * MS);
                     cluster.start(n);
                 }
             }
-            _ => cluster.cut.clear(),
+            _ => cluster.blocked_links.clear(),
         }
         let key = ["a", "b", "c"][rng.random_range(0..3)];
         let access = if rng.random() { Access::Allowed } else { Access::Denied };
         let change = match rng.random_range(0..4) {
             0 => Change::Remove { kind: ListKind::Tenants, key: key.into() },
-            _ => put(key, access),
+            _ => put_tenant(key, access),
         };
-        let by = rng.random_range(0..nodes);
-        if !cluster.paused.contains(&by) {
-            cluster.propose_changes(by, vec![change]);
+        let proposer = rng.random_range(0..nodes);
+        if !cluster.paused.contains(&proposer) {
+            cluster.propose_changes(proposer, vec![change]);
         }
-        cluster.run(rng.random_range(100..1_200) * MS);
+        cluster.run_for(rng.random_range(100..1_200) * MS);
     }
-    // Faults end: all nodes come to the same version in time, and nothing that was reported as committed is lost.
+    // After the faults end all nodes reach the same version in time, and no version that was reported as committed is lost.
     cluster.paused.clear();
-    cluster.cut.clear();
-    cluster.loss = 0.0;
-    cluster.run(5 * SECOND);
+    cluster.blocked_links.clear();
+    cluster.loss_probability = 0.0;
+    cluster.run_for(5 * SECOND);
     let policies = cluster.policies();
-    assert!(policies.iter().all(|of| *of == (ApplyMode::Full, policies[0].1)), "seed {seed}: {policies:?}");
+    let expected = (ApplyMode::Full, policies[0].1);
+    assert!(policies.iter().all(|policy| *policy == expected), "seed {seed}: {policies:?}");
     let log = cluster.node(0).version_log();
     for (number, hash) in &cluster.committed {
         assert_eq!(
@@ -77,11 +81,11 @@
     }
     let bound = config(3).contradiction_bound();
     assert!(
-        cluster.worst_contradiction <= bound,
-        "seed {seed}: contradicted for {} us of {bound}",
-        cluster.worst_contradiction
+        cluster.longest_contradiction <= bound,
+        "seed {seed}: versions contradicted for {} us, bound {bound} us",
+        cluster.longest_contradiction
     );
-    CaseResult { trace: cluster.trace, worst_contradiction: cluster.worst_contradiction }
+    CaseResult { trace_hash: cluster.trace_hash, longest_contradiction: cluster.longest_contradiction }
 }
 
 #[test]
@@ -93,16 +97,16 @@
 }
 
 #[test]
-#[ignore = "minutes: cargo test -p asterrill-consensus --release -- --ignored --nocapture"]
-fn two_thousand_seeded_faults() {
+#[ignore = "takes minutes; run: cargo test -p asterrill-consensus --release -- --ignored --nocapture"]
+fn two_thousand_seeded_cases_keep_the_invariants() {
     let threads: Vec<_> = (0..6_u64)
         .map(|t| {
             std::thread::spawn(move || {
                 let seeds = 10_000 + t * 334..10_000 + (t + 1) * 334;
-                seeds.map(|seed| run_case(seed, 6).worst_contradiction).collect::<Vec<Us>>()
+                seeds.map(|seed| run_case(seed, 6).longest_contradiction).collect::<Vec<Us>>()
             })
         })
         .collect();
     let worst: Vec<Us> = threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect();
-    println!("{} cases, contradicted for {} us at the most", worst.len(), worst.iter().max().unwrap());
+    println!("{} cases, versions contradicted for at most {} us", worst.len(), worst.iter().max().unwrap());
 }
--- a/consensus/tests/consensus/stored_bytes.rs
+++ b/consensus/tests/consensus/stored_bytes.rs
@@ -1,6 +1,8 @@
-//! What the build before has stored is read, and written again to the same bytes. The files in `fixtures/previous_build` were
-//! written by that build: `*.bin` are the files of voters and the snapshot of a replica, after runs of which `files.txt` says
-//! what was agreed on (number and hash of the newest version, number of the active one); `commands.txt` has log entries and records.
+//! Tests that data stored by the previous build is read, and is written again to the same bytes.
+//!
+//! That build wrote the files in `fixtures/previous_build`. The `*.bin` files are the files of voters and the snapshot of a
+//! replica. `files.txt` has the expected state of each: number and hash of the newest version, and number of the active
+//! one. `commands.txt` has log entries and records.
 
 use crate::support::config;
 use asterrill_consensus::{
@@ -10,30 +12,30 @@
 use protobuf::Message as _;
 use raft::eraftpb::Entry;
 
-/// A line of `files.txt`.
-struct Agreed {
-    newest: u64,
-    hash: u64,
-    active: u64,
+/// Expected state of a stored file, from a line of `files.txt`.
+struct ExpectedState {
+    newest_number: u64,
+    newest_hash: u64,
+    active_number: u64,
 }
 
-fn agreed(name: &str) -> Agreed {
+fn expected_state(name: &str) -> ExpectedState {
     let lines = include_str!("../fixtures/previous_build/files.txt").lines();
     let line = lines.map(|line| line.split(' ').collect::<Vec<_>>()).find(|line| line[0] == name).unwrap();
-    Agreed {
-        newest: line[1].parse().unwrap(),
-        hash: u64::from_str_radix(line[2], 16).unwrap(),
-        active: line[3].parse().unwrap(),
+    ExpectedState {
+        newest_number: line[1].parse().unwrap(),
+        newest_hash: u64::from_str_radix(line[2], 16).unwrap(),
+        active_number: line[3].parse().unwrap(),
     }
 }
 
-fn assert_agreed(log: &VersionLog, name: &str) {
-    let expected = agreed(name);
-    assert_eq!((log.number(), log.newest().hash()), (expected.newest, expected.hash), "{name}");
-    assert_eq!(log.active(), expected.active, "{name}");
+fn assert_state(log: &VersionLog, name: &str) {
+    let expected = expected_state(name);
+    assert_eq!((log.number(), log.newest().hash()), (expected.newest_number, expected.newest_hash), "{name}");
+    assert_eq!(log.active(), expected.active_number, "{name}");
 }
 
-/// How many records of each kind a voter's file has: hard states, entries that are commands, snapshots.
+/// Number of records of each kind in a voter's file: hard states, entries that are commands, snapshots.
 #[derive(Debug, Default, PartialEq)]
 struct RecordCounts {
     hard_states: usize,
@@ -41,11 +43,11 @@
     snapshots: usize,
 }
 
-/// Decodes a voter's file and all that is in it, and encodes each again.
+/// Checks that the records and snapshots of a voter's file are encoded again to the same bytes, and counts the records.
 fn check_voter_file(file: &[u8]) -> RecordCounts {
     let decoded = decode_records(file);
     assert_eq!(decoded.valid_len, file.len());
-    assert!(encode_records(&decoded.records) == file, "the records are encoded otherwise");
+    assert!(encode_records(&decoded.records) == file, "the records are encoded differently");
     let mut counts = RecordCounts::default();
     for record in &decoded.records {
         match record {
@@ -54,14 +56,14 @@
             Record::Snapshot(snapshot) => {
                 counts.snapshots += 1;
                 let log = VersionLog::from_snapshot(&snapshot.data).unwrap();
-                assert!(log.snapshot() == snapshot.data, "the snapshot is encoded otherwise");
+                assert!(log.snapshot() == snapshot.data, "the snapshot is encoded differently");
             }
         }
     }
     counts
 }
 
-/// Whether a log entry is a command; if so, the command is encoded again.
+/// Reports whether a log entry is a command. If so, checks that the command is encoded again to the same bytes.
 fn check_entry(bytes: &[u8]) -> bool {
     let entry = Entry::parse_from_bytes(bytes).unwrap();
     if entry.get_data().is_empty() {
@@ -87,21 +89,21 @@
     let file = include_bytes!("../fixtures/previous_build/voter-compacted.bin");
     let mut node = Node::new(0, "n0", 2, config(1), file, &[]).unwrap();
     assert_eq!(node.valid_log_len(), file.len());
-    // Its one voter elects itself, and has the complete log committed again.
+    // The only voter elects itself and commits the complete log again.
     for now in (0..3_000_000).step_by(10_000) {
         node.tick(now, now);
         for write in node.take_writes() {
             node.persisted(now, write.number);
         }
     }
-    assert_agreed(node.version_log(), "voter-compacted");
+    assert_state(node.version_log(), "voter-compacted");
 }
 
 #[test]
 fn a_replica_starts_on_the_snapshot_of_the_previous_build() {
     let snapshot = include_bytes!("../fixtures/previous_build/replica.bin");
     let node = Node::new(0, "n3", 2, config(3), &[], snapshot).unwrap();
-    assert_agreed(node.version_log(), "replica");
+    assert_state(node.version_log(), "replica");
     assert_eq!(node.snapshot().unwrap(), snapshot);
 }
 
@@ -125,7 +127,7 @@
 
 fn fixture(name: &str) -> &'static str {
     let mut lines = include_str!("../fixtures/previous_build/commands.txt").lines();
-    lines.find_map(|line| line.split_once(' ').filter(|(of, _)| *of == name)).unwrap().1
+    lines.find_map(|line| line.split_once(' ').filter(|(fixture_name, _)| *fixture_name == name)).unwrap().1
 }
 
 #[test]
--- a/consensus/tests/consensus/support.rs
+++ b/consensus/tests/consensus/support.rs
@@ -1,5 +1,7 @@
-//! A cluster of nodes in memory on virtual time: delays, loss, cuts, pauses, restarts, lost and torn disks, from a seed; and the
-//! rules that are checked while it runs.
+//! Simulated cluster of nodes in memory on virtual time, with seeded faults: delays, datagram loss, partitions, pauses,
+//! restarts, lost and torn disks.
+//!
+//! The invariants are checked while it runs.
 
 use asterrill::Us;
 use asterrill_consensus::{
@@ -10,85 +12,89 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Millisecond, in microseconds.
 pub const MS: Us = 1_000;
-/// A second.
+/// Second, in microseconds.
 pub const SECOND: Us = 1_000 * MS;
 
-/// The name of a node.
-pub fn name(n: usize) -> String {
+/// Returns the name of a node.
+pub fn node_name(n: usize) -> String {
     format!("n{n}")
 }
+
+/// Returns the configuration of a cluster with this number of voters.
 pub fn config(voters: usize) -> Config {
     Config {
-        voters: (0..voters).map(name).collect(),
+        voters: (0..voters).map(node_name).collect(),
         lease_duration: SECOND,
         renew_interval: 200 * MS,
         tick_interval: 20 * MS,
     }
 }
-/// Puts an entry for a tenant.
-pub fn put(key: &str, access: Access) -> Change {
+
+/// Returns a change that puts an entry for a tenant.
+pub fn put_tenant(key: &str, access: Access) -> Change {
     Change::Put { kind: ListKind::Tenants, key: key.into(), entry: ListEntry { access, expires_at: 0 } }
 }
 
-/// The file of one voter.
+/// Simulated file of a voter.
 #[derive(Default)]
 pub struct Disk {
     pub bytes: Vec<u8>,
-    /// Writes that are not finished, and when each will be.
-    pub unfinished: Vec<(Us, DiskWrite)>,
+    /// Writes that are not completed, and the time at which each will be.
+    pub incomplete_writes: Vec<(Us, DiskWrite)>,
 }
 
-/// A datagram on its way.
-struct InFlight {
+/// Datagram that has been sent and not delivered.
+struct InFlightDatagram {
     from: usize,
     to: usize,
     payload: Vec<u8>,
 }
 
-/// A proposal that was completed at a node.
-pub struct Outcome {
+/// Outcome of a proposal that was completed at a node.
+pub struct NodeOutcome {
     pub node: usize,
     pub proposal: u64,
     pub outcome: ProposalOutcome,
 }
 
-/// The nodes, their disks, and the network between them.
+/// Nodes, their disks, and the network between them.
 pub struct Cluster {
     pub now: Us,
     pub voters: usize,
-    /// `None` while a node is stopped.
+    /// Nodes by index; `None` while a node is stopped.
     pub nodes: Vec<Option<Node>>,
     pub disks: Vec<Disk>,
-    /// What the last run of a node that is no voter left behind.
+    /// Snapshots of the nodes that are not voters, taken when they were stopped.
     pub snapshots: Vec<Vec<u8>>,
-    /// By arrival time and a number that tells those of one moment apart.
-    in_flight: BTreeMap<(Us, u64), InFlight>,
-    last_datagram: u64,
+    /// Datagrams by arrival time, and by a number that distinguishes those with the same arrival time.
+    in_flight: BTreeMap<(Us, u64), InFlightDatagram>,
+    last_datagram_number: u64,
     rng: StdRng,
     /// Probability that a datagram is lost.
-    pub loss: f64,
-    /// Pairs of nodes of which the second does not hear the first.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub loss_probability: f64,
+    /// Pairs of sender and receiver between which datagrams are dropped.
+    pub blocked_links: BTreeSet<(usize, usize)>,
     pub paused: BTreeSet<usize>,
-    starts: u64,
+    last_incarnation: u64,
     /// Rates of the nodes' clocks, in thousandths.
     clock_rates: Vec<u64>,
-    pub outcomes: Vec<Outcome>,
-    /// When a tenant was first rejected under a lease, by version and tenant.
+    pub outcomes: Vec<NodeOutcome>,
+    /// Time at which a tenant was first rejected under a lease, by version and tenant.
     rejected_since: BTreeMap<(u64, String), Us>,
-    /// The longest time for which a tenant was allowed somewhere after it was rejected elsewhere by a newer version.
-    pub worst_contradiction: Us,
-    /// A hash of when which datagrams arrived.
-    pub trace: u64,
-    /// Hashes of the versions that were reported to a proposer as committed.
+    /// Longest time for which one node allowed a tenant after another rejected it by a newer version.
+    pub longest_contradiction: Us,
+    /// Hash of the arrival times and lengths of all datagrams.
+    pub trace_hash: u64,
+    /// Hashes of the versions that were reported to a proposer as committed, by number.
     pub committed: BTreeMap<u64, u64>,
-    /// The newest version that each node has acted on since it started.
-    highest: Vec<u64>,
+    /// Newest version that each node has enforced since it started.
+    highest_enforced: Vec<u64>,
 }
 
 impl Cluster {
-    /// Nodes of which the first `voters` are voters, all started.
+    /// Returns a cluster of started nodes, of which the first `voters` are voters.
     pub fn new(nodes: usize, voters: usize, seed: u64) -> Cluster {
         let mut rng = StdRng::seed_from_u64(seed);
         let clock_rates = (0..nodes).map(|_| 985 + rng.random_range(0..30)).collect();
@@ -99,102 +105,107 @@
             disks: (0..nodes).map(|_| Disk::default()).collect(),
             snapshots: vec![Vec::new(); nodes],
             in_flight: BTreeMap::new(),
-            last_datagram: 0,
+            last_datagram_number: 0,
             rng,
-            loss: 0.0,
-            cut: BTreeSet::new(),
+            loss_probability: 0.0,
+            blocked_links: BTreeSet::new(),
             paused: BTreeSet::new(),
-            starts: 0,
+            last_incarnation: 0,
             clock_rates,
             outcomes: Vec::new(),
             rejected_since: BTreeMap::new(),
-            worst_contradiction: 0,
-            trace: 0,
+            longest_contradiction: 0,
+            trace_hash: 0,
             committed: BTreeMap::new(),
-            highest: vec![0; nodes],
+            highest_enforced: vec![0; nodes],
         };
         (0..nodes).for_each(|n| cluster.start(n));
         cluster
     }
-    /// The time of a node's own clock.
+
+    /// Returns the time of a node's own clock.
     fn clock_of(&self, n: usize) -> Us {
         self.now * self.clock_rates[n] / 1_000
     }
 
-    /// Starts a node on what it has stored.
+    /// Starts a node on its stored data.
     pub fn start(&mut self, n: usize) {
-        self.starts += 1;
+        self.last_incarnation += 1;
         let clock = self.clock_of(n);
         let disk = &mut self.disks[n];
-        disk.unfinished.clear();
+        disk.incomplete_writes.clear();
         let config = config(self.voters);
-        let node = Node::new(clock, &name(n), self.starts, config, &disk.bytes, &self.snapshots[n]).unwrap();
+        let node =
+            Node::new(clock, &node_name(n), self.last_incarnation, config, &disk.bytes, &self.snapshots[n])
+                .unwrap();
         disk.bytes.truncate(node.valid_log_len());
         self.nodes[n] = Some(node);
-        self.highest[n] = 0;
+        self.highest_enforced[n] = 0;
     }
 
-    /// Stops a node. The first of its unfinished writes may be torn, the others are lost.
+    /// Stops a node. The first of its incomplete writes may be torn, and the others are lost.
     pub fn kill(&mut self, n: usize) {
         if let Some(snapshot) = self.nodes[n].as_ref().and_then(Node::snapshot) {
             self.snapshots[n] = snapshot;
         }
-        let torn = self.disks[n].unfinished.first().filter(|(_, w)| !w.replace).map(|(_, w)| w.bytes.clone());
+        let torn =
+            self.disks[n].incomplete_writes.first().filter(|(_, w)| !w.replace).map(|(_, w)| w.bytes.clone());
         if let Some(torn) = torn {
-            let cut = self.rng.random_range(0..=torn.len());
-            self.disks[n].bytes.extend_from_slice(&torn[..cut]);
+            let written_length = self.rng.random_range(0..=torn.len());
+            self.disks[n].bytes.extend_from_slice(&torn[..written_length]);
         }
         self.nodes[n] = None;
     }
 
-    /// Cuts some nodes off from all others.
+    /// Blocks all links between some nodes and all others.
     pub fn partition(&mut self, one_side: &[usize]) {
         for a in 0..self.nodes.len() {
             for b in 0..self.nodes.len() {
                 if one_side.contains(&a) != one_side.contains(&b) {
-                    self.cut.insert((a, b));
+                    self.blocked_links.insert((a, b));
                 }
             }
         }
     }
 
-    /// Takes what a node puts out.
-    fn collect(&mut self, n: usize) {
+    /// Collects the datagrams, writes and outcomes of a node.
+    fn collect_output(&mut self, n: usize) {
         let now = self.now;
         let Some(node) = &mut self.nodes[n] else { return };
         for Datagram { to, payload } in node.take_outgoing() {
             let to: usize = to[1..].parse().unwrap();
-            if self.cut.contains(&(n, to)) || self.rng.random::<f64>() < self.loss {
+            if self.blocked_links.contains(&(n, to)) || self.rng.random::<f64>() < self.loss_probability {
                 continue;
             }
-            self.last_datagram += 1;
+            self.last_datagram_number += 1;
             let delay = self.rng.random_range(200..3 * MS);
-            self.in_flight.insert((now + delay, self.last_datagram), InFlight { from: n, to, payload });
+            self.in_flight
+                .insert((now + delay, self.last_datagram_number), InFlightDatagram { from: n, to, payload });
         }
         for write in node.take_writes() {
             let duration = self.rng.random_range(100..4 * MS);
-            let after = self.disks[n].unfinished.last().map_or(now, |(at, _)| *at);
-            self.disks[n].unfinished.push((now.max(after) + duration, write));
+            let after = self.disks[n].incomplete_writes.last().map_or(now, |(at, _)| *at);
+            self.disks[n].incomplete_writes.push((now.max(after) + duration, write));
         }
         for CompletedProposal { number, outcome } in node.take_outcomes() {
             if let ProposalOutcome::Committed { number, hash } = &outcome {
                 self.committed.insert(*number, *hash);
             }
-            self.outcomes.push(Outcome { node: n, proposal: number, outcome });
+            self.outcomes.push(NodeOutcome { node: n, proposal: number, outcome });
         }
     }
 
-    /// Gives a node some input at the time of its clock, and takes what it puts out.
+    /// Passes input to a node at the time of its clock, and collects its output.
     pub fn with_node(&mut self, n: usize, input: impl FnOnce(&mut Node, Us)) {
         let clock = self.clock_of(n);
         if let Some(node) = &mut self.nodes[n] {
             input(node, clock);
         }
-        self.collect(n);
+        self.collect_output(n);
     }
 
-    /// Lets time pass, in steps of a millisecond.
-    pub fn run(&mut self, span: Us) {
+    /// Advances the time, in steps of a millisecond.
+    pub fn run_for(&mut self, span: Us) {
         let end = self.now + span;
         while self.now < end {
             self.now += MS;
@@ -203,14 +214,14 @@
                 if self.paused.contains(&n) || self.nodes[n].is_none() {
                     continue;
                 }
-                self.finish_writes(n);
+                self.complete_writes(n);
                 let (now, clock) = (self.now, self.clock_of(n));
                 if self.nodes[n].as_ref().is_some_and(|node| node.next_tick() <= clock) {
                     self.with_node(n, |node, clock| node.tick(clock, now));
                 }
             }
             if self.now.is_multiple_of(5 * MS) {
-                self.check();
+                self.check_invariants();
             }
         }
     }
@@ -218,21 +229,24 @@
     fn deliver_datagrams(&mut self) {
         let now = self.now;
         while let Some(entry) = self.in_flight.first_entry().filter(|e| e.key().0 <= now) {
-            let InFlight { from, to, payload } = entry.remove();
+            let InFlightDatagram { from, to, payload } = entry.remove();
             if self.paused.contains(&to) {
-                // It waits in the system's queue.
-                self.last_datagram += 1;
-                self.in_flight.insert((now + 50 * MS, self.last_datagram), InFlight { from, to, payload });
+                // The datagram waits in the socket's receive queue.
+                self.last_datagram_number += 1;
+                self.in_flight.insert(
+                    (now + 50 * MS, self.last_datagram_number),
+                    InFlightDatagram { from, to, payload },
+                );
                 continue;
             }
-            self.trace = self.trace.wrapping_mul(31).wrapping_add(now ^ payload.len() as u64);
-            self.with_node(to, |node, clock| node.receive(clock, &name(from), &payload));
+            self.trace_hash = self.trace_hash.wrapping_mul(31).wrapping_add(now ^ payload.len() as u64);
+            self.with_node(to, |node, clock| node.receive(clock, &node_name(from), &payload));
         }
     }
 
-    fn finish_writes(&mut self, n: usize) {
-        while self.disks[n].unfinished.first().is_some_and(|(at, _)| *at <= self.now) {
-            let (_, write) = self.disks[n].unfinished.remove(0);
+    fn complete_writes(&mut self, n: usize) {
+        while self.disks[n].incomplete_writes.first().is_some_and(|(at, _)| *at <= self.now) {
+            let (_, write) = self.disks[n].incomplete_writes.remove(0);
             if write.replace {
                 self.disks[n].bytes = write.bytes;
             } else {
@@ -242,31 +256,35 @@
         }
     }
 
-    /// The rules, after every step: from what nodes would answer now, not from what they report.
-    fn check(&mut self) {
+    /// Checks the invariants against what nodes would answer now, not against what they report.
+    fn check_invariants(&mut self) {
         for n in 0..self.nodes.len() {
             if self.paused.contains(&n) {
                 continue;
             }
             let clock = self.clock_of(n);
             let Some(node) = &self.nodes[n] else { continue };
-            // Once the lease is over, an answer is given without it, whether the node has had a tick or not.
+            // After the lease has expired a request is decided without it, whether the node has had a tick or not.
             let policy = if clock >= node.lease_until() {
                 node.apply_policy().after_lease_expiry()
             } else {
                 node.apply_policy().clone()
             };
-            self.check_history(n, &policy);
+            self.check_version_order(n, &policy);
             self.check_contradictions(&policy);
         }
     }
 
-    fn check_history(&mut self, n: usize, policy: &ApplyPolicy) {
+    fn check_version_order(&mut self, n: usize, policy: &ApplyPolicy) {
         let effective = policy.effective_number();
-        // Within one run no node goes back to an older version.
+        // Between two restarts no node goes back to an older version.
         if policy.mode == ApplyMode::Full {
-            assert!(effective >= self.highest[n], "n{n} acts on {effective} after {}", self.highest[n]);
-            self.highest[n] = effective;
+            assert!(
+                effective >= self.highest_enforced[n],
+                "n{n} enforces {effective} after {}",
+                self.highest_enforced[n]
+            );
+            self.highest_enforced[n] = effective;
         }
         if let Some(hash) = self.committed.get(&effective) {
             assert_eq!(policy.effective().hash(), *hash, "two histories of version {effective}");
@@ -278,67 +296,68 @@
         for key in ["a", "b", "c"] {
             let rejected = policy.rejects(ListKind::Tenants, key);
             if rejected && policy.mode == ApplyMode::Full {
-                // From this version on it is rejected by every node that acts on it.
+                // Each node that enforces this version rejects the key.
                 self.rejected_since.entry((effective, key.into())).or_insert(self.now);
             } else if !rejected {
-                // It is served here on an older version than one by which it is rejected elsewhere.
+                // This node serves the key on an older version than one by which another node rejects it.
                 let newer = self.rejected_since.range((effective + 1, String::new())..);
                 let since = newer.filter(|((_, k), _)| k == key).map(|(_, at)| *at).min();
                 let allowed = policy.effective().entry(ListKind::Tenants, key).is_some();
                 if let Some(since) = since.filter(|_| allowed) {
-                    self.worst_contradiction = self.worst_contradiction.max(self.now - since);
+                    self.longest_contradiction = self.longest_contradiction.max(self.now - since);
                 }
             }
         }
     }
 
-    /// The node that leads, if it runs.
+    /// Returns the leader, if there is one that is not paused.
     pub fn leader(&self) -> Option<usize> {
         let leads = |n: &usize| self.nodes[*n].as_ref().is_some_and(Node::is_leader);
         (0..self.voters).find(|n| !self.paused.contains(n) && leads(n))
     }
 
-    /// A node that runs.
+    /// Returns a running node.
     pub fn node(&self, n: usize) -> &Node {
         self.nodes[n].as_ref().unwrap()
     }
 
-    /// Proposes at a node. Returns the number of the proposal there.
+    /// Proposes a change at a node. Returns the number of the proposal at that node.
     pub fn propose(&mut self, n: usize, proposal: Proposal) -> u64 {
         let mut number = 0;
         self.with_node(n, |node, _| number = node.propose(proposal));
         number
     }
 
-    /// Proposes changes at a node, from whichever version is the newest.
+    /// Proposes changes at a node, without a base version.
     pub fn propose_changes(&mut self, n: usize, changes: Vec<Change>) -> u64 {
         self.propose(n, Proposal::Change { base: None, changes })
     }
 
-    /// Runs until a proposal is completed.
-    pub fn outcome(&mut self, n: usize, proposal: u64) -> ProposalOutcome {
+    /// Runs until a proposal is completed, and returns its outcome.
+    pub fn wait_for_outcome(&mut self, n: usize, proposal: u64) -> ProposalOutcome {
         for _ in 0..120 {
-            self.run(50 * MS);
-            let found = self.outcomes.iter().find(|o| (o.node, o.proposal) == (n, proposal));
+            self.run_for(50 * MS);
+            let found =
+                self.outcomes.iter().find(|outcome| (outcome.node, outcome.proposal) == (n, proposal));
             if let Some(found) = found {
                 return found.outcome.clone();
             }
         }
-        panic!("a proposal is completed within its timeout");
+        panic!("proposal {proposal} of n{n} was not completed within its timeout");
     }
 
     /// Proposes changes at a node and runs until they are committed. Returns the number of the version.
     pub fn commit(&mut self, n: usize, changes: Vec<Change>) -> u64 {
         let proposal = self.propose_changes(n, changes);
-        match self.outcome(n, proposal) {
+        match self.wait_for_outcome(n, proposal) {
             ProposalOutcome::Committed { number, .. } => number,
-            other => panic!("{other:?}"),
+            other => panic!("expected a committed proposal, found {other:?}"),
         }
     }
 
-    /// What each running node acts on: the mode and the version.
+    /// Returns the mode and the version that each running node enforces.
     pub fn policies(&self) -> Vec<(ApplyMode, u64)> {
-        let of = |node: &Node| (node.apply_policy().mode, node.apply_policy().effective_number());
-        self.nodes.iter().flatten().map(of).collect()
+        let describe = |node: &Node| (node.apply_policy().mode, node.apply_policy().effective_number());
+        self.nodes.iter().flatten().map(describe).collect()
     }
 }
--- a/consensus/tests/consensus/versions.rs
+++ b/consensus/tests/consensus/versions.rs
@@ -1,6 +1,6 @@
-//! Versions and steps by themselves.
+//! Unit tests of versions and steps.
 
-use crate::support::put;
+use crate::support::put_tenant;
 use asterrill_consensus::{
     contradicts, Access, Change, Step, StepError, Version, MAX_SETTINGS_BYTES, MAX_STEP_CHANGES,
 };
@@ -9,28 +9,33 @@
 fn a_step_applies_completely_or_not_at_all_and_versions_are_identified_by_hash() {
     let none = Version::default();
     let step = |base, changes| Step { base, proposer: "n1".into(), changes };
-    let one = none.apply(&step(Some(0), vec![put("a", Access::Allowed), put("b", Access::Denied)])).unwrap();
-    let same = none.apply(&step(Some(0), vec![put("b", Access::Denied), put("a", Access::Allowed)])).unwrap();
-    assert_eq!(one.hash(), same.hash(), "whatever the order");
+    let one = none
+        .apply(&step(Some(0), vec![put_tenant("a", Access::Allowed), put_tenant("b", Access::Denied)]))
+        .unwrap();
+    let same = none
+        .apply(&step(Some(0), vec![put_tenant("b", Access::Denied), put_tenant("a", Access::Allowed)]))
+        .unwrap();
+    assert_eq!(one.hash(), same.hash(), "the hash does not depend on the order of changes");
     assert!(matches!(
-        one.apply(&step(Some(0), vec![put("a", Access::Denied)])),
+        one.apply(&step(Some(0), vec![put_tenant("a", Access::Denied)])),
         Err(StepError::WrongBase { newest: 1, .. })
     ));
-    assert_eq!(one.apply(&step(None, vec![put("a", Access::Allowed)])), Err(StepError::NoChange));
+    assert_eq!(one.apply(&step(None, vec![put_tenant("a", Access::Allowed)])), Err(StepError::NoChange));
     assert!(matches!(
-        one.apply(&step(None, vec![put("\n", Access::Allowed)])),
+        one.apply(&step(None, vec![put_tenant("\n", Access::Allowed)])),
         Err(StepError::InvalidKey(_))
     ));
     assert_eq!(
-        one.apply(&step(None, vec![put("a", Access::Allowed); MAX_STEP_CHANGES + 1])),
+        one.apply(&step(None, vec![put_tenant("a", Access::Allowed); MAX_STEP_CHANGES + 1])),
         Err(StepError::TooManyChanges)
     );
     assert_eq!(
         one.apply(&step(None, vec![Change::Settings("x".repeat(MAX_SETTINGS_BYTES + 1))])),
         Err(StepError::SettingsTooLong)
     );
-    let two =
-        one.apply(&step(Some(1), vec![Change::Settings("{}".into()), put("a", Access::Denied)])).unwrap();
+    let two = one
+        .apply(&step(Some(1), vec![Change::Settings("{}".into()), put_tenant("a", Access::Denied)]))
+        .unwrap();
     assert!(contradicts(&one, &two) && contradicts(&two, &one) && !contradicts(&one, &same));
     let back = two.apply(&step(None, two.changes_to(&one))).unwrap();
     assert!(back.hash() != one.hash() && back.contents().entries == one.contents().entries);
--- a/consensus/tests/unit/message.rs
+++ b/consensus/tests/unit/message.rs
@@ -1,5 +1,5 @@
-//! Messages are encoded as the build before did: `fixtures/previous_build/messages.txt` was written by that build, with the
-//! values below.
+//! Tests that messages are encoded as by the previous build, which wrote `fixtures/previous_build/messages.txt` with
+//! the values below.
 
 use super::{Message, PartialTransfer};
 use crate::command::{CommandOutcome, ProposalId};
@@ -35,7 +35,7 @@
     resolved(number, CommandOutcome::Rejected(error))
 }
 
-/// One of each kind, by the name that it has in the file.
+/// Returns a message of each kind with its name in the fixture file.
 fn messages() -> Vec<(&'static str, Message)> {
     let transfer = PartialTransfer { number: 10, offset: 16_384 };
     let (incarnation, hash) = (1_700_000_000, 0x0123_4567_89ab_cdef);
@@ -82,7 +82,11 @@
         let (fixture_name, hex) = line.split_once(' ').unwrap();
         assert_eq!(fixture_name, name);
         let bytes = decode_hex(hex);
-        assert_eq!(postcard::to_stdvec(&message).unwrap(), bytes, "{name} is encoded otherwise");
-        assert_eq!(postcard::from_bytes::<Message>(&bytes).unwrap(), message, "{name} is decoded otherwise");
+        assert_eq!(postcard::to_stdvec(&message).unwrap(), bytes, "{name} is encoded differently");
+        assert_eq!(
+            postcard::from_bytes::<Message>(&bytes).unwrap(),
+            message,
+            "{name} is decoded differently"
+        );
     }
 }
