--- a/consensus/src/lease.rs
+++ b/consensus/src/lease.rs
@@ -17,17 +17,17 @@
 /// Maximum number of lease requests whose send times are remembered.
 const MAX_OPEN_ROUNDS: usize = 32;
 
-/// Returns the time for which a leader counts a lease of duration `lease` after granting it, in microseconds.
-pub fn leader_lease_duration(lease: Us) -> Us {
-    lease.saturating_add(lease / CLOCK_RATE_TOLERANCE_DIVISOR + 1)
+/// Returns the time for which a leader counts a lease of `lease_duration` after granting it, in microseconds.
+pub fn leader_lease_duration(lease_duration: Us) -> Us {
+    lease_duration.saturating_add(lease_duration / CLOCK_RATE_TOLERANCE_DIVISOR + 1)
 }
 
 /// Returns the maximum time for which one node may enforce a version that contradicts one that is active elsewhere, in
 /// microseconds.
 ///
-/// Leases have the duration `lease` and are renewed every `renew_interval`.
-pub fn contradiction_bound(lease: Us, renew_interval: Us) -> Us {
-    leader_lease_duration(lease).saturating_add(renew_interval)
+/// Leases last for `lease_duration` and are renewed every `renew_interval`.
+pub fn contradiction_bound(lease_duration: Us, renew_interval: Us) -> Us {
+    leader_lease_duration(lease_duration).saturating_add(renew_interval)
 }
 
 /// Lease of this node, as a lease holder.
@@ -53,10 +53,10 @@
     /// Extends the lease by the grant of a round, counted from the send time of its request.
     ///
     /// Returns false if the round is no longer remembered.
-    pub fn accept_grant(&mut self, round: u64, lease: Us) -> bool {
+    pub fn accept_grant(&mut self, round: u64, lease_duration: Us) -> bool {
         let Some(requested_at) = self.request_times.get(&round).copied() else { return false };
         self.request_times = self.request_times.split_off(&(round + 1));
-        self.until = self.until.max(requested_at.saturating_add(lease));
+        self.until = self.until.max(requested_at.saturating_add(lease_duration));
         true
     }
 
--- a/consensus/src/lessor.rs
+++ b/consensus/src/lessor.rs
@@ -36,10 +36,10 @@
     round: u64,
     /// Newest version that the node has. The node already enforces it where it is the stricter one.
     version: u64,
-    until: Us,
+    lease_until: Us,
 }
 
-/// Leader's state about lease holders, created for each term in which this node leads.
+/// Lease state of the leader, created for each term in which this node leads.
 #[derive(Debug)]
 pub struct Lessor {
     /// Time until which leases that an earlier leader granted may be valid.
@@ -53,9 +53,9 @@
 
 impl Lessor {
     /// Returns the state for the leader of a term, elected at `now`.
-    pub fn new(now: Us, lease: Us, term: u64) -> Lessor {
+    pub fn new(now: Us, lease_duration: Us, term: u64) -> Lessor {
         Lessor {
-            earlier_leases_until: now.saturating_add(leader_lease_duration(lease)),
+            earlier_leases_until: now.saturating_add(leader_lease_duration(lease_duration)),
             lease_holders: BTreeMap::new(),
             waiting_requests: Vec::new(),
             requests_by_barrier: BTreeMap::new(),
@@ -80,7 +80,7 @@
             incarnation: request.incarnation,
             round: request.round,
             version,
-            until: existing.map_or(0, |existing| existing.until),
+            lease_until: existing.map_or(0, |existing| existing.lease_until),
         };
         self.lease_holders.insert(request.requester.clone(), lease_holder);
         self.waiting_requests.push(request);
@@ -100,13 +100,14 @@
     }
 
     /// Grants and returns the requests of a barrier that a majority has confirmed, and of earlier barriers.
-    pub fn confirm_barrier(&mut self, now: Us, number: u64, lease: Us) -> Vec<LeaseRequest> {
+    pub fn confirm_barrier(&mut self, now: Us, number: u64, lease_duration: Us) -> Vec<LeaseRequest> {
         let later = self.requests_by_barrier.split_off(&(number + 1));
         let confirmed = std::mem::replace(&mut self.requests_by_barrier, later);
         let granted: Vec<LeaseRequest> = confirmed.into_values().flatten().collect();
         for request in &granted {
             if let Some(lease_holder) = self.lease_holders.get_mut(&request.requester) {
-                lease_holder.until = lease_holder.until.max(now.saturating_add(leader_lease_duration(lease)));
+                lease_holder.lease_until =
+                    lease_holder.lease_until.max(now.saturating_add(leader_lease_duration(lease_duration)));
             }
         }
         granted
@@ -115,13 +116,13 @@
     /// Reports whether a version that contradicts the active one may become active: each node has it, or has no lease
     /// any more.
     pub fn may_activate(&self, now: Us, number: u64) -> bool {
-        let ready = |holder: &LeaseHolder| holder.version >= number || holder.until <= now;
+        let ready = |holder: &LeaseHolder| holder.version >= number || holder.lease_until <= now;
         now >= self.earlier_leases_until && self.lease_holders.values().all(ready)
     }
 
     /// Returns how many nodes have a lease, and how many of them have version `number` or a newer one.
     pub fn count(&self, now: Us, number: u64) -> LeaseHolderCount {
-        let leased = self.lease_holders.values().filter(|holder| holder.until > now);
+        let leased = self.lease_holders.values().filter(|holder| holder.lease_until > now);
         leased.fold(LeaseHolderCount::default(), |count, holder| LeaseHolderCount {
             leased: count.leased + 1,
             up_to_date: count.up_to_date + usize::from(holder.version >= number),
--- a/consensus/src/node/leases.rs
+++ b/consensus/src/node/leases.rs
@@ -9,7 +9,7 @@
 
 /// Divisor of the renewal interval for the time between a redirect to another voter and the next lease request.
 ///
-/// It is short so that no lease expires because the leader changed.
+/// It shortens that time so that no lease expires because the leader changed.
 const REDIRECT_INTERVAL_DIVISOR: u64 = 8;
 
 impl Node {
--- a/consensus/src/version_log.rs
+++ b/consensus/src/version_log.rs
@@ -44,12 +44,12 @@
         /// Error of the decoder.
         source: postcard::Error,
     },
-    /// The first version does not have the hash that the snapshot states.
-    #[error("version {number} of the snapshot does not have the stated hash {expected:016x}")]
+    /// The first version does not have the hash that the snapshot records.
+    #[error("version {number} of the snapshot does not have the recorded hash {expected:016x}")]
     HashMismatch {
         /// Number of the version.
         number: u64,
-        /// Hash that the snapshot states.
+        /// Hash that the snapshot records.
         expected: u64,
     },
     /// A step can't be applied to the version before it.
--- a/consensus/tests/consensus/decoding.rs
+++ b/consensus/tests/consensus/decoding.rs
@@ -5,8 +5,8 @@
 use quickcheck::QuickCheck;
 
 #[test]
-fn arbitrary_bytes_never_panic_and_a_file_is_cut_after_its_last_valid_record() {
-    fn decodes_safely(bytes: Vec<u8>, cut_at: usize) -> bool {
+fn arbitrary_bytes_never_panic_and_a_file_is_truncated_after_its_last_valid_record() {
+    fn decodes_safely(bytes: Vec<u8>, offset: usize) -> bool {
         let mut cluster = Cluster::new(1, 1, 9);
         cluster.run_for(SECOND);
         cluster.with_node(0, |node, clock| node.receive(clock, "n5", &bytes));
@@ -15,14 +15,14 @@
             fragments.iter().for_each(|fragment| node.receive(clock, "n0", fragment))
         });
         let file = cluster.disks[0].bytes.clone();
-        let cut_at = cut_at % (file.len() + 1);
-        let decoded = decode_records(&file[..cut_at]);
+        let offset = offset % (file.len() + 1);
+        let decoded = decode_records(&file[..offset]);
         let mut damaged = file.clone();
-        if let Some(byte) = damaged.get_mut(cut_at) {
+        if let Some(byte) = damaged.get_mut(offset) {
             *byte ^= 1;
         }
         let started = Node::new(0, "n0", 1, config(1), &damaged, &bytes).is_ok();
-        decoded.valid_len <= cut_at
+        decoded.valid_len <= offset
             && decode_records(&file[..decoded.valid_len]).records == decoded.records
             && started
             && VersionLog::from_snapshot(&bytes).map_or(true, |log| log.number() == 0)
--- a/consensus/tests/consensus/seeded.rs
+++ b/consensus/tests/consensus/seeded.rs
@@ -14,7 +14,9 @@
     longest_contradiction: Us,
 }
 
-/// Runs one seeded case: faults overlap, keys are allowed and denied in turns, and the invariants are checked throughout.
+/// Runs one seeded case.
+///
+/// Faults overlap, keys are allowed, denied and removed at random, and the invariants are checked throughout.
 fn run_case(seed: u64, nodes: usize) -> CaseResult {
     let mut cluster = Cluster::new(nodes, 3, seed);
     cluster.run_for(1_500 * MS);
--- a/consensus/tests/consensus/support.rs
+++ b/consensus/tests/consensus/support.rs
@@ -85,7 +85,7 @@
     rejected_since: BTreeMap<(u64, String), Us>,
     /// Longest time for which one node allowed a tenant after another rejected it by a newer version.
     pub longest_contradiction: Us,
-    /// Hash of the arrival times and lengths of all datagrams.
+    /// Hash of the arrival times and lengths of all delivered datagrams.
     pub trace_hash: u64,
     /// Hashes of the versions that were reported to a proposer as committed, by number.
     pub committed: BTreeMap<u64, u64>,
--- a/consensus/tests/consensus/versions.rs
+++ b/consensus/tests/consensus/versions.rs
@@ -7,15 +7,15 @@
 
 #[test]
 fn a_step_applies_completely_or_not_at_all_and_versions_are_identified_by_hash() {
-    let none = Version::default();
+    let empty = Version::default();
     let step = |base, changes| Step { base, proposer: "n1".into(), changes };
-    let one = none
+    let one = empty
         .apply(&step(Some(0), vec![put_tenant("a", Access::Allowed), put_tenant("b", Access::Denied)]))
         .unwrap();
-    let same = none
+    let reordered = empty
         .apply(&step(Some(0), vec![put_tenant("b", Access::Denied), put_tenant("a", Access::Allowed)]))
         .unwrap();
-    assert_eq!(one.hash(), same.hash(), "the hash does not depend on the order of changes");
+    assert_eq!(one.hash(), reordered.hash(), "the hash does not depend on the order of changes");
     assert!(matches!(
         one.apply(&step(Some(0), vec![put_tenant("a", Access::Denied)])),
         Err(StepError::WrongBase { newest: 1, .. })
@@ -36,9 +36,9 @@
     let two = one
         .apply(&step(Some(1), vec![Change::Settings("{}".into()), put_tenant("a", Access::Denied)]))
         .unwrap();
-    assert!(contradicts(&one, &two) && contradicts(&two, &one) && !contradicts(&one, &same));
-    let back = two.apply(&step(None, two.changes_to(&one))).unwrap();
-    assert!(back.hash() != one.hash() && back.contents().entries == one.contents().entries);
+    assert!(contradicts(&one, &two) && contradicts(&two, &one) && !contradicts(&one, &reordered));
+    let restored = two.apply(&step(None, two.changes_to(&one))).unwrap();
+    assert!(restored.hash() != one.hash() && restored.contents().entries == one.contents().entries);
     assert_eq!(Version::from_contents(two.contents(), two.hash()), Some(two.clone()));
     assert_eq!(Version::from_contents(two.contents(), one.hash()), None);
 }
