--- a/daemon/src/change/content.rs
+++ b/daemon/src/change/content.rs
@@ -2,7 +2,7 @@
 
 use asterrill_entries::Configuration;
 use asterrill_operator_config::OperatorConfig;
-use asterrill_rollout::{hash, PersistedVersion, VersionHash};
+use asterrill_rollout::{version_hash, PersistedVersion, VersionHash};
 use asterrill_settings::SettingsError;
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -43,7 +43,7 @@
 
     /// The version's hash: the same for the same meaning of the entries.
     pub fn hash(&self) -> VersionHash {
-        hash(&self.configuration, &self.operator_text)
+        version_hash(&self.configuration, &self.operator_text)
     }
 
     /// A hash of the entries alone, as snapshots of learned values name it.
--- a/daemon/src/change/driver.rs
+++ b/daemon/src/change/driver.rs
@@ -332,7 +332,7 @@
         for event in self.rollout.take_events() {
             let entries = self.steps.get(&event.version).map_or(0, |step| step.len());
             info!(log, "configuration"; "what" => event.kind.as_str(), "version" => event.version,
-                "hash" => &*event.hash, "base" => event.base, "entries" => entries, "why" => &event.why);
+                "hash" => &*event.hash, "base" => event.base, "entries" => entries, "why" => &event.reason);
         }
         let on_probation = self.rollout.phase() != Phase::Confirmed;
         let running = Some(self.rollout.running()).filter(|_| on_probation);
@@ -345,7 +345,7 @@
 fn describe_loss(expected: Loss, observed: Loss) -> String {
     format!(
         "loss of {:.3} where {:.3} was to be expected, on {:.0} RPCs' worth",
-        observed.fraction, expected.fraction, observed.evidence
+        observed.fraction, expected.fraction, observed.effective_samples
     )
 }
 
--- a/daemon/src/change/prepare.rs
+++ b/daemon/src/change/prepare.rs
@@ -94,7 +94,7 @@
 fn check_base(context: &ValidationContext, base: Option<u64>) -> Result<(), RolloutError> {
     let running = context.version;
     match base.filter(|given| *given != running) {
-        Some(given) => Err(RolloutError::OtherBase { given, running }),
+        Some(given) => Err(RolloutError::BaseMismatch { given, running }),
         None => Ok(()),
     }
 }
--- a/daemon/src/change/status.rs
+++ b/daemon/src/change/status.rs
@@ -53,7 +53,7 @@
             version: event.version,
             hash: event.hash.to_string(),
             base: event.base,
-            why: event.why.clone(),
+            why: event.reason.clone(),
         };
         HistoryReply { history: self.rollout.history().map(reply).collect() }
     }
--- a/daemon/src/store/versions.rs
+++ b/daemon/src/store/versions.rs
@@ -3,7 +3,7 @@
 
 use super::former_versions::{read_former_versions, remove_former_versions};
 use crate::durable_file;
-use asterrill_rollout::{recover, write_snapshot, PersistedState, WrittenRecord};
+use asterrill_rollout::{recover, write_snapshot, PersistedState, WrittenFile};
 use slog::{warn, Logger};
 use std::fs::File;
 use std::io::{self, BufReader};
@@ -41,7 +41,7 @@
 #[derive(Default)]
 pub(super) struct VersionsFile {
     /// `None` before the first write and after a failure, when it is unknown what is there.
-    written: Option<WrittenRecord>,
+    written: Option<WrittenFile>,
 }
 
 impl VersionsFile {
--- a/rollout/src/baseline.rs
+++ b/rollout/src/baseline.rs
@@ -5,9 +5,9 @@
 use std::collections::VecDeque;
 
 /// Length of a slot, in microseconds. Samples are summed up and judged by slots.
-pub(crate) const SLOT: Us = 500_000;
+pub(crate) const SLOT_US: Us = 500_000;
 /// Slots of the baseline: 20 seconds.
-const BASELINE_SLOTS: usize = 40;
+const MAX_BASELINE_SLOTS: usize = 40;
 
 /// A sliding window over the last slots. It is recorded at all times, so that a change finds its baseline.
 #[derive(Clone, Debug, Default)]
@@ -22,11 +22,11 @@
     /// Adds what was served since the last call.
     pub fn record(&mut self, now: Us, sample: &ServiceSample) {
         self.open_slot.add(sample);
-        if now < self.open_since.saturating_add(SLOT) {
+        if now < self.open_since.saturating_add(SLOT_US) {
             return;
         }
         self.open_since = now;
-        if self.slots.len() >= BASELINE_SLOTS {
+        if self.slots.len() >= MAX_BASELINE_SLOTS {
             self.slots.pop_front();
         }
         self.slots.push_back(std::mem::take(&mut self.open_slot));
--- a/rollout/src/bounded_list.rs
+++ b/rollout/src/bounded_list.rs
@@ -1,7 +1,7 @@
 //! A list with a bound: what does not fit is counted, and its text is never made.
 
 /// Lines and problems that are listed at the most; of more only the count is given.
-pub const MAX_LISTED: usize = 200;
+pub const MAX_LISTED_ITEMS: usize = 200;
 
 pub(crate) struct BoundedList<T> {
     items: Vec<T>,
@@ -15,7 +15,7 @@
 
     /// Adds an item; `make` is not called where it does not fit.
     pub(crate) fn push_with(&mut self, make: impl FnOnce() -> T) {
-        if self.items.len() < MAX_LISTED {
+        if self.items.len() < MAX_LISTED_ITEMS {
             self.items.push(make());
         } else {
             self.omitted += 1;
--- a/rollout/src/touched.rs
+++ b/rollout/src/changed_entries.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// What changes touch, each key once and in the order of names.
-pub(crate) struct Touched<'a> {
+pub(crate) struct ChangedEntries<'a> {
     /// The new global settings, where they change.
     pub(crate) globals: Option<&'a GlobalSettings>,
     /// Methods with their new terms; `None` where they are removed.
@@ -14,25 +14,26 @@
     pub(crate) tenants: BTreeMap<&'a Name, Option<f64>>,
 }
 
-impl<'a> Touched<'a> {
+impl<'a> ChangedEntries<'a> {
     /// Of several changes of one key the last counts, as when they are applied.
-    pub(crate) fn by(changes: &'a [Change]) -> Touched<'a> {
-        let mut touched = Touched { globals: None, methods: BTreeMap::new(), tenants: BTreeMap::new() };
+    pub(crate) fn from_changes(changes: &'a [Change]) -> ChangedEntries<'a> {
+        let mut changed =
+            ChangedEntries { globals: None, methods: BTreeMap::new(), tenants: BTreeMap::new() };
         for change in changes {
             match change {
-                Change::SetGlobals(globals) => touched.globals = Some(globals),
-                Change::PutMethod(name, method) => drop(touched.methods.insert(name, Some(method))),
-                Change::RemoveMethod(name) => drop(touched.methods.insert(name, None)),
-                Change::PutTenant(name, quota) => drop(touched.tenants.insert(name, Some(*quota))),
-                Change::RemoveTenant(name) => drop(touched.tenants.insert(name, None)),
+                Change::SetGlobals(globals) => changed.globals = Some(globals),
+                Change::PutMethod(name, method) => drop(changed.methods.insert(name, Some(method))),
+                Change::RemoveMethod(name) => drop(changed.methods.insert(name, None)),
+                Change::PutTenant(name, quota) => drop(changed.tenants.insert(name, Some(*quota))),
+                Change::RemoveTenant(name) => drop(changed.tenants.insert(name, None)),
             }
         }
-        touched
+        changed
     }
 }
 
 /// The global figures that are compared.
-pub(crate) struct GlobalFigures {
+pub(crate) struct GlobalValues {
     /// CPU cores of one server.
     pub(crate) cores: f64,
     /// Running RPCs a core that the server survives.
@@ -43,9 +44,9 @@
     pub(crate) call_quota: Option<f64>,
 }
 
-impl GlobalFigures {
-    pub(crate) fn of(globals: &GlobalSettings) -> GlobalFigures {
-        GlobalFigures {
+impl GlobalValues {
+    pub(crate) fn of(globals: &GlobalSettings) -> GlobalValues {
+        GlobalValues {
             cores: globals.cores as f64,
             max_running_per_core: globals.max_running_per_core,
             memory_kb: globals.ram_kb,
--- a/rollout/src/check.rs
+++ b/rollout/src/check.rs
@@ -2,8 +2,8 @@
 //! costs that, however much a version holds.
 
 use crate::bounded_list::BoundedList;
+use crate::changed_entries::{ChangedEntries, GlobalValues};
 use crate::dry_run::{dry_run, ObservedLoad};
-use crate::touched::{GlobalFigures, Touched};
 use asterrill::{Idempotency, Method};
 use asterrill_entries::{Change, Configuration, EntryKind, Name};
 use std::fmt;
@@ -15,8 +15,8 @@
     Invalid(String),
     /// The change is taken if forced.
     Risky(String),
-    /// So many more than [`crate::MAX_LISTED`], none of them worse than the last that is listed.
-    More(usize),
+    /// So many more than [`crate::MAX_LISTED_ITEMS`], none of them worse than the last that is listed.
+    Omitted(usize),
 }
 
 impl fmt::Display for Problem {
@@ -24,7 +24,7 @@
         match self {
             Problem::Invalid(text) => write!(f, "wrong: {text}"),
             Problem::Risky(text) => write!(f, "risky: {text} (may be forced)"),
-            Problem::More(count) => write!(f, "and {count} more"),
+            Problem::Omitted(count) => write!(f, "and {count} more"),
         }
     }
 }
@@ -32,7 +32,7 @@
 /// Fraction of the last minute's RPCs above which rejecting them, where the running version would not, is risky.
 const RISKY_REJECTED_FRACTION: f64 = 0.05;
 
-/// The problems of a change, the invalid ones first, [`crate::MAX_LISTED`] of them at most and then how many more there
+/// The problems of a change, the invalid ones first, [`crate::MAX_LISTED_ITEMS`] of them at most and then how many more there
 /// are.
 ///
 /// `staged` is what `running` becomes by `changes`; `max_factor`: by how much a figure may differ from the running one,
@@ -45,9 +45,9 @@
     let checks = Checks {
         running,
         staged,
-        touched: &Touched::by(changes),
-        old: GlobalFigures::of(running.globals()),
-        new: GlobalFigures::of(staged.globals()),
+        changed: &ChangedEntries::from_changes(changes),
+        old: GlobalValues::of(running.globals()),
+        new: GlobalValues::of(staged.globals()),
         observed,
         max_factor,
     };
@@ -58,7 +58,7 @@
     checks.find_risky_globals(&mut problems);
     checks.find_removed_tenants(&mut problems);
     checks.find_rejected_load(&mut problems);
-    problems.0.finish(Problem::More)
+    problems.0.finish(Problem::Omitted)
 }
 
 struct Problems(BoundedList<Problem>);
@@ -76,9 +76,9 @@
 struct Checks<'a> {
     running: &'a Configuration,
     staged: &'a Configuration,
-    touched: &'a Touched<'a>,
-    old: GlobalFigures,
-    new: GlobalFigures,
+    changed: &'a ChangedEntries<'a>,
+    old: GlobalValues,
+    new: GlobalValues,
     observed: &'a ObservedLoad,
     max_factor: f64,
 }
@@ -88,7 +88,7 @@
         if self.staged.count(EntryKind::Method) == 0 {
             problems.invalid(|| "there is no method".into());
         }
-        for name in self.touched.methods.keys() {
+        for name in self.changed.methods.keys() {
             if let Some(method) = self.staged.method(name) {
                 find_invalid_terms(name, method, problems);
             }
@@ -96,7 +96,7 @@
     }
 
     fn find_invalid_globals(&self, problems: &mut Problems) {
-        let GlobalFigures { cores, max_running_per_core, memory_kb, call_quota } = self.new;
+        let GlobalValues { cores, max_running_per_core, memory_kb, call_quota } = self.new;
         let ObservedLoad { in_use_kb, available_kb, .. } = *self.observed;
         if cores < 1.0 {
             problems.invalid(|| "there is no core".into());
@@ -128,7 +128,7 @@
     }
 
     fn find_risky_methods_and_tenants(&self, problems: &mut Problems) {
-        for name in self.touched.methods.keys() {
+        for name in self.changed.methods.keys() {
             let (Some(old), Some(new)) = (self.running.method(name), self.staged.method(name)) else {
                 continue;
             };
@@ -139,7 +139,7 @@
             let (from, to) = (old.deadline as f64, new.deadline as f64);
             self.compare(&|| format!("the deadline of {name} (us)"), from, to, problems);
         }
-        for name in self.touched.tenants.keys() {
+        for name in self.changed.tenants.keys() {
             if let (Some(old), Some(new)) = (self.running.tenant(name), self.staged.tenant(name)) {
                 self.compare(&|| format!("the quota of tenant {name}"), old, new, problems);
             }
@@ -158,7 +158,7 @@
     }
 
     fn find_removed_tenants(&self, problems: &mut Problems) {
-        for name in self.touched.tenants.keys() {
+        for name in self.changed.tenants.keys() {
             if self.running.tenant(name).is_some() && self.staged.tenant(name).is_none() {
                 problems.risky(|| format!("tenant {name} is gone"));
             }
@@ -168,7 +168,7 @@
     /// What the change would have rejected in the last minute beyond what the running version would have by the same
     /// rough measure. Tenants have no part in it.
     fn find_rejected_load(&self, problems: &mut Problems) {
-        if self.touched.globals.is_none() && self.touched.methods.is_empty() {
+        if self.changed.globals.is_none() && self.changed.methods.is_empty() {
             return;
         }
         let added = dry_run(self.staged, self.observed) - dry_run(self.running, self.observed);
--- a/rollout/src/difference.rs
+++ b/rollout/src/difference.rs
@@ -1,40 +1,40 @@
 //! What a change means, in lines for people. Costs what differs, however much a version holds.
 
 use crate::bounded_list::BoundedList;
-use crate::touched::{GlobalFigures, Touched};
+use crate::changed_entries::{ChangedEntries, GlobalValues};
 use asterrill::{Method, Us};
 use asterrill_entries::{Change, Configuration, Name};
 
-/// What the changes make of the running version, a line each, [`crate::MAX_LISTED`] at most and then how many more there
+/// What the changes make of the running version, a line each, [`crate::MAX_LISTED_ITEMS`] at most and then how many more there
 /// are; nothing where they mean what runs.
 pub fn difference(running: &Configuration, changes: &[Change]) -> Vec<String> {
-    let touched = Touched::by(changes);
+    let changed = ChangedEntries::from_changes(changes);
     let mut lines = Lines(BoundedList::new());
-    if let Some(globals) = touched.globals {
-        lines.compare_globals(&GlobalFigures::of(running.globals()), &GlobalFigures::of(globals));
+    if let Some(globals) = changed.globals {
+        lines.compare_globals(&GlobalValues::of(running.globals()), &GlobalValues::of(globals));
     }
-    for (name, new) in &touched.methods {
+    for (name, new) in &changed.methods {
         if let (Some(old), Some(new)) = (running.method(name), new) {
             lines.compare_methods(name, old, new);
         }
     }
-    for (name, new) in &touched.tenants {
+    for (name, new) in &changed.tenants {
         if let Some(new) = new {
             let old = running.tenant(name).unwrap_or(0.0);
             lines.compare(&|| format!("tenant {name}: RPCs a second"), old, *new, "");
         }
     }
-    for (name, new) in &touched.methods {
+    for (name, new) in &changed.methods {
         if new.is_none() && running.method(name).is_some() {
             lines.0.push_with(|| format!("method {name}: removed"));
         }
     }
-    for (name, new) in &touched.tenants {
+    for (name, new) in &changed.tenants {
         if new.is_none() && running.tenant(name).is_some() {
             lines.0.push_with(|| format!("tenant {name}: removed"));
         }
     }
-    for (name, new) in &touched.methods {
+    for (name, new) in &changed.methods {
         if new.is_some() && running.method(name).is_none() {
             lines.0.push_with(|| format!("method {name}: new"));
         }
@@ -51,7 +51,7 @@
         }
     }
 
-    fn compare_globals(&mut self, old: &GlobalFigures, new: &GlobalFigures) {
+    fn compare_globals(&mut self, old: &GlobalValues, new: &GlobalValues) {
         let (running, new_running) = (old.max_running_per_core, new.max_running_per_core);
         self.compare(&|| "cores".into(), old.cores, new.cores, "");
         self.compare(&|| "max running RPCs per core".into(), running, new_running, "");
--- a/rollout/src/dry_run.rs
+++ b/rollout/src/dry_run.rs
@@ -1,6 +1,6 @@
 //! The dry run: what a version would have rejected of the last minute's RPCs.
 
-use crate::touched::GlobalFigures;
+use crate::changed_entries::GlobalValues;
 use asterrill_entries::{Configuration, Name};
 use std::collections::BTreeMap;
 
@@ -51,7 +51,7 @@
         }
     }
     candidates.sort_by(|a, b| b.criticality.total_cmp(&a.criticality));
-    let cores = GlobalFigures::of(version.globals()).cores;
+    let cores = GlobalValues::of(version.globals()).cores;
     let mut capacity_us = cores * observed.seconds * 1e6;
     for Candidate { load: MethodLoad { requests, mean_work_us }, .. } in candidates {
         let served = if mean_work_us > 0.0 { (capacity_us / mean_work_us).min(requests) } else { requests };
--- a/rollout/src/lib.rs
+++ b/rollout/src/lib.rs
@@ -42,31 +42,32 @@
 
 mod baseline;
 mod bounded_list;
+mod changed_entries;
 mod check;
 mod command;
 mod difference;
 mod dry_run;
 mod probation;
-mod record;
 mod sample;
-mod touched;
 mod transaction;
 mod version;
+mod version_file;
 
 pub use baseline::Baseline;
-pub use bounded_list::MAX_LISTED;
+pub use bounded_list::MAX_LISTED_ITEMS;
 pub use check::{check, Problem};
 pub use command::SimpleCommand;
 pub use difference::difference;
 pub use dry_run::{dry_run, MethodLoad, ObservedLoad};
 pub use probation::{
-    Loss, ProbationMonitor, Verdict, MARGIN, MAX_EXTENSION, MIN_EVIDENCE, RECENT_SLOTS, STANDARD_ERRORS,
-};
-pub use record::{
-    choose_start, hash, recover, write_snapshot, Damage, PersistedState, PersistedVersion, RecordDamage,
-    RecordFault, RecordUpdate, Recovered, StartDecision, WrittenRecord, MAX_OPERATOR_FILE_BYTES,
-    MIN_COMPACTION_BYTES,
+    Loss, ProbationMonitor, Verdict, MAX_EXCESS_LOSS, MAX_PROBATION_FACTOR, MIN_EFFECTIVE_SAMPLES,
+    MIN_STANDARD_ERRORS, RECENT_SLOTS,
 };
 pub use sample::{MethodCounts, ServiceSample};
 pub use transaction::{Event, EventKind, Phase, Proposal, Rollout, RolloutError, StageOptions};
 pub use version::{RolledBack, Us, Version, VersionHash};
+pub use version_file::{
+    choose_start, recover, version_hash, write_snapshot, DamagedRecord, PendingSteps, PersistedState,
+    PersistedVersion, RecordError, Recovered, StartDecision, VersionFileError, WrittenFile,
+    MAX_OPERATOR_FILE_BYTES, MIN_COMPACTION_BYTES,
+};
--- a/rollout/src/probation.rs
+++ b/rollout/src/probation.rs
@@ -18,13 +18,13 @@
 //! one short failure in it does not count.
 //!
 //! The test is of a proportion with weights: the change is rolled back once the loss exceeds what is expected by
-//! [`MARGIN`] and by [`STANDARD_ERRORS`], on at least [`MIN_EVIDENCE`] RPCs' worth of evidence. It is confirmed when the
-//! probation ends; with less evidence than that it is extended, to [`MAX_EXTENSION`] times its length at the most.
+//! [`MAX_EXCESS_LOSS`] and by [`MIN_STANDARD_ERRORS`], on at least [`MIN_EFFECTIVE_SAMPLES`] RPCs' worth of evidence. It is confirmed when the
+//! probation ends; with less evidence than that it is extended, to [`MAX_PROBATION_FACTOR`] times its length at the most.
 //!
-//! Limits: a change that costs less than [`MARGIN`] stays; a change that is applied into the first seconds of
+//! Limits: a change that costs less than [`MAX_EXCESS_LOSS`] stays; a change that is applied into the first seconds of
 //! a failure that lasts, and that only this server sees, is rolled back though it was good.
 
-use crate::baseline::{Baseline, SLOT};
+use crate::baseline::{Baseline, SLOT_US};
 use crate::sample::ServiceSample;
 use crate::version::Us;
 use asterrill_entries::Configuration;
@@ -33,16 +33,16 @@
 /// Slots of half a second that must all be bad.
 pub const RECENT_SLOTS: usize = 6;
 /// Fraction of criticality that may be lost beyond what is expected.
-pub const MARGIN: f64 = 0.05;
+pub const MAX_EXCESS_LOSS: f64 = 0.05;
 /// Standard errors that the loss must lie above what is expected.
-pub const STANDARD_ERRORS: f64 = 4.0;
+pub const MIN_STANDARD_ERRORS: f64 = 4.0;
 /// RPCs' worth of evidence before anything is decided.
-pub const MIN_EVIDENCE: f64 = 30.0;
+pub const MIN_EFFECTIVE_SAMPLES: f64 = 30.0;
 /// Times the probation lasts at the longest while there is too little evidence.
-pub const MAX_EXTENSION: u64 = 3;
+pub const MAX_PROBATION_FACTOR: u64 = 3;
 
 /// RPCs' worth of evidence in a slot, below which it proves nothing by itself.
-const MIN_SLOT_EVIDENCE: f64 = 3.0;
+const MIN_SLOT_EFFECTIVE_SAMPLES: f64 = 3.0;
 /// Fraction of the cores beyond which work is more than the old version could do for long.
 const SUSTAINABLE_UTILIZATION: f64 = 0.9;
 /// The pooled loss is taken to lie within these bounds: a window without any loss proves little.
@@ -55,7 +55,7 @@
     /// Lost criticality by all criticality, 0 to 1.
     pub fraction: f64,
     /// How many RPCs of equal weight would prove as much.
-    pub evidence: f64,
+    pub effective_samples: f64,
 }
 
 /// What is to become of the change.
@@ -109,7 +109,7 @@
 
 /// How many slots had enough evidence, and how many of them were bad.
 #[derive(Clone, Copy, Debug, Default)]
-struct SlotTally {
+struct SlotCounts {
     conclusive: usize,
     bad: usize,
 }
@@ -123,12 +123,12 @@
     capacity_us: f64,
     baseline: ServiceSample,
     /// RPCs' worth of evidence in the baseline.
-    baseline_evidence: f64,
+    baseline_effective_samples: f64,
     recent: VecDeque<Slot>,
     /// Over all of the probation.
     total: ServiceSample,
     total_expected: WeightedLoss,
-    tally: SlotTally,
+    tally: SlotCounts,
     open_slot: ServiceSample,
     open_since: Us,
     start: Us,
@@ -139,25 +139,25 @@
     /// Begins at `now`, for a probation of `probation` microseconds. `old`: the version before, by whose criticality
     /// and cores the change is judged.
     pub fn new(now: Us, baseline: &Baseline, old: Configuration, probation: Us) -> ProbationMonitor {
-        let slots_per_second = (1_000_000 / SLOT) as f64;
+        let slots_per_second = (1_000_000 / SLOT_US) as f64;
         let sustainable = old.globals().cores as f64 * MICROSECONDS_PER_SECOND * SUSTAINABLE_UTILIZATION;
         let capacity_us = sustainable.max(baseline.peak_slot_work_us() * slots_per_second);
         let mut monitor = ProbationMonitor {
             old,
             capacity_us,
             baseline: ServiceSample::default(),
-            baseline_evidence: 0.0,
+            baseline_effective_samples: 0.0,
             recent: VecDeque::new(),
             total: ServiceSample::default(),
             total_expected: WeightedLoss::default(),
-            tally: SlotTally::default(),
+            tally: SlotCounts::default(),
             open_slot: ServiceSample::default(),
             open_since: now,
             start: now,
             probation,
         };
         let baseline = baseline.total();
-        monitor.baseline_evidence = monitor.observed_loss(&baseline).evidence;
+        monitor.baseline_effective_samples = monitor.observed_loss(&baseline).effective_samples;
         monitor.baseline = baseline;
         monitor
     }
@@ -165,7 +165,7 @@
     /// Adds what was served since the last call, and judges once a slot is complete.
     pub fn observe(&mut self, now: Us, sample: &ServiceSample) -> Verdict {
         self.open_slot.add(sample);
-        if now < self.open_since.saturating_add(SLOT) {
+        if now < self.open_since.saturating_add(SLOT_US) {
             return Verdict::Wait;
         }
         self.open_since = now;
@@ -179,9 +179,9 @@
         let expected = self.expected_of(&sample);
         self.total_expected = self.total_expected.plus(expected);
         let observed = self.observed_loss(&sample);
-        let conclusive = observed.evidence >= MIN_SLOT_EVIDENCE;
+        let conclusive = observed.effective_samples >= MIN_SLOT_EFFECTIVE_SAMPLES;
         // One without enough evidence does not speak for the change either.
-        let bad = !conclusive || observed.fraction > expected.fraction() + MARGIN / 2.0;
+        let bad = !conclusive || observed.fraction > expected.fraction() + MAX_EXCESS_LOSS / 2.0;
         if conclusive {
             self.tally.conclusive += 1;
             self.tally.bad += usize::from(bad);
@@ -202,8 +202,8 @@
         }
         let expected = self.expected_loss(self.total_expected);
         let observed = self.observed_loss(&self.total);
-        let enough = observed.evidence >= MIN_EVIDENCE;
-        if !enough && passed < self.probation.saturating_mul(MAX_EXTENSION) {
+        let enough = observed.effective_samples >= MIN_EFFECTIVE_SAMPLES;
+        if !enough && passed < self.probation.saturating_mul(MAX_PROBATION_FACTOR) {
             return Verdict::Wait;
         }
         // A small loss that lasted for all of the probation shows only now.
@@ -221,7 +221,7 @@
         let expected = self.recent.iter().fold(WeightedLoss::default(), |sum, slot| sum.plus(slot.expected));
         let expected = self.expected_loss(expected);
         let observed = self.observed_loss(&sample);
-        let full = self.recent.len() >= RECENT_SLOTS && observed.evidence >= MIN_EVIDENCE;
+        let full = self.recent.len() >= RECENT_SLOTS && observed.effective_samples >= MIN_EFFECTIVE_SAMPLES;
         let all_bad = self.recent.iter().all(|slot| slot.bad);
         (full && significantly_above(expected, observed) && all_bad)
             .then_some(Verdict::RollBack { expected, observed })
@@ -242,14 +242,14 @@
             sum.lost += weight * (judged - counts.in_time).max(0.0);
             squares += weight * weight * judged;
         }
-        let evidence = if squares > 0.0 { sum.total * sum.total / squares } else { 0.0 };
-        Loss { fraction: sum.fraction(), evidence }
+        let effective_samples = if squares > 0.0 { sum.total * sum.total / squares } else { 0.0 };
+        Loss { fraction: sum.fraction(), effective_samples }
     }
 
     /// What the old version would have lost of a slot's load: as in the baseline, and of each method what is beyond
     /// the capacity.
     fn expected_of(&self, sample: &ServiceSample) -> WeightedLoss {
-        let capacity_us = self.capacity_us * SLOT as f64 / 1e6;
+        let capacity_us = self.capacity_us * SLOT_US as f64 / 1e6;
         let work_us = sample.total_work_us();
         let fits = if work_us > 0.0 { (capacity_us / work_us).min(1.0) } else { 1.0 };
         let mut sum = WeightedLoss::default();
@@ -267,7 +267,7 @@
 
     /// An expected loss; its evidence is that of the baseline.
     fn expected_loss(&self, sum: WeightedLoss) -> Loss {
-        Loss { fraction: sum.fraction(), evidence: self.baseline_evidence }
+        Loss { fraction: sum.fraction(), effective_samples: self.baseline_effective_samples }
     }
 }
 
@@ -275,7 +275,8 @@
 fn significantly_above(expected: Loss, observed: Loss) -> bool {
     let pooled = (expected.fraction + observed.fraction) / 2.0;
     let pooled = pooled.clamp(*POOLED_LOSS.start(), *POOLED_LOSS.end());
-    let inverse_evidence = 1.0 / observed.evidence.max(1.0) + 1.0 / expected.evidence.max(1.0);
-    let standard_error = (pooled * (1.0 - pooled) * inverse_evidence).sqrt();
-    observed.fraction > expected.fraction + MARGIN.max(STANDARD_ERRORS * standard_error)
+    let inverse_samples =
+        1.0 / observed.effective_samples.max(1.0) + 1.0 / expected.effective_samples.max(1.0);
+    let standard_error = (pooled * (1.0 - pooled) * inverse_samples).sqrt();
+    observed.fraction > expected.fraction + MAX_EXCESS_LOSS.max(MIN_STANDARD_ERRORS * standard_error)
 }
--- a/rollout/src/transaction.rs
+++ b/rollout/src/transaction.rs
@@ -33,7 +33,7 @@
 pub enum RolloutError {
     /// The change was made from another version than the one that runs.
     #[error("it was made from version {given}, but version {running} runs")]
-    OtherBase {
+    BaseMismatch {
         /// The version that the change names as its base.
         given: u64,
         /// The version that runs.
@@ -41,19 +41,19 @@
     },
     /// The change means what this version, which runs, says already.
     #[error("it is what runs already, as version {0}")]
-    Same(u64),
+    Unchanged(u64),
     /// This version is on probation.
     #[error("version {0} is on probation until it is settled or undone")]
     OnProbation(u64),
     /// This version is staged.
     #[error("version {0} is staged already: apply it, or drop it first")]
-    Staged(u64),
+    AlreadyStaged(u64),
     /// This version is queued.
     #[error("version {0} waits already behind the one on probation")]
-    Queued(u64),
+    AlreadyQueued(u64),
     /// The same content was rolled back, as this version.
     #[error("it was undone before, as version {0}: force it if that is wanted")]
-    RolledBackBefore(u64),
+    PreviouslyRolledBack(u64),
     /// There is no staged version.
     #[error("nothing is staged")]
     NothingStaged,
@@ -107,7 +107,7 @@
     /// The version that it was made from.
     pub base: u64,
     /// The reason, for people.
-    pub why: String,
+    pub reason: String,
 }
 
 /// How far the rollout is.
@@ -222,19 +222,19 @@
         let running = self.running.number;
         self.check_base(base)?;
         if hash == self.running.hash {
-            return Err(RolloutError::Same(running));
+            return Err(RolloutError::Unchanged(running));
         }
         if !options.force {
             if let Some(earlier) = self.rolled_back.iter().find(|earlier| earlier.hash == hash) {
-                return Err(RolloutError::RolledBackBefore(earlier.number));
+                return Err(RolloutError::PreviouslyRolledBack(earlier.number));
             }
         }
         let version = Version { number: self.next_number, hash, base: running, content };
         let place = match (&self.fallback, &self.staged, &self.queued) {
-            (Some(_), _, Some(queued)) => return Err(RolloutError::Queued(queued.number)),
+            (Some(_), _, Some(queued)) => return Err(RolloutError::AlreadyQueued(queued.number)),
             (Some(_), ..) if options.queue => &mut self.queued,
             (Some(_), ..) => return Err(RolloutError::OnProbation(running)),
-            (None, Some(staged), _) => return Err(RolloutError::Staged(staged.number)),
+            (None, Some(staged), _) => return Err(RolloutError::AlreadyStaged(staged.number)),
             (None, None, _) => &mut self.staged,
         };
         *place = Some(version.clone());
@@ -273,7 +273,7 @@
         if staged.base != running {
             let given = staged.base;
             self.add_event(now, EventKind::Dropped, staged, "its base does not run any more");
-            return Err(RolloutError::OtherBase { given, running });
+            return Err(RolloutError::BaseMismatch { given, running });
         }
         let before = std::mem::replace(&mut self.running, staged.clone());
         self.fallback = Some(Fallback { version: before, until: now.saturating_add(probation) });
@@ -285,11 +285,11 @@
     ///
     /// # Errors
     /// [`RolloutError::NothingOnProbation`].
-    pub fn confirm(&mut self, now: Us, why: &str) -> Result<u64, RolloutError> {
+    pub fn confirm(&mut self, now: Us, reason: &str) -> Result<u64, RolloutError> {
         self.fallback.take().ok_or(RolloutError::NothingOnProbation)?;
         let running = self.running.clone();
         let number = running.number;
-        self.add_event(now, EventKind::Confirmed, running, why);
+        self.add_event(now, EventKind::Confirmed, running, reason);
         // What was queued was made from the version that has just been confirmed.
         self.staged = self.queued.take().or(self.staged.take());
         Ok(number)
@@ -300,7 +300,7 @@
     ///
     /// # Errors
     /// [`RolloutError::NothingOnProbation`].
-    pub fn roll_back(&mut self, now: Us, why: &str) -> Result<Version<T>, RolloutError> {
+    pub fn roll_back(&mut self, now: Us, reason: &str) -> Result<Version<T>, RolloutError> {
         let Fallback { version: before, .. } =
             self.fallback.take().ok_or(RolloutError::NothingOnProbation)?;
         let bad = std::mem::replace(&mut self.running, before.clone());
@@ -309,10 +309,10 @@
         }
         self.rolled_back.retain(|earlier| earlier.hash != bad.hash);
         self.rolled_back.push_back(RolledBack { hash: bad.hash.clone(), number: bad.number });
-        self.add_event(now, EventKind::RolledBack, bad, why);
+        self.add_event(now, EventKind::RolledBack, bad, reason);
         if let Some(queued) = self.queued.take() {
-            let why = "the version that it was made from was undone";
-            self.add_event(now, EventKind::Dropped, queued, why);
+            let reason = "the version that it was made from was undone";
+            self.add_event(now, EventKind::Dropped, queued, reason);
         }
         Ok(before)
     }
@@ -324,14 +324,14 @@
         }
         let running = self.running.number;
         match base.filter(|given| *given != running) {
-            Some(given) => Err(RolloutError::OtherBase { given, running }),
+            Some(given) => Err(RolloutError::BaseMismatch { given, running }),
             None => Ok(()),
         }
     }
 
-    fn add_event(&mut self, at: Us, kind: EventKind, version: Version<T>, why: &str) {
+    fn add_event(&mut self, at: Us, kind: EventKind, version: Version<T>, reason: &str) {
         let Version { number, hash, base, .. } = version;
-        let event = Event { at, kind, version: number, hash, base, why: why.into() };
+        let event = Event { at, kind, version: number, hash, base, reason: reason.into() };
         for events in [&mut self.history, &mut self.new_events] {
             if events.len() >= MAX_EVENTS {
                 events.pop_front();
--- a/rollout/src/version.rs
+++ b/rollout/src/version.rs
@@ -6,7 +6,7 @@
 pub type Us = u64;
 
 /// Identifies a content by its meaning. How it is computed is the business of the content's owner; see
-/// [`crate::hash`] for configurations.
+/// [`crate::version_hash`] for configurations.
 pub type VersionHash = Arc<str>;
 
 /// Rolled back versions that are remembered at the most; the oldest is forgotten first.
--- a/rollout/src/record.rs
+++ b/rollout/src/version_file.rs
@@ -37,7 +37,7 @@
 //! | `start` | what a process starts with |
 
 mod entry_reader;
-mod fault;
+mod error;
 mod format;
 mod recover;
 mod snapshot;
@@ -47,10 +47,10 @@
 mod step_reader;
 mod update;
 
-pub use fault::{RecordDamage, RecordFault};
+pub use error::{RecordError, VersionFileError};
 pub use format::MAX_OPERATOR_FILE_BYTES;
-pub use recover::{recover, Damage, Recovered};
-pub use snapshot::{write_snapshot, WrittenRecord, MIN_COMPACTION_BYTES};
+pub use recover::{recover, DamagedRecord, Recovered};
+pub use snapshot::{write_snapshot, WrittenFile, MIN_COMPACTION_BYTES};
 pub use start::{choose_start, StartDecision};
-pub use state::{hash, PersistedState, PersistedVersion};
-pub use update::RecordUpdate;
+pub use state::{version_hash, PersistedState, PersistedVersion};
+pub use update::PendingSteps;
--- a/rollout/src/record/entry_reader.rs
+++ b/rollout/src/version_file/entry_reader.rs
@@ -1,6 +1,6 @@
 //! Entries of a body, taken in a piece at a time, so that a long text is never held completely.
 
-use super::fault::RecordDamage;
+use super::error::RecordError;
 use asterrill_entries::{read_step, Change, Configuration, GlobalSettings, StepError, MAX_CHANGES};
 
 /// Bytes of entries that are read and taken in together.
@@ -8,7 +8,7 @@
 
 /// Reads entries from lines. After a mistake nothing more is taken in, and the mistake is reported at the end.
 pub(super) struct EntryReader {
-    content: Result<Configuration, RecordDamage>,
+    content: Result<Configuration, RecordError>,
     piece: Vec<u8>,
     mode: Mode,
 }
@@ -41,7 +41,7 @@
     }
 
     /// What the entries make of the base, or what is wrong with them.
-    pub(super) fn finish(mut self) -> Result<Configuration, RecordDamage> {
+    pub(super) fn finish(mut self) -> Result<Configuration, RecordError> {
         self.take_piece();
         let changes = match self.mode {
             Mode::Snapshot => Vec::new(),
@@ -57,7 +57,7 @@
         self.piece.clear();
     }
 
-    fn read_piece(&mut self) -> Result<(), RecordDamage> {
+    fn read_piece(&mut self) -> Result<(), RecordError> {
         let Ok(content) = &self.content else { return Ok(()) };
         let text = std::str::from_utf8(&self.piece)?;
         let step = read_step(text, content)?;
--- a/rollout/src/record/fault.rs
+++ b/rollout/src/version_file/error.rs
@@ -8,13 +8,13 @@
 
 /// What is wrong with a record.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum RecordDamage {
+pub enum RecordError {
     /// The file ends in its first line.
     #[error("it ends in its first line")]
     FirstLineCutShort,
     /// The head of the snapshot is not one, or its checksum is wrong.
     #[error("its second line")]
-    SnapshotHead,
+    SnapshotHeader,
     /// A line does not name a version that was rolled back.
     #[error("a line of what was undone")]
     RolledBackLine,
@@ -29,7 +29,7 @@
     SnapshotHash,
     /// A line that should be the head of a step is none.
     #[error("its first line is damaged")]
-    StepHead,
+    StepHeader,
     /// The file ends within the body of the step.
     #[error("it is cut short")]
     StepCutShort,
@@ -69,7 +69,7 @@
 
 /// Why a file of versions can't be used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum RecordFault {
+pub enum VersionFileError {
     /// It does not begin as this file of the program does.
     #[error("it is no file of versions of this program")]
     Foreign,
@@ -78,14 +78,14 @@
     OtherFormat(String),
     /// Its snapshot is cut short or damaged.
     #[error("its whole version is cut short or damaged: {0}")]
-    Damaged(#[from] RecordDamage),
+    Damaged(#[from] RecordError),
     /// Reading failed; holds the system's error.
     #[error("it can't be read: {0}")]
     Unreadable(String),
 }
 
-impl From<io::Error> for RecordFault {
-    fn from(error: io::Error) -> RecordFault {
-        RecordFault::Unreadable(error.to_string())
+impl From<io::Error> for VersionFileError {
+    fn from(error: io::Error) -> VersionFileError {
+        VersionFileError::Unreadable(error.to_string())
     }
 }
--- a/rollout/src/record/format.rs
+++ b/rollout/src/version_file/format.rs
@@ -13,7 +13,7 @@
 /// Bytes of one line at the most.
 pub(super) const MAX_LINE_BYTES: u64 = 1 << 20;
 /// Bytes of a step's head at the most.
-const MAX_STEP_HEAD_BYTES: usize = 256;
+const MAX_STEP_HEADER_BYTES: usize = 256;
 /// In a step's head, the length of an operator's file that has not changed.
 const SAME_OPERATOR_FILE: &str = "-";
 
@@ -21,19 +21,19 @@
 pub const MAX_OPERATOR_FILE_BYTES: u64 = 16 << 20;
 
 /// Passes text on, or only counts it, and knows its length and its sum.
-pub(super) struct SummedWriter<'a> {
+pub(super) struct ChecksumWriter<'a> {
     to: Option<&'a mut dyn Write>,
     sum: Xxh3,
     bytes: u64,
 }
 
-impl<'a> SummedWriter<'a> {
-    pub(super) fn new(to: &'a mut dyn Write) -> SummedWriter<'a> {
-        SummedWriter { to: Some(to), sum: Xxh3::new(), bytes: 0 }
+impl<'a> ChecksumWriter<'a> {
+    pub(super) fn new(to: &'a mut dyn Write) -> ChecksumWriter<'a> {
+        ChecksumWriter { to: Some(to), sum: Xxh3::new(), bytes: 0 }
     }
     /// Writes nothing.
-    pub(super) fn counting() -> SummedWriter<'a> {
-        SummedWriter { to: None, sum: Xxh3::new(), bytes: 0 }
+    pub(super) fn counting() -> ChecksumWriter<'a> {
+        ChecksumWriter { to: None, sum: Xxh3::new(), bytes: 0 }
     }
     pub(super) fn bytes(&self) -> u64 {
         self.bytes
@@ -43,7 +43,7 @@
     }
 }
 
-impl Write for SummedWriter<'_> {
+impl Write for ChecksumWriter<'_> {
     fn write_str(&mut self, text: &str) -> fmt::Result {
         self.sum.update(text.as_bytes());
         self.bytes += text.len() as u64;
@@ -52,14 +52,14 @@
 }
 
 /// Adds the checksum of a head to it, and ends the line.
-pub(super) fn add_head_checksum(mut head: String) -> String {
+pub(super) fn append_header_checksum(mut head: String) -> String {
     let sum = xxh3_64(head.as_bytes());
     head.push_str(&format!(" {sum:016x}\n"));
     head
 }
 
 /// The words of a head, if its sum is right and there are so many.
-pub(super) fn verify_head<const N: usize>(line: &[u8]) -> Option<[&str; N]> {
+pub(super) fn verify_header<const N: usize>(line: &[u8]) -> Option<[&str; N]> {
     let line = std::str::from_utf8(line).ok()?.strip_suffix('\n')?;
     let (text, sum) = line.rsplit_once(' ')?;
     if sum != format!("{:016x}", xxh3_64(text.as_bytes())) {
@@ -80,7 +80,7 @@
 
 /// The head of a step.
 #[derive(Clone, Debug)]
-pub(super) struct StepHead {
+pub(super) struct StepHeader {
     pub(super) kind: StepKind,
     /// The number of the version that it is about.
     pub(super) number: u64,
@@ -90,40 +90,42 @@
     /// Bytes of the operator's file at the begin of the body; `None` where that has not changed.
     pub(super) operator_file_bytes: Option<u64>,
     pub(super) body_bytes: u64,
-    pub(super) body_sum: u64,
+    pub(super) body_checksum: u64,
 }
 
-impl StepHead {
+impl StepHeader {
     /// As a line with its checksum.
     pub(super) fn to_line(&self) -> String {
-        let StepHead { number, base, hash, body_bytes, body_sum, .. } = self;
+        let StepHeader { number, base, hash, body_bytes, body_checksum, .. } = self;
         let kind = self.kind.as_str();
         let file = self.operator_file_bytes.map_or(SAME_OPERATOR_FILE.into(), |bytes| bytes.to_string());
-        add_head_checksum(format!("step {kind} {number} {base} {hash} {file} {body_bytes} {body_sum:016x}"))
+        append_header_checksum(format!(
+            "step {kind} {number} {base} {hash} {file} {body_bytes} {body_checksum:016x}"
+        ))
     }
 
-    fn parse(line: &[u8]) -> Option<StepHead> {
-        let ["step", kind, number, base, hash, file, bytes, sum] = verify_head::<8>(line)? else {
+    fn parse(line: &[u8]) -> Option<StepHeader> {
+        let ["step", kind, number, base, hash, file, bytes, sum] = verify_header::<8>(line)? else {
             return None;
         };
-        Some(StepHead {
+        Some(StepHeader {
             kind: StepKind::parse(kind)?,
             number: number.parse().ok()?,
             base: base.parse().ok()?,
             hash: hash.into(),
             operator_file_bytes: if file == SAME_OPERATOR_FILE { None } else { Some(file.parse().ok()?) },
             body_bytes: bytes.parse().ok()?,
-            body_sum: u64::from_str_radix(sum, 16).ok()?,
+            body_checksum: u64::from_str_radix(sum, 16).ok()?,
         })
     }
 
     /// Finds a head at the end of a line, and where in the line it begins. More than 0 where a record before it has
     /// lost its own end.
-    pub(super) fn find(line: &[u8]) -> Option<(usize, StepHead)> {
-        let first = line.len().saturating_sub(MAX_STEP_HEAD_BYTES);
+    pub(super) fn find(line: &[u8]) -> Option<(usize, StepHeader)> {
+        let first = line.len().saturating_sub(MAX_STEP_HEADER_BYTES);
         (first..line.len()).find_map(|at| {
             let rest = line.get(at..).filter(|rest| rest.starts_with(b"step "))?;
-            Some((at, StepHead::parse(rest)?))
+            Some((at, StepHeader::parse(rest)?))
         })
     }
 }
--- a/rollout/src/record/recover.rs
+++ b/rollout/src/version_file/recover.rs
@@ -1,7 +1,7 @@
 //! Reads a file of versions back after any crash.
 
-use super::fault::{RecordDamage, RecordFault};
-use super::format::{LineReader, StepHead, MAX_LINE_BYTES};
+use super::error::{RecordError, VersionFileError};
+use super::format::{LineReader, StepHeader, MAX_LINE_BYTES};
 use super::snapshot_reader::Snapshot;
 use super::state::{PersistedState, StepKind};
 use super::step_reader::{read_step_body, ReadStep};
@@ -11,18 +11,18 @@
 
 /// A record that can't be used.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Damage {
+pub struct DamagedRecord {
     /// Which one: the snapshot is 0, the first step 1.
     pub record: u64,
     /// Where it begins, in bytes.
-    pub at: u64,
+    pub offset: u64,
     /// What is wrong with it.
-    pub why: RecordDamage,
+    pub error: RecordError,
 }
 
-impl fmt::Display for Damage {
+impl fmt::Display for DamagedRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "record {} at byte {}: {}", self.record, self.at, self.why)
+        write!(f, "record {} at byte {}: {}", self.record, self.offset, self.error)
     }
 }
 
@@ -36,14 +36,14 @@
     /// Bytes of a torn tail that are left out.
     pub torn_bytes: u64,
     /// The first record that can't be used though complete ones follow. Nothing after it is taken up.
-    pub damaged: Option<Damage>,
+    pub damaged: Option<DamagedRecord>,
 }
 
 /// Reads a file of versions, a line at a time: what is held at once is a version and 64 KiB of text.
 ///
 /// # Errors
-/// [`RecordFault`]: another program's, another format's, or one without a complete snapshot at its begin.
-pub fn recover(from: impl BufRead) -> Result<Recovered, RecordFault> {
+/// [`VersionFileError`]: another program's, another format's, or one without a complete snapshot at its begin.
+pub fn recover(from: impl BufRead) -> Result<Recovered, VersionFileError> {
     let mut lines = LineReader::new(from);
     let Snapshot { version, rolled_back } = Snapshot::read(&mut lines)?;
     let mut recovery = Recovery {
@@ -61,7 +61,7 @@
         if line.is_empty() {
             break;
         }
-        let found = StepHead::find(&line);
+        let found = StepHeader::find(&line);
         let begin = found.as_ref().map_or(line.len(), |(begin, _)| *begin);
         if begin > 0 {
             recovery.skip_unreadable(at);
@@ -81,8 +81,8 @@
     /// The number of the record that was read last.
     record: u64,
     /// What can't be used, until an intact record follows it: then it is no torn tail.
-    suspect: Option<Damage>,
-    damaged: Option<Damage>,
+    suspect: Option<DamagedRecord>,
+    damaged: Option<DamagedRecord>,
     /// After a damaged record: what was on probation last, and has not ended.
     unfinished_probation: Option<RolledBack>,
 }
@@ -92,13 +92,13 @@
     fn skip_unreadable(&mut self, at: u64) {
         if self.suspect.is_none() {
             self.record += 1;
-            let why = RecordDamage::StepHead;
-            self.suspect = Some(Damage { record: self.record, at, why });
+            let error = RecordError::StepHeader;
+            self.suspect = Some(DamagedRecord { record: self.record, offset: at, error });
         }
     }
 
     /// A step with a readable head. `at`, `end`: where it begins and ends.
-    fn take_step(&mut self, head: &StepHead, step: ReadStep, at: u64, end: u64) {
+    fn take_step(&mut self, head: &StepHeader, step: ReadStep, at: u64, end: u64) {
         // Complete as it was written, whether it can follow or not.
         if step.intact {
             self.damaged = self.damaged.take().or(self.suspect.take());
@@ -114,8 +114,8 @@
             .and_then(|version| self.state.apply_step(head.kind, head.number, &head.hash, version));
         match applied {
             Ok(()) => self.valid_bytes = end,
-            Err(why) => {
-                let damage = Damage { record: self.record, at, why };
+            Err(error) => {
+                let damage = DamagedRecord { record: self.record, offset: at, error };
                 if step.intact {
                     self.damaged = Some(damage);
                     self.note_after_damage(head);
@@ -127,7 +127,7 @@
     }
 
     /// Takes what a step after a damaged one says of hashes: the version that it was made from is missing.
-    fn note_after_damage(&mut self, head: &StepHead) {
+    fn note_after_damage(&mut self, head: &StepHeader) {
         let version = RolledBack { hash: head.hash.clone(), number: head.number };
         match head.kind {
             StepKind::Probation => self.unfinished_probation = Some(version),
--- a/rollout/src/record/snapshot_reader.rs
+++ b/rollout/src/version_file/snapshot_reader.rs
@@ -1,9 +1,10 @@
 //! Reads the snapshot at the begin of a file back.
 
 use super::entry_reader::EntryReader;
-use super::fault::{RecordDamage, RecordFault};
+use super::error::{RecordError, VersionFileError};
 use super::format::{
-    end_line, verify_head, LineReader, FIRST_LINE, FIRST_LINE_PREFIX, MAX_LINE_BYTES, MAX_OPERATOR_FILE_BYTES,
+    end_line, verify_header, LineReader, FIRST_LINE, FIRST_LINE_PREFIX, MAX_LINE_BYTES,
+    MAX_OPERATOR_FILE_BYTES,
 };
 use super::state::PersistedVersion;
 use crate::version::{RolledBack, VersionHash, MAX_ROLLED_BACK};
@@ -21,19 +22,19 @@
 }
 
 /// The second line of a file.
-struct SnapshotHead {
+struct SnapshotHeader {
     number: u64,
     hash: VersionHash,
     rolled_back: u64,
     operator_file_bytes: u64,
 }
 
-fn parse_number(word: &str) -> Result<u64, RecordDamage> {
+fn parse_number(word: &str) -> Result<u64, RecordError> {
     Ok(word.parse()?)
 }
 
 impl Snapshot {
-    pub(super) fn read(lines: &mut LineReader<impl BufRead>) -> Result<Snapshot, RecordFault> {
+    pub(super) fn read(lines: &mut LineReader<impl BufRead>) -> Result<Snapshot, VersionFileError> {
         SnapshotReader { lines, sum: Xxh3::new(), line: Vec::new() }.read()
     }
 }
@@ -46,7 +47,7 @@
 }
 
 impl<R: BufRead> SnapshotReader<'_, R> {
-    fn read(mut self) -> Result<Snapshot, RecordFault> {
+    fn read(mut self) -> Result<Snapshot, VersionFileError> {
         self.read_first_line()?;
         let head = self.read_head()?;
         let rolled_back = self.read_rolled_back(head.rolled_back)?;
@@ -54,41 +55,41 @@
         let content = self.read_entries()?;
         let version = PersistedVersion { number: head.number, content, operator_file: operator_file.into() };
         if version.hash() != head.hash {
-            return Err(RecordDamage::SnapshotHash.into());
+            return Err(RecordError::SnapshotHash.into());
         }
         Ok(Snapshot { version, rolled_back })
     }
 
     /// Reads a line that counts in the sum.
-    fn next_line(&mut self) -> Result<(), RecordFault> {
+    fn next_line(&mut self) -> Result<(), VersionFileError> {
         self.lines.next_line(MAX_LINE_BYTES, &mut self.line)?;
         self.sum.update(&self.line);
         Ok(())
     }
 
-    fn read_first_line(&mut self) -> Result<(), RecordFault> {
+    fn read_first_line(&mut self) -> Result<(), VersionFileError> {
         self.next_line()?;
         if self.line == FIRST_LINE.as_bytes() {
             return Ok(());
         }
         if FIRST_LINE.as_bytes().starts_with(&self.line) {
-            return Err(RecordDamage::FirstLineCutShort.into());
+            return Err(RecordError::FirstLineCutShort.into());
         }
         let text = String::from_utf8_lossy(&self.line);
         let short = self.line.len() < FIRST_LINE_PREFIX.len() + MAX_FORMAT_DIGITS;
         if text.starts_with(FIRST_LINE_PREFIX) && short {
-            return Err(RecordFault::OtherFormat(text.trim_end().into()));
+            return Err(VersionFileError::OtherFormat(text.trim_end().into()));
         }
-        Err(RecordFault::Foreign)
+        Err(VersionFileError::Foreign)
     }
 
-    fn read_head(&mut self) -> Result<SnapshotHead, RecordFault> {
+    fn read_head(&mut self) -> Result<SnapshotHeader, VersionFileError> {
         self.next_line()?;
-        let words = verify_head::<5>(&self.line);
+        let words = verify_header::<5>(&self.line);
         let Some(["whole", number, hash, rolled_back, file_bytes]) = words else {
-            return Err(RecordDamage::SnapshotHead.into());
+            return Err(RecordError::SnapshotHeader.into());
         };
-        Ok(SnapshotHead {
+        Ok(SnapshotHeader {
             number: parse_number(number)?,
             rolled_back: parse_number(rolled_back)?,
             operator_file_bytes: parse_number(file_bytes)?,
@@ -96,32 +97,32 @@
         })
     }
 
-    fn read_rolled_back(&mut self, count: u64) -> Result<Vec<RolledBack>, RecordFault> {
+    fn read_rolled_back(&mut self, count: u64) -> Result<Vec<RolledBack>, VersionFileError> {
         let mut rolled_back = Vec::new();
         for _ in 0..count.min(MAX_ROLLED_BACK as u64) {
             self.next_line()?;
             let text = std::str::from_utf8(&self.line).ok().and_then(|text| text.strip_suffix('\n'));
             let words = text.and_then(|text| text.strip_prefix("undone ")?.split_once(' '));
-            let (hash, number) = words.ok_or(RecordDamage::RolledBackLine)?;
+            let (hash, number) = words.ok_or(RecordError::RolledBackLine)?;
             rolled_back.push(RolledBack { hash: hash.into(), number: parse_number(number)? });
         }
         Ok(rolled_back)
     }
 
-    fn read_operator_file(&mut self, bytes: u64) -> Result<String, RecordFault> {
+    fn read_operator_file(&mut self, bytes: u64) -> Result<String, VersionFileError> {
         let file = self.lines.next_bytes(bytes.min(MAX_OPERATOR_FILE_BYTES))?;
         self.sum.update(&file);
-        String::from_utf8(file).map_err(|e| RecordDamage::from(e.utf8_error()).into())
+        String::from_utf8(file).map_err(|e| RecordError::from(e.utf8_error()).into())
     }
 
     /// Reads entries up to the last line, and compares that.
-    fn read_entries(&mut self) -> Result<Configuration, RecordFault> {
+    fn read_entries(&mut self) -> Result<Configuration, VersionFileError> {
         let mut reader = EntryReader::snapshot();
         let mut entries = 0_u64;
         loop {
             self.lines.next_line(MAX_LINE_BYTES, &mut self.line)?;
             if self.line.is_empty() {
-                return Err(RecordDamage::SnapshotCutShort.into());
+                return Err(RecordError::SnapshotCutShort.into());
             }
             if self.line.starts_with(b"end ") {
                 break;
@@ -131,7 +132,7 @@
             entries += 1;
         }
         if self.line != end_line(entries, self.sum.digest()).as_bytes() {
-            return Err(RecordDamage::SnapshotChecksum.into());
+            return Err(RecordError::SnapshotChecksum.into());
         }
         Ok(reader.finish()?)
     }
--- a/rollout/src/record/state.rs
+++ b/rollout/src/version_file/state.rs
@@ -1,6 +1,6 @@
 //! What a restart needs: versions as they persist, and what one step makes of them.
 
-use super::fault::RecordDamage;
+use super::error::RecordError;
 use crate::version::{remember_rolled_back, RolledBack, VersionHash};
 use asterrill_entries::Configuration;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 /// The hash of a version: the 32 hex digits of its entries' digest, and where there is an operator's file a `-` and 16
 /// digits of that. The same for the same meaning of the entries.
-pub fn hash(content: &Configuration, operator_file: &str) -> VersionHash {
+pub fn version_hash(content: &Configuration, operator_file: &str) -> VersionHash {
     let digest = content.digest();
     if operator_file.is_empty() {
         digest.to_string().into()
@@ -29,9 +29,9 @@
 }
 
 impl PersistedVersion {
-    /// The hash of what it says; see [`hash`].
+    /// The hash of what it says; see [`version_hash`].
     pub fn hash(&self) -> VersionHash {
-        hash(&self.content, &self.operator_file)
+        version_hash(&self.content, &self.operator_file)
     }
 }
 
@@ -90,7 +90,7 @@
     /// Applies one step: `number` and `hash` of its version, and that version where the step holds one.
     pub(super) fn apply_step(
         &mut self, kind: StepKind, number: u64, hash: &str, version: Option<PersistedVersion>,
-    ) -> Result<(), RecordDamage> {
+    ) -> Result<(), RecordError> {
         match (kind, version) {
             (StepKind::Good, Some(version)) => {
                 self.good = version;
@@ -101,13 +101,13 @@
                 let is_meant =
                     |version: &mut PersistedVersion| version.number == number && *version.hash() == *hash;
                 let confirmed = self.probation.take_if(is_meant);
-                self.good = confirmed.ok_or(RecordDamage::NotOnProbation)?;
+                self.good = confirmed.ok_or(RecordError::NotOnProbation)?;
             }
             (StepKind::RolledBack, _) => {
                 self.probation.take_if(|version| version.number == number);
                 remember_rolled_back(&mut self.rolled_back, RolledBack { hash: hash.into(), number });
             }
-            (StepKind::Good | StepKind::Probation, None) => return Err(RecordDamage::NoVersion),
+            (StepKind::Good | StepKind::Probation, None) => return Err(RecordError::NoVersion),
         }
         Ok(())
     }
--- a/rollout/src/record/update.rs
+++ b/rollout/src/version_file/update.rs
@@ -1,6 +1,6 @@
 //! The steps that lead from the state on disk to another one, to be appended.
 
-use super::format::{StepHead, SummedWriter};
+use super::format::{ChecksumWriter, StepHeader};
 use super::state::{PersistedState, PersistedVersion, StepKind};
 use crate::version::VersionHash;
 use asterrill_entries::{write_step, Change, Step};
@@ -56,12 +56,12 @@
 }
 
 /// The steps that lead from the state on disk to the state that is to stand there.
-pub struct RecordUpdate(Vec<StepRecord>);
+pub struct PendingSteps(Vec<StepRecord>);
 
-impl RecordUpdate {
+impl PendingSteps {
     /// Costs the difference. `None` where steps can't lead there: then a snapshot is to be written.
-    pub fn between(from: &PersistedState, to: &PersistedState) -> Option<RecordUpdate> {
-        let mut update = RecordUpdate(Vec::new());
+    pub fn between(from: &PersistedState, to: &PersistedState) -> Option<PendingSteps> {
+        let mut update = PendingSteps(Vec::new());
         let mut state = from.clone();
         let with_version = |kind: StepKind, version: &PersistedVersion| StepSubject {
             kind,
@@ -99,11 +99,12 @@
         };
         let base = state.good.number;
         state.apply_step(kind, number, &hash, version).ok()?;
-        let mut counter = SummedWriter::counting();
+        let mut counter = ChecksumWriter::counting();
         body.write(&mut counter).ok()?;
         let operator_file_bytes = body.operator_file.as_ref().map(|file| file.len() as u64);
-        let (body_bytes, body_sum) = (counter.bytes(), counter.sum());
-        let head = StepHead { kind, number, base, hash, operator_file_bytes, body_bytes, body_sum }.to_line();
+        let (body_bytes, body_checksum) = (counter.bytes(), counter.sum());
+        let head =
+            StepHeader { kind, number, base, hash, operator_file_bytes, body_bytes, body_checksum }.to_line();
         let bytes = body_bytes + head.len() as u64;
         self.0.push(StepRecord { head, body, bytes });
         Some(())
--- a/rollout/tests/rollout/checks.rs
+++ b/rollout/tests/rollout/checks.rs
@@ -146,7 +146,10 @@
     let put: Vec<Change> = (0..49_000).map(|i| Change::PutTenant(format!("t{i:05}").into(), 1.0)).collect();
     let new = old.apply(&put).unwrap();
     let lines = difference(&old, &put);
-    assert_eq!((lines.len(), lines.last().map(String::as_str)), (MAX_LISTED + 1, Some("and 48800 more")));
+    assert_eq!(
+        (lines.len(), lines.last().map(String::as_str)),
+        (MAX_LISTED_ITEMS + 1, Some("and 48800 more"))
+    );
     let mut changes = new.changes_to(&old);
     changes.push(Change::PutMethod(
         "look".into(),
@@ -154,8 +157,8 @@
     ));
     let staged = new.apply(&changes).unwrap();
     let problems = check(&new, &staged, &changes, &ObservedLoad::default(), 3.0);
-    assert_eq!((problems.len(), problems.last()), (MAX_LISTED + 1, Some(&Problem::More(48_801))));
+    assert_eq!((problems.len(), problems.last()), (MAX_LISTED_ITEMS + 1, Some(&Problem::Omitted(48_801))));
     // What is wrong comes first, so that it is among those that are listed.
     assert_eq!(problems[0].to_string(), "wrong: method look: it takes idempotency keys, but has no window");
-    assert_eq!(problems[MAX_LISTED].to_string(), "and 48801 more");
+    assert_eq!(problems[MAX_LISTED_ITEMS].to_string(), "and 48801 more");
 }
--- a/rollout/tests/rollout/record_lives.rs
+++ b/rollout/tests/rollout/crash_recovery.rs
@@ -1,6 +1,6 @@
 //! Seeded lives of a backend with crashes at any byte of a write, against a plain model.
 
-use crate::record_model::*;
+use crate::reference_model::*;
 use crate::versions::SECOND;
 use asterrill_rollout::*;
 use rand::rngs::StdRng;
@@ -11,7 +11,7 @@
     rng: StdRng,
     disk: Option<Vec<u8>>,
     temporary: Vec<u8>,
-    written: Option<WrittenRecord>,
+    written: Option<WrittenFile>,
     rollout: Rollout<PersistedVersion>,
     /// The plain model: the last good version, what is on probation, and what was rolled back.
     good: ModelVersion,
--- a/rollout/tests/rollout/main.rs
+++ b/rollout/tests/rollout/main.rs
@@ -1,10 +1,10 @@
 //! Tests of the public interface, each module against one part of the crate.
 
 mod checks;
+mod crash_recovery;
 mod probation;
-mod record;
-mod record_fixture;
-mod record_lives;
-mod record_model;
+mod reference_model;
 mod transaction;
+mod version_file;
+mod version_file_fixture;
 mod versions;
--- a/rollout/tests/rollout/record_model.rs
+++ b/rollout/tests/rollout/reference_model.rs
@@ -47,13 +47,13 @@
         rolled_back: rolled_back.iter().map(|version| version.rolled_back()).collect(),
     }
 }
-pub fn snapshot(state: &PersistedState) -> (String, WrittenRecord) {
+pub fn snapshot(state: &PersistedState) -> (String, WrittenFile) {
     let mut text = String::new();
     let written = write_snapshot(state, &mut text).unwrap();
     (text, written)
 }
 /// Appends what leads to another state, without a bound.
-pub fn append(text: &mut String, written: WrittenRecord, to: &PersistedState) -> WrittenRecord {
+pub fn append(text: &mut String, written: WrittenFile, to: &PersistedState) -> WrittenFile {
     let update = written.update_to(to).unwrap();
     let at = text.len();
     update.write(text).unwrap();
--- a/rollout/tests/rollout/transaction.rs
+++ b/rollout/tests/rollout/transaction.rs
@@ -28,7 +28,7 @@
     assert_eq!(rollout.roll_back(3, "loss"), Ok(before.clone()));
     assert_eq!((rollout.running(), rollout.phase()), (&before, Phase::Confirmed));
     // It is not taken again by itself, but is if that is wanted; and has a number of its own then.
-    assert_eq!(rollout.stage(4, plain("b")), Err(RolloutError::RolledBackBefore(2)));
+    assert_eq!(rollout.stage(4, plain("b")), Err(RolloutError::PreviouslyRolledBack(2)));
     assert_eq!(rollout.stage(4, change("b", None, StageOptions { force: true, queue: false })), Ok(3));
     let what: Vec<_> = rollout.history().map(|event| (event.kind.as_str(), event.version)).collect();
     assert_eq!(what, [("applied", 1), ("staged", 2), ("applied", 2), ("undone", 2), ("staged", 3)]);
@@ -43,17 +43,17 @@
     assert_eq!(rollout.drop_staged(0), Err(RolloutError::NothingStaged));
     assert_eq!(
         rollout.stage(0, change("b", Some(7), StageOptions::default())),
-        Err(RolloutError::OtherBase { given: 7, running: 1 })
+        Err(RolloutError::BaseMismatch { given: 7, running: 1 })
     );
-    assert_eq!(rollout.stage(0, plain("a")), Err(RolloutError::Same(1)));
+    assert_eq!(rollout.stage(0, plain("a")), Err(RolloutError::Unchanged(1)));
     rollout.stage(0, plain("b")).unwrap();
-    assert_eq!(rollout.stage(0, plain("c")), Err(RolloutError::Staged(2)));
-    assert_eq!(rollout.apply(0, Some(5), SECOND), Err(RolloutError::OtherBase { given: 5, running: 1 }));
+    assert_eq!(rollout.stage(0, plain("c")), Err(RolloutError::AlreadyStaged(2)));
+    assert_eq!(rollout.apply(0, Some(5), SECOND), Err(RolloutError::BaseMismatch { given: 5, running: 1 }));
     rollout.apply(0, None, SECOND).unwrap();
     assert_eq!(rollout.stage(0, plain("c")), Err(RolloutError::OnProbation(2)));
     let queue_it = StageOptions { force: false, queue: true };
     assert_eq!(rollout.stage(0, change("c", None, queue_it)), Ok(3));
-    assert_eq!(rollout.stage(0, change("d", None, queue_it)), Err(RolloutError::Queued(3)));
+    assert_eq!(rollout.stage(0, change("d", None, queue_it)), Err(RolloutError::AlreadyQueued(3)));
     assert_eq!(rollout.apply(0, None, SECOND), Err(RolloutError::OnProbation(2)));
     rollout.begin_shutdown();
     assert_eq!(rollout.stage(0, plain("e")), Err(RolloutError::ShuttingDown));
--- a/rollout/tests/rollout/record.rs
+++ b/rollout/tests/rollout/version_file.rs
@@ -1,6 +1,6 @@
 //! The file of versions: cut and damaged anywhere, and steps without a base.
 
-use crate::record_model::*;
+use crate::reference_model::*;
 use asterrill_entries::{write_step, Change};
 use asterrill_rollout::*;
 
@@ -11,7 +11,10 @@
         let last = ends.iter().rev().find(|(end, _)| *end <= at);
         let Some((end, state)) = last else {
             // A snapshot is renamed into its place, so this is no crash.
-            assert!(matches!(recover(&text.as_bytes()[..at]), Err(RecordFault::Damaged(_))), "cut at {at}");
+            assert!(
+                matches!(recover(&text.as_bytes()[..at]), Err(VersionFileError::Damaged(_))),
+                "cut at {at}"
+            );
             continue;
         };
         let found = recovered(&text.as_bytes()[..at]);
@@ -34,7 +37,7 @@
         }
         let (found, (begin, before)) = (recovered(&bytes), &ends[record - 1]);
         assert_eq!((found.valid_bytes, &found.state.good), (*begin as u64, &before.good), "damaged at {at}");
-        let named = found.damaged.as_ref().map(|damage| (damage.record, damage.at));
+        let named = found.damaged.as_ref().map(|damage| (damage.record, damage.offset));
         if record + 1 == ends.len() {
             assert_eq!((named, found.torn_bytes > 0), (None, true), "damaged at {at}");
             assert_eq!(found.state, *before);
@@ -52,10 +55,13 @@
 #[test]
 fn rejects_foreign_files_and_other_formats() {
     let fault = |text: &str| recover(text.as_bytes()).unwrap_err();
-    assert_eq!(fault("hello\nworld"), RecordFault::Foreign);
-    assert_eq!(fault(&"x".repeat(2 << 20)), RecordFault::Foreign);
-    assert_eq!(fault("asterrill versions 2\nwhole"), RecordFault::OtherFormat("asterrill versions 2".into()));
-    assert!(matches!(fault(""), RecordFault::Damaged(_)));
+    assert_eq!(fault("hello\nworld"), VersionFileError::Foreign);
+    assert_eq!(fault(&"x".repeat(2 << 20)), VersionFileError::Foreign);
+    assert_eq!(
+        fault("asterrill versions 2\nwhole"),
+        VersionFileError::OtherFormat("asterrill versions 2".into())
+    );
+    assert!(matches!(fault(""), VersionFileError::Damaged(_)));
     // Checksums that are right around entries that are not: still named, and nothing of it is taken.
     let (text, _) = snapshot(&state(&version_a(), None, &[]));
     let body = text.replace("oder", "od r\\u0001").replace("end ", "\0");
@@ -63,7 +69,7 @@
     let sum = xxhash_rust::xxh3::xxh3_64(body.as_bytes());
     let record = format!("{body}end 4 {sum:016x}\n");
     assert!(
-        matches!(fault(&record), RecordFault::Damaged(why) if why.to_string().contains("Name")),
+        matches!(fault(&record), VersionFileError::Damaged(why) if why.to_string().contains("Name")),
         "{record}"
     );
 }
@@ -87,7 +93,7 @@
     // A base of the same number that says something else shows by the hash.
     let other = ModelVersion::new(2, &[("nile", 9), ("oder", 7), ("po", 1)], "");
     let (text, _) = snapshot(&state(&other, None, &[]));
-    let damage = recovered(format!("{text}{step}").as_bytes()).damaged.unwrap().why.to_string();
+    let damage = recovered(format!("{text}{step}").as_bytes()).damaged.unwrap().error.to_string();
     assert!(damage.starts_with("it leads to"), "{damage}");
 }
 
@@ -136,7 +142,7 @@
         let content = version.persisted();
         Proposal { hash: content.hash(), content, base: None, options: StageOptions::default() }
     };
-    assert_eq!(again.stage(1, wants(&b)), Err(RolloutError::RolledBackBefore(2)));
+    assert_eq!(again.stage(1, wants(&b)), Err(RolloutError::PreviouslyRolledBack(2)));
     assert_eq!(again.stage(1, wants(&version_c())), Ok(3));
 }
 
@@ -144,9 +150,9 @@
 fn hash_covers_the_meaning_and_the_operator_file() {
     let (a, again) = (version_a().persisted(), ModelVersion::of(&version_a().persisted()).persisted());
     assert_eq!(a.hash(), again.hash());
-    assert_eq!(*hash(&a.content, ""), a.content.digest().to_string());
-    assert!(a.hash().starts_with(&*hash(&a.content, "")) && a.hash().len() == 32 + 1 + 16);
-    assert_ne!(a.hash(), hash(&a.content, "another"));
+    assert_eq!(*version_hash(&a.content, ""), a.content.digest().to_string());
+    assert!(a.hash().starts_with(&*version_hash(&a.content, "")) && a.hash().len() == 32 + 1 + 16);
+    assert_ne!(a.hash(), version_hash(&a.content, "another"));
 }
 
 #[test]
