--- a/rollout/src/bounded_list.rs
+++ b/rollout/src/bounded_list.rs
@@ -1,6 +1,6 @@
-//! A list with a bound: what does not fit is counted, and its text is never made.
+//! List of bounded length that counts the items beyond the bound without building their text.
 
-/// Lines and problems that are listed at the most; of more only the count is given.
+/// Maximum number of lines or problems in a list. Items beyond it are only counted.
 pub const MAX_LISTED_ITEMS: usize = 200;
 
 pub(crate) struct BoundedList<T> {
@@ -13,7 +13,7 @@
         BoundedList { items: Vec::new(), omitted: 0 }
     }
 
-    /// Adds an item; `make` is not called where it does not fit.
+    /// Adds an item, or only counts it when the list is full. `make` is not called for an item that is only counted.
     pub(crate) fn push_with(&mut self, make: impl FnOnce() -> T) {
         if self.items.len() < MAX_LISTED_ITEMS {
             self.items.push(make());
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The items, and where some were left out a last one that says how many.
+    /// Returns the items. If any were omitted, a last item made by `omitted` states their number.
     pub(crate) fn finish(mut self, omitted: impl FnOnce(usize) -> T) -> Vec<T> {
         if self.omitted > 0 {
             self.items.push(omitted(self.omitted));
--- a/rollout/src/changed_entries.rs
+++ b/rollout/src/changed_entries.rs
@@ -1,21 +1,21 @@
-//! What a change touches, and the global figures that checks and differences compare.
+//! Entries that a change sets or removes, and the global values that the checks and the difference compare.
 
 use asterrill::Method;
 use asterrill_entries::{Change, GlobalSettings, Name, UpstreamKind};
 use std::collections::BTreeMap;
 
-/// What changes touch, each key once and in the order of names.
+/// Entries set or removed by a list of changes, each key once and sorted by name.
 pub(crate) struct ChangedEntries<'a> {
-    /// The new global settings, where they change.
+    /// New global settings; `None` if they are not set.
     pub(crate) globals: Option<&'a GlobalSettings>,
-    /// Methods with their new terms; `None` where they are removed.
+    /// New terms of each method; `None` for a removed method.
     pub(crate) methods: BTreeMap<&'a Name, Option<&'a Method>>,
-    /// Tenants with their new quota, in RPCs a second; `None` where they are removed.
+    /// New quota of each tenant, in RPCs per second; `None` for a removed tenant.
     pub(crate) tenants: BTreeMap<&'a Name, Option<f64>>,
 }
 
 impl<'a> ChangedEntries<'a> {
-    /// Of several changes of one key the last counts, as when they are applied.
+    /// Collects the entries. If several changes set the same key, the last one wins, as it does when they are applied.
     pub(crate) fn from_changes(changes: &'a [Change]) -> ChangedEntries<'a> {
         let mut changed =
             ChangedEntries { globals: None, methods: BTreeMap::new(), tenants: BTreeMap::new() };
@@ -32,15 +32,15 @@
     }
 }
 
-/// The global figures that are compared.
+/// Global values that are compared between versions.
 pub(crate) struct GlobalValues {
     /// CPU cores of one server.
     pub(crate) cores: f64,
-    /// Running RPCs a core that the server survives.
+    /// Maximum number of running RPCs per core that the server can sustain.
     pub(crate) max_running_per_core: f64,
-    /// Memory for RPCs, in kB.
+    /// Memory for queued and running RPCs, in kB.
     pub(crate) memory_kb: f64,
-    /// This server's part of the calls that the upstream survives; `None` where it has none.
+    /// This server's share of the calls that the upstream can sustain; `None` if no quota applies.
     pub(crate) call_quota: Option<f64>,
 }
 
--- a/rollout/src/command.rs
+++ b/rollout/src/command.rs
@@ -1,21 +1,21 @@
-//! The commands of the control socket that take no arguments: one list for the daemon and the command line.
+//! Commands of the control socket that take no arguments, defined once for the daemon and the command line.
 
-/// A command of the control socket that takes no arguments.
+/// Command of the control socket that takes no arguments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SimpleCommand {
-    /// What runs, is staged, and is on probation.
+    /// Reports the running version, the staged version and the version on probation.
     Status,
-    /// The version on probation is good.
+    /// Confirms the version on probation.
     Confirm,
-    /// Return to the version before the one on probation.
+    /// Rolls back to the version before the one on probation.
     RollBack,
-    /// Forget what is staged.
+    /// Discards the staged version.
     Drop,
-    /// What happened to versions.
+    /// Lists the events of all versions.
     History,
-    /// The cluster's members, as this backend sees them.
+    /// Lists the cluster members as this backend sees them.
     Members,
-    /// What the backends have agreed on.
+    /// Reports the configuration that the backends have agreed on.
     Fleet,
 }
 
@@ -30,7 +30,7 @@
         SimpleCommand::Fleet,
     ];
 
-    /// Its name on the control socket.
+    /// Returns the name of the command on the control socket.
     pub fn as_str(self) -> &'static str {
         match self {
             SimpleCommand::Status => "status",
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The command of that name, if there is one.
+    /// Returns the command with this name, or `None` if there is none.
     pub fn parse(name: &str) -> Option<SimpleCommand> {
         SimpleCommand::ALL.into_iter().find(|command| command.as_str() == name)
     }
--- a/rollout/src/dry_run.rs
+++ b/rollout/src/dry_run.rs
@@ -1,40 +1,42 @@
-//! The dry run: what a version would have rejected of the last minute's RPCs.
+//! Dry run: an estimate of the RPCs of the last minute that a version would have rejected.
 
 use crate::changed_entries::GlobalValues;
 use asterrill_entries::{Configuration, Name};
 use std::collections::BTreeMap;
 
-/// What the server has observed in the last minute, and holds now.
+/// Load that the server observed in the last minute, and its current memory use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ObservedLoad {
-    /// By the name of the method.
+    /// Load of each method, by name.
     pub methods: BTreeMap<Name, MethodLoad>,
-    /// Over how many seconds that was observed, at most 60.
+    /// Length of the observation, in seconds, at most 60.
     pub seconds: f64,
-    /// Memory of what is queued and runs, in kB.
+    /// Memory of the queued and running RPCs, in kB.
     pub in_use_kb: f64,
-    /// Memory that the program may take for it, in kB; 0 where that is unknown.
+    /// Memory that the process may use for RPCs, in kB; 0 if it is unknown.
     pub available_kb: f64,
 }
 
-/// RPCs of one method in the last minute.
+/// Load of one method in the last minute.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MethodLoad {
-    /// RPCs read.
+    /// Number of RPCs that were read.
     pub requests: f64,
-    /// Mean CPU work of one, in microseconds.
+    /// Mean CPU work per RPC, in microseconds.
     pub mean_work_us: f64,
 }
 
-/// RPCs of a method that a version could take up.
+/// Load of a method that the version could accept.
 struct Candidate {
     criticality: f64,
     load: MethodLoad,
 }
 
-/// The fraction of the last minute's RPCs that a version would have rejected, 0 to 1: those of methods that it does not
-/// have, those whose mean work leaves no time within the deadline, and of the rest what is beyond its cores, the least
-/// critical first. Costs what was observed.
+/// Estimates the fraction of the last minute's RPCs that a version would have rejected, 0 to 1.
+///
+/// Rejected are the RPCs of methods that the version lacks, the RPCs of methods whose mean work is not shorter than the
+/// deadline, and from the remaining RPCs those that exceed the capacity of the version's cores, the least critical
+/// first. The cost depends on the number of observed methods, not on the size of the version.
 pub fn dry_run(version: &Configuration, observed: &ObservedLoad) -> f64 {
     let all: f64 = observed.methods.values().map(|load| load.requests).sum();
     if all <= 0.0 || observed.seconds <= 0.0 {
--- a/rollout/src/lib.rs
+++ b/rollout/src/lib.rs
@@ -1,26 +1,27 @@
-//! Changes of the configuration as transactions.
+//! Configuration changes as transactions.
 //!
-//! A [`Rollout`] owns the version that runs, the one that is staged, the one on probation and the history. Its caller
-//! passes in what operators ask for and the time, and gets back what is to be done: which version to put in force,
-//! at once, between two inputs of the server. It has no socket, no file and no clock. `T` is a version's content, already
-//! read, and cheap to clone; its owner names it by a hash, the same for the same meaning. Checks, the probation monitor
-//! and records work on entries and cost what differs, or what was served.
+//! A [`Rollout`] owns the running version, the staged version, the version on probation and the history. Its caller
+//! passes in operator requests and the time. It gets back the version that must be put into effect immediately,
+//! between two inputs of the server. The crate does no I/O: it has no sockets, files or clocks. `T` is the parsed
+//! content of a version and must be cheap to clone. The owner of the content identifies it by a hash that is the same
+//! for the same meaning. Checks, the probation monitor and version files work on entries, and their cost depends on
+//! the entries that differ or the RPCs that were served.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `version` | a numbered version, its hash, and those that were rolled back |
-//! | `transaction` | stage, apply, confirm, roll back; who may do what when |
-//! | `check`, `dry_run` | what a change must not do, and what it would have rejected in the last minute |
-//! | `difference` | what a change means, in lines for people |
-//! | `sample`, `baseline`, `probation` | whether service drops because of a change |
-//! | `record` | what persists: a snapshot in entries and the steps after it, in a file that a crash can't halve |
-//! | `command` | the commands of the control socket that take no arguments |
+//! | `version` | numbered versions, their hashes, and the versions that were rolled back |
+//! | `transaction` | stage, apply, confirm and roll back; which operation is valid when |
+//! | `check`, `dry_run` | checks of a change, and the RPCs of the last minute that it would have rejected |
+//! | `difference` | readable description of a change |
+//! | `sample`, `baseline`, `probation` | detection of a service degradation that a change causes |
+//! | `version_file` | persisted versions: a snapshot in entries and the steps after it, in a crash-safe file |
+//! | `command` | commands of the control socket that take no arguments |
 //!
 //! Guarantees:
-//! - One version runs at a time, and at most one is on probation; another is refused, or queued if that was asked
-//!   for. Changes are never merged.
-//! - A roll back returns to exactly the version before. What was rolled back is not taken again unless forced.
-//! - What was on probation when the process ended is not what the next one starts with.
+//! - One version runs at a time, and at most one is on probation. A further change is rejected, or queued if requested.
+//!   Changes are never merged.
+//! - A rollback restores exactly the previous version. Content that was rolled back is rejected unless it is forced.
+//! - A process never starts with the version that was on probation when the previous process ended.
 //!
 //! ```
 //! use asterrill_rollout::{Proposal, Rollout, StageOptions};
@@ -34,7 +35,7 @@
 //! };
 //! assert_eq!(rollout.stage(5, proposal)?, 2);
 //! assert_eq!(rollout.apply(6, Some(1), 30_000_000)?.content, "new");
-//! assert_eq!(rollout.roll_back(7, "asked for")?.content, "old");
+//! assert_eq!(rollout.roll_back(7, "requested")?.content, "old");
 //! # Ok::<(), asterrill_rollout::RolloutError>(())
 //! ```
 
--- a/rollout/src/version.rs
+++ b/rollout/src/version.rs
@@ -1,40 +1,41 @@
-//! A numbered version of the configuration, its hash, and the memory of versions that were rolled back.
+//! Numbered versions of the configuration, their hashes, and the list of versions that were rolled back.
 
 use std::sync::Arc;
 
-/// A moment or a span in whole microseconds.
+/// Point in time or duration, in whole microseconds.
 pub type Us = u64;
 
-/// Identifies a content by its meaning. How it is computed is the business of the content's owner; see
+/// Hash that identifies the meaning of a version's content. The owner of the content computes it; see
 /// [`crate::version_hash`] for configurations.
 pub type VersionHash = Arc<str>;
 
-/// Rolled back versions that are remembered at the most; the oldest is forgotten first.
+/// Maximum number of rolled back versions that are remembered. The oldest one is removed first.
 pub(crate) const MAX_ROLLED_BACK: usize = 64;
 
 /// One version of the configuration. Cheap to clone if its content is.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Version<T> {
-    /// From 1 up; a number is never used twice.
+    /// Number of the version, starting at 1. A number is never reused.
     pub number: u64,
-    /// The hash of its content.
+    /// Hash of the content.
     pub hash: VersionHash,
-    /// The number of the version that it was made from.
+    /// Number of the version that this one was made from.
     pub base: u64,
-    /// What it says.
+    /// Content of the version.
     pub content: T,
 }
 
-/// A version that was rolled back, and is not taken again unless forced.
+/// Version that was rolled back. The same content is rejected from then on unless it is forced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolledBack {
-    /// The hash of its content.
+    /// Hash of the content.
     pub hash: VersionHash,
-    /// The number that it had.
+    /// Number of the version.
     pub number: u64,
 }
 
-/// Remembers a version that was rolled back: each hash once, [`MAX_ROLLED_BACK`] of them at the most.
+/// Adds a version to the list of rolled back versions. Each hash is listed once, and the list holds at most
+/// [`MAX_ROLLED_BACK`] versions.
 pub(crate) fn remember_rolled_back(rolled_back: &mut Vec<RolledBack>, version: RolledBack) {
     rolled_back.retain(|earlier| earlier.hash != version.hash);
     rolled_back.push(version);
