--- a/rollout/src/sample.rs
+++ b/rollout/src/sample.rs
@@ -1,32 +1,32 @@
-//! Samples of the service: what became of the RPCs of each method in a short span.
+//! Service samples: outcome counts of each method's RPCs over a short interval.
 
 use asterrill_entries::Name;
 use std::collections::BTreeMap;
 
-/// What became of RPCs in a short span, judged by the latency objectives of the version before the change. Holds only
-/// methods that had RPCs, so the cost of a sample does not grow with the number of methods.
+/// Outcome counts of RPCs over a short interval, measured against the latency objectives of the version before the
+/// change. Holds only methods that had RPCs, so the cost of a sample does not grow with the number of methods.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceSample {
-    /// By the name of the method.
+    /// Counts by method name.
     pub methods: BTreeMap<Name, MethodCounts>,
 }
 
-/// The counts of one method in a [`ServiceSample`].
+/// Counts of one method in a [`ServiceSample`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MethodCounts {
-    /// Final answers given.
+    /// Final answers that were sent.
     pub answered: f64,
-    /// Those of them that were ok and within the latency objective.
+    /// Final answers that were ok and within the latency objective.
     pub in_time: f64,
-    /// Those not in time whose call to the upstream failed.
+    /// Final answers that were not in time and whose upstream call failed.
     pub upstream_failed: f64,
-    /// Expected CPU work of the RPCs that arrived, as far as their cost was learned, in microseconds.
+    /// Expected CPU work of the RPCs that arrived, in microseconds. RPCs whose cost is not learned yet are left out.
     pub work_us: f64,
 }
 
 impl MethodCounts {
-    /// Answers that count in the judgement: those whose upstream call failed do not.
-    pub(crate) fn judged(&self) -> f64 {
+    /// Returns the number of answers that the probation evaluates. Answers whose upstream call failed are excluded.
+    pub(crate) fn evaluated(&self) -> f64 {
         (self.answered - self.upstream_failed).max(0.0)
     }
 }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Expected CPU work of all methods, in microseconds.
+    /// Returns the expected CPU work of all methods, in microseconds.
     pub(crate) fn total_work_us(&self) -> f64 {
         self.methods.values().map(|counts| counts.work_us).sum()
     }
--- a/rollout/tests/rollout/probation.rs
+++ b/rollout/tests/rollout/probation.rs
@@ -1,4 +1,4 @@
-//! The probation monitor on seeded cases.
+//! Tests of the probation monitor on seeded random scenarios.
 
 use crate::versions::{test_version, SECOND};
 use asterrill_entries::{Configuration, GlobalSettings};
@@ -7,35 +7,36 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// A server's service in beats of 100 ms: Poisson arrivals, losses that come in bursts, and what the case wants.
+/// Simulated service of a server in intervals of 100 ms, with Poisson arrivals, bursts of losses, and the disturbances
+/// of the scenario.
 struct Scenario {
     rng: StdRng,
     rate: f64,
     cores: f64,
-    usual: f64,
-    /// From and until when, and by how much the load is multiplied.
-    jump: (Us, Us, f64),
-    /// From and until when everything is late: a few late_span seconds.
+    baseline_loss: f64,
+    /// Start, end and factor of a jump in load.
+    load_jump: (Us, Us, f64),
+    /// Start and end of a short span in which most RPCs are late.
     late_span: (Us, Us),
-    /// From and until when half of the upstream calls fail.
-    upstream_trouble: (Us, Us),
-    /// What the change loses besides, of each method, from the change on.
-    lost: [f64; 2],
+    /// Start and end of a span in which half of the upstream calls fail.
+    upstream_failures: (Us, Us),
+    /// Fraction of each method's RPCs that the change loses in addition.
+    change_loss: [f64; 2],
 }
 
 impl Scenario {
     fn new(seed: u64) -> Scenario {
         let mut rng = StdRng::seed_from_u64(seed);
-        let (rate, usual) = (rng.random_range(40.0..400.0), rng.random_range(0.0..0.05));
+        let (rate, baseline_loss) = (rng.random_range(40.0..400.0), rng.random_range(0.0..0.05));
         Scenario {
             rng,
             rate,
             cores: 4.0,
-            usual,
-            jump: (0, 0, 1.0),
+            baseline_loss,
+            load_jump: (0, 0, 1.0),
             late_span: (0, 0),
-            upstream_trouble: (0, 0),
-            lost: [0.0; 2],
+            upstream_failures: (0, 0),
+            change_loss: [0.0; 2],
         }
     }
     fn poisson(&mut self, mean: f64) -> f64 {
@@ -46,41 +47,41 @@
         }
         n
     }
-    fn beat(&mut self, now: Us, changed: bool) -> ServiceSample {
+    fn sample(&mut self, now: Us, changed: bool) -> ServiceSample {
         let within = |(from, until): (Us, Us)| (from..until).contains(&now);
-        let (from, until, times) = self.jump;
-        let rate = self.rate * if within((from, until)) { times } else { 1.0 };
-        // 0.6 of the cores are used at the usual rate.
-        let work = self.cores * 0.6e6 / self.rate;
+        let (from, until, factor) = self.load_jump;
+        let rate = self.rate * if within((from, until)) { factor } else { 1.0 };
+        // The base rate uses 0.6 of the cores.
+        let work_us = self.cores * 0.6e6 / self.rate;
         let mut capacity_us = self.cores * 1e5;
         let burst = if self.rng.random::<f64>() < 0.05 { 3.0 } else { 0.9 };
         let mut sample = ServiceSample::default();
         for (i, name) in ["price", "look"].into_iter().enumerate() {
-            let asked = self.poisson(rate / 10.0 * [0.25, 0.75][i]);
-            let fits = (capacity_us / (asked * work).max(1.0)).min(1.0);
-            capacity_us -= asked * work * fits;
-            let mut counted =
-                MethodCounts { answered: asked, work_us: asked * work, ..MethodCounts::default() };
-            let mut fine = (1.0 - (self.usual * burst).min(1.0)) * fits;
-            fine *= if changed { 1.0 - self.lost[i] } else { 1.0 };
-            fine *= if within(self.late_span) { 0.2 } else { 1.0 };
-            for _ in 0..asked as u64 {
-                if within(self.upstream_trouble) && self.rng.random::<f64>() < 0.5 {
-                    counted.upstream_failed += 1.0;
-                } else if self.rng.random::<f64>() < fine {
-                    counted.in_time += 1.0;
+            let arrivals = self.poisson(rate / 10.0 * [0.25, 0.75][i]);
+            let served_fraction = (capacity_us / (arrivals * work_us).max(1.0)).min(1.0);
+            capacity_us -= arrivals * work_us * served_fraction;
+            let mut counts =
+                MethodCounts { answered: arrivals, work_us: arrivals * work_us, ..MethodCounts::default() };
+            let mut in_time_fraction = (1.0 - (self.baseline_loss * burst).min(1.0)) * served_fraction;
+            in_time_fraction *= if changed { 1.0 - self.change_loss[i] } else { 1.0 };
+            in_time_fraction *= if within(self.late_span) { 0.2 } else { 1.0 };
+            for _ in 0..arrivals as u64 {
+                if within(self.upstream_failures) && self.rng.random::<f64>() < 0.5 {
+                    counts.upstream_failed += 1.0;
+                } else if self.rng.random::<f64>() < in_time_fraction {
+                    counts.in_time += 1.0;
                 }
             }
-            sample.methods.insert(name.into(), counted);
+            sample.methods.insert(name.into(), counts);
         }
         sample
     }
-    /// The verdict, and how long after the change it came.
-    fn play(mut self) -> (bool, Us) {
+    /// Returns whether the change was rolled back, and how long after the change the decision was made.
+    fn run(mut self) -> (bool, Us) {
         let (mut baseline, mut now) = (Baseline::default(), 0);
         while now < 20 * SECOND {
             now += SECOND / 10;
-            let sample = self.beat(now, false);
+            let sample = self.sample(now, false);
             baseline.record(now, &sample);
         }
         let mut old = test_version();
@@ -88,7 +89,7 @@
         let mut monitor = ProbationMonitor::new(now, &baseline, old.content(), 30 * SECOND);
         loop {
             now += SECOND / 10;
-            let sample = self.beat(now, true);
+            let sample = self.sample(now, true);
             match monitor.observe(now, &sample) {
                 Verdict::Wait => {}
                 Verdict::RollBack { .. } => return (true, now - 20 * SECOND),
@@ -99,66 +100,66 @@
 }
 
 #[test]
-fn seeded_cases_keep_good_changes_and_roll_bad_ones_back_within_five_seconds() {
+fn good_changes_are_kept_and_bad_ones_rolled_back_within_five_seconds() {
     let mut good = BTreeMap::new();
     let mut bad = BTreeMap::new();
     for seed in 0..400 {
-        let mut case = Scenario::new(seed);
-        let at = 20 * SECOND + case.rng.random_range(0..10 * SECOND);
-        let (kind, long) = (seed % 4, case.rng.random_range(SECOND / 2..2 * SECOND));
-        let jump = case.rng.random_range(1.5..4.0);
+        let mut scenario = Scenario::new(seed);
+        let start = 20 * SECOND + scenario.rng.random_range(0..10 * SECOND);
+        let (kind, duration) = (seed % 4, scenario.rng.random_range(SECOND / 2..2 * SECOND));
+        let factor = scenario.rng.random_range(1.5..4.0);
         let name = match kind {
             0 => "calm",
             1 => {
-                case.jump = (at, at + 8 * SECOND, jump);
-                "jump"
+                scenario.load_jump = (start, start + 8 * SECOND, factor);
+                "load jump"
             }
             2 => {
-                case.late_span = (at, at + long);
-                "unlucky"
+                scenario.late_span = (start, start + duration);
+                "late span"
             }
             _ => {
-                case.upstream_trouble = (at, at + 8 * SECOND);
-                "upstream"
+                scenario.upstream_failures = (start, start + 8 * SECOND);
+                "upstream failures"
             }
         };
-        let (rolled_back, _) = case.play();
+        let (rolled_back, _) = scenario.run();
         let count: &mut (u32, u32) = good.entry(name).or_default();
         *count = (count.0 + 1, count.1 + u32::from(rolled_back));
 
-        let mut case = Scenario::new(1_000 + seed);
-        // What it costs: all of one method, or a good part of both.
-        case.lost = [[1.0, 0.0], [0.5, 0.5], [0.3, 0.9], [0.9, 0.1]][seed as usize / 4 % 4];
+        let mut scenario = Scenario::new(1_000 + seed);
+        // The change loses all RPCs of one method, or a large part of both.
+        scenario.change_loss = [[1.0, 0.0], [0.5, 0.5], [0.3, 0.9], [0.9, 0.1]][seed as usize / 4 % 4];
         let name = match kind {
             1 => {
-                case.jump = (20 * SECOND, 40 * SECOND, 1.5 + seed as f64 % 5.0 / 2.0);
-                "jump"
+                scenario.load_jump = (20 * SECOND, 40 * SECOND, 1.5 + seed as f64 % 5.0 / 2.0);
+                "load jump"
             }
             3 => {
-                case.upstream_trouble = (20 * SECOND, 40 * SECOND);
-                "upstream"
+                scenario.upstream_failures = (20 * SECOND, 40 * SECOND);
+                "upstream failures"
             }
             _ => "calm",
         };
-        let (rolled_back, after) = case.play();
+        let (rolled_back, after) = scenario.run();
         let count: &mut (u32, u32, u32) = bad.entry(name).or_default();
         *count = (count.0 + 1, count.1 + u32::from(!rolled_back), count.2 + u32::from(after > 5 * SECOND));
     }
-    println!("good changes, cases and wrong undos: {good:?}");
-    println!("bad changes, cases, missed, and later than 5 s: {bad:?}");
+    println!("good changes (scenarios, wrongly rolled back): {good:?}");
+    println!("bad changes (scenarios, missed, rolled back later than 5 s): {bad:?}");
     assert_eq!((good.values().map(|c| c.0).sum::<u32>(), bad.values().map(|c| c.0).sum::<u32>()), (400, 400));
     assert!(good.values().map(|c| c.1).sum::<u32>() <= 4, "{good:?}");
     assert!(bad.values().map(|c| c.1).sum::<u32>() <= 4, "{bad:?}");
     assert!(bad.values().map(|c| c.2).sum::<u32>() <= 15, "{bad:?}");
 }
 
-/// A version with one core and no method.
+/// Returns a version with one core and no methods.
 fn empty_version() -> Configuration {
     Configuration::new(GlobalSettings { cores: 1, ..GlobalSettings::default() })
 }
 
 #[test]
-fn probation_is_extended_without_evidence_and_then_confirmed() {
+fn probation_without_samples_is_extended_and_then_confirmed() {
     let baseline = Baseline::default();
     let mut monitor = ProbationMonitor::new(0, &baseline, empty_version(), 2 * SECOND);
     let mut now = 0;
@@ -173,7 +174,7 @@
 }
 
 #[test]
-fn clock_set_back_decides_nothing_early() {
+fn clock_that_jumps_back_causes_no_early_decision() {
     let mut monitor = ProbationMonitor::new(100 * SECOND, &Baseline::default(), empty_version(), 2 * SECOND);
     assert_eq!(monitor.observe(SECOND, &ServiceSample::default()), Verdict::Wait);
     assert_eq!(monitor.observe(100 * SECOND, &ServiceSample::default()), Verdict::Wait);
