--- a/rollout/src/version_file.rs
+++ b/rollout/src/version_file.rs
@@ -1,40 +1,42 @@
-//! The record: what persists of the configuration over restarts. One file, a complete version in entries (the snapshot)
-//! followed by steps, each with checksums. Its owner writes it; here is its format, and what to start
-//! with after any crash.
+//! Version file: the state of the configuration that persists over restarts.
+//!
+//! The file holds a complete version in entries (the snapshot), followed by steps. Each of these records has checksums.
+//! The caller writes the file; this module defines its format, and what a process starts with after any crash.
 //!
 //! ```text
 //! asterrill versions 1
-//! whole <number> <hash> <how many undone> <bytes of the operator's file> <sum>
+//! whole <number> <hash> <number of undone versions> <bytes of the operator's file> <checksum>
 //! undone <hash> <number>
 //! <the operator's file>
 //! {"frame":{...}}
 //! {"put":"method",...}
-//! end <entries> <sum>
-//! step <kind> <number> <base> <hash> <bytes of the operator's file, or -> <bytes of the body> <sum> <sum>
+//! end <entries> <checksum>
+//! step <kind> <number> <base> <hash> <bytes of the operator's file, or -> <bytes of the body> <checksum> <checksum>
 //! {"put":"tenant",...}
 //! ```
 //!
-//! A sum is `xxh3` in 16 hex digits: of a snapshot over all bytes of the file before its `end`; of a step over
-//! its body, then over its line up to there, so that its length can be trusted before the body is read. A step's head
-//! is under 256 bytes. The body of `good` (taken as it is) and `probation` is what leads there from the last good
-//! version, with the operator's file where that changed; `settled` and `undone` have none.
+//! A checksum is `xxh3` in 16 hex digits. The checksum of a snapshot covers all bytes of the file before its `end`
+//! line. A step has one checksum of its body, followed by one of the header line up to that point, so that the length
+//! can be trusted before the body is read. The header of a step is shorter than 256 bytes. The body of `good`
+//! (accepted without probation) and `probation` holds the changes from the last good version to the new one, preceded
+//! by the operator's file if that changed. `settled` and `undone` have no body.
 //!
-//! A snapshot is written to a temporary file, synced and renamed; steps are appended. So a crash leaves a torn tail
-//! at the most, which is cut off at the last complete record. A record that is damaged with complete ones after it is
-//! named: nothing after it is taken up, as its base is missing, but what those after it say was rolled back, or on
-//! probation without an end, is still not started with.
+//! A snapshot is written to a temporary file, synced and renamed; steps are appended. A crash therefore leaves at
+//! most a torn tail, which is cut off after the last complete record. A damaged record with complete records after it
+//! is reported, and none of the later records is applied, because their base is missing. Versions that these records
+//! name as rolled back, or as on probation without an end, are still never started with.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `state` | a version and all that a restart needs, and what a step makes of it |
-//! | `fault` | why a record or a file can't be used |
-//! | `format` | lines, heads and checksums of the file, written and read |
+//! | `state` | persisted versions, the state that a restart needs, and the effect of a step on it |
+//! | `error` | reasons why a record or a file cannot be used |
+//! | `format` | lines, headers and checksums of the file, written and parsed |
 //! | `update` | the steps that lead from one state to another |
-//! | `snapshot` | a complete version, and when it is written anew (compaction) |
-//! | `entry_reader` | entries of a body, taken in a piece at a time |
-//! | `snapshot_reader`, `step_reader` | one record, read back |
-//! | `recover` | a complete file, read back after any crash |
-//! | `start` | what a process starts with |
+//! | `snapshot` | complete versions, and when they are rewritten (compaction) |
+//! | `entry_reader` | incremental parsing of the entries in a body |
+//! | `snapshot_reader`, `step_reader` | parsing of one record |
+//! | `recover` | parsing of a complete file after any crash |
+//! | `start` | the version that a process starts with |
 
 mod entry_reader;
 mod error;
--- a/rollout/src/version_file/entry_reader.rs
+++ b/rollout/src/version_file/entry_reader.rs
@@ -1,74 +1,74 @@
-//! Entries of a body, taken in a piece at a time, so that a long text is never held completely.
+//! Incremental parsing of the entries in a body, in chunks, so that a long text is never held in memory as a whole.
 
 use super::error::RecordError;
 use asterrill_entries::{read_step, Change, Configuration, GlobalSettings, StepError, MAX_CHANGES};
 
-/// Bytes of entries that are read and taken in together.
-const PIECE_BYTES: usize = 1 << 16;
+/// Minimum length of a chunk of lines that is parsed at once, in bytes.
+const MIN_CHUNK_BYTES: usize = 1 << 16;
 
-/// Reads entries from lines. After a mistake nothing more is taken in, and the mistake is reported at the end.
+/// Parser of entries from lines. After an error, further lines are ignored, and `finish` returns the error.
 pub(super) struct EntryReader {
     content: Result<Configuration, RecordError>,
-    piece: Vec<u8>,
-    mode: Mode,
+    chunk: Vec<u8>,
+    mode: ApplyMode,
 }
 
-enum Mode {
-    /// Each entry of a snapshot is put, so that pieces can go in one after the other.
+enum ApplyMode {
+    /// Applies each chunk as it is read, because the entries of a snapshot only set values.
     Snapshot,
-    /// A step is applied completely or not at all.
+    /// Collects all changes, because a step is applied completely or not at all.
     Step(Vec<Change>),
 }
 
 impl EntryReader {
-    /// Reads a snapshot, from nothing.
+    /// Creates a reader of a snapshot, which starts from an empty configuration.
     pub(super) fn snapshot() -> EntryReader {
         let content = Ok(Configuration::new(GlobalSettings::default()));
-        EntryReader { content, piece: Vec::new(), mode: Mode::Snapshot }
+        EntryReader { content, chunk: Vec::new(), mode: ApplyMode::Snapshot }
     }
 
-    /// Reads a step that changes `base`.
+    /// Creates a reader of a step that changes `base`.
     pub(super) fn step(base: Configuration) -> EntryReader {
-        EntryReader { content: Ok(base), piece: Vec::new(), mode: Mode::Step(Vec::new()) }
+        EntryReader { content: Ok(base), chunk: Vec::new(), mode: ApplyMode::Step(Vec::new()) }
     }
 
-    /// Takes a line, with its end.
+    /// Adds a line, including its line end.
     pub(super) fn push_line(&mut self, line: &[u8]) {
-        self.piece.extend_from_slice(line);
-        if self.piece.len() >= PIECE_BYTES {
-            self.take_piece();
+        self.chunk.extend_from_slice(line);
+        if self.chunk.len() >= MIN_CHUNK_BYTES {
+            self.apply_chunk();
         }
     }
 
-    /// What the entries make of the base, or what is wrong with them.
+    /// Returns the resulting configuration, or the first error in the entries.
     pub(super) fn finish(mut self) -> Result<Configuration, RecordError> {
-        self.take_piece();
+        self.apply_chunk();
         let changes = match self.mode {
-            Mode::Snapshot => Vec::new(),
-            Mode::Step(changes) => changes,
+            ApplyMode::Snapshot => Vec::new(),
+            ApplyMode::Step(changes) => changes,
         };
         Ok(self.content?.apply(&changes)?)
     }
 
-    fn take_piece(&mut self) {
-        if let Err(damage) = self.read_piece() {
-            self.content = Err(damage);
+    fn apply_chunk(&mut self) {
+        if let Err(error) = self.read_chunk() {
+            self.content = Err(error);
         }
-        self.piece.clear();
+        self.chunk.clear();
     }
 
-    fn read_piece(&mut self) -> Result<(), RecordError> {
+    fn read_chunk(&mut self) -> Result<(), RecordError> {
         let Ok(content) = &self.content else { return Ok(()) };
-        let text = std::str::from_utf8(&self.piece)?;
+        let text = std::str::from_utf8(&self.chunk)?;
         let step = read_step(text, content)?;
         match &mut self.mode {
-            Mode::Snapshot => {
+            ApplyMode::Snapshot => {
                 self.content = Ok(content.apply(&step.changes)?);
             }
-            Mode::Step(changes) if changes.len() + step.changes.len() <= MAX_CHANGES => {
+            ApplyMode::Step(changes) if changes.len() + step.changes.len() <= MAX_CHANGES => {
                 changes.extend(step.changes);
             }
-            Mode::Step(_) => return Err(StepError::TooManyChanges.into()),
+            ApplyMode::Step(_) => return Err(StepError::TooManyChanges.into()),
         }
         Ok(())
     }
--- a/rollout/src/version_file/error.rs
+++ b/rollout/src/version_file/error.rs
@@ -1,4 +1,4 @@
-//! Why a record, or the file that holds it, can't be used.
+//! Errors of a record and of the version file.
 
 use crate::version::VersionHash;
 use asterrill_entries::{ConfigError, StepError};
@@ -6,81 +6,81 @@
 use std::num::ParseIntError;
 use std::str::Utf8Error;
 
-/// What is wrong with a record.
+/// Reason why a record cannot be used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RecordError {
-    /// The file ends in its first line.
-    #[error("it ends in its first line")]
+    /// The file ends within its first line.
+    #[error("the file ends within its first line")]
     FirstLineCutShort,
-    /// The head of the snapshot is not one, or its checksum is wrong.
-    #[error("its second line")]
+    /// The snapshot header on the second line is malformed, or its checksum does not match.
+    #[error("the snapshot header on the second line is malformed or its checksum does not match")]
     SnapshotHeader,
-    /// A line does not name a version that was rolled back.
-    #[error("a line of what was undone")]
+    /// A line that should name a rolled back version is malformed.
+    #[error("the line of an undone version is malformed")]
     RolledBackLine,
-    /// The last line of the snapshot is missing.
-    #[error("it has no end")]
+    /// The end line of the snapshot is missing.
+    #[error("the end line of the snapshot is missing")]
     SnapshotCutShort,
-    /// The checksum of the snapshot is wrong.
-    #[error("its sum is another")]
+    /// The checksum of the snapshot does not match.
+    #[error("the checksum of the snapshot does not match")]
     SnapshotChecksum,
-    /// The entries of the snapshot have another hash than its head says.
-    #[error("its entries have another hash")]
+    /// The hash of the snapshot's content differs from the hash in its header.
+    #[error("the hash of the snapshot's content differs from the hash in its header")]
     SnapshotHash,
-    /// A line that should be the head of a step is none.
-    #[error("its first line is damaged")]
+    /// A line that should be the header of a step is malformed.
+    #[error("the step header is malformed")]
     StepHeader,
     /// The file ends within the body of the step.
-    #[error("it is cut short")]
+    #[error("the step body is cut short")]
     StepCutShort,
-    /// The checksum of the step's body is wrong.
-    #[error("its body is damaged")]
+    /// The checksum of the step's body does not match.
+    #[error("the checksum of the step body does not match")]
     StepChecksum,
-    /// The step leads on from another version than the last good one.
-    #[error("its base, version {0}, is missing")]
+    /// The base of the step is not the last good version.
+    #[error("base version {0} is missing")]
     MissingBase(u64),
-    /// The step leads to a version with another hash than its head says.
-    #[error("it leads to {found}, not to {expected}")]
+    /// The hash of the version that the step yields differs from the hash in its header.
+    #[error("the step yields hash {found}, expected {expected}")]
     StepHash {
-        /// The hash of the version that it leads to.
+        /// Hash of the version that the step yields.
         found: VersionHash,
-        /// The hash in its head.
+        /// Hash in the header of the step.
         expected: VersionHash,
     },
     /// The step confirms a version that was not on probation.
-    #[error("what it settles was not on probation")]
+    #[error("the step settles a version that was not on probation")]
     NotOnProbation,
-    /// The step should hold a version, and does not.
-    #[error("it holds no version")]
+    /// The step must hold a version, but holds none.
+    #[error("the step holds no version")]
     NoVersion,
-    /// A number is none.
+    /// A number cannot be parsed.
     #[error("{0}")]
     Number(#[from] ParseIntError),
     /// A text is not UTF-8.
     #[error("{0}")]
     Encoding(#[from] Utf8Error),
-    /// The entries can't be read.
+    /// The entries cannot be parsed.
     #[error("{0}")]
     Entries(#[from] StepError),
-    /// The entries can't be applied.
+    /// The entries cannot be applied.
     #[error("{0}")]
     Configuration(#[from] ConfigError),
 }
 
-/// Why a file of versions can't be used.
+/// Reason why a version file cannot be used.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum VersionFileError {
-    /// It does not begin as this file of the program does.
-    #[error("it is no file of versions of this program")]
-    Foreign,
-    /// Its format has another number; holds its first line.
-    #[error("it was written by another version of this program: {0:?}")]
-    OtherFormat(String),
-    /// Its snapshot is cut short or damaged.
-    #[error("its whole version is cut short or damaged: {0}")]
+    /// The file does not begin like a version file.
+    #[error("not a version file of this program")]
+    NotVersionFile,
+    /// The file has an unsupported format. Holds its first line.
+    #[error("written by another version of this program: {0:?}")]
+    UnsupportedFormat(String),
+    /// The snapshot is cut short or damaged.
+    #[error("the snapshot is cut short or damaged: {0}")]
     Damaged(#[from] RecordError),
-    /// Reading failed; holds the system's error.
-    #[error("it can't be read: {0}")]
+    /// Reading failed. Holds the error of the operating system.
+    #[error("cannot read the file: {0}")]
     Unreadable(String),
 }
 
--- a/rollout/src/version_file/recover.rs
+++ b/rollout/src/version_file/recover.rs
@@ -1,4 +1,4 @@
-//! Reads a file of versions back after any crash.
+//! Recovery of the state from a version file after any crash.
 
 use super::error::{RecordError, VersionFileError};
 use super::format::{LineReader, StepHeader, MAX_LINE_BYTES};
@@ -9,14 +9,14 @@
 use std::fmt;
 use std::io::BufRead;
 
-/// A record that can't be used.
+/// Record that cannot be used.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DamagedRecord {
-    /// Which one: the snapshot is 0, the first step 1.
+    /// Index of the record: the snapshot is 0, the first step 1.
     pub record: u64,
-    /// Where it begins, in bytes.
+    /// Offset of the record in the file, in bytes.
     pub offset: u64,
-    /// What is wrong with it.
+    /// Reason why the record cannot be used.
     pub error: RecordError,
 }
 
@@ -26,110 +26,112 @@
     }
 }
 
-/// What a file holds.
+/// State recovered from a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Recovered {
-    /// The state up to the last record that was taken up.
+    /// State after the last record that was applied.
     pub state: PersistedState,
-    /// Bytes up to the end of the last record that was taken up.
+    /// Offset of the end of the last record that was applied, in bytes.
     pub valid_bytes: u64,
-    /// Bytes of a torn tail that are left out.
+    /// Length of the torn tail that was ignored, in bytes.
     pub torn_bytes: u64,
-    /// The first record that can't be used though complete ones follow. Nothing after it is taken up.
+    /// First record that cannot be used although complete records follow it. No record after it is applied.
     pub damaged: Option<DamagedRecord>,
 }
 
-/// Reads a file of versions, a line at a time: what is held at once is a version and 64 KiB of text.
+/// Recovers the state from a version file. The file is read line by line, so that at most one version and 64 KiB of
+/// text are held in memory.
 ///
 /// # Errors
-/// [`VersionFileError`]: another program's, another format's, or one without a complete snapshot at its begin.
-pub fn recover(from: impl BufRead) -> Result<Recovered, VersionFileError> {
-    let mut lines = LineReader::new(from);
+/// Returns a [`VersionFileError`] if the file belongs to another program, has another format, does not start with a
+/// complete snapshot, or cannot be read.
+pub fn recover(source: impl BufRead) -> Result<Recovered, VersionFileError> {
+    let mut lines = LineReader::new(source);
     let Snapshot { version, rolled_back } = Snapshot::read(&mut lines)?;
     let mut recovery = Recovery {
         state: PersistedState { good: version, probation: None, rolled_back },
         valid_bytes: lines.position(),
         record: 0,
-        suspect: None,
+        possibly_torn: None,
         damaged: None,
         unfinished_probation: None,
     };
     let mut line = Vec::new();
     loop {
-        let at = lines.position();
+        let offset = lines.position();
         lines.next_line(MAX_LINE_BYTES, &mut line)?;
         if line.is_empty() {
             break;
         }
         let found = StepHeader::find(&line);
-        let begin = found.as_ref().map_or(line.len(), |(begin, _)| *begin);
-        if begin > 0 {
-            recovery.skip_unreadable(at);
+        let start = found.as_ref().map_or(line.len(), |(start, _)| *start);
+        if start > 0 {
+            recovery.skip_unreadable(offset);
         }
-        let Some((_, head)) = found else { continue };
+        let Some((_, header)) = found else { continue };
         recovery.record += 1;
-        let step = read_step_body(&mut lines, &head, &recovery.state.good)?;
-        recovery.take_step(&head, step, at + begin as u64, lines.position());
+        let step = read_step_body(&mut lines, &header, &recovery.state.good)?;
+        recovery.process_step(&header, step, offset + start as u64, lines.position());
     }
     Ok(recovery.finish(lines.position()))
 }
 
-/// How far the reading of a file is.
+/// Progress of the recovery.
 struct Recovery {
     state: PersistedState,
     valid_bytes: u64,
-    /// The number of the record that was read last.
+    /// Index of the record that was read last.
     record: u64,
-    /// What can't be used, until an intact record follows it: then it is no torn tail.
-    suspect: Option<DamagedRecord>,
+    /// Record that cannot be used and may be a torn tail. It counts as damaged once an intact record follows it.
+    possibly_torn: Option<DamagedRecord>,
     damaged: Option<DamagedRecord>,
-    /// After a damaged record: what was on probation last, and has not ended.
+    /// Version that a record after the damage puts on probation, and whose probation has not ended.
     unfinished_probation: Option<RolledBack>,
 }
 
 impl Recovery {
-    /// A line, or the begin of one, that belongs to no readable head.
-    fn skip_unreadable(&mut self, at: u64) {
-        if self.suspect.is_none() {
+    /// Handles a line, or the start of one, that is not part of a record with a readable header.
+    fn skip_unreadable(&mut self, offset: u64) {
+        if self.possibly_torn.is_none() {
             self.record += 1;
             let error = RecordError::StepHeader;
-            self.suspect = Some(DamagedRecord { record: self.record, offset: at, error });
+            self.possibly_torn = Some(DamagedRecord { record: self.record, offset, error });
         }
     }
 
-    /// A step with a readable head. `at`, `end`: where it begins and ends.
-    fn take_step(&mut self, head: &StepHeader, step: ReadStep, at: u64, end: u64) {
-        // Complete as it was written, whether it can follow or not.
+    /// Handles a step with a readable header, which lies between the offsets `start` and `end`.
+    fn process_step(&mut self, header: &StepHeader, step: ReadStep, start: u64, end: u64) {
+        // An intact step shows that an unusable record before it is damaged rather than a torn tail.
         if step.intact {
-            self.damaged = self.damaged.take().or(self.suspect.take());
+            self.damaged = self.damaged.take().or(self.possibly_torn.take());
         }
-        if self.damaged.is_some() || self.suspect.is_some() {
+        if self.damaged.is_some() || self.possibly_torn.is_some() {
             if step.intact {
-                self.note_after_damage(head);
+                self.remember_after_damage(header);
             }
             return;
         }
         let applied = step
             .version
-            .and_then(|version| self.state.apply_step(head.kind, head.number, &head.hash, version));
+            .and_then(|version| self.state.apply_step(header.kind, header.number, &header.hash, version));
         match applied {
             Ok(()) => self.valid_bytes = end,
             Err(error) => {
-                let damage = DamagedRecord { record: self.record, offset: at, error };
+                let damage = DamagedRecord { record: self.record, offset: start, error };
                 if step.intact {
                     self.damaged = Some(damage);
-                    self.note_after_damage(head);
+                    self.remember_after_damage(header);
                 } else {
-                    self.suspect = Some(damage);
+                    self.possibly_torn = Some(damage);
                 }
             }
         }
     }
 
-    /// Takes what a step after a damaged one says of hashes: the version that it was made from is missing.
-    fn note_after_damage(&mut self, head: &StepHeader) {
-        let version = RolledBack { hash: head.hash.clone(), number: head.number };
-        match head.kind {
+    /// Remembers the hash in a step after a damaged record. The step cannot be applied, because its base is missing.
+    fn remember_after_damage(&mut self, header: &StepHeader) {
+        let version = RolledBack { hash: header.hash.clone(), number: header.number };
+        match header.kind {
             StepKind::Probation => self.unfinished_probation = Some(version),
             StepKind::Good | StepKind::Confirmed => self.unfinished_probation = None,
             StepKind::RolledBack => {
--- a/rollout/src/version_file/snapshot_reader.rs
+++ b/rollout/src/version_file/snapshot_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the snapshot at the begin of a file back.
+//! Parsing of the snapshot at the start of a file.
 
 use super::entry_reader::EntryReader;
 use super::error::{RecordError, VersionFileError};
@@ -12,16 +12,16 @@
 use std::io::BufRead;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Digits of a format's number at the most, in the first line of another format.
+/// Maximum number of digits of a format number in the first line of an unsupported format.
 const MAX_FORMAT_DIGITS: usize = 20;
 
-/// A complete version as it was read back.
+/// Snapshot that was read from the file.
 pub(super) struct Snapshot {
     pub(super) version: PersistedVersion,
     pub(super) rolled_back: Vec<RolledBack>,
 }
 
-/// The second line of a file.
+/// Header of a snapshot, on the second line of the file.
 struct SnapshotHeader {
     number: u64,
     hash: VersionHash,
@@ -35,35 +35,36 @@
 
 impl Snapshot {
     pub(super) fn read(lines: &mut LineReader<impl BufRead>) -> Result<Snapshot, VersionFileError> {
-        SnapshotReader { lines, sum: Xxh3::new(), line: Vec::new() }.read()
+        SnapshotReader { lines, hasher: Xxh3::new(), line: Vec::new() }.read()
     }
 }
 
 struct SnapshotReader<'a, R> {
     lines: &'a mut LineReader<R>,
-    /// Of all that was read, but for the last line.
-    sum: Xxh3,
+    /// Hashes all bytes that were read except the end line.
+    hasher: Xxh3,
     line: Vec<u8>,
 }
 
 impl<R: BufRead> SnapshotReader<'_, R> {
     fn read(mut self) -> Result<Snapshot, VersionFileError> {
         self.read_first_line()?;
-        let head = self.read_head()?;
-        let rolled_back = self.read_rolled_back(head.rolled_back)?;
-        let operator_file = self.read_operator_file(head.operator_file_bytes)?;
+        let header = self.read_header()?;
+        let rolled_back = self.read_rolled_back(header.rolled_back)?;
+        let operator_file = self.read_operator_file(header.operator_file_bytes)?;
         let content = self.read_entries()?;
-        let version = PersistedVersion { number: head.number, content, operator_file: operator_file.into() };
-        if version.hash() != head.hash {
+        let version =
+            PersistedVersion { number: header.number, content, operator_file: operator_file.into() };
+        if version.hash() != header.hash {
             return Err(RecordError::SnapshotHash.into());
         }
         Ok(Snapshot { version, rolled_back })
     }
 
-    /// Reads a line that counts in the sum.
+    /// Reads a line, and adds it to the checksum.
     fn next_line(&mut self) -> Result<(), VersionFileError> {
         self.lines.next_line(MAX_LINE_BYTES, &mut self.line)?;
-        self.sum.update(&self.line);
+        self.hasher.update(&self.line);
         Ok(())
     }
 
@@ -78,12 +79,12 @@
         let text = String::from_utf8_lossy(&self.line);
         let short = self.line.len() < FIRST_LINE_PREFIX.len() + MAX_FORMAT_DIGITS;
         if text.starts_with(FIRST_LINE_PREFIX) && short {
-            return Err(VersionFileError::OtherFormat(text.trim_end().into()));
+            return Err(VersionFileError::UnsupportedFormat(text.trim_end().into()));
         }
-        Err(VersionFileError::Foreign)
+        Err(VersionFileError::NotVersionFile)
     }
 
-    fn read_head(&mut self) -> Result<SnapshotHeader, VersionFileError> {
+    fn read_header(&mut self) -> Result<SnapshotHeader, VersionFileError> {
         self.next_line()?;
         let words = verify_header::<5>(&self.line);
         let Some(["whole", number, hash, rolled_back, file_bytes]) = words else {
@@ -111,11 +112,11 @@
 
     fn read_operator_file(&mut self, bytes: u64) -> Result<String, VersionFileError> {
         let file = self.lines.next_bytes(bytes.min(MAX_OPERATOR_FILE_BYTES))?;
-        self.sum.update(&file);
+        self.hasher.update(&file);
         String::from_utf8(file).map_err(|e| RecordError::from(e.utf8_error()).into())
     }
 
-    /// Reads entries up to the last line, and compares that.
+    /// Reads the entries up to the end line, and verifies that line.
     fn read_entries(&mut self) -> Result<Configuration, VersionFileError> {
         let mut reader = EntryReader::snapshot();
         let mut entries = 0_u64;
@@ -127,11 +128,11 @@
             if self.line.starts_with(b"end ") {
                 break;
             }
-            self.sum.update(&self.line);
+            self.hasher.update(&self.line);
             reader.push_line(&self.line);
             entries += 1;
         }
-        if self.line != end_line(entries, self.sum.digest()).as_bytes() {
+        if self.line != end_line(entries, self.hasher.digest()).as_bytes() {
             return Err(RecordError::SnapshotChecksum.into());
         }
         Ok(reader.finish()?)
--- a/rollout/src/version_file/start.rs
+++ b/rollout/src/version_file/start.rs
@@ -1,33 +1,34 @@
-//! What a process starts with.
+//! Choice of the version that a process starts with.
 
 use super::state::{PersistedState, PersistedVersion};
 use crate::version::{remember_rolled_back, RolledBack};
 
-/// What a process starts with.
+/// Version that a process starts with.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StartDecision {
-    /// The configuration that it was given.
+    /// The process starts with its configuration file.
     Configured {
-        /// The number that this has as a version.
+        /// Version number of that configuration.
         number: u64,
         /// Versions that were rolled back, the oldest first.
         rolled_back: Vec<RolledBack>,
     },
-    /// The last good version: what it was given was on probation when the process before ended, or had been rolled back.
+    /// The process starts with the last good version, because its configuration file was on probation when the previous
+    /// process ended, or had been rolled back.
     LastGood {
-        /// That version.
+        /// Last good version.
         good: PersistedVersion,
         /// Versions that were rolled back, the oldest first.
         rolled_back: Vec<RolledBack>,
-        /// The reason, for the log.
+        /// Reason for the log.
         why: &'static str,
     },
 }
 
-/// Decides what to start with, from the hash of the configuration that the process was given and what is on disk.
+/// Chooses the version to start with from the hash of the configuration file and the persisted state.
 pub fn choose_start(configured: &str, persisted: Option<PersistedState>) -> StartDecision {
     let Some(PersistedState { good, probation, mut rolled_back }) = persisted else {
-        // Without a good version there is nothing to go back to.
+        // Without a good version there is nothing to roll back to.
         return StartDecision::Configured { number: 1, rolled_back: Vec::new() };
     };
     if *good.hash() == *configured {
--- a/rollout/src/version_file/state.rs
+++ b/rollout/src/version_file/state.rs
@@ -1,4 +1,4 @@
-//! What a restart needs: versions as they persist, and what one step makes of them.
+//! State that persists over a restart, and the effect of a step on it.
 
 use super::error::RecordError;
 use crate::version::{remember_rolled_back, RolledBack, VersionHash};
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The hash of a version: the 32 hex digits of its entries' digest, and where there is an operator's file a `-` and 16
-/// digits of that. The same for the same meaning of the entries.
+/// Returns the hash of a version: the 32 hex digits of its entries' digest, followed by `-` and 16 hex digits of the
+/// operator's file if there is one. Entries with the same meaning have the same hash.
 pub fn version_hash(content: &Configuration, operator_file: &str) -> VersionHash {
     let digest = content.digest();
     if operator_file.is_empty() {
@@ -17,19 +17,19 @@
     }
 }
 
-/// A version as it persists. Cheap to clone.
+/// Version in its persisted form. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct PersistedVersion {
-    /// From 1 up.
+    /// Number of the version, starting at 1.
     pub number: u64,
-    /// Its entries.
+    /// Entries of the version.
     pub content: Configuration,
-    /// The text of the operator's file, as it was written; empty where there is none.
+    /// Text of the operator's file, unmodified; empty if there is none.
     pub operator_file: Arc<str>,
 }
 
 impl PersistedVersion {
-    /// The hash of what it says; see [`version_hash`].
+    /// Returns the hash of the version; see [`version_hash`].
     pub fn hash(&self) -> VersionHash {
         version_hash(&self.content, &self.operator_file)
     }
@@ -43,27 +43,27 @@
     }
 }
 
-/// What a restart needs. Cheap to clone.
+/// State that a process needs after a restart. Cheap to clone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PersistedState {
-    /// The last good version.
+    /// Last good version.
     pub good: PersistedVersion,
-    /// The version on probation.
+    /// Version on probation.
     pub probation: Option<PersistedVersion>,
-    /// Versions that were rolled back, the oldest first, 64 at the most.
+    /// Versions that were rolled back, the oldest first, at most 64.
     pub rolled_back: Vec<RolledBack>,
 }
 
-/// What a step says of a version.
+/// Kind of a step, which states what happened to its version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StepKind {
-    /// It is good from the start.
+    /// The version is good without a probation.
     Good,
-    /// It is on probation.
+    /// The version is on probation.
     Probation,
-    /// Its probation ended well.
+    /// The probation of the version was confirmed.
     Confirmed,
-    /// It was rolled back.
+    /// The version was rolled back.
     RolledBack,
 }
 
@@ -71,7 +71,7 @@
     const ALL: [StepKind; 4] =
         [StepKind::Good, StepKind::Probation, StepKind::Confirmed, StepKind::RolledBack];
 
-    /// The word for it in the file.
+    /// Returns the name of the kind in the file.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             StepKind::Good => "good",
@@ -87,7 +87,7 @@
 }
 
 impl PersistedState {
-    /// Applies one step: `number` and `hash` of its version, and that version where the step holds one.
+    /// Applies one step. `number` and `hash` identify its version; `version` is `Some` if the step holds one.
     pub(super) fn apply_step(
         &mut self, kind: StepKind, number: u64, hash: &str, version: Option<PersistedVersion>,
     ) -> Result<(), RecordError> {
@@ -98,9 +98,9 @@
             }
             (StepKind::Probation, Some(version)) => self.probation = Some(version),
             (StepKind::Confirmed, _) => {
-                let is_meant =
+                let matches_step =
                     |version: &mut PersistedVersion| version.number == number && *version.hash() == *hash;
-                let confirmed = self.probation.take_if(is_meant);
+                let confirmed = self.probation.take_if(matches_step);
                 self.good = confirmed.ok_or(RecordError::NotOnProbation)?;
             }
             (StepKind::RolledBack, _) => {
--- a/rollout/src/version_file/update.rs
+++ b/rollout/src/version_file/update.rs
@@ -1,4 +1,4 @@
-//! The steps that lead from the state on disk to another one, to be appended.
+//! Steps that are appended to change the state on disk into another one.
 
 use super::format::{ChecksumWriter, StepHeader};
 use super::state::{PersistedState, PersistedVersion, StepKind};
@@ -7,13 +7,13 @@
 use std::fmt::{self, Write};
 use std::sync::Arc;
 
-/// Changes that are put in words together.
+/// Maximum number of changes that are encoded at once.
 const CHANGES_PER_WRITE: usize = 256;
 
-/// What leads from the last good version to another one.
+/// Body of a step: the difference between the last good version and another one.
 #[derive(Default)]
 struct StepBody {
-    /// The operator's file, where it is another.
+    /// Operator's file; `None` if it has not changed.
     operator_file: Option<Arc<str>>,
     changes: Vec<Change>,
 }
@@ -38,28 +38,29 @@
     }
 }
 
-/// One step that is to be appended.
+/// Step that is ready to be appended.
 struct StepRecord {
-    head: String,
+    header: String,
     body: StepBody,
-    /// Of head and body.
+    /// Length of the header and the body.
     bytes: u64,
 }
 
-/// What a step is about.
+/// Version that a step concerns, and what happened to it.
 struct StepSubject {
     kind: StepKind,
     number: u64,
     hash: VersionHash,
-    /// The version, for steps that hold one.
+    /// Content of the version, for steps that hold one.
     version: Option<PersistedVersion>,
 }
 
-/// The steps that lead from the state on disk to the state that is to stand there.
+/// Steps that change the state on disk into another one.
 pub struct PendingSteps(Vec<StepRecord>);
 
 impl PendingSteps {
-    /// Costs the difference. `None` where steps can't lead there: then a snapshot is to be written.
+    /// Returns the steps from one state to another, or `None` if steps cannot lead there and a snapshot must be written
+    /// instead. The cost depends on the difference between the states.
     pub fn between(from: &PersistedState, to: &PersistedState) -> Option<PendingSteps> {
         let mut update = PendingSteps(Vec::new());
         let mut state = from.clone();
@@ -90,7 +91,7 @@
         (state == *to).then_some(update)
     }
 
-    /// Adds a step, and applies it to `state`. `None` where it can't follow.
+    /// Adds a step, and applies it to `state`. Returns `None` if the step cannot follow.
     fn add(&mut self, state: &mut PersistedState, subject: StepSubject) -> Option<()> {
         let StepSubject { kind, number, hash, version } = subject;
         let body = match &version {
@@ -102,36 +103,36 @@
         let mut counter = ChecksumWriter::counting();
         body.write(&mut counter).ok()?;
         let operator_file_bytes = body.operator_file.as_ref().map(|file| file.len() as u64);
-        let (body_bytes, body_checksum) = (counter.bytes(), counter.sum());
-        let head =
+        let (body_bytes, body_checksum) = (counter.bytes(), counter.checksum());
+        let header =
             StepHeader { kind, number, base, hash, operator_file_bytes, body_bytes, body_checksum }.to_line();
-        let bytes = body_bytes + head.len() as u64;
-        self.0.push(StepRecord { head, body, bytes });
+        let bytes = body_bytes + header.len() as u64;
+        self.0.push(StepRecord { header, body, bytes });
         Some(())
     }
 
-    /// How many steps there are.
+    /// Returns the number of steps.
     pub fn count(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is nothing to append.
+    /// Reports whether there is nothing to append.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The length of all steps, in bytes.
+    /// Returns the total length of the steps, in bytes.
     pub fn bytes(&self) -> u64 {
         self.0.iter().map(|step| step.bytes).sum()
     }
 
-    /// Writes the steps, one after the other.
+    /// Writes the steps in order.
     ///
     /// # Errors
-    /// Only those of `to`.
+    /// Returns the errors of `to`.
     pub fn write(&self, to: &mut dyn Write) -> fmt::Result {
         self.0.iter().try_for_each(|step| {
-            to.write_str(&step.head)?;
+            to.write_str(&step.header)?;
             step.body.write(to)
         })
     }
--- a/rollout/tests/rollout/main.rs
+++ b/rollout/tests/rollout/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the public interface, each module against one part of the crate.
+//! Tests of the public interface. Each module tests one part of the crate.
 
 mod checks;
 mod crash_recovery;
--- a/rollout/tests/rollout/reference_model.rs
+++ b/rollout/tests/rollout/reference_model.rs
@@ -1,11 +1,11 @@
-//! A plain model of versions, and records written from it.
+//! Reference model of versions, and version files written from it.
 
 use crate::versions::method;
 use asterrill_entries::{Change, Configuration, GlobalSettings};
 use asterrill_rollout::*;
 use std::collections::BTreeMap;
 
-/// What a version says, in the plainest form: rates of tenants, and the operator's file.
+/// Version reduced to the rates of tenants and the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelVersion {
     pub number: u64,
@@ -18,10 +18,10 @@
         let tenants = tenants.iter().map(|(name, rate)| (name.to_string(), *rate)).collect();
         ModelVersion { number, tenants, file: file.into() }
     }
-    pub fn says(&self, other: &ModelVersion) -> bool {
+    pub fn has_content_of(&self, other: &ModelVersion) -> bool {
         self.tenants == other.tenants && self.file == other.file
     }
-    /// Made anew, entry by entry: it shares nothing with another version.
+    /// Builds the version entry by entry, so that it shares no data with other versions.
     pub fn persisted(&self) -> PersistedVersion {
         let put =
             self.tenants.iter().map(|(name, rate)| Change::PutTenant(name.as_str().into(), f64::from(*rate)));
@@ -52,12 +52,12 @@
     let written = write_snapshot(state, &mut text).unwrap();
     (text, written)
 }
-/// Appends what leads to another state, without a bound.
+/// Appends the steps that lead to another state.
 pub fn append(text: &mut String, written: WrittenFile, to: &PersistedState) -> WrittenFile {
     let update = written.update_to(to).unwrap();
-    let at = text.len();
+    let start = text.len();
     update.write(text).unwrap();
-    assert_eq!(update.bytes(), (text.len() - at) as u64);
+    assert_eq!(update.bytes(), (text.len() - start) as u64);
     written.after_update(to.clone(), &update)
 }
 pub fn recovered(bytes: &[u8]) -> Recovered {
@@ -74,8 +74,8 @@
     ModelVersion::new(3, &[("nile", 6)], "another file\n")
 }
 
-/// A file with all kinds of steps: its text, where each record ends, and the state up to there.
-pub fn record_with_all_steps() -> (String, Vec<(usize, PersistedState)>) {
+/// Returns the text of a file with all kinds of steps, and for each record its end and the state after it.
+pub fn file_with_all_steps() -> (String, Vec<(usize, PersistedState)>) {
     let rolled_back = ModelVersion::new(9, &[("spree", 1)], "");
     let first = state(&version_a(), None, &[&rolled_back]);
     let (mut text, mut written) = snapshot(&first);
--- a/rollout/tests/rollout/version_file_fixture.rs
+++ b/rollout/tests/rollout/version_file_fixture.rs
@@ -1,16 +1,16 @@
-//! A file of versions that an earlier build wrote is read to the same versions, and written again byte by byte.
+//! Compatibility tests: a version file of an earlier build yields the same versions, and is written identically.
 
 use asterrill::{Idempotency, Method};
 use asterrill_entries::{Change, Configuration, GlobalSettings, UpstreamKind};
 use asterrill_rollout::*;
 
-/// A snapshot and steps of all kinds, as the build of 2026-12-02 wrote them.
+/// Snapshot and steps of all kinds, written by the build of 2026-12-02.
 const STEPS_FIXTURE: &str = include_str!("../fixtures/versions-steps");
-/// The last state of [`STEPS_FIXTURE`] as one snapshot, as the same build wrote it.
+/// Last state of [`STEPS_FIXTURE`] as one snapshot, written by the same build.
 const SNAPSHOT_FIXTURE: &str = include_str!("../fixtures/versions-snapshot");
-/// Where each record of [`STEPS_FIXTURE`] ends, in bytes.
+/// End of each record of [`STEPS_FIXTURE`], in bytes.
 const RECORD_ENDS: [usize; 7] = [999, 1334, 1439, 2085, 2189, 2399, 3019];
-/// The hashes of versions A, B, C and D, as the earlier build computed them.
+/// Hashes of versions A, B, C and D, computed by the earlier build.
 const HASHES: [&str; 4] = [
     "568993e4b64f3d9da502f1f2624a3811-fb8546475d77ab28",
     "759812769b44cb7174a847c2ea5f04a2-fb8546475d77ab28",
@@ -58,7 +58,7 @@
     PersistedVersion { number, content, operator_file: operator_file.into() }
 }
 
-/// Versions A to D.
+/// Returns versions A to D.
 fn versions() -> [PersistedVersion; 4] {
     [
         version(1, content(4, &[("nile", 50.0), ("oder", 7.5)], false), OPERATOR_FILE),
@@ -68,7 +68,7 @@
     ]
 }
 
-/// The states that the steps of the fixture lead through.
+/// Returns the state after each record of the fixture.
 fn states() -> Vec<PersistedState> {
     let [a, b, c, d] = versions();
     let first_rolled_back = vec![RolledBack { hash: "f".repeat(32).into(), number: 9 }];
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn earlier_records_are_read_to_the_same_versions() {
+fn records_of_the_earlier_build_yield_the_same_versions() {
     for (end, state) in RECORD_ENDS.into_iter().zip(states()) {
         let recovered = recover(&STEPS_FIXTURE.as_bytes()[..end]).unwrap();
         assert_eq!(recovered.state, state, "up to byte {end}");
@@ -111,8 +111,8 @@
 }
 
 #[test]
-fn records_are_written_byte_by_byte_as_the_earlier_build_did() {
-    // From what is read back, so that reading and writing are both held to the fixture.
+fn records_are_written_exactly_as_by_the_earlier_build() {
+    // The states come from the fixture, so that the test covers both reading and writing.
     let read: Vec<_> =
         RECORD_ENDS.iter().map(|end| recover(&STEPS_FIXTURE.as_bytes()[..*end]).unwrap().state).collect();
     let mut text = String::new();
--- a/rollout/tests/rollout/versions.rs
+++ b/rollout/tests/rollout/versions.rs
@@ -1,4 +1,4 @@
-//! Versions that several tests start from.
+//! Versions that several tests use as a starting point.
 
 use asterrill::{Idempotency, Method};
 use asterrill_entries::{Change, Configuration, GlobalSettings, UpstreamKind};
@@ -18,7 +18,7 @@
         idempotency_window: 0,
     }
 }
-/// What a version says, as a test edits it.
+/// Editable content of a version.
 #[derive(Clone)]
 pub struct TestVersion {
     pub methods: BTreeMap<&'static str, Method>,
