--- a/cli/tests/cli.rs
+++ b/cli/tests/cli.rs
@@ -37,7 +37,7 @@
     let wrong = file("wrong", &wrong.to_string());
     let (code, output) = run(&["check", wrong.to_str().unwrap()]);
     assert!(
-        code == Some(1) && output.contains("its deadline of 300 ms is under its latency target of 400 ms"),
+        code == Some(1) && output.contains("deadline of 300 ms is shorter than the latency target of 400 ms"),
         "{output}"
     );
     let conf = file("conf", "[broker]\nheartbeat 10");
@@ -63,7 +63,7 @@
     let wanted = [
         "cores: 2 -> 4",
         "method look: latency target: 400 ms -> 250 ms",
-        "tenant nile: RPCs a second: 0 -> 5",
+        "tenant nile: RPCs per second: 0 -> 5",
     ];
     assert_eq!((code, &lines[..]), (Some(1), &wanted[..]));
 }
@@ -116,7 +116,7 @@
     let old = file("step-old", &config().to_string());
     let step = file("step", STEP);
     let diff = |new: &PathBuf| run(&["diff", old.to_str().unwrap(), new.to_str().unwrap()]);
-    assert_eq!(diff(&step), (Some(1), "tenant nile: RPCs a second: 0 -> 5\n".into()));
+    assert_eq!(diff(&step), (Some(1), "tenant nile: RPCs per second: 0 -> 5\n".into()));
     let (code, output) = run(&["diff", old.to_str().unwrap(), step.to_str().unwrap(), "--json"]);
     assert!(code == Some(1) && output.contains("\"entries\":1"), "{output}");
     assert_eq!(diff(&file("step-none", "{\"base\":2}\n")), (Some(0), String::new()));
@@ -138,14 +138,14 @@
     std::fs::remove_file(&path).unwrap_or_default();
     let listener = UnixListener::bind(&path).unwrap();
     let answers = [
-        json!({"ok": true, "entries": 1, "changes": ["tenant nile: RPCs a second: 0 -> 5"]}),
+        json!({"ok": true, "entries": 1, "changes": ["tenant nile: RPCs per second: 0 -> 5"]}),
         json!({"ok": true, "entries": 0, "changes": []}),
         json!({"ok": true, "version": 3, "entries": 1}),
         json!({"ok": true, "version": 3, "took_us": 90}),
         json!({"ok": true, "version": 4}),
         json!({"ok": false, "error": "version 3 is on probation"}),
         json!({"ok": true}),
-        json!({"ok": false, "error": "it was made from version 2, but version 3 runs"}),
+        json!({"ok": false, "error": "the change was made from version 2, but version 3 is running"}),
     ];
     let served = std::thread::spawn(move || {
         answers.map(|reply| {
@@ -169,7 +169,7 @@
     let (code, output) = run(&["apply", step, "--socket", socket]);
     assert!(code == Some(1) && output.contains("on probation"), "{output}");
     let (code, output) = run(&["stage", step, "--base", "2", "--socket", socket]);
-    assert!(code == Some(1) && output.contains("but version 3 runs"), "{output}");
+    assert!(code == Some(1) && output.contains("but version 3 is running"), "{output}");
     let requests = served.join().unwrap();
     let todo: Vec<&str> = requests.iter().map(|request| request["do"].as_str().unwrap()).collect();
     assert_eq!(todo, ["diff", "diff", "stage", "apply", "stage", "apply", "drop", "stage"]);
--- a/daemon/src/operator_requests.rs
+++ b/daemon/src/operator_requests.rs
@@ -171,7 +171,7 @@
         {
             let mut pending = self.queue.lock();
             if pending.closed {
-                return rejected("the server leaves");
+                return rejected("the server is shutting down");
             }
             if pending.commands.len() >= MAX_WAITING {
                 return rejected("too many wait to be answered");
--- a/daemon/tests/configuration_steps.rs
+++ b/daemon/tests/configuration_steps.rs
@@ -212,7 +212,7 @@
         "a tenant that goes is risky: {diff}"
     );
     let diff = node.request(json!({"do": "diff", "step": step, "force": true}));
-    let lines = json!(["tenant new: RPCs a second: 0 -> 7", "tenant t00000: removed"]);
+    let lines = json!(["tenant new: RPCs per second: 0 -> 7", "tenant t00000: removed"]);
     assert_eq!((&diff["entries"], &diff["changes"]), (&json!(2), &lines), "{diff}");
     assert_eq!(node.status()["staged"], json!(null));
     let staged = node.request(json!({"do": "stage", "step": step, "force": true}));
@@ -239,7 +239,7 @@
         |name: &str, quota: &str| format!("{{\"put\":\"tenant\",\"Name\":\"{name}\",\"QuotaRps\":{quota}}}");
     let fine = put("fine", "1");
     for (step, parts) in [
-        ("{\"base\":77}\n".to_string() + &fine, ["made from version 77", "version 1 runs"]),
+        ("{\"base\":77}\n".to_string() + &fine, ["made from version 77", "version 1 is running"]),
         (format!("{{\"hash\":\"{}\"}}\n{fine}", "0".repeat(32)), ["made from hash 000", "runs"]),
         (put(&long, "1"), ["line 1", "1 to 128 bytes"]),
         (put("", "1"), ["line 1", "1 to 128 bytes"]),
@@ -277,7 +277,7 @@
     node.stage_and_apply(&first);
     assert_eq!(node.request(json!({"do": "settle"}))["ok"], json!(true));
     let reply = node.stage(&second);
-    assert_eq!(reply["error"], json!("it was made from version 1, but version 2 runs"));
+    assert_eq!(reply["error"], json!("the change was made from version 1, but version 2 is running"));
     // The same without a number, by its hash alone.
     let reply = node.stage(&second.replace("\"base\":1,", ""));
     assert!(reply["error"].as_str().is_some_and(|why| why.contains("made from hash")), "{reply}");
@@ -455,9 +455,9 @@
         asked += u32::from(sidecar.serves(&tenant(1)));
     }
     let reply = node.stage("{\"put\":\"tenant\",\"Name\":\"late\",\"QuotaRps\":1}");
-    assert_eq!(reply["error"], json!("the server leaves"), "{reply}");
+    assert_eq!(reply["error"], json!("the server is shutting down"), "{reply}");
     let applied = applies.join().unwrap();
-    let wanted = ["the server leaves", "nothing is staged"].map(|why| json!(why));
+    let wanted = ["the server is shutting down", "nothing is staged"].map(|why| json!(why));
     assert!(applied["ok"] == json!(true) || wanted.contains(&applied["error"]), "{applied} after {asked}");
     sidecar.stream.set_read_timeout(Some(WAIT)).unwrap();
     let rest = sidecar.stream.read_to_end(&mut Vec::new());
--- a/rollout/src/check.rs
+++ b/rollout/src/check.rs
@@ -1,5 +1,5 @@
-//! What a change must not do, from its figures alone and from what the server observes now. Looks at what differs, and
-//! costs that, however much a version holds.
+//! Checks of a change against the running version and the load that the server observes. Only entries that differ are
+//! checked, so the cost does not depend on the size of a version.
 
 use crate::bounded_list::BoundedList;
 use crate::changed_entries::{ChangedEntries, GlobalValues};
@@ -8,36 +8,38 @@
 use asterrill_entries::{Change, Configuration, EntryKind, Name};
 use std::fmt;
 
-/// What is wrong with a change, or risky.
+/// Problem of a change: an error or a risk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Problem {
-    /// The change is never taken.
+    /// Error: the change is always rejected.
     Invalid(String),
-    /// The change is taken if forced.
+    /// Risk: the change is accepted only if it is forced.
     Risky(String),
-    /// So many more than [`crate::MAX_LISTED_ITEMS`], none of them worse than the last that is listed.
+    /// Number of problems beyond [`crate::MAX_LISTED_ITEMS`], none of them more severe than the last one listed.
     Omitted(usize),
 }
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Problem::Invalid(text) => write!(f, "wrong: {text}"),
-            Problem::Risky(text) => write!(f, "risky: {text} (may be forced)"),
+            Problem::Invalid(text) => write!(f, "invalid: {text}"),
+            Problem::Risky(text) => write!(f, "risky: {text} (can be forced)"),
             Problem::Omitted(count) => write!(f, "and {count} more"),
         }
     }
 }
 
-/// Fraction of the last minute's RPCs above which rejecting them, where the running version would not, is risky.
-const RISKY_REJECTED_FRACTION: f64 = 0.05;
+/// Additional fraction of the last minute's RPCs that a change may reject, compared with the running version, before it
+/// is risky.
+const MAX_ADDED_REJECTED_FRACTION: f64 = 0.05;
 
-/// The problems of a change, the invalid ones first, [`crate::MAX_LISTED_ITEMS`] of them at most and then how many more there
-/// are.
+/// Returns the problems of a change, errors before risks. Lists at most [`crate::MAX_LISTED_ITEMS`] problems,
+/// followed by the number of omitted ones.
 ///
-/// `staged` is what `running` becomes by `changes`; `max_factor`: by how much a figure may differ from the running one,
-/// 1 or more. What the changes do not touch is not looked at again, but for the memory that is in use now. To check a
-/// version by itself, hand it in as both, with the changes that lead to it from nothing.
+/// `staged` is `running` after `changes`. `max_factor`, 1 or more, is the largest factor by which a value may differ
+/// from the running one without being risky. Entries that the changes do not set or remove are not checked again,
+/// except that the global values are always checked, including against the memory in use. To check a version on its
+/// own, pass it as both `running` and `staged`, with the changes that create it from an empty configuration.
 pub fn check(
     running: &Configuration, staged: &Configuration, changes: &[Change], observed: &ObservedLoad,
     max_factor: f64,
@@ -72,7 +74,7 @@
     }
 }
 
-/// What the checks look at.
+/// Input of the checks.
 struct Checks<'a> {
     running: &'a Configuration,
     staged: &'a Configuration,
@@ -86,7 +88,7 @@
 impl Checks<'_> {
     fn find_invalid_methods(&self, problems: &mut Problems) {
         if self.staged.count(EntryKind::Method) == 0 {
-            problems.invalid(|| "there is no method".into());
+            problems.invalid(|| "the configuration has no methods".into());
         }
         for name in self.changed.methods.keys() {
             if let Some(method) = self.staged.method(name) {
@@ -99,31 +101,36 @@
         let GlobalValues { cores, max_running_per_core, memory_kb, call_quota } = self.new;
         let ObservedLoad { in_use_kb, available_kb, .. } = *self.observed;
         if cores < 1.0 {
-            problems.invalid(|| "there is no core".into());
+            problems.invalid(|| "the configuration has no cores".into());
         }
         if max_running_per_core < 1.0 {
-            problems.invalid(|| format!("max running RPCs per core is {max_running_per_core}, under 1"));
+            problems.invalid(|| {
+                format!("max running RPCs per core is {max_running_per_core}, expected at least 1")
+            });
         }
         if call_quota.is_some_and(|quota| quota <= 0.0) {
-            problems.invalid(|| "the quota of upstream calls is 0".into());
+            problems.invalid(|| "the upstream call quota is 0, expected a positive number".into());
         }
         if memory_kb < in_use_kb {
-            problems
-                .invalid(|| format!("memory of {memory_kb:.0} kB is under the {in_use_kb:.0} kB held now"));
+            problems.invalid(|| {
+                format!("memory limit of {memory_kb:.0} kB is below the {in_use_kb:.0} kB in use")
+            });
         }
         if available_kb > 0.0 && memory_kb > available_kb {
             problems.invalid(|| {
-                format!("memory of {memory_kb:.0} kB is more than the {available_kb:.0} kB there are")
+                format!("memory limit of {memory_kb:.0} kB exceeds the {available_kb:.0} kB available")
             });
         }
     }
 
-    /// A figure that differs from the running one by more than the factor.
-    fn compare(&self, figure: &dyn Fn() -> String, old: f64, new: f64, problems: &mut Problems) {
+    /// Reports a risk if a value differs from the running one by more than the factor.
+    fn compare(&self, label: &dyn Fn() -> String, old: f64, new: f64, problems: &mut Problems) {
         let (less, more) = if old < new { (old, new) } else { (new, old) };
         let factor = self.max_factor;
         if more > 0.0 && less * factor < more {
-            problems.risky(|| format!("{} goes from {old} to {new}, by more than {factor} times", figure()));
+            problems.risky(|| {
+                format!("{} changes from {old} to {new}, by more than a factor of {factor}", label())
+            });
         }
     }
 
@@ -132,16 +139,16 @@
             let (Some(old), Some(new)) = (self.running.method(name), self.staged.method(name)) else {
                 continue;
             };
-            let criticality = || format!("the criticality of {name}");
+            let criticality = || format!("criticality of method {name}");
             self.compare(&criticality, old.criticality, new.criticality, problems);
             let (from, to) = (old.latency_target as f64, new.latency_target as f64);
-            self.compare(&|| format!("the latency target of {name} (us)"), from, to, problems);
+            self.compare(&|| format!("latency target of method {name} (us)"), from, to, problems);
             let (from, to) = (old.deadline as f64, new.deadline as f64);
-            self.compare(&|| format!("the deadline of {name} (us)"), from, to, problems);
+            self.compare(&|| format!("deadline of method {name} (us)"), from, to, problems);
         }
         for name in self.changed.tenants.keys() {
             if let (Some(old), Some(new)) = (self.running.tenant(name), self.staged.tenant(name)) {
-                self.compare(&|| format!("the quota of tenant {name}"), old, new, problems);
+                self.compare(&|| format!("quota of tenant {name}"), old, new, problems);
             }
         }
     }
@@ -151,31 +158,33 @@
         self.compare(&|| "cores".into(), old.cores, new.cores, problems);
         let running = || "max running RPCs per core".into();
         self.compare(&running, old.max_running_per_core, new.max_running_per_core, problems);
-        self.compare(&|| "memory (kB)".into(), old.memory_kb, new.memory_kb, problems);
+        self.compare(&|| "memory limit (kB)".into(), old.memory_kb, new.memory_kb, problems);
         if let (Some(old), Some(new)) = (old.call_quota, new.call_quota) {
-            self.compare(&|| "the quota of upstream calls".into(), old, new, problems);
+            self.compare(&|| "upstream call quota".into(), old, new, problems);
         }
     }
 
     fn find_removed_tenants(&self, problems: &mut Problems) {
         for name in self.changed.tenants.keys() {
             if self.running.tenant(name).is_some() && self.staged.tenant(name).is_none() {
-                problems.risky(|| format!("tenant {name} is gone"));
+                problems.risky(|| format!("tenant {name} is removed"));
             }
         }
     }
 
-    /// What the change would have rejected in the last minute beyond what the running version would have by the same
-    /// rough measure. Tenants have no part in it.
+    /// Reports a risk if the dry run of the change rejects more of the last minute's RPCs than the dry run of the
+    /// running version. The dry run is a rough estimate that does not consider tenants.
     fn find_rejected_load(&self, problems: &mut Problems) {
         if self.changed.globals.is_none() && self.changed.methods.is_empty() {
             return;
         }
         let added = dry_run(self.staged, self.observed) - dry_run(self.running, self.observed);
-        if added > RISKY_REJECTED_FRACTION {
+        if added > MAX_ADDED_REJECTED_FRACTION {
             let percent = added * 100.0;
             problems.risky(|| {
-                format!("it would have rejected {percent:.0} in 100 more of the last minute's RPCs")
+                format!(
+                    "the change would have rejected an additional {percent:.0}% of the last minute's RPCs"
+                )
             });
         }
     }
@@ -183,18 +192,22 @@
 
 fn find_invalid_terms(name: &Name, method: &Method, problems: &mut Problems) {
     if method.latency_target == 0 {
-        problems.invalid(|| format!("method {name}: its latency target is 0"));
+        problems.invalid(|| format!("method {name}: latency target is 0 ms, expected a positive number"));
     }
     if method.deadline < method.latency_target {
         let (deadline, target) = (method.deadline as f64 / 1e3, method.latency_target as f64 / 1e3);
         problems.invalid(|| {
-            format!("method {name}: its deadline of {deadline} ms is under its latency target of {target} ms")
+            format!(
+                "method {name}: deadline of {deadline} ms is shorter than the latency target of {target} ms"
+            )
         });
     }
     if method.late_value_ratio > 1.0 || method.skip_value_ratio > 1.0 {
-        problems.invalid(|| format!("method {name}: a value ratio is above 1"));
+        problems.invalid(|| format!("method {name}: late or skip value ratio is above 1"));
     }
     if method.idempotency == Idempotency::Keyed && method.idempotency_window == 0 {
-        problems.invalid(|| format!("method {name}: it takes idempotency keys, but has no window"));
+        problems.invalid(|| {
+            format!("method {name}: idempotency keys are accepted, but the idempotency window is 0")
+        });
     }
 }
--- a/rollout/src/difference.rs
+++ b/rollout/src/difference.rs
@@ -1,15 +1,16 @@
-//! What a change means, in lines for people. Costs what differs, however much a version holds.
+//! Readable description of a change. The cost depends on the entries that differ, not on the size of a version.
 
 use crate::bounded_list::BoundedList;
 use crate::changed_entries::{ChangedEntries, GlobalValues};
 use asterrill::{Method, Us};
 use asterrill_entries::{Change, Configuration, Name};
 
-/// What the changes make of the running version, a line each, [`crate::MAX_LISTED_ITEMS`] at most and then how many more there
-/// are; nothing where they mean what runs.
+/// Describes how the changes alter the running version, one line per altered value. Returns at most
+/// [`crate::MAX_LISTED_ITEMS`] lines, followed by one with the number of omitted lines. The list is empty if the
+/// changes have no effect.
 pub fn difference(running: &Configuration, changes: &[Change]) -> Vec<String> {
     let changed = ChangedEntries::from_changes(changes);
-    let mut lines = Lines(BoundedList::new());
+    let mut lines = Description(BoundedList::new());
     if let Some(globals) = changed.globals {
         lines.compare_globals(&GlobalValues::of(running.globals()), &GlobalValues::of(globals));
     }
@@ -21,7 +22,7 @@
     for (name, new) in &changed.tenants {
         if let Some(new) = new {
             let old = running.tenant(name).unwrap_or(0.0);
-            lines.compare(&|| format!("tenant {name}: RPCs a second"), old, *new, "");
+            lines.compare(&|| format!("tenant {name}: RPCs per second"), old, *new, "");
         }
     }
     for (name, new) in &changed.methods {
@@ -42,12 +43,12 @@
     lines.0.finish(|omitted| format!("and {omitted} more"))
 }
 
-struct Lines(BoundedList<String>);
+struct Description(BoundedList<String>);
 
-impl Lines {
-    fn compare(&mut self, figure: &dyn Fn() -> String, old: f64, new: f64, unit: &str) {
+impl Description {
+    fn compare(&mut self, label: &dyn Fn() -> String, old: f64, new: f64, unit: &str) {
         if old != new {
-            self.0.push_with(|| format!("{}: {old}{unit} -> {new}{unit}", figure()));
+            self.0.push_with(|| format!("{}: {old}{unit} -> {new}{unit}", label()));
         }
     }
 
@@ -55,21 +56,26 @@
         let (running, new_running) = (old.max_running_per_core, new.max_running_per_core);
         self.compare(&|| "cores".into(), old.cores, new.cores, "");
         self.compare(&|| "max running RPCs per core".into(), running, new_running, "");
-        self.compare(&|| "memory".into(), old.memory_kb, new.memory_kb, " kB");
+        self.compare(&|| "memory limit".into(), old.memory_kb, new.memory_kb, " kB");
         let (quota, new_quota) = (old.call_quota.unwrap_or(0.0), new.call_quota.unwrap_or(0.0));
-        self.compare(&|| "quota of upstream calls".into(), quota, new_quota, "");
+        self.compare(&|| "upstream call quota".into(), quota, new_quota, "");
     }
 
     fn compare_methods(&mut self, name: &Name, old: &Method, new: &Method) {
-        let mut compare = |figure: &str, old: f64, new: f64, unit: &str| {
-            self.compare(&|| format!("method {name}: {figure}"), old, new, unit);
+        let mut compare = |label: &str, old: f64, new: f64, unit: &str| {
+            self.compare(&|| format!("method {name}: {label}"), old, new, unit);
         };
         compare("criticality", old.criticality, new.criticality, "");
         compare("latency target", milliseconds(old.latency_target), milliseconds(new.latency_target), " ms");
         compare("deadline", milliseconds(old.deadline), milliseconds(new.deadline), " ms");
         compare("late value ratio", old.late_value_ratio, new.late_value_ratio, "");
         compare("skip value ratio", old.skip_value_ratio, new.skip_value_ratio, "");
-        compare("window", milliseconds(old.idempotency_window), milliseconds(new.idempotency_window), " ms");
+        compare(
+            "idempotency window",
+            milliseconds(old.idempotency_window),
+            milliseconds(new.idempotency_window),
+            " ms",
+        );
     }
 }
 
--- a/rollout/src/transaction.rs
+++ b/rollout/src/transaction.rs
@@ -1,87 +1,87 @@
-//! The transaction: stage, apply, confirm or roll back. Says who may do what when.
+//! Transaction of a change: stage, apply, then confirm or roll back. Defines which operations are valid in which state.
 
 use crate::version::{RolledBack, Us, Version, VersionHash, MAX_ROLLED_BACK};
 use std::collections::VecDeque;
 
-/// Events in the history, and events that wait to be taken, at the most; the oldest go first.
+/// Maximum number of events in the history, and of new events that were not taken yet. The oldest are removed first.
 const MAX_EVENTS: usize = 64;
 
-/// What an operator asks for besides the change itself.
+/// Options of a staging request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StageOptions {
-    /// Take what was rolled back before, and what the checks warn of, all the same.
+    /// Accepts content that was rolled back before, and problems that the checks report as risky.
     pub force: bool,
-    /// While another version is on probation, wait for its end instead of being refused.
+    /// Queues the change while another version is on probation, instead of rejecting it.
     pub queue: bool,
 }
 
-/// A change that is to be staged.
+/// Change that is proposed for staging.
 #[derive(Clone, Debug)]
 pub struct Proposal<T> {
-    /// What the new version would say.
+    /// Content of the new version.
     pub content: T,
-    /// The hash of `content`.
+    /// Hash of `content`.
     pub hash: VersionHash,
-    /// The version that it was made from; `None` where that is unknown, as on a signal.
+    /// Number of the version that the change was made from; `None` if it is unknown, as on a reload signal.
     pub base: Option<u64>,
-    /// What else was asked for.
+    /// Options of the request.
     pub options: StageOptions,
 }
 
-/// Why nothing was done.
+/// Reason for rejecting an operation.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RolloutError {
-    /// The change was made from another version than the one that runs.
-    #[error("it was made from version {given}, but version {running} runs")]
+    /// The change was made from a version other than the running one.
+    #[error("the change was made from version {given}, but version {running} is running")]
     BaseMismatch {
-        /// The version that the change names as its base.
+        /// Base version of the change.
         given: u64,
-        /// The version that runs.
+        /// Running version.
         running: u64,
     },
-    /// The change means what this version, which runs, says already.
-    #[error("it is what runs already, as version {0}")]
+    /// The change has the same content as the running version, whose number this is.
+    #[error("the change has the same content as the running version {0}")]
     Unchanged(u64),
-    /// This version is on probation.
-    #[error("version {0} is on probation until it is settled or undone")]
+    /// The version with this number is on probation.
+    #[error("version {0} is on probation: settle or undo it first")]
     OnProbation(u64),
-    /// This version is staged.
-    #[error("version {0} is staged already: apply it, or drop it first")]
+    /// The version with this number is already staged.
+    #[error("version {0} is already staged: apply or drop it first")]
     AlreadyStaged(u64),
-    /// This version is queued.
-    #[error("version {0} waits already behind the one on probation")]
+    /// The version with this number is already queued.
+    #[error("version {0} is already queued behind the version on probation")]
     AlreadyQueued(u64),
-    /// The same content was rolled back, as this version.
-    #[error("it was undone before, as version {0}: force it if that is wanted")]
+    /// The same content was rolled back as the version with this number.
+    #[error("the same content was undone as version {0}: force it to stage it again")]
     PreviouslyRolledBack(u64),
-    /// There is no staged version.
+    /// No version is staged.
     #[error("nothing is staged")]
     NothingStaged,
-    /// There is no version on probation.
+    /// No version is on probation.
     #[error("nothing is on probation")]
     NothingOnProbation,
-    /// The server shuts down.
-    #[error("the server leaves")]
+    /// The server is shutting down.
+    #[error("the server is shutting down")]
     ShuttingDown,
 }
 
-/// What happened to a version.
+/// Kind of an event in the life cycle of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventKind {
-    /// It was taken in; it has no effect yet.
+    /// The version was staged or queued. It has no effect yet.
     Staged,
-    /// It was forgotten without having run.
+    /// The version was discarded without having run.
     Dropped,
-    /// It runs.
+    /// The version was applied and is running.
     Applied,
-    /// Its probation ended well.
+    /// The probation of the version was confirmed.
     Confirmed,
-    /// It was replaced by the version before.
+    /// The version was replaced by the previous one.
     RolledBack,
 }
 
 impl EventKind {
-    /// The word for it in the history and in logs.
+    /// Returns the name of the kind in the history and in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             EventKind::Staged => "staged",
@@ -93,43 +93,43 @@
     }
 }
 
-/// An entry of the history.
+/// Entry of the history.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// When it happened, in microseconds.
+    /// Time of the event, in microseconds.
     pub at: Us,
-    /// What happened.
+    /// Kind of the event.
     pub kind: EventKind,
-    /// The number of the version that it happened to.
+    /// Number of the version.
     pub version: u64,
-    /// The hash of that version.
+    /// Hash of the version.
     pub hash: VersionHash,
-    /// The version that it was made from.
+    /// Number of the version that it was made from.
     pub base: u64,
-    /// The reason, for people.
+    /// Reason for the event, as readable text.
     pub reason: String,
 }
 
-/// How far the rollout is.
+/// State of the running version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// The running version is good.
+    /// The running version is confirmed.
     Confirmed,
-    /// The running version is on probation, until this moment at the latest.
+    /// The running version is on probation, which is scheduled to end at this time.
     Probation(Us),
 }
 
-/// The version to return to, while another one is on probation.
+/// Version that is restored if the one on probation is rolled back.
 struct Fallback<T> {
     version: Version<T>,
-    /// When the probation is to end at the latest.
+    /// Scheduled end of the probation.
     until: Us,
 }
 
-/// The versions of a configuration and what may be done with them; see the crate's documentation.
+/// Versions of a configuration and the operations on them; see the documentation of the crate.
 pub struct Rollout<T> {
     running: Version<T>,
-    /// Present while `running` is on probation.
+    /// `Some` while `running` is on probation.
     fallback: Option<Fallback<T>>,
     staged: Option<Version<T>>,
     queued: Option<Version<T>>,
@@ -141,12 +141,13 @@
 }
 
 impl<T: Clone> Rollout<T> {
-    /// Begins with version 1.
+    /// Creates a rollout that runs version 1.
     pub fn new(content: T, hash: impl Into<VersionHash>, now: Us) -> Rollout<T> {
         Rollout::resume(content, hash, 1, Vec::new(), now)
     }
 
-    /// Begins after a restart: the version keeps its number, and what was rolled back is not forgotten.
+    /// Creates a rollout after a restart. The version keeps its number, and the rolled back versions are still
+    /// rejected.
     pub fn resume(
         content: T, hash: impl Into<VersionHash>, number: u64, rolled_back: Vec<RolledBack>, now: Us,
     ) -> Rollout<T> {
@@ -164,59 +165,59 @@
             new_events: VecDeque::new(),
             shutting_down: false,
         };
-        rollout.add_event(now, EventKind::Applied, rollout.running.clone(), "the start");
+        rollout.add_event(now, EventKind::Applied, rollout.running.clone(), "process start");
         rollout
     }
 
-    /// The version that runs.
+    /// Returns the running version.
     pub fn running(&self) -> &Version<T> {
         &self.running
     }
 
-    /// The last version that proved good: during a probation the one before it.
+    /// Returns the last confirmed version. During a probation, this is the version before the one on probation.
     pub fn last_good(&self) -> &Version<T> {
         self.fallback.as_ref().map_or(&self.running, |fallback| &fallback.version)
     }
 
-    /// The version that [`Rollout::apply`] would let run.
+    /// Returns the staged version, which [`Rollout::apply`] would apply.
     pub fn staged(&self) -> Option<&Version<T>> {
         self.staged.as_ref()
     }
 
-    /// The version that is staged once the one on probation is confirmed.
+    /// Returns the queued version, which is staged once the one on probation is confirmed.
     pub fn queued(&self) -> Option<&Version<T>> {
         self.queued.as_ref()
     }
 
-    /// Whether the running version is on probation.
+    /// Returns the state of the running version.
     pub fn phase(&self) -> Phase {
         self.fallback.as_ref().map_or(Phase::Confirmed, |fallback| Phase::Probation(fallback.until))
     }
 
-    /// The last events, the oldest first.
+    /// Returns the most recent events, the oldest first.
     pub fn history(&self) -> impl Iterator<Item = &Event> {
         self.history.iter()
     }
 
-    /// The events since the last call.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         self.new_events.drain(..).collect()
     }
 
-    /// The versions that were rolled back, the oldest first.
+    /// Returns the versions that were rolled back, the oldest first.
     pub fn rolled_back(&self) -> impl Iterator<Item = &RolledBack> {
         self.rolled_back.iter()
     }
 
-    /// From now on nothing is staged or applied.
+    /// Rejects all further staging and applying.
     pub fn begin_shutdown(&mut self) {
         self.shutting_down = true;
     }
 
-    /// Takes a change in; it has no effect until it is applied. Returns its number.
+    /// Stages or queues a change, and returns the number of the new version. It has no effect until it is applied.
     ///
     /// # Errors
-    /// [`RolloutError`]; nothing has changed then.
+    /// Returns a [`RolloutError`] if the change is rejected; the state is unchanged then.
     pub fn stage(&mut self, now: Us, proposal: Proposal<T>) -> Result<u64, RolloutError> {
         let Proposal { content, hash, base, options } = proposal;
         let running = self.running.number;
@@ -239,27 +240,28 @@
         };
         *place = Some(version.clone());
         self.next_number += 1;
-        self.add_event(now, EventKind::Staged, version, "asked for");
+        self.add_event(now, EventKind::Staged, version, "requested");
         Ok(self.next_number - 1)
     }
 
-    /// Forgets the staged version, or else the queued one. Returns its number.
+    /// Discards the staged version, or the queued one if none is staged, and returns its number.
     ///
     /// # Errors
-    /// [`RolloutError::NothingStaged`].
+    /// Returns [`RolloutError::NothingStaged`] if no version is staged or queued.
     pub fn drop_staged(&mut self, now: Us) -> Result<u64, RolloutError> {
         let dropped = self.staged.take().or_else(|| self.queued.take());
         let dropped = dropped.ok_or(RolloutError::NothingStaged)?;
         let number = dropped.number;
-        self.add_event(now, EventKind::Dropped, dropped, "asked for");
+        self.add_event(now, EventKind::Dropped, dropped, "requested");
         Ok(number)
     }
 
-    /// Lets the staged version run, on probation for `probation` microseconds at the most. Returns it, to be put in force
-    /// at once. With `if_base`, only if that version runs.
+    /// Applies the staged version, on probation for `probation` microseconds, and returns it. The caller must put it
+    /// into effect immediately. With `if_base`, the version is applied only if that version is running.
     ///
     /// # Errors
-    /// [`RolloutError`]; a staged version whose base does not run any more is dropped.
+    /// Returns a [`RolloutError`] if no version can be applied. A staged version whose base is no longer running is
+    /// dropped.
     pub fn apply(
         &mut self, now: Us, if_base: Option<u64>, probation: Us,
     ) -> Result<Version<T>, RolloutError> {
@@ -269,10 +271,10 @@
             return Err(RolloutError::OnProbation(running));
         }
         let staged = self.staged.take().ok_or(RolloutError::NothingStaged)?;
-        // It was queued behind a version that was rolled back or confirmed: its base may not run any more.
+        // The base of a version that was queued behind another one may no longer be running.
         if staged.base != running {
             let given = staged.base;
-            self.add_event(now, EventKind::Dropped, staged, "its base does not run any more");
+            self.add_event(now, EventKind::Dropped, staged, "its base version is no longer running");
             return Err(RolloutError::BaseMismatch { given, running });
         }
         let before = std::mem::replace(&mut self.running, staged.clone());
@@ -281,25 +283,25 @@
         Ok(staged)
     }
 
-    /// The version on probation is good. Returns its number. A queued version becomes the staged one.
+    /// Confirms the version on probation, and returns its number. A queued version becomes the staged one.
     ///
     /// # Errors
-    /// [`RolloutError::NothingOnProbation`].
+    /// Returns [`RolloutError::NothingOnProbation`] if no version is on probation.
     pub fn confirm(&mut self, now: Us, reason: &str) -> Result<u64, RolloutError> {
         self.fallback.take().ok_or(RolloutError::NothingOnProbation)?;
         let running = self.running.clone();
         let number = running.number;
         self.add_event(now, EventKind::Confirmed, running, reason);
-        // What was queued was made from the version that has just been confirmed.
+        // The queued version was made from the one that is now confirmed.
         self.staged = self.queued.take().or(self.staged.take());
         Ok(number)
     }
 
-    /// Returns to the version before the one on probation, and hands it back, to be put in force at once. A queued
-    /// version was made from the one that is rolled back: it is dropped.
+    /// Rolls back to the version before the one on probation, and returns it. The caller must put it into effect
+    /// immediately. A queued version is dropped, because it was made from the version that is rolled back.
     ///
     /// # Errors
-    /// [`RolloutError::NothingOnProbation`].
+    /// Returns [`RolloutError::NothingOnProbation`] if no version is on probation.
     pub fn roll_back(&mut self, now: Us, reason: &str) -> Result<Version<T>, RolloutError> {
         let Fallback { version: before, .. } =
             self.fallback.take().ok_or(RolloutError::NothingOnProbation)?;
@@ -311,13 +313,13 @@
         self.rolled_back.push_back(RolledBack { hash: bad.hash.clone(), number: bad.number });
         self.add_event(now, EventKind::RolledBack, bad, reason);
         if let Some(queued) = self.queued.take() {
-            let reason = "the version that it was made from was undone";
+            let reason = "its base version was undone";
             self.add_event(now, EventKind::Dropped, queued, reason);
         }
         Ok(before)
     }
 
-    /// Whether anything may begin, and from this base, where one is given.
+    /// Checks that the server is not shutting down and that the base, if one is given, is the running version.
     fn check_base(&self, base: Option<u64>) -> Result<(), RolloutError> {
         if self.shutting_down {
             return Err(RolloutError::ShuttingDown);
--- a/rollout/tests/rollout/transaction.rs
+++ b/rollout/tests/rollout/transaction.rs
@@ -1,14 +1,14 @@
-//! The transaction: single operations, and operations in any order.
+//! Tests of the transaction: single operations, and random sequences of operations.
 
 use crate::versions::SECOND;
 use asterrill_rollout::*;
 use quickcheck::{Gen, QuickCheck};
 
-fn change(text: &str, base: Option<u64>, options: StageOptions) -> Proposal<String> {
+fn proposal(text: &str, base: Option<u64>, options: StageOptions) -> Proposal<String> {
     Proposal { content: text.to_string(), hash: text.into(), base, options }
 }
-fn plain(text: &str) -> Proposal<String> {
-    change(text, None, StageOptions::default())
+fn default_proposal(text: &str) -> Proposal<String> {
+    proposal(text, None, StageOptions::default())
 }
 fn start() -> Rollout<String> {
     Rollout::new("a".to_string(), "a", 0)
@@ -18,7 +18,7 @@
 fn staged_version_runs_once_applied_and_roll_back_restores_the_one_before() {
     let mut rollout = start();
     let before = rollout.running().clone();
-    assert_eq!(rollout.stage(1, change("b", Some(1), StageOptions::default())), Ok(2));
+    assert_eq!(rollout.stage(1, proposal("b", Some(1), StageOptions::default())), Ok(2));
     assert_eq!((rollout.running(), rollout.staged().map(|v| v.number)), (&before, Some(2)));
     assert_eq!(rollout.apply(2, Some(1), 30 * SECOND).unwrap().content, "b");
     assert_eq!(
@@ -27,46 +27,46 @@
     );
     assert_eq!(rollout.roll_back(3, "loss"), Ok(before.clone()));
     assert_eq!((rollout.running(), rollout.phase()), (&before, Phase::Confirmed));
-    // It is not taken again by itself, but is if that is wanted; and has a number of its own then.
-    assert_eq!(rollout.stage(4, plain("b")), Err(RolloutError::PreviouslyRolledBack(2)));
-    assert_eq!(rollout.stage(4, change("b", None, StageOptions { force: true, queue: false })), Ok(3));
-    let what: Vec<_> = rollout.history().map(|event| (event.kind.as_str(), event.version)).collect();
-    assert_eq!(what, [("applied", 1), ("staged", 2), ("applied", 2), ("undone", 2), ("staged", 3)]);
+    // The same content is rejected unless it is forced, and then gets a new number.
+    assert_eq!(rollout.stage(4, default_proposal("b")), Err(RolloutError::PreviouslyRolledBack(2)));
+    assert_eq!(rollout.stage(4, proposal("b", None, StageOptions { force: true, queue: false })), Ok(3));
+    let events: Vec<_> = rollout.history().map(|event| (event.kind.as_str(), event.version)).collect();
+    assert_eq!(events, [("applied", 1), ("staged", 2), ("applied", 2), ("undone", 2), ("staged", 3)]);
 }
 
 #[test]
-fn rejects_impossible_steps_with_their_reason() {
+fn rejects_invalid_operations_with_their_reason() {
     let mut rollout = start();
     assert_eq!(rollout.apply(0, None, SECOND), Err(RolloutError::NothingStaged));
     assert_eq!(rollout.confirm(0, ""), Err(RolloutError::NothingOnProbation));
     assert_eq!(rollout.roll_back(0, ""), Err(RolloutError::NothingOnProbation));
     assert_eq!(rollout.drop_staged(0), Err(RolloutError::NothingStaged));
     assert_eq!(
-        rollout.stage(0, change("b", Some(7), StageOptions::default())),
+        rollout.stage(0, proposal("b", Some(7), StageOptions::default())),
         Err(RolloutError::BaseMismatch { given: 7, running: 1 })
     );
-    assert_eq!(rollout.stage(0, plain("a")), Err(RolloutError::Unchanged(1)));
-    rollout.stage(0, plain("b")).unwrap();
-    assert_eq!(rollout.stage(0, plain("c")), Err(RolloutError::AlreadyStaged(2)));
+    assert_eq!(rollout.stage(0, default_proposal("a")), Err(RolloutError::Unchanged(1)));
+    rollout.stage(0, default_proposal("b")).unwrap();
+    assert_eq!(rollout.stage(0, default_proposal("c")), Err(RolloutError::AlreadyStaged(2)));
     assert_eq!(rollout.apply(0, Some(5), SECOND), Err(RolloutError::BaseMismatch { given: 5, running: 1 }));
     rollout.apply(0, None, SECOND).unwrap();
-    assert_eq!(rollout.stage(0, plain("c")), Err(RolloutError::OnProbation(2)));
-    let queue_it = StageOptions { force: false, queue: true };
-    assert_eq!(rollout.stage(0, change("c", None, queue_it)), Ok(3));
-    assert_eq!(rollout.stage(0, change("d", None, queue_it)), Err(RolloutError::AlreadyQueued(3)));
+    assert_eq!(rollout.stage(0, default_proposal("c")), Err(RolloutError::OnProbation(2)));
+    let queued = StageOptions { force: false, queue: true };
+    assert_eq!(rollout.stage(0, proposal("c", None, queued)), Ok(3));
+    assert_eq!(rollout.stage(0, proposal("d", None, queued)), Err(RolloutError::AlreadyQueued(3)));
     assert_eq!(rollout.apply(0, None, SECOND), Err(RolloutError::OnProbation(2)));
     rollout.begin_shutdown();
-    assert_eq!(rollout.stage(0, plain("e")), Err(RolloutError::ShuttingDown));
+    assert_eq!(rollout.stage(0, default_proposal("e")), Err(RolloutError::ShuttingDown));
 }
 
 #[test]
 fn queued_version_is_staged_after_confirm_and_dropped_after_roll_back() {
-    let queue_it = StageOptions { force: false, queue: true };
+    let queued = StageOptions { force: false, queue: true };
     for good in [true, false] {
         let mut rollout = start();
-        rollout.stage(0, plain("b")).unwrap();
+        rollout.stage(0, default_proposal("b")).unwrap();
         rollout.apply(0, None, SECOND).unwrap();
-        rollout.stage(0, change("c", None, queue_it)).unwrap();
+        rollout.stage(0, proposal("c", None, queued)).unwrap();
         if good {
             rollout.confirm(1, "fine").unwrap();
             assert_eq!(rollout.staged().map(|v| v.number), Some(3));
@@ -83,17 +83,17 @@
 }
 
 #[test]
-fn any_order_of_operations_keeps_running_version_applied_and_numbers_increasing() {
-    fn holds(steps: Vec<(u8, u8)>) -> bool {
+fn random_operations_keep_the_expected_versions_and_increasing_numbers() {
+    fn keeps_invariants(operations: Vec<(u8, u8)>) -> bool {
         let mut rollout = start();
         let (mut good, mut running, mut newest) = ("a".to_string(), "a".to_string(), 1);
-        for (i, (what, n)) in steps.into_iter().enumerate() {
+        for (i, (operation, n)) in operations.into_iter().enumerate() {
             let now = i as Us * SECOND;
             let options = StageOptions { force: n % 3 == 0, queue: n % 5 == 0 };
             let base = [None, Some(rollout.running().number), Some(u64::from(n))][n as usize % 3];
-            match what % 6 {
+            match operation % 6 {
                 0 | 1 => {
-                    if let Ok(number) = rollout.stage(now, change(&format!("t{}", n % 16), base, options)) {
+                    if let Ok(number) = rollout.stage(now, proposal(&format!("t{}", n % 16), base, options)) {
                         assert!(number > newest);
                         newest = number;
                     }
@@ -118,5 +118,5 @@
         true
     }
     let mut runs = QuickCheck::new().tests(500).rng(Gen::from_size_and_seed(400, 8));
-    runs.quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
+    runs.quickcheck(keeps_invariants as fn(Vec<(u8, u8)>) -> bool);
 }
