--- a/rollout/examples/figures.rs
+++ b/rollout/examples/figures.rs
@@ -87,14 +87,14 @@
     let first = args.next().unwrap_or_default();
     if first == "read" {
         let path = args.next().unwrap_or_default();
-        let (start, rss) = (Instant::now(), process_memory_kb("VmRSS:"));
+        let (start, rss_kb) = (Instant::now(), process_memory_kb("VmRSS:"));
         let recovered = recover(BufReader::new(File::open(path).expect("the file can be opened")))
             .expect("the file holds versions");
         println!(
             "{{\"ms\":{:.1},\"kb\":{},\"peak_kb\":{},\"number\":{},\"hash\":\"{}\"}}",
             elapsed_ms(start),
-            process_memory_kb("VmRSS:").saturating_sub(rss),
-            process_memory_kb("VmHWM:").saturating_sub(rss),
+            process_memory_kb("VmRSS:").saturating_sub(rss_kb),
+            process_memory_kb("VmHWM:").saturating_sub(rss_kb),
             recovered.state.good.number,
             recovered.state.good.hash()
         );
@@ -112,7 +112,7 @@
         probation: None,
         rolled_back: Vec::new(),
     };
-    let (rss, peak) = (process_memory_kb("VmRSS:"), process_memory_kb("VmHWM:"));
+    let (rss_kb, peak_kb) = (process_memory_kb("VmRSS:"), process_memory_kb("VmHWM:"));
     let open = || {
         TextWriter(BufWriter::new(
             File::options().append(true).create(true).open(&path).expect("the file can be opened"),
@@ -127,7 +127,7 @@
     let written_ms = elapsed_ms(start);
     sync(to);
     let (snapshot_ms, snapshot_bytes) = (elapsed_ms(start), file_length(&path));
-    let snapshot_peak = process_memory_kb("VmHWM:").saturating_sub(peak.max(rss));
+    let snapshot_peak_kb = process_memory_kb("VmHWM:").saturating_sub(peak_kb.max(rss_kb));
     let snapshot_read = read_in_process(&path);
 
     let (mut synced_ms, mut encoded_ms, mut max_overhead_bytes) = (Vec::new(), Vec::new(), 0);
@@ -165,7 +165,7 @@
         .collect();
     let content = state.good.content.apply(&all).expect("all quotas can be set");
     drop(all);
-    let (rss, peak) = (process_memory_kb("VmRSS:"), process_memory_kb("VmHWM:"));
+    let (rss_kb, peak_kb) = (process_memory_kb("VmRSS:"), process_memory_kb("VmHWM:"));
     let next = PersistedState {
         probation: Some(PersistedVersion { number: 300, content, operator_file: "".into() }),
         ..state.clone()
@@ -180,11 +180,11 @@
     }
     sync(to);
     let (all_ms, all_bytes) = (elapsed_ms(start), file_length(&path) - bytes);
-    let all_peak = process_memory_kb("VmHWM:").saturating_sub(peak.max(rss));
+    let all_peak_kb = process_memory_kb("VmHWM:").saturating_sub(peak_kb.max(rss_kb));
     let all_read = read_in_process(&path);
     std::fs::remove_file(&path).unwrap_or_default();
     println!(
-        "{{\"methods\":{methods},\"tenants\":{tenants},\"whole\":{{\"bytes\":{snapshot_bytes},\"ms_unsynced\":{written_ms:.1},\"ms\":{snapshot_ms:.1},\"peak_kb\":{snapshot_peak},\"read\":{snapshot_read}}},\"step\":{{\"above_entry_bytes\":{max_overhead_bytes},\"ms_unsynced\":{:.3},\"ms\":{:.3},\"read\":{steps_read}}},\"every_quota\":{{\"as_step\":{as_step},\"bytes\":{all_bytes},\"ms\":{all_ms:.1},\"peak_kb\":{all_peak},\"read\":{all_read}}},\"watch_us\":{:.2}}}",
+        "{{\"methods\":{methods},\"tenants\":{tenants},\"whole\":{{\"bytes\":{snapshot_bytes},\"ms_unsynced\":{written_ms:.1},\"ms\":{snapshot_ms:.1},\"peak_kb\":{snapshot_peak_kb},\"read\":{snapshot_read}}},\"step\":{{\"above_entry_bytes\":{max_overhead_bytes},\"ms_unsynced\":{:.3},\"ms\":{:.3},\"read\":{steps_read}}},\"every_quota\":{{\"as_step\":{as_step},\"bytes\":{all_bytes},\"ms\":{all_ms:.1},\"peak_kb\":{all_peak_kb},\"read\":{all_read}}},\"watch_us\":{:.2}}}",
         median(encoded_ms),
         median(synced_ms),
         measure_monitor_us(&state.good.content)
--- a/rollout/src/version_file/state.rs
+++ b/rollout/src/version_file/state.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Returns the hash of a version: the 32 hex digits of its entries' digest, followed by `-` and 16 hex digits of the
-/// operator's file if there is one. Entries with the same meaning have the same hash.
+/// Returns the hash of a version: the 32 hex digits of its entries' digest, followed by `-` and the 16 hex digits of the
+/// operator's file's `xxh3` if there is such a file. Entries with the same meaning have the same hash.
 pub fn version_hash(content: &Configuration, operator_file: &str) -> VersionHash {
     let digest = content.digest();
     if operator_file.is_empty() {
--- a/rollout/tests/rollout/crash_recovery.rs
+++ b/rollout/tests/rollout/crash_recovery.rs
@@ -208,14 +208,14 @@
         self.rollout = Rollout::resume(started.clone(), started.hash(), started.number, rolled_back, 0);
         self.written = None;
     }
-    fn expected_record(&self) -> (ModelVersion, Option<ModelVersion>, Vec<ModelVersion>) {
+    fn expected_state(&self) -> (ModelVersion, Option<ModelVersion>, Vec<ModelVersion>) {
         (self.good.clone(), self.probation.clone(), self.rolled_back.clone())
     }
     fn run(mut self) -> Counts {
         let mut on_disk = None;
         let mut complete = self.write(usize::MAX);
         assert!(complete);
-        on_disk.replace(self.expected_record());
+        on_disk.replace(self.expected_state());
         for _ in 0..40 {
             self.perform_random_operation();
             // The store may lag behind, so that several operations are written together.
@@ -233,7 +233,7 @@
             if !crash {
                 complete = self.write(usize::MAX);
                 assert!(complete);
-                on_disk.replace(self.expected_record());
+                on_disk.replace(self.expected_state());
                 continue;
             }
             // The crash happens at any byte of the write, including its end.
@@ -245,11 +245,11 @@
             complete = self.write(limit);
             let records = update.map_or(0, |update| update.count());
             if complete {
-                on_disk.replace(self.expected_record());
+                on_disk.replace(self.expected_state());
             } else if records > 1 {
                 // With several records in one write, the file is recovered up to the last complete one.
                 let found = recovered(self.disk.as_ref().unwrap());
-                let (good, probation, rolled_back) = self.expected_record();
+                let (good, probation, rolled_back) = self.expected_state();
                 let (old_good, old_probation, old_rolled_back) = on_disk.clone().unwrap();
                 let old = expected_start(&configured, &old_good, old_probation.as_ref(), &old_rolled_back);
                 let new = expected_start(&configured, &good, probation.as_ref(), &rolled_back);
@@ -264,7 +264,7 @@
             self.restart(&configured, on_disk.as_ref());
             complete = self.write(usize::MAX);
             assert!(complete);
-            on_disk.replace(self.expected_record());
+            on_disk.replace(self.expected_state());
         }
         self.counts
     }
--- a/rollout/tests/rollout/version_file.rs
+++ b/rollout/tests/rollout/version_file.rs
@@ -35,14 +35,14 @@
             assert!(recover(&bytes[..]).is_err(), "damaged at {at}");
             continue;
         }
-        let (found, (begin, before)) = (recovered(&bytes), &ends[record - 1]);
-        assert_eq!((found.valid_bytes, &found.state.good), (*begin as u64, &before.good), "damaged at {at}");
+        let (found, (start, before)) = (recovered(&bytes), &ends[record - 1]);
+        assert_eq!((found.valid_bytes, &found.state.good), (*start as u64, &before.good), "damaged at {at}");
         let reported = found.damaged.as_ref().map(|damage| (damage.record, damage.offset));
         if record + 1 == ends.len() {
             assert_eq!((reported, found.torn_bytes > 0), (None, true), "damaged at {at}");
             assert_eq!(found.state, *before);
         } else {
-            assert_eq!(reported, Some((record as u64, *begin as u64)), "damaged at {at}");
+            assert_eq!(reported, Some((record as u64, *start as u64)), "damaged at {at}");
             // A version that was rolled back later is still remembered, because the steps after the damage hold its
             // hash.
             assert!(
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn rejects_foreign_files_and_other_formats() {
+fn rejects_files_of_other_programs_and_unsupported_formats() {
     let error = |text: &str| recover(text.as_bytes()).unwrap_err();
     assert_eq!(error("hello\nworld"), VersionFileError::NotVersionFile);
     assert_eq!(error(&"x".repeat(2 << 20)), VersionFileError::NotVersionFile);
