--- a/consumer/src/action.rs
+++ b/consumer/src/action.rs
@@ -1,7 +1,7 @@
 //! What a [`crate::QueueConsumer`] asks of the owner of the session and of the engine.
 
 use asterrill::{CallerId, MethodId, Us};
-use asterrill_protocol::amqp::{DeliveryTag, Settle};
+use asterrill_protocol::amqp::{DeliveryTag, Settlement};
 
 /// A message in flight, as the engine's address for its answer. The queue's number is in the upper 16 bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -52,7 +52,7 @@
         /// The delivery's tag.
         tag: DeliveryTag,
         /// Ack, reject or requeue.
-        settlement: Settle,
+        settlement: Settlement,
     },
     /// Publish [`crate::QueueConsumer::pending_reply`]; `reply_published` follows once that was possible.
     PublishReply(InFlightId),
--- a/consumer/src/dedup.rs
+++ b/consumer/src/dedup.rs
@@ -1,7 +1,7 @@
 //! Whether a delivery repeats an earlier one, and how that one was settled.
 
 use asterrill::Us;
-use asterrill_protocol::amqp::{Delivery, Settle};
+use asterrill_protocol::amqp::{Delivery, Settlement};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::Xxh3;
 
@@ -18,17 +18,17 @@
     /// The identity of a delivery within its queue.
     pub(crate) fn of(delivery: &Delivery) -> MessageIdentity {
         let mut hash = Xxh3::new();
-        if let Some(id) = delivery.headers.message_id.as_ref().filter(|id| !id.is_empty()) {
+        if let Some(id) = delivery.properties.message_id.as_ref().filter(|id| !id.is_empty()) {
             hash_part(&mut hash, id.as_bytes());
             return MessageIdentity::Named(hash.digest128());
         }
-        let headers = &delivery.headers;
+        let properties = &delivery.properties;
         hash_part(&mut hash, delivery.exchange.as_bytes());
         hash_part(&mut hash, delivery.routing_key.as_bytes());
-        hash_part(&mut hash, headers.correlation_id.as_deref().unwrap_or("").as_bytes());
-        hash_part(&mut hash, headers.reply_to.as_deref().unwrap_or("").as_bytes());
-        hash_part(&mut hash, &headers.timestamp.unwrap_or(0).to_le_bytes());
-        for (name, value) in &headers.fields {
+        hash_part(&mut hash, properties.correlation_id.as_deref().unwrap_or("").as_bytes());
+        hash_part(&mut hash, properties.reply_to.as_deref().unwrap_or("").as_bytes());
+        hash_part(&mut hash, &properties.timestamp.unwrap_or(0).to_le_bytes());
+        for (name, value) in &properties.headers {
             hash_part(&mut hash, name.as_bytes());
             hash_part(&mut hash, value.as_bytes());
         }
@@ -53,7 +53,7 @@
 struct SettledEntry {
     sequence: u64,
     expires_at: Us,
-    settlement: Settle,
+    settlement: Settlement,
 }
 
 /// The place of a remembered settlement in the order of expiry.
@@ -101,7 +101,7 @@
     }
 
     /// A message was settled. A named one is remembered once, with its first settlement.
-    pub(crate) fn insert(&mut self, now: Us, identity: MessageIdentity, settlement: Settle) {
+    pub(crate) fn insert(&mut self, now: Us, identity: MessageIdentity, settlement: Settlement) {
         self.expire(now);
         let already_remembered = identity.is_named() && self.by_identity.contains_key(&identity);
         if self.capacity == 0 || already_remembered {
@@ -119,7 +119,7 @@
 
     /// How a message was settled. The entry of one without a name is used up by this: the next equal delivery is
     /// another message.
-    pub(crate) fn take(&mut self, now: Us, identity: MessageIdentity) -> Option<Settle> {
+    pub(crate) fn take(&mut self, now: Us, identity: MessageIdentity) -> Option<Settlement> {
         self.expire(now);
         let SettledEntry { sequence, expires_at, settlement } =
             self.by_identity.get(&identity)?.first().copied()?;
--- a/consumer/src/execution.rs
+++ b/consumer/src/execution.rs
@@ -5,7 +5,7 @@
 use crate::queue::QueueConsumer;
 use crate::settlement::{AttemptHistory, Disposition, RetryPolicy};
 use asterrill::{FinalAnswer, Idempotency, Us};
-use asterrill_protocol::amqp::Settle;
+use asterrill_protocol::amqp::Settlement;
 
 impl QueueConsumer {
     /// A run of a message was started.
@@ -68,8 +68,8 @@
     }
 
     /// Counts why the deliveries of a message are rejected, if they are.
-    fn count_unsuccessful(&mut self, id: InFlightId, settlement: Settle, history: AttemptHistory) {
-        if settlement != Settle::Reject {
+    fn count_unsuccessful(&mut self, id: InFlightId, settlement: Settlement, history: AttemptHistory) {
+        if settlement != Settlement::Reject {
             return;
         }
         let Some(message) = self.messages.get(&id) else { return };
--- a/consumer/src/field_source.rs
+++ b/consumer/src/field_source.rs
@@ -1,6 +1,6 @@
 //! Where a value of a delivery is read from.
 
-use asterrill_protocol::amqp::Headers;
+use asterrill_protocol::amqp::MessageProperties;
 use std::collections::BTreeMap;
 
 /// Where a value of a delivery is read from: a header, or a default for the whole queue.
@@ -15,8 +15,8 @@
 }
 
 impl FieldSource {
-    pub(crate) fn read<'a>(&'a self, headers: &'a Headers) -> Option<&'a str> {
-        let value = self.header.as_ref().and_then(|name| headers.fields.get(name));
+    pub(crate) fn read<'a>(&'a self, properties: &'a MessageProperties) -> Option<&'a str> {
+        let value = self.header.as_ref().and_then(|name| properties.headers.get(name));
         match value {
             Some(value) => Some(self.aliases.get(value).unwrap_or(value)),
             None => self.default.as_deref(),
--- a/consumer/src/intake.rs
+++ b/consumer/src/intake.rs
@@ -8,7 +8,7 @@
 use crate::routes::{route, Catalog, Route, RouteError};
 use crate::subscription::Subscription;
 use asterrill::{Idempotency, Us};
-use asterrill_protocol::amqp::{Delivery, DeliveryTag, Headers, Settle};
+use asterrill_protocol::amqp::{Delivery, DeliveryTag, MessageProperties, Settlement};
 
 /// The reply code of AMQP 0-9-1 for a precondition that failed.
 const PRECONDITION_FAILED: u16 = 406;
@@ -21,15 +21,15 @@
         self.reopen_delay = MIN_REOPEN_DELAY;
         let tag = delivery.tag;
         if self.draining {
-            self.settle_delivery(tag, Settle::Requeue);
+            self.settle_delivery(tag, Settlement::Requeue);
             return;
         }
         if delivery.body.is_none() {
             self.stats.too_long += 1;
-            self.settle_delivery(tag, Settle::Reject);
+            self.settle_delivery(tag, Settlement::Reject);
             return;
         }
-        let route = match route(&delivery.headers, &self.config, catalog) {
+        let route = match route(&delivery.properties, &self.config, catalog) {
             Ok(route) => route,
             Err(error) => return self.reject_unrouted(tag, &error),
         };
@@ -38,9 +38,9 @@
             return;
         }
         let prior_runs = prior_runs(&delivery);
-        let Some(deadline) = self.runnable_until(now, &delivery.headers, route.idempotency, prior_runs)
+        let Some(deadline) = self.runnable_until(now, &delivery.properties, route.idempotency, prior_runs)
         else {
-            self.settle_delivery(tag, Settle::Reject);
+            self.settle_delivery(tag, Settlement::Reject);
             return;
         };
         if self.messages.len() >= self.config.max_in_flight() {
@@ -52,7 +52,7 @@
 
     /// Counts the reason if a message must not be run; else says until when it may run.
     fn runnable_until(
-        &mut self, now: Us, headers: &Headers, idempotency: Idempotency, prior_runs: u32,
+        &mut self, now: Us, properties: &MessageProperties, idempotency: Idempotency, prior_runs: u32,
     ) -> Option<Us> {
         let may_have_run = prior_runs > 0 && idempotency == Idempotency::NonIdempotent;
         if may_have_run && !self.config.run_unverified_redeliveries {
@@ -63,7 +63,7 @@
             self.stats.poisoned += 1;
             return None;
         }
-        let deadline = deadline(now, headers, self.config.processing_timeout);
+        let deadline = deadline(now, properties, self.config.processing_timeout);
         self.stats.expired += u64::from(deadline.is_none());
         deadline
     }
@@ -92,8 +92,8 @@
             deadline,
             size_kb: self.config.size_kb,
         };
-        let Delivery { tag, headers, body, .. } = delivery;
-        let correlation_id = headers.correlation_id;
+        let Delivery { tag, properties, body, .. } = delivery;
+        let correlation_id = properties.correlation_id;
         let message = Message {
             identity,
             idempotency: route.idempotency,
@@ -103,7 +103,7 @@
             state: MessageState::Submitted { run_started: false },
             runs: prior_runs,
             consecutive_rejections: 0,
-            reply_address: headers.reply_to.map(|queue| ReplyAddress { queue, correlation_id }),
+            reply_address: properties.reply_to.map(|queue| ReplyAddress { queue, correlation_id }),
         };
         self.unsettled += 1;
         self.messages.insert(id, message);
@@ -158,13 +158,13 @@
             self.actions.push_back(Action::Log(line));
         }
         self.stats.unrouted += 1;
-        self.settle_delivery(tag, Settle::Reject);
+        self.settle_delivery(tag, Settlement::Reject);
     }
 }
 
 /// How often a message was run before, as far as the broker says: a queue that counts says how often it was delivered;
 /// else a redelivered message was delivered once at least.
 fn prior_runs(delivery: &Delivery) -> u32 {
-    let deliveries = delivery.headers.delivery_count.unwrap_or(u64::from(delivery.redelivered));
+    let deliveries = delivery.properties.delivery_count.unwrap_or(u64::from(delivery.redelivered));
     u32::try_from(deliveries).unwrap_or(u32::MAX)
 }
--- a/consumer/src/message.rs
+++ b/consumer/src/message.rs
@@ -3,7 +3,7 @@
 use crate::action::Submission;
 use crate::dedup::MessageIdentity;
 use asterrill::{Idempotency, Us};
-use asterrill_protocol::amqp::{DeliveryTag, Settle};
+use asterrill_protocol::amqp::{DeliveryTag, Settlement};
 
 /// A message that was taken in and is not settled.
 pub(crate) struct Message {
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct OutgoingReply {
     /// How the deliveries are settled afterwards.
-    pub(crate) settlement: Settle,
+    pub(crate) settlement: Settlement,
     pub(crate) result: Vec<u8>,
     /// The publish sequence number that the broker's confirm will carry; none until it is published.
     pub(crate) publish_sequence: Option<u64>,
--- a/consumer/src/replies.rs
+++ b/consumer/src/replies.rs
@@ -4,7 +4,7 @@
 use crate::message::{MessageState, OutgoingReply};
 use crate::queue::QueueConsumer;
 use asterrill::Us;
-use asterrill_protocol::amqp::Settle;
+use asterrill_protocol::amqp::Settlement;
 
 /// The time between looks at a reply that is not confirmed, in microseconds.
 pub(crate) const REPLY_CHECK_INTERVAL: Us = 100_000;
@@ -17,9 +17,11 @@
 
 impl QueueConsumer {
     /// Settles a message, once its reply is confirmed or given up if it asked for one.
-    pub(crate) fn reply_and_settle(&mut self, now: Us, id: InFlightId, settlement: Settle, result: &[u8]) {
+    pub(crate) fn reply_and_settle(
+        &mut self, now: Us, id: InFlightId, settlement: Settlement, result: &[u8],
+    ) {
         let Some(message) = self.messages.get_mut(&id) else { return };
-        if message.reply_address.is_none() || settlement == Settle::Requeue {
+        if message.reply_address.is_none() || settlement == Settlement::Requeue {
             self.settle(now, id, settlement);
             return;
         }
@@ -49,7 +51,7 @@
         Some(PendingReply {
             reply_to: &address.queue,
             correlation_id: address.correlation_id.as_deref(),
-            ok: reply.settlement == Settle::Ack,
+            ok: reply.settlement == Settlement::Ack,
             body: &reply.result,
         })
     }
--- a/consumer/src/routes.rs
+++ b/consumer/src/routes.rs
@@ -2,7 +2,7 @@
 
 use crate::config::ConsumerConfig;
 use asterrill::{CallerId, Idempotency, MethodId};
-use asterrill_protocol::amqp::Headers;
+use asterrill_protocol::amqp::MessageProperties;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Set in the numbers of callers that are made from a name, apart from those that sidecars give as 32 bits.
@@ -45,20 +45,20 @@
 /// Finds the route of a delivery. A caller that is not a number is numbered by its name, and that of a queue for which
 /// none is configured by the queue's name.
 pub(crate) fn route(
-    headers: &Headers, config: &ConsumerConfig, catalog: &dyn Catalog,
+    properties: &MessageProperties, config: &ConsumerConfig, catalog: &dyn Catalog,
 ) -> Result<Route, RouteError> {
-    let method_name = config.method.read(headers).ok_or(RouteError::NoMethod)?;
+    let method_name = config.method.read(properties).ok_or(RouteError::NoMethod)?;
     let (method, idempotency) =
         catalog.method(method_name).ok_or_else(|| RouteError::UnknownMethod(shown(method_name)))?;
-    let tenant = tenant_of(headers, config, catalog)?;
-    let caller = caller_number(config.caller.read(headers).unwrap_or(&config.name));
+    let tenant = tenant_of(properties, config, catalog)?;
+    let caller = caller_number(config.caller.read(properties).unwrap_or(&config.name));
     Ok(Route { method, idempotency, tenant, caller })
 }
 
 fn tenant_of(
-    headers: &Headers, config: &ConsumerConfig, catalog: &dyn Catalog,
+    properties: &MessageProperties, config: &ConsumerConfig, catalog: &dyn Catalog,
 ) -> Result<Option<usize>, RouteError> {
-    let name = config.tenant.read(headers);
+    let name = config.tenant.read(properties);
     let tenant = name.and_then(|name| catalog.tenant(name));
     if tenant.is_none() && catalog.requires_tenant() {
         return Err(name.map_or(RouteError::NoTenant, |name| RouteError::UnknownTenant(shown(name))));
--- a/consumer/src/settlement.rs
+++ b/consumer/src/settlement.rs
@@ -2,13 +2,13 @@
 
 use crate::config::Backoff;
 use asterrill::{FinalAnswer, Idempotency, Us};
-use asterrill_protocol::amqp::Settle;
+use asterrill_protocol::amqp::Settlement;
 
 /// What becomes of a delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Disposition {
     /// It is settled; whoever asked for a reply gets one.
-    Settle(Settle),
+    Settle(Settlement),
     /// It is submitted again after this delay, in microseconds.
     Retry { delay: Us },
 }
@@ -57,15 +57,17 @@
         let after_rejection = self.backoff.delay(history.consecutive_rejections);
         let retry = |delay| retry_before_deadline(now, delay, history.deadline);
         match answer {
-            FinalAnswer::Ok(_) => Disposition::Settle(Settle::Ack),
-            _ if !history.ran && self.draining => Disposition::Settle(Settle::Requeue),
+            FinalAnswer::Ok(_) => Disposition::Settle(Settlement::Ack),
+            _ if !history.ran && self.draining => Disposition::Settle(Settlement::Requeue),
             FinalAnswer::Rejected { retry_after, .. } => retry(after_rejection.max(*retry_after)),
             FinalAnswer::Aborted if !history.ran => retry(after_rejection),
-            FinalAnswer::Aborted if may_run_again && self.draining => Disposition::Settle(Settle::Requeue),
+            FinalAnswer::Aborted if may_run_again && self.draining => {
+                Disposition::Settle(Settlement::Requeue)
+            }
             FinalAnswer::Aborted if may_run_again => {
                 retry(self.backoff.delay(history.runs.saturating_sub(1)))
             }
-            FinalAnswer::Aborted => Disposition::Settle(Settle::Reject),
+            FinalAnswer::Aborted => Disposition::Settle(Settlement::Reject),
         }
     }
 }
@@ -74,6 +76,6 @@
     if now.saturating_add(delay) < deadline {
         Disposition::Retry { delay }
     } else {
-        Disposition::Settle(Settle::Reject)
+        Disposition::Settle(Settlement::Reject)
     }
 }
--- a/consumer/src/settling.rs
+++ b/consumer/src/settling.rs
@@ -5,18 +5,18 @@
 use crate::queue::QueueConsumer;
 use crate::replies::MAX_REPLY_TIME_DRAINING;
 use asterrill::Us;
-use asterrill_protocol::amqp::{DeliveryTag, Settle};
+use asterrill_protocol::amqp::{DeliveryTag, Settlement};
 
 impl QueueConsumer {
     /// Settles a delivery that was not taken in.
-    pub(crate) fn settle_delivery(&mut self, tag: DeliveryTag, settlement: Settle) {
+    pub(crate) fn settle_delivery(&mut self, tag: DeliveryTag, settlement: Settlement) {
         self.count_settled(settlement, 1);
         self.actions.push_back(Action::Settle { tag, settlement });
     }
 
     /// The one place where a message leaves the table: all its deliveries are settled, and the settlement is
     /// remembered unless it is requeued.
-    pub(crate) fn settle(&mut self, now: Us, id: InFlightId, settlement: Settle) {
+    pub(crate) fn settle(&mut self, now: Us, id: InFlightId, settlement: Settlement) {
         let Some(message) = self.messages.remove(&id) else { return };
         self.remove_from_indexes(id, &message);
         self.unsettled -= message.delivery_tags.len();
@@ -24,7 +24,7 @@
         // The settlement of a message without a name is remembered only where another delivery of it may come.
         let may_come_again =
             message.identity.is_named() || !message.delivery_tags.is_empty() || message.runs > 0;
-        if settlement != Settle::Requeue && may_come_again {
+        if settlement != Settlement::Requeue && may_come_again {
             self.settled.insert(now, message.identity, settlement);
         }
         let settle = |tag| Action::Settle { tag, settlement };
@@ -48,11 +48,11 @@
         }
     }
 
-    fn count_settled(&mut self, settlement: Settle, deliveries: usize) {
+    fn count_settled(&mut self, settlement: Settlement, deliveries: usize) {
         let count = match settlement {
-            Settle::Ack => &mut self.stats.acked,
-            Settle::Reject => &mut self.stats.rejected,
-            Settle::Requeue => &mut self.stats.requeued,
+            Settlement::Ack => &mut self.stats.acked,
+            Settlement::Reject => &mut self.stats.rejected,
+            Settlement::Requeue => &mut self.stats.requeued,
         };
         *count += deliveries as u64;
     }
@@ -66,7 +66,7 @@
         let waiting = self.messages.iter().filter(|(_, message)| message.is_waiting());
         let waiting: Vec<InFlightId> = waiting.map(|(id, _)| *id).collect();
         for id in waiting {
-            self.settle(now, id, Settle::Requeue);
+            self.settle(now, id, Settlement::Requeue);
         }
         // Their runs took effect: better acknowledged without a reply than run once more elsewhere.
         for message in self.messages.values_mut() {
--- a/consumer/src/tests/harness.rs
+++ b/consumer/src/tests/harness.rs
@@ -2,7 +2,7 @@
 
 use crate::{Action, Backoff, Catalog, ConsumerConfig, FieldSource, InFlightId, QueueConsumer};
 use asterrill::{FinalAnswer, Idempotency, MethodId, Us};
-use asterrill_protocol::amqp::{Channel, Delivery, DeliveryTag, Headers, Settle};
+use asterrill_protocol::amqp::{Channel, Delivery, DeliveryTag, MessageProperties, Settlement};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub(super) const MS: Us = 1_000;
@@ -67,7 +67,7 @@
     /// Delivered on the present channel and not settled, by tag.
     pub(super) unsettled: BTreeMap<DeliveryTag, QueuedMessage>,
     pub(super) settled_tags: BTreeSet<DeliveryTag>,
-    pub(super) settlements: BTreeMap<u64, Vec<Settle>>,
+    pub(super) settlements: BTreeMap<u64, Vec<Settlement>>,
     pub(super) last_tag: u64,
     pub(super) submitted: BTreeMap<InFlightId, u64>,
     pub(super) running: BTreeMap<InFlightId, u64>,
@@ -112,7 +112,7 @@
         let bytes = [frame(1, 0, &start), frame(1, 0, &tune), frame(1, 0, &[0, 10, 0, 41, 0])].concat();
         let mut input = &bytes[..];
         while self.0.read(1, &mut input).unwrap().is_some() {}
-        assert!(self.0.open(Channel(2)));
+        assert!(self.0.open_channel(Channel(2)));
         let ok = frame(1, 2, &[0, 20, 0, 11, 0, 0, 0, 0]);
         assert!(self.0.read(1, &mut &ok[..]).unwrap().is_some());
         self.0.out.clear();
@@ -201,7 +201,7 @@
             }
         }
     }
-    pub(super) fn settle(&mut self, tag: DeliveryTag, settlement: Settle) {
+    pub(super) fn settle(&mut self, tag: DeliveryTag, settlement: Settlement) {
         if !self.settled_tags.insert(tag) {
             self.violations.push(format!("{tag:?} was settled twice"));
         }
@@ -212,7 +212,7 @@
             }
             return;
         };
-        if settlement == Settle::Requeue {
+        if settlement == Settlement::Requeue {
             message.prior_deliveries += 1;
             self.ready.push_back(message);
         } else {
@@ -244,10 +244,10 @@
             for _ in 0..if twice && n == 0 && message.prior_deliveries > 0 { 2 } else { 1 } {
                 self.last_tag += 1;
                 let tag = self.tag_source.tag(self.last_tag);
-                let headers = Headers {
+                let properties = MessageProperties {
                     message_id: message.named.then(|| format!("m{}", message.name)),
                     reply_to: message.wants_reply.then(|| "r".to_string()),
-                    ..Headers::default()
+                    ..MessageProperties::default()
                 };
                 self.unsettled.insert(tag, message.clone());
                 let delivery = Delivery {
@@ -255,7 +255,7 @@
                     redelivered: message.prior_deliveries > 0,
                     exchange: String::new(),
                     routing_key: "q".into(),
-                    headers,
+                    properties,
                     size: 1,
                     body: Some(message.name.to_string().into_bytes()),
                 };
--- a/consumer/src/tests/parts.rs
+++ b/consumer/src/tests/parts.rs
@@ -4,7 +4,7 @@
 use crate::dedup::{MessageIdentity, SettledMessages};
 use crate::prefetch::{PrefetchSignals, PrefetchWindow};
 use asterrill::Us;
-use asterrill_protocol::amqp::{Headers, Settle};
+use asterrill_protocol::amqp::{MessageProperties, Settlement};
 
 #[test]
 fn deadline_is_the_earliest_bound_and_tolerates_clock_skew() {
@@ -12,7 +12,7 @@
     let now = 1_000 * S;
     let deadline_with = |expiration: &str, timestamp| {
         let expiration = Some(expiration.to_string()).filter(|text| !text.is_empty());
-        deadline(now, &Headers { expiration, timestamp, ..Headers::default() }, 30 * S)
+        deadline(now, &MessageProperties { expiration, timestamp, ..MessageProperties::default() }, 30 * S)
     };
     assert_eq!(deadline_with("", None), Some(now + 30 * S));
     assert_eq!(deadline_with("5000", None), Some(now + 5 * S));
@@ -67,22 +67,22 @@
 fn settled_messages_are_bounded_in_number_and_time() {
     let mut settled = SettledMessages::new(10 * S, 100);
     for n in 0..1_000_u128 {
-        settled.insert(n as Us, MessageIdentity::Named(n), Settle::Ack);
+        settled.insert(n as Us, MessageIdentity::Named(n), Settlement::Ack);
     }
     assert_eq!(settled.len(), 100);
     assert_eq!(
         (settled.take(999, MessageIdentity::Named(0)), settled.take(999, MessageIdentity::Named(950))),
-        (None, Some(Settle::Ack))
+        (None, Some(Settlement::Ack))
     );
-    settled.insert(999, MessageIdentity::Named(950), Settle::Reject);
+    settled.insert(999, MessageIdentity::Named(950), Settlement::Reject);
     assert_eq!(
         settled.take(999, MessageIdentity::Named(950)),
-        Some(Settle::Ack),
+        Some(Settlement::Ack),
         "the first settlement counts"
     );
     assert_eq!((settled.take(11 * S, MessageIdentity::Named(999)), settled.len()), (None, 0));
-    settled.insert(0, MessageIdentity::Content(1), Settle::Ack);
-    settled.insert(0, MessageIdentity::Content(1), Settle::Reject);
+    settled.insert(0, MessageIdentity::Content(1), Settlement::Ack);
+    settled.insert(0, MessageIdentity::Content(1), Settlement::Reject);
     let all = [(); 3].map(|()| settled.take(1, MessageIdentity::Content(1)));
-    assert_eq!((all, settled.len()), ([Some(Settle::Ack), Some(Settle::Reject), None], 0));
+    assert_eq!((all, settled.len()), ([Some(Settlement::Ack), Some(Settlement::Reject), None], 0));
 }
--- a/consumer/src/tests/queue.rs
+++ b/consumer/src/tests/queue.rs
@@ -3,7 +3,7 @@
 use super::harness::{config, Harness, QueuedMessage, TestCatalog, MS, S};
 use crate::{Action, ConsumerConfig};
 use asterrill::Us;
-use asterrill_protocol::amqp::{Delivery, DeliveryTag, Headers, Settle};
+use asterrill_protocol::amqp::{Delivery, DeliveryTag, MessageProperties, Settlement};
 use quickcheck::Gen;
 use std::collections::BTreeSet;
 
@@ -106,7 +106,7 @@
             harness.end_run(n % 2 == 0); // the broker never reads these settlements
         }
     }
-    let settled: Vec<(DeliveryTag, Settle)> = harness
+    let settled: Vec<(DeliveryTag, Settlement)> = harness
         .actions
         .iter()
         .filter_map(|action| match action {
@@ -175,7 +175,7 @@
             harness.end_run(true);
         }
         harness.check();
-        assert_eq!((harness.settlements[&1].as_slice(), harness.runs[&1]), (&[Settle::Ack][..], 1));
+        assert_eq!((harness.settlements[&1].as_slice(), harness.runs[&1]), (&[Settlement::Ack][..], 1));
     }
 }
 
@@ -191,7 +191,7 @@
     assert_eq!(harness.submitted.len(), 1);
     harness.start_run();
     harness.end_run(true);
-    assert_eq!(harness.settlements[&1], [Settle::Ack]);
+    assert_eq!(harness.settlements[&1], [Settlement::Ack]);
 }
 
 #[test]
@@ -210,7 +210,7 @@
         harness.start_run();
         harness.end_run(true);
         assert_eq!(harness.runs.len(), runs, "{method}");
-        let settlement = if runs == 0 { Settle::Reject } else { Settle::Ack };
+        let settlement = if runs == 0 { Settlement::Reject } else { Settlement::Ack };
         assert_eq!(
             (harness.settlements[&1].as_slice(), harness.queue.stats.unverified),
             (&[settlement][..], 1 - runs as u64)
@@ -259,7 +259,10 @@
         harness.advance(10 * MS);
     }
     assert!((5 * S..11 * S).contains(&(harness.now - start + S)), "{}", harness.now - start);
-    assert_eq!((harness.settlements[&1].as_slice(), harness.queue.stats.expired), (&[Settle::Reject][..], 1));
+    assert_eq!(
+        (harness.settlements[&1].as_slice(), harness.queue.stats.expired),
+        (&[Settlement::Reject][..], 1)
+    );
     assert!(
         harness.queue.stats.retries_after_rejection < 12,
         "{}",
@@ -288,7 +291,7 @@
         harness.end_run(false);
         assert_eq!(
             (harness.settlements[&1].as_slice(), harness.queue.stats.failed),
-            (&[Settle::Reject][..], 1)
+            (&[Settlement::Reject][..], 1)
         );
     }
 }
@@ -345,7 +348,7 @@
     harness.end_run(false); // idempotent by its old route, and without attempts by the new configuration
     assert_eq!(
         (harness.settlements[&1].as_slice(), harness.queue.stats.poisoned),
-        (&[Settle::Reject][..], 1)
+        (&[Settlement::Reject][..], 1)
     );
     harness.deliver(1, false);
     assert!(harness.submitted.len() == 1 && harness.queue.config().processing_timeout == S);
@@ -355,7 +358,7 @@
     assert!(harness.prefetch.is_none() && !harness.queue.is_drained());
     harness.start_run();
     harness.end_run(true);
-    assert!(harness.queue.is_drained() && harness.settlements[&2] == [Settle::Ack]);
+    assert!(harness.queue.is_drained() && harness.settlements[&2] == [Settlement::Ack]);
     harness.queue.reconfigure(other);
     harness.now += 2 * S;
     harness.update_prefetch(8.0);
@@ -363,7 +366,7 @@
     harness.deliver(1, false);
     harness.start_run();
     harness.end_run(true);
-    assert_eq!(harness.settlements[&3], [Settle::Ack]);
+    assert_eq!(harness.settlements[&3], [Settlement::Ack]);
     harness.check();
 }
 
@@ -388,7 +391,7 @@
     harness.check();
     assert_eq!(
         (harness.settlements[&1].as_slice(), harness.runs[&1], harness.queue.stats.replies),
-        (&[Settle::Ack][..], 1, 1)
+        (&[Settlement::Ack][..], 1, 1)
     );
 }
 
@@ -412,7 +415,7 @@
     harness.deliver(1, false);
     assert_eq!(
         (harness.settlements[&1].as_slice(), harness.queue.stats.unrouted),
-        (&[Settle::Reject][..], 1)
+        (&[Settlement::Reject][..], 1)
     );
     let logged = harness
         .actions
@@ -425,14 +428,14 @@
         redelivered: false,
         exchange: String::new(),
         routing_key: String::new(),
-        headers: Headers::default(),
+        properties: MessageProperties::default(),
         size: 60_000_000,
         body: None,
     };
     harness.queue.delivered(harness.now, delivery, &TestCatalog);
     assert_eq!(
         (harness.queue.next_action(), harness.queue.stats.too_long),
-        (Some(Action::Settle { tag, settlement: Settle::Reject }), 1)
+        (Some(Action::Settle { tag, settlement: Settlement::Reject }), 1)
     );
 }
 
--- a/consumer/src/timers.rs
+++ b/consumer/src/timers.rs
@@ -7,7 +7,7 @@
 use crate::replies::REPLY_CHECK_INTERVAL;
 use crate::subscription::Subscription;
 use asterrill::Us;
-use asterrill_protocol::amqp::Settle;
+use asterrill_protocol::amqp::Settlement;
 
 /// The time between decisions about the prefetch, in microseconds.
 const PREFETCH_UPDATE_INTERVAL: Us = 100_000;
@@ -86,7 +86,7 @@
         match &message.state {
             MessageState::Waiting { .. } if expired => {
                 self.stats.expired += message.delivery_tags.len() as u64;
-                self.settle(now, id, Settle::Reject);
+                self.settle(now, id, Settlement::Reject);
             }
             // No delivery of it could be settled: it waits for its redelivery, until its deadline.
             MessageState::Waiting { .. } if message.delivery_tags.is_empty() => self.set_timer(deadline, id),
--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -43,7 +43,7 @@
                     core.rpc_cancelled(now, SidecarStream { conn, stream }, outbound);
                     true
                 }
-                sidecar::Frame::Check(stream, thorough) => {
+                sidecar::Frame::HealthCheck(stream, thorough) => {
                     core.health_check(now, SidecarStream { conn, stream }, thorough, outbound);
                     true
                 }
@@ -98,12 +98,12 @@
             self.useful = true;
             let build = &self.build_server;
             self.dispatcher.with(|core, outbound, now| match notice {
-                Notice::Greeting { empty, ago } => {
+                Notice::Greeting { cold_start, uptime } => {
                     let first = !core.agent_has_greeted();
-                    let fresh = if first { build(now.saturating_sub(ago), empty) } else { None };
+                    let fresh = if first { build(now.saturating_sub(uptime), cold_start) } else { None };
                     core.agent_up(now, fresh, outbound);
-                    core.agent_greeted(now, empty, outbound);
-                    outbound.log(&format!("the agent is up: empty {empty}, started {ago} us ago"));
+                    core.agent_greeted(now, cold_start, outbound);
+                    outbound.log(&format!("the agent is up: empty {cold_start}, started {uptime} us ago"));
                 }
                 Notice::Ended(number, id, end, result) => {
                     core.run_ended(now, number, id, end, result, outbound);
@@ -115,7 +115,7 @@
                     outbound.log(&format!("the agent refused a command about {id:?}"));
                     core.command_refused(now, id.filter(|_| launch), outbound);
                 }
-                Notice::Aside(number) => core.notice_ignored(number),
+                Notice::Ignored(number) => core.notice_ignored(number),
             });
         }
         Ok(())
--- a/daemon/src/dispatcher/outbound.rs
+++ b/daemon/src/dispatcher/outbound.rs
@@ -7,13 +7,13 @@
 use asterrill_engine::UpstreamLinkId;
 use asterrill_net::Outbox;
 use asterrill_protocol::agent::{self, NoticeId};
-use asterrill_protocol::sidecar::{self, ANSWER_OVERHEAD_BYTES};
+use asterrill_protocol::sidecar::{self, MAX_ANSWER_OVERHEAD_BYTES};
 use asterrill_protocol::{upstream, MAX_BODY_BYTES};
 use slog::info;
 
 impl Outbound for Outboxes {
     fn answer(&mut self, to: SidecarStream, answer: FinalAnswer<'_>, credit: Option<f64>) {
-        self.scratch.reserve(ANSWER_OVERHEAD_BYTES + MAX_BODY_BYTES);
+        self.scratch.reserve(MAX_ANSWER_OVERHEAD_BYTES + MAX_BODY_BYTES);
         self.send_to_sidecar(to, |bytes| sidecar::answer(bytes, to.stream, answer, credit));
     }
     fn answer_health_check(&mut self, to: SidecarStream, healthy: bool, credit: Option<f64>) {
--- a/daemon/src/queues/actions.rs
+++ b/daemon/src/queues/actions.rs
@@ -40,7 +40,7 @@
                     Action::Withdraw(delivery) => return Some(QueueRequest::Withdraw(delivery)),
                     Action::Log(line) => return Some(QueueRequest::Log(line)),
                     Action::OpenChannel => {
-                        if !self.session.open(channel) {
+                        if !self.session.open_channel(channel) {
                             queue.channel_open_failed(now);
                         }
                     }
--- a/daemon/src/queues/broker_events.rs
+++ b/daemon/src/queues/broker_events.rs
@@ -82,7 +82,7 @@
     fn connection_opened(&mut self, now: Us, logs: &mut Vec<String>) {
         self.stats.connected += 1;
         logs.push("connected to the broker".into());
-        self.session.open(REPLY_CHANNEL);
+        self.session.open_channel(REPLY_CHANNEL);
         for queue in &mut self.queues {
             queue.connection_up(now);
         }
@@ -100,7 +100,7 @@
         for queue in &mut self.queues {
             queue.reply_channel_lost();
         }
-        self.session.open(REPLY_CHANNEL);
+        self.session.open_channel(REPLY_CHANNEL);
     }
 
     fn reply_returned(&mut self, message_id: Option<String>, code: u16, logs: &mut Vec<String>) {
--- a/lab/src/broker/connection.rs
+++ b/lab/src/broker/connection.rs
@@ -7,7 +7,7 @@
 use amq_protocol::protocol::connection::{self, AMQPMethod as ConnectionMethod};
 use amq_protocol::protocol::AMQPClass;
 use amq_protocol::types::FieldTable;
-use asterrill_protocol::amqp::{write, Frames, Origin};
+use asterrill_protocol::amqp::{write_frame, FrameReader, Origin};
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -78,7 +78,7 @@
     }
 
     pub(super) fn send(&mut self, channel: u16, method: AMQPClass) {
-        write(&mut self.out, &AMQPFrame::Method(channel, method));
+        write_frame(&mut self.out, &AMQPFrame::Method(channel, method));
     }
 
     pub(super) fn flush(&mut self) -> Option<()> {
@@ -95,7 +95,7 @@
     fn run(&mut self) -> Option<()> {
         let Some(header) = self.read_header() else { return Some(()) };
         if &header != PROTOCOL_HEADER {
-            write(&mut self.out, &AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1()));
+            write_frame(&mut self.out, &AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1()));
             return self.flush();
         }
         let start = connection::Start {
@@ -107,7 +107,7 @@
         };
         self.send(0, AMQPClass::Connection(ConnectionMethod::Start(start)));
         self.flush()?;
-        let mut frames = Frames::new(Origin::Client, MAX_FRAME);
+        let mut frames = FrameReader::new(Origin::Client, MAX_FRAME);
         loop {
             let next = if self.silent { self.stay_silent() } else { self.turn(&mut frames)? };
             if next == Next::Close {
@@ -133,7 +133,7 @@
     }
 
     /// Reads what has come, delivers, and keeps the heartbeat. None if the connection breaks or is cut.
-    fn turn(&mut self, frames: &mut Frames) -> Option<Next> {
+    fn turn(&mut self, frames: &mut FrameReader) -> Option<Next> {
         let mut bytes = [0; 16 * 1024];
         match self.stream.read(&mut bytes) {
             Ok(0) => return Some(Next::Close),
@@ -156,7 +156,7 @@
         }
         let interval = Duration::from_secs(u64::from(self.heartbeat_s)) / 2;
         if self.heartbeat_s > 0 && self.last_write.elapsed() > interval {
-            write(&mut self.out, &AMQPFrame::Heartbeat(0));
+            write_frame(&mut self.out, &AMQPFrame::Heartbeat(0));
         }
         self.flush()?;
         Some(Next::GoOn)
--- a/protocol/src/agent.rs
+++ b/protocol/src/agent.rs
@@ -15,9 +15,9 @@
     /// The first notice on a connection.
     Greeting {
         /// The agent started with empty caches: this server is cold.
-        empty: bool,
+        cold_start: bool,
         /// Since the agent's start, in microseconds.
-        ago: Us,
+        uptime: Us,
     },
     /// A run has ended, with its result if it is ok. A result over [`crate::MAX_BODY_BYTES`] counts as aborted.
     Ended(NoticeId, RpcId, RunEnd, &'a [u8]),
@@ -35,7 +35,7 @@
         id: Option<RpcId>,
     },
     /// A notice without consequences; only its number counts.
-    Aside(NoticeId),
+    Ignored(NoticeId),
 }
 
 /// Reads the notices on one connection.
@@ -77,12 +77,12 @@
     let mut word = || words.next().filter(|w| !w.is_empty());
     Some(match kind {
         "greeting" => {
-            let empty = match word()? {
+            let cold_start = match word()? {
                 "EMPTY" => true,
                 "LOADED" => false,
                 _ => return None,
             };
-            Notice::Greeting { empty, ago: milliseconds(word()?)? }
+            Notice::Greeting { cold_start, uptime: milliseconds(word()?)? }
         }
         "outcome" => {
             let (number, id) = (NoticeId(word()?.parse().ok()?), RpcId::new(word()?)?);
@@ -113,7 +113,7 @@
             let launch = word()? == "launch";
             Notice::Refused { launch, id: word().and_then(RpcId::new) }
         }
-        "aside" => Notice::Aside(NoticeId(word()?.parse().ok()?)),
+        "aside" => Notice::Ignored(NoticeId(word()?.parse().ok()?)),
         _ => return None,
     })
 }
--- a/protocol/src/amqp/channel_state.rs
+++ b/protocol/src/amqp/channel_state.rs
@@ -2,7 +2,7 @@
 
 use super::error::{SessionError, UNEXPECTED_FRAME};
 use super::frames::CLASS_BASIC;
-use super::message::{Channel, Delivery, DeliveryTag, Event, Headers};
+use super::message::{Channel, Delivery, DeliveryTag, Event, MessageProperties};
 use amq_protocol::protocol::basic;
 
 /// How far a channel is.
@@ -34,7 +34,7 @@
 struct PartialContent {
     method: ContentMethod,
     /// Properties and the size of the body, once the content header has come.
-    header: Option<Box<(Headers, u64)>>,
+    header: Option<Box<(MessageProperties, u64)>>,
     body: Vec<u8>,
     /// Bytes of the body still to come.
     remaining: u64,
@@ -80,11 +80,11 @@
 
     /// A content header: `size` is the bytes of the body that follows.
     pub(super) fn content_header(
-        &mut self, class: u16, headers: Headers, size: u64,
+        &mut self, class: u16, properties: MessageProperties, size: u64,
     ) -> Result<(), SessionError> {
         match &mut self.content {
             Some(content) if content.header.is_none() && class == CLASS_BASIC => {
-                content.header = Some(Box::new((headers, size)));
+                content.header = Some(Box::new((properties, size)));
                 content.remaining = size;
                 Ok(())
             }
@@ -111,10 +111,10 @@
         &mut self, channel: Channel, max_body_bytes: u64,
     ) -> Result<Option<Event>, SessionError> {
         let Some(content) = self.content.take_if(|content| content.remaining == 0) else { return Ok(None) };
-        let (headers, size) = *content.header.ok_or(UNEXPECTED_FRAME)?;
+        let (properties, size) = *content.header.ok_or(UNEXPECTED_FRAME)?;
         let deliver = match content.method {
             ContentMethod::Return(code) => {
-                return Ok(Some(Event::Returned { message_id: headers.message_id, code }))
+                return Ok(Some(Event::Returned { message_id: properties.message_id, code }))
             }
             ContentMethod::Deliver(deliver) => deliver,
         };
@@ -123,7 +123,7 @@
             redelivered: deliver.redelivered,
             exchange: deliver.exchange.to_string(),
             routing_key: deliver.routing_key.to_string(),
-            headers,
+            properties,
             size,
             body: Some(content.body).filter(|_| size <= max_body_bytes),
         }))))
--- a/protocol/src/amqp/error.rs
+++ b/protocol/src/amqp/error.rs
@@ -10,7 +10,7 @@
     Protocol(&'static str),
     /// The broker offers these mechanisms, and PLAIN is not among them.
     #[error("the broker does not take PLAIN, it offers {0:?}")]
-    NoPlain(String),
+    PlainNotOffered(String),
     /// No heartbeat within this many milliseconds.
     #[error("nothing came from the broker for {0} ms, twice the heartbeat that was agreed")]
     HeartbeatTimeout(u64),
@@ -19,7 +19,7 @@
     HandshakeTimeout,
     /// The broker proposes frames of this many bytes, under the least that both sides must take (4.2.3).
     #[error("the broker asks for frames of {0} bytes, less than the 4096 that both sides must take")]
-    FramesTooSmall(u32),
+    FrameMaxTooSmall(u32),
     /// Our close was not confirmed in time.
     #[error("the close was not answered within 1 s")]
     CloseTimeout,
--- a/protocol/src/amqp/frames.rs
+++ b/protocol/src/amqp/frames.rs
@@ -8,14 +8,14 @@
 use amq_protocol::protocol::AMQPClass;
 
 /// The largest frame that is proposed and accepted, in bytes, with its head of seven bytes and its end.
-pub const MAX_FRAME_SIZE: usize = 16 * 1024;
+pub const MAX_FRAME_BYTES: usize = 16 * 1024;
 /// The frame size that both sides must accept (4.2.3), in bytes.
-pub const MIN_FRAME_SIZE: usize = 4096;
+pub const MIN_FRAME_BYTES: usize = 4096;
 
 /// Type, channel and size of the payload.
 const HEAD_BYTES: usize = 7;
 /// No frame is larger, whatever is proposed.
-const FRAME_SIZE_LIMIT: usize = 1 << 24;
+const MAX_CONFIGURABLE_FRAME_BYTES: usize = 1 << 24;
 /// The class that carries content (1.8).
 pub(super) const CLASS_BASIC: u16 = 60;
 /// `connection.start`, by class and method (1.4.2.1).
@@ -63,7 +63,7 @@
 ];
 
 /// Collects one frame at a time.
-pub struct Frames {
+pub struct FrameReader {
     origin: Origin,
     max_frame_size: usize,
     partial: Vec<u8>,
@@ -71,16 +71,16 @@
     failed: Option<ProtocolError>,
 }
 
-impl Frames {
-    /// Frames of `origin` of at most `max_frame_size` bytes, which is clamped to 4 KiB to 16 MiB.
-    pub fn new(origin: Origin, max_frame_size: usize) -> Frames {
-        let max_frame_size = max_frame_size.clamp(MIN_FRAME_SIZE, FRAME_SIZE_LIMIT);
-        Frames { origin, max_frame_size, partial: Vec::new(), failed: None }
+impl FrameReader {
+    /// FrameReader of `origin` of at most `max_frame_size` bytes, which is clamped to 4 KiB to 16 MiB.
+    pub fn new(origin: Origin, max_frame_size: usize) -> FrameReader {
+        let max_frame_size = max_frame_size.clamp(MIN_FRAME_BYTES, MAX_CONFIGURABLE_FRAME_BYTES);
+        FrameReader { origin, max_frame_size, partial: Vec::new(), failed: None }
     }
 
     /// The frame size that was negotiated, in bytes; never more than before.
     pub fn set_max_frame_size(&mut self, max_frame_size: usize) {
-        self.max_frame_size = max_frame_size.clamp(MIN_FRAME_SIZE, self.max_frame_size);
+        self.max_frame_size = max_frame_size.clamp(MIN_FRAME_BYTES, self.max_frame_size);
     }
 
     /// In the middle of a frame.
@@ -164,15 +164,15 @@
     }
 }
 
-/// Writes a frame of at most [`MAX_FRAME_SIZE`] bytes. False if it is larger; nothing was written then.
-pub fn write(to: &mut Vec<u8>, frame: &AMQPFrame) -> bool {
+/// Writes a frame of at most [`MAX_FRAME_BYTES`] bytes. False if it is larger; nothing was written then.
+pub fn write_frame(to: &mut Vec<u8>, frame: &AMQPFrame) -> bool {
     let start = to.len();
     let size = match frame {
         AMQPFrame::Body(_, body) => body.len() + HEAD_BYTES + 1,
         AMQPFrame::Heartbeat(_) | AMQPFrame::ProtocolHeader(_) => HEAD_BYTES + 1,
-        _ => MAX_FRAME_SIZE,
+        _ => MAX_FRAME_BYTES,
     };
-    to.resize(start + size.min(MAX_FRAME_SIZE), 0);
+    to.resize(start + size.min(MAX_FRAME_BYTES), 0);
     let written = match gen_frame(frame)(to[start..].as_mut().into()) {
         Ok(context) => Some(context.position as usize),
         Err(_) => None,
@@ -190,10 +190,10 @@
     let start = to.len();
     let (class_id, body_size) = (CLASS_BASIC, body.len() as u64);
     let header = AMQPContentHeader { class_id, body_size, properties };
-    let mut fits = write(to, &AMQPFrame::Method(channel, method))
-        && write(to, &AMQPFrame::Header(channel, class_id, Box::new(header)));
-    for part in body.chunks(max_frame_size.clamp(MIN_FRAME_SIZE, MAX_FRAME_SIZE) - HEAD_BYTES - 1) {
-        fits = fits && write(to, &AMQPFrame::Body(channel, part.to_vec()));
+    let mut fits = write_frame(to, &AMQPFrame::Method(channel, method))
+        && write_frame(to, &AMQPFrame::Header(channel, class_id, Box::new(header)));
+    for part in body.chunks(max_frame_size.clamp(MIN_FRAME_BYTES, MAX_FRAME_BYTES) - HEAD_BYTES - 1) {
+        fits = fits && write_frame(to, &AMQPFrame::Body(channel, part.to_vec()));
     }
     if !fits {
         to.truncate(start);
--- a/protocol/src/amqp/message.rs
+++ b/protocol/src/amqp/message.rs
@@ -48,7 +48,7 @@
 
 /// How a delivery is settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settle {
+pub enum Settlement {
     /// `basic.ack`.
     Ack,
     /// `basic.reject` without requeue: to the dead-letter exchange, where the queue has one.
@@ -59,7 +59,7 @@
 
 /// The properties of a message that are read (1.8.1 and RabbitMQ's `x-delivery-count`).
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Headers {
+pub struct MessageProperties {
     /// `message-id`.
     pub message_id: Option<String>,
     /// `correlation-id`.
@@ -73,7 +73,7 @@
     /// Earlier deliveries of this message, where the queue counts them.
     pub delivery_count: Option<u64>,
     /// The headers that are texts or whole numbers.
-    pub fields: BTreeMap<String, String>,
+    pub headers: BTreeMap<String, String>,
 }
 
 /// A message as it was delivered.
@@ -88,7 +88,7 @@
     /// The routing key it was published with.
     pub routing_key: String,
     /// Its properties.
-    pub headers: Headers,
+    pub properties: MessageProperties,
     /// Bytes in the body.
     pub size: u64,
     /// The body; `None` if it is longer than [`Login::max_body_bytes`].
--- a/protocol/src/amqp/mod.rs
+++ b/protocol/src/amqp/mod.rs
@@ -1,7 +1,7 @@
 //! The client's side of AMQP 0-9-1, as far as a consumer needs it. Section numbers in this module are those of the
 //! protocol's specification, version 0-9-1. Three layers, each a state machine without I/O:
 //!
-//! - [`Frames`]: bytes to frames of a bounded size and depth, on the codec of `amq-protocol` (2.3, 4.2).
+//! - [`FrameReader`]: bytes to frames of a bounded size and depth, on the codec of `amq-protocol` (2.3, 4.2).
 //! - [`Session`]: one connection with its channels: handshake, tuning, heartbeats, consuming, settling,
 //!   publishing with confirms, and closing from either side (1.4 to 1.8, 2.2, 4.2.7).
 //! - The owner of a [`Session`] decides what is consumed and how each delivery is settled.
@@ -17,6 +17,8 @@
 mod tests;
 
 pub use error::SessionError;
-pub use frames::{write, write_content, Frames, Origin, MAX_FRAME_SIZE};
-pub use message::{Channel, Credentials, Delivery, DeliveryTag, Event, Headers, Login, Reply, Settle};
+pub use frames::{write_content, write_frame, FrameReader, Origin, MAX_FRAME_BYTES};
+pub use message::{
+    Channel, Credentials, Delivery, DeliveryTag, Event, Login, MessageProperties, Reply, Settlement,
+};
 pub use session::{Session, State};
--- a/protocol/src/amqp/properties.rs
+++ b/protocol/src/amqp/properties.rs
@@ -1,6 +1,6 @@
-//! Property tables: the client's own, and those of messages read into [`Headers`].
+//! Property tables: the client's own, and those of messages read into [`MessageProperties`].
 
-use super::message::Headers;
+use super::message::MessageProperties;
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, FieldTable, ShortString};
 use std::collections::BTreeMap;
@@ -23,24 +23,24 @@
 }
 
 /// The properties of a message; headers of other types than texts and whole numbers are left out.
-pub(super) fn message_headers(properties: &AMQPProperties) -> Headers {
+pub(super) fn message_properties(properties: &AMQPProperties) -> MessageProperties {
     let text = |value: &Option<ShortString>| value.as_ref().map(ShortString::to_string);
-    let mut fields = BTreeMap::new();
+    let mut headers = BTreeMap::new();
     let mut delivery_count = None;
     for (name, value) in properties.headers().as_ref().map(FieldTable::inner).into_iter().flatten() {
         if name.as_str() == "x-delivery-count" {
             delivery_count = integer(value).and_then(|n| u64::try_from(n).ok());
         }
-        fields.extend(header_text(value).map(|value| (name.to_string(), value)));
+        headers.extend(header_text(value).map(|value| (name.to_string(), value)));
     }
-    Headers {
+    MessageProperties {
         message_id: text(properties.message_id()),
         correlation_id: text(properties.correlation_id()),
         reply_to: text(properties.reply_to()),
         expiration: text(properties.expiration()),
         timestamp: *properties.timestamp(),
         delivery_count,
-        fields,
+        headers,
     }
 }
 
--- a/protocol/src/amqp/session.rs
+++ b/protocol/src/amqp/session.rs
@@ -8,7 +8,7 @@
 
 use super::channel_state::{ChannelStage, ChannelState};
 use super::error::SessionError;
-use super::frames::{self, Frames, Origin, MAX_FRAME_SIZE, MIN_FRAME_SIZE};
+use super::frames::{self, FrameReader, Origin, MAX_FRAME_BYTES, MIN_FRAME_BYTES};
 use super::message::{Channel, DeliveryTag, Login};
 use amq_protocol::frame::{AMQPFrame, ProtocolVersion};
 use amq_protocol::protocol::AMQPClass;
@@ -26,7 +26,7 @@
     /// There is no connection.
     Disconnected,
     /// The protocol header was sent; `connection.start` is awaited.
-    Greeting,
+    Starting,
     /// `connection.tune` is awaited.
     Tuning,
     /// `connection.open-ok` is awaited.
@@ -41,7 +41,7 @@
 pub struct Session {
     login: Login,
     state: State,
-    frames: Frames,
+    frames: FrameReader,
     channels: BTreeMap<Channel, ChannelState>,
     /// Channels opened so far, over all connections: tells tags of different openings apart.
     epoch: u64,
@@ -64,10 +64,10 @@
         Session {
             login,
             state: State::Disconnected,
-            frames: Frames::new(Origin::Broker, MAX_FRAME_SIZE),
+            frames: FrameReader::new(Origin::Broker, MAX_FRAME_BYTES),
             channels: BTreeMap::new(),
             epoch: 0,
-            max_frame_size: MIN_FRAME_SIZE,
+            max_frame_size: MIN_FRAME_BYTES,
             heartbeat: 0,
             state_since: 0,
             last_received: 0,
@@ -101,11 +101,11 @@
     /// A connection was made: the handshake begins (1.4.2). Channels and tags of the one before are void.
     pub fn connected(&mut self, now: Us) {
         self.disconnected();
-        self.state = State::Greeting;
+        self.state = State::Starting;
         self.state_since = now;
         self.last_received = now;
         self.last_sent = now;
-        self.frames = Frames::new(Origin::Broker, MAX_FRAME_SIZE);
+        self.frames = FrameReader::new(Origin::Broker, MAX_FRAME_BYTES);
         self.send_frame(&AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1()));
     }
 
@@ -116,14 +116,14 @@
         self.out.clear();
         self.blocked = false;
         self.heartbeat = 0;
-        self.max_frame_size = MIN_FRAME_SIZE;
+        self.max_frame_size = MIN_FRAME_BYTES;
     }
 
     /// The moment at which [`Session::tick`] must be called next, if any.
     pub fn next_tick(&self) -> Option<Us> {
         match self.state {
             State::Disconnected => None,
-            State::Greeting | State::Tuning | State::Opening => Some(self.state_since + HANDSHAKE_TIMEOUT),
+            State::Starting | State::Tuning | State::Opening => Some(self.state_since + HANDSHAKE_TIMEOUT),
             State::Closing => Some(self.state_since + CLOSE_TIMEOUT),
             State::Open if self.heartbeat == 0 => None,
             State::Open => Some(self.receive_deadline().min(self.heartbeat_due())),
@@ -133,7 +133,7 @@
     /// Time has passed: heartbeats are written (4.2.7), and a broker that is silent for too long is an error.
     pub fn tick(&mut self, now: Us) -> Result<(), SessionError> {
         match self.state {
-            State::Greeting | State::Tuning | State::Opening
+            State::Starting | State::Tuning | State::Opening
                 if now >= self.state_since + HANDSHAKE_TIMEOUT =>
             {
                 return Err(SessionError::HandshakeTimeout)
@@ -175,6 +175,6 @@
     }
 
     fn send_frame(&mut self, frame: &AMQPFrame) {
-        frames::write(&mut self.out, frame);
+        frames::write_frame(&mut self.out, frame);
     }
 }
--- a/protocol/src/amqp/session/commands.rs
+++ b/protocol/src/amqp/session/commands.rs
@@ -3,7 +3,7 @@
 use super::{Session, State};
 use crate::amqp::channel_state::{ChannelStage, ChannelState, ConsumerStage};
 use crate::amqp::frames::write_content;
-use crate::amqp::message::{Channel, DeliveryTag, Reply, Settle};
+use crate::amqp::message::{Channel, DeliveryTag, Reply, Settlement};
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::protocol::{basic, channel, confirm, connection, AMQPClass};
 use amq_protocol::types::FieldTable;
@@ -11,7 +11,7 @@
 
 impl Session {
     /// Opens a channel (1.5.2.1). False if it is open already, or the connection can't be used.
-    pub fn open(&mut self, channel: Channel) -> bool {
+    pub fn open_channel(&mut self, channel: Channel) -> bool {
         if self.state != State::Open || self.channels.contains_key(&channel) {
             return false;
         }
@@ -67,15 +67,15 @@
     }
 
     /// Settles a delivery (1.8.3.13, 1.8.3.14). False if its channel is gone: nothing is written then.
-    pub fn settle(&mut self, tag: DeliveryTag, how: Settle) -> bool {
+    pub fn settle(&mut self, tag: DeliveryTag, how: Settlement) -> bool {
         if !self.is_current(tag) {
             return false;
         }
         let delivery_tag = tag.number;
         let method = match how {
-            Settle::Ack => basic::AMQPMethod::Ack(basic::Ack { delivery_tag, multiple: false }),
-            Settle::Reject => basic::AMQPMethod::Reject(basic::Reject { delivery_tag, requeue: false }),
-            Settle::Requeue => basic::AMQPMethod::Reject(basic::Reject { delivery_tag, requeue: true }),
+            Settlement::Ack => basic::AMQPMethod::Ack(basic::Ack { delivery_tag, multiple: false }),
+            Settlement::Reject => basic::AMQPMethod::Reject(basic::Reject { delivery_tag, requeue: false }),
+            Settlement::Requeue => basic::AMQPMethod::Reject(basic::Reject { delivery_tag, requeue: true }),
         };
         self.send_method(tag.channel.0, AMQPClass::Basic(method));
         true
@@ -122,7 +122,7 @@
     /// Closes the connection from this side (1.4.2.10); [`crate::amqp::Event::CloseConfirmed`] follows. False if there is
     /// no connection to close in this way.
     pub fn close(&mut self, now: Us, code: u16, text: &str) -> bool {
-        if matches!(self.state, State::Disconnected | State::Greeting | State::Closing) {
+        if matches!(self.state, State::Disconnected | State::Starting | State::Closing) {
             return false;
         }
         self.state = State::Closing;
--- a/protocol/src/amqp/session/incoming.rs
+++ b/protocol/src/amqp/session/incoming.rs
@@ -3,9 +3,9 @@
 use super::{Session, State};
 use crate::amqp::channel_state::{ChannelStage, ConsumerStage, ContentMethod};
 use crate::amqp::error::{SessionError, UNEXPECTED_FRAME};
-use crate::amqp::frames::{MAX_FRAME_SIZE, MIN_FRAME_SIZE};
-use crate::amqp::message::{Channel, Credentials, Event, Headers};
-use crate::amqp::properties::{client_properties, message_headers};
+use crate::amqp::frames::{MAX_FRAME_BYTES, MIN_FRAME_BYTES};
+use crate::amqp::message::{Channel, Credentials, Event, MessageProperties};
+use crate::amqp::properties::{client_properties, message_properties};
 use amq_protocol::frame::AMQPFrame;
 use amq_protocol::protocol::{basic, channel, confirm, connection, AMQPClass};
 use asterrill::Us;
@@ -40,7 +40,7 @@
     fn frame(&mut self, now: Us, frame: AMQPFrame) -> Result<Option<Event>, SessionError> {
         match frame {
             AMQPFrame::Method(0, method) => self.connection_method(now, method),
-            _ if matches!(self.state, State::Greeting | State::Tuning | State::Opening) => {
+            _ if matches!(self.state, State::Starting | State::Tuning | State::Opening) => {
                 Err(UNEXPECTED_FRAME)
             }
             AMQPFrame::Heartbeat(_) => Ok(None),
@@ -48,8 +48,8 @@
             _ if self.state != State::Open => Ok(None),
             AMQPFrame::Method(n, method) => self.channel_method(Channel(n), method),
             AMQPFrame::Header(n, class, header) => {
-                let headers = message_headers(&header.properties);
-                self.content_header(Channel(n), class, headers, header.body_size)
+                let properties = message_properties(&header.properties);
+                self.content_header(Channel(n), class, properties, header.body_size)
             }
             AMQPFrame::Body(n, bytes) => self.content_body(Channel(n), &bytes),
             AMQPFrame::ProtocolHeader(_) => Err(UNEXPECTED_FRAME),
@@ -60,7 +60,7 @@
         use connection::AMQPMethod as Method;
         let AMQPClass::Connection(method) = method else { return Err(UNEXPECTED_FRAME) };
         match (self.state, method) {
-            (State::Greeting, Method::Start(start)) => self.start(&start),
+            (State::Starting, Method::Start(start)) => self.start(&start),
             (State::Tuning, Method::Secure(_)) => {
                 Err(SessionError::Protocol("the broker wants more than PLAIN"))
             }
@@ -93,7 +93,7 @@
     fn start(&mut self, start: &connection::Start) -> Result<Option<Event>, SessionError> {
         let mechanisms = String::from_utf8_lossy(start.mechanisms.as_bytes()).into_owned();
         if !mechanisms.split(' ').any(|mechanism| mechanism == "PLAIN") {
-            return Err(SessionError::NoPlain(mechanisms.chars().take(MAX_QUOTED).collect()));
+            return Err(SessionError::PlainNotOffered(mechanisms.chars().take(MAX_QUOTED).collect()));
         }
         let Credentials { user, password } = &self.login.credentials;
         let start_ok = connection::StartOk {
@@ -110,15 +110,15 @@
     /// `connection.tune` (1.4.2.5): the smaller of both sides' limits holds; a limit of 0 is none.
     fn tune(&mut self, tune: &connection::Tune) -> Result<Option<Event>, SessionError> {
         let proposed = if tune.frame_max == 0 { u32::MAX } else { tune.frame_max };
-        if (proposed as usize) < MIN_FRAME_SIZE {
-            return Err(SessionError::FramesTooSmall(proposed));
+        if (proposed as usize) < MIN_FRAME_BYTES {
+            return Err(SessionError::FrameMaxTooSmall(proposed));
         }
         let channel_max =
             if tune.channel_max == 0 { MAX_CHANNELS } else { tune.channel_max.min(MAX_CHANNELS) };
         let ours = (self.login.heartbeat / 1_000_000).min(u16::MAX.into()) as u16;
         let theirs = tune.heartbeat;
         let heartbeat = if ours == 0 || theirs == 0 { ours.max(theirs) } else { ours.min(theirs) };
-        self.max_frame_size = (proposed as usize).min(MAX_FRAME_SIZE);
+        self.max_frame_size = (proposed as usize).min(MAX_FRAME_BYTES);
         self.heartbeat = Us::from(heartbeat) * 1_000_000;
         self.frames.set_max_frame_size(self.max_frame_size);
         let frame_max = self.max_frame_size as u32;
@@ -230,11 +230,11 @@
     }
 
     fn content_header(
-        &mut self, channel: Channel, class: u16, headers: Headers, size: u64,
+        &mut self, channel: Channel, class: u16, properties: MessageProperties, size: u64,
     ) -> Result<Option<Event>, SessionError> {
         let max_body_bytes = self.login.max_body_bytes as u64;
         let Some(state) = self.usable_channel(channel) else { return Ok(None) };
-        state.content_header(class, headers, size)?;
+        state.content_header(class, properties, size)?;
         state.take_complete(channel, max_body_bytes)
     }
 
--- a/protocol/src/amqp/tests.rs
+++ b/protocol/src/amqp/tests.rs
@@ -16,7 +16,7 @@
 
 fn method(channel: u16, method: AMQPClass) -> Vec<u8> {
     let mut bytes = Vec::new();
-    assert!(write(&mut bytes, &AMQPFrame::Method(channel, method)));
+    assert!(write_frame(&mut bytes, &AMQPFrame::Method(channel, method)));
     bytes
 }
 fn con(m: connection::AMQPMethod) -> Vec<u8> {
@@ -64,7 +64,7 @@
 
 /// What the session has written, read as a broker reads it.
 fn said(session: &mut Session, now: u64) -> Vec<AMQPFrame> {
-    let (mut frames, mut all) = (Frames::new(Origin::Client, 1 << 17), Vec::new());
+    let (mut frames, mut all) = (FrameReader::new(Origin::Client, 1 << 17), Vec::new());
     let mut bytes = &session.out[..];
     if bytes.starts_with(b"AMQP") {
         bytes = &bytes[8..];
@@ -96,7 +96,7 @@
 }
 fn consuming() -> Session {
     let mut session = up(0);
-    assert!(session.open(Channel(2)));
+    assert!(session.open_channel(Channel(2)));
     feed(&mut session, 4, &open_ok(2)).unwrap();
     assert!(session.consume(Channel(2), "q", "c", 5));
     assert_eq!(feed(&mut session, 5, &consume_ok(2)).unwrap(), [Event::Consuming(Channel(2))]);
@@ -142,8 +142,11 @@
     let whole = feed(&mut session, 6, &bytes).unwrap();
     let [Event::Delivered(first), Event::Delivered(second)] = &whole[..] else { panic!("{whole:?}") };
     assert_eq!((first.body.as_deref(), first.redelivered), (Some(&b"body of it"[..]), false));
-    assert_eq!((first.headers.delivery_count, first.headers.fields["org"].as_str()), (Some(3), "nile"));
-    assert_eq!((first.headers.message_id.as_deref(), first.headers.timestamp), (Some("m1"), Some(7)));
+    assert_eq!(
+        (first.properties.delivery_count, first.properties.headers["org"].as_str()),
+        (Some(3), "nile")
+    );
+    assert_eq!((first.properties.message_id.as_deref(), first.properties.timestamp), (Some("m1"), Some(7)));
     assert_eq!((second.body.as_deref(), second.redelivered), (Some(&b""[..]), true));
     for at in 0..bytes.len() {
         let mut session = consuming();
@@ -163,19 +166,19 @@
     let close = method(2, AMQPClass::Channel(channel::AMQPMethod::Close(close)));
     let closed = Event::ChannelClosed { channel: Channel(2), code: 406, text: "tag".into() };
     assert_eq!(feed(&mut session, 7, &close).unwrap(), [closed]);
-    assert!(session.open(Channel(2)) && !session.open(Channel(2)));
+    assert!(session.open_channel(Channel(2)) && !session.open_channel(Channel(2)));
     feed(&mut session, 8, &open_ok(2)).unwrap();
     said(&mut session, 8);
-    assert!(!session.settle(first.tag, Settle::Ack) && session.out.is_empty());
+    assert!(!session.settle(first.tag, Settlement::Ack) && session.out.is_empty());
     // The same number on the new channel is another delivery.
     assert!(session.consume(Channel(2), "q", "c", 5));
     feed(&mut session, 9, &consume_ok(2)).unwrap();
     let events = feed(&mut session, 9, &deliver(2, 1, AMQPProperties::default(), b"a")).unwrap();
     let Event::Delivered(again) = &events[0] else { panic!("{events:?}") };
-    assert!(again.tag != first.tag && session.settle(again.tag, Settle::Ack));
+    assert!(again.tag != first.tag && session.settle(again.tag, Settlement::Ack));
     session.disconnected();
     session.connected(10);
-    assert!(!session.settle(again.tag, Settle::Ack));
+    assert!(!session.settle(again.tag, Settlement::Ack));
 }
 
 #[test]
@@ -217,7 +220,7 @@
     let mut session = Session::new(login());
     session.connected(0);
     feed(&mut session, 1, &start("PLAIN", FieldTable::default())).unwrap();
-    assert_eq!(feed(&mut session, 2, &tune(100, 0)).unwrap_err(), SessionError::FramesTooSmall(100));
+    assert_eq!(feed(&mut session, 2, &tune(100, 0)).unwrap_err(), SessionError::FrameMaxTooSmall(100));
 }
 
 #[test]
@@ -276,7 +279,7 @@
 #[test]
 fn replies_are_published_confirmed_and_returned() {
     let mut session = up(0);
-    session.open(Channel(1));
+    session.open_channel(Channel(1));
     let reply = Reply { to: "r", correlation_id: Some("c"), message_id: "1", kind: "ok", body: b"x" };
     assert_eq!(session.publish(Channel(1), &reply), None);
     feed(&mut session, 4, &open_ok(1)).unwrap();
@@ -330,12 +333,12 @@
     // A channel closed here may be opened again only once the broker knows.
     let mut session = consuming();
     session.close_channel(Channel(2), 406, "too many");
-    assert!(!session.open(Channel(2)));
+    assert!(!session.open_channel(Channel(2)));
     let crossing = deliver(2, 1, AMQPProperties::default(), b"late");
     assert_eq!(feed(&mut session, 6, &crossing).unwrap(), []);
     let ok = method(2, AMQPClass::Channel(channel::AMQPMethod::CloseOk(channel::CloseOk {})));
     feed(&mut session, 7, &ok).unwrap();
-    assert!(session.open(Channel(2)));
+    assert!(session.open_channel(Channel(2)));
 }
 
 #[test]
--- a/protocol/src/sidecar.rs
+++ b/protocol/src/sidecar.rs
@@ -10,7 +10,7 @@
 
 pub use message::{Frame, RpcRequest, StreamId};
 pub use reader::Reader;
-pub use writer::{answer, error, goaway, health, ANSWER_OVERHEAD_BYTES};
+pub use writer::{answer, error, goaway, health, MAX_ANSWER_OVERHEAD_BYTES};
 
 /// The most streams that may be open on one connection.
 pub const MAX_STREAMS: usize = 32;
--- a/protocol/src/sidecar/message.rs
+++ b/protocol/src/sidecar/message.rs
@@ -50,5 +50,5 @@
     /// Nobody waits for the answer on this stream any more.
     Cancelled(StreamId),
     /// A health check; a thorough one (`true`) asks whether work gets done.
-    Check(StreamId, bool),
+    HealthCheck(StreamId, bool),
 }
--- a/protocol/src/sidecar/reader.rs
+++ b/protocol/src/sidecar/reader.rs
@@ -232,7 +232,7 @@
                 _ => Frame::Malformed(stream),
             },
             TYPE_CANCEL => Frame::Cancelled(stream),
-            _ => Frame::Check(stream, self.value("thorough") == Some("1")),
+            _ => Frame::HealthCheck(stream, self.value("thorough") == Some("1")),
         }
     }
 
--- a/protocol/src/sidecar/writer.rs
+++ b/protocol/src/sidecar/writer.rs
@@ -4,7 +4,7 @@
 use asterrill::FinalAnswer;
 
 /// The most bytes that a final answer takes besides its body.
-pub const ANSWER_OVERHEAD_BYTES: usize = 128;
+pub const MAX_ANSWER_OVERHEAD_BYTES: usize = 128;
 
 /// The stream of what concerns the connection.
 const CONNECTION_STREAM: StreamId = StreamId(0);
@@ -46,11 +46,11 @@
     finish_frame(to, start);
 }
 
-/// Writes an error that belongs to no RPC; at most half of [`ANSWER_OVERHEAD_BYTES`] of the text.
+/// Writes an error that belongs to no RPC; at most half of [`MAX_ANSWER_OVERHEAD_BYTES`] of the text.
 pub fn error(to: &mut Vec<u8>, text: &str) {
     let start = start_frame(to, TYPE_ANSWER, CONNECTION_STREAM);
     to.extend_from_slice(&[CODE_ABORTED, 0]);
-    to.extend_from_slice(&text.as_bytes()[..text.len().min(ANSWER_OVERHEAD_BYTES / 2)]);
+    to.extend_from_slice(&text.as_bytes()[..text.len().min(MAX_ANSWER_OVERHEAD_BYTES / 2)]);
     finish_frame(to, start);
 }
 
