--- a/protocol/src/sidecar/message.rs
+++ b/protocol/src/sidecar/message.rs
@@ -1,54 +1,54 @@
-//! What sidecars send, and the frame types of both directions.
+//! Messages from sidecars, and the frame types of both directions.
 
 use asterrill::{CallerId, RpcId, Us};
 
-/// A request of a caller.
+/// RPC from a caller.
 pub(super) const TYPE_RPC: u8 = 1;
-/// The final answer to an RPC; on stream 0 an error of the connection.
+/// Final answer to an RPC, or on stream 0 an error of the connection.
 pub(super) const TYPE_ANSWER: u8 = 2;
-/// A caller no longer waits.
+/// Cancellation of an RPC by its caller.
 pub(super) const TYPE_CANCEL: u8 = 3;
-/// A health check.
-pub(super) const TYPE_CHECK: u8 = 4;
-/// The answer to a health check.
-pub(super) const TYPE_HEALTH: u8 = 5;
-/// No new RPC is wanted on this connection.
+/// Health check.
+pub(super) const TYPE_HEALTH_CHECK: u8 = 4;
+/// Answer to a health check.
+pub(super) const TYPE_HEALTH_ANSWER: u8 = 5;
+/// Announcement that no new RPC is accepted on this connection.
 pub(super) const TYPE_GOAWAY: u8 = 6;
 
-/// A stream's number on its connection.
+/// Number of a stream on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StreamId(pub u32);
 
-/// An RPC as a sidecar sent it.
+/// RPC as a sidecar sent it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RpcRequest {
-    /// Its id, which the answer refers to by the stream alone.
+    /// Id of the RPC. The answer does not contain it and refers to the RPC by its stream.
     pub id: RpcId,
-    /// The method's name.
+    /// Name of the method.
     pub method: String,
-    /// The tenant's name; empty if it was not sent.
+    /// Name of the tenant; empty if it was not sent.
     pub tenant: String,
-    /// The caller's number.
+    /// Number of the caller.
     pub caller: CallerId,
-    /// When it came to the machine, in microseconds.
+    /// Time at which the RPC arrived at the machine, in microseconds.
     pub arrived_at: Us,
-    /// When its caller stops waiting, in microseconds; `None` where callers don't say.
+    /// Time at which the caller stops waiting, in microseconds; `None` if the caller did not state one.
     pub deadline: Option<Us>,
-    /// The memory it takes while it is in flight, in kilobytes, above 0 and under 2,000.
+    /// Memory that the RPC takes while it is in flight, in kilobytes: more than 0 and less than 2,000.
     pub size_kb: f64,
-    /// The entity it is about, if it names one.
+    /// Key of the entity that the RPC refers to, if it names one.
     pub key: Option<u64>,
 }
 
-/// A frame that calls for something to be done.
+/// Frame that a sidecar sent, parsed.
 #[derive(Debug, PartialEq)]
 pub enum Frame<'a> {
-    /// An RPC with its body.
+    /// RPC with its body.
     Rpc(StreamId, RpcRequest, &'a [u8]),
-    /// An RPC with a field missing or out of range, or a body too long: it can only be aborted.
+    /// RPC with a missing field, a field out of range, or a body that is too long. It can only be aborted.
     Malformed(StreamId),
-    /// Nobody waits for the answer on this stream any more.
+    /// Cancellation: the caller no longer waits for the answer on this stream.
     Cancelled(StreamId),
-    /// A health check; a thorough one (`true`) asks whether work gets done.
+    /// Health check. A thorough one (`true`) asks whether the backend can complete work.
     HealthCheck(StreamId, bool),
 }
--- a/protocol/src/sidecar/reader.rs
+++ b/protocol/src/sidecar/reader.rs
@@ -1,31 +1,32 @@
-//! Reads the frames of one connection.
+//! Reader of the frames of one connection.
 
-use super::message::{Frame, RpcRequest, StreamId, TYPE_CANCEL, TYPE_CHECK, TYPE_RPC};
+use super::message::{Frame, RpcRequest, StreamId, TYPE_CANCEL, TYPE_HEALTH_CHECK, TYPE_RPC};
 use super::stream_ids::UsedStreams;
 use crate::ProtocolError;
 use asterrill::{CallerId, RpcId, Us};
 
-/// Length, type and stream.
+/// Size of a frame's head in bytes: its length, type and stream.
 const HEAD_BYTES: usize = 9;
-/// The least and the most that a frame's length may say: what follows the length itself.
-const MIN_LENGTH: usize = 5;
-const MAX_LENGTH: usize = 262_144;
-/// The longest body of an RPC that is stored.
+/// Minimum value of a frame's length field, in bytes. The length does not include the length field itself.
+const MIN_LENGTH_BYTES: usize = 5;
+/// Maximum value of a frame's length field, in bytes.
+const MAX_LENGTH_BYTES: usize = 262_144;
+/// Maximum length of the body of an RPC, in bytes. An RPC with a longer one is malformed.
 const MAX_RPC_BODY_BYTES: usize = 2048;
-/// The longest value of a field that is stored.
+/// Maximum length of the value of a field that is read, in bytes. An RPC with a longer one is malformed.
 const MAX_VALUE_BYTES: usize = 128;
-/// Digits of an RPC's id.
-const TRACE_DIGITS: usize = 16;
-/// Times in milliseconds are under this, so that microseconds fit.
+/// Number of hexadecimal digits of an RPC's id.
+const RPC_ID_DIGITS: usize = 16;
+/// Exclusive upper bound of times in milliseconds, so that they fit as microseconds.
 const MAX_MILLISECONDS: u64 = 1 << 50;
-/// Sizes in kilobytes are under this.
+/// Exclusive upper bound of the memory of an RPC, in kilobytes.
 const MAX_SIZE_KB: f64 = 2000.0;
 
-/// The fields that are read; all others are passed over.
+/// Names of the fields that are read. All others are skipped.
 const FIELDS: [&str; 10] =
     ["route", "trace", "born", "client", "customer", "patience", "size", "order", "entity", "thorough"];
 
-/// The part of a frame that is being read.
+/// Part of a frame that is being read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Element {
     Head,
@@ -37,27 +38,27 @@
     Body,
 }
 
-/// Reads what a sidecar sends on one connection.
+/// Reader of the frames that a sidecar sends on one connection.
 pub struct Reader {
     element: Element,
-    /// The bytes of the present element, as far as they are stored.
+    /// Stored bytes of the current element.
     stored: Vec<u8>,
-    /// Bytes of the present element in all.
-    need: usize,
-    /// Bytes of the present element that were passed over.
+    /// Total number of bytes of the current element.
+    element_bytes: usize,
+    /// Number of bytes of the current element that were skipped.
     skipped: usize,
-    /// Bytes of the frame after the present element.
-    rest: usize,
+    /// Number of bytes of the frame after the current element.
+    remaining: usize,
     frame_type: u8,
     stream: StreamId,
-    fields_left: u8,
+    remaining_fields: u8,
     name: Vec<u8>,
     body: Vec<u8>,
     values: Vec<(&'static str, String)>,
     malformed: bool,
     used_streams: UsedStreams,
     highest_stream: StreamId,
-    /// Reading ends with the first error.
+    /// First error; reading ends with it.
     failed: Option<ProtocolError>,
 }
 
@@ -66,12 +67,12 @@
         Reader {
             element: Element::Head,
             stored: Vec::new(),
-            need: HEAD_BYTES,
+            element_bytes: HEAD_BYTES,
             skipped: 0,
-            rest: 0,
+            remaining: 0,
             frame_type: 0,
             stream: StreamId(0),
-            fields_left: 0,
+            remaining_fields: 0,
             name: Vec::new(),
             body: Vec::new(),
             values: Vec::new(),
@@ -84,16 +85,15 @@
 }
 
 impl Reader {
-    /// In the middle of a frame.
+    /// Reports whether a frame has been received in part.
     pub fn has_partial(&self) -> bool {
         self.element != Element::Head || !self.stored.is_empty()
     }
 
-    /// Takes from `input` up to the end of the next frame, and hands it back. Without one all of `input` has been
-    /// taken.
+    /// Reads the next frame and advances `input` past it. Without a complete frame, all of `input` is consumed.
     ///
     /// # Errors
-    /// Framing that can't be followed; every later call gives the same error.
+    /// Invalid framing. Every later call returns the same error.
     pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Frame<'a>>, ProtocolError> {
         if let Some(error) = &self.failed {
             return Err(error.clone());
@@ -108,25 +108,25 @@
         }
     }
 
-    /// True at the end of a frame.
+    /// Reads up to the end of a frame. Returns false if `input` ended before it.
     fn read_frame(&mut self, input: &mut &[u8]) -> Result<bool, ProtocolError> {
         loop {
             if self.element == Element::Head && self.stored.is_empty() {
-                self.need = HEAD_BYTES;
+                self.element_bytes = HEAD_BYTES;
                 self.skipped = 0;
             }
-            let taken = (self.need - self.stored.len() - self.skipped).min(input.len());
+            let taken = (self.element_bytes - self.stored.len() - self.skipped).min(input.len());
             let (now, later) = input.split_at(taken);
-            let most = match self.element {
+            let max_stored = match self.element {
                 Element::Value => MAX_VALUE_BYTES,
                 Element::Body => MAX_RPC_BODY_BYTES,
-                _ => self.need,
+                _ => self.element_bytes,
             };
-            let store = taken.min(most.saturating_sub(self.stored.len()));
+            let store = taken.min(max_stored.saturating_sub(self.stored.len()));
             self.stored.extend_from_slice(&now[..store]);
             self.skipped += taken - store;
             *input = later;
-            if self.stored.len() + self.skipped < self.need {
+            if self.stored.len() + self.skipped < self.element_bytes {
                 return Ok(false);
             }
             if self.end_element()? {
@@ -135,14 +135,14 @@
         }
     }
 
-    /// An element is complete. True at the end of a frame.
+    /// Processes the current element, which is complete. Returns whether the frame ends with it.
     fn end_element(&mut self) -> Result<bool, ProtocolError> {
         let complete = self.skipped == 0;
         match self.element {
             Element::Head => self.end_head(),
             Element::FieldCount => {
-                self.fields_left = self.stored[0];
-                self.next_field()
+                self.remaining_fields = self.stored[0];
+                self.start_field_or_body()
             }
             Element::NameLength => self.start_element(Element::Name, self.stored[0] as usize),
             Element::Name => {
@@ -152,8 +152,8 @@
             Element::ValueLength => self.start_element(Element::Value, big_endian(&self.stored)),
             Element::Value => {
                 self.store_value(complete);
-                self.fields_left -= 1;
-                self.next_field()
+                self.remaining_fields -= 1;
+                self.start_field_or_body()
             }
             Element::Body => {
                 self.malformed |= !complete;
@@ -163,18 +163,19 @@
         }
     }
 
+    /// Checks the head of a frame and starts its next element. Returns whether the frame ends with its head.
     fn end_head(&mut self) -> Result<bool, ProtocolError> {
         let length = big_endian(&self.stored[..4]);
         self.frame_type = self.stored[4];
         self.stream = StreamId(big_endian(&self.stored[5..]) as u32);
-        if !(MIN_LENGTH..=MAX_LENGTH).contains(&length) {
+        if !(MIN_LENGTH_BYTES..=MAX_LENGTH_BYTES).contains(&length) {
             return Err(ProtocolError("a frame's length is out of bounds"));
         }
-        self.rest = length - MIN_LENGTH;
+        self.remaining = length - MIN_LENGTH_BYTES;
         self.values.clear();
         self.malformed = false;
         match self.frame_type {
-            TYPE_RPC | TYPE_CHECK => {
+            TYPE_RPC | TYPE_HEALTH_CHECK => {
                 self.highest_stream = self.highest_stream.max(self.stream);
                 if self.frame_type == TYPE_RPC && !self.used_streams.insert(self.stream) {
                     return Err(ProtocolError("a stream was used twice"));
@@ -184,7 +185,7 @@
             TYPE_CANCEL if self.stream > self.highest_stream => {
                 Err(ProtocolError("a stream that was never used is given up"))
             }
-            TYPE_CANCEL if self.rest == 0 => Ok(self.end_frame()),
+            TYPE_CANCEL if self.remaining == 0 => Ok(self.end_frame()),
             TYPE_CANCEL => Err(ProtocolError("a frame of type 3 has a payload")),
             _ => Err(ProtocolError("a frame's type is not known")),
         }
@@ -198,21 +199,22 @@
         }
     }
 
-    fn next_field(&mut self) -> Result<bool, ProtocolError> {
-        if self.fields_left > 0 {
+    fn start_field_or_body(&mut self) -> Result<bool, ProtocolError> {
+        if self.remaining_fields > 0 {
             return self.start_element(Element::NameLength, 1);
         }
-        self.start_element(Element::Body, self.rest)
+        self.start_element(Element::Body, self.remaining)
     }
 
-    /// On to the next element, of this length. True where that is the end of the frame already.
-    fn start_element(&mut self, element: Element, need: usize) -> Result<bool, ProtocolError> {
-        self.rest = self.rest.checked_sub(need).ok_or(ProtocolError("a frame's fields don't parse"))?;
+    /// Starts the next element, of this length in bytes. Returns whether the frame ends with it because it is empty.
+    fn start_element(&mut self, element: Element, bytes: usize) -> Result<bool, ProtocolError> {
+        self.remaining =
+            self.remaining.checked_sub(bytes).ok_or(ProtocolError("a frame's fields don't parse"))?;
         self.stored.clear();
         self.element = element;
-        self.need = need;
+        self.element_bytes = bytes;
         self.skipped = 0;
-        if need > 0 {
+        if bytes > 0 {
             return Ok(false);
         }
         self.end_element()
@@ -236,17 +238,17 @@
         }
     }
 
-    /// The fields of an RPC; `None` if one is missing or out of its range.
+    /// Returns the RPC of a frame; `None` if a field is missing or out of range.
     fn rpc_request(&self) -> Option<RpcRequest> {
-        let is_trace =
-            |text: &&str| text.len() == TRACE_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
-        let id = self.value("trace").filter(is_trace)?;
+        let is_rpc_id =
+            |text: &&str| text.len() == RPC_ID_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
+        let id = self.value("trace").filter(is_rpc_id)?;
         let arrived_at = self.milliseconds("born")?;
-        let patience = match self.value("patience") {
+        let time_to_deadline = match self.value("patience") {
             Some(_) => Some(self.milliseconds("patience")?),
             None => None,
         };
-        // The rank is not used, but one out of its range shows that the frame is not to be trusted.
+        // The rank is not used, but a frame with a rank out of range is malformed.
         let rank = self.value("order").map_or(Some(0.0), |rank| rank.parse::<f64>().ok());
         rank.filter(|rank| (0.0..1.0).contains(rank))?;
         let key = match self.value("entity") {
@@ -260,7 +262,7 @@
             tenant: self.value("customer").unwrap_or("").to_string(),
             caller: CallerId(self.integer("client")?),
             arrived_at,
-            deadline: patience.map(|patience| arrived_at + patience),
+            deadline: time_to_deadline.map(|time| arrived_at + time),
             size_kb: self.value("size")?.parse().ok().filter(|kb: &f64| *kb > 0.0 && *kb < MAX_SIZE_KB)?,
             key,
         })
@@ -270,12 +272,12 @@
         self.values.iter().find(|(field, _)| *field == name).map(|(_, value)| value.as_str())
     }
 
-    /// A whole number of decimal digits, without a sign.
+    /// Returns the value of a field that consists of decimal digits only, without a sign.
     fn integer(&self, name: &str) -> Option<u64> {
         self.value(name).filter(|value| value.bytes().all(|b| b.is_ascii_digit()))?.parse().ok()
     }
 
-    /// A time in milliseconds, as microseconds.
+    /// Returns the value of a field that is a time in milliseconds, in microseconds.
     fn milliseconds(&self, name: &str) -> Option<Us> {
         self.integer(name).filter(|ms| *ms < MAX_MILLISECONDS).map(|ms| ms * 1000)
     }
--- a/protocol/src/sidecar/stream_ids.rs
+++ b/protocol/src/sidecar/stream_ids.rs
@@ -1,26 +1,26 @@
-//! Which stream numbers have been used on a connection.
+//! Set of the stream numbers that have been used on a connection.
 
 use super::message::StreamId;
 use std::collections::BTreeSet;
 
-/// Stream numbers that a connection may leave out; beyond that the lowest count as used.
-const MAX_GAPS: usize = 128;
+/// Maximum number of used stream numbers stored above the first gap. Beyond it, the lowest gaps count as used.
+const MAX_STORED_STREAMS: usize = 128;
 
-/// All numbers up to one, and some beyond it.
+/// Used stream numbers: all numbers up to a limit, and single ones above it.
 #[derive(Default)]
 pub(super) struct UsedStreams {
     all_up_to: u32,
-    beyond: BTreeSet<u32>,
+    above: BTreeSet<u32>,
 }
 
 impl UsedStreams {
-    /// Marks a number as used; false if it was before.
+    /// Marks a stream number as used. Returns false if it was marked before.
     pub(super) fn insert(&mut self, stream: StreamId) -> bool {
-        if stream.0 <= self.all_up_to || !self.beyond.insert(stream.0) {
+        if stream.0 <= self.all_up_to || !self.above.insert(stream.0) {
             return false;
         }
-        while self.beyond.first() == Some(&(self.all_up_to + 1)) || self.beyond.len() > MAX_GAPS {
-            self.all_up_to = self.beyond.pop_first().unwrap_or(self.all_up_to);
+        while self.above.first() == Some(&(self.all_up_to + 1)) || self.above.len() > MAX_STORED_STREAMS {
+            self.all_up_to = self.above.pop_first().unwrap_or(self.all_up_to);
         }
         true
     }
--- a/protocol/src/sidecar/writer.rs
+++ b/protocol/src/sidecar/writer.rs
@@ -1,21 +1,21 @@
-//! Writes the frames that a backend sends to sidecars. Writing into memory can't fail.
+//! Functions that write the frames that a backend sends to sidecars.
 
-use super::message::{StreamId, TYPE_ANSWER, TYPE_GOAWAY, TYPE_HEALTH};
+use super::message::{StreamId, TYPE_ANSWER, TYPE_GOAWAY, TYPE_HEALTH_ANSWER};
 use asterrill::FinalAnswer;
 
-/// The most bytes that a final answer takes besides its body.
+/// Maximum size of a final answer without its body, in bytes.
 pub const MAX_ANSWER_OVERHEAD_BYTES: usize = 128;
 
-/// The stream of what concerns the connection.
+/// Stream of frames that concern the whole connection.
 const CONNECTION_STREAM: StreamId = StreamId(0);
-/// The length, which is filled in last.
+/// Size of the length field, in bytes. The field is filled in once the frame is complete.
 const LENGTH_BYTES: usize = 4;
 
 const CODE_OK: u8 = 0;
 const CODE_ABORTED: u8 = 5;
 const CODE_REJECTED: u8 = 11;
 
-/// Writes a final answer; `credit` is the figure that is published to callers, if any.
+/// Writes a final answer. `credit` is the credit that is published to callers, if any.
 pub fn answer(to: &mut Vec<u8>, stream: StreamId, answer: FinalAnswer<'_>, credit: Option<f64>) {
     let (code, body): (u8, &[u8]) = match answer {
         FinalAnswer::Ok(result) => (CODE_OK, result),
@@ -38,15 +38,15 @@
     finish_frame(to, start);
 }
 
-/// Writes the answer to a health check.
-pub fn health(to: &mut Vec<u8>, stream: StreamId, good: bool, credit: Option<f64>) {
-    let start = start_frame(to, TYPE_HEALTH, stream);
-    to.push(u8::from(!good));
+/// Writes the answer to a health check: whether the backend is healthy, and the credit that is published, if any.
+pub fn health(to: &mut Vec<u8>, stream: StreamId, healthy: bool, credit: Option<f64>) {
+    let start = start_frame(to, TYPE_HEALTH_ANSWER, stream);
+    to.push(u8::from(!healthy));
     Fields::new(to).add_credit(credit);
     finish_frame(to, start);
 }
 
-/// Writes an error that belongs to no RPC; at most half of [`MAX_ANSWER_OVERHEAD_BYTES`] of the text.
+/// Writes an error of the connection. The text is truncated to half of [`MAX_ANSWER_OVERHEAD_BYTES`].
 pub fn error(to: &mut Vec<u8>, text: &str) {
     let start = start_frame(to, TYPE_ANSWER, CONNECTION_STREAM);
     to.extend_from_slice(&[CODE_ABORTED, 0]);
@@ -54,12 +54,13 @@
     finish_frame(to, start);
 }
 
-/// Writes that no new RPC is wanted on this connection.
+/// Writes the announcement that no new RPC is accepted on this connection.
 pub fn goaway(to: &mut Vec<u8>) {
     let start = start_frame(to, TYPE_GOAWAY, CONNECTION_STREAM);
     finish_frame(to, start);
 }
 
+/// Writes the head of a frame without its length, and returns the offset of the frame in the buffer.
 fn start_frame(to: &mut Vec<u8>, frame_type: u8, stream: StreamId) -> usize {
     let start = to.len();
     to.extend_from_slice(&[0; LENGTH_BYTES]);
@@ -68,12 +69,13 @@
     start
 }
 
+/// Fills in the length of the frame that starts at this offset.
 fn finish_frame(to: &mut [u8], start: usize) {
     let length = (to.len() - start - LENGTH_BYTES) as u32;
     to[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
 }
 
-/// The fields of a frame: their number, then names and values with their lengths.
+/// Writer of the fields of a frame: their number, then each name and value with its length.
 struct Fields<'a> {
     to: &'a mut Vec<u8>,
     count_at: usize,
