--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -1,10 +1,10 @@
 //! The protocols of a backend as state machines without I/O.
 //!
-//! Each reader is fed bytes as they come and hands back messages; each protocol has functions that write messages into
-//! a buffer. They know no socket, clock or coroutine, and store no more than one message, whose size is bounded. The
-//! outside names of the protocols are used in this crate only.
+//! Each reader is fed bytes as they arrive and returns messages; each protocol has functions that write messages into a
+//! buffer. None of them uses a socket, a clock or a coroutine, and a reader stores at most one message, whose size is
+//! bounded. The names that the protocols use on the wire appear in this crate only.
 //!
-//! | module | who is at the other end |
+//! | module | remote peer |
 //! | --- | --- |
 //! | [`sidecar`] | callers' sidecars: RPCs, health checks |
 //! | [`agent`] | the agent that owns the cores: runs, gauges |
@@ -23,10 +23,11 @@
 mod tests;
 pub mod upstream;
 
-/// What was read can't be understood: nothing more can be read from the connection it came on.
+/// Malformed input. Nothing more can be read from the connection on which it was received.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct ProtocolError(pub &'static str);
 
-/// The longest body, in bytes, that is read from the agent and the upstream tier; longer ones are passed over.
+/// Maximum length of a body from the agent or the upstream tier, in bytes. Longer bodies from the agent are skipped;
+/// longer ones from the upstream tier are an error.
 pub const MAX_BODY_BYTES: usize = 4096;
--- a/protocol/src/name_service.rs
+++ b/protocol/src/name_service.rs
@@ -1,16 +1,16 @@
-//! Reports to the name service, spoken in HTTP/1.1.
+//! Reports to the name service over HTTP/1.1.
 
 use crate::ProtocolError;
 use std::io::Write;
 
-/// The longest head of a reply, in bytes.
+/// Maximum length of the status line and headers of a reply, in bytes.
 const MAX_HEAD_BYTES: usize = 4096;
-/// The longest body of a reply, in bytes; it is passed over.
+/// Maximum length of the body of a reply, in bytes. The body is skipped.
 const MAX_REPLY_BODY_BYTES: usize = 65_536;
-/// The most headers of a reply.
+/// Maximum number of headers of a reply.
 const MAX_HEADERS: usize = 32;
 
-/// Writes a report: whether this backend takes work.
+/// Writes a report to the name service on whether this backend accepts work.
 pub fn report(to: &mut Vec<u8>, name: &str, host: &str, serving: bool) {
     let body = if serving { r#"{"serving":"yes"}"# } else { r#"{"serving":"no"}"# };
     let length = body.len();
@@ -22,28 +22,28 @@
     .unwrap_or_default();
 }
 
-/// The reply to a report.
+/// Reply to a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The name service has accepted the report (status 204).
+    /// Whether the name service accepted the report (status 204).
     pub accepted: bool,
-    /// The connection can carry another report.
+    /// Whether the connection can be used for another report.
     pub keep_alive: bool,
 }
 
-/// Reads the reply to one report at a time.
+/// Reader of the replies on one connection, one report at a time.
 #[derive(Default)]
 pub struct Reader {
     head: Vec<u8>,
-    /// A reply whose head was read, and the bytes of its body still to come.
+    /// Reply whose head has been read, with the number of bytes of its body that are still to be skipped.
     pending: Option<(Reply, usize)>,
 }
 
 impl Reader {
-    /// Takes from `input` up to the end of the next reply. Without one all of `input` has been taken.
+    /// Reads the next reply and advances `input` past it. Without a complete reply, all of `input` is consumed.
     ///
     /// # Errors
-    /// A reply that is not HTTP/1, or too long.
+    /// A reply that is not HTTP/1, or that exceeds its maximum length.
     pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<Reply>, ProtocolError> {
         while self.pending.is_none() {
             let Some((byte, later)) = input.split_first() else { return Ok(None) };
@@ -53,15 +53,15 @@
                 self.pending = parse_head(&self.head)?;
                 self.head.clear();
             } else if self.head.len() >= MAX_HEAD_BYTES {
-                return Err(ProtocolError("a reply of the name service has too long a head"));
+                return Err(ProtocolError("head of a reply from the name service exceeds 4096 bytes"));
             }
         }
-        let Some((reply, left)) = &mut self.pending else { return Ok(None) };
-        let taken = (*left).min(input.len());
+        let Some((reply, remaining)) = &mut self.pending else { return Ok(None) };
+        let taken = (*remaining).min(input.len());
         *input = &input[taken..];
-        *left -= taken;
+        *remaining -= taken;
         let reply = *reply;
-        if *left > 0 {
+        if *remaining > 0 {
             return Ok(None);
         }
         self.pending = None;
@@ -69,9 +69,10 @@
     }
 }
 
-/// `None` for an interim reply, which another one follows.
+/// Parses the head of a reply and returns the reply with the number of bytes of its body to skip. Returns `None` for an
+/// interim reply, which is followed by the final one.
 fn parse_head(bytes: &[u8]) -> Result<Option<(Reply, usize)>, ProtocolError> {
-    const MALFORMED: ProtocolError = ProtocolError("a reply of the name service is not understood");
+    const MALFORMED: ProtocolError = ProtocolError("malformed HTTP reply from the name service");
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     response.parse(bytes).map_err(|_| MALFORMED)?;
@@ -90,8 +91,8 @@
             keep_alive = false;
         }
     }
-    // Without a length the body of anything but 204 ends with the connection: it is not waited for.
+    // A body without a length, with any status but 204, ends with the connection. The reader does not wait for its end.
     keep_alive &= code == 204 || length.is_some();
-    let left = if code == 204 || !keep_alive { 0 } else { length.unwrap_or(0) };
-    Ok(Some((Reply { accepted: code == 204, keep_alive }, left)))
+    let remaining = if code == 204 || !keep_alive { 0 } else { length.unwrap_or(0) };
+    Ok(Some((Reply { accepted: code == 204, keep_alive }, remaining)))
 }
--- a/protocol/src/upstream.rs
+++ b/protocol/src/upstream.rs
@@ -1,37 +1,37 @@
-//! Calls to the upstream tier through the local proxy, and its replies. Lines of words, some with a body.
+//! Calls to the upstream tier through the local proxy, and its replies. Both are lines of words, some followed by a body.
 
 use crate::line_reader::LineReader;
 use crate::{ProtocolError, MAX_BODY_BYTES};
 use asterrill::{CallEnd, RpcId, Us};
 use std::io::Write;
 
-/// How a call ended.
+/// Reply to a call.
 #[derive(Debug, PartialEq)]
 pub struct Reply<'a> {
-    /// The RPC that the call was made for.
+    /// RPC for which the call was made.
     pub id: RpcId,
-    /// How it ended.
+    /// Outcome of the call.
     pub end: CallEnd,
-    /// The result; empty unless the call ended ok.
+    /// Result; empty unless the call ended ok.
     pub body: &'a [u8],
 }
 
-/// Reads the replies on one connection.
+/// Reader of the replies on one connection.
 #[derive(Default)]
 pub struct Reader(LineReader);
 
 impl Reader {
-    /// In the middle of a reply.
+    /// Reports whether a reply has been received in part.
     pub fn has_partial(&self) -> bool {
         self.0.has_partial()
     }
 
-    /// Takes from `input` up to the end of the next reply. Without one all of `input` has been taken.
+    /// Reads the next reply and advances `input` past it. Without a complete reply, all of `input` is consumed.
     ///
     /// # Errors
-    /// A line that is no reply, or a body over [`crate::MAX_BODY_BYTES`].
+    /// A line that is not a reply, or a body that exceeds [`crate::MAX_BODY_BYTES`].
     pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Reply<'a>>, ProtocolError> {
-        let Some((line, body)) = self.0.next(input, length)? else { return Ok(None) };
+        let Some((line, body)) = self.0.next(input, body_length)? else { return Ok(None) };
         let mut words = line.split(' ');
         let id = words.next().filter(|id| !id.is_empty()).and_then(RpcId::new);
         let end = match words.next() {
@@ -43,30 +43,31 @@
         };
         match (id, end) {
             (Some(id), Some(end)) => Ok(Some(Reply { id, end, body: body.unwrap_or(&[]) })),
-            _ => Err(ProtocolError("an upstream reply is not understood")),
+            _ => Err(ProtocolError("unknown or malformed upstream reply")),
         }
     }
 }
 
-fn length(line: &str) -> Result<Option<usize>, ProtocolError> {
+/// Returns the length of the body that follows a line; none if the line has no body.
+fn body_length(line: &str) -> Result<Option<usize>, ProtocolError> {
     let mut words = line.split(' ').skip(1);
     if words.next() != Some("DONE") {
         return Ok(None);
     }
     match words.next().and_then(|n| n.parse().ok()) {
         Some(n) if n <= MAX_BODY_BYTES => Ok(Some(n)),
-        Some(_) => Err(ProtocolError("an upstream reply is too long")),
-        None => Err(ProtocolError("an upstream reply lacks its length")),
+        Some(_) => Err(ProtocolError("body of an upstream reply exceeds 4096 bytes")),
+        None => Err(ProtocolError("expected a body length in an upstream reply")),
     }
 }
 
-/// Writes the line that announces a call and its body of `length` bytes; the body and CR LF follow. `timeout` is
+/// Writes the line that makes a call with a body of `length` bytes. The caller appends the body and CR LF. `timeout` is
 /// rounded up to whole milliseconds.
 pub fn call(to: &mut Vec<u8>, id: RpcId, timeout: Us, length: usize) {
     write!(to, "OP {} {} {length}\r\n", id.as_str(), timeout.div_ceil(1000)).unwrap_or_default();
 }
 
-/// Cancels the call made for this RPC.
+/// Writes a command that cancels the call made for this RPC.
 pub fn cancel(to: &mut Vec<u8>, id: RpcId) {
     write!(to, "UNOP {}\r\n", id.as_str()).unwrap_or_default();
 }
