--- a/protocol/src/tests.rs
+++ b/protocol/src/tests.rs
@@ -1,40 +1,45 @@
-//! Every state machine fed its bytes split at every place, byte by byte, and garbage.
+//! Tests of the sidecar, agent, upstream and name service readers: valid input split at every byte, damaged input, and
+//! the bounds of lines, frames and bodies.
 
 use crate::sidecar::{self, StreamId};
 use crate::{agent, name_service, upstream, ProtocolError, MAX_BODY_BYTES};
-use asterrill::FinalAnswer;
-use asterrill::RpcId;
+use asterrill::{FinalAnswer, RpcId};
 use quickcheck::{Gen, QuickCheck};
 
-/// Feeds pieces to a fresh reader; what it hands back, in words, and how it ended.
+/// Function that feeds pieces of input to a new reader. It returns the `Debug` text of each message, and the error if
+/// there was one.
 type Feed = fn(&[&[u8]]) -> (Vec<String>, Option<ProtocolError>);
 
 macro_rules! feed {
     ($reader:ty) => {
         |pieces| {
-            let (mut reader, mut said) = (<$reader>::default(), Vec::new());
+            let (mut reader, mut messages) = (<$reader>::default(), Vec::new());
             for piece in pieces {
                 let mut bytes = *piece;
                 loop {
                     let before = bytes.len();
                     match reader.next(&mut bytes) {
-                        Ok(Some(message)) => said.push(format!("{message:?}")),
-                        Ok(None) => break assert!(bytes.is_empty(), "bytes left behind"),
-                        Err(broken) => return (said, Some(broken)),
+                        Ok(Some(message)) => messages.push(format!("{message:?}")),
+                        Ok(None) => break assert!(bytes.is_empty(), "input was not consumed"),
+                        Err(error) => return (messages, Some(error)),
                     }
-                    assert!(bytes.len() < before || before == 0, "a message out of nothing");
+                    assert!(
+                        bytes.len() < before || before == 0,
+                        "a message was returned without consuming input"
+                    );
                 }
             }
-            (said, None)
+            (messages, None)
         }
     };
 }
 
-const MACHINES: [(&str, Feed); 4] = [
-    ("frames", feed!(sidecar::Reader)),
+/// All readers, by the name of their protocol.
+const READERS: [(&str, Feed); 4] = [
+    ("sidecar", feed!(sidecar::Reader)),
     ("agent", feed!(agent::Reader)),
-    ("records", feed!(upstream::Reader)),
-    ("naming", feed!(name_service::Reader)),
+    ("upstream", feed!(upstream::Reader)),
+    ("name service", feed!(name_service::Reader)),
 ];
 
 fn frame(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
@@ -42,18 +47,19 @@
     [&length.to_be_bytes()[..], &[kind], &stream.to_be_bytes(), payload].concat()
 }
 
-fn fields(fields: &[(&str, &str)]) -> Vec<u8> {
-    let mut to = vec![fields.len() as u8];
+fn encode_fields(fields: &[(&str, &str)]) -> Vec<u8> {
+    let mut bytes = vec![fields.len() as u8];
     for (name, value) in fields {
-        to.push(name.len() as u8);
-        to.extend_from_slice(name.as_bytes());
-        to.extend_from_slice(&(value.len() as u16).to_be_bytes());
-        to.extend_from_slice(value.as_bytes());
+        bytes.push(name.len() as u8);
+        bytes.extend_from_slice(name.as_bytes());
+        bytes.extend_from_slice(&(value.len() as u16).to_be_bytes());
+        bytes.extend_from_slice(value.as_bytes());
     }
-    to
+    bytes
 }
 
-const ASK: [(&str, &str); 9] = [
+/// Valid fields of an RPC.
+const RPC_FIELDS: [(&str, &str); 9] = [
     ("route", "look"),
     ("trace", "00000000000000ab"),
     ("born", "1000"),
@@ -65,33 +71,34 @@
     ("order", "0.6250"),
 ];
 
-fn rpc(stream: u32, with: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    frame(1, stream, &[fields(with), body.to_vec()].concat())
+fn rpc(stream: u32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+    frame(1, stream, &[encode_fields(fields), body.to_vec()].concat())
 }
 
-/// One good conversation for each machine, and the number of messages in it.
-fn good() -> [(Vec<u8>, usize); 4] {
+/// Returns valid input for each reader, in the order of [`READERS`], with the number of messages in it.
+fn valid_input() -> [(Vec<u8>, usize); 4] {
     let long = "x".repeat(40_000);
-    let unknown = [&ASK[..], &[("doc", long.as_str()), ("", "")]].concat();
-    let frames = [
-        rpc(1, &ASK, b"any\r\n\0bytes"),
+    let unknown = [&RPC_FIELDS[..], &[("doc", long.as_str()), ("", "")]].concat();
+    let sidecar = [
+        rpc(1, &RPC_FIELDS, b"any\r\n\0bytes"),
         frame(3, 1, &[]),
         rpc(2, &unknown, b""),
-        frame(4, 3, &fields(&[("thorough", "1")])),
-        rpc(7, &ASK[1..], b"no method"),
+        frame(4, 3, &encode_fields(&[("thorough", "1")])),
+        rpc(7, &RPC_FIELDS[1..], b"no method"),
     ];
     let agent: &[u8] = b"greeting EMPTY 12\r\nrequest 1 ab 4\r\n\r\n\r\n\r\naside 2 hear hear 9\r\n\
         outcome 3 ab PASS 12.5 3\r\n\0\r\n\r\noutcome 4 cd KILLED 1 0\r\n\r\nsampled 7 0.5 3 0 120\r\n\
         exercised 8 FAIL\r\nrefusal launch ab\r\n";
-    let records: &[u8] = b"ab DONE 5\r\na\r\nbc\r\ncd WAIT\r\nef ERROR\r\nab PAST\r\ncd EMPTY\r\n";
-    let naming: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Busy\r\n\
+    let upstream: &[u8] = b"ab DONE 5\r\na\r\nbc\r\ncd WAIT\r\nef ERROR\r\nab PAST\r\ncd EMPTY\r\n";
+    let name_service: &[u8] =
+        b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Busy\r\n\
         Content-Length: 4\r\n\r\nlateHTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n";
-    [(frames.concat(), 5), (agent.to_vec(), 8), (records.to_vec(), 5), (naming.to_vec(), 3)]
+    [(sidecar.concat(), 5), (agent.to_vec(), 8), (upstream.to_vec(), 5), (name_service.to_vec(), 3)]
 }
 
 #[test]
 fn messages_do_not_depend_on_how_bytes_are_split() {
-    for ((name, feed), (bytes, count)) in MACHINES.iter().zip(good()) {
+    for ((name, feed), (bytes, count)) in READERS.iter().zip(valid_input()) {
         let whole = feed(&[&bytes]);
         assert_eq!((whole.0.len(), &whole.1), (count, &None), "{name}");
         for at in 0..bytes.len() {
@@ -104,43 +111,46 @@
 
 #[test]
 fn damaged_input_never_panics_and_reads_the_same_in_fragments() {
-    fn holds(damage: Vec<(u16, u8)>, noise: Vec<u8>, piece: u8) -> bool {
-        for ((name, feed), (mut bytes, _)) in MACHINES.iter().zip(good()) {
+    fn split_does_not_matter(damage: Vec<(u16, u8)>, noise: Vec<u8>, piece_size: u8) -> bool {
+        for ((name, feed), (mut bytes, _)) in READERS.iter().zip(valid_input()) {
             feed(&[&noise]);
-            for (at, with) in &damage {
+            for (at, byte) in &damage {
                 let at = *at as usize % bytes.len();
-                bytes[at] = *with;
+                bytes[at] = *byte;
             }
             bytes.extend_from_slice(&noise);
-            let pieces: Vec<&[u8]> = bytes.chunks(piece as usize + 1).collect();
+            let pieces: Vec<&[u8]> = bytes.chunks(piece_size as usize + 1).collect();
             assert_eq!(feed(&[&bytes]), feed(&pieces), "{name}");
         }
         true
     }
     let mut runs = QuickCheck::new().tests(400).rng(Gen::from_size_and_seed(20, 3));
-    runs.quickcheck(holds as fn(Vec<(u16, u8)>, Vec<u8>, u8) -> bool);
+    runs.quickcheck(split_does_not_matter as fn(Vec<(u16, u8)>, Vec<u8>, u8) -> bool);
 }
 
 #[test]
-fn framing_errors_are_named_and_final() {
-    let (_, feed) = MACHINES[0];
-    let fault = |bytes: Vec<u8>| feed(&[&bytes]).1.map(|b| b.0).unwrap_or("none");
-    assert!(fault([&4u32.to_be_bytes()[..], &[1, 0, 0, 0, 1]].concat()).contains("length"));
-    assert!(fault([&262_145u32.to_be_bytes()[..], &[1, 0, 0, 0, 1]].concat()).contains("length"));
-    assert!(fault(frame(9, 1, &[0])).contains("type"));
-    assert!(fault(frame(1, 1, &[1, 200, b'x'])).contains("fields"));
-    assert!(fault([rpc(1, &ASK, b""), rpc(1, &ASK, b"")].concat()).contains("twice"));
-    assert!(fault([rpc(1, &ASK, b""), frame(3, 2, &[])].concat()).contains("never used"));
-    assert_eq!(fault([frame(4, 1, &fields(&[])), frame(3, 1, &[])].concat()), "none");
-    assert_eq!(fault([rpc(2, &ASK, b""), rpc(1, &ASK, b""), rpc(3, &ASK, b"")].concat()), "none");
+fn framing_errors_name_the_fault_and_end_the_reading() {
+    let (_, feed) = READERS[0];
+    let error_text = |bytes: Vec<u8>| feed(&[&bytes]).1.map(|error| error.0).unwrap_or("none");
+    assert!(error_text([&4u32.to_be_bytes()[..], &[1, 0, 0, 0, 1]].concat()).contains("length"));
+    assert!(error_text([&262_145u32.to_be_bytes()[..], &[1, 0, 0, 0, 1]].concat()).contains("length"));
+    assert!(error_text(frame(9, 1, &[0])).contains("type"));
+    assert!(error_text(frame(1, 1, &[1, 200, b'x'])).contains("fields"));
+    assert!(error_text([rpc(1, &RPC_FIELDS, b""), rpc(1, &RPC_FIELDS, b"")].concat()).contains("twice"));
+    assert!(error_text([rpc(1, &RPC_FIELDS, b""), frame(3, 2, &[])].concat()).contains("never used"));
+    assert_eq!(error_text([frame(4, 1, &encode_fields(&[])), frame(3, 1, &[])].concat()), "none");
+    assert_eq!(
+        error_text([rpc(2, &RPC_FIELDS, b""), rpc(1, &RPC_FIELDS, b""), rpc(3, &RPC_FIELDS, b"")].concat()),
+        "none"
+    );
     let mut reader = sidecar::Reader::default();
     assert!(reader.next(&mut &frame(9, 1, &[])[..]).is_err());
-    assert!(reader.next(&mut &rpc(1, &ASK, b"")[..]).is_err());
+    assert!(reader.next(&mut &rpc(1, &RPC_FIELDS, b"")[..]).is_err());
 }
 
 #[test]
 fn malformed_fields_and_long_bodies_do_not_break_framing() {
-    let (_, feed) = MACHINES[0];
+    let (_, feed) = READERS[0];
     for (at, value) in [
         (1, "short"),
         (1, "zz00000000000000"),
@@ -157,63 +167,76 @@
         (8, "NaN"),
         (8, "first"),
     ] {
-        let mut odd = ASK;
-        odd[at].1 = value;
-        let bytes = [rpc(1, &odd, b""), rpc(2, &ASK, b"")].concat();
-        let (said, broken) = feed(&[&bytes]);
+        let mut fields = RPC_FIELDS;
+        fields[at].1 = value;
+        let bytes = [rpc(1, &fields, b""), rpc(2, &RPC_FIELDS, b"")].concat();
+        let (messages, error) = feed(&[&bytes]);
         assert!(
-            said.len() == 2 && said[0].contains("Malformed") && said[1].contains("Rpc") && broken.is_none(),
-            "{said:?}"
+            messages.len() == 2
+                && messages[0].contains("Malformed")
+                && messages[1].contains("Rpc")
+                && error.is_none(),
+            "{messages:?}"
         );
     }
-    let (said, _) = feed(&[&[rpc(1, &ASK, &[7; 2049]), rpc(2, &ASK, &[7; 2048])].concat()]);
-    assert!(said[0].contains("Malformed") && said[1].contains("Rpc"));
+    let (messages, _) = feed(&[&[rpc(1, &RPC_FIELDS, &[7; 2049]), rpc(2, &RPC_FIELDS, &[7; 2048])].concat()]);
+    assert!(messages[0].contains("Malformed") && messages[1].contains("Rpc"));
 }
 
 #[test]
 fn optional_fields_may_be_missing() {
-    let (_, feed) = MACHINES[0];
-    // Sites whose callers state no patience, have no tenants, or write: the fields are not there.
-    for left_out in
+    let (_, feed) = READERS[0];
+    // Callers without a time limit, without a tenant, or with RPCs on no single entity omit these fields.
+    for omitted in
         [&["patience"][..], &["customer"], &["entity"], &["patience", "customer", "entity", "order"]]
     {
-        let some: Vec<_> = ASK.into_iter().filter(|(name, _)| !left_out.contains(name)).collect();
-        let (said, broken) = feed(&[&rpc(1, &some, b"")]);
-        assert!(said.len() == 1 && said[0].starts_with("Rpc") && broken.is_none(), "{left_out:?}: {said:?}");
+        let fields: Vec<_> = RPC_FIELDS.into_iter().filter(|(name, _)| !omitted.contains(name)).collect();
+        let (messages, error) = feed(&[&rpc(1, &fields, b"")]);
+        assert!(
+            messages.len() == 1 && messages[0].starts_with("Rpc") && error.is_none(),
+            "{omitted:?}: {messages:?}"
+        );
     }
-    // One that is there has to make sense, and what always comes has to be there.
-    for left_out in ["route", "trace", "born", "client", "size"] {
-        let some: Vec<_> = ASK.into_iter().filter(|(name, _)| *name != left_out).collect();
-        assert!(feed(&[&rpc(1, &some, b"")]).0[0].starts_with("Malformed"), "{left_out}");
+    // An RPC without a required field is malformed.
+    for omitted in ["route", "trace", "born", "client", "size"] {
+        let fields: Vec<_> = RPC_FIELDS.into_iter().filter(|(name, _)| *name != omitted).collect();
+        assert!(feed(&[&rpc(1, &fields, b"")]).0[0].starts_with("Malformed"), "{omitted}");
     }
 }
 
 #[test]
-fn lines_and_bodies_have_bounds() {
-    let (_, feed) = MACHINES[1];
+fn lines_and_bodies_are_bounded() {
+    let (_, feed) = READERS[1];
     assert!(feed(&[&[b'a'; 4000]]).1.is_some());
-    // A body too long to be passed on is passed over, and what follows is read.
-    let long = |n: usize, end: &str| format!("request 1 ab {n}\r\n{}{end}aside 2 on\r\n", "x".repeat(n));
-    for (n, what) in [(MAX_BODY_BYTES, "Some"), (MAX_BODY_BYTES + 1, "None"), (3 * MAX_BODY_BYTES, "None")] {
-        let bytes = long(n, "\r\n");
-        for piece in [1, 2, 3, 1000, bytes.len()] {
-            let (said, broken) = feed(&bytes.as_bytes().chunks(piece).collect::<Vec<_>>());
-            assert!(said.len() == 2 && said[0].contains(what) && broken.is_none(), "{n} in {piece}");
+    // A body over the maximum length is skipped, and the notice after it is read.
+    let call_with_body = |length: usize, end: &str| {
+        format!("request 1 ab {length}\r\n{}{end}aside 2 on\r\n", "x".repeat(length))
+    };
+    for (length, expected_body) in
+        [(MAX_BODY_BYTES, "Some"), (MAX_BODY_BYTES + 1, "None"), (3 * MAX_BODY_BYTES, "None")]
+    {
+        let bytes = call_with_body(length, "\r\n");
+        for piece_size in [1, 2, 3, 1000, bytes.len()] {
+            let (messages, error) = feed(&bytes.as_bytes().chunks(piece_size).collect::<Vec<_>>());
+            assert!(
+                messages.len() == 2 && messages[0].contains(expected_body) && error.is_none(),
+                "{length} bytes in pieces of {piece_size}"
+            );
         }
-        assert!(feed(&[long(n, "\n\r").as_bytes()]).1.is_some());
+        assert!(feed(&[call_with_body(length, "\n\r").as_bytes()]).1.is_some());
     }
-    let passed =
+    let oversized_result =
         format!("outcome 1 ab PASS 1 {0}\r\n{1}\r\n", MAX_BODY_BYTES + 1, "x".repeat(MAX_BODY_BYTES + 1));
-    assert!(feed(&[passed.as_bytes()]).0[0].contains("Aborted"));
+    assert!(feed(&[oversized_result.as_bytes()]).0[0].contains("Aborted"));
     assert!(feed(&[b"request 1 ab 99999999999\r\n"]).1.is_some());
-    // A reply from below that can't be passed on spoils its link at once: it may never come to its end.
-    let (_, below) = MACHINES[2];
-    for spoilt in [
+    // An upstream reply that is too long to forward is an error at once, without a wait for its end, which may never come.
+    let (_, feed_upstream) = READERS[2];
+    for reply in [
         format!("ab DONE {}\r\n", MAX_BODY_BYTES + 1),
         "ab DONE 3000000000\r\n".into(),
         "ab DONE -1\r\n".into(),
     ] {
-        assert!(below(&[spoilt.as_bytes()]).1.is_some(), "{spoilt}");
+        assert!(feed_upstream(&[reply.as_bytes()]).1.is_some(), "{reply}");
     }
     let mut reader = upstream::Reader::default();
     for (piece, has_partial) in
@@ -231,11 +254,11 @@
 fn written_messages_have_the_documented_form() {
     let mut to = Vec::new();
     sidecar::answer(&mut to, StreamId(9), FinalAnswer::Ok(b"r\r\n"), Some(2.5));
-    let payload = [&[0][..], &fields(&[("advice", "2.5000")]), b"r\r\n"].concat();
+    let payload = [&[0][..], &encode_fields(&[("advice", "2.5000")]), b"r\r\n"].concat();
     assert_eq!(to, frame(2, 9, &payload));
     to.clear();
     sidecar::answer(&mut to, StreamId(9), FinalAnswer::Rejected { terminal: true, retry_after: 1_500 }, None);
-    assert_eq!(to, frame(2, 9, &[&[11][..], &fields(&[("pause", "2"), ("terminal", "1")])].concat()));
+    assert_eq!(to, frame(2, 9, &[&[11][..], &encode_fields(&[("pause", "2"), ("terminal", "1")])].concat()));
     to.clear();
     sidecar::answer(&mut to, StreamId(9), FinalAnswer::Aborted, None);
     sidecar::health(&mut to, StreamId(1), false, None);
