--- a/protocol/src/amqp/channel_state.rs
+++ b/protocol/src/amqp/channel_state.rs
@@ -1,20 +1,20 @@
-//! The state of one open channel, and the message whose content is arriving on it.
+//! State of one channel, and of the message whose content is arriving on it.
 
 use super::error::{SessionError, UNEXPECTED_FRAME};
 use super::frames::CLASS_BASIC;
 use super::message::{Channel, Delivery, DeliveryTag, Event, MessageProperties};
 use amq_protocol::protocol::basic;
 
-/// How far a channel is.
+/// Stage in the life of a channel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ChannelStage {
     Opening,
     Open,
-    /// Closed here; what still comes on it is passed over until the broker confirms.
+    /// Closed from this side. Frames that still arrive on it are ignored until the broker confirms the close.
     Closing,
 }
 
-/// How far a channel's consumer is.
+/// Stage in the life of a channel's consumer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConsumerStage {
     None,
@@ -23,35 +23,36 @@
     Cancelling,
 }
 
-/// The method that announced content.
+/// Method that announced content.
 pub(super) enum ContentMethod {
     Deliver(basic::Deliver),
-    /// With the broker's reply code.
+    /// `basic.return`, with the broker's reply code.
     Return(u16),
 }
 
-/// A message whose content is not complete.
+/// Message whose content is incomplete.
 struct PartialContent {
     method: ContentMethod,
-    /// Properties and the size of the body, once the content header has come.
+    /// Properties and size of the body in bytes; none until the content header has arrived.
     header: Option<Box<(MessageProperties, u64)>>,
     body: Vec<u8>,
-    /// Bytes of the body still to come.
+    /// Number of bytes of the body that have not arrived.
     remaining: u64,
 }
 
-/// One channel of a connection.
+/// State of one channel of a connection.
 pub(super) struct ChannelState {
     pub(super) stage: ChannelStage,
-    /// The opening that this channel's delivery tags belong to.
+    /// Number of this opening of the channel, to which its delivery tags belong.
     pub(super) epoch: u64,
     pub(super) consumer: ConsumerStage,
-    /// Messages published since the channel was opened.
+    /// Number of messages published since the channel was opened.
     pub(super) published: u64,
     content: Option<PartialContent>,
 }
 
 impl ChannelState {
+    /// Returns the state of a channel that is being opened.
     pub(super) fn opening(epoch: u64) -> ChannelState {
         ChannelState {
             stage: ChannelStage::Opening,
@@ -62,23 +63,23 @@
         }
     }
 
-    /// The channel is closed from this side; a message in part is dropped.
+    /// Records that the channel is closed from this side, and drops a message that has arrived in part.
     pub(super) fn start_closing(&mut self) {
         self.stage = ChannelStage::Closing;
         self.content = None;
     }
 
-    /// Only frames of content may come now.
+    /// Reports whether only content frames are allowed now.
     pub(super) fn expects_content(&self) -> bool {
         self.content.is_some()
     }
 
-    /// A method that content follows has come.
+    /// Starts a message whose method has arrived; its content follows.
     pub(super) fn start_content(&mut self, method: ContentMethod) {
         self.content = Some(PartialContent { method, header: None, body: Vec::new(), remaining: 0 });
     }
 
-    /// A content header: `size` is the bytes of the body that follows.
+    /// Processes a content header. `size` is the size of the following body in bytes.
     pub(super) fn content_header(
         &mut self, class: u16, properties: MessageProperties, size: u64,
     ) -> Result<(), SessionError> {
@@ -92,21 +93,21 @@
         }
     }
 
-    /// A part of a body; it is stored only if the whole body is `max_body_bytes` long at most.
+    /// Processes a part of a body. It is stored only if the whole body has at most `max_body_bytes`.
     pub(super) fn content_body(&mut self, bytes: &[u8], max_body_bytes: u64) -> Result<(), SessionError> {
         let content = self.content.as_mut().ok_or(UNEXPECTED_FRAME)?;
         let size = content.header.as_ref().map(|header| header.1).ok_or(UNEXPECTED_FRAME)?;
         content.remaining = content
             .remaining
             .checked_sub(bytes.len() as u64)
-            .ok_or(SessionError::Protocol("an AMQP body is longer than its header said"))?;
+            .ok_or(SessionError::Protocol("AMQP body is longer than announced in its content header"))?;
         if size <= max_body_bytes {
             content.body.extend_from_slice(bytes);
         }
         Ok(())
     }
 
-    /// Hands on the message if its content is complete.
+    /// Returns the event of the current message if its content is complete.
     pub(super) fn take_complete(
         &mut self, channel: Channel, max_body_bytes: u64,
     ) -> Result<Option<Event>, SessionError> {
--- a/protocol/src/amqp/depth.rs
+++ b/protocol/src/amqp/depth.rs
@@ -1,23 +1,25 @@
-//! Checks how deep field tables are nested (4.2.5.5) before they are parsed: the codec parses them recursively, and
-//! the stacks of coroutines are small.
+//! Check of the nesting depth of field tables (4.2.5.5) before they are parsed. The codec parses them recursively, and a
+//! deeply nested table would overflow the small stack of a coroutine.
 
 use crate::ProtocolError;
 
-/// Tables and lists within one another at most.
+/// Maximum nesting depth of tables and arrays, the outermost table included.
 const MAX_DEPTH: usize = 8;
 
-/// Walks the fields of a table or the values of a list without storing anything.
+/// Cursor that skips the fields of a table or the values of an array without storing them.
 struct FieldWalker<'a>(&'a [u8]);
 
-const TRUNCATED: ProtocolError = ProtocolError("an AMQP field table ends too early");
+const TRUNCATED: ProtocolError = ProtocolError("AMQP field table is truncated");
 
 impl<'a> FieldWalker<'a> {
+    /// Returns the next `n` bytes.
     fn take(&mut self, n: usize) -> Result<&'a [u8], ProtocolError> {
         let (now, later) = self.0.split_at_checked(n).ok_or(TRUNCATED)?;
         self.0 = later;
         Ok(now)
     }
 
+    /// Returns the unsigned integer in the next `bytes` bytes, in network byte order.
     fn integer(&mut self, bytes: usize) -> Result<usize, ProtocolError> {
         Ok(self.take(bytes)?.iter().fold(0, |n, b| n << 8 | *b as usize))
     }
@@ -44,15 +46,15 @@
             b'V' => Ok(()),
             b'A' => FieldWalker(self.long_string()?).skip_all(depth_left, false),
             b'F' => FieldWalker(self.long_string()?).skip_all(depth_left, true),
-            _ => Err(ProtocolError("an AMQP field has a type that is not known")),
+            _ => Err(ProtocolError("AMQP field has an unknown type")),
         }
     }
 
-    /// To the end: fields with their names, or values alone.
+    /// Skips all that is left: fields with names if `named`, else values without names.
     fn skip_all(&mut self, depth_left: usize, named: bool) -> Result<(), ProtocolError> {
         let depth_left = depth_left
             .checked_sub(1)
-            .ok_or(ProtocolError("AMQP field tables lie too deep in one another"))?;
+            .ok_or(ProtocolError("AMQP field tables are nested more than 8 levels deep"))?;
         while !self.0.is_empty() {
             if named {
                 self.skip_short_string()?;
@@ -67,7 +69,8 @@
     }
 }
 
-/// A content header's payload (2.3.5.2): class, weight, size, flags, then content type, encoding and headers.
+/// Checks the payload of a content header (2.3.5.2): class, weight, size and flags, then content type, content encoding
+/// and headers, as far as the flags announce them.
 pub(super) fn check_content_header(payload: &[u8]) -> Result<(), ProtocolError> {
     let mut walker = FieldWalker(payload);
     walker.take(12)?;
@@ -83,7 +86,7 @@
     Ok(())
 }
 
-/// The payload of `connection.start` (1.4.2.1): class, method, version, then a table.
+/// Checks the payload of `connection.start` (1.4.2.1): class, method and version, then a table.
 pub(super) fn check_start(payload: &[u8]) -> Result<(), ProtocolError> {
     let mut walker = FieldWalker(payload);
     walker.take(6)?;
--- a/protocol/src/amqp/error.rs
+++ b/protocol/src/amqp/error.rs
@@ -1,33 +1,33 @@
-//! Why a connection to a broker is of no more use.
+//! Errors that end a connection to a broker.
 
 use crate::ProtocolError;
 
-/// Ends the connection: the session must be reconnected.
+/// Error that ends the connection, after which the session must reconnect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SessionError {
-    /// The broker broke the framing or the order of methods.
+    /// Violation of the framing or of the order of methods by the broker.
     #[error("{0}")]
     Protocol(&'static str),
-    /// The broker offers these mechanisms, and PLAIN is not among them.
-    #[error("the broker does not take PLAIN, it offers {0:?}")]
+    /// Authentication mechanisms that the broker offers, without PLAIN among them.
+    #[error("expected the broker to offer the authentication mechanism PLAIN; it offers {0:?}")]
     PlainNotOffered(String),
-    /// No heartbeat within this many milliseconds.
-    #[error("nothing came from the broker for {0} ms, twice the heartbeat that was agreed")]
+    /// Silence of the broker for this many milliseconds, twice the negotiated heartbeat interval.
+    #[error("no data from the broker for {0} ms, twice the negotiated heartbeat interval")]
     HeartbeatTimeout(u64),
-    /// The connection was not opened in time.
+    /// Handshake that the broker did not complete in time.
     #[error("the broker did not open the connection within 10 s")]
     HandshakeTimeout,
-    /// The broker proposes frames of this many bytes, under the least that both sides must take (4.2.3).
-    #[error("the broker asks for frames of {0} bytes, less than the 4096 that both sides must take")]
+    /// Maximum frame size proposed by the broker, in bytes, below the minimum that both sides must accept (4.2.3).
+    #[error("the broker proposed a maximum frame size of {0} bytes; expected at least 4096")]
     FrameMaxTooSmall(u32),
-    /// Our close was not confirmed in time.
-    #[error("the close was not answered within 1 s")]
+    /// Close of the connection from this side that the broker did not confirm in time.
+    #[error("the broker did not confirm the close of the connection within 1 s")]
     CloseTimeout,
 }
 
-/// A frame that is well formed but not allowed in the state that the connection or channel is in.
+/// Error for a well-formed frame that is not allowed in the current state of the connection or channel.
 pub(super) const UNEXPECTED_FRAME: SessionError =
-    SessionError::Protocol("an AMQP frame came where it does not belong");
+    SessionError::Protocol("AMQP frame not allowed in the current state of the connection or channel");
 
 impl From<ProtocolError> for SessionError {
     fn from(error: ProtocolError) -> SessionError {
--- a/protocol/src/amqp/message.rs
+++ b/protocol/src/amqp/message.rs
@@ -1,29 +1,29 @@
-//! What a consumer sends and receives over a connection: identifiers, deliveries, replies and events.
+//! Data that a consumer sends and receives over a connection: identifiers, deliveries, replies and events.
 
 use asterrill::Us;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A channel's number on a connection, 1 or more.
+/// Number of a channel on its connection, 1 or more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Channel(pub u16);
 
-/// A delivery tag together with the opening of the channel it came by: a tag of an earlier opening, or of an
-/// earlier connection, is never used again (1.8.3.13).
+/// Delivery tag, with the epoch of the channel on which the delivery arrived. Each opening of a channel has its own
+/// epoch, so that a tag of an earlier opening, or of an earlier connection, is never used again (1.8.3.13).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeliveryTag {
-    /// The channel that the delivery came by.
+    /// Channel on which the delivery arrived.
     pub channel: Channel,
     pub(super) epoch: u64,
     pub(super) number: u64,
 }
 
-/// User name and password; neither appears in `Debug` output.
+/// User name and password. Neither appears in `Debug` output.
 #[derive(Clone)]
 pub struct Credentials {
-    /// The user name.
+    /// User name.
     pub user: String,
-    /// The password.
+    /// Password.
     pub password: String,
 }
 
@@ -33,142 +33,142 @@
     }
 }
 
-/// What a connection is opened with.
+/// Parameters with which a connection is opened.
 #[derive(Clone, Debug)]
 pub struct Login {
-    /// Sent by the mechanism PLAIN.
+    /// Credentials, which are sent by the mechanism PLAIN.
     pub credentials: Credentials,
-    /// The virtual host to open.
+    /// Virtual host to open.
     pub virtual_host: String,
-    /// Heartbeat interval to propose, in microseconds; the broker may ask for a shorter one. 0 for none.
+    /// Heartbeat interval to propose, in microseconds; 0 for none. The broker may ask for a shorter one.
     pub heartbeat: Us,
-    /// Longest body that is stored, in bytes; of longer messages only the properties are handed on.
+    /// Maximum length of a body that is stored, in bytes. Longer messages are delivered without their body.
     pub max_body_bytes: usize,
 }
 
-/// How a delivery is settled.
+/// Way in which a delivery is settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settlement {
     /// `basic.ack`.
     Ack,
-    /// `basic.reject` without requeue: to the dead-letter exchange, where the queue has one.
+    /// `basic.reject` without requeue: the message goes to the dead-letter exchange if the queue has one.
     Reject,
     /// `basic.reject` with requeue.
     Requeue,
 }
 
-/// The properties of a message that are read (1.8.1 and RabbitMQ's `x-delivery-count`).
+/// Properties of a message that are read (1.8.1 and RabbitMQ's `x-delivery-count`).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MessageProperties {
     /// `message-id`.
     pub message_id: Option<String>,
     /// `correlation-id`.
     pub correlation_id: Option<String>,
-    /// `reply-to`: the queue where the sender expects an answer.
+    /// `reply-to`: the queue in which the sender expects a reply.
     pub reply_to: Option<String>,
     /// `expiration`: milliseconds, as decimal text.
     pub expiration: Option<String>,
     /// `timestamp`: seconds since 1970.
     pub timestamp: Option<u64>,
-    /// Earlier deliveries of this message, where the queue counts them.
+    /// Number of earlier deliveries of this message, if the queue counts them.
     pub delivery_count: Option<u64>,
-    /// The headers that are texts or whole numbers.
+    /// Headers whose values are strings or integers.
     pub headers: BTreeMap<String, String>,
 }
 
-/// A message as it was delivered.
+/// Message as it was delivered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delivery {
-    /// By which the delivery is settled.
+    /// Tag by which the delivery is settled.
     pub tag: DeliveryTag,
-    /// The broker may have delivered it before.
+    /// Whether the broker may have delivered the message before.
     pub redelivered: bool,
-    /// The exchange it was published to.
+    /// Exchange to which it was published.
     pub exchange: String,
-    /// The routing key it was published with.
+    /// Routing key with which it was published.
     pub routing_key: String,
-    /// Its properties.
+    /// Properties of the message.
     pub properties: MessageProperties,
-    /// Bytes in the body.
+    /// Size of the body in bytes.
     pub size: u64,
-    /// The body; `None` if it is longer than [`Login::max_body_bytes`].
+    /// Body; `None` if it is longer than [`Login::max_body_bytes`].
     pub body: Option<Vec<u8>>,
 }
 
-/// An answer to a message that asked for one.
+/// Reply to a message that asked for one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply<'a> {
-    /// The queue that the message named in `reply-to`.
+    /// Queue that the message named in `reply-to`.
     pub to: &'a str,
-    /// The message's `correlation-id`.
+    /// `correlation-id` of the message.
     pub correlation_id: Option<&'a str>,
-    /// The `message-id` of this answer; [`Event::Returned`] carries it.
+    /// `message-id` of this reply, which [`Event::Returned`] carries.
     pub message_id: &'a str,
-    /// What became of the RPC, sent as the property `type`: `ok` or `aborted`.
+    /// Outcome of the RPC, sent as the property `type`: `ok` or `aborted`.
     pub kind: &'a str,
-    /// The result of the run; empty if there is none.
+    /// Result of the run; empty if there is none.
     pub body: &'a [u8],
 }
 
-/// What came of the bytes read.
+/// Event that results from the bytes read.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The connection is open and may be used.
+    /// Opening of the connection, which can be used from now on.
     Connected,
-    /// The broker has opened this channel.
+    /// Opening of this channel, confirmed by the broker.
     ChannelOpen(Channel),
-    /// From now on every message published on this channel is confirmed.
+    /// Start of publisher confirms: every message published on this channel from now on is confirmed.
     ConfirmsSelected(Channel),
-    /// The broker has accepted the consumer on this channel.
+    /// Start of the consumer on this channel, confirmed by the broker.
     Consuming(Channel),
-    /// No more deliveries on this channel.
+    /// End of the consumer: no more deliveries arrive on this channel.
     Cancelled {
-        /// The channel of the consumer.
+        /// Channel of the consumer.
         channel: Channel,
-        /// The broker cancelled it; false if it was asked for here.
+        /// Whether the broker cancelled the consumer; false if this side did.
         by_broker: bool,
     },
-    /// A complete message.
+    /// Delivery of a complete message.
     Delivered(Box<Delivery>),
-    /// A publisher confirm.
+    /// Publisher confirm.
     Confirmed {
-        /// The number that [`super::Session::publish`] handed back.
+        /// Publish sequence number, as returned by [`super::Session::publish`].
         number: u64,
-        /// All messages up to that number, not that one alone.
+        /// Whether all messages up to that number are confirmed, instead of that one alone.
         multiple: bool,
-        /// The broker has taken the message; false for a `basic.nack`.
+        /// Whether the broker accepted the message; false for a `basic.nack`.
         accepted: bool,
     },
-    /// A published message could not be routed.
+    /// Return of a published message that could not be routed.
     Returned {
-        /// Its `message-id`.
+        /// `message-id` of the message.
         message_id: Option<String>,
-        /// The broker's reply code.
+        /// Reply code of the broker.
         code: u16,
     },
-    /// The broker wants nothing published (RabbitMQ's `connection.blocked`).
+    /// Block of publishing by the broker (RabbitMQ's `connection.blocked`).
     Blocked {
-        /// The broker's reason.
+        /// Reason that the broker gave.
         reason: String,
     },
-    /// Publishing is possible again.
+    /// End of a block of publishing.
     Unblocked,
-    /// The broker closed a channel.
+    /// Close of a channel by the broker.
     ChannelClosed {
-        /// The channel.
+        /// Channel that was closed.
         channel: Channel,
-        /// The broker's reply code.
+        /// Reply code of the broker.
         code: u16,
-        /// The broker's reply text.
+        /// Reply text of the broker.
         text: String,
     },
-    /// The broker closed the connection; the close has been confirmed.
+    /// Close of the connection by the broker. The confirmation has been written.
     Closed {
-        /// The broker's reply code.
+        /// Reply code of the broker.
         code: u16,
-        /// The broker's reply text.
+        /// Reply text of the broker.
         text: String,
     },
-    /// The broker has confirmed our close.
+    /// Confirmation of the broker that it closed the connection at the request of this side.
     CloseConfirmed,
 }
--- a/protocol/src/amqp/properties.rs
+++ b/protocol/src/amqp/properties.rs
@@ -1,15 +1,15 @@
-//! Property tables: the client's own, and those of messages read into [`MessageProperties`].
+//! Property tables: those of the client, and those of messages, which are read into [`MessageProperties`].
 
 use super::message::MessageProperties;
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, FieldTable, ShortString};
 use std::collections::BTreeMap;
 
-/// What the client can do beyond the specification.
+/// Extensions of the protocol that the client supports.
 const CAPABILITIES: [&str; 4] =
     ["publisher_confirms", "consumer_cancel_notify", "basic.nack", "connection.blocked"];
 
-/// The client properties of `connection.start-ok` (1.4.2.2).
+/// Returns the client properties for `connection.start-ok` (1.4.2.2).
 pub(super) fn client_properties() -> FieldTable {
     let mut capabilities = FieldTable::default();
     for name in CAPABILITIES {
@@ -22,7 +22,7 @@
     table
 }
 
-/// The properties of a message; headers of other types than texts and whole numbers are left out.
+/// Returns the properties of a message. Headers whose values are neither strings nor integers are omitted.
 pub(super) fn message_properties(properties: &AMQPProperties) -> MessageProperties {
     let text = |value: &Option<ShortString>| value.as_ref().map(ShortString::to_string);
     let mut headers = BTreeMap::new();
@@ -44,6 +44,7 @@
     }
 }
 
+/// Returns the value of a header as text; none if it is neither a string nor an integer.
 fn header_text(value: &AMQPValue) -> Option<String> {
     match value {
         AMQPValue::LongString(text) => std::str::from_utf8(text.as_bytes()).ok().map(str::to_string),
@@ -52,6 +53,7 @@
     }
 }
 
+/// Returns the value of a header if it is an integer.
 fn integer(value: &AMQPValue) -> Option<i64> {
     Some(match value {
         AMQPValue::ShortShortInt(n) => (*n).into(),
--- a/protocol/src/amqp/session.rs
+++ b/protocol/src/amqp/session.rs
@@ -1,7 +1,7 @@
-//! One connection to a broker, from the protocol header to the close, with its channels.
+//! State machine of one connection to a broker with its channels, from the protocol header to the close.
 //!
-//! A session decides nothing: what is consumed, how much of it and how each delivery is settled is up to its
-//! owner. What is to be written gathers in [`Session::out`].
+//! The owner of a session decides what is consumed, with which prefetch, and how each delivery is settled. Bytes to be
+//! written are collected in [`Session::out`].
 
 mod commands;
 mod incoming;
@@ -15,51 +15,51 @@
 use asterrill::Us;
 use std::collections::BTreeMap;
 
-/// From the connection until it may be used.
-const HANDSHAKE_TIMEOUT: Us = 10_000_000;
-/// How long a confirmation of our close is waited for.
-const CLOSE_TIMEOUT: Us = 1_000_000;
+/// Maximum duration of the handshake, in microseconds.
+const HANDSHAKE_TIMEOUT_US: Us = 10_000_000;
+/// Maximum time to wait for the end of a close, in microseconds.
+const CLOSE_TIMEOUT_US: Us = 1_000_000;
 
-/// How far a connection is.
+/// Stage in the life of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// There is no connection.
+    /// No connection.
     Disconnected,
-    /// The protocol header was sent; `connection.start` is awaited.
+    /// Protocol header sent, `connection.start` awaited.
     Starting,
-    /// `connection.tune` is awaited.
+    /// `connection.start-ok` sent, `connection.tune` awaited.
     Tuning,
-    /// `connection.open-ok` is awaited.
+    /// `connection.open` sent, `connection.open-ok` awaited.
     Opening,
-    /// The connection may be used.
+    /// Connection open for use.
     Open,
-    /// One side has closed the connection.
+    /// Connection closed by one side.
     Closing,
 }
 
-/// The state machine of one connection.
+/// State machine of one connection.
 pub struct Session {
     login: Login,
     state: State,
     frames: FrameReader,
     channels: BTreeMap<Channel, ChannelState>,
-    /// Channels opened so far, over all connections: tells tags of different openings apart.
+    /// Number of channels opened so far, over all connections. Distinguishes delivery tags of different openings.
     epoch: u64,
-    /// Bytes of the largest frame that the broker takes.
+    /// Negotiated maximum frame size, in bytes.
     max_frame_size: usize,
-    /// The agreed interval; 0 for none.
+    /// Negotiated heartbeat interval, in microseconds; 0 for none.
     heartbeat: Us,
-    /// When the handshake or the close began.
+    /// Time at which the handshake or the close began, in microseconds.
     state_since: Us,
     last_received: Us,
     last_sent: Us,
     blocked: bool,
-    /// Bytes to be written, in order.
+    /// Bytes to be written to the connection.
     pub out: Vec<u8>,
 }
 
 impl Session {
-    /// A session without a connection.
+    /// Returns a session without a connection.
     pub fn new(login: Login) -> Session {
         Session {
             login,
@@ -77,17 +77,18 @@
         }
     }
 
-    /// How far the connection is.
+    /// Returns the state of the connection.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The broker wants nothing published (RabbitMQ's `connection.blocked`).
+    /// Reports whether the broker has blocked publishing (RabbitMQ's `connection.blocked`).
     pub fn is_blocked(&self) -> bool {
         self.blocked
     }
 
-    /// The delivery of this tag can still be settled: its channel is open as it was when the delivery came.
+    /// Reports whether the delivery with this tag can still be settled: the channel on which it arrived is still open and
+    /// has not been reopened since.
     pub fn is_current(&self, tag: DeliveryTag) -> bool {
         self.is_open(tag.channel)
             && self.channels.get(&tag.channel).is_some_and(|state| state.epoch == tag.epoch)
@@ -98,7 +99,8 @@
             && self.channels.get(&channel).is_some_and(|state| state.stage == ChannelStage::Open)
     }
 
-    /// A connection was made: the handshake begins (1.4.2). Channels and tags of the one before are void.
+    /// Starts the handshake on a new connection (1.4.2). Channels and delivery tags of the previous connection become
+    /// invalid.
     pub fn connected(&mut self, now: Us) {
         self.disconnected();
         self.state = State::Starting;
@@ -109,7 +111,7 @@
         self.send_frame(&AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1()));
     }
 
-    /// The connection is gone.
+    /// Resets the session after its connection was lost or closed.
     pub fn disconnected(&mut self) {
         self.state = State::Disconnected;
         self.channels.clear();
@@ -119,33 +121,36 @@
         self.max_frame_size = MIN_FRAME_BYTES;
     }
 
-    /// The moment at which [`Session::tick`] must be called next, if any.
+    /// Returns the time at which [`Session::tick`] must be called next, if any.
     pub fn next_tick(&self) -> Option<Us> {
         match self.state {
             State::Disconnected => None,
-            State::Starting | State::Tuning | State::Opening => Some(self.state_since + HANDSHAKE_TIMEOUT),
-            State::Closing => Some(self.state_since + CLOSE_TIMEOUT),
+            State::Starting | State::Tuning | State::Opening => Some(self.state_since + HANDSHAKE_TIMEOUT_US),
+            State::Closing => Some(self.state_since + CLOSE_TIMEOUT_US),
             State::Open if self.heartbeat == 0 => None,
-            State::Open => Some(self.receive_deadline().min(self.heartbeat_due())),
+            State::Open => Some(self.receive_deadline().min(self.next_heartbeat_at())),
         }
     }
 
-    /// Time has passed: heartbeats are written (4.2.7), and a broker that is silent for too long is an error.
+    /// Writes a heartbeat if one is due (4.2.7) and checks the timeouts.
+    ///
+    /// # Errors
+    /// The handshake or the close has taken too long, or the broker has been silent for two heartbeat intervals.
     pub fn tick(&mut self, now: Us) -> Result<(), SessionError> {
         match self.state {
             State::Starting | State::Tuning | State::Opening
-                if now >= self.state_since + HANDSHAKE_TIMEOUT =>
+                if now >= self.state_since + HANDSHAKE_TIMEOUT_US =>
             {
                 return Err(SessionError::HandshakeTimeout)
             }
-            State::Closing if now >= self.state_since + CLOSE_TIMEOUT => {
+            State::Closing if now >= self.state_since + CLOSE_TIMEOUT_US => {
                 return Err(SessionError::CloseTimeout)
             }
             State::Open if self.heartbeat > 0 => {
                 if now >= self.receive_deadline() {
                     return Err(SessionError::HeartbeatTimeout(2 * self.heartbeat / 1000));
                 }
-                if now >= self.heartbeat_due() && self.out.is_empty() {
+                if now >= self.next_heartbeat_at() && self.out.is_empty() {
                     self.send_frame(&AMQPFrame::Heartbeat(0));
                 }
             }
@@ -154,17 +159,17 @@
         Ok(())
     }
 
-    /// A broker that sends nothing until then is taken for dead.
+    /// Returns the time at which the broker counts as failed if it has sent nothing by then.
     fn receive_deadline(&self) -> Us {
         self.last_received + 2 * self.heartbeat
     }
 
-    /// When a heartbeat is to be written unless something else is before.
-    fn heartbeat_due(&self) -> Us {
+    /// Returns the time at which a heartbeat is written unless other bytes are written before.
+    fn next_heartbeat_at(&self) -> Us {
         self.last_sent + self.heartbeat / 2
     }
 
-    /// The bytes in [`Session::out`] have been taken for writing.
+    /// Records that the bytes in [`Session::out`] have been written, and clears them.
     pub fn mark_written(&mut self, now: Us) {
         self.last_sent = self.last_sent.max(now);
         self.out.clear();
--- a/protocol/src/amqp/session/commands.rs
+++ b/protocol/src/amqp/session/commands.rs
@@ -1,4 +1,4 @@
-//! What the owner of a session asks for: channels, consumers, settlements, replies and closes.
+//! Commands of the owner of a session: channels, consumers, settlements, replies and closes.
 
 use super::{Session, State};
 use crate::amqp::channel_state::{ChannelStage, ChannelState, ConsumerStage};
@@ -10,7 +10,7 @@
 use asterrill::Us;
 
 impl Session {
-    /// Opens a channel (1.5.2.1). False if it is open already, or the connection can't be used.
+    /// Opens a channel (1.5.2.1). Returns false if the channel exists already or the connection is not open.
     pub fn open_channel(&mut self, channel: Channel) -> bool {
         if self.state != State::Open || self.channels.contains_key(&channel) {
             return false;
@@ -21,7 +21,7 @@
         true
     }
 
-    /// Asks for publisher confirms on an open channel (RabbitMQ's `confirm.select`).
+    /// Requests publisher confirms on an open channel (RabbitMQ's `confirm.select`).
     pub fn select_confirms(&mut self, channel: Channel) {
         if self.is_open(channel) {
             let select = confirm::AMQPMethod::Select(confirm::Select { nowait: false });
@@ -29,9 +29,9 @@
         }
     }
 
-    /// Consumes from a queue with at most `prefetch` unsettled deliveries, 1 or more (1.8.3.1, 1.8.3.3). False
-    /// if the channel is not open or has a consumer.
-    pub fn consume(&mut self, channel: Channel, queue: &str, consumer: &str, prefetch: u16) -> bool {
+    /// Consumes from a queue with at most `prefetch` unsettled deliveries, 1 or more (1.8.3.1, 1.8.3.3). Returns false if
+    /// `prefetch` is 0, or the channel is not open or has a consumer.
+    pub fn consume(&mut self, channel: Channel, queue: &str, consumer_tag: &str, prefetch: u16) -> bool {
         if !self.is_open(channel) || prefetch == 0 {
             return false;
         }
@@ -43,7 +43,7 @@
         let qos = basic::Qos { prefetch_count: prefetch, global: false };
         let consume = basic::Consume {
             queue: queue.into(),
-            consumer_tag: consumer.into(),
+            consumer_tag: consumer_tag.into(),
             no_local: false,
             no_ack: false,
             exclusive: false,
@@ -55,24 +55,24 @@
         true
     }
 
-    /// Cancels a consumer (1.8.3.5). What the broker sent before it reads so still arrives. False if nothing is
-    /// consumed on this channel.
-    pub fn cancel(&mut self, channel: Channel, consumer: &str) -> bool {
+    /// Cancels a consumer (1.8.3.5). Deliveries that the broker sends before it reads this still arrive. Returns false if
+    /// this channel has no active consumer.
+    pub fn cancel(&mut self, channel: Channel, consumer_tag: &str) -> bool {
         let state = self.channels.get_mut(&channel).filter(|state| state.consumer == ConsumerStage::Active);
         let Some(state) = state.filter(|_| self.state == State::Open) else { return false };
         state.consumer = ConsumerStage::Cancelling;
-        let cancel = basic::Cancel { consumer_tag: consumer.into(), nowait: false };
+        let cancel = basic::Cancel { consumer_tag: consumer_tag.into(), nowait: false };
         self.send_method(channel.0, AMQPClass::Basic(basic::AMQPMethod::Cancel(cancel)));
         true
     }
 
-    /// Settles a delivery (1.8.3.13, 1.8.3.14). False if its channel is gone: nothing is written then.
-    pub fn settle(&mut self, tag: DeliveryTag, how: Settlement) -> bool {
+    /// Settles a delivery (1.8.3.13, 1.8.3.14). Returns false and writes nothing if its channel is no longer open.
+    pub fn settle(&mut self, tag: DeliveryTag, settlement: Settlement) -> bool {
         if !self.is_current(tag) {
             return false;
         }
         let delivery_tag = tag.number;
-        let method = match how {
+        let method = match settlement {
             Settlement::Ack => basic::AMQPMethod::Ack(basic::Ack { delivery_tag, multiple: false }),
             Settlement::Reject => basic::AMQPMethod::Reject(basic::Reject { delivery_tag, requeue: false }),
             Settlement::Requeue => basic::AMQPMethod::Reject(basic::Reject { delivery_tag, requeue: true }),
@@ -81,9 +81,9 @@
         true
     }
 
-    /// Publishes a reply to the queue that its message named, through the default exchange; one that can't be
-    /// routed comes back. Hands back its number for the confirm; `None` if the channel is not open, the broker
-    /// blocks publishing, or the reply does not fit into frames.
+    /// Publishes a reply to the queue that its message named, through the default exchange. The broker returns a reply that
+    /// it can't route. Returns the publish sequence number that the confirm will carry, or `None` if the channel is not
+    /// open, the broker has blocked publishing, or the reply does not fit into frames.
     pub fn publish(&mut self, channel: Channel, reply: &Reply<'_>) -> Option<u64> {
         if !self.is_open(channel) || self.blocked {
             return None;
@@ -108,8 +108,8 @@
         Some(state.published)
     }
 
-    /// Closes a channel from this side (1.5.2.5). Nothing that comes on it counts any more; it may be opened again
-    /// once the broker has confirmed.
+    /// Closes a channel from this side (1.5.2.5). Frames that still arrive on it are ignored. The channel can be opened
+    /// again once the broker has confirmed the close.
     pub fn close_channel(&mut self, channel: Channel, code: u16, text: &str) {
         if let Some(state) = self.usable_channel(channel) {
             state.start_closing();
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Closes the connection from this side (1.4.2.10); [`crate::amqp::Event::CloseConfirmed`] follows. False if there is
-    /// no connection to close in this way.
+    /// Closes the connection from this side (1.4.2.10); [`crate::amqp::Event::CloseConfirmed`] follows. Returns false if
+    /// there is no connection, `connection.start` has not arrived yet, or the connection is closing already.
     pub fn close(&mut self, now: Us, code: u16, text: &str) -> bool {
         if matches!(self.state, State::Disconnected | State::Starting | State::Closing) {
             return false;
@@ -134,7 +134,7 @@
         true
     }
 
-    /// A channel that is not being closed here.
+    /// Returns the state of a channel unless it is being closed from this side.
     pub(super) fn usable_channel(&mut self, channel: Channel) -> Option<&mut ChannelState> {
         self.channels.get_mut(&channel).filter(|state| state.stage != ChannelStage::Closing)
     }
--- a/protocol/src/amqp/session/incoming.rs
+++ b/protocol/src/amqp/session/incoming.rs
@@ -1,4 +1,4 @@
-//! What the broker sends: the handshake, methods on channels, and the content of messages.
+//! Processing of frames from the broker: the handshake, methods on channels, and the content of messages.
 
 use super::{Session, State};
 use crate::amqp::channel_state::{ChannelStage, ConsumerStage, ContentMethod};
@@ -10,16 +10,17 @@
 use amq_protocol::protocol::{basic, channel, confirm, connection, AMQPClass};
 use asterrill::Us;
 
-/// The most channels that are asked for.
+/// Maximum number of channels that is proposed to the broker.
 const MAX_CHANNELS: u16 = 256;
-/// The longest part of the broker's list of mechanisms that an error quotes, in characters.
-const MAX_QUOTED: usize = 64;
+/// Maximum number of characters of the broker's list of mechanisms that an error quotes.
+const MAX_QUOTED_CHARS: usize = 64;
 
 impl Session {
-    /// Takes from `input` up to the end of the next frame that makes an event. Without one all of it was taken.
+    /// Reads frames up to the next one that results in an event, and advances `input` past it. Without such a frame, all of
+    /// `input` is consumed.
     ///
     /// # Errors
-    /// After any error the connection must be given up.
+    /// Invalid frame, or one that is not allowed in the current state. The connection can't be used any more.
     pub fn read(&mut self, now: Us, input: &mut &[u8]) -> Result<Option<Event>, SessionError> {
         if self.state == State::Disconnected {
             *input = &[];
@@ -29,7 +30,7 @@
             self.last_received = self.last_received.max(now);
         }
         while let Some(frame) = self.frames.next(input)? {
-            let event = self.frame(now, frame)?;
+            let event = self.process_frame(now, frame)?;
             if event.is_some() {
                 return Ok(event);
             }
@@ -37,14 +38,14 @@
         Ok(None)
     }
 
-    fn frame(&mut self, now: Us, frame: AMQPFrame) -> Result<Option<Event>, SessionError> {
+    fn process_frame(&mut self, now: Us, frame: AMQPFrame) -> Result<Option<Event>, SessionError> {
         match frame {
             AMQPFrame::Method(0, method) => self.connection_method(now, method),
             _ if matches!(self.state, State::Starting | State::Tuning | State::Opening) => {
                 Err(UNEXPECTED_FRAME)
             }
             AMQPFrame::Heartbeat(_) => Ok(None),
-            // After our close nothing counts but its answer (1.4.2.10).
+            // After the close of the connection, only its confirmation is processed (1.4.2.10).
             _ if self.state != State::Open => Ok(None),
             AMQPFrame::Method(n, method) => self.channel_method(Channel(n), method),
             AMQPFrame::Header(n, class, header) => {
@@ -62,7 +63,7 @@
         match (self.state, method) {
             (State::Starting, Method::Start(start)) => self.start(&start),
             (State::Tuning, Method::Secure(_)) => {
-                Err(SessionError::Protocol("the broker wants more than PLAIN"))
+                Err(SessionError::Protocol("expected connection.tune; the broker sent connection.secure"))
             }
             (State::Tuning, Method::Tune(tune)) => self.tune(&tune),
             (State::Opening, Method::OpenOk(_)) => {
@@ -89,11 +90,11 @@
         }
     }
 
-    /// `connection.start` (1.4.2.1): answered with the credentials.
+    /// Answers `connection.start` (1.4.2.1) with the credentials.
     fn start(&mut self, start: &connection::Start) -> Result<Option<Event>, SessionError> {
         let mechanisms = String::from_utf8_lossy(start.mechanisms.as_bytes()).into_owned();
         if !mechanisms.split(' ').any(|mechanism| mechanism == "PLAIN") {
-            return Err(SessionError::PlainNotOffered(mechanisms.chars().take(MAX_QUOTED).collect()));
+            return Err(SessionError::PlainNotOffered(mechanisms.chars().take(MAX_QUOTED_CHARS).collect()));
         }
         let Credentials { user, password } = &self.login.credentials;
         let start_ok = connection::StartOk {
@@ -107,7 +108,8 @@
         Ok(None)
     }
 
-    /// `connection.tune` (1.4.2.5): the smaller of both sides' limits holds; a limit of 0 is none.
+    /// Answers `connection.tune` (1.4.2.5) with the smaller of both sides' limits, where 0 stands for no limit, and opens
+    /// the virtual host.
     fn tune(&mut self, tune: &connection::Tune) -> Result<Option<Event>, SessionError> {
         let proposed = if tune.frame_max == 0 { u32::MAX } else { tune.frame_max };
         if (proposed as usize) < MIN_FRAME_BYTES {
@@ -115,9 +117,12 @@
         }
         let channel_max =
             if tune.channel_max == 0 { MAX_CHANNELS } else { tune.channel_max.min(MAX_CHANNELS) };
-        let ours = (self.login.heartbeat / 1_000_000).min(u16::MAX.into()) as u16;
-        let theirs = tune.heartbeat;
-        let heartbeat = if ours == 0 || theirs == 0 { ours.max(theirs) } else { ours.min(theirs) };
+        let own_heartbeat = (self.login.heartbeat / 1_000_000).min(u16::MAX.into()) as u16;
+        let heartbeat = if own_heartbeat == 0 || tune.heartbeat == 0 {
+            own_heartbeat.max(tune.heartbeat)
+        } else {
+            own_heartbeat.min(tune.heartbeat)
+        };
         self.max_frame_size = (proposed as usize).min(MAX_FRAME_BYTES);
         self.heartbeat = Us::from(heartbeat) * 1_000_000;
         self.frames.set_max_frame_size(self.max_frame_size);
@@ -131,7 +136,7 @@
     }
 
     fn channel_method(&mut self, channel: Channel, method: AMQPClass) -> Result<Option<Event>, SessionError> {
-        // A channel that was closed here may still be used by the broker until it has read so.
+        // The broker may still send on a channel that was closed from this side, until it has read the close.
         let Some(state) = self.channels.get_mut(&channel) else { return Ok(None) };
         if state.stage == ChannelStage::Closing {
             self.method_while_closing(channel, &method);
@@ -215,7 +220,8 @@
         }
     }
 
-    /// The broker's cancel may cross ours: one event for both is enough.
+    /// Processes a cancel by the broker. If it crosses a cancel from this side, only the confirmation of the latter results
+    /// in an event.
     fn cancelled_by_broker(&mut self, channel: Channel, cancel: basic::Cancel) -> Option<Event> {
         let state = self.channels.get_mut(&channel)?;
         let was_active = state.consumer == ConsumerStage::Active;
