--- a/consumer/src/action.rs
+++ b/consumer/src/action.rs
@@ -1,74 +1,77 @@
-//! What a [`crate::QueueConsumer`] asks of the owner of the session and of the engine.
+//! Actions that a [`crate::QueueConsumer`] requests from the owner of the session and of the engine.
 
 use asterrill::{CallerId, MethodId, Us};
 use asterrill_protocol::amqp::{DeliveryTag, Settlement};
 
-/// A message in flight, as the engine's address for its answer. The queue's number is in the upper 16 bits.
+/// Id of a message in flight, by which the engine addresses its answer. The upper 16 bits are the queue's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InFlightId(pub u64);
 
-/// A message to be submitted to the engine as an RPC.
+/// Submission of a message to the engine as an RPC.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Submission {
-    /// The message; its body is [`crate::QueueConsumer::body`].
+    /// Id of the message, whose body is [`crate::QueueConsumer::body`].
     pub id: InFlightId,
-    /// The method to run.
+    /// Method to run.
     pub method: MethodId,
-    /// The index of its tenant, where tenants are configured.
+    /// Index of the tenant, if tenants are configured.
     pub tenant: Option<usize>,
-    /// Its caller, for fair shares among callers.
+    /// Caller, for fair shares among callers.
     pub caller: CallerId,
-    /// When it must be answered, in microseconds.
+    /// Time by which it must be answered, in microseconds.
     pub deadline: Us,
-    /// Memory to account for it, in kB.
+    /// Memory that it is accounted for, in kB.
     pub size_kb: f64,
 }
 
-/// What is to be done, in the order in which it is handed back.
+/// Action to be carried out, in the order in which [`crate::QueueConsumer::next_action`] returns it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Open the queue's channel; answered by `channel_opened` or `channel_open_failed`.
+    /// Open the queue's channel. The owner answers with [`crate::QueueConsumer::channel_opened`] or
+    /// [`crate::QueueConsumer::channel_open_failed`].
     OpenChannel,
     /// Close the channel.
     CloseChannel {
-        /// The reply code of AMQP 0-9-1.
+        /// Reply code of AMQP 0-9-1.
         code: u16,
-        /// The reply text.
+        /// Reply text.
         reason: &'static str,
     },
-    /// Set the prefetch and consume; answered by `consume_ok`.
+    /// Set the prefetch and consume. The owner answers with [`crate::QueueConsumer::consume_ok`].
     Consume {
-        /// Deliveries that may be unsettled at a time.
+        /// Number of deliveries that may be unsettled at a time.
         prefetch: u16,
     },
-    /// Cancel the consumer; answered by `cancelled`.
+    /// Cancel the consumer. The owner answers with [`crate::QueueConsumer::cancelled`].
     Cancel,
-    /// Submit a message to the engine; the body is [`crate::QueueConsumer::body`].
+    /// Submit a message to the engine. Its body is [`crate::QueueConsumer::body`].
     Submit(Submission),
-    /// Withdraw a submission that has not run; [`crate::QueueConsumer::withdrawn`] follows if that was possible.
+    /// Withdraw a submission that has not run. The owner answers with [`crate::QueueConsumer::withdrawn`] if that
+    /// succeeded.
     Withdraw(InFlightId),
     /// Settle one delivery.
     Settle {
-        /// The delivery's tag.
+        /// Tag of the delivery.
         tag: DeliveryTag,
-        /// Ack, reject or requeue.
+        /// Settlement: ack, reject or requeue.
         settlement: Settlement,
     },
-    /// Publish [`crate::QueueConsumer::pending_reply`]; `reply_published` follows once that was possible.
+    /// Publish [`crate::QueueConsumer::pending_reply`]. The owner answers with
+    /// [`crate::QueueConsumer::reply_published`] if that succeeded.
     PublishReply(InFlightId),
     /// Write a line to the operators' log.
     Log(String),
 }
 
-/// A reply to a message with `reply-to` that is to be published now.
+/// Reply to a message with `reply-to`, to be published now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PendingReply<'a> {
-    /// The queue that the message named in `reply-to`.
+    /// Queue that the message named in `reply-to`.
     pub reply_to: &'a str,
-    /// The `correlation-id` of the message.
+    /// `correlation-id` of the message.
     pub correlation_id: Option<&'a str>,
-    /// Whether the RPC was answered ok; else it was aborted.
+    /// Whether the RPC was answered ok; if not, it was aborted.
     pub ok: bool,
-    /// The result, cut to a bounded length.
+    /// Result, truncated to a maximum length.
     pub body: &'a [u8],
 }
--- a/consumer/src/config.rs
+++ b/consumer/src/config.rs
@@ -1,63 +1,64 @@
-//! What the operators set for a queue.
+//! Configuration of a queue's consumer.
 
 use crate::field_source::FieldSource;
 use asterrill::Us;
 
-/// Messages that are held beyond three prefetch windows at the most.
+/// Number of messages that may be held in addition to three prefetch windows.
 const IN_FLIGHT_MARGIN: usize = 16;
 
-/// The bounds of an exponential backoff.
+/// Bounds of an exponential backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// The first delay, in microseconds.
+    /// First delay, in microseconds.
     pub min: Us,
-    /// The longest delay, in microseconds.
+    /// Maximum delay, in microseconds.
     pub max: Us,
 }
 
 impl Backoff {
-    /// The largest exponent; with it the delay is at `max` for any sensible `min`.
+    /// Maximum number of times that the delay doubles. It bounds the factor to 2^20, with which any usual `min` reaches
+    /// `max`.
     const MAX_DOUBLINGS: u32 = 20;
 
-    /// The delay after so many earlier ones: it doubles with each, up to `max`.
-    pub(crate) fn delay(self, earlier: u32) -> Us {
-        let factor = 1 << earlier.min(Self::MAX_DOUBLINGS);
+    /// Returns the delay after a number of previous delays. It doubles with each of them, up to `max`.
+    pub(crate) fn delay(self, previous_delays: u32) -> Us {
+        let factor = 1 << previous_delays.min(Self::MAX_DOUBLINGS);
         self.min.saturating_mul(factor).min(self.max)
     }
 }
 
-/// The configuration of one queue's consumer.
+/// Configuration of one queue's consumer.
 #[derive(Clone, Debug)]
 pub struct ConsumerConfig {
-    /// The queue's name at the broker.
+    /// Name of the queue at the broker.
     pub name: String,
-    /// Where a delivery's method is read from.
+    /// Source of a delivery's method.
     pub method: FieldSource,
-    /// Where its tenant is read from.
+    /// Source of a delivery's tenant.
     pub tenant: FieldSource,
-    /// Where its caller is read from.
+    /// Source of a delivery's caller.
     pub caller: FieldSource,
-    /// Upper bound of the prefetch: deliveries unsettled at a time, 1 or more.
+    /// Maximum prefetch, the number of deliveries that may be unsettled at a time; 1 or more.
     pub prefetch: u16,
-    /// The longest time from reading a delivery to its deadline, in microseconds.
+    /// Maximum time from reading a delivery to its deadline, in microseconds.
     pub processing_timeout: Us,
-    /// Runs of a message, those before a redelivery included, after which it is rejected.
+    /// Number of runs of a message, including those before a redelivery, after which it is rejected.
     pub max_attempts: u32,
-    /// The delay before a message is submitted again.
+    /// Delay before a message is submitted again.
     pub backoff: Backoff,
-    /// Memory that is accounted for a message in flight, in kB.
+    /// Memory that a message in flight is accounted for, in kB.
     pub size_kb: f64,
-    /// How long the settlement of a message is remembered for its redeliveries, in microseconds.
+    /// Time for which the settlement of a message is remembered for its redeliveries, in microseconds.
     pub dedup_ttl: Us,
-    /// How many settlements are remembered at most.
+    /// Maximum number of settlements that are remembered.
     pub dedup_capacity: usize,
-    /// Whether a redelivered message of a non-idempotent method is run though it is not known whether it has run.
+    /// Whether a redelivered message of a non-idempotent method is run although it may have run before.
     pub run_unverified_redeliveries: bool,
 }
 
 impl ConsumerConfig {
-    /// The most messages that may be held at a time: two windows, one of them cancelled but still on its way, and
-    /// what still runs from before a channel was lost.
+    /// Returns the maximum number of messages that may be held at a time. It allows for the current window, a window of a
+    /// cancelled consumer whose deliveries still arrive, and messages that still run from before a channel was lost.
     pub fn max_in_flight(&self) -> usize {
         usize::from(self.prefetch) * 3 + IN_FLIGHT_MARGIN
     }
--- a/consumer/src/dedup.rs
+++ b/consumer/src/dedup.rs
@@ -1,26 +1,26 @@
-//! Whether a delivery repeats an earlier one, and how that one was settled.
+//! Detection of deliveries that repeat an earlier one, and the settlements remembered for them.
 
 use asterrill::Us;
 use asterrill_protocol::amqp::{Delivery, Settlement};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::Xxh3;
 
-/// By what a redelivery of a message is recognized.
+/// Identity of a message, by which its redelivery is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum MessageIdentity {
-    /// The hash of its `message-id`: two deliveries with one id are one message.
-    Named(u128),
-    /// The hash of all its content, where it has no id: equal messages are distinguished only by their number.
+    /// Hash of the `message-id`. Deliveries with the same id are the same message.
+    MessageId(u128),
+    /// Hash of the content of a message without an id. Messages with equal content can only be counted, not told apart.
     Content(u128),
 }
 
 impl MessageIdentity {
-    /// The identity of a delivery within its queue.
+    /// Returns the identity of a delivery within its queue.
     pub(crate) fn of(delivery: &Delivery) -> MessageIdentity {
         let mut hash = Xxh3::new();
         if let Some(id) = delivery.properties.message_id.as_ref().filter(|id| !id.is_empty()) {
             hash_part(&mut hash, id.as_bytes());
-            return MessageIdentity::Named(hash.digest128());
+            return MessageIdentity::MessageId(hash.digest128());
         }
         let properties = &delivery.properties;
         hash_part(&mut hash, delivery.exchange.as_bytes());
@@ -36,19 +36,19 @@
         MessageIdentity::Content(hash.digest128())
     }
 
-    /// Whether the publisher named the message.
-    pub(crate) fn is_named(self) -> bool {
-        matches!(self, MessageIdentity::Named(_))
+    /// Reports whether the message has a `message-id`.
+    pub(crate) fn has_message_id(self) -> bool {
+        matches!(self, MessageIdentity::MessageId(_))
     }
 }
 
-/// Hashes a part with its length before it, so that parts can't run into one another.
+/// Hashes a part after its length, so that different divisions into parts have different hashes.
 fn hash_part(hash: &mut Xxh3, bytes: &[u8]) {
     hash.update(&(bytes.len() as u64).to_le_bytes());
     hash.update(bytes);
 }
 
-/// One remembered settlement.
+/// Remembered settlement of one message.
 #[derive(Clone, Copy, Debug)]
 struct SettledEntry {
     sequence: u64,
@@ -56,7 +56,7 @@
     settlement: Settlement,
 }
 
-/// The place of a remembered settlement in the order of expiry.
+/// Sort key of remembered settlements by their expiry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ExpiryKey {
     expires_at: Us,
@@ -64,7 +64,7 @@
     identity: MessageIdentity,
 }
 
-/// How messages were settled, for a limited time and in a limited number; the oldest go first.
+/// Settlements of messages, remembered for a limited time and up to a maximum number. The oldest are removed first.
 #[derive(Debug)]
 pub(crate) struct SettledMessages {
     ttl: Us,
@@ -75,7 +75,7 @@
 }
 
 impl SettledMessages {
-    /// Remembers at most `capacity` settlements, each for `ttl` microseconds.
+    /// Returns an empty memory of at most `capacity` settlements, each of which is remembered for `ttl` microseconds.
     pub(crate) fn new(ttl: Us, capacity: usize) -> SettledMessages {
         SettledMessages {
             ttl,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Changes the limits. The time to live applies to what is remembered from now on.
+    /// Changes the limits. The new time to live applies only to settlements inserted from now on.
     pub(crate) fn set_limits(&mut self, ttl: Us, capacity: usize) {
         self.ttl = ttl;
         self.capacity = capacity;
@@ -95,15 +95,15 @@
         }
     }
 
-    /// Settlements remembered now.
+    /// Returns the number of settlements remembered.
     pub(crate) fn len(&self) -> usize {
         self.by_expiry.len()
     }
 
-    /// A message was settled. A named one is remembered once, with its first settlement.
+    /// Remembers the settlement of a message. For a message with an id, only the first settlement is remembered.
     pub(crate) fn insert(&mut self, now: Us, identity: MessageIdentity, settlement: Settlement) {
         self.expire(now);
-        let already_remembered = identity.is_named() && self.by_identity.contains_key(&identity);
+        let already_remembered = identity.has_message_id() && self.by_identity.contains_key(&identity);
         if self.capacity == 0 || already_remembered {
             return;
         }
@@ -117,13 +117,13 @@
         self.by_expiry.insert(ExpiryKey { expires_at, sequence, identity });
     }
 
-    /// How a message was settled. The entry of one without a name is used up by this: the next equal delivery is
-    /// another message.
+    /// Returns how a message was settled. For a message without an id, this also removes the entry, because the next equal
+    /// delivery is another message.
     pub(crate) fn take(&mut self, now: Us, identity: MessageIdentity) -> Option<Settlement> {
         self.expire(now);
         let SettledEntry { sequence, expires_at, settlement } =
             self.by_identity.get(&identity)?.first().copied()?;
-        if !identity.is_named() {
+        if !identity.has_message_id() {
             self.remove(ExpiryKey { expires_at, sequence, identity });
         }
         Some(settlement)
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The one place where an entry is removed from both indexes.
+    /// Removes an entry from both indexes. Entries are removed only here.
     fn remove(&mut self, key: ExpiryKey) {
         self.by_expiry.remove(&key);
         if let Some(entries) = self.by_identity.get_mut(&key.identity) {
--- a/consumer/src/execution.rs
+++ b/consumer/src/execution.rs
@@ -3,12 +3,12 @@
 use crate::action::InFlightId;
 use crate::message::MessageState;
 use crate::queue::QueueConsumer;
-use crate::settlement::{AttemptHistory, Disposition, RetryPolicy};
+use crate::retry_policy::{AttemptHistory, Disposition, RetryPolicy};
 use asterrill::{FinalAnswer, Idempotency, Us};
 use asterrill_protocol::amqp::Settlement;
 
 impl QueueConsumer {
-    /// A run of a message was started.
+    /// Records that a run of a message has started.
     pub fn run_started(&mut self, id: InFlightId) {
         if let Some(message) = self.messages.get_mut(&id) {
             message.state = MessageState::Submitted { run_started: true };
@@ -16,7 +16,7 @@
         }
     }
 
-    /// A submission was withdrawn from the engine before it ran. The message waits for its redelivery.
+    /// Records that a submission was withdrawn from the engine before it ran. The message waits for its redelivery.
     pub fn withdrawn(&mut self, now: Us, id: InFlightId) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         if message.is_submitted_unstarted() {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The engine gave its final answer.
+    /// Processes the final answer of the engine: the message is settled or retried.
     pub fn answered(&mut self, now: Us, id: InFlightId, answer: FinalAnswer<'_>) {
         let Some(message) = self.messages.get(&id) else { return };
         let MessageState::Submitted { run_started } = message.state else { return };
@@ -42,9 +42,9 @@
             draining: self.draining,
         };
         match policy.decide(now, &answer, history) {
-            Disposition::Retry { delay } => self.retry_later(now + delay, id, run_started),
+            Disposition::Retry { delay } => self.schedule_retry(now + delay, id, run_started),
             Disposition::Settle(settlement) => {
-                self.count_unsuccessful(id, settlement, history);
+                self.count_rejection(id, settlement, history);
                 let result = match answer {
                     FinalAnswer::Ok(result) => result,
                     _ => &[],
@@ -54,7 +54,8 @@
         }
     }
 
-    fn retry_later(&mut self, retry_at: Us, id: InFlightId, ran: bool) {
+    /// Holds a message until `retry_at`. `ran` says whether its last submission has run.
+    fn schedule_retry(&mut self, retry_at: Us, id: InFlightId, ran: bool) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.state = MessageState::Waiting { retry_at };
         if ran {
@@ -67,16 +68,16 @@
         self.set_timer(retry_at, id);
     }
 
-    /// Counts why the deliveries of a message are rejected, if they are.
-    fn count_unsuccessful(&mut self, id: InFlightId, settlement: Settlement, history: AttemptHistory) {
+    /// Counts the reason why the deliveries of a message are rejected, if they are.
+    fn count_rejection(&mut self, id: InFlightId, settlement: Settlement, history: AttemptHistory) {
         if settlement != Settlement::Reject {
             return;
         }
         let Some(message) = self.messages.get(&id) else { return };
-        let attempts_used_up =
+        let attempts_exhausted =
             history.idempotency == Idempotency::Idempotent && history.runs >= self.config.max_attempts;
         let count = match history.ran {
-            true if attempts_used_up => &mut self.stats.poisoned,
+            true if attempts_exhausted => &mut self.stats.poisoned,
             true => &mut self.stats.failed,
             false => &mut self.stats.expired,
         };
--- a/consumer/src/field_source.rs
+++ b/consumer/src/field_source.rs
@@ -1,20 +1,21 @@
-//! Where a value of a delivery is read from.
+//! Source from which a value of a delivery is read.
 
 use asterrill_protocol::amqp::MessageProperties;
 use std::collections::BTreeMap;
 
-/// Where a value of a delivery is read from: a header, or a default for the whole queue.
+/// Source from which a value of a delivery is read: a header, or a default for the whole queue.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FieldSource {
-    /// The header's name; none to use the default always.
+    /// Name of the header; none to always use the default.
     pub header: Option<String>,
-    /// Values of the header that stand for others; one that is not listed stands for itself.
+    /// Replacements of values of the header. A value that is not listed is used as it is.
     pub aliases: BTreeMap<String, String>,
-    /// The value without the header.
+    /// Value to use if the delivery lacks the header.
     pub default: Option<String>,
 }
 
 impl FieldSource {
+    /// Returns the value for a delivery with these properties.
     pub(crate) fn read<'a>(&'a self, properties: &'a MessageProperties) -> Option<&'a str> {
         let value = self.header.as_ref().and_then(|name| properties.headers.get(name));
         match value {
--- a/consumer/src/intake.rs
+++ b/consumer/src/intake.rs
@@ -1,24 +1,24 @@
-//! The intake of deliveries: each is submitted to the engine, joined to a message in flight, or settled at once.
+//! Intake of deliveries: each is submitted to the engine, joined to a message in flight, or settled at once.
 
 use crate::action::{Action, InFlightId, Submission};
 use crate::deadline::deadline;
 use crate::dedup::MessageIdentity;
 use crate::message::{Message, MessageState, ReplyAddress};
-use crate::queue::{QueueConsumer, MIN_REOPEN_DELAY};
+use crate::queue::{QueueConsumer, MIN_REOPEN_DELAY_US};
 use crate::routes::{route, Catalog, Route, RouteError};
 use crate::subscription::Subscription;
 use asterrill::{Idempotency, Us};
 use asterrill_protocol::amqp::{Delivery, DeliveryTag, MessageProperties, Settlement};
 
-/// The reply code of AMQP 0-9-1 for a precondition that failed.
+/// Reply code of AMQP 0-9-1 for a failed precondition.
 const PRECONDITION_FAILED: u16 = 406;
 
 impl QueueConsumer {
-    /// A message was delivered. Its route is found among the methods and tenants that are in force now.
+    /// Processes a delivery. Its route is looked up among the methods and tenants that are active now.
     pub fn delivered(&mut self, now: Us, delivery: Delivery, catalog: &dyn Catalog) {
         self.stats.deliveries += 1;
         self.stats.redelivered += u64::from(delivery.redelivered);
-        self.reopen_delay = MIN_REOPEN_DELAY;
+        self.reopen_delay = MIN_REOPEN_DELAY_US;
         let tag = delivery.tag;
         if self.draining {
             self.settle_delivery(tag, Settlement::Requeue);
@@ -34,11 +34,12 @@
             Err(error) => return self.reject_unrouted(tag, &error),
         };
         let identity = MessageIdentity::of(&delivery);
-        if self.absorb_duplicate(now, identity, &delivery, route.idempotency) {
+        if self.settle_or_join_duplicate(now, identity, &delivery, route.idempotency) {
             return;
         }
         let prior_runs = prior_runs(&delivery);
-        let Some(deadline) = self.runnable_until(now, &delivery.properties, route.idempotency, prior_runs)
+        let Some(deadline) =
+            self.deadline_if_runnable(now, &delivery.properties, route.idempotency, prior_runs)
         else {
             self.settle_delivery(tag, Settlement::Reject);
             return;
@@ -47,11 +48,11 @@
             self.close_overrun_channel(now);
             return;
         }
-        self.take_in(delivery, identity, route, deadline, prior_runs);
+        self.accept(delivery, identity, route, deadline, prior_runs);
     }
 
-    /// Counts the reason if a message must not be run; else says until when it may run.
-    fn runnable_until(
+    /// Returns the deadline of a message; none if it must not run, and the reason is counted then.
+    fn deadline_if_runnable(
         &mut self, now: Us, properties: &MessageProperties, idempotency: Idempotency, prior_runs: u32,
     ) -> Option<Us> {
         let may_have_run = prior_runs > 0 && idempotency == Idempotency::NonIdempotent;
@@ -68,7 +69,7 @@
         deadline
     }
 
-    /// The broker delivered more than the prefetch allows.
+    /// Closes the channel because the broker delivered more than the prefetch allows. It is reopened after a delay.
     fn close_overrun_channel(&mut self, now: Us) {
         self.stats.overrun += 1;
         let delay = self.next_reopen_delay();
@@ -79,7 +80,8 @@
         });
     }
 
-    fn take_in(
+    /// Adds a message to the table and submits it to the engine.
+    fn accept(
         &mut self, delivery: Delivery, identity: MessageIdentity, route: Route, deadline: Us, prior_runs: u32,
     ) {
         self.last_id += 1;
@@ -111,13 +113,13 @@
         self.actions.push_back(Action::Submit(submission));
     }
 
-    /// If a delivery is of a message that is in flight or was settled, it is settled like that one; true then. A
-    /// message without a name must be marked as redelivered for this, and is joined only to one whose own delivery was
-    /// lost.
-    fn absorb_duplicate(
+    /// Joins a delivery to a message in flight or settles it like an earlier delivery, if it is of the same message.
+    /// Returns whether it is. A message without an id must be marked as redelivered for this, and is joined only to a
+    /// message whose own deliveries were lost.
+    fn settle_or_join_duplicate(
         &mut self, now: Us, identity: MessageIdentity, delivery: &Delivery, idempotency: Idempotency,
     ) -> bool {
-        if !delivery.redelivered && (!identity.is_named() || idempotency == Idempotency::Idempotent) {
+        if !delivery.redelivered && (!identity.has_message_id() || idempotency == Idempotency::Idempotent) {
             return false;
         }
         if let Some(id) = self.in_flight_duplicate(identity) {
@@ -130,15 +132,15 @@
         true
     }
 
-    /// The message in flight that a delivery with this identity belongs to.
+    /// Returns the message in flight to which a delivery with this identity belongs.
     fn in_flight_duplicate(&self, identity: MessageIdentity) -> Option<InFlightId> {
-        let lost_its_delivery =
+        let has_no_delivery =
             |id: &InFlightId| self.messages.get(id).is_some_and(|message| message.delivery_tags.is_empty());
         let candidates = self.by_identity.get(&identity)?;
-        candidates.iter().find(|id| identity.is_named() || lost_its_delivery(id)).copied()
+        candidates.iter().find(|id| identity.has_message_id() || has_no_delivery(id)).copied()
     }
 
-    /// Joins a delivery to a message in flight: both are settled together.
+    /// Joins a delivery to a message in flight, whose deliveries are settled together.
     fn join(&mut self, now: Us, id: InFlightId, tag: DeliveryTag) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         message.delivery_tags.push(tag);
@@ -150,11 +152,13 @@
         }
     }
 
+    /// Rejects a delivery that has no route.
     fn reject_unrouted(&mut self, tag: DeliveryTag, error: &RouteError) {
-        // Logged at the 1st, 2nd, 3rd, 5th, 9th and so on: a misconfigured queue must not flood the log.
+        // Only the 1st, 2nd, 3rd, 5th, 9th and so on is logged, so that a misconfigured queue does not flood the log.
         let logged = self.stats.unrouted == 0 || self.stats.unrouted.is_power_of_two();
         if logged {
-            let line = format!("rejected a delivery of queue {} without a route: {error}", self.config.name);
+            let line =
+                format!("rejected a delivery from queue {}, which has no route: {error}", self.config.name);
             self.actions.push_back(Action::Log(line));
         }
         self.stats.unrouted += 1;
@@ -162,8 +166,8 @@
     }
 }
 
-/// How often a message was run before, as far as the broker says: a queue that counts says how often it was delivered;
-/// else a redelivered message was delivered once at least.
+/// Returns how often a message may have run before this delivery. If the queue counts deliveries, this is the number of
+/// earlier ones. If not, a message marked as redelivered counts as delivered once before.
 fn prior_runs(delivery: &Delivery) -> u32 {
     let deliveries = delivery.properties.delivery_count.unwrap_or(u64::from(delivery.redelivered));
     u32::try_from(deliveries).unwrap_or(u32::MAX)
--- a/consumer/src/lib.rs
+++ b/consumer/src/lib.rs
@@ -1,32 +1,34 @@
-//! The deliveries of one AMQP queue, from the moment each was read until it is settled.
+//! Consumer of one AMQP queue: the processing of each delivery, from the time it is read until it is settled.
 //!
-//! A [`QueueConsumer`] is given what happens on its channel and what the engine answered, with the current time,
-//! and hands back what is to be done as a list of [`Action`]s. It has no socket and no clock.
+//! A [`QueueConsumer`] is a state machine without I/O. Its inputs are the events on its channel and the answers of the
+//! engine, each with the current time. Its output is a queue of [`Action`]s for its owner to carry out.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | `config` | what the operators set for a queue |
-//! | `field_source` | where a value of a delivery is read from |
-//! | `action` | what the owner of the session and of the engine is asked to do |
-//! | `routes` | the method, tenant and caller of a delivery |
-//! | `deadline` | by when a delivery must be answered |
-//! | `dedup` | whether a delivery repeats an earlier one, and how that one was settled |
-//! | `prefetch` | how many deliveries may be unsettled at a time, from the published credit, cores and memory |
-//! | `settlement` | what an answer makes of a delivery: ack, reject, requeue, or a retry after a backoff |
-//! | `message`, `subscription` | the states of one message and of the subscription |
-//! | `queue` | the table of messages in flight: its construction and its figures |
-//! | `channel`, `intake`, `execution`, `replies`, `timers`, `settling` | the inputs of [`QueueConsumer`], by concern |
+//! | `config` | configuration of a queue |
+//! | `field_source` | source from which a value of a delivery is read |
+//! | `action` | actions for the owner of the session and of the engine |
+//! | `routes` | method, tenant and caller of a delivery |
+//! | `deadline` | deadline of a delivery |
+//! | `dedup` | detection of redelivered messages, and settlements remembered for them |
+//! | `prefetch` | number of deliveries that may be unsettled at a time, from the published credit, cores and memory |
+//! | `retry_policy` | decision after an answer of the engine: ack, reject, requeue, or a retry after a backoff |
+//! | `message`, `subscription` | states of one message and of the subscription |
+//! | `queue` | table of messages in flight: construction, configuration and getters |
+//! | `stats` | counters of a queue |
+//! | `channel`, `intake`, `execution`, `replies`, `timers`, `settling` | inputs of [`QueueConsumer`], by concern |
 //!
 //! Guarantees:
-//! - Each delivery is settled once, by the delivery tag that it came with, or its channel was lost first.
-//! - A message of a non-idempotent method, or of one with idempotency keys, that is in flight or was settled here is
-//!   never submitted again: a redelivery of it is settled like the first delivery.
-//! - A rejected message is held until its retry is due and counts as unsettled meanwhile, so that it is never
-//!   redelivered in a tight loop.
-//! - At most [`ConsumerConfig::max_in_flight`] messages are held; a broker that exceeds the prefetch loses its channel.
+//! - Each delivery is settled exactly once, by its own delivery tag, unless its channel is lost before.
+//! - A message of a non-idempotent method, or of a method with idempotency keys, is not submitted again while it is in
+//!   flight or its settlement is remembered: a redelivery of it is settled like the first delivery.
+//! - A rejected message is held until its retry is due and counts as unsettled meanwhile, so that the broker does not
+//!   redeliver it in a tight loop.
+//! - At most [`ConsumerConfig::max_in_flight`] messages are held. If the broker exceeds this, the channel is closed.
 //!
-//! Nothing survives a restart of the process. A redelivered message of a non-idempotent method that was not seen since
-//! the start is therefore rejected, unless [`ConsumerConfig::run_unverified_redeliveries`] is set.
+//! The state is in memory only and is lost when the process restarts. A redelivered message of a non-idempotent method
+//! that has not been seen since the start is therefore rejected, unless [`ConsumerConfig::run_unverified_redeliveries`]
+//! is set.
 
 #![warn(missing_docs)]
 
@@ -42,8 +44,8 @@
 mod prefetch;
 mod queue;
 mod replies;
+mod retry_policy;
 mod routes;
-mod settlement;
 mod settling;
 mod stats;
 mod subscription;
--- a/consumer/src/message.rs
+++ b/consumer/src/message.rs
@@ -1,37 +1,37 @@
-//! The state of one message in flight.
+//! State of one message in flight.
 
 use crate::action::Submission;
 use crate::dedup::MessageIdentity;
 use asterrill::{Idempotency, Us};
 use asterrill_protocol::amqp::{DeliveryTag, Settlement};
 
-/// A message that was taken in and is not settled.
+/// Message that was accepted and is not settled.
 pub(crate) struct Message {
     pub(crate) identity: MessageIdentity,
     pub(crate) idempotency: Idempotency,
     pub(crate) submission: Submission,
     pub(crate) body: Vec<u8>,
-    /// The tags of all its unsettled deliveries; empty while its channel is lost and it was not redelivered.
+    /// Tags of all its unsettled deliveries. Empty if the channel was lost and the message has not been redelivered.
     pub(crate) delivery_tags: Vec<DeliveryTag>,
     pub(crate) state: MessageState,
-    /// Runs that were made, here or before a redelivery.
+    /// Number of runs, here or before a redelivery.
     pub(crate) runs: u32,
     pub(crate) consecutive_rejections: u32,
     pub(crate) reply_address: Option<ReplyAddress>,
 }
 
 impl Message {
-    /// Whether it waits for a retry.
+    /// Reports whether the message waits for a retry.
     pub(crate) fn is_waiting(&self) -> bool {
         matches!(self.state, MessageState::Waiting { .. })
     }
 
-    /// Whether it is with the engine and no run of it was started.
+    /// Reports whether the message was submitted to the engine and its run has not started.
     pub(crate) fn is_submitted_unstarted(&self) -> bool {
         self.state == MessageState::Submitted { run_started: false }
     }
 
-    /// Its reply, while one is to be published or confirmed.
+    /// Returns the reply that is to be published or confirmed, if any.
     pub(crate) fn outgoing_reply_mut(&mut self) -> Option<&mut OutgoingReply> {
         match &mut self.state {
             MessageState::Replying(reply) => Some(reply),
@@ -40,32 +40,32 @@
     }
 }
 
-/// Where a message is between its delivery and its settlement.
+/// State of a message between its delivery and its settlement.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum MessageState {
-    /// Held here until its retry.
+    /// Held until its retry.
     Waiting {
-        /// When it is submitted again, in microseconds.
+        /// Time at which it is submitted again, in microseconds.
         retry_at: Us,
     },
-    /// With the engine.
+    /// Submitted to the engine.
     Submitted { run_started: bool },
-    /// Answered; it is settled once its reply is confirmed or given up.
+    /// Answered. Its deliveries are settled once its reply is confirmed or abandoned.
     Replying(OutgoingReply),
 }
 
-/// A reply that is being published.
+/// Reply that is to be published or confirmed.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct OutgoingReply {
-    /// How the deliveries are settled afterwards.
+    /// Settlement of the deliveries afterwards.
     pub(crate) settlement: Settlement,
     pub(crate) result: Vec<u8>,
-    /// The publish sequence number that the broker's confirm will carry; none until it is published.
+    /// Publish sequence number that the broker's confirm will carry; none until the reply is published.
     pub(crate) publish_sequence: Option<u64>,
     pub(crate) publish_attempts: u32,
 }
 
-/// Where a reply goes: `reply-to` and `correlation-id` of the message.
+/// Destination of a reply: `reply-to` and `correlation-id` of the message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ReplyAddress {
     pub(crate) queue: String,
--- a/consumer/src/queue.rs
+++ b/consumer/src/queue.rs
@@ -1,5 +1,5 @@
-//! The consumer of one queue: its state, its construction and its figures. Its inputs are in the modules `channel`,
-//! `intake`, `execution`, `replies`, `timers` and `settling`.
+//! State, construction and getters of the consumer of one queue. Its inputs are in the modules `channel`, `intake`,
+//! `execution`, `replies`, `timers` and `settling`.
 
 use crate::action::{Action, InFlightId};
 use crate::config::ConsumerConfig;
@@ -12,47 +12,47 @@
 use nanorand::WyRand;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The first delay before a channel or a consumer is made again, in microseconds.
-pub(crate) const MIN_REOPEN_DELAY: Us = 100_000;
-/// Ids of a queue's messages have its number above this many bits.
+/// First delay before a channel or a consumer is opened again, before jitter, in microseconds.
+pub(crate) const MIN_REOPEN_DELAY_US: Us = 100_000;
+/// Position of the queue's number in the ids of its messages, in bits.
 const QUEUE_NUMBER_SHIFT: u32 = 48;
 
-/// When a message is to be looked at.
+/// Timer of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MessageTimer {
     pub(crate) at: Us,
     pub(crate) id: InFlightId,
 }
 
-/// The state machine of one queue's deliveries; see the crate's documentation.
+/// State machine of one queue's deliveries. The documentation of the crate describes its inputs and guarantees.
 pub struct QueueConsumer {
     pub(crate) config: ConsumerConfig,
     pub(crate) prefetch: PrefetchWindow,
-    /// When the prefetch is decided next, in microseconds.
+    /// Time of the next decision about the prefetch, in microseconds.
     pub(crate) next_prefetch_update: Us,
     pub(crate) subscription: Subscription,
-    /// The delay before the next reopening, before jitter, in microseconds.
+    /// Delay before the next reopening of the channel or consumer, before jitter, in microseconds.
     pub(crate) reopen_delay: Us,
     pub(crate) last_id: u64,
     pub(crate) messages: BTreeMap<InFlightId, Message>,
     pub(crate) by_identity: BTreeMap<MessageIdentity, BTreeSet<InFlightId>>,
-    /// May hold timers of messages that have been settled since; these do nothing.
+    /// Timers of messages. Those of messages that have been settled since have no effect.
     pub(crate) timers: BTreeSet<MessageTimer>,
-    /// Published replies by their publish sequence number.
+    /// Published replies that are not confirmed, by their publish sequence number.
     pub(crate) unconfirmed_replies: BTreeMap<u64, InFlightId>,
-    /// Deliveries that are not settled.
+    /// Number of unsettled deliveries.
     pub(crate) unsettled: usize,
     pub(crate) settled: SettledMessages,
     pub(crate) draining: bool,
     pub(crate) rng: WyRand,
     pub(crate) actions: VecDeque<Action>,
-    /// What was counted since the start.
+    /// Counters since the start.
     pub stats: QueueStats,
 }
 
 impl QueueConsumer {
-    /// A consumer without a connection. `number` is the queue's number within the process, 1 or more: it is the upper
-    /// 16 bits of the ids of its messages. `seed` is for the jitter of its delays.
+    /// Returns a consumer without a connection. `number` is the queue's number within the process, 1 or more, and becomes
+    /// the upper 16 bits of the ids of its messages. `seed` seeds the jitter of its delays.
     pub fn new(now: Us, number: u16, seed: u64, config: ConsumerConfig) -> QueueConsumer {
         QueueConsumer {
             prefetch: PrefetchWindow::new(now, config.prefetch),
@@ -60,7 +60,7 @@
             settled: SettledMessages::new(config.dedup_ttl, config.dedup_capacity),
             config,
             subscription: Subscription::Disconnected,
-            reopen_delay: MIN_REOPEN_DELAY,
+            reopen_delay: MIN_REOPEN_DELAY_US,
             last_id: u64::from(number) << QUEUE_NUMBER_SHIFT,
             messages: BTreeMap::new(),
             by_identity: BTreeMap::new(),
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Changes the configuration. Messages in flight keep their deadline, method and route. A drained queue is consumed
-    /// again.
+    /// Changes the configuration. Messages in flight keep their deadline, method and route. Ends a drain, so that the queue
+    /// is consumed again.
     pub fn reconfigure(&mut self, config: ConsumerConfig) {
         self.prefetch.set_max(config.prefetch);
         self.settled.set_limits(config.dedup_ttl, config.dedup_capacity);
@@ -83,42 +83,42 @@
         self.draining = false;
     }
 
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub fn config(&self) -> &ConsumerConfig {
         &self.config
     }
 
-    /// Takes the next action to be carried out.
+    /// Removes and returns the next action to be carried out.
     pub fn next_action(&mut self) -> Option<Action> {
         self.actions.pop_front()
     }
 
-    /// Deliveries that are not settled.
+    /// Returns the number of unsettled deliveries.
     pub fn unsettled(&self) -> usize {
         self.unsettled
     }
 
-    /// Messages in flight, those included whose deliveries were lost with their channel.
+    /// Returns the number of messages in flight, including those whose deliveries were lost with their channel.
     pub fn in_flight(&self) -> usize {
         self.messages.len()
     }
 
-    /// Settlements remembered for redeliveries.
+    /// Returns the number of settlements remembered for redeliveries.
     pub fn dedup_entries(&self) -> usize {
         self.settled.len()
     }
 
-    /// The prefetch that is wanted now; 0 while nothing is to be delivered.
+    /// Returns the current prefetch window; 0 while nothing is to be consumed.
     pub fn prefetch(&self) -> u16 {
         self.prefetch.get()
     }
 
-    /// Whether the queue is drained: nothing is delivered any more and every delivery is settled.
+    /// Reports whether the queue is drained: the consumer has ended and every delivery is settled.
     pub fn is_drained(&self) -> bool {
         self.draining && !self.subscription.is_active() && self.unsettled == 0
     }
 
-    /// The body of a message in flight.
+    /// Returns the body of a message in flight.
     pub fn body(&self, id: InFlightId) -> Option<&[u8]> {
         self.messages.get(&id).map(|message| message.body.as_slice())
     }
--- a/consumer/src/replies.rs
+++ b/consumer/src/replies.rs
@@ -1,4 +1,4 @@
-//! Replies to messages with `reply-to`: published with a confirm before the deliveries are settled.
+//! Replies to messages with `reply-to`, which are published and confirmed before the deliveries are settled.
 
 use crate::action::{Action, InFlightId, PendingReply};
 use crate::message::{MessageState, OutgoingReply};
@@ -6,17 +6,17 @@
 use asterrill::Us;
 use asterrill_protocol::amqp::Settlement;
 
-/// The time between looks at a reply that is not confirmed, in microseconds.
-pub(crate) const REPLY_CHECK_INTERVAL: Us = 100_000;
-/// The longest time that a reply may take once the server drains, in microseconds; then it is given up.
-pub(crate) const MAX_REPLY_TIME_DRAINING: Us = 500_000;
-/// How often a reply is published until it is given up.
+/// Interval between checks of a reply that is not confirmed, in microseconds.
+pub(crate) const REPLY_CHECK_INTERVAL_US: Us = 100_000;
+/// Maximum time that a reply may take while the server drains, in microseconds. It is abandoned afterwards.
+pub(crate) const MAX_REPLY_TIME_IN_DRAIN_US: Us = 500_000;
+/// Maximum number of times that a reply is published before it is abandoned.
 const MAX_PUBLISH_ATTEMPTS: u32 = 3;
-/// Bytes of a result that go into a reply.
-const MAX_REPLY_BYTES: usize = 4096;
+/// Maximum length of the body of a reply, in bytes. A longer result is truncated.
+const MAX_REPLY_BODY_BYTES: usize = 4096;
 
 impl QueueConsumer {
-    /// Settles a message, once its reply is confirmed or given up if it asked for one.
+    /// Settles a message. If it asked for a reply, it is settled once the reply is confirmed or abandoned.
     pub(crate) fn reply_and_settle(
         &mut self, now: Us, id: InFlightId, settlement: Settlement, result: &[u8],
     ) {
@@ -27,20 +27,20 @@
         }
         message.state = MessageState::Replying(OutgoingReply {
             settlement,
-            result: result.get(..MAX_REPLY_BYTES).unwrap_or(result).to_vec(),
+            result: result.get(..MAX_REPLY_BODY_BYTES).unwrap_or(result).to_vec(),
             publish_sequence: None,
             publish_attempts: 0,
         });
         let deadline = &mut message.submission.deadline;
         if self.draining {
-            *deadline = (*deadline).min(now + MAX_REPLY_TIME_DRAINING);
+            *deadline = (*deadline).min(now + MAX_REPLY_TIME_IN_DRAIN_US);
         }
-        let check_at = (*deadline).min(now + REPLY_CHECK_INTERVAL);
+        let check_at = (*deadline).min(now + REPLY_CHECK_INTERVAL_US);
         self.actions.push_back(Action::PublishReply(id));
         self.set_timer(check_at, id);
     }
 
-    /// The reply of a message that is to be published now; none if it was published and is not confirmed yet.
+    /// Returns the reply of a message that is to be published now; none if it was published and awaits its confirm.
     pub fn pending_reply(&self, id: InFlightId) -> Option<PendingReply<'_>> {
         let message = self.messages.get(&id)?;
         let address = message.reply_address.as_ref()?;
@@ -56,7 +56,7 @@
         })
     }
 
-    /// The reply of a message was published under this publish sequence number of the channel for replies.
+    /// Records that the reply of a message was published, with this publish sequence number on the channel for replies.
     pub fn reply_published(&mut self, id: InFlightId, sequence: u64) {
         if let Some(reply) = self.messages.get_mut(&id).and_then(|message| message.outgoing_reply_mut()) {
             reply.publish_sequence = Some(sequence);
@@ -65,40 +65,42 @@
         }
     }
 
-    /// The broker confirmed replies, or refused them (`basic.nack`): all up to a publish sequence number if `multiple`,
-    /// or that one.
-    pub fn reply_confirmed(&mut self, now: Us, sequence: u64, multiple: bool, arrived: bool) {
+    /// Processes a publisher confirm. The broker accepted replies, or refused them (`basic.nack`): all up to a publish
+    /// sequence number if `multiple`, else that one.
+    pub fn reply_confirmed(&mut self, now: Us, sequence: u64, multiple: bool, accepted: bool) {
         let first = if multiple { 0 } else { sequence };
         let confirmed: Vec<u64> =
             self.unconfirmed_replies.range(first..=sequence).map(|(sequence, _)| *sequence).collect();
         for sequence in confirmed {
             if let Some(id) = self.unconfirmed_replies.remove(&sequence) {
-                self.publish_finished(now, id, arrived);
+                self.finish_publish(now, id, accepted);
             }
         }
     }
 
-    fn publish_finished(&mut self, now: Us, id: InFlightId, arrived: bool) {
+    /// Settles a message whose reply was accepted, or refused too often.
+    fn finish_publish(&mut self, now: Us, id: InFlightId, accepted: bool) {
         let reply = self.messages.get_mut(&id).and_then(|message| message.outgoing_reply_mut());
         let Some(reply) = reply else { return };
         reply.publish_sequence = None;
-        if !arrived && reply.publish_attempts < MAX_PUBLISH_ATTEMPTS {
-            return; // it is published again by its timer
+        if !accepted && reply.publish_attempts < MAX_PUBLISH_ATTEMPTS {
+            // The timer of the message publishes the reply again.
+            return;
         }
         let settlement = reply.settlement;
-        self.stats.replies += u64::from(arrived);
-        self.stats.replies_lost += u64::from(!arrived);
+        self.stats.replies += u64::from(accepted);
+        self.stats.replies_lost += u64::from(!accepted);
         self.settle(now, id, settlement);
     }
 
-    /// The broker returned a reply because its queue does not exist. Its confirm follows.
+    /// Records that the broker returned a reply because it could not be routed. Its confirm follows.
     pub fn reply_returned(&mut self, id: InFlightId) {
         if self.messages.contains_key(&id) {
             self.stats.replies_unrouted += 1;
         }
     }
 
-    /// The channel for replies is gone: what was published there and not confirmed is published again.
+    /// Records that the channel for replies was lost. Replies that were not confirmed are published again.
     pub fn reply_channel_lost(&mut self) {
         for id in std::mem::take(&mut self.unconfirmed_replies).into_values() {
             if let Some(reply) = self.messages.get_mut(&id).and_then(|message| message.outgoing_reply_mut()) {
--- a/consumer/src/settlement.rs
+++ b/consumer/src/retry_policy.rs
@@ -1,56 +1,57 @@
-//! What an answer of the engine makes of a delivery.
+//! Decision whether a message is settled or retried after an answer of the engine.
 
 use crate::config::Backoff;
 use asterrill::{FinalAnswer, Idempotency, Us};
 use asterrill_protocol::amqp::Settlement;
 
-/// What becomes of a delivery.
+/// Decision about a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Disposition {
-    /// It is settled; whoever asked for a reply gets one.
+    /// Settle its deliveries, after a reply if the message asked for one.
     Settle(Settlement),
-    /// It is submitted again after this delay, in microseconds.
+    /// Submit it again after this delay, in microseconds.
     Retry { delay: Us },
 }
 
-/// How a message was run so far.
+/// Previous runs and rejections of a message.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptHistory {
-    /// Whether its method may run again.
+    /// Idempotency of its method, which decides whether it may run again.
     pub(crate) idempotency: Idempotency,
-    /// When it must be answered, in microseconds.
+    /// Time by which it must be answered, in microseconds.
     pub(crate) deadline: Us,
-    /// Runs that were made, here or before a redelivery, the last one included.
+    /// Number of runs, here or before a redelivery, including the last one.
     pub(crate) runs: u32,
-    /// Rejections in a row.
+    /// Number of consecutive rejections.
     pub(crate) consecutive_rejections: u32,
-    /// Whether the last submission was run.
+    /// Whether the last submission has run.
     pub(crate) ran: bool,
 }
 
-/// When a message is retried.
+/// Policy for retries of messages.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryPolicy {
-    /// Runs after which a message is not retried.
+    /// Number of runs after which a message is not retried.
     pub(crate) max_attempts: u32,
-    /// The delay before a retry.
+    /// Delay before a retry.
     pub(crate) backoff: Backoff,
-    /// The server drains: what may run elsewhere goes back to the broker.
+    /// Whether the server drains, so that messages that may run on another server are requeued.
     pub(crate) draining: bool,
 }
 
 impl RetryPolicy {
-    /// Decides about a message that was answered `now`, in this order:
+    /// Decides about a message that was answered at `now`. The first rule that applies is used:
     ///
-    /// 1. Ok: acknowledged.
-    /// 2. It never ran and the server drains: requeued, for another server.
-    /// 3. It never ran: retried after the answer's Retry-After or a delay that doubles with each rejection, whichever is
-    ///    longer. What would then be past its deadline is rejected now. It is not requeued: the broker would redeliver
-    ///    it at once, as fast as the connection carries it.
-    /// 4. It ran, is idempotent and has attempts left: requeued if the server drains, else retried after a delay that
-    ///    doubles with each run. This bounds the cost of a poison message; it takes its place in the window meanwhile.
-    /// 5. It ran: rejected, for the dead-letter side. An aborted run may have had its effect, and what must not take
-    ///    effect twice is not run again.
+    /// 1. The answer is ok: the message is acknowledged.
+    /// 2. It did not run and the server drains: it is requeued, for another server.
+    /// 3. It did not run: it is retried after the answer's Retry-After or a delay that doubles with each rejection,
+    ///    whichever is longer. If that is past its deadline, it is rejected now. It is not requeued, because the broker
+    ///    would redeliver it at once, in a loop as fast as the connection allows.
+    /// 4. It ran, is idempotent and has attempts left: it is requeued if the server drains, else retried after a delay
+    ///    that doubles with each run. The delay bounds the cost of a poison message, which occupies its place in the
+    ///    prefetch window meanwhile.
+    /// 5. It ran: it is rejected, to be dead-lettered if the queue has a dead-letter exchange. An aborted run may have had
+    ///    its effect, and a message that must not take effect twice is not run again.
     pub(crate) fn decide(&self, now: Us, answer: &FinalAnswer<'_>, history: AttemptHistory) -> Disposition {
         let may_run_again =
             history.idempotency == Idempotency::Idempotent && history.runs < self.max_attempts;
@@ -72,6 +73,7 @@
     }
 }
 
+/// Retries a message after a delay, or rejects it if that is past its deadline.
 fn retry_before_deadline(now: Us, delay: Us, deadline: Us) -> Disposition {
     if now.saturating_add(delay) < deadline {
         Disposition::Retry { delay }
--- a/consumer/src/settling.rs
+++ b/consumer/src/settling.rs
@@ -1,30 +1,30 @@
-//! The settlement of deliveries, and the drain.
+//! Settlement of deliveries, and the drain.
 
 use crate::action::{Action, InFlightId};
 use crate::message::{Message, MessageState, OutgoingReply};
 use crate::queue::QueueConsumer;
-use crate::replies::MAX_REPLY_TIME_DRAINING;
+use crate::replies::MAX_REPLY_TIME_IN_DRAIN_US;
 use asterrill::Us;
 use asterrill_protocol::amqp::{DeliveryTag, Settlement};
 
 impl QueueConsumer {
-    /// Settles a delivery that was not taken in.
+    /// Settles a delivery whose message is not in the table.
     pub(crate) fn settle_delivery(&mut self, tag: DeliveryTag, settlement: Settlement) {
         self.count_settled(settlement, 1);
         self.actions.push_back(Action::Settle { tag, settlement });
     }
 
-    /// The one place where a message leaves the table: all its deliveries are settled, and the settlement is
-    /// remembered unless it is requeued.
+    /// Removes a message from the table and settles all its deliveries. The settlement is remembered unless the message is
+    /// requeued. Messages are removed only here.
     pub(crate) fn settle(&mut self, now: Us, id: InFlightId, settlement: Settlement) {
         let Some(message) = self.messages.remove(&id) else { return };
         self.remove_from_indexes(id, &message);
         self.unsettled -= message.delivery_tags.len();
         self.count_settled(settlement, message.delivery_tags.len());
-        // The settlement of a message without a name is remembered only where another delivery of it may come.
-        let may_come_again =
-            message.identity.is_named() || !message.delivery_tags.is_empty() || message.runs > 0;
-        if settlement != Settlement::Requeue && may_come_again {
+        // The settlement of a message without an id is remembered only if the message may be delivered again.
+        let may_be_redelivered =
+            message.identity.has_message_id() || !message.delivery_tags.is_empty() || message.runs > 0;
+        if settlement != Settlement::Requeue && may_be_redelivered {
             self.settled.insert(now, message.identity, settlement);
         }
         let settle = |tag| Action::Settle { tag, settlement };
@@ -40,9 +40,9 @@
             _ => {}
         }
         self.cancel_timer(message.submission.deadline, id);
-        if let Some(equal) = self.by_identity.get_mut(&message.identity) {
-            equal.remove(&id);
-            if equal.is_empty() {
+        if let Some(ids) = self.by_identity.get_mut(&message.identity) {
+            ids.remove(&id);
+            if ids.is_empty() {
                 self.by_identity.remove(&message.identity);
             }
         }
@@ -57,8 +57,8 @@
         *count += deliveries as u64;
     }
 
-    /// Starts the drain: nothing more is delivered, what waits for a retry is requeued, and what the engine has is
-    /// settled as it ends. A second call changes nothing.
+    /// Starts the drain: the consumer is cancelled, messages that wait for a retry are requeued, and messages submitted to
+    /// the engine are settled when it answers. A second call has no effect.
     pub fn drain(&mut self, now: Us) {
         if std::mem::replace(&mut self.draining, true) {
             return;
@@ -68,11 +68,11 @@
         for id in waiting {
             self.settle(now, id, Settlement::Requeue);
         }
-        // Their runs took effect: better acknowledged without a reply than run once more elsewhere.
+        // These messages have run. Settling them without a reply is better than a second run on another server.
         for message in self.messages.values_mut() {
             if matches!(message.state, MessageState::Replying(_)) {
                 let deadline = &mut message.submission.deadline;
-                *deadline = (*deadline).min(now + MAX_REPLY_TIME_DRAINING);
+                *deadline = (*deadline).min(now + MAX_REPLY_TIME_IN_DRAIN_US);
             }
         }
         self.advance(now);
--- a/consumer/src/stats.rs
+++ b/consumer/src/stats.rs
@@ -1,9 +1,10 @@
-//! What one queue's consumer has counted.
+//! Counters of one queue's consumer.
 
 use std::fmt;
 
-/// Deliveries, settlements, retries and replies of one queue since the start. Once a queue is drained, `deliveries` is
-/// the sum of `acked`, `rejected`, `requeued` and `lost`.
+/// Numbers of deliveries, settlements, retries and replies of one queue since the start.
+///
+/// Once a queue is drained, `deliveries` is the sum of `acked`, `rejected`, `requeued` and `lost`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QueueStats {
     /// Deliveries read.
@@ -12,37 +13,37 @@
     pub redelivered: u64,
     /// Deliveries acknowledged.
     pub acked: u64,
-    /// Deliveries rejected, for the dead-letter side where the queue has one.
+    /// Deliveries rejected, which are dead-lettered if the queue has a dead-letter exchange.
     pub rejected: u64,
-    /// Deliveries put back into the queue.
+    /// Deliveries requeued.
     pub requeued: u64,
     /// Deliveries whose channel was lost before they were settled.
     pub lost: u64,
-    /// Deliveries of a message that was in flight.
+    /// Deliveries of a message that was already in flight.
     pub joined: u64,
-    /// Deliveries of a message that had been settled a short while before, and were settled like it.
+    /// Deliveries of a message whose earlier settlement was remembered, and that were settled in the same way.
     pub deduplicated: u64,
-    /// Retries of a message that the engine rejected, or that never ran.
+    /// Retries of a message that the engine rejected, or aborted before it ran.
     pub retries_after_rejection: u64,
     /// Retries of a message whose run was aborted.
     pub retries_after_abort: u64,
-    /// Deliveries rejected because they have no route.
+    /// Deliveries rejected because they had no route.
     pub unrouted: u64,
     /// Deliveries rejected because their body was too long.
     pub too_long: u64,
     /// Deliveries rejected because their deadline had passed, or would pass before a retry.
     pub expired: u64,
-    /// Deliveries rejected after too many runs.
+    /// Deliveries rejected because their message had run the maximum number of times.
     pub poisoned: u64,
-    /// Deliveries rejected because their run was aborted and must not be retried.
+    /// Deliveries rejected because the run of their message was aborted and must not be retried.
     pub failed: u64,
-    /// Redeliveries rejected because it is not known whether the message has run.
+    /// Redeliveries rejected because their message may have run and must not run twice.
     pub unverified: u64,
     /// Replies that the broker confirmed.
     pub replies: u64,
     /// Replies that the broker could not route.
     pub replies_unrouted: u64,
-    /// Replies that were given up.
+    /// Replies that were abandoned.
     pub replies_lost: u64,
     /// Consumers that the broker confirmed.
     pub subscribed: u64,
@@ -50,12 +51,12 @@
     pub channels_closed: u64,
     /// Consumers that the broker cancelled.
     pub cancelled: u64,
-    /// Channels closed here because more was delivered than the prefetch allows.
+    /// Channels closed from this side because the broker delivered more than the prefetch allows.
     pub overrun: u64,
 }
 
-/// The form in which the figures are printed for operators. The names in it are an outside interface
-/// (`docs/operate/amqp.md`) and stay as they are, whatever the fields are called.
+/// Text form of the counters for operators. The names in it are a documented interface (`docs/operate/amqp.md`) and don't
+/// change with the names of the fields.
 impl fmt::Display for QueueStats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Counts")
--- a/consumer/src/subscription.rs
+++ b/consumer/src/subscription.rs
@@ -1,34 +1,34 @@
-//! The state of a queue's channel and of the consumer on it.
+//! State of a queue's channel and of the consumer on it.
 
 use asterrill::Us;
 
-/// How far the subscription is.
+/// State of a queue's subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Subscription {
-    /// There is no connection.
+    /// No connection.
     Disconnected,
-    /// There is no channel.
+    /// No channel.
     ChannelClosed {
-        /// When it is opened, in microseconds.
+        /// Time at which the channel is opened, in microseconds.
         reopen_at: Us,
     },
-    /// The channel is being opened.
+    /// Channel requested but not open yet.
     ChannelOpening,
-    /// The channel is open and nothing is consumed.
+    /// Channel open, without a consumer.
     Idle {
-        /// The earliest time to consume, in microseconds.
+        /// Earliest time at which to consume, in microseconds.
         consume_at: Us,
     },
-    /// The consumer is being made.
+    /// Consumer requested but not confirmed yet.
     Subscribing { prefetch: u16 },
-    /// Deliveries come.
+    /// Consumer confirmed; deliveries arrive.
     Consuming { prefetch: u16 },
-    /// The consumer is being cancelled; deliveries may still come.
+    /// Cancel requested but not confirmed yet; deliveries may still arrive.
     Cancelling,
 }
 
 impl Subscription {
-    /// Whether deliveries may come.
+    /// Reports whether deliveries may arrive.
     pub(crate) fn is_active(self) -> bool {
         matches!(
             self,
--- a/consumer/src/tests/parts.rs
+++ b/consumer/src/tests/components.rs
@@ -1,4 +1,4 @@
-//! Deadlines, the prefetch window and the memory of settlements, each by itself.
+//! Unit tests of deadlines, the prefetch window and remembered settlements.
 
 use super::harness::{MS, S};
 use crate::dedup::{MessageIdentity, SettledMessages};
@@ -18,7 +18,8 @@
     assert_eq!(deadline_with("5000", None), Some(now + 5 * S));
     assert_eq!(deadline_with("60000", None), Some(now + 30 * S));
     assert_eq!(deadline_with("5000", Some(998)), Some(now + 4 * S));
-    assert_eq!(deadline_with("5000", Some(5_000)), Some(now + 6 * S)); // the clock of its publisher is ahead
+    // The clock of the publisher is ahead.
+    assert_eq!(deadline_with("5000", Some(5_000)), Some(now + 6 * S));
     assert_eq!(deadline_with("5000", Some(900)), None);
     assert_eq!(deadline_with("99999999999999999999", Some(900)), Some(now + 30 * S));
     assert_eq!(deadline_with("soon", None), Some(now + 30 * S));
@@ -42,23 +43,29 @@
         }
     }
     assert_eq!(sizes, [1, 2, 4, 8, 16, 32]);
-    // A credit that alternates at every update: a few changes a second at most.
+    // If the credit alternates at every update, the window still changes at most twice a second.
     let mut changes = 0;
     for n in 0..100 {
         changes += usize::from(window.update(20 * S + n * 100 * MS, signals([0.0, 20.0][n as usize % 2])));
     }
     assert!(changes <= 20, "{changes}");
     let mut window = PrefetchWindow::new(0, 64);
-    assert!(window.update(S, signals(0.4)) && window.get() == 1, "a credit below one lets one out");
-    assert!(window.update(S + 1, signals(0.0)) && window.get() == 0, "down to none at once");
-    assert!(!window.update(S + 500 * MS, signals(9.0)), "and back a second later");
+    assert!(window.update(S, signals(0.4)) && window.get() == 1, "a credit below 1 allows one delivery");
+    assert!(window.update(S + 1, signals(0.0)) && window.get() == 0, "the window drops to 0 at once");
+    assert!(
+        !window.update(S + 500 * MS, signals(9.0)),
+        "the window does not grow within a second after a change"
+    );
     assert!(window.update(2 * S + 1, signals(9.0)) && window.get() == 1);
     let mut window = PrefetchWindow::new(0, 64);
     for n in 1..8 {
         window.update(n * S, signals(20.0));
     }
     let many_waiting = PrefetchSignals { unsettled: 30, waiting: 20, ..signals(20.0) };
-    assert!(window.update(20 * S, many_waiting) && window.get() == 16, "half while more than half wait");
+    assert!(
+        window.update(20 * S, many_waiting) && window.get() == 16,
+        "the window is halved while more than half of the deliveries wait"
+    );
     let little_memory = PrefetchSignals { memory_capacity: 3.0, ..signals(20.0) };
     assert!(window.update(30 * S, little_memory) && window.get() == 2);
 }
@@ -67,22 +74,25 @@
 fn settled_messages_are_bounded_in_number_and_time() {
     let mut settled = SettledMessages::new(10 * S, 100);
     for n in 0..1_000_u128 {
-        settled.insert(n as Us, MessageIdentity::Named(n), Settlement::Ack);
+        settled.insert(n as Us, MessageIdentity::MessageId(n), Settlement::Ack);
     }
     assert_eq!(settled.len(), 100);
     assert_eq!(
-        (settled.take(999, MessageIdentity::Named(0)), settled.take(999, MessageIdentity::Named(950))),
+        (
+            settled.take(999, MessageIdentity::MessageId(0)),
+            settled.take(999, MessageIdentity::MessageId(950))
+        ),
         (None, Some(Settlement::Ack))
     );
-    settled.insert(999, MessageIdentity::Named(950), Settlement::Reject);
+    settled.insert(999, MessageIdentity::MessageId(950), Settlement::Reject);
     assert_eq!(
-        settled.take(999, MessageIdentity::Named(950)),
+        settled.take(999, MessageIdentity::MessageId(950)),
         Some(Settlement::Ack),
-        "the first settlement counts"
+        "the first settlement is remembered"
     );
-    assert_eq!((settled.take(11 * S, MessageIdentity::Named(999)), settled.len()), (None, 0));
+    assert_eq!((settled.take(11 * S, MessageIdentity::MessageId(999)), settled.len()), (None, 0));
     settled.insert(0, MessageIdentity::Content(1), Settlement::Ack);
     settled.insert(0, MessageIdentity::Content(1), Settlement::Reject);
-    let all = [(); 3].map(|()| settled.take(1, MessageIdentity::Content(1)));
-    assert_eq!((all, settled.len()), ([Some(Settlement::Ack), Some(Settlement::Reject), None], 0));
+    let settlements = [(); 3].map(|()| settled.take(1, MessageIdentity::Content(1)));
+    assert_eq!((settlements, settled.len()), ([Some(Settlement::Ack), Some(Settlement::Reject), None], 0));
 }
--- a/consumer/src/tests/mod.rs
+++ b/consumer/src/tests/mod.rs
@@ -1,5 +1,5 @@
 //! Tests of the consumer.
 
+mod components;
 mod harness;
-mod parts;
 mod queue;
--- a/consumer/src/timers.rs
+++ b/consumer/src/timers.rs
@@ -1,23 +1,23 @@
-//! Time: the prefetch is decided, the subscription follows it, and messages are retried or expire.
+//! Timers: updates of the prefetch and the subscription, and retries and expiry of messages.
 
 use crate::action::{Action, InFlightId};
 use crate::message::MessageState;
 use crate::prefetch::PrefetchSignals;
 use crate::queue::QueueConsumer;
-use crate::replies::REPLY_CHECK_INTERVAL;
+use crate::replies::REPLY_CHECK_INTERVAL_US;
 use crate::subscription::Subscription;
 use asterrill::Us;
 use asterrill_protocol::amqp::Settlement;
 
-/// The time between decisions about the prefetch, in microseconds.
-const PREFETCH_UPDATE_INTERVAL: Us = 100_000;
+/// Interval between decisions about the prefetch, in microseconds.
+const PREFETCH_UPDATE_INTERVAL_US: Us = 100_000;
 
 impl QueueConsumer {
-    /// Time has passed: decides the prefetch if that is due, and does whatever else is. `credit` is the number that is
-    /// published to callers, where one is; `memory_capacity` the number of deliveries that there is memory for.
+    /// Updates the prefetch if that is due, and fires all timers that are due. `credit` is the credit that is published to
+    /// callers, if any, and `memory_capacity` the number of deliveries that memory has capacity for.
     pub fn update_prefetch(&mut self, now: Us, credit: Option<f64>, cores: f64, memory_capacity: f64) {
         if now >= self.next_prefetch_update {
-            self.next_prefetch_update = now + PREFETCH_UPDATE_INTERVAL;
+            self.next_prefetch_update = now + PREFETCH_UPDATE_INTERVAL_US;
             let waiting = self
                 .messages
                 .values()
@@ -30,12 +30,12 @@
         self.advance(now);
     }
 
-    /// When [`QueueConsumer::update_prefetch`] is to be called next, in microseconds.
+    /// Returns the time at which [`QueueConsumer::update_prefetch`] is to be called next, in microseconds.
     pub fn next_timer(&self) -> Option<Us> {
         let message = self.timers.first().map(|timer| timer.at);
         let subscription = match self.subscription {
             Subscription::ChannelClosed { reopen_at } => Some(reopen_at),
-            Subscription::Idle { consume_at } => Some(consume_at).filter(|_| self.wanted_prefetch() > 0),
+            Subscription::Idle { consume_at } => Some(consume_at).filter(|_| self.target_prefetch() > 0),
             _ => None,
         };
         let connected = self.subscription != Subscription::Disconnected;
@@ -43,7 +43,8 @@
         [message, subscription, prefetch].into_iter().flatten().min()
     }
 
-    fn wanted_prefetch(&self) -> u16 {
+    /// Returns the prefetch to consume with; 0 for none.
+    fn target_prefetch(&self) -> u16 {
         if self.draining {
             0
         } else {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Does what is due: the subscription follows the prefetch, and timers of messages fire.
+    /// Adapts the subscription to the prefetch, and fires the timers of messages that are due.
     pub(crate) fn advance(&mut self, now: Us) {
         self.advance_subscription(now);
         while let Some(timer) = self.timers.first().copied().filter(|timer| timer.at <= now) {
@@ -61,7 +62,7 @@
     }
 
     fn advance_subscription(&mut self, now: Us) {
-        let wanted = self.wanted_prefetch();
+        let wanted = self.target_prefetch();
         match self.subscription {
             Subscription::ChannelClosed { reopen_at } if reopen_at <= now && !self.draining => {
                 self.subscription = Subscription::ChannelOpening;
@@ -88,9 +89,9 @@
                 self.stats.expired += message.delivery_tags.len() as u64;
                 self.settle(now, id, Settlement::Reject);
             }
-            // No delivery of it could be settled: it waits for its redelivery, until its deadline.
+            // The message has no delivery that could be settled. It waits for its redelivery until its deadline.
             MessageState::Waiting { .. } if message.delivery_tags.is_empty() => self.set_timer(deadline, id),
-            MessageState::Waiting { .. } => self.submit_again(id),
+            MessageState::Waiting { .. } => self.resubmit(id),
             MessageState::Replying(reply) if expired => {
                 let settlement = reply.settlement;
                 self.stats.replies_lost += 1;
@@ -100,13 +101,13 @@
                 if reply.publish_sequence.is_none() {
                     self.actions.push_back(Action::PublishReply(id));
                 }
-                self.set_timer(deadline.min(now + REPLY_CHECK_INTERVAL), id);
+                self.set_timer(deadline.min(now + REPLY_CHECK_INTERVAL_US), id);
             }
             MessageState::Submitted { .. } => {}
         }
     }
 
-    fn submit_again(&mut self, id: InFlightId) {
+    fn resubmit(&mut self, id: InFlightId) {
         let Some(message) = self.messages.get_mut(&id) else { return };
         let previous = std::mem::replace(&mut message.state, MessageState::Submitted { run_started: false });
         self.actions.push_back(Action::Submit(message.submission.clone()));
