--- a/consumer/src/tests/harness.rs
+++ b/consumer/src/tests/harness.rs
@@ -1,4 +1,4 @@
-//! A broker and an engine played by the test, which record every delivery tag and every run.
+//! Test harness with a simulated broker and engine, which record every settlement and every run.
 
 use crate::{Action, Backoff, Catalog, ConsumerConfig, FieldSource, InFlightId, QueueConsumer};
 use asterrill::{FinalAnswer, Idempotency, MethodId, Us};
@@ -29,7 +29,7 @@
     }
 }
 
-/// One method of each idempotency; no tenants are configured.
+/// Catalog with one method of each idempotency and without tenants.
 pub(super) struct TestCatalog;
 
 impl Catalog for TestCatalog {
@@ -50,37 +50,42 @@
     }
 }
 
-/// A message in the broker.
+/// Message in the simulated broker.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedMessage {
-    pub(super) name: u64,
-    pub(super) named: bool,
+    pub(super) number: u64,
+    pub(super) has_message_id: bool,
     pub(super) prior_deliveries: u64,
     pub(super) wants_reply: bool,
 }
 
-/// The consumer under test with its broker and engine, and what these have recorded.
+/// Consumer under test with its simulated broker and engine, and what these have recorded.
 pub(super) struct Harness {
     pub(super) queue: QueueConsumer,
     pub(super) now: Us,
+    /// Messages in the queue, to be delivered next.
     pub(super) ready: VecDeque<QueuedMessage>,
-    /// Delivered on the present channel and not settled, by tag.
+    /// Unsettled messages that were delivered on the current channel, by delivery tag.
     pub(super) unsettled: BTreeMap<DeliveryTag, QueuedMessage>,
     pub(super) settled_tags: BTreeSet<DeliveryTag>,
+    /// Settlements other than requeues, by the number of the message.
     pub(super) settlements: BTreeMap<u64, Vec<Settlement>>,
     pub(super) last_tag: u64,
+    /// Numbers of the messages that were submitted and have not started to run.
     pub(super) submitted: BTreeMap<InFlightId, u64>,
     pub(super) running: BTreeMap<InFlightId, u64>,
+    /// Number of runs, by the number of the message.
     pub(super) runs: BTreeMap<u64, u64>,
     pub(super) reply_requests: Vec<InFlightId>,
     pub(super) publish_sequence: u64,
     pub(super) prefetch: Option<u16>,
     pub(super) actions: Vec<Action>,
+    /// Rules that the consumer has violated.
     pub(super) violations: Vec<String>,
     pub(super) tag_source: TagSource,
 }
 
-/// Makes delivery tags. Only a session can, so a delivery is played to one for each.
+/// Source of delivery tags. Only a session can create one, so each tag is taken from a delivery that a session reads.
 pub(super) struct TagSource(asterrill_protocol::amqp::Session);
 
 impl TagSource {
@@ -90,13 +95,14 @@
         let login = Login { credentials, virtual_host: "/".into(), heartbeat: 0, max_body_bytes: 64 };
         TagSource(Session::new(login))
     }
-    /// The tag of a delivery with this number on the present channel.
+    /// Returns the tag of a delivery with this number on the current channel.
     pub(super) fn tag(&mut self, number: u64) -> DeliveryTag {
-        let name = [1, b'c'];
+        let consumer_tag = [1, b'c'];
         let mut payload = vec![0, 60, 0, 60];
-        payload.extend_from_slice(&name);
+        payload.extend_from_slice(&consumer_tag);
         payload.extend_from_slice(&number.to_be_bytes());
-        payload.extend_from_slice(&[0, 0, 0]); // not redelivered, no exchange, no routing key
+        // Not redelivered, without an exchange and a routing key.
+        payload.extend_from_slice(&[0, 0, 0]);
         let header = [0, 60, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0];
         let bytes = [frame(1, 2, &payload), frame(2, 2, &header)].concat();
         match self.0.read(1, &mut &bytes[..]) {
@@ -104,8 +110,8 @@
             other => panic!("{other:?}"),
         }
     }
-    /// A new connection with a new channel.
-    pub(super) fn renew(&mut self) {
+    /// Opens a new channel on a new connection.
+    pub(super) fn reconnect(&mut self) {
         self.0.connected(1);
         let start = [&[0, 10, 0, 10, 0, 9, 0, 0, 0, 0, 0, 0, 0, 5][..], b"PLAIN", &[0, 0, 0, 0]].concat();
         let tune = [0, 10, 0, 30, 0, 0, 0, 0, 0, 0, 0, 0];
@@ -153,7 +159,7 @@
         harness
     }
     pub(super) fn connect(&mut self) {
-        self.tag_source.renew();
+        self.tag_source.reconnect();
         self.queue.connection_up(self.now);
         self.carry_out_actions();
         self.update_prefetch(8.0);
@@ -162,8 +168,9 @@
         self.queue.update_prefetch(self.now, Some(credit), 2.0, 100.0);
         self.carry_out_actions();
     }
-    pub(super) fn publish(&mut self, name: u64, named: bool, reply: bool) {
-        self.ready.push_back(QueuedMessage { name, named, prior_deliveries: 0, wants_reply: reply });
+    /// Puts a message into the queue.
+    pub(super) fn publish(&mut self, number: u64, has_message_id: bool, wants_reply: bool) {
+        self.ready.push_back(QueuedMessage { number, has_message_id, prior_deliveries: 0, wants_reply });
     }
 
     pub(super) fn carry_out_actions(&mut self) {
@@ -180,13 +187,13 @@
                     self.queue.cancelled(self.now, false);
                 }
                 Action::Submit(submission) => {
-                    let name =
+                    let number =
                         self.queue.body(submission.id).map(|body| std::str::from_utf8(body).unwrap().parse());
-                    let name: u64 = name.unwrap().unwrap();
-                    if self.submitted.insert(submission.id, name).is_some()
+                    let number: u64 = number.unwrap().unwrap();
+                    if self.submitted.insert(submission.id, number).is_some()
                         || self.running.contains_key(&submission.id)
                     {
-                        self.violations.push(format!("{name} was submitted twice at a time"));
+                        self.violations.push(format!("message {number} was submitted again while in flight"));
                     }
                 }
                 Action::Withdraw(id) => {
@@ -205,7 +212,7 @@
         if !self.settled_tags.insert(tag) {
             self.violations.push(format!("{tag:?} was settled twice"));
         }
-        // The session does not write the settlement of a delivery whose channel is gone.
+        // The session does not write the settlement of a delivery whose channel was lost.
         let Some(mut message) = self.unsettled.remove(&tag) else {
             if self.tag_source.0.is_current(tag) {
                 self.violations.push(format!("{tag:?} was never delivered"));
@@ -216,10 +223,10 @@
             message.prior_deliveries += 1;
             self.ready.push_back(message);
         } else {
-            self.settlements.entry(message.name).or_default().push(settlement);
+            self.settlements.entry(message.number).or_default().push(settlement);
         }
     }
-    /// What is not settled goes back into the queue, to be delivered again.
+    /// Puts all unsettled messages back into the queue, to be redelivered.
     pub(super) fn redeliver_unsettled(&mut self) {
         self.prefetch = None;
         for (_, mut message) in std::mem::take(&mut self.unsettled) {
@@ -233,7 +240,8 @@
         self.redeliver_unsettled();
         self.carry_out_actions();
     }
-    /// Delivers what the prefetch allows; `twice` sends the first of it under a second tag as well.
+    /// Delivers at most `limit` messages, as far as the prefetch allows. With `twice`, the first one is delivered under a
+    /// second tag as well if it is a redelivery.
     pub(super) fn deliver(&mut self, limit: usize, twice: bool) {
         for n in 0..limit {
             let allowed = self.prefetch.is_some_and(|prefetch| self.unsettled.len() < usize::from(prefetch));
@@ -245,7 +253,7 @@
                 self.last_tag += 1;
                 let tag = self.tag_source.tag(self.last_tag);
                 let properties = MessageProperties {
-                    message_id: message.named.then(|| format!("m{}", message.name)),
+                    message_id: message.has_message_id.then(|| format!("m{}", message.number)),
                     reply_to: message.wants_reply.then(|| "r".to_string()),
                     ..MessageProperties::default()
                 };
@@ -257,20 +265,22 @@
                     routing_key: "q".into(),
                     properties,
                     size: 1,
-                    body: Some(message.name.to_string().into_bytes()),
+                    body: Some(message.number.to_string().into_bytes()),
                 };
                 self.queue.delivered(self.now, delivery, &TestCatalog);
                 self.carry_out_actions();
             }
         }
     }
+    /// Starts a run of the oldest submitted message and returns the message's number.
     pub(super) fn start_run(&mut self) -> Option<u64> {
-        let (id, name) = self.submitted.pop_first()?;
+        let (id, number) = self.submitted.pop_first()?;
         self.queue.run_started(id);
-        self.running.insert(id, name);
-        *self.runs.entry(name).or_default() += 1;
-        Some(name)
+        self.running.insert(id, number);
+        *self.runs.entry(number).or_default() += 1;
+        Some(number)
     }
+    /// Ends the oldest run, ok or aborted.
     pub(super) fn end_run(&mut self, ok: bool) {
         if let Some((id, _)) = self.running.pop_first() {
             let answer = if ok { FinalAnswer::Ok(b"result") } else { FinalAnswer::Aborted };
@@ -278,30 +288,34 @@
             self.carry_out_actions();
         }
     }
+    /// Rejects the oldest submitted message.
     pub(super) fn reject(&mut self, retry_after: Us) {
         if let Some((id, _)) = self.submitted.pop_first() {
             self.queue.answered(self.now, id, FinalAnswer::Rejected { terminal: false, retry_after });
             self.carry_out_actions();
         }
     }
-    pub(super) fn confirm_replies(&mut self, arrived: bool) {
+    /// Publishes all requested replies, and confirms or refuses them.
+    pub(super) fn confirm_replies(&mut self, accepted: bool) {
         for id in std::mem::take(&mut self.reply_requests) {
             if self.queue.pending_reply(id).is_some() {
                 self.publish_sequence += 1;
                 self.queue.reply_published(id, self.publish_sequence);
             }
         }
-        self.queue.reply_confirmed(self.now, self.publish_sequence, true, arrived);
+        self.queue.reply_confirmed(self.now, self.publish_sequence, true, accepted);
         self.carry_out_actions();
     }
-    pub(super) fn advance(&mut self, span: Us) {
-        let until = self.now + span;
+    /// Advances the time, with an update whenever a timer is due.
+    pub(super) fn advance(&mut self, duration: Us) {
+        let until = self.now + duration;
         while let Some(at) = self.queue.next_timer().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.update_prefetch(8.0);
         }
         self.now = until;
     }
+    /// Checks that the consumer has violated no rule and holds no more messages than allowed.
     pub(super) fn check(&self) {
         assert_eq!(self.violations, Vec::<String>::new());
         assert!(self.queue.in_flight() <= self.queue.config().max_in_flight());
--- a/consumer/src/tests/queue.rs
+++ b/consumer/src/tests/queue.rs
@@ -1,4 +1,4 @@
-//! A queue's consumer against a broker and an engine that the harness plays.
+//! Tests of a queue's consumer with the simulated broker and engine of the harness.
 
 use super::harness::{config, Harness, QueuedMessage, TestCatalog, MS, S};
 use crate::{Action, ConsumerConfig};
@@ -7,17 +7,18 @@
 use quickcheck::Gen;
 use std::collections::BTreeSet;
 
-/// Plays random inputs: each tag is settled once, what must not run twice runs once, and every message is settled.
-fn any_order(method: &'static str) {
-    let holds = move |steps: Vec<(u8, u16)>| {
+/// Applies random sequences of inputs. Checks that each tag is settled once, that messages of methods that must not run
+/// twice run once, and that every message is settled.
+fn check_random_inputs(method: &'static str) {
+    let all_settled = move |steps: Vec<(u8, u16)>| {
         let mut harness =
             Harness::new(ConsumerConfig { run_unverified_redeliveries: true, ..config(method) });
-        let mut names = 0;
+        let mut published = 0;
         for (step, n) in steps {
             match step % 12 {
                 0 | 1 => {
-                    names += 1;
-                    harness.publish(names, true, n % 3 == 0);
+                    published += 1;
+                    harness.publish(published, true, n % 3 == 0);
                 }
                 2 | 3 => harness.deliver(1 + n as usize % 4, n % 5 == 0),
                 4 | 5 => drop(harness.start_run()),
@@ -30,7 +31,7 @@
                 }
                 10 if n % 6 == 0 => {
                     harness.queue.channel_closed(harness.now, 406, "unknown tag");
-                    harness.tag_source.renew();
+                    harness.tag_source.reconnect();
                     harness.redeliver_unsettled();
                     harness.carry_out_actions();
                 }
@@ -60,37 +61,37 @@
         assert_eq!((harness.queue.unsettled(), harness.queue.in_flight()), (0, 0));
         if method != "read" {
             assert!(harness.runs.values().all(|runs| *runs == 1), "{:?}", harness.runs);
-            // However often it was delivered, it was settled in one way.
+            // All deliveries of a message were settled in the same way.
             assert!(harness.settlements.values().all(|all| all.iter().all(|one| *one == all[0])));
         }
-        assert!(harness.settlements.len() as u64 == names, "a message was never settled");
+        assert!(harness.settlements.len() as u64 == published, "a message was never settled");
         true
     };
-    // quickcheck takes plain functions only.
+    // The inputs are generated here because quickcheck accepts only functions, and `all_settled` captures a variable.
     let mut gen = Gen::from_size_and_seed(120, 17 + method.len() as u64);
     for _ in 0..60 {
-        assert!(holds(quickcheck::Arbitrary::arbitrary(&mut gen)));
+        assert!(all_settled(quickcheck::Arbitrary::arbitrary(&mut gen)));
     }
 }
 
 #[test]
 fn settles_each_idempotent_delivery_once_in_any_order() {
-    any_order("read");
+    check_random_inputs("read");
 }
 #[test]
 fn settles_and_runs_messages_with_idempotency_keys_once_in_any_order() {
-    any_order("keyed");
+    check_random_inputs("keyed");
 }
 #[test]
 fn settles_and_runs_non_idempotent_messages_once_in_any_order() {
-    any_order("pay");
+    check_random_inputs("pay");
 }
 
 #[test]
 fn runs_none_of_5000_redelivered_messages_again() {
     let mut harness = Harness::new(ConsumerConfig { prefetch: 8192, ..config("keyed") });
-    for name in 0..5_000 {
-        harness.publish(name, true, false);
+    for number in 0..5_000 {
+        harness.publish(number, true, false);
     }
     // The prefetch doubles once a second.
     for _ in 0..16 {
@@ -103,7 +104,8 @@
     for n in 0..3_000 {
         harness.start_run();
         if n % 3 == 0 {
-            harness.end_run(n % 2 == 0); // the broker never reads these settlements
+            // The connection is lost before the broker reads these settlements.
+            harness.end_run(n % 2 == 0);
         }
     }
     let settled: Vec<(DeliveryTag, Settlement)> = harness
@@ -119,8 +121,13 @@
     harness.ready.clear();
     harness.unsettled.clear();
     harness.disconnect();
-    (0..5_000).for_each(|name| {
-        harness.ready.push_back(QueuedMessage { name, named: true, prior_deliveries: 1, wants_reply: false })
+    (0..5_000).for_each(|number| {
+        harness.ready.push_back(QueuedMessage {
+            number,
+            has_message_id: true,
+            prior_deliveries: 1,
+            wants_reply: false,
+        })
     });
     harness.connect();
     for _ in 0..16 {
@@ -201,8 +208,8 @@
     {
         let mut harness = Harness::new(ConsumerConfig { run_unverified_redeliveries, ..config(method) });
         harness.ready.push_back(QueuedMessage {
-            name: 1,
-            named: true,
+            number: 1,
+            has_message_id: true,
             prior_deliveries: 1,
             wants_reply: false,
         });
@@ -219,7 +226,7 @@
 }
 
 #[test]
-fn tells_equal_messages_without_an_id_apart_by_their_count() {
+fn counts_equal_messages_without_an_id_as_different_messages() {
     let mut harness = Harness::new(config("keyed"));
     harness.publish(1, false, false);
     harness.publish(1, false, false);
@@ -227,7 +234,7 @@
     harness.now += 2 * S;
     harness.update_prefetch(8.0);
     harness.deliver(2, false);
-    assert_eq!(harness.submitted.len(), 2, "two equal messages are two");
+    assert_eq!(harness.submitted.len(), 2, "two equal messages that are not redelivered are both submitted");
     harness.start_run();
     harness.disconnect();
     harness.connect();
@@ -252,7 +259,7 @@
     assert!(harness.submitted.is_empty() && harness.unsettled.len() == 1 && harness.queue.unsettled() == 1);
     harness.advance(20 * MS);
     assert_eq!(harness.submitted.len(), 1);
-    // Without a Retry-After the delay doubles, up to the deadline.
+    // Without a Retry-After, the delay doubles until the deadline.
     let start = harness.now;
     while harness.settlements.is_empty() {
         harness.reject(0);
@@ -300,37 +307,40 @@
 fn drain_requeues_what_never_ran_and_settles_what_runs() {
     let mut harness = Harness::new(config("read"));
     harness.now += 4 * S;
-    for name in 0..5 {
-        harness.publish(name, true, name == 4);
+    for number in 0..5 {
+        harness.publish(number, true, number == 4);
         harness.update_prefetch(64.0);
         harness.now += S + 1;
         harness.update_prefetch(64.0);
     }
     harness.deliver(5, false);
     assert_eq!(harness.submitted.len(), 5);
-    harness.reject(50 * MS); // the first waits
+    // The first message waits for its retry.
+    harness.reject(50 * MS);
     harness.start_run();
     harness.start_run();
     harness.queue.drain(harness.now);
     harness.carry_out_actions();
     assert!(harness.prefetch.is_none() && !harness.queue.is_drained());
-    // What is delivered before the cancel is read is requeued at once.
+    // A delivery that arrives before the broker has read the cancel is requeued at once.
     harness.prefetch = Some(9);
     harness.publish(9, true, false);
     harness.deliver(9, false);
-    assert!(harness.submitted.len() == 2 && harness.ready.iter().any(|message| message.name == 9));
+    assert!(harness.submitted.len() == 2 && harness.ready.iter().any(|message| message.number == 9));
     harness.reject(0);
     harness.end_run(true);
-    harness.end_run(false); // idempotent: it may run again, on another server
+    // An idempotent message whose run was aborted is requeued, to run on another server.
+    harness.end_run(false);
     harness.start_run();
-    harness.end_run(true); // asks for a reply that the broker does not confirm
+    // This message asks for a reply, which the broker does not confirm.
+    harness.end_run(true);
     assert!(!harness.queue.is_drained());
     harness.advance(600 * MS);
     harness.check();
     assert!(harness.queue.is_drained(), "{} unsettled", harness.queue.unsettled());
     assert_eq!((harness.queue.stats.acked, harness.queue.stats.replies_lost), (2, 1));
     assert_eq!(
-        harness.ready.iter().map(|message| message.name).collect::<BTreeSet<_>>(),
+        harness.ready.iter().map(|message| message.number).collect::<BTreeSet<_>>(),
         [0, 2, 3, 9].into()
     );
 }
@@ -342,24 +352,25 @@
     harness.publish(2, true, false);
     harness.deliver(1, false);
     harness.start_run();
-    let mut other = config("keyed");
-    (other.max_attempts, other.prefetch, other.processing_timeout) = (1, 4, S);
-    harness.queue.reconfigure(other.clone());
-    harness.end_run(false); // idempotent by its old route, and without attempts by the new configuration
+    let mut new_config = config("keyed");
+    (new_config.max_attempts, new_config.prefetch, new_config.processing_timeout) = (1, 4, S);
+    harness.queue.reconfigure(new_config.clone());
+    // The message keeps its old route, which is idempotent, but has no attempts left by the new configuration.
+    harness.end_run(false);
     assert_eq!(
         (harness.settlements[&1].as_slice(), harness.queue.stats.poisoned),
         (&[Settlement::Reject][..], 1)
     );
     harness.deliver(1, false);
     assert!(harness.submitted.len() == 1 && harness.queue.config().processing_timeout == S);
-    // Drained with one message in flight that still ends, and consumed again on the same channel.
+    // The queue is drained while one message is in flight, and consumed again on the same channel.
     harness.queue.drain(harness.now);
     harness.carry_out_actions();
     assert!(harness.prefetch.is_none() && !harness.queue.is_drained());
     harness.start_run();
     harness.end_run(true);
     assert!(harness.queue.is_drained() && harness.settlements[&2] == [Settlement::Ack]);
-    harness.queue.reconfigure(other);
+    harness.queue.reconfigure(new_config);
     harness.now += 2 * S;
     harness.update_prefetch(8.0);
     harness.publish(3, true, false);
@@ -380,7 +391,7 @@
     assert!(harness.settlements.is_empty() && harness.reply_requests.len() == 1);
     harness.confirm_replies(false);
     harness.advance(200 * MS);
-    // The connection is lost in between: the result is retained, and published on the next one.
+    // The connection is lost before the reply is confirmed. The reply is published again on the next connection.
     harness.confirm_replies(false);
     harness.disconnect();
     harness.connect();
@@ -399,7 +410,7 @@
 fn closes_the_channel_of_a_broker_that_exceeds_the_prefetch() {
     let mut harness = Harness::new(ConsumerConfig { prefetch: 1, ..config("read") });
     harness.prefetch = Some(100);
-    (0..40).for_each(|name| harness.publish(name, true, false));
+    (0..40).for_each(|number| harness.publish(number, true, false));
     harness.deliver(40, false);
     assert_eq!(harness.queue.stats.overrun, 1);
     assert!(harness.queue.in_flight() <= harness.queue.config().max_in_flight());
@@ -445,7 +456,8 @@
     harness.publish(1, true, false);
     harness.deliver(1, false);
     harness.reject(100 * MS);
-    harness.now -= S; // the engine's time never goes back; a consumer driven without one only waits longer
+    // The engine's time never goes back. A consumer that is used without the engine only waits longer.
+    harness.now -= S;
     harness.update_prefetch(8.0);
     assert!(harness.submitted.is_empty() && harness.unsettled.len() == 1);
     harness.advance(2 * S);
@@ -454,7 +466,7 @@
 }
 
 #[test]
-fn prints_statistics_under_their_published_names() {
+fn displays_counters_under_their_documented_names() {
     let mut harness = Harness::new(config("read"));
     harness.publish(1, true, false);
     harness.deliver(1, false);
