--- a/daemon/src/dispatcher/shared.rs
+++ b/daemon/src/dispatcher/shared.rs
@@ -9,7 +9,7 @@
 use asterrill_consensus::LeasedPolicy;
 use asterrill_membership::STATIC_QUOTA_FRACTION;
 use asterrill_net::{
-    monotonic_now, now, BufferPool, ConnectionLimit, ListenerHandle, Notify, Outbox, PoolUsage, BUFFER_SIZE,
+    monotonic_now, now, BufferPool, ConnectionLimit, ListenerHandle, Notify, Outbox, PoolUsage, BUFFER_BYTES,
 };
 use slog::Logger;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,7 +20,7 @@
 
 /// The buffers of each pool under this memory limit in MB.
 pub fn buffers(memory_mb: u64) -> usize {
-    (memory_mb * 1024 * 1024 / MEMORY_DIVISOR / BUFFER_SIZE as u64) as usize
+    (memory_mb * 1024 * 1024 / MEMORY_DIVISOR / BUFFER_BYTES as u64) as usize
 }
 
 /// What is behind the lock.
--- a/daemon/src/name_table.rs
+++ b/daemon/src/name_table.rs
@@ -46,7 +46,7 @@
         let method_names = std::mem::take(&mut server.methods);
         let tenant_names = std::mem::take(&mut server.tenants);
         let method_ids = method_names.iter().cloned().zip((0..).map(MethodId)).collect();
-        let settings = server.effects.iter().zip(&server.latency_targets);
+        let settings = server.idempotency.iter().zip(&server.latency_targets);
         let entry = |(name, (idempotency, latency_target)): (Name, (&Idempotency, &Us))| MethodEntry {
             name,
             idempotency: *idempotency,
--- a/net/src/connection.rs
+++ b/net/src/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{now, wait_until, yield_to_others};
 use crate::outbox::{CloseRequest, Outbox, Waker};
-use crate::pool::{BufferPool, PooledBuffer, BUFFER_SIZE};
+use crate::pool::{BufferPool, PooledBuffer, BUFFER_BYTES};
 use may::io::WaitIo;
 use may::net::TcpStream;
 use std::io::{ErrorKind, Read, Write};
@@ -168,7 +168,7 @@
                     self.handler.on_half_closed();
                 }
                 Ok(length) => {
-                    progress.more = length == BUFFER_SIZE || self.events & event::HALF_CLOSED != 0;
+                    progress.more = length == BUFFER_BYTES || self.events & event::HALF_CLOSED != 0;
                     self.outbox.touch(now());
                     self.wanted = self.wanted && self.handler.on_data(buffer.get(..length).unwrap_or(&[]));
                     if !progress.more {
@@ -185,7 +185,7 @@
 
     fn take_buffer(&self) -> Option<PooledBuffer> {
         let mut buffer = self.pool.take()?;
-        buffer.resize(BUFFER_SIZE, 0);
+        buffer.resize(BUFFER_BYTES, 0);
         Some(buffer)
     }
 
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -40,5 +40,5 @@
 pub use may::net::{TcpListener, TcpStream};
 pub use notify::Notify;
 pub use outbox::Outbox;
-pub use pool::{BufferPool, PoolUsage, PooledBuffer, BUFFER_SIZE};
+pub use pool::{BufferPool, PoolUsage, PooledBuffer, BUFFER_BYTES};
 pub use spawn::{spawn, start_worker};
--- a/net/src/outbox.rs
+++ b/net/src/outbox.rs
@@ -1,7 +1,7 @@
 //! What waits to be written to one socket: bounded, in buffers from the pool. Whoever puts something in wakes the coroutine that
 //! owns the socket.
 
-use crate::pool::{BufferPool, PooledBuffer, BUFFER_SIZE};
+use crate::pool::{BufferPool, PooledBuffer, BUFFER_BYTES};
 use may::coroutine::Coroutine;
 use may::io::WaitIoWaker;
 use std::collections::VecDeque;
@@ -56,11 +56,11 @@
 
     fn append(&mut self, mut bytes: &[u8], free: &mut impl Iterator<Item = PooledBuffer>) {
         while !bytes.is_empty() {
-            if self.buffers.back().is_none_or(|buffer| buffer.len() == BUFFER_SIZE) {
+            if self.buffers.back().is_none_or(|buffer| buffer.len() == BUFFER_BYTES) {
                 self.buffers.extend(free.next());
             }
             let Some(buffer) = self.buffers.back_mut() else { return };
-            let (first, rest) = bytes.split_at(bytes.len().min(BUFFER_SIZE - buffer.len()));
+            let (first, rest) = bytes.split_at(bytes.len().min(BUFFER_BYTES - buffer.len()));
             buffer.extend_from_slice(first);
             bytes = rest;
         }
@@ -90,8 +90,8 @@
     pub fn put(&self, slices: &[&[u8]]) -> bool {
         let mut queue = self.lock();
         let length: usize = slices.iter().map(|slice| slice.len()).sum();
-        let space = queue.buffers.back().map_or(0, |buffer| BUFFER_SIZE - buffer.len());
-        let needed = length.saturating_sub(space).div_ceil(BUFFER_SIZE);
+        let space = queue.buffers.back().map_or(0, |buffer| BUFFER_BYTES - buffer.len());
+        let needed = length.saturating_sub(space).div_ceil(BUFFER_BYTES);
         let buffers = self.take_buffers(needed, queue.buffers.len());
         let fits = queue.pending + length <= queue.max_pending
             && buffers.len() == needed
@@ -112,7 +112,9 @@
     /// Up to `count` buffers. A slow peer, whose outbox has some already, is cut off before it leaves too few to the others.
     fn take_buffers(&self, count: usize, already: usize) -> Vec<PooledBuffer> {
         let slow = already >= GUARANTEED_BUFFERS;
-        (0..count).map_while(|_| if slow { self.pool.take_if_ample() } else { self.pool.take() }).collect()
+        (0..count)
+            .map_while(|_| if slow { self.pool.take_with_reserve() } else { self.pool.take() })
+            .collect()
     }
 
     /// Closes the connection, or the one that is about to begin, once everything is written. Nothing more is put in.
--- a/net/src/pool.rs
+++ b/net/src/pool.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// Bytes in a buffer: the longest body that is taken in, with what goes around it.
-pub const BUFFER_SIZE: usize = 4608;
+pub const BUFFER_BYTES: usize = 4608;
 
 /// Unused buffers that a pool retains; more than that were needed in a burst, and go back to the system.
 const MAX_RETAINED: usize = 64;
@@ -50,12 +50,12 @@
         }
         state.in_use += 1;
         state.peak = state.peak.max(state.in_use);
-        let bytes = state.free.pop().unwrap_or_else(|| Vec::with_capacity(BUFFER_SIZE));
+        let bytes = state.free.pop().unwrap_or_else(|| Vec::with_capacity(BUFFER_BYTES));
         Some(PooledBuffer { bytes, pool: self.clone() })
     }
 
     /// The same for an owner that has several already: it leaves the last quarter of the buffers to others.
-    pub fn take_if_ample(&self) -> Option<PooledBuffer> {
+    pub fn take_with_reserve(&self) -> Option<PooledBuffer> {
         let ample = {
             let state = self.lock();
             state.in_use < state.max / 4 * 3
@@ -63,9 +63,9 @@
         self.take().filter(|_| ample)
     }
 
-    /// A buffer that holds these bytes; `None` also if there are more than [`BUFFER_SIZE`].
+    /// A buffer that holds these bytes; `None` also if there are more than [`BUFFER_BYTES`].
     pub fn copy_from(&self, bytes: &[u8]) -> Option<PooledBuffer> {
-        let mut buffer = self.take().filter(|_| bytes.len() <= BUFFER_SIZE)?;
+        let mut buffer = self.take().filter(|_| bytes.len() <= BUFFER_BYTES)?;
         buffer.extend_from_slice(bytes);
         Some(buffer)
     }
@@ -77,7 +77,7 @@
 
     /// Bytes of all buffers that there may be.
     pub fn capacity_bytes(&self) -> usize {
-        self.lock().max * BUFFER_SIZE
+        self.lock().max * BUFFER_BYTES
     }
 
     /// How many buffers are in use.
@@ -117,7 +117,7 @@
         let mut bytes = std::mem::take(&mut self.bytes);
         let mut state = self.pool.lock();
         state.in_use -= 1;
-        if state.free.len() < MAX_RETAINED && bytes.capacity() == BUFFER_SIZE {
+        if state.free.len() < MAX_RETAINED && bytes.capacity() == BUFFER_BYTES {
             bytes.clear();
             state.free.push(bytes);
         }
--- a/net/tests/closing.rs
+++ b/net/tests/closing.rs
@@ -3,7 +3,7 @@
 
 use asterrill_net::{
     bind, listen, run_connection, spawn, start_worker, BufferPool, ConnectionEnd, ConnectionHandler,
-    ConnectionLimit, ListenerHandle, Outbox, BUFFER_SIZE,
+    ConnectionLimit, ListenerHandle, Outbox, BUFFER_BYTES,
 };
 use may::net::TcpStream;
 use std::io::{Read, Write};
@@ -55,7 +55,7 @@
     let on_connection = move |stream: TcpStream, permit| {
         let (pool, outs, ends) = (pool.clone(), outs.clone(), ends.clone());
         spawn("closing", move || {
-            let out = Outbox::new(&pool, 200 * BUFFER_SIZE);
+            let out = Outbox::new(&pool, 200 * BUFFER_BYTES);
             outs.send(out.clone()).unwrap_or_default();
             let end = run_connection(&stream, &out, &pool, &mut Closing { out: out.clone(), answer, once });
             drop((stream, permit));
--- a/net/tests/drivers.rs
+++ b/net/tests/drivers.rs
@@ -86,7 +86,7 @@
 fn a_slow_reader_is_closed_at_its_limit_and_delays_nobody() {
     let _worker = exclusive();
     let pool = BufferPool::new(64);
-    let (at, received) = echo(&pool, 20 * BUFFER_SIZE, 4 * BUFFER_SIZE, 8);
+    let (at, received) = echo(&pool, 20 * BUFFER_BYTES, 4 * BUFFER_BYTES, 8);
     let mut slow = StdStream::connect(at).unwrap();
     let mut other = StdStream::connect(at).unwrap();
     let until = Instant::now() + WAIT;
@@ -95,7 +95,7 @@
         assert!(Instant::now() < until && pool.usage().in_use <= 64);
         slow.write_all(b"x").unwrap_or_default();
         other.write_all(b"y").unwrap();
-        let mut back = vec![0; 4 * BUFFER_SIZE];
+        let mut back = vec![0; 4 * BUFFER_BYTES];
         other.set_read_timeout(Some(WAIT)).unwrap();
         other.read_exact(&mut back).unwrap();
         assert!(back.iter().all(|byte| *byte == b'y'));
@@ -111,15 +111,15 @@
 fn a_slow_peer_leaves_buffers_to_others() {
     let _worker = exclusive();
     let pool = BufferPool::new(16);
-    let [slow, other] = [(); 2].map(|()| Outbox::new(&pool, 100 * BUFFER_SIZE));
-    assert!((0..20).any(|_| !slow.put(&[&[0; BUFFER_SIZE]])));
+    let [slow, other] = [(); 2].map(|()| Outbox::new(&pool, 100 * BUFFER_BYTES));
+    assert!((0..20).any(|_| !slow.put(&[&[0; BUFFER_BYTES]])));
     assert!(other.put(&[b"an answer"]));
 }
 
 #[test]
 fn peers_that_send_as_fast_as_they_are_read_delay_nobody() {
     let _worker = exclusive();
-    let (at, _heard) = echo(&BufferPool::new(64), BUFFER_SIZE, 0, 8);
+    let (at, _heard) = echo(&BufferPool::new(64), BUFFER_BYTES, 0, 8);
     let stop = Arc::new(AtomicBool::new(false));
     let flood = |stop: Arc<AtomicBool>| {
         let mut stream = StdStream::connect(at).unwrap();
@@ -144,13 +144,13 @@
 #[test]
 fn a_half_closed_connection_gets_its_answers() {
     let _worker = exclusive();
-    let (at, received) = echo(&BufferPool::new(64), 20 * BUFFER_SIZE, 3 * BUFFER_SIZE, 8);
+    let (at, received) = echo(&BufferPool::new(64), 20 * BUFFER_BYTES, 3 * BUFFER_BYTES, 8);
     let mut stream = StdStream::connect(at).unwrap();
     stream.write_all(b"ab").unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
     let mut back = Vec::new();
     stream.read_to_end(&mut back).unwrap();
-    assert_eq!((back.len(), back[0], back[6 * BUFFER_SIZE - 1]), (6 * BUFFER_SIZE, b'a', b'b'));
+    assert_eq!((back.len(), back[0], back[6 * BUFFER_BYTES - 1]), (6 * BUFFER_BYTES, b'a', b'b'));
     assert_eq!(received.recv_timeout(WAIT), Ok("half closed"));
     assert_eq!(received.recv_timeout(WAIT), Ok("closed"));
 }
@@ -158,7 +158,7 @@
 #[test]
 fn at_the_limit_the_next_connection_waits_until_one_ends() {
     let _worker = exclusive();
-    let (at, received) = echo(&BufferPool::new(8), BUFFER_SIZE, 1, 1);
+    let (at, received) = echo(&BufferPool::new(8), BUFFER_BYTES, 1, 1);
     let first = StdStream::connect(at).unwrap();
     let mut second = StdStream::connect(at).unwrap();
     second.write_all(b"z").unwrap();
@@ -201,7 +201,7 @@
 fn link(to: SocketAddr, eager: bool) -> (Outbox, Receiver<&'static str>) {
     worker();
     let pool = BufferPool::new(8);
-    let out = Outbox::new(&pool, BUFFER_SIZE);
+    let out = Outbox::new(&pool, BUFFER_BYTES);
     let ((events, received), link_outbox) = (channel(), out.clone());
     let backoff = Backoff::new(Duration::from_millis(10), Duration::from_millis(80), 5);
     spawn("link", move || {
@@ -326,7 +326,7 @@
     let on_connection = move |stream: TcpStream, permit| {
         let (pool, events) = (pool.clone(), events.clone());
         spawn("echo", move || {
-            let out = Outbox::new(&pool, BUFFER_SIZE);
+            let out = Outbox::new(&pool, BUFFER_BYTES);
             run_connection(&stream, &out, &pool, &mut Echo { outbox: out.clone(), repeat: 1, events });
             drop((stream, permit));
         })
--- a/operator-config/src/secret.rs
+++ b/operator-config/src/secret.rs
@@ -45,7 +45,7 @@
     },
     /// Its first line is empty, or it is not UTF-8.
     #[error("{path} is empty, or is not text")]
-    NoText {
+    InvalidText {
         /// The file.
         path: String,
     },
@@ -74,6 +74,6 @@
     let read = file.take(MAX_SECRET_BYTES).read_to_string(&mut text);
     match text.lines().next() {
         Some(secret) if read.is_ok() && !secret.is_empty() => Ok(secret.to_string()),
-        _ => Err(SecretError::NoText { path: name() }),
+        _ => Err(SecretError::InvalidText { path: name() }),
     }
 }
--- a/settings/src/server_parts.rs
+++ b/settings/src/server_parts.rs
@@ -18,7 +18,7 @@
     /// Names of the tenants, by the index that the decision module uses.
     pub tenants: Vec<Name>,
     /// By `MethodId`: whether an RPC may run again.
-    pub effects: Vec<Idempotency>,
+    pub idempotency: Vec<Idempotency>,
     /// By `MethodId`: the latency targets in microseconds.
     pub latency_targets: Vec<Us>,
     /// The longest deadline of any method, in microseconds.
@@ -170,15 +170,15 @@
     let shortest_target = methods.iter().map(|method| method.latency_target).min();
     let shortest_target =
         shortest_target.ok_or_else(|| SettingsError::invalid_field(EntryKind::Method.list_key()))?;
-    let effects: Vec<Idempotency> = methods.iter().map(|method| method.idempotency).collect();
+    let idempotency: Vec<Idempotency> = methods.iter().map(|method| method.idempotency).collect();
     let latency_targets = methods.iter().map(|method| method.latency_target).collect();
     let longest_deadline = methods.iter().map(|method| method.deadline).max().unwrap_or(0);
-    let coalescable = effects.iter().map(|effect| *effect == Idempotency::Idempotent).collect();
+    let coalescable = idempotency.iter().map(|idempotency| *idempotency == Idempotency::Idempotent).collect();
     Ok(ServerParts {
         control: control(now, seed, globals, shortest_target, methods, &quotas, cold_start)?,
         methods: method_names,
         tenants: tenant_names,
-        effects,
+        idempotency,
         latency_targets,
         longest_deadline,
         cores: globals.cores as f64,
--- a/settings/tests/valid_settings.rs
+++ b/settings/tests/valid_settings.rs
@@ -47,7 +47,7 @@
     let (mut now, mut running) = (START, Vec::new());
     for n in 0..120_u64 {
         now += 7 * MS;
-        let method = MethodId(n as usize % server.effects.len());
+        let method = MethodId(n as usize % server.idempotency.len());
         let due = (n % 3 > 0).then_some(now + 300 * MS);
         let prior = (n % 11 == 10).then(|| RpcId::from_number(n - 1));
         let (id, caller, unread) = (RpcId::from_number(n), CallerId(n % 5), n % 4 * MS);
