--- a/net/src/address.rs
+++ b/net/src/address.rs
@@ -1,9 +1,9 @@
-//! Where the other side of a link listens.
+//! Addresses of the peers that links connect to.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// An address that may change while links to it are up, and perhaps fallbacks. Clones share the address.
+/// A primary address, which may change while links to it are connected, and optional fallbacks. Clones share the address.
 #[derive(Clone)]
 pub struct Address {
     primary: Arc<Mutex<SocketAddr>>,
@@ -11,18 +11,19 @@
 }
 
 impl Address {
-    /// One address.
+    /// Creates an address without fallbacks.
     pub fn new(primary: SocketAddr) -> Address {
         Address { primary: Arc::new(Mutex::new(primary)), fallbacks: Arc::new([]) }
     }
 
-    /// The first of several addresses; the others are tried in their order while those before fail. `None` for none.
+    /// Creates an address from a list: the first is the primary, the others are fallbacks, tried in order while connecting
+    /// fails. Returns `None` for an empty list.
     pub fn with_fallbacks(addresses: &[SocketAddr]) -> Option<Address> {
         let (primary, fallbacks) = addresses.split_first()?;
         Some(Address { primary: Arc::new(Mutex::new(*primary)), fallbacks: fallbacks.into() })
     }
 
-    /// The address to try after this many failures in a row.
+    /// Returns the address to try after this many consecutive failures.
     pub(crate) fn after_failures(&self, failures: usize) -> SocketAddr {
         match failures % (self.fallbacks.len() + 1) {
             0 => self.get(),
@@ -34,13 +35,13 @@
         self.primary.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The address without fallbacks.
+    /// Returns the primary address.
     pub fn get(&self) -> SocketAddr {
         *self.lock()
     }
 
-    /// Changes the address. True if it was another. A link that is up stays until it ends; [`crate::Outbox::wake_owner`] wakes
-    /// one that waits to connect.
+    /// Changes the primary address and reports whether the new one differs from the old one. An established connection is
+    /// kept until it ends; [`crate::Outbox::wake_owner`] wakes a link that waits to connect.
     pub fn set(&self, address: SocketAddr) -> bool {
         std::mem::replace(&mut *self.lock(), address) != address
     }
--- a/net/src/backoff.rs
+++ b/net/src/backoff.rs
@@ -1,11 +1,11 @@
-//! Pauses between attempts that grow with each failure.
+//! Exponential backoff between attempts to connect.
 
 use crate::clock::{now, wait_until};
 use nanorand::{Rng, WyRand};
 use std::time::Duration;
 
-/// Exponential backoff with jitter: each pause is half to one and a half times as long as its step, and each step twice as long
-/// as the one before.
+/// Exponential backoff with jitter: the step doubles after each delay up to a maximum, and each delay lasts 0.5 to 1.5 times
+/// its step.
 pub struct Backoff {
     next: Duration,
     min: Duration,
@@ -14,22 +14,22 @@
 }
 
 impl Backoff {
-    /// Steps from `min` to `max`; jitter from `seed`.
+    /// Creates a backoff with steps from `min` to `max`. `seed` seeds the jitter.
     pub fn new(min: Duration, max: Duration, seed: u64) -> Backoff {
         Backoff { next: min, min, max, rng: WyRand::new_seed(seed) }
     }
 
-    /// An attempt succeeded: the next pause is the shortest again.
+    /// Returns to the shortest step, after an attempt has succeeded.
     pub fn reset(&mut self) {
         self.next = self.min;
     }
 
-    /// Waits for a pause.
+    /// Waits for the next delay.
     pub fn wait(&mut self) {
         self.wait_unless(|| false);
     }
 
-    /// Waits for a pause, or until `cancelled`, which is looked at whenever the coroutine is woken.
+    /// Waits for the next delay, or until `cancelled` returns true. `cancelled` is evaluated whenever the coroutine is woken.
     pub fn wait_unless(&mut self, cancelled: impl Fn() -> bool) {
         let jitter = 0.5 + self.rng.generate::<f64>();
         let until = now() + self.next.mul_f64(jitter).as_micros() as u64;
--- a/net/src/clock.rs
+++ b/net/src/clock.rs
@@ -1,44 +1,44 @@
-//! The clocks, and waiting by them.
+//! Clocks and timers.
 //!
-//! The timers of `may` are not used: its `park_timeout` has whole milliseconds only, so that a wait of less than one never
-//! ends, and it wakes coroutines on a thread of its own beside the worker. Here one plain thread wakes coroutines when their
-//! time has come, to the microsecond, and all that is woken runs on the worker.
+//! The timers of `may` are not used: its `park_timeout` has millisecond resolution, so that a wait of less than a millisecond
+//! never ends, and it runs the woken coroutines on a thread of its own beside the worker. This module has one timer thread
+//! with microsecond resolution, and every coroutine that it wakes runs on the worker.
 
 use may::coroutine::{self, Coroutine};
 use std::collections::BTreeMap;
 use std::sync::{Condvar, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The Unix clock, in microseconds. It may be set back.
+/// Returns the Unix time in microseconds. The system clock may be set back.
 pub fn now() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
-/// A clock that is never set, in microseconds since the first call in this process.
+/// Returns the time of the monotonic clock, in microseconds since the first call in this process.
 pub fn monotonic_now() -> u64 {
     static START: OnceLock<Instant> = OnceLock::new();
     START.get_or_init(Instant::now).elapsed().as_micros() as u64
 }
 
-/// The longest sleep of the timer thread, in microseconds: the Unix clock may be set.
+/// Maximum sleep of the timer thread, which bounds the delay of timers when the Unix clock is set.
 const MAX_SLEEP_US: u64 = 500_000;
 
-/// When a coroutine is to be woken, and a number that tells timers of one moment apart.
+/// Expiry of a timer in microseconds, and a sequence number that distinguishes timers with the same expiry.
 type TimerKey = (u64, u64);
 
 struct Timers {
     pending: BTreeMap<TimerKey, Coroutine>,
-    next_number: u64,
+    next_sequence: u64,
 }
 
 struct TimerQueue {
     timers: Mutex<Timers>,
-    /// Signalled when a timer is added that is earlier than all others.
+    /// Signalled when a timer is added that expires before all others.
     earlier: Condvar,
 }
 
 static QUEUE: TimerQueue = TimerQueue {
-    timers: Mutex::new(Timers { pending: BTreeMap::new(), next_number: 0 }),
+    timers: Mutex::new(Timers { pending: BTreeMap::new(), next_sequence: 0 }),
     earlier: Condvar::new(),
 };
 
@@ -47,11 +47,11 @@
         self.timers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a timer for the calling coroutine.
+    /// Adds a timer that wakes the calling coroutine at `at`.
     fn add(&self, at: u64) -> TimerKey {
         let mut timers = self.lock();
-        let key = (at, timers.next_number);
-        timers.next_number += 1;
+        let key = (at, timers.next_sequence);
+        timers.next_sequence += 1;
         timers.pending.insert(key, coroutine::current());
         if timers.pending.first_key_value().is_some_and(|(first, _)| *first == key) {
             self.earlier.notify_one();
@@ -64,7 +64,7 @@
     }
 }
 
-/// Wakes coroutines when their timers expire. Never returns: the work of the timer thread.
+/// Runs the timer thread, which wakes coroutines when their timers expire. Never returns.
 pub(crate) fn run_timers() {
     let mut timers = QUEUE.lock();
     loop {
@@ -79,16 +79,17 @@
     }
 }
 
-/// Waits until unparked. Then other coroutines get their turn first: a coroutine that is unparked from another thread while it
-/// is about to wait goes on within the scheduler's own call, and `may` 0.3.51 hangs its worker for good if the coroutine ends
-/// there.
+/// Parks the calling coroutine until it is unparked, then yields to other coroutines.
+///
+/// The yield guards against a hang in `may` 0.3.51: a coroutine that is unparked from another thread while it is about to park
+/// resumes inside the scheduler's own call, and if it ends there, the worker hangs permanently.
 pub(crate) fn park() {
     coroutine::park();
     coroutine::yield_now();
 }
 
-/// Waits until the Unix clock is at `at` (microseconds), or until the [`crate::Notify`] that this coroutine is registered with
-/// is notified. Others get their turn in any case.
+/// Waits until the Unix time `at` (microseconds), or until the [`crate::Notify`] that this coroutine is registered with is
+/// notified. Yields to other coroutines even if `at` has passed.
 pub fn wait_until(at: u64) {
     if at <= now() {
         return coroutine::yield_now();
@@ -96,9 +97,10 @@
     wait_for_timer(at);
 }
 
-/// Lets every coroutine that is ready, or whose socket is, run first. `yield_now` of `may` 0.3.51 does not: its worker looks at
-/// sockets, and takes up what was started or woken, only once no coroutine yields any more. One peer that sends as fast as it
-/// is read, or a rush of new connections, would hold up all others.
+/// Yields to every coroutine that is ready to run or whose socket is ready.
+///
+/// `yield_now` of `may` 0.3.51 does not: its worker polls sockets and schedules started or woken coroutines only once no
+/// coroutine yields any more. A peer that sends as fast as it is read, or a burst of new connections, would delay all others.
 pub fn yield_to_others() {
     wait_for_timer(now());
 }
--- a/net/src/connection.rs
+++ b/net/src/connection.rs
@@ -1,4 +1,5 @@
-//! One socket and its coroutine: what arrives is handed on, what waits in the outbox is written, and neither waits for the other.
+//! The driver of one socket: its coroutine passes received bytes to a handler and writes the bytes queued in the outbox, and
+//! neither direction blocks the other.
 
 use crate::clock::{now, wait_until, yield_to_others};
 use crate::outbox::{CloseRequest, Outbox, Waker};
@@ -8,35 +9,42 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::Shutdown;
 
-const READ_BURST: usize = 4; // buffers that are read before other coroutines get their turn
-const NO_BUFFER_RETRY_US: u64 = 1_000; // between looks for a buffer while none is free
-const MAX_LAST_READS: usize = 4; // of what had arrived when the connection was to be closed, from a peer that goes on sending
-const MAX_LINGER_BYTES: usize = 1 << 16; // that are read and dropped after the end
+/// Maximum number of buffers that are read before the coroutine yields to others.
+const MAX_READS_PER_TURN: usize = 4;
+/// Interval between attempts to take a buffer while the pool is exhausted.
+const NO_BUFFER_RETRY_US: u64 = 1_000;
+/// Maximum number of reads of data that had arrived before a requested close. Bounds how long a peer that keeps sending can
+/// delay the close.
+const MAX_FINAL_READS: usize = 4;
+/// Maximum number of bytes that are read and discarded after the close.
+const MAX_LINGER_BYTES: usize = 1 << 16;
 const LINGER_CHUNK_BYTES: usize = 512;
 const MIN_LINGER_POLL_US: u64 = 1_000;
 const MAX_LINGER_POLL_US: u64 = 50_000;
 
 /// The event flags of `epoll` that `may` reports.
 mod event {
-    /// The other side has ended its half (`EPOLLRDHUP`).
+    /// The peer has closed its half of the connection (`EPOLLRDHUP`).
     pub const HALF_CLOSED: usize = 0x2000;
-    /// An error, or both halves are closed (`EPOLLERR`, `EPOLLHUP`).
-    pub const GONE: usize = 0x8 | 0x10;
-    /// There is something to read (`EPOLLIN`), an end included.
-    pub const READABLE: usize = 0x1 | HALF_CLOSED | GONE;
+    /// An error occurred, or both halves are closed (`EPOLLERR`, `EPOLLHUP`).
+    pub const CLOSED_OR_FAILED: usize = 0x8 | 0x10;
+    /// Data, an end of stream or an error can be read (`EPOLLIN` and the above).
+    pub const READABLE: usize = 0x1 | HALF_CLOSED | CLOSED_OR_FAILED;
 }
 
-/// Understands the bytes of a connection.
+/// A handler for the bytes that a connection receives.
 pub trait ConnectionHandler {
-    /// Takes what has arrived. After a false nothing more is wanted, and what arrives is dropped.
+    /// Handles received bytes. Returns whether more are accepted; after `false`, further bytes are discarded.
     fn on_data(&mut self, bytes: &[u8]) -> bool;
 
-    /// The other side sends nothing more, but may still read: the connection stays until it is closed here.
+    /// Handles the end of the peer's stream. The peer may still read; the connection stays open until it is closed locally.
     fn on_half_closed(&mut self);
 
-    /// For how long, in microseconds, a connection that is closed here is read on until the other side closes it too: a close
-    /// over unread bytes is a reset, and destroys what is still on its way there. What had arrived before it is closed is then
-    /// handed on as well, and keeps the connection open. `None` where neither matters.
+    /// Returns how long, in microseconds, a locally closed connection keeps reading while the peer has not closed it too.
+    ///
+    /// Closing a socket with unread bytes sends a reset, which destroys data that is still on its way to the peer. With a
+    /// linger time, bytes that had arrived before the close are also passed to the handler and keep the connection open. `None`
+    /// disables both.
     fn linger_us(&self) -> Option<u64> {
         None
     }
@@ -45,73 +53,74 @@
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// It was closed here.
+    /// The connection was closed locally.
     Closed,
-    /// The other side broke it off.
+    /// The peer reset the connection, or the socket failed.
     Broken,
 }
 
-/// Runs a connection until it ends.
+/// Runs a connection until it ends. Returns how it ended.
 pub fn run_connection(
     stream: &TcpStream, outbox: &Outbox, pool: &BufferPool, handler: &mut dyn ConnectionHandler,
 ) -> ConnectionEnd {
     stream.set_nodelay(true).unwrap_or_default();
     outbox.set_waker(Some(Waker::Io(stream.waker())));
-    outbox.touch(now());
+    outbox.record_activity(now());
     let end = Connection::new(stream, outbox, pool, handler).run();
     outbox.set_waker(None);
-    let in_order = end == ConnectionEnd::Closed && outbox.close_request() == CloseRequest::AfterFlush;
-    if let Some(span) = handler.linger_us().filter(|_| in_order) {
-        linger(stream, now() + if outbox.skips_linger() { 0 } else { span });
+    let flushed = end == ConnectionEnd::Closed && outbox.close_request() == CloseRequest::AfterFlush;
+    if let Some(linger_us) = handler.linger_us().filter(|_| flushed) {
+        linger(stream, now() + if outbox.skips_linger() { 0 } else { linger_us });
     }
     end
 }
 
-/// Ends writing, then reads and drops bytes until the other side has closed too, until `deadline` at the latest.
+/// Shuts down writing, then reads and discards bytes until the peer closes too, until `deadline`, or until
+/// [`MAX_LINGER_BYTES`].
 fn linger(stream: &TcpStream, deadline: u64) {
     if stream.shutdown(Shutdown::Write).is_err() {
         return;
     }
     let mut chunk = [0; LINGER_CHUNK_BYTES];
-    let (mut allowance, mut pause) = (MAX_LINGER_BYTES, MIN_LINGER_POLL_US);
+    let (mut remaining, mut poll_interval) = (MAX_LINGER_BYTES, MIN_LINGER_POLL_US);
     loop {
         match stream.inner().read(&mut chunk) {
             Ok(0) => return,
-            Ok(length) if length < allowance => allowance -= length,
+            Ok(length) if length < remaining => remaining -= length,
             Ok(_) => return,
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(e) if e.kind() == ErrorKind::WouldBlock && now() < deadline => {
-                wait_until((now() + pause).min(deadline));
-                pause = (pause * 2).min(MAX_LINGER_POLL_US);
+                wait_until((now() + poll_interval).min(deadline));
+                poll_interval = (poll_interval * 2).min(MAX_LINGER_POLL_US);
             }
             Err(_) => return,
         }
     }
 }
 
-/// What has to be waited for before the next round.
+/// The result of one round, which determines what the coroutine waits for before the next.
 #[derive(Clone, Copy, Default)]
 struct Progress {
-    /// There may be more to read now.
+    /// More data may be readable already.
     more: bool,
-    /// No buffer was free.
+    /// The buffer pool was exhausted.
     no_buffer: bool,
 }
 
-/// A connection that runs.
+/// The state of a running connection.
 struct Connection<'a> {
     stream: &'a TcpStream,
     outbox: &'a Outbox,
     pool: &'a BufferPool,
     handler: &'a mut dyn ConnectionHandler,
-    /// The other side has not ended its half.
-    open: bool,
-    /// The handler wants what arrives.
-    wanted: bool,
-    last_reads_left: usize,
-    /// The last event flags. Events come at changes only: after one that says that there is something to read, the socket is
-    /// read until less arrives than there was space for; what arrives after that is a change again. The end of the other side
-    /// may come with the same event.
+    /// The peer has not closed its half of the connection.
+    read_open: bool,
+    /// The handler accepts further bytes.
+    accepts_data: bool,
+    final_reads_left: usize,
+    /// The event flags of the last wakeup. Events are edge-triggered: after a readable event, the socket is read until a read
+    /// returns less than the buffer holds, since later data triggers another event. The same event may also report the peer's
+    /// end of stream.
     events: usize,
 }
 
@@ -125,9 +134,9 @@
             outbox,
             pool,
             handler,
-            open: true,
-            wanted: true,
-            last_reads_left: MAX_LAST_READS,
+            read_open: true,
+            accepts_data: true,
+            final_reads_left: MAX_FINAL_READS,
             events: event::READABLE,
         }
     }
@@ -140,7 +149,7 @@
         }
     }
 
-    /// Reads, writes, closes if that was requested, and waits. The error is the end of the connection.
+    /// Reads, writes, closes if requested, and waits. The error is how the connection ended.
     fn run_round(&mut self) -> Result<(), ConnectionEnd> {
         let mut progress = Progress::default();
         self.read(&mut progress)?;
@@ -150,13 +159,13 @@
     }
 
     fn read(&mut self, progress: &mut Progress) -> Result<(), ConnectionEnd> {
-        for _ in 0..READ_BURST {
-            // What arrives once the connection is to be closed stays unread until everything is written.
-            let readable = self.open && self.events & event::READABLE != 0;
+        for _ in 0..MAX_READS_PER_TURN {
+            // Once a close is requested, data stays unread until the outbox is flushed.
+            let readable = self.read_open && self.events & event::READABLE != 0;
             if !readable || self.outbox.close_request() != CloseRequest::None {
                 break;
             }
-            // Without a buffer the sender waits until others have returned some.
+            // While the pool is exhausted, the socket is not read, so that flow control stops the sender.
             let Some(mut buffer) = self.take_buffer() else {
                 progress.no_buffer = true;
                 break;
@@ -164,13 +173,14 @@
             progress.more = false;
             match self.stream.inner().read(&mut buffer) {
                 Ok(0) => {
-                    self.open = false;
+                    self.read_open = false;
                     self.handler.on_half_closed();
                 }
                 Ok(length) => {
                     progress.more = length == BUFFER_BYTES || self.events & event::HALF_CLOSED != 0;
-                    self.outbox.touch(now());
-                    self.wanted = self.wanted && self.handler.on_data(buffer.get(..length).unwrap_or(&[]));
+                    self.outbox.record_activity(now());
+                    self.accepts_data =
+                        self.accepts_data && self.handler.on_data(buffer.get(..length).unwrap_or(&[]));
                     if !progress.more {
                         break;
                     }
@@ -192,7 +202,7 @@
     fn write(&mut self) -> Result<(), ConnectionEnd> {
         loop {
             match self.outbox.write_first(|bytes| self.stream.inner().write(bytes)) {
-                Ok(true) => self.outbox.touch(now()),
+                Ok(true) => self.outbox.record_activity(now()),
                 Ok(false) => return Ok(()),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
@@ -205,10 +215,10 @@
         match self.outbox.close_request() {
             CloseRequest::Now => Err(ConnectionEnd::Closed),
             CloseRequest::AfterFlush if self.outbox.is_empty() => {
-                let read_last = self.open && self.wanted && self.last_reads_left > 0;
-                if read_last && self.handler.linger_us().is_some() {
-                    self.last_reads_left -= 1;
-                    self.read_last(progress)
+                let may_read = self.read_open && self.accepts_data && self.final_reads_left > 0;
+                if may_read && self.handler.linger_us().is_some() {
+                    self.final_reads_left -= 1;
+                    self.read_before_close(progress)
                 } else {
                     Err(ConnectionEnd::Closed)
                 }
@@ -217,8 +227,8 @@
         }
     }
 
-    /// What arrived before the connection was to be closed counts like any other: then it is not closed yet.
-    fn read_last(&mut self, progress: &mut Progress) -> Result<(), ConnectionEnd> {
+    /// Reads data that arrived before the requested close. If there is any, it is handled as usual and cancels the close.
+    fn read_before_close(&mut self, progress: &mut Progress) -> Result<(), ConnectionEnd> {
         let Some(mut buffer) = self.take_buffer() else {
             progress.no_buffer = true;
             return Ok(());
@@ -226,9 +236,9 @@
         match self.stream.inner().read(&mut buffer) {
             Ok(0) => Err(ConnectionEnd::Closed),
             Ok(length) => {
-                self.outbox.reopen();
-                self.outbox.touch(now());
-                self.wanted = self.handler.on_data(buffer.get(..length).unwrap_or(&[]));
+                self.outbox.cancel_close();
+                self.outbox.record_activity(now());
+                self.accepts_data = self.handler.on_data(buffer.get(..length).unwrap_or(&[]));
                 self.events |= event::READABLE;
                 progress.more = true;
                 Ok(())
@@ -249,7 +259,7 @@
             yield_to_others();
         } else {
             self.events = self.stream.wait_io();
-            if self.events & event::GONE != 0 && !self.open {
+            if self.events & event::CLOSED_OR_FAILED != 0 && !self.read_open {
                 return Err(ConnectionEnd::Broken);
             }
         }
--- a/net/src/connection_limit.rs
+++ b/net/src/connection_limit.rs
@@ -1,13 +1,13 @@
-//! How many connections may be open at a time.
+//! A limit on the number of open connections.
 
 use crate::notify::Notify;
 use std::sync::atomic::{AtomicIsize, Ordering};
 use std::sync::Arc;
 
 struct Shared {
-    /// Permits that are left. Negative after the limit was lowered below what is open.
-    free: AtomicIsize,
-    /// Wakes the listener when permits come back.
+    /// Available permits. Negative after the limit was lowered below the number of open connections.
+    available: AtomicIsize,
+    /// Wakes the listener when permits become available.
     released: Notify,
 }
 
@@ -17,7 +17,7 @@
     shared: Arc<Shared>,
 }
 
-/// One connection's place under a [`ConnectionLimit`], until it is dropped.
+/// A permit for one connection under a [`ConnectionLimit`]. Dropping it returns it.
 pub struct ConnectionPermit {
     limit: ConnectionLimit,
 }
@@ -29,27 +29,27 @@
 }
 
 impl ConnectionLimit {
-    /// At most `max` connections.
+    /// Creates a limit of `max` connections.
     pub fn new(max: usize) -> ConnectionLimit {
-        let shared = Shared { free: AtomicIsize::new(max as isize), released: Notify::default() };
+        let shared = Shared { available: AtomicIsize::new(max as isize), released: Notify::default() };
         ConnectionLimit { shared: Arc::new(shared) }
     }
 
-    /// Raises or lowers the limit. Connections beyond a lowered limit stay open; the next one waits until enough have ended.
+    /// Raises or lowers the limit. Connections above a lowered limit stay open; new ones wait until enough have ended.
     pub fn adjust(&self, by: isize) {
-        self.shared.free.fetch_add(by, Ordering::AcqRel);
+        self.shared.available.fetch_add(by, Ordering::AcqRel);
         self.shared.released.notify();
     }
 
-    /// The calling coroutine is woken when permits come back.
+    /// Registers the calling coroutine to be woken when permits become available.
     pub(crate) fn register(&self) {
         self.shared.released.register();
     }
 
-    /// A permit, if one is left.
+    /// Takes a permit if one is available.
     pub(crate) fn try_acquire(&self) -> Option<ConnectionPermit> {
-        let take_one = |free: isize| Some(free - 1).filter(|left| *left >= 0);
-        let taken = self.shared.free.fetch_update(Ordering::AcqRel, Ordering::Acquire, take_one);
+        let take_one = |available: isize| Some(available - 1).filter(|left| *left >= 0);
+        let taken = self.shared.available.fetch_update(Ordering::AcqRel, Ordering::Acquire, take_one);
         taken.ok().map(|_| ConnectionPermit { limit: self.clone() })
     }
 }
--- a/net/src/datagram_socket.rs
+++ b/net/src/datagram_socket.rs
@@ -1,12 +1,14 @@
-//! Datagrams, received by one coroutine and sent by another.
+//! A UDP socket whose clones let one coroutine receive while another sends.
 
 use crate::clock::yield_to_others;
 use may::net::UdpSocket;
 use std::io;
 use std::net::SocketAddr;
 
-const BURST: usize = 8; // datagrams that are received before other coroutines get their turn
-const MAX_DATAGRAM_BYTES: usize = 2_048; // longer ones are cut, and then fail authentication
+/// Number of datagrams that are received before the coroutine yields to others.
+const MAX_DATAGRAMS_PER_TURN: usize = 8;
+/// Maximum length of a received datagram. Longer ones are truncated, and then fail authentication.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 /// A UDP socket.
 pub struct DatagramSocket {
@@ -14,38 +16,40 @@
 }
 
 impl DatagramSocket {
-    /// A socket at a local address.
+    /// Binds a socket to a local address.
     ///
     /// # Errors
-    /// What the system says if it can't be bound.
+    /// Returns the operating system's error if the address can't be bound.
     pub fn bind(address: SocketAddr) -> io::Result<DatagramSocket> {
         Ok(DatagramSocket { socket: UdpSocket::bind(address)? })
     }
 
-    /// The same socket, for another coroutine.
+    /// Duplicates the handle of the socket, for another coroutine.
     ///
     /// # Errors
-    /// What the system says if there are too many descriptors.
+    /// Returns the operating system's error, such as too many open file descriptors.
     pub fn try_clone(&self) -> io::Result<DatagramSocket> {
         Ok(DatagramSocket { socket: self.socket.try_clone()? })
     }
 
-    /// Sends one datagram. False if it could not be sent: then it is lost, as it may be on the network.
+    /// Sends one datagram and reports whether it was sent. An unsent datagram is not retried: it counts as lost, like one that
+    /// the network drops.
     pub fn send(&self, to: SocketAddr, payload: &[u8]) -> bool {
         self.socket.send_to(payload, to).is_ok_and(|sent| sent == payload.len())
     }
 
-    /// Hands on each datagram as it arrives; never returns. A sender that is faster loses datagrams in the system's queue.
+    /// Passes each received datagram to `on_datagram`. Never returns. Datagrams that arrive faster than they are handled
+    /// overflow the socket's receive buffer and are lost.
     pub fn receive(&self, mut on_datagram: impl FnMut(SocketAddr, &[u8])) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         let mut received = 0;
         loop {
             match self.socket.recv_from(&mut buffer) {
                 Ok((length, from)) => on_datagram(from, buffer.get(..length).unwrap_or(&[])),
-                // About an earlier datagram that could not be delivered; the socket works as before.
+                // The error reports an earlier datagram that could not be delivered; the socket stays usable.
                 Err(_) => yield_to_others(),
             }
-            received = (received + 1) % BURST;
+            received = (received + 1) % MAX_DATAGRAMS_PER_TURN;
             if received == 0 {
                 yield_to_others();
             }
--- a/net/src/exchange.rs
+++ b/net/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its reply on an outgoing connection.
+//! A single request and reply over an outgoing connection.
 
 use crate::clock::now;
 use may::net::TcpStream;
@@ -7,23 +7,24 @@
 use std::time::Duration;
 
 const CHUNK_BYTES: usize = 512;
-/// Between looks whether the reply is still wanted.
+/// Interval between checks of whether the reply is still wanted.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far a reply has been read.
+/// The state of a reply that is being read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyStatus {
-    /// More of it is to come.
+    /// More of the reply is expected.
     Incomplete,
-    /// It is complete, and the connection can be used again.
+    /// The reply is complete, and the connection can be reused.
     KeepAlive,
-    /// It is complete or broken, and the connection is to be closed.
+    /// The reply is complete or malformed, and the connection must be closed.
     Close,
 }
 
-/// Sends a request, on a connection that an earlier exchange returned if there is one, and reads until `on_data` says that the
-/// reply is complete. Returns the connection if it can be used again. It is closed on any failure, after `timeout`, and once the
-/// reply is not `wanted` any more.
+/// Sends a request and reads the reply until `on_data` reports that it is complete.
+///
+/// Uses the connection `reuse` that an earlier exchange returned, or connects to `to`. Returns the connection if it can be
+/// reused. Closes it on any failure, after `timeout`, and once `wanted` returns false.
 pub fn exchange(
     reuse: Option<TcpStream>, to: SocketAddr, request: &[u8], timeout: Duration, wanted: impl Fn() -> bool,
     mut on_data: impl FnMut(&[u8]) -> ReplyStatus,
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -1,17 +1,17 @@
-//! Drivers on `may` coroutines: they move bytes between sockets and handlers, and know nothing of what the bytes say. One
-//! coroutine owns each socket, reads it, and writes what its outbox holds.
+//! Socket drivers on `may` coroutines. They move bytes between sockets and handlers without interpreting them. Each socket is
+//! owned by one coroutine, which reads it and writes the bytes queued in its outbox.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `listener`, `connection_limit` | accepting connections, up to a limit |
-//! | `connection` | one socket: [`run_connection`] hands what arrives to a [`ConnectionHandler`] |
-//! | `outbox` | what waits to be written to one socket: bounded |
-//! | `link`, `address`, `backoff` | outgoing connections that are made again when they end |
-//! | `exchange` | one request and its reply on an outgoing connection |
-//! | `datagram_socket` | datagrams |
-//! | `pool` | buffers of one size |
-//! | `clock`, `notify` | the time, waiting, and waking |
-//! | `spawn` | starting the worker and coroutines |
+//! | `listener`, `connection_limit` | accepts connections, up to a limit |
+//! | `connection` | runs one socket: [`run_connection`] passes received bytes to a [`ConnectionHandler`] |
+//! | `outbox` | bounded queue of bytes to write to one socket |
+//! | `link`, `address`, `backoff` | outgoing connections that reconnect when they end |
+//! | `exchange` | a single request and reply over an outgoing connection |
+//! | `datagram_socket` | UDP datagrams |
+//! | `pool` | bounded pool of buffers of one size |
+//! | `clock`, `notify` | clocks, timers and wakeups |
+//! | `spawn` | starts the worker and coroutines |
 #![warn(missing_docs)]
 
 mod address;
--- a/net/src/link.rs
+++ b/net/src/link.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections that are made again when they end.
+//! Outgoing connections that reconnect when they end.
 
 use crate::address::Address;
 use crate::backoff::Backoff;
@@ -13,26 +13,29 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Understands the bytes of a link, and learns what becomes of its connections.
+/// A handler for the bytes of a link and for the state changes of its connections.
 pub trait LinkHandler: ConnectionHandler {
-    /// There is no connection: whatever is put into the outbox from now on goes by the next one.
+    /// Called while there is no connection, before the next attempt to connect. Bytes put into the outbox from now on are sent
+    /// over the next connection; an eager link discards them when it connects.
     fn before_connect(&mut self);
 
-    /// A connection is established; whatever is put into the outbox from now on goes by it.
+    /// Called when a connection is established. Bytes put into the outbox from now on are sent over it.
     fn on_connected(&mut self);
 
-    /// The connection ended, or could not be established. `refused` proves that nothing that was put into the outbox arrived.
-    /// Returns whether the connection was of use, however short: then the backoff starts again.
+    /// Called when the connection ended or could not be established. `refused` is true if the peer refused the connection, so
+    /// that nothing in the outbox can have arrived. Returns whether the connection was useful, however short it was; if so,
+    /// the backoff is reset.
     fn on_disconnected(&mut self, refused: bool) -> bool;
 
-    /// Whether another connection is wanted. Once it is not, [`run_link`] returns.
+    /// Reports whether another connection is wanted. Once it is not, [`run_link`] returns.
     fn is_wanted(&self) -> bool {
         true
     }
 }
 
-/// Runs a link for as long as it is wanted. An eager link is always connected; another connects when its outbox holds
-/// something. A connection to an earlier address goes on until it ends.
+/// Runs a link while its handler wants connections. An eager link always connects; a lazy one connects when its outbox is not
+/// empty. Attempts after a failure are delayed by the backoff. After a change of address, an established connection is kept
+/// until it ends.
 pub fn run_link(
     to: &Address, outbox: &Outbox, pool: &BufferPool, eager: bool, mut backoff: Backoff,
     handler: &mut dyn LinkHandler,
@@ -64,7 +67,7 @@
     }
 }
 
-/// Runs one connection of a link. Whether it was of use.
+/// Runs one connection of a link. Returns whether it was useful.
 fn run_once(
     stream: TcpStream, outbox: &Outbox, pool: &BufferPool, eager: bool, handler: &mut dyn LinkHandler,
 ) -> bool {
--- a/net/src/listener.rs
+++ b/net/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, up to a limit.
+//! A listener that accepts connections up to a limit.
 
 use crate::clock::{now, wait_until, yield_to_others};
 use crate::connection_limit::{ConnectionLimit, ConnectionPermit};
@@ -12,8 +12,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-const BURST: usize = 8; // connections that are accepted before other coroutines get their turn
-const RETRY_US: u64 = 50_000; // after a failed accept, and between looks for an idle connection at the limit
+/// Number of connections that are accepted before the coroutine yields to others.
+const MAX_ACCEPTS_PER_TURN: usize = 8;
+/// Delay after a failed accept, and between attempts to obtain a permit at the limit.
+const ACCEPT_RETRY_US: u64 = 50_000;
 
 #[derive(Default)]
 struct Shared {
@@ -21,14 +23,15 @@
     waker: Mutex<Option<WaitIoWaker>>,
 }
 
-/// Closes a listening socket, after the connections that the system has accepted already were taken over. Clones close the same.
+/// A handle that closes a listening socket once the connections already in its accept queue have been taken over. Clones
+/// control the same socket.
 #[derive(Clone, Default)]
 pub struct ListenerHandle {
     shared: Arc<Shared>,
 }
 
 impl ListenerHandle {
-    /// Closes the socket.
+    /// Requests that the listener close its socket.
     pub fn close(&self) {
         self.shared.closed.store(true, Ordering::Release);
         if let Some(waker) = &*self.waker() {
@@ -45,23 +48,26 @@
     }
 }
 
-/// Whether a connection waits to be accepted.
+/// Reports whether a connection is waiting to be accepted.
 fn has_pending(listener: &TcpListener) -> bool {
     let mut fds = [PollFd::new(listener.inner().as_fd(), PollFlags::POLLIN)];
-    // If polling fails, accepting says why.
+    // If polling fails, `accept` reports the reason.
     poll(&mut fds, PollTimeout::ZERO).map_or(true, |ready| ready > 0)
 }
 
 /// Binds a listening socket.
 ///
 /// # Errors
-/// What the system says if it can't be bound.
+/// Returns the operating system's error if the address can't be bound.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(address)
 }
 
-/// Hands on each connection with its permit, until the handle is closed and none waits. At the limit one connection waits here
-/// and the others in the system's queue; `on_limit` may close an idle one, and is called again until there is a permit.
+/// Accepts connections and passes each with its permit to `on_connection`, until the handle is closed and the accept queue is
+/// empty.
+///
+/// At the limit, one accepted connection waits here and the others wait in the accept queue. `on_limit` may close an idle
+/// connection; it is called repeatedly until a permit is available.
 pub fn listen(
     listener: TcpListener, handle: &ListenerHandle, limit: ConnectionLimit, log: Logger, on_limit: impl Fn(),
     on_connection: impl Fn(TcpStream, ConnectionPermit),
@@ -80,26 +86,27 @@
         let stream = match listener.accept() {
             Ok((stream, _)) => stream,
             Err(error) => {
-                warn!(log, "accepting a connection failed"; "error" => %error);
-                wait_until(now() + RETRY_US);
+                warn!(log, "accepting a connection failed; retrying"; "error" => %error);
+                wait_until(now() + ACCEPT_RETRY_US);
                 continue;
             }
         };
         on_connection(stream, acquire_permit(&limit, &on_limit));
-        accepted = (accepted + 1) % BURST;
+        accepted = (accepted + 1) % MAX_ACCEPTS_PER_TURN;
         if accepted == 0 {
-            yield_to_others(); // what they send is read before others may take their place
+            // The accepted connections are read before later ones may displace them at the limit.
+            yield_to_others();
         }
     }
 }
 
-/// Waits for a permit.
+/// Waits until a permit is available.
 fn acquire_permit(limit: &ConnectionLimit, on_limit: &impl Fn()) -> ConnectionPermit {
     loop {
         if let Some(permit) = limit.try_acquire() {
             return permit;
         }
         on_limit();
-        wait_until(now() + RETRY_US);
+        wait_until(now() + ACCEPT_RETRY_US);
     }
 }
--- a/net/src/notify.rs
+++ b/net/src/notify.rs
@@ -1,9 +1,9 @@
-//! Waking of one coroutine.
+//! Wakeups of a single registered coroutine.
 
 use may::coroutine::{self, Coroutine};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Wakes the one coroutine that is registered with it from its [`crate::wait_until`].
+/// A notification that wakes one registered coroutine from [`crate::wait_until`].
 #[derive(Default)]
 pub struct Notify {
     waiter: Mutex<Option<Coroutine>>,
@@ -14,12 +14,12 @@
         self.waiter.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The calling coroutine is the one that is woken from now on.
+    /// Registers the calling coroutine, in place of any other.
     pub fn register(&self) {
         *self.waiter() = Some(coroutine::current());
     }
 
-    /// Wakes the registered coroutine, if there is one; if it does not wait, its next wait ends at once.
+    /// Wakes the registered coroutine, if there is one. If it is not waiting, its next wait ends at once.
     pub fn notify(&self) {
         if let Some(waiter) = &*self.waiter() {
             waiter.unpark();
--- a/net/src/outbox.rs
+++ b/net/src/outbox.rs
@@ -1,5 +1,5 @@
-//! What waits to be written to one socket: bounded, in buffers from the pool. Whoever puts something in wakes the coroutine that
-//! owns the socket.
+//! A bounded queue of bytes to write to one socket, stored in pooled buffers. Adding bytes wakes the coroutine that owns the
+//! socket.
 
 use crate::pool::{BufferPool, PooledBuffer, BUFFER_BYTES};
 use may::coroutine::Coroutine;
@@ -7,39 +7,39 @@
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Buffers that any connection may fill, however few are left.
+/// Number of buffers that an outbox may use regardless of how few are free in the pool.
 const GUARANTEED_BUFFERS: usize = 4;
 
-/// How the coroutine that owns the socket is woken.
+/// A handle that wakes the coroutine that owns the socket.
 pub(crate) enum Waker {
-    /// It waits for the socket.
+    /// The coroutine waits for events of the socket.
     Io(WaitIoWaker),
-    /// It waits without a connection.
+    /// The coroutine is parked without a connection.
     Parked(Coroutine),
 }
 
-/// Whether the connection is to be closed.
+/// The requested close of a connection, if any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum CloseRequest {
-    /// No.
+    /// No close is requested.
     #[default]
     None,
-    /// Once everything is written.
+    /// Close once the outbox is flushed.
     AfterFlush,
-    /// At once.
+    /// Close at once.
     Now,
 }
 
 #[derive(Default)]
 struct Queue {
     buffers: VecDeque<PooledBuffer>,
-    /// Bytes of the first buffer that were written.
+    /// Bytes of the first buffer that have been written.
     written: usize,
-    /// Bytes that wait.
+    /// Bytes that are queued.
     pending: usize,
     max_pending: usize,
     close: CloseRequest,
-    /// The place of the connection is needed: do not wait for the other side to close.
+    /// The connection's permit is needed: do not wait for the peer to close.
     skip_linger: bool,
     waker: Option<Waker>,
     last_used: u64,
@@ -67,7 +67,7 @@
     }
 }
 
-/// What waits to be written to one socket. Clones share it.
+/// A bounded queue of bytes to write to one socket. Clones share it.
 #[derive(Clone)]
 pub struct Outbox {
     queue: Arc<Mutex<Queue>>,
@@ -75,7 +75,7 @@
 }
 
 impl Outbox {
-    /// An outbox in which at most `max_pending` bytes wait.
+    /// Creates an outbox that holds at most `max_pending` bytes.
     pub fn new(pool: &BufferPool, max_pending: usize) -> Outbox {
         let queue = Queue { max_pending, ..Queue::default() };
         Outbox { queue: Arc::new(Mutex::new(queue)), pool: pool.clone() }
@@ -85,8 +85,10 @@
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts all of these slices in, one after the other, or none of them. False for none: the peer is too slow, or memory is
-    /// short, and its connection is closed; or it is about to be closed anyway.
+    /// Queues all of these slices in order, or none of them. Returns whether they were queued.
+    ///
+    /// If they don't fit, because the peer reads too slowly or the pool is short of buffers, the connection is closed at once.
+    /// Nothing is queued after a close was requested.
     pub fn put(&self, slices: &[&[u8]]) -> bool {
         let mut queue = self.lock();
         let length: usize = slices.iter().map(|slice| slice.len()).sum();
@@ -109,22 +111,23 @@
         fits
     }
 
-    /// Up to `count` buffers. A slow peer, whose outbox has some already, is cut off before it leaves too few to the others.
-    fn take_buffers(&self, count: usize, already: usize) -> Vec<PooledBuffer> {
-        let slow = already >= GUARANTEED_BUFFERS;
+    /// Takes up to `count` buffers. An outbox that already holds [`GUARANTEED_BUFFERS`] leaves the pool's reserve to others, so
+    /// that a slow peer is disconnected before it exhausts the pool.
+    fn take_buffers(&self, count: usize, held: usize) -> Vec<PooledBuffer> {
+        let slow = held >= GUARANTEED_BUFFERS;
         (0..count)
             .map_while(|_| if slow { self.pool.take_with_reserve() } else { self.pool.take() })
             .collect()
     }
 
-    /// Closes the connection, or the one that is about to begin, once everything is written. Nothing more is put in.
+    /// Closes the current or next connection once the outbox is flushed. Further [`Outbox::put`] calls are refused.
     pub fn finish(&self) {
         let mut queue = self.lock();
         queue.close = queue.close.max(CloseRequest::AfterFlush);
         queue.wake_owner();
     }
 
-    /// The same, without waiting for the other side to close: the place of the connection is needed.
+    /// Closes like [`Outbox::finish`] but without waiting for the peer to close, for use when the connection's permit is needed.
     pub fn finish_without_linger(&self) {
         self.lock().skip_linger = true;
         self.finish();
@@ -134,13 +137,13 @@
         self.lock().skip_linger
     }
 
-    /// Closes the connection once everything is written. Without a connection it does nothing and returns false, so that a link
-    /// can still connect.
+    /// Closes the current connection once the outbox is flushed. Returns false and does nothing without a connection, so that a
+    /// link can still connect.
     pub fn finish_if_connected(&self) -> bool {
         self.close_if_connected(CloseRequest::AfterFlush)
     }
 
-    /// Closes the connection at once, if there is one.
+    /// Closes the current connection at once, if there is one.
     pub fn close_now(&self) {
         self.close_if_connected(CloseRequest::Now);
     }
@@ -155,23 +158,23 @@
         connected
     }
 
-    /// Wakes the coroutine that owns the socket, as after the address of its link has changed.
+    /// Wakes the coroutine that owns the socket, for example after the address of its link has changed.
     pub fn wake_owner(&self) {
         self.lock().wake_owner();
     }
 
-    /// Whether nothing waits.
+    /// Reports whether no bytes are queued.
     pub fn is_empty(&self) -> bool {
         self.lock().pending == 0
     }
 
-    /// When the connection last carried something, in microseconds of the Unix clock; 0 while there is none.
+    /// Returns the Unix time in microseconds at which the connection last transferred bytes; 0 without a connection.
     pub fn last_used(&self) -> u64 {
         self.lock().last_used
     }
 
-    /// Something arrived while the connection was about to be closed: it stays open after all.
-    pub(crate) fn reopen(&self) {
+    /// Cancels a [`CloseRequest::AfterFlush`], for data that arrived before the close.
+    pub(crate) fn cancel_close(&self) {
         let mut queue = self.lock();
         if queue.close == CloseRequest::AfterFlush {
             queue.close = CloseRequest::None;
@@ -182,7 +185,7 @@
         self.lock().close
     }
 
-    pub(crate) fn touch(&self, now: u64) {
+    pub(crate) fn record_activity(&self, now: u64) {
         self.lock().last_used = now;
     }
 
@@ -190,7 +193,7 @@
         self.lock().waker = waker;
     }
 
-    /// Drops what waits: a new connection begins.
+    /// Discards the queued bytes and any close request, before a new connection.
     pub(crate) fn clear(&self) {
         let mut queue = self.lock();
         queue.written = 0;
@@ -200,10 +203,10 @@
         queue.buffers.clear();
     }
 
-    /// Writes the first buffer by `write`. False if nothing waits.
+    /// Writes from the first buffer with `write`. Returns false if nothing is queued.
     ///
     /// # Errors
-    /// What `write` returns.
+    /// Returns the error of `write`.
     pub(crate) fn write_first(
         &self, write: impl FnOnce(&[u8]) -> std::io::Result<usize>,
     ) -> std::io::Result<bool> {
--- a/net/src/pool.rs
+++ b/net/src/pool.rs
@@ -1,13 +1,13 @@
-//! Buffers of one size, used again. Each goes back to its pool when its owner drops it.
+//! A bounded pool of reusable buffers of one size. Dropping a buffer returns it to its pool.
 
 use std::ops::{Deref, DerefMut};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Bytes in a buffer: the longest body that is taken in, with what goes around it.
+/// Size of a buffer: the longest body that is accepted, plus its framing.
 pub const BUFFER_BYTES: usize = 4608;
 
-/// Unused buffers that a pool retains; more than that were needed in a burst, and go back to the system.
-const MAX_RETAINED: usize = 64;
+/// Number of free buffers that a pool retains. Further ones, which only a burst needed, are deallocated.
+const MAX_FREE_BUFFERS: usize = 64;
 
 struct State {
     free: Vec<Vec<u8>>,
@@ -22,17 +22,17 @@
     state: Arc<Mutex<State>>,
 }
 
-/// How many buffers of a pool are in use.
+/// Usage of a buffer pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolUsage {
     /// Buffers in use now.
     pub in_use: usize,
-    /// The most that ever were in use at a time.
+    /// Maximum number of buffers that were in use at a time.
     pub peak: usize,
 }
 
 impl BufferPool {
-    /// A pool of at most `max` buffers at a time.
+    /// Creates a pool of which at most `max` buffers are in use at a time.
     pub fn new(max: usize) -> BufferPool {
         let state = State { free: Vec::new(), in_use: 0, max, peak: 0 };
         BufferPool { state: Arc::new(Mutex::new(state)) }
@@ -42,7 +42,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An empty buffer; `None` while all are in use.
+    /// Takes an empty buffer. Returns `None` while all are in use.
     pub fn take(&self) -> Option<PooledBuffer> {
         let mut state = self.lock();
         if state.in_use >= state.max {
@@ -54,7 +54,7 @@
         Some(PooledBuffer { bytes, pool: self.clone() })
     }
 
-    /// The same for an owner that has several already: it leaves the last quarter of the buffers to others.
+    /// Takes an empty buffer but leaves the last quarter of the pool to others, for an owner that already holds several.
     pub fn take_with_reserve(&self) -> Option<PooledBuffer> {
         let ample = {
             let state = self.lock();
@@ -63,31 +63,32 @@
         self.take().filter(|_| ample)
     }
 
-    /// A buffer that holds these bytes; `None` also if there are more than [`BUFFER_BYTES`].
+    /// Takes a buffer and copies these bytes into it. Returns `None` if no buffer is free or there are more than
+    /// [`BUFFER_BYTES`].
     pub fn copy_from(&self, bytes: &[u8]) -> Option<PooledBuffer> {
         let mut buffer = self.take().filter(|_| bytes.len() <= BUFFER_BYTES)?;
         buffer.extend_from_slice(bytes);
         Some(buffer)
     }
 
-    /// Changes how many buffers there may be. More than that come back as their owners drop them.
+    /// Changes the maximum number of buffers. Buffers in use beyond a lowered maximum are returned as their owners drop them.
     pub fn resize(&self, max: usize) {
         self.lock().max = max;
     }
 
-    /// Bytes of all buffers that there may be.
+    /// Returns the total size of the maximum number of buffers.
     pub fn capacity_bytes(&self) -> usize {
         self.lock().max * BUFFER_BYTES
     }
 
-    /// How many buffers are in use.
+    /// Returns the current and peak usage.
     pub fn usage(&self) -> PoolUsage {
         let state = self.lock();
         PoolUsage { in_use: state.in_use, peak: state.peak }
     }
 }
 
-/// A buffer of a pool, returned to it on drop.
+/// A buffer that is returned to its pool on drop.
 pub struct PooledBuffer {
     bytes: Vec<u8>,
     pool: BufferPool,
@@ -117,7 +118,7 @@
         let mut bytes = std::mem::take(&mut self.bytes);
         let mut state = self.pool.lock();
         state.in_use -= 1;
-        if state.free.len() < MAX_RETAINED && bytes.capacity() == BUFFER_BYTES {
+        if state.free.len() < MAX_FREE_BUFFERS && bytes.capacity() == BUFFER_BYTES {
             bytes.clear();
             state.free.push(bytes);
         }
--- a/net/src/spawn.rs
+++ b/net/src/spawn.rs
@@ -1,24 +1,24 @@
-//! Starting the worker and coroutines: the one place that needs `unsafe`.
+//! Starts the worker and coroutines. This is the only module that needs `unsafe`.
 
 use may::coroutine::Builder;
 use std::io;
 
-/// Words of stack for a coroutine (8 bytes each). The deepest path, from a frame through the decision module
-/// to an outbox, used 969 in a release build and 2,755 in a debug build; pages never touched take no memory.
+/// Stack size of a coroutine in words of 8 bytes. The deepest call path, from a frame through the decision module to an
+/// outbox, used 969 words in a release build and 2,755 in a debug build. Untouched stack pages take no memory.
 const STACK_WORDS: usize = 0x2000;
-/// Stacks of ended coroutines that are used again.
-const STACK_POOL_SIZE: usize = 64;
-/// Between wakes of an idle worker; events and timers wake it at once.
+/// Number of stacks of ended coroutines that are kept for reuse.
+const MAX_POOLED_STACKS: usize = 64;
+/// Interval at which an idle worker polls. Events and timers wake it at once.
 const IDLE_WAKE_NS: u64 = 500_000_000;
 const TIMER_THREAD_STACK_BYTES: usize = 1 << 16;
 
-/// Starts one worker for one core, on whichever core the system likes, and the timer thread. Called once, before the first
-/// coroutine.
+/// Starts the single worker thread, which is not pinned to a core, and the timer thread. Must be called once, before the first
+/// coroutine is started.
 ///
 /// # Errors
-/// What the system says if the thread can't be started.
+/// Returns the operating system's error if the timer thread can't be started.
 pub fn start_worker() -> io::Result<()> {
-    may::config().set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(STACK_POOL_SIZE);
+    may::config().set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(MAX_POOLED_STACKS);
     may::config().set_worker_pin(false);
     may::config().set_timeout_ns(IDLE_WAKE_NS);
     std::thread::Builder::new()
@@ -28,13 +28,13 @@
         .map(drop)
 }
 
-/// Starts a coroutine that nobody waits for.
+/// Starts a detached coroutine.
 ///
 /// # Errors
-/// What the system says if there is no memory for its stack.
+/// Returns the operating system's error if there is no memory for the coroutine's stack.
 #[allow(unsafe_code)]
 pub fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    // `may` calls spawning unsafe for two reasons: code that relies on thread-local storage across a wait,
-    // and stacks of a fixed size. Nothing here keeps thread-local state over a wait, and the size is above.
+    // `may` marks spawning as unsafe for two reasons: code that relies on thread-local storage across a wait, and stacks of a
+    // fixed size. No coroutine here keeps thread-local state across a wait, and `STACK_WORDS` covers the deepest call path.
     unsafe { Builder::new().name(name.to_string()).spawn(work) }.map(drop)
 }
