--- a/settings/src/deployment.rs
+++ b/settings/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The file with which a backend is started.
+//! The deployment file, with which the platform starts a backend.
 
 use crate::bounded_read::BoundedRead;
 use crate::error::{SettingsError, MAX_FILE_BYTES};
@@ -10,39 +10,39 @@
 use std::io::{BufReader, Read};
 use std::net::SocketAddr;
 
-/// Bytes that are read from a file at a time.
+/// Number of bytes that are read from a file at a time.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What the platform starts a backend with: its place among the others, and its settings.
+/// A deployment of a backend: the addresses it uses, the resources it is granted and its settings.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// The backend's name (`name`).
     pub name: String,
-    /// Where sidecars connect (`listen`).
+    /// The address at which sidecars connect (`listen`).
     pub listen: SocketAddr,
     /// The agent's address (`agent`).
     pub agent: SocketAddr,
     /// The name service's address (`naming`).
     pub name_service: SocketAddr,
-    /// The upstream's address (`records`); `None` where it calls nothing.
+    /// The upstream's address (`records`); `None` if the backend makes no upstream calls.
     pub upstream: Option<SocketAddr>,
-    /// The seed of all random decisions (`seed`, hexadecimal).
+    /// The seed of the random number generator (`seed`, hexadecimal).
     pub seed: u64,
-    /// Microseconds from the notice of shutdown to the kill (`stop_ms`).
+    /// The time from the shutdown notice until the process is killed, in microseconds (`stop_ms`).
     pub shutdown_grace: Us,
-    /// Memory in megabytes that the deployment grants, as in the configuration's global settings.
+    /// The granted memory in megabytes, as in the configuration's global settings.
     pub memory_mb: u64,
-    /// File descriptors that the deployment grants, as in the configuration's global settings.
+    /// The granted file descriptors, as in the configuration's global settings.
     pub sockets: u64,
-    /// The settings of the decision module, and what the deployment grants.
+    /// The settings of the decision module, with the granted limits.
     pub configuration: Configuration,
 }
 
 impl Deployment {
-    /// Reads a deployment's file, a JSON object.
+    /// Parses the text of a deployment file, a JSON object.
     ///
     /// # Errors
-    /// As [`Deployment::from_reader`].
+    /// Returns the same errors as [`Deployment::from_reader`].
     pub fn from_json(json: &str) -> Result<Deployment, SettingsError> {
         if json.len() as u64 > MAX_FILE_BYTES {
             return Err(SettingsError::FileTooLong);
@@ -50,13 +50,14 @@
         parse(&mut serde_json::Deserializer::from_str(json), None)
     }
 
-    /// Reads a deployment's file, a JSON object, as a stream: neither its text nor a tree of it is stored. What is the same
-    /// in `running` is shared with it, so that a file which changes one quota costs one entry of new memory.
+    /// Reads a deployment file, a JSON object, as a stream, without storing its text or a tree of it.
     ///
-    /// Keys may come in any order; unknown ones are skipped, and an expected one that stands twice is refused.
+    /// Entries equal to those of `running` are shared with it, so that a file that changes one quota allocates one new entry.
+    /// Keys may be in any order. Unknown keys are skipped; a duplicate of an expected key is an error.
     ///
     /// # Errors
-    /// [`SettingsError`]: the reader's own error, more than [`MAX_FILE_BYTES`], no JSON, or the key at fault.
+    /// Returns a [`SettingsError`] if the reader fails, the input is longer than [`MAX_FILE_BYTES`] or not JSON, or the value
+    /// of a key is missing or invalid.
     pub fn from_reader(
         reader: impl Read, running: Option<&Configuration>,
     ) -> Result<Deployment, SettingsError> {
@@ -78,11 +79,11 @@
 const LIMITS_KEY: &str = "limits";
 const SETTINGS_KEY: &str = "settings";
 
-/// All keys of the file; those before `limits` are scalars.
+/// All keys of the file. Those before `limits` have scalar values.
 const FILE_KEYS: &[&str] =
     &["name", "listen", "agent", "naming", "records", "seed", "stop_ms", LIMITS_KEY, SETTINGS_KEY];
 
-/// Reads the object of the file; used as a handler it returns whether there was one.
+/// Reads the root object of the file. As a handler, it returns whether the value was an object.
 struct FileReader<'r> {
     scalars: ObjectFields,
     settings: PlatformSettingsReader<'r>,
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -1,45 +1,44 @@
-//! Why settings cannot be used.
+//! Errors of reading settings and deployment files.
 
 use asterrill_entries::ConfigError;
 use std::io;
 
-/// Most bytes of a deployment's file: all that the bounds of its lists allow, with names of a usual length, and half as
-/// much again.
+/// Maximum length of a deployment file: 1.5 times the length of a file with full lists and names of a usual length.
 pub const MAX_FILE_BYTES: u64 = 16 * 1024 * 1024;
 
-/// Why settings or a deployment's file cannot be used. The message names the key at fault.
+/// An error in settings or in a deployment file. The message names the invalid key.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The field is absent, or its value has the wrong type.
-    #[error("field {0} is missing or of the wrong form")]
+    /// The field is missing, or its value has the wrong type.
+    #[error("field {0} is missing or has the wrong type")]
     InvalidField(String),
-    /// The settings were read, but make no valid configuration.
+    /// The settings are well-formed, but the configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The text is no JSON, or ends too early.
+    /// The text is not JSON, or is truncated.
     #[error("not JSON: {0}")]
     Json(serde_json::Error),
-    /// The text is JSON, but holds something that is not allowed; or its reader failed.
+    /// The text is JSON with an invalid value, or its reader failed.
     #[error("{0}")]
     Data(serde_json::Error),
     /// The file is longer than [`MAX_FILE_BYTES`].
-    #[error("the file has more than {MAX_FILE_BYTES} bytes, the bound FILE")]
+    #[error("the file is longer than {MAX_FILE_BYTES} bytes (bound FILE)")]
     FileTooLong,
-    /// A file or socket failed.
+    /// An operation on a file or socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Anything else, as a message for the operator.
+    /// Any other error, as a message for the operator.
     #[error("{0}")]
     Other(String),
 }
 
 impl SettingsError {
-    /// An error with a message of its own.
+    /// Creates a [`SettingsError::Other`] with this message.
     pub fn new(message: String) -> SettingsError {
         SettingsError::Other(message)
     }
 
-    /// See [`SettingsError::InvalidField`].
+    /// Creates a [`SettingsError::InvalidField`] for the field of this name.
     pub fn invalid_field(name: &str) -> SettingsError {
         SettingsError::InvalidField(name.into())
     }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! The operators' settings: a deployment's file or the platform's JSON, read into a
-//! [`Configuration`](asterrill_entries::Configuration), and made into the parts of the decision module. No decision is
-//! taken here.
+//! Reading of operators' settings. A deployment file or the platform's JSON is parsed into a
+//! [`Configuration`](asterrill_entries::Configuration), from which the parts of the decision module are built. The crate makes
+//! no load control decisions.
 
 #![warn(missing_docs)]
 
--- a/settings/src/platform_settings.rs
+++ b/settings/src/platform_settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings, read as a stream into entries: without a tree of the whole, and without a copy of its text.
+//! A streaming reader of the platform's settings. It parses entries without building a tree and without a copy of the text.
 
 use crate::error::SettingsError;
 use asterrill_entries::fields::{
@@ -11,19 +11,19 @@
 use serde::de::{DeserializeSeed, Error, MapAccess, SeqAccess};
 use serde_json::Value;
 
-/// The platform's settings, with methods and tenants in the order of their lists.
+/// The platform's settings, with methods and tenants in list order.
 pub(crate) struct PlatformSettings {
     pub(crate) globals: GlobalSettings,
     pub(crate) methods: Vec<(Name, Method)>,
-    /// Quotas in RPCs a second.
+    /// The tenants with their quotas in RPCs per second.
     pub(crate) tenants: Vec<(Name, f64)>,
 }
 
 impl PlatformSettings {
-    /// Reads settings from a tree.
+    /// Reads settings from a JSON tree.
     ///
     /// # Errors
-    /// [`SettingsError`] names the key at fault.
+    /// Returns a [`SettingsError`] that names the invalid key.
     pub(crate) fn from_value(settings: &Value) -> Result<PlatformSettings, SettingsError> {
         let mut reader = PlatformSettingsReader::new(None);
         JsonSeed(&mut reader).deserialize(settings)?;
@@ -31,19 +31,19 @@
     }
 }
 
-/// Reads an object of settings; used as a handler it returns whether there was one.
+/// Reads a settings object. As a handler, it returns whether the value was an object.
 pub(crate) struct PlatformSettingsReader<'r> {
-    /// The names of the running version, to be shared.
+    /// The names of the running version, which are shared with it.
     running_names: Option<NameLookup<'r>>,
     pub(crate) globals: GlobalFields,
     methods: Vec<(Name, Method)>,
     tenants: Vec<(Name, f64)>,
-    /// There was a list of methods.
+    /// The object had a list of methods.
     has_method_list: bool,
 }
 
 impl<'r> PlatformSettingsReader<'r> {
-    /// Names are shared with `running`.
+    /// Creates a reader that shares names with `running`.
     pub(crate) fn new(running: Option<&'r Configuration>) -> PlatformSettingsReader<'r> {
         PlatformSettingsReader {
             running_names: running.map(NameLookup::new),
@@ -54,10 +54,10 @@
         }
     }
 
-    /// The settings that were read.
+    /// Returns the settings that were read.
     ///
     /// # Errors
-    /// [`SettingsError`] names the key at fault.
+    /// Returns a [`SettingsError`] that names the invalid key.
     pub(crate) fn finish(mut self) -> Result<PlatformSettings, SettingsError> {
         let globals = self.globals.settings(None)?;
         if !self.has_method_list || self.methods.is_empty() {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Adds one more entry. Too many are refused as they come, before they take memory.
+    /// Adds one entry. Entries beyond the maximum are rejected as they are read, before they take memory.
     fn add_entry(&mut self, kind: EntryKind, fields: &ObjectFields) -> Result<(), ConfigError> {
         let name = self.shared_name(kind, fields.entry_name(kind)?);
         let is_full = match kind {
@@ -128,14 +128,14 @@
     }
 }
 
-/// Reads a list of methods or tenants; returns whether it was one.
+/// Reads a list of methods or tenants. As a handler, it returns whether the value was a list.
 struct EntryList<'l, 'r> {
     kind: EntryKind,
     reader: &'l mut PlatformSettingsReader<'r>,
 }
 
 impl EntryList<'_, '_> {
-    /// The fields of an entry. The platform lists `SkipWorth`, the last field of a method, in `FamilyInfo` instead.
+    /// Returns the field names of an entry. Methods lack the last one, `SkipWorth`, which the platform lists in `FamilyInfo`.
     fn entry_keys(&self) -> &'static [&'static str] {
         match self.kind {
             EntryKind::Method => METHOD_KEYS.split_last().map_or(METHOD_KEYS, |(_, others)| others),
--- a/settings/src/server_parts.rs
+++ b/settings/src/server_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of the decision module, made from a configuration. No decision is taken here.
+//! Construction of the decision module and its parts from a configuration.
 
 use crate::error::SettingsError;
 use crate::platform_settings::PlatformSettings;
@@ -9,82 +9,82 @@
 use asterrill_entries::{Configuration, EntryKind, GlobalSettings, Method, Name};
 use serde_json::Value;
 
-/// The decision module of one server, with the names of what it numbers and what its surroundings have to know.
+/// The decision module of one server, with the names of its methods and tenants and the settings that its host needs.
 pub struct ServerParts {
     /// The decision module.
     pub control: Control,
-    /// Names of the methods, by `MethodId`.
+    /// The names of the methods, by `MethodId`.
     pub methods: Vec<Name>,
-    /// Names of the tenants, by the index that the decision module uses.
+    /// The names of the tenants, by the index that the decision module uses.
     pub tenants: Vec<Name>,
-    /// By `MethodId`: whether an RPC may run again.
+    /// The idempotency of the methods, by `MethodId`.
     pub idempotency: Vec<Idempotency>,
-    /// By `MethodId`: the latency targets in microseconds.
+    /// The latency targets in microseconds, by `MethodId`.
     pub latency_targets: Vec<Us>,
     /// The longest deadline of any method, in microseconds.
     pub longest_deadline: Us,
-    /// Cores of the server.
+    /// The number of cores of the server.
     pub cores: f64,
-    /// The published feedback is the number of RPCs that each caller may have outstanding.
+    /// Whether the published feedback is a credit: the number of RPCs that each caller may have outstanding.
     pub publishes_credit: bool,
-    /// The names of the gauges, in their order.
+    /// The names of the gauges, in list order.
     pub gauges: Vec<String>,
-    /// By `MethodId`: an RPC may get the response of another one.
+    /// Whether an RPC may be answered with the response of another one, by `MethodId`.
     pub coalescable: Vec<bool>,
-    /// How long the response of a read may serve other RPCs, in microseconds; 0 for never.
+    /// How long the response of a read may be reused for other RPCs, in microseconds; 0 disables reuse.
     pub response_ttl: Us,
-    /// The least time between two inputs of the decision module, in microseconds.
+    /// The minimum interval between two inputs of the decision module, in microseconds.
     pub min_event_interval: Us,
 }
 
-/// The parts of a server that its global settings make, without methods and tenants: what a change of them replaces.
+/// The parts of a server that depend on its global settings, without methods and tenants. A change of the global settings
+/// replaces them.
 pub struct GlobalParts {
     /// The decision module, without methods and tenants.
     pub control: Control,
-    /// As [`ServerParts::longest_deadline`].
+    /// The longest deadline of any method, in microseconds.
     pub longest_deadline: Us,
-    /// As [`ServerParts::cores`].
+    /// The number of cores of the server.
     pub cores: f64,
-    /// As [`ServerParts::publishes_credit`].
+    /// Whether the published feedback is a credit, as in [`ServerParts::publishes_credit`].
     pub publishes_credit: bool,
-    /// As [`ServerParts::gauges`].
+    /// The names of the gauges, in list order.
     pub gauges: Vec<String>,
-    /// As [`ServerParts::response_ttl`].
+    /// The time for which the response of a read may be reused, as in [`ServerParts::response_ttl`].
     pub response_ttl: Us,
-    /// As [`ServerParts::min_event_interval`].
+    /// The minimum interval between two inputs of the decision module, in microseconds.
     pub min_event_interval: Us,
 }
 
-/// The server of a version, methods and tenants ordered by name. `cold_start` overrides the setting.
+/// Builds the server of a version, with methods and tenants ordered by name. `cold_start` overrides the setting.
 ///
 /// # Errors
-/// [`SettingsError`]: it is to start cold and the version does not say how, or it has no method.
+/// Returns a [`SettingsError`] if the server is to start cold and the version has no settings for it, or if there is no method.
 pub fn server_parts(
     now: Us, seed: u64, configuration: &Configuration, cold_start: Option<bool>,
 ) -> Result<ServerParts, SettingsError> {
     let methods = configuration.methods().map(|(name, method)| (name.clone(), method.clone())).collect();
     let tenants = configuration.tenants().map(|(name, quota)| (name.clone(), quota)).collect();
-    make_server(now, seed, configuration.globals(), methods, tenants, cold_start)
+    build_server(now, seed, configuration.globals(), methods, tenants, cold_start)
 }
 
-/// The server of the platform's settings, methods and tenants in the order of their lists. `cold_start` overrides the
-/// setting.
+/// Builds the server of the platform's settings, with methods and tenants in list order. `cold_start` overrides the setting.
 ///
 /// # Errors
-/// [`SettingsError`] names the key at fault.
+/// Returns a [`SettingsError`] that names the invalid key.
 pub fn server_parts_from_json(
     now: Us, seed: u64, settings: &Value, cold_start: Option<bool>,
 ) -> Result<ServerParts, SettingsError> {
     let PlatformSettings { globals, methods, tenants } = PlatformSettings::from_value(settings)?;
-    // Duplicate names are found by sorting them.
+    // Building a configuration sorts the entries and rejects duplicate names.
     Configuration::from_entries(None, globals.clone(), methods.clone(), tenants.clone())?;
-    make_server(now, seed, &globals, methods, tenants, cold_start)
+    build_server(now, seed, &globals, methods, tenants, cold_start)
 }
 
-/// The version that the platform's settings make, with the limits that the deployment grants.
+/// Builds the configuration of the platform's settings, with the limits that the deployment grants.
 ///
 /// # Errors
-/// [`SettingsError`] names the key at fault.
+/// Returns a [`SettingsError`] that names the invalid key.
 pub fn configuration_from_json(
     settings: &Value, memory_mb: u64, sockets: u64,
 ) -> Result<Configuration, SettingsError> {
@@ -93,18 +93,18 @@
     Ok(Configuration::from_entries(None, globals, methods, tenants)?)
 }
 
-/// The parts that the global settings of a version make. The shortest latency target and the longest deadline are those
-/// of its methods.
+/// Builds the parts that depend on the global settings of a version. The shortest latency target and the longest deadline are
+/// taken from its methods.
 ///
 /// # Errors
-/// [`SettingsError`]: it is to start cold and the version does not say how.
+/// Returns a [`SettingsError`] if the server is to start cold and the version has no settings for it.
 pub fn global_parts(now: Us, seed: u64, configuration: &Configuration) -> Result<GlobalParts, SettingsError> {
     let globals = configuration.globals();
     let targets = configuration.methods().map(|(_, method)| method.latency_target);
     let deadlines = configuration.methods().map(|(_, method)| method.deadline);
     let shortest_target = targets.min().unwrap_or(1);
     Ok(GlobalParts {
-        control: control(now, seed, globals, shortest_target, Vec::new(), &[], None)?,
+        control: build_control(now, seed, globals, shortest_target, Vec::new(), &[], None)?,
         longest_deadline: deadlines.max().unwrap_or(0),
         cores: globals.cores as f64,
         publishes_credit: globals.feedback_mode == FeedbackMode::Credit,
@@ -118,8 +118,8 @@
     globals.gauges.iter().map(|name| name.to_string()).collect()
 }
 
-/// The decision module; each of its parts gets only the figures that it needs.
-fn control(
+/// Builds the decision module. Each of its parts gets only the settings that it needs.
+fn build_control(
     now: Us, seed: u64, globals: &GlobalSettings, shortest_target: Us, methods: Vec<Method>, quotas: &[f64],
     cold_start: Option<bool>,
 ) -> Result<Control, SettingsError> {
@@ -161,7 +161,7 @@
     ))
 }
 
-fn make_server(
+fn build_server(
     now: Us, seed: u64, globals: &GlobalSettings, methods: Vec<(Name, Method)>, tenants: Vec<(Name, f64)>,
     cold_start: Option<bool>,
 ) -> Result<ServerParts, SettingsError> {
@@ -175,7 +175,7 @@
     let longest_deadline = methods.iter().map(|method| method.deadline).max().unwrap_or(0);
     let coalescable = idempotency.iter().map(|idempotency| *idempotency == Idempotency::Idempotent).collect();
     Ok(ServerParts {
-        control: control(now, seed, globals, shortest_target, methods, &quotas, cold_start)?,
+        control: build_control(now, seed, globals, shortest_target, methods, &quotas, cold_start)?,
         methods: method_names,
         tenants: tenant_names,
         idempotency,
