--- a/cli/tests/cli.rs
+++ b/cli/tests/cli.rs
@@ -42,7 +42,7 @@
     );
     let conf = file("conf", "[broker]\nheartbeat 10");
     let (code, output) = run(&["check", conf.to_str().unwrap()]);
-    assert!(code == Some(1) && output.contains("conf:2: heartbeat wants a time"), "{output}");
+    assert!(code == Some(1) && output.contains("conf:2: heartbeat: expected a duration"), "{output}");
     let (code, output) = run(&["check", "/nowhere"]);
     assert!(code == Some(1) && output.contains("/nowhere: No such file"), "{output}");
     assert_eq!(run(&["frobnicate"]).0, Some(2));
--- a/operator-config/src/broker.rs
+++ b/operator-config/src/broker.rs
@@ -1,23 +1,23 @@
-//! The section `[broker]`: where deliveries come from.
+//! The section `[broker]`: the AMQP broker whose queues are consumed.
 
 use crate::backoff::Backoff;
 use crate::directive::Directive;
 use crate::error::ParseError;
 use crate::queue::QueueConfig;
 use crate::section::Section;
-use crate::units::{MILLISECOND, MINUTE, SECOND};
+use crate::units::{MILLISECOND_US, MINUTE_US, SECOND_US};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Most queues of a broker.
+/// Maximum number of queues of a broker.
 const MAX_QUEUES: usize = 64;
-/// Greatest bound for the body of a delivery, in bytes.
+/// Maximum of the configurable bound for the body of a delivery.
 const MAX_BODY_BYTES: u64 = 4096;
 
 /// An AMQP broker and its queues. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BrokerConfig {
-    /// Its addresses in order of preference, at least one (`address`).
+    /// The broker's addresses in order of preference, at least one (`address`).
     pub addresses: Vec<SocketAddr>,
     /// The user to log in as (`user`).
     pub user: String,
@@ -25,15 +25,15 @@
     pub password_file: PathBuf,
     /// The virtual host (`virtual-host`).
     pub virtual_host: String,
-    /// The heartbeat that is proposed to the broker, 1 s to 10 min (`heartbeat`).
+    /// The heartbeat interval that is proposed to the broker, 1 s to 10 min (`heartbeat`).
     pub heartbeat: u64,
-    /// Delays between attempts to connect (`reconnect`).
+    /// The delays between attempts to connect (`reconnect`).
     pub reconnect_backoff: Backoff,
-    /// The longest body of a delivery, 1 to 4096 bytes (`body`).
+    /// Maximum length of the body of a delivery, 1 to 4096 bytes (`body`).
     pub max_body_bytes: u64,
     /// The queues to consume from, at least one.
     pub queues: Vec<QueueConfig>,
-    /// The line where its section begins.
+    /// The line number of the section header, from 1.
     line: usize,
 }
 
@@ -53,7 +53,7 @@
             ("password-file", section.contains("password-file")),
         ];
         match required.into_iter().find(|(_, given)| !given) {
-            Some((name, _)) => Err(section.error(format!("[broker] lacks {name}"))),
+            Some((name, _)) => Err(section.error(format!("[broker] requires {name}"))),
             None => Ok(broker),
         }
     }
@@ -64,8 +64,8 @@
             user: String::new(),
             password_file: PathBuf::new(),
             virtual_host: "/".into(),
-            heartbeat: 10 * SECOND,
-            reconnect_backoff: Backoff { min: 100 * MILLISECOND, max: 10 * SECOND },
+            heartbeat: 10 * SECOND_US,
+            reconnect_backoff: Backoff { min: 100 * MILLISECOND_US, max: 10 * SECOND_US },
             max_body_bytes: 2048,
             queues: Vec::new(),
             line,
@@ -78,10 +78,10 @@
             "user" => self.user = directive.value()?.into(),
             "password-file" => self.password_file = directive.value()?.into(),
             "virtual-host" => self.virtual_host = directive.value()?.into(),
-            "heartbeat" => self.heartbeat = directive.duration(SECOND..=10 * MINUTE)?,
+            "heartbeat" => self.heartbeat = directive.duration(SECOND_US..=10 * MINUTE_US)?,
             "reconnect" => {
-                let min_bounds = 10 * MILLISECOND..=MINUTE;
-                self.reconnect_backoff = Backoff::read(directive, min_bounds, 10 * MINUTE)?;
+                let min_bounds = 10 * MILLISECOND_US..=MINUTE_US;
+                self.reconnect_backoff = Backoff::read(directive, min_bounds, 10 * MINUTE_US)?;
             }
             "body" => self.max_body_bytes = directive.size(1..=MAX_BODY_BYTES)?,
             _ => return Err(section.unknown_directive(directive)),
@@ -92,7 +92,7 @@
     fn add_address(&mut self, directive: &Directive<'_>) -> Result<(), ParseError> {
         let address = directive.address()?;
         if self.addresses.contains(&address) {
-            return Err(directive.error(format!("the address {address} is listed already")));
+            return Err(directive.error(format!("duplicate address {address}")));
         }
         self.addresses.push(address);
         Ok(())
@@ -103,23 +103,23 @@
         let name = QueueConfig::read_name(&section)?;
         if let Some(other) = self.queues.iter().find(|queue| queue.name == name) {
             let line = other.line;
-            return Err(section.error(format!("the queue {name} stands in line {line} already")));
+            return Err(section.error(format!("duplicate queue {name}; the first is in line {line}")));
         }
         if self.queues.len() >= MAX_QUEUES {
-            return Err(section.error(format!("there are {MAX_QUEUES} queues at most")));
+            return Err(section.error(format!("at most {MAX_QUEUES} queues are allowed")));
         }
         self.queues.push(QueueConfig::read(name, section)?);
         Ok(())
     }
 
-    /// The same broker without its queues, for comparison with another one.
+    /// Returns the broker without its queues, for comparison with another one.
     pub fn without_queues(mut self) -> BrokerConfig {
         self.queues = Vec::new();
         self.line = 0;
         self
     }
 
-    /// The line where its section begins, from 1.
+    /// Returns the line number of the section header, from 1.
     pub(crate) fn line(&self) -> usize {
         self.line
     }
--- a/operator-config/src/changes.rs
+++ b/operator-config/src/changes.rs
@@ -1,34 +1,34 @@
-//! The sections `[changes]` and `[log]`.
+//! The sections `[changes]` and `[log]`: configuration changes and logging.
 
 use crate::error::ParseError;
 use crate::section::Section;
-use crate::units::{HOUR, SECOND};
+use crate::units::{HOUR_US, SECOND_US};
 use std::path::PathBuf;
 
 /// The format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Text for people.
+    /// Human-readable text.
     #[default]
     Plain,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// How changes of the configuration are accepted. Durations are in microseconds.
+/// The rules for configuration changes, and the format of the log. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChangesConfig {
-    /// The socket at which operators' requests are accepted (`control`); `None` for no socket.
+    /// The socket on which operators' requests are accepted (`control`), if any.
     pub control_socket: Option<PathBuf>,
-    /// The directory where versions are stored over restarts (`state`); `None` for no storage.
+    /// The directory in which versions persist across restarts (`state`), if any.
     pub state_dir: Option<PathBuf>,
     /// How long a change is on probation, 1 s to 1 h (`probation`).
     pub probation: u64,
-    /// By which factor a figure may differ from the running one unless forced, 2 to 1000 (`factor`).
+    /// The factor by which a value may differ from the running one in a change that is not forced, 2 to 1000 (`factor`).
     pub max_change_factor: u64,
     /// The format of the log (`format` in `[log]`).
     pub log_format: LogFormat,
-    /// The line where `[changes]` begins; 0 where there is none.
+    /// The line number of the `[changes]` header; 0 without that section.
     line: usize,
 }
 
@@ -37,7 +37,7 @@
         ChangesConfig {
             control_socket: None,
             state_dir: None,
-            probation: 30 * SECOND,
+            probation: 30 * SECOND_US,
             max_change_factor: 10,
             log_format: LogFormat::Plain,
             line: 0,
@@ -49,7 +49,9 @@
     /// Reads the section `[changes]`.
     pub(crate) fn read(&mut self, mut section: Section<'_>) -> Result<(), ParseError> {
         if self.line > 0 {
-            return Err(section.error(format!("[changes] stands in line {} already", self.line)));
+            return Err(
+                section.error(format!("duplicate section [changes]; the first is in line {}", self.line))
+            );
         }
         self.line = section.line();
         for directive in section.take_directives() {
@@ -57,7 +59,7 @@
             match directive.name() {
                 "control" => self.control_socket = Some(directive.absolute_path()?),
                 "state" => self.state_dir = Some(directive.absolute_path()?),
-                "probation" => self.probation = directive.duration(SECOND..=HOUR)?,
+                "probation" => self.probation = directive.duration(SECOND_US..=HOUR_US)?,
                 "factor" => self.max_change_factor = directive.count(2..=1000)?,
                 _ => return Err(section.unknown_directive(&directive)),
             }
@@ -73,7 +75,7 @@
                 ("format", "plain") => LogFormat::Plain,
                 ("format", "json") => LogFormat::Json,
                 ("format", other) => {
-                    return Err(directive.error(format!("format is plain or json, not {other}")));
+                    return Err(directive.error(format!("format must be plain or json, found {other}")));
                 }
                 _ => return Err(section.unknown_directive(&directive)),
             };
--- a/operator-config/src/config.rs
+++ b/operator-config/src/config.rs
@@ -1,4 +1,4 @@
-//! A whole operator's file.
+//! The parsed operator's file.
 
 use crate::broker::BrokerConfig;
 use crate::changes::ChangesConfig;
@@ -8,25 +8,25 @@
 use crate::recovery::RecoverySettings;
 use crate::section::{Section, SectionReader};
 
-/// All that an operator's file says.
+/// The contents of an operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// The broker whose queues are consumed; `None` for none.
+    /// The broker whose queues are consumed, if any.
     pub broker: Option<BrokerConfig>,
-    /// How changes of the configuration are accepted, and the format of the log.
+    /// How configuration changes are accepted, and the format of the log.
     pub changes: ChangesConfig,
-    /// How the server recovers; `None` for the platform's way.
+    /// How the server recovers; `None` for the platform's default.
     pub recovery: Option<RecoverySettings>,
-    /// Membership; `None` for the platform's way.
+    /// The membership of backends; `None` for the platform's default.
     pub members: Option<MembershipConfig>,
-    /// Consensus on settings and lists; `None` where each backend has its own.
+    /// Consensus on settings and lists; `None` if each backend has its own.
     pub fleet: Option<FleetConfig>,
 }
 
-/// Parses the text of the file of this name.
+/// Parses the text of the operator's file `name`.
 ///
 /// # Errors
-/// [`ParseError`] names the file, the line and the mistake.
+/// Returns a [`ParseError`] with the file, the line and the reason.
 pub fn parse(name: &str, text: &str) -> Result<OperatorConfig, ParseError> {
     let mut sections = SectionReader::new(name, text)?;
     let mut config = OperatorConfig::default();
@@ -40,10 +40,10 @@
 impl OperatorConfig {
     fn read_section(&mut self, section: Section<'_>) -> Result<(), ParseError> {
         match (section.kind(), section.name()) {
-            ("queue", None) => Err(section.error("a queue wants its name: [queue NAME]")),
+            ("queue", None) => Err(section.error("[queue] requires a name: [queue NAME]")),
             ("queue", Some(_)) => match &mut self.broker {
                 Some(broker) => broker.read_queue(section),
-                None => Err(section.error("a queue wants the section [broker] before it")),
+                None => Err(section.error("[queue NAME] requires a [broker] section before it")),
             },
             (kind @ ("broker" | "changes" | "log" | "recovery" | "members" | "fleet"), Some(_)) => {
                 Err(section.error(format!("[{kind}] takes no name")))
@@ -55,20 +55,20 @@
             ("members", None) => read_once(&mut self.members, section, MembershipConfig::read),
             ("fleet", None) => read_once(&mut self.fleet, section, FleetConfig::read),
             (other, _) => Err(section.error(format!(
-                "there is no section [{other}]; there are [broker], [queue NAME], [changes], \
-                 [recovery], [members], [fleet] and [log]"
+                "unknown section [{other}]; expected [broker], [queue NAME], [changes], \
+                 [recovery], [members], [fleet] or [log]"
             ))),
         }
     }
 
-    /// Checks what depends on several sections.
+    /// Checks the constraints between sections.
     fn check(&self, sections: &SectionReader<'_>) -> Result<(), ParseError> {
         if self.fleet.is_some() && (self.members.is_none() || self.changes.state_dir.is_none()) {
-            return Err(sections.error("[fleet] wants [members], and state in [changes]"));
+            return Err(sections.error("[fleet] requires a [members] section, and state in [changes]"));
         }
         match &self.broker {
             Some(broker) if broker.queues.is_empty() => {
-                let error = sections.error("[broker] without a [queue NAME] has nothing to do");
+                let error = sections.error("[broker] requires at least one [queue NAME] section");
                 Err(ParseError { line: broker.line(), ..error })
             }
             _ => Ok(()),
@@ -76,12 +76,12 @@
     }
 }
 
-/// Reads a section that may stand once.
+/// Reads a section that may occur once.
 fn read_once<'a, T>(
     slot: &mut Option<T>, section: Section<'a>, read: impl FnOnce(Section<'a>) -> Result<T, ParseError>,
 ) -> Result<(), ParseError> {
     if slot.is_some() {
-        return Err(section.error(format!("there is a section [{}] already", section.kind())));
+        return Err(section.error(format!("duplicate section [{}]", section.kind())));
     }
     *slot = Some(read(section)?);
     Ok(())
--- a/operator-config/src/error.rs
+++ b/operator-config/src/error.rs
@@ -1,13 +1,13 @@
-//! What is wrong with an operator's file.
+//! Errors in an operator's file.
 
-/// What is wrong with a file, and where.
+/// An error in an operator's file, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {message}")]
 pub struct ParseError {
-    /// The file's name, as it was given.
+    /// The file's name, as passed to [`crate::parse`].
     pub file: String,
-    /// The line's number from 1; 0 stands for the file as a whole.
+    /// The line number from 1; 0 for the file as a whole.
     pub line: usize,
-    /// What is wrong.
+    /// The reason, as a message for the operator.
     pub message: String,
 }
--- a/operator-config/src/fleet.rs
+++ b/operator-config/src/fleet.rs
@@ -1,25 +1,25 @@
-//! The section `[fleet]`: consensus of backends on settings and lists.
+//! The section `[fleet]`: consensus of the backends on settings and lists.
 
 use crate::directive::Directive;
 use crate::error::ParseError;
 use crate::section::Section;
-use crate::units::{MILLISECOND, MINUTE, SECOND};
+use crate::units::{MILLISECOND_US, MINUTE_US, SECOND_US};
 
-/// Most voters.
+/// Maximum number of voters.
 const MAX_VOTERS: usize = 9;
-/// How often a lease is renewed within its duration.
+/// Number of renewals within the duration of a lease.
 const RENEWALS_PER_LEASE: u64 = 5;
 
-/// Consensus of backends. Durations are in microseconds.
+/// Consensus of the backends on settings and lists. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetConfig {
-    /// Names of the members that vote and store versions, sorted; an odd number up to nine (`keeper`).
+    /// The names of the members that vote and store versions, sorted; an odd number up to nine (`keeper`).
     pub voters: Vec<String>,
-    /// How long a version is in effect without a renewal by the leader, 500 ms to 1 min (`lease`).
+    /// How long a version stays in effect without a renewal by the leader, 500 ms to 1 min (`lease`).
     pub lease: u64,
-    /// How often the lease is renewed.
+    /// The interval at which the lease is renewed.
     pub renew_interval: u64,
-    /// The interval of the consensus clock, 10 ms to 1 s (`tick`).
+    /// The tick interval of the consensus protocol, 10 ms to 1 s (`tick`).
     pub tick_interval: u64,
 }
 
@@ -28,9 +28,9 @@
     pub(crate) fn read(mut section: Section<'_>) -> Result<FleetConfig, ParseError> {
         let mut fleet = FleetConfig {
             voters: Vec::new(),
-            lease: 5 * SECOND,
+            lease: 5 * SECOND_US,
             renew_interval: 0,
-            tick_interval: 50 * MILLISECOND,
+            tick_interval: 50 * MILLISECOND_US,
         };
         for directive in section.take_directives() {
             directive.value()?;
@@ -39,13 +39,13 @@
             }
             match directive.name() {
                 "keeper" => fleet.add_voter(&directive)?,
-                "lease" => fleet.lease = directive.duration(500 * MILLISECOND..=MINUTE)?,
-                "tick" => fleet.tick_interval = directive.duration(10 * MILLISECOND..=SECOND)?,
+                "lease" => fleet.lease = directive.duration(500 * MILLISECOND_US..=MINUTE_US)?,
+                "tick" => fleet.tick_interval = directive.duration(10 * MILLISECOND_US..=SECOND_US)?,
                 _ => return Err(section.unknown_directive(&directive)),
             }
         }
         if fleet.voters.len().is_multiple_of(2) {
-            return Err(section.error("[fleet] wants an odd number of keepers, best three or five"));
+            return Err(section.error("[fleet] requires an odd number of keepers, preferably three or five"));
         }
         fleet.voters.sort();
         fleet.renew_interval = fleet.lease / RENEWALS_PER_LEASE;
@@ -55,10 +55,10 @@
     fn add_voter(&mut self, directive: &Directive<'_>) -> Result<(), ParseError> {
         let name = directive.value()?;
         if self.voters.iter().any(|voter| voter == name) {
-            return Err(directive.error(format!("the keeper {name} is named already")));
+            return Err(directive.error(format!("duplicate keeper {name}")));
         }
         if self.voters.len() >= MAX_VOTERS {
-            return Err(directive.error(format!("there are {MAX_VOTERS} keepers at most")));
+            return Err(directive.error(format!("at most {MAX_VOTERS} keepers are allowed")));
         }
         self.voters.push(name.into());
         Ok(())
--- a/operator-config/src/lib.rs
+++ b/operator-config/src/lib.rs
@@ -1,12 +1,12 @@
-//! The operator's file, in the manner of classic daemons: one directive a line, `#` begins a comment, a line in
-//! brackets begins a section. Text in, typed values out; only [`read_secret`] opens a file.
+//! Parser of the operator's configuration file. Each line holds one directive, `#` starts a comment, and a line in brackets
+//! starts a section. The parser turns text into typed values; only [`read_secret`] opens a file.
 //!
 //! ```
 //! let file = asterrill_operator_config::parse("a.conf", "[broker]\naddress 127.0.0.1:5672\nuser u\npassword-file /p\n\
 //!     [queue stock]\nmethod stock-update # a comment\nbound 10s\n").unwrap();
 //! assert_eq!(file.broker.unwrap().queues[0].processing_timeout, 10_000_000);
 //! let wrong = asterrill_operator_config::parse("a.conf", "[broker]\nheartbeat 10").unwrap_err();
-//! assert_eq!(wrong.to_string(), "a.conf:2: heartbeat wants a time with its unit, such as 10s or 250ms, not \"10\"");
+//! assert_eq!(wrong.to_string(), "a.conf:2: heartbeat: expected a duration with a unit, such as 10s or 250ms, found \"10\"");
 //! ```
 
 #![warn(missing_docs)]
--- a/operator-config/src/members.rs
+++ b/operator-config/src/members.rs
@@ -1,54 +1,54 @@
-//! The section `[members]`: membership of backends that know each other.
+//! The section `[members]`: the membership of a cluster of backends.
 
 use crate::directive::Directive;
 use crate::error::ParseError;
 use crate::section::Section;
-use crate::units::{DAY, HOUR, MILLISECOND, MINUTE, SECOND};
+use crate::units::{DAY_US, HOUR_US, MILLISECOND_US, MINUTE_US, SECOND_US};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Most seed addresses.
+/// Maximum number of seed addresses.
 const MAX_SEED_ADDRESSES: usize = 64;
-/// Most bytes of a name.
+/// Maximum length of a name.
 const MAX_NAME_BYTES: usize = 64;
-/// Most members that may be expected.
+/// Maximum of the expected number of members.
 const MAX_EXPECTED_MEMBERS: u64 = 2_000;
-/// Greatest capacity of a member.
+/// Maximum capacity of a member.
 const MAX_CAPACITY: u64 = 1_000_000;
 
-/// An address that stands for none.
+/// The placeholder for an address that has not been read.
 const UNSPECIFIED: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// Membership of backends. Durations are in microseconds.
+/// The membership of a cluster of backends. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MembershipConfig {
-    /// The cluster's name; datagrams of other clusters are dropped (`cluster`).
+    /// The cluster's name (`cluster`). Datagrams of other clusters are dropped.
     pub cluster: String,
-    /// Where datagrams are received (`listen`).
+    /// The address at which datagrams are received (`listen`).
     pub listen: SocketAddr,
-    /// Where others reach this backend (`advertise`).
+    /// The address at which other members reach this backend (`advertise`).
     pub advertise: SocketAddr,
     /// The file with the key that all members share (`key-file`).
     pub key_file: PathBuf,
-    /// Where other members may be found at the start, up to 64 (`contact`).
+    /// Addresses of members to contact in order to join the cluster, up to 64 (`contact`).
     pub seed_addresses: Vec<SocketAddr>,
-    /// Members that there are at least, 1 to 2000: the number by which the settings divide what is shared (`expect`).
+    /// The minimum number of members, 1 to 2000, by which the settings divide shared limits (`expect`).
     pub expected_members: usize,
-    /// The zone, as shown to operators (`zone`).
+    /// The zone that is shown to operators (`zone`).
     pub zone: String,
-    /// The capacity, as shown to operators, 1 to a million (`capacity`).
+    /// The capacity that is shown to operators, 1 to a million (`capacity`).
     pub capacity: u32,
-    /// Between two probes, 20 ms to 10 s (`probe`).
+    /// The interval between two probes, 20 ms to 10 s (`probe`).
     pub probe_interval: u64,
-    /// From a failed probe until a member counts as failed, 100 ms to 1 min (`suspicion`).
+    /// The time from a failed probe until the member counts as failed, 100 ms to 1 min (`suspicion`).
     pub suspicion_timeout: u64,
-    /// Between messages to seed addresses while members are missing, 100 ms to 1 min (`greet`).
+    /// The interval between messages to seed addresses while members are missing, 100 ms to 1 min (`greet`).
     pub contact_interval: u64,
-    /// Until a new member counts, 100 ms to 10 min (`settle`).
+    /// The time until a new member counts, 100 ms to 10 min (`settle`).
     pub join_delay: u64,
-    /// Until a failed member is forgotten, 1 min to 30 d (`forget`).
+    /// The time until a failed member is removed from the list, 1 min to 30 d (`forget`).
     pub forget_after: u64,
-    /// Over which failures and returns of a member are counted, 1 s to 1 h (`calm`).
+    /// The window over which failures and returns of a member are counted, 1 s to 1 h (`calm`).
     pub flap_window: u64,
 }
 
@@ -65,17 +65,19 @@
         }
         for name in ["cluster", "listen", "key-file", "expect"] {
             if !section.contains(name) {
-                return Err(section.error(format!("[members] wants {name}")));
+                return Err(section.error(format!("[members] requires {name}")));
             }
         }
         if !section.contains("advertise") {
             members.advertise = members.listen;
         }
         if members.advertise.ip().is_unspecified() {
-            return Err(section.error("advertise wants an address at which others reach this backend"));
+            return Err(
+                section.error("advertise must be an address at which other members reach this backend")
+            );
         }
         if members.suspicion_timeout < 2 * members.probe_interval {
-            return Err(section.error("suspicion lasts two probes at the least: see probe"));
+            return Err(section.error("suspicion must be at least twice the probe interval (probe)"));
         }
         Ok(members)
     }
@@ -90,12 +92,12 @@
             expected_members: 0,
             zone: String::new(),
             capacity: 1,
-            probe_interval: 200 * MILLISECOND,
-            suspicion_timeout: SECOND,
-            contact_interval: SECOND,
-            join_delay: 5 * SECOND,
-            forget_after: HOUR,
-            flap_window: MINUTE,
+            probe_interval: 200 * MILLISECOND_US,
+            suspicion_timeout: SECOND_US,
+            contact_interval: SECOND_US,
+            join_delay: 5 * SECOND_US,
+            forget_after: HOUR_US,
+            flap_window: MINUTE_US,
         }
     }
 
@@ -109,12 +111,12 @@
             "expect" => self.expected_members = directive.count(1..=MAX_EXPECTED_MEMBERS)? as usize,
             "zone" => self.zone = read_name(directive)?,
             "capacity" => self.capacity = directive.count(1..=MAX_CAPACITY)? as u32,
-            "probe" => self.probe_interval = directive.duration(20 * MILLISECOND..=10 * SECOND)?,
-            "suspicion" => self.suspicion_timeout = directive.duration(100 * MILLISECOND..=MINUTE)?,
-            "greet" => self.contact_interval = directive.duration(100 * MILLISECOND..=MINUTE)?,
-            "settle" => self.join_delay = directive.duration(100 * MILLISECOND..=10 * MINUTE)?,
-            "forget" => self.forget_after = directive.duration(MINUTE..=30 * DAY)?,
-            "calm" => self.flap_window = directive.duration(SECOND..=HOUR)?,
+            "probe" => self.probe_interval = directive.duration(20 * MILLISECOND_US..=10 * SECOND_US)?,
+            "suspicion" => self.suspicion_timeout = directive.duration(100 * MILLISECOND_US..=MINUTE_US)?,
+            "greet" => self.contact_interval = directive.duration(100 * MILLISECOND_US..=MINUTE_US)?,
+            "settle" => self.join_delay = directive.duration(100 * MILLISECOND_US..=10 * MINUTE_US)?,
+            "forget" => self.forget_after = directive.duration(MINUTE_US..=30 * DAY_US)?,
+            "calm" => self.flap_window = directive.duration(SECOND_US..=HOUR_US)?,
             _ => return Err(section.unknown_directive(directive)),
         }
         Ok(())
@@ -122,7 +124,7 @@
 
     fn add_seed_address(&mut self, directive: &Directive<'_>) -> Result<(), ParseError> {
         if self.seed_addresses.len() >= MAX_SEED_ADDRESSES {
-            return Err(directive.error(format!("there are {MAX_SEED_ADDRESSES} contacts at most")));
+            return Err(directive.error(format!("at most {MAX_SEED_ADDRESSES} contacts are allowed")));
         }
         self.seed_addresses.push(directive.address()?);
         Ok(())
@@ -132,7 +134,7 @@
 fn read_name(directive: &Directive<'_>) -> Result<String, ParseError> {
     let name = directive.value()?;
     if name.len() > MAX_NAME_BYTES {
-        return Err(directive.error(format!("{} has {MAX_NAME_BYTES} bytes at most", directive.name())));
+        return Err(directive.error(format!("{} is longer than {MAX_NAME_BYTES} bytes", directive.name())));
     }
     Ok(name.into())
 }
--- a/operator-config/src/queue.rs
+++ b/operator-config/src/queue.rs
@@ -1,34 +1,34 @@
-//! A section `[queue NAME]`: what the deliveries of a queue mean, and how they are processed.
+//! The section `[queue NAME]`: how the deliveries of a queue map to RPCs and are processed.
 
 use crate::backoff::Backoff;
 use crate::directive::Directive;
 use crate::error::ParseError;
 use crate::section::Section;
-use crate::units::{DAY, HOUR, KIBIBYTE, MILLISECOND, MINUTE, SECOND};
+use crate::units::{DAY_US, HOUR_US, KIBIBYTE, MILLISECOND_US, MINUTE_US, SECOND_US};
 use std::collections::BTreeMap;
 
-/// Most bytes of a queue's name, as AMQP has it.
+/// Maximum length of a queue's name in AMQP.
 const MAX_NAME_BYTES: usize = 255;
-/// Most deliveries that may be unacknowledged.
+/// Maximum number of unacknowledged deliveries.
 const MAX_PREFETCH: u64 = 16_384;
-/// Most attempts of a delivery.
+/// Maximum number of attempts of a delivery.
 const MAX_ATTEMPTS: u64 = 1000;
-/// Most deliveries that are remembered for deduplication.
+/// Maximum number of deliveries that are remembered for deduplication.
 const MAX_DEDUP_ENTRIES: u64 = 1_000_000;
 
-/// Where a value of a delivery comes from.
+/// The source of a value of a delivery: a header, a default or both.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ValueSource {
-    /// The header that says it (`...-header`).
+    /// The header that holds the value (`...-header`).
     pub header: Option<String>,
-    /// What texts of that header stand for (`...-means`); others stand for themselves.
+    /// Values by header text (`...-means`). A text that is not listed is the value itself.
     pub values: BTreeMap<String, String>,
-    /// The value where the header does not say it.
+    /// The value if the header does not give one.
     pub default_value: Option<String>,
 }
 
 impl ValueSource {
-    /// Reads a directive of `subject`, whose name ends in `suffix`.
+    /// Reads the directive `subject` or `subject-suffix`.
     fn read_directive(
         &mut self, directive: &Directive<'_>, subject: &str, suffix: &str,
     ) -> Result<(), ParseError> {
@@ -39,10 +39,10 @@
                 let name = directive.name();
                 let (text, value) = directive.value_pair()?;
                 if self.header.is_none() {
-                    return Err(directive.error(format!("{name} wants {subject}-header before it")));
+                    return Err(directive.error(format!("{name} requires {subject}-header before it")));
                 }
                 if self.values.insert(text.into(), value.into()).is_some() {
-                    return Err(directive.error(format!("{name} {text} is said already")));
+                    return Err(directive.error(format!("duplicate {name} {text}")));
                 }
             }
             _ => return Err(unknown_directive(directive)),
@@ -51,39 +51,39 @@
     }
 }
 
-/// What becomes of a redelivered message of a non-idempotent method that is not remembered.
+/// The handling of a redelivered message of a non-idempotent method that the deduplication window does not hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RedeliveryPolicy {
-    /// It is rejected: it may have run.
+    /// Reject the message, since it may have run.
     Reject,
-    /// It runs.
+    /// Run the message.
     Run,
 }
 
-/// How long, and for how many deliveries at the most, redelivered messages are recognised.
+/// The bounds within which redelivered messages are recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DedupWindow {
-    /// Microseconds, 1 s to 7 d.
+    /// How long a delivery is remembered, in microseconds, 1 s to 7 d.
     pub duration: u64,
-    /// Most deliveries that are remembered at a time, up to a million.
+    /// Maximum number of deliveries that are remembered at a time, up to a million.
     pub max_entries: usize,
 }
 
 impl DedupWindow {
     fn read(directive: &Directive<'_>) -> Result<DedupWindow, ParseError> {
         let (duration, max_entries) = directive.value_pair()?;
-        let duration = directive.parse_duration(duration, SECOND..=7 * DAY)?;
+        let duration = directive.parse_duration(duration, SECOND_US..=7 * DAY_US)?;
         let max_entries = directive.parse_count(max_entries, 0..=MAX_DEDUP_ENTRIES)?;
         Ok(DedupWindow { duration, max_entries: max_entries as usize })
     }
 }
 
-/// One queue. Durations are in microseconds.
+/// A queue to consume from. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueueConfig {
-    /// Its name at the broker.
+    /// The name of the queue at the broker.
     pub name: String,
-    /// The line where its section begins, from 1.
+    /// The line number of the section header, from 1.
     pub line: usize,
     /// The method of a delivery (`method`, `method-header`, `method-means`).
     pub method: ValueSource,
@@ -91,33 +91,33 @@
     pub tenant: ValueSource,
     /// The caller of a delivery (`caller`, ...).
     pub caller: ValueSource,
-    /// Most unacknowledged deliveries, 1 to 16,384 (`prefetch`).
+    /// Maximum number of unacknowledged deliveries, 1 to 16,384 (`prefetch`).
     pub prefetch: u16,
-    /// How long a delivery may take until it is settled, 10 ms to 1 d (`bound`).
+    /// Maximum time until a delivery is settled, 10 ms to 1 d (`bound`).
     pub processing_timeout: u64,
-    /// Most attempts of a delivery, 1 to 1000 (`attempts`).
+    /// Maximum number of attempts of a delivery, 1 to 1000 (`attempts`).
     pub max_attempts: u32,
-    /// Delays between attempts (`pause`).
+    /// The delays between attempts (`pause`).
     pub retry_backoff: Backoff,
-    /// Memory of a queued delivery in kB, 1 to 2000 (`memory`).
+    /// The memory that a queued delivery takes in kB, 1 to 2000 (`memory`).
     pub memory_kb: f64,
     /// How redelivered messages are recognised (`remember`).
     pub dedup_window: DedupWindow,
-    /// What becomes of those that are not (`redelivered`).
+    /// How unrecognised redelivered messages are handled (`redelivered`).
     pub redelivery_policy: RedeliveryPolicy,
 }
 
 impl QueueConfig {
-    /// Reads the name of a queue.
+    /// Returns the name of the queue from the section header.
     pub(crate) fn read_name(section: &Section<'_>) -> Result<String, ParseError> {
         let name = section.name().unwrap_or("");
         if name.len() > MAX_NAME_BYTES {
-            return Err(section.error(format!("a queue's name has {MAX_NAME_BYTES} bytes at most")));
+            return Err(section.error(format!("the queue name is longer than {MAX_NAME_BYTES} bytes")));
         }
         Ok(name.into())
     }
 
-    /// Reads the directives of a queue.
+    /// Reads the directives of the queue `name`.
     pub(crate) fn read(name: String, mut section: Section<'_>) -> Result<QueueConfig, ParseError> {
         let mut queue = QueueConfig::with_defaults(name, section.line());
         for directive in section.take_directives() {
@@ -127,7 +127,7 @@
             queue.read_directive(&directive)?;
         }
         if queue.method.default_value.is_none() && queue.method.header.is_none() {
-            return Err(section.error("[queue] lacks method or method-header"));
+            return Err(section.error("[queue] requires method or method-header"));
         }
         Ok(queue)
     }
@@ -140,11 +140,11 @@
             tenant: ValueSource::default(),
             caller: ValueSource::default(),
             prefetch: 64,
-            processing_timeout: 30 * SECOND,
+            processing_timeout: 30 * SECOND_US,
             max_attempts: 5,
-            retry_backoff: Backoff { min: 100 * MILLISECOND, max: 5 * SECOND },
+            retry_backoff: Backoff { min: 100 * MILLISECOND_US, max: 5 * SECOND_US },
             memory_kb: 4.0,
-            dedup_window: DedupWindow { duration: 10 * MINUTE, max_entries: 10_000 },
+            dedup_window: DedupWindow { duration: 10 * MINUTE_US, max_entries: 10_000 },
             redelivery_policy: RedeliveryPolicy::Reject,
         }
     }
@@ -162,9 +162,9 @@
     fn read_processing_directive(&mut self, directive: &Directive<'_>) -> Result<(), ParseError> {
         match directive.name() {
             "prefetch" => self.prefetch = directive.count(1..=MAX_PREFETCH)? as u16,
-            "bound" => self.processing_timeout = directive.duration(10 * MILLISECOND..=DAY)?,
+            "bound" => self.processing_timeout = directive.duration(10 * MILLISECOND_US..=DAY_US)?,
             "attempts" => self.max_attempts = directive.count(1..=MAX_ATTEMPTS)? as u32,
-            "pause" => self.retry_backoff = Backoff::read(directive, MILLISECOND..=MINUTE, HOUR)?,
+            "pause" => self.retry_backoff = Backoff::read(directive, MILLISECOND_US..=MINUTE_US, HOUR_US)?,
             "memory" => {
                 let bytes = directive.size(KIBIBYTE..=2_000 * KIBIBYTE)?;
                 self.memory_kb = bytes as f64 / KIBIBYTE as f64;
@@ -181,10 +181,10 @@
     match directive.value()? {
         "reject" => Ok(RedeliveryPolicy::Reject),
         "run" => Ok(RedeliveryPolicy::Run),
-        other => Err(directive.error(format!("redelivered is reject or run, not {other}"))),
+        other => Err(directive.error(format!("redelivered must be reject or run, found {other}"))),
     }
 }
 
 fn unknown_directive(directive: &Directive<'_>) -> ParseError {
-    directive.error(format!("[queue] has no directive {}", directive.name()))
+    directive.error(format!("unknown directive {} in [queue]", directive.name()))
 }
--- a/operator-config/src/secret.rs
+++ b/operator-config/src/secret.rs
@@ -1,50 +1,50 @@
-//! A file with a secret, which only its owner may read.
+//! Secrets in files that only their owner may access.
 
 use std::fs::File;
 use std::io::{self, Read};
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-/// Most bytes of a file with a secret.
+/// Maximum length of a file with a secret.
 const MAX_SECRET_BYTES: u64 = 1024;
-/// The permission bits of a file's mode.
-const PERMISSION_BITS: u32 = 0o777;
-/// The permissions of everybody but the owner.
-const OTHERS_PERMISSIONS: u32 = 0o077;
+/// Mask of the permission bits of a file's mode.
+const PERMISSION_MASK: u32 = 0o777;
+/// Mask of the permissions of the group and of others.
+const GROUP_AND_OTHERS_MASK: u32 = 0o077;
 
-/// Why a secret can't be used. None of these reveals anything of what the file contains.
+/// An error of reading a secret. No variant reveals any of the file's contents.
 #[derive(Debug, thiserror::Error)]
 pub enum SecretError {
-    /// The file can't be opened.
+    /// The file can't be opened or inspected.
     #[error("{path}: {source}")]
     Unreadable {
         /// The file.
         path: String,
-        /// Why not.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// It is a directory, a socket or the like.
-    #[error("{path} is no regular file")]
+    /// The path is a directory, a socket or another special file.
+    #[error("{path} is not a regular file")]
     NotRegular {
         /// The file.
         path: String,
     },
-    /// Others than its owner have permissions on it.
-    #[error("{path} may be read by others (mode {mode:o}): chmod 600 it")]
+    /// Users other than the owner have permissions on the file.
+    #[error("{path} is accessible to other users (mode {mode:o}); run chmod 600 on it")]
     TooPermissive {
         /// The file.
         path: String,
-        /// Its permission bits.
+        /// The permission bits of the file.
         mode: u32,
     },
-    /// It is longer than 1024 bytes.
+    /// The file is longer than 1024 bytes.
     #[error("{path} is longer than {MAX_SECRET_BYTES} bytes")]
     TooLong {
         /// The file.
         path: String,
     },
-    /// Its first line is empty, or it is not UTF-8.
-    #[error("{path} is empty, or is not text")]
+    /// The first line is empty, or the file is not UTF-8.
+    #[error("{path}: the first line is empty, or the file is not UTF-8 text")]
     InvalidText {
         /// The file.
         path: String,
@@ -54,18 +54,18 @@
 /// Reads the first line of a file on which only its owner has permissions.
 ///
 /// # Errors
-/// [`SecretError`] says why the file can't be used.
+/// Returns a [`SecretError`] if the file can't be read or used.
 pub fn read_secret(path: &Path) -> Result<String, SecretError> {
     let name = || path.display().to_string();
     let unreadable = |source| SecretError::Unreadable { path: name(), source };
     let file = File::open(path).map_err(unreadable)?;
-    // The metadata of the open file, so that no other file can take its place in between.
+    // The metadata is taken from the open file, so that no other file can replace it between the check and the read.
     let metadata = file.metadata().map_err(unreadable)?;
     if !metadata.is_file() {
         return Err(SecretError::NotRegular { path: name() });
     }
-    if metadata.mode() & OTHERS_PERMISSIONS != 0 {
-        return Err(SecretError::TooPermissive { path: name(), mode: metadata.mode() & PERMISSION_BITS });
+    if metadata.mode() & GROUP_AND_OTHERS_MASK != 0 {
+        return Err(SecretError::TooPermissive { path: name(), mode: metadata.mode() & PERMISSION_MASK });
     }
     if metadata.len() > MAX_SECRET_BYTES {
         return Err(SecretError::TooLong { path: name() });
--- a/operator-config/tests/parse.rs
+++ b/operator-config/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Files with mistakes, each with the message it has to give, and complete ones.
+//! Parsing of complete files, and the exact message for each kind of error.
 
 use asterrill_operator_config::{parse, Backoff, DedupWindow, RecoverySettings, RedeliveryPolicy};
 use quickcheck::{Gen, QuickCheck};
@@ -39,118 +39,118 @@
 }
 
 #[test]
-fn names_mistake_and_line() {
+fn reports_the_line_and_the_reason_of_each_error() {
     let queue = format!("{BROKER}[queue a]\nmethod m\n");
     let after = |line: &str| parse_error(&format!("{queue}{line}\n"));
     for (text, message) in [
-        (parse_error("user x"), "1: user stands before any section"),
-        (parse_error("[broker"), "1: a section begins with [KIND] or [KIND NAME]"),
-        (parse_error("[a b c]"), "1: a section begins with [KIND] or [KIND NAME]"),
-        (parse_error("[queue ]"), "1: a section's name is empty"),
+        (parse_error("user x"), "1: user appears before the first section"),
+        (parse_error("[broker"), "1: expected a section header: [KIND] or [KIND NAME]"),
+        (parse_error("[a b c]"), "1: expected a section header: [KIND] or [KIND NAME]"),
+        (parse_error("[queue ]"), "1: the section name is empty"),
         (
             parse_error("[brokers]"),
-            "1: there is no section [brokers]; there are [broker], [queue NAME], [changes], [recovery], [members], [fleet] and [log]",
+            "1: unknown section [brokers]; expected [broker], [queue NAME], [changes], [recovery], [members], [fleet] or [log]",
         ),
         (parse_error("[broker x]"), "1: [broker] takes no name"),
-        (parse_error("[queue a]"), "1: a queue wants the section [broker] before it"),
-        (parse_error(&format!("{BROKER}[queue]")), "5: a queue wants its name: [queue NAME]"),
-        (parse_error(BROKER), "1: [broker] without a [queue NAME] has nothing to do"),
-        (parse_error("\n[broker]\nuser u"), "2: [broker] lacks address"),
-        (parse_error("[broker]\naddress 1.2.3.4:5\npassword-file p"), "1: [broker] lacks user"),
-        (parse_error("[broker]\naddress 1.2.3.4:5\nuser u"), "1: [broker] lacks password-file"),
-        (parse_error(&format!("{BROKER}[broker]")), "5: there is a section [broker] already"),
-        (parse_error("[broker]\nuser"), "2: user wants a value"),
-        (parse_error("[broker]\nuser a b"), "2: user wants one value, not 2"),
-        (parse_error("[broker]\nuser a\nuser b"), "3: user stands in line 2 already"),
-        (parse_error("[broker]\nport 5"), "2: [broker] has no directive port"),
+        (parse_error("[queue a]"), "1: [queue NAME] requires a [broker] section before it"),
+        (parse_error(&format!("{BROKER}[queue]")), "5: [queue] requires a name: [queue NAME]"),
+        (parse_error(BROKER), "1: [broker] requires at least one [queue NAME] section"),
+        (parse_error("\n[broker]\nuser u"), "2: [broker] requires address"),
+        (parse_error("[broker]\naddress 1.2.3.4:5\npassword-file p"), "1: [broker] requires user"),
+        (parse_error("[broker]\naddress 1.2.3.4:5\nuser u"), "1: [broker] requires password-file"),
+        (parse_error(&format!("{BROKER}[broker]")), "5: duplicate section [broker]"),
+        (parse_error("[broker]\nuser"), "2: user requires a value"),
+        (parse_error("[broker]\nuser a b"), "2: user takes one value, found 2"),
+        (parse_error("[broker]\nuser a\nuser b"), "3: duplicate user; already set in line 2"),
+        (parse_error("[broker]\nport 5"), "2: unknown directive port in [broker]"),
         (
             parse_error("[broker]\naddress here"),
-            "2: address wants ADDRESS:PORT, such as 10.0.0.7:5672, not \"here\"",
+            "2: address: expected ADDRESS:PORT, such as 10.0.0.7:5672, found \"here\"",
         ),
         (
             parse_error("[broker]\naddress 1.2.3.4:0"),
-            "2: address wants ADDRESS:PORT, such as 10.0.0.7:5672, not \"1.2.3.4:0\"",
+            "2: address: expected ADDRESS:PORT, such as 10.0.0.7:5672, found \"1.2.3.4:0\"",
         ),
         (
             parse_error(&format!("{BROKER}address 127.0.0.1:5672")),
-            "5: the address 127.0.0.1:5672 is listed already",
+            "5: duplicate address 127.0.0.1:5672",
         ),
         (
             parse_error("[broker]\nheartbeat 10"),
-            "2: heartbeat wants a time with its unit, such as 10s or 250ms, not \"10\"",
+            "2: heartbeat: expected a duration with a unit, such as 10s or 250ms, found \"10\"",
         ),
-        (parse_error("[broker]\nheartbeat 250ms"), "2: heartbeat lies between 1s and 10m, not at 250ms"),
+        (parse_error("[broker]\nheartbeat 250ms"), "2: heartbeat must be between 1s and 10m, found 250ms"),
         (
             parse_error("[broker]\nheartbeat -1s"),
-            "2: heartbeat wants a time with its unit, such as 10s or 250ms, not \"-1s\"",
+            "2: heartbeat: expected a duration with a unit, such as 10s or 250ms, found \"-1s\"",
         ),
-        (parse_error("[broker]\nheartbeat 99999999999999d"), "2: heartbeat: 99999999999999d is too long a time"),
-        (parse_error("[broker]\nreconnect 1s"), "2: reconnect wants two values, not 1"),
-        (parse_error("[broker]\nreconnect 2s 1s"), "2: reconnect lies between 2s and 10m, not at 1s"),
-        (parse_error("[broker]\nbody 2"), "2: body wants a size with its unit, such as 512b or 16k, not \"2\""),
-        (parse_error("[broker]\nbody 1m"), "2: body lies between 1b and 4096b, not at 1m"),
-        (parse_error(&format!("{BROKER}[queue a]\n")), "5: [queue] lacks method or method-header"),
-        (parse_error(&format!("{queue}[queue a]\nmethod m")), "7: the queue a stands in line 5 already"),
-        (after("prefetch many"), "7: prefetch wants a whole number, not \"many\""),
-        (after("prefetch 0"), "7: prefetch lies between 1 and 16384, not at 0"),
-        (after("method n"), "7: method stands in line 6 already"),
-        (after("method-means a b"), "7: method-means wants method-header before it"),
-        (after("method-header h\nmethod-means a b\nmethod-means a c"), "9: method-means a is said already"),
-        (after("method-name x"), "7: [queue] has no directive method-name"),
-        (after("weight 5"), "7: [queue] has no directive weight"),
-        (after("bound 1ms"), "7: bound lies between 10ms and 1d, not at 1ms"),
-        (after("attempts 0"), "7: attempts lies between 1 and 1000, not at 0"),
-        (after("remember 1s"), "7: remember wants two values, not 1"),
-        (parse_error("[changes]\nprobation 1ms"), "2: probation lies between 1s and 1h, not at 1ms"),
-        (parse_error("[changes]\ncontrol"), "2: control wants a value"),
-        (parse_error("[changes]\nstate relative"), "2: state wants a path from the root, not \"relative\""),
-        (parse_error("[changes]\nfactor 1"), "2: factor lies between 2 and 1000, not at 1"),
-        (parse_error("[changes]\nfactor 2\nfactor 3"), "3: factor stands in line 2 already"),
-        (parse_error("[changes]\nspeed 3"), "2: [changes] has no directive speed"),
+        (parse_error("[broker]\nheartbeat 99999999999999d"), "2: heartbeat: duration 99999999999999d is too long"),
+        (parse_error("[broker]\nreconnect 1s"), "2: reconnect takes two values, found 1"),
+        (parse_error("[broker]\nreconnect 2s 1s"), "2: reconnect must be between 2s and 10m, found 1s"),
+        (parse_error("[broker]\nbody 2"), "2: body: expected a size with a unit, such as 512b or 16k, found \"2\""),
+        (parse_error("[broker]\nbody 1m"), "2: body must be between 1b and 4096b, found 1m"),
+        (parse_error(&format!("{BROKER}[queue a]\n")), "5: [queue] requires method or method-header"),
+        (parse_error(&format!("{queue}[queue a]\nmethod m")), "7: duplicate queue a; the first is in line 5"),
+        (after("prefetch many"), "7: prefetch: expected a whole number, found \"many\""),
+        (after("prefetch 0"), "7: prefetch must be between 1 and 16384, found 0"),
+        (after("method n"), "7: duplicate method; already set in line 6"),
+        (after("method-means a b"), "7: method-means requires method-header before it"),
+        (after("method-header h\nmethod-means a b\nmethod-means a c"), "9: duplicate method-means a"),
+        (after("method-name x"), "7: unknown directive method-name in [queue]"),
+        (after("weight 5"), "7: unknown directive weight in [queue]"),
+        (after("bound 1ms"), "7: bound must be between 10ms and 1d, found 1ms"),
+        (after("attempts 0"), "7: attempts must be between 1 and 1000, found 0"),
+        (after("remember 1s"), "7: remember takes two values, found 1"),
+        (parse_error("[changes]\nprobation 1ms"), "2: probation must be between 1s and 1h, found 1ms"),
+        (parse_error("[changes]\ncontrol"), "2: control requires a value"),
+        (parse_error("[changes]\nstate relative"), "2: state: expected an absolute path, found \"relative\""),
+        (parse_error("[changes]\nfactor 1"), "2: factor must be between 2 and 1000, found 1"),
+        (parse_error("[changes]\nfactor 2\nfactor 3"), "3: duplicate factor; already set in line 2"),
+        (parse_error("[changes]\nspeed 3"), "2: unknown directive speed in [changes]"),
         (parse_error("[changes x]"), "1: [changes] takes no name"),
-        (parse_error("[recovery]\nsnapshot 10ms"), "2: snapshot lies between 1s and 10m, not at 10ms"),
-        (parse_error("[recovery]\ntrust 31d"), "2: trust lies between 1s and 30d, not at 31d"),
-        (parse_error("[recovery]\nfirst-calls 0"), "2: first-calls lies between 1 and 1000, not at 0"),
-        (parse_error("[recovery]\nrepeats 10%"), "2: repeats wants a whole number, not \"10%\""),
-        (parse_error("[recovery]\nspread 101"), "2: spread lies between 0 and 100, not at 101"),
-        (parse_error("[recovery]\nspread 1\nspread 2"), "3: spread stands in line 2 already"),
-        (parse_error("[recovery]\nkeep all"), "2: [recovery] has no directive keep"),
-        (parse_error("[recovery]\n[recovery]"), "2: there is a section [recovery] already"),
+        (parse_error("[recovery]\nsnapshot 10ms"), "2: snapshot must be between 1s and 10m, found 10ms"),
+        (parse_error("[recovery]\ntrust 31d"), "2: trust must be between 1s and 30d, found 31d"),
+        (parse_error("[recovery]\nfirst-calls 0"), "2: first-calls must be between 1 and 1000, found 0"),
+        (parse_error("[recovery]\nrepeats 10%"), "2: repeats: expected a whole number, found \"10%\""),
+        (parse_error("[recovery]\nspread 101"), "2: spread must be between 0 and 100, found 101"),
+        (parse_error("[recovery]\nspread 1\nspread 2"), "3: duplicate spread; already set in line 2"),
+        (parse_error("[recovery]\nkeep all"), "2: unknown directive keep in [recovery]"),
+        (parse_error("[recovery]\n[recovery]"), "2: duplicate section [recovery]"),
         (parse_error("[recovery x]"), "1: [recovery] takes no name"),
-        (parse_error("[fleet]\nkeeper a\nkeeper b"), "1: [fleet] wants an odd number of keepers, best three or five"),
-        (parse_error("[fleet]\nkeeper a\nkeeper a"), "3: the keeper a is named already"),
-        (parse_error("[fleet]\nlease 1ms"), "2: lease lies between 500ms and 1m, not at 1ms"),
-        (parse_error("[fleet]\nkeeper a"), "0: [fleet] wants [members], and state in [changes]"),
+        (parse_error("[fleet]\nkeeper a\nkeeper b"), "1: [fleet] requires an odd number of keepers, preferably three or five"),
+        (parse_error("[fleet]\nkeeper a\nkeeper a"), "3: duplicate keeper a"),
+        (parse_error("[fleet]\nlease 1ms"), "2: lease must be between 500ms and 1m, found 1ms"),
+        (parse_error("[fleet]\nkeeper a"), "0: [fleet] requires a [members] section, and state in [changes]"),
         (parse_error("[members x]"), "1: [members] takes no name"),
-        (parse_error("[members]\ncluster c"), "1: [members] wants listen"),
-        (parse_error(&format!("{MEMBERS}[members]")), "6: there is a section [members] already"),
-        (parse_error(&format!("{MEMBERS}expect 3")), "6: expect stands in line 5 already"),
-        (parse_error(&format!("{MEMBERS}probe 1ms")), "6: probe lies between 20ms and 10s, not at 1ms"),
-        (parse_error(&format!("{MEMBERS}suspicion 300ms")), "1: suspicion lasts two probes at the least: see probe"),
-        (parse_error(&format!("{MEMBERS}leader n1")), "6: [members] has no directive leader"),
+        (parse_error("[members]\ncluster c"), "1: [members] requires listen"),
+        (parse_error(&format!("{MEMBERS}[members]")), "6: duplicate section [members]"),
+        (parse_error(&format!("{MEMBERS}expect 3")), "6: duplicate expect; already set in line 5"),
+        (parse_error(&format!("{MEMBERS}probe 1ms")), "6: probe must be between 20ms and 10s, found 1ms"),
+        (parse_error(&format!("{MEMBERS}suspicion 300ms")), "1: suspicion must be at least twice the probe interval (probe)"),
+        (parse_error(&format!("{MEMBERS}leader n1")), "6: unknown directive leader in [members]"),
         (
             parse_error(&format!("{MEMBERS}contact n1:7946")),
-            "6: contact wants ADDRESS:PORT, such as 10.0.0.7:5672, not \"n1:7946\"",
+            "6: contact: expected ADDRESS:PORT, such as 10.0.0.7:5672, found \"n1:7946\"",
         ),
         (
             parse_error("[members]\ncluster c\nlisten 0.0.0.0:7946\nkey-file /k\nexpect 5"),
-            "1: advertise wants an address at which others reach this backend",
+            "1: advertise must be an address at which other members reach this backend",
         ),
-        (parse_error("[members]\nkey-file k"), "2: key-file wants a path from the root, not \"k\""),
-        (parse_error("[log]\nformat xml"), "2: format is plain or json, not xml"),
-        (parse_error("[log]\nlevel 3"), "2: [log] has no directive level"),
-        (after("redelivered maybe"), "7: redelivered is reject or run, not maybe"),
-        (after("memory 3g"), "7: memory lies between 1024b and 2048000b, not at 3g"),
-        (after("bound 1s\u{1}"), "7: the character '\\u{1}' does not belong in a line"),
-        (after(&"x".repeat(1025)), "7: a line has 1024 bytes at most"),
+        (parse_error("[members]\nkey-file k"), "2: key-file: expected an absolute path, found \"k\""),
+        (parse_error("[log]\nformat xml"), "2: format must be plain or json, found xml"),
+        (parse_error("[log]\nlevel 3"), "2: unknown directive level in [log]"),
+        (after("redelivered maybe"), "7: redelivered must be reject or run, found maybe"),
+        (after("memory 3g"), "7: memory must be between 1024b and 2048000b, found 3g"),
+        (after("bound 1s\u{1}"), "7: control character '\\u{1}' is not allowed"),
+        (after(&"x".repeat(1025)), "7: the line is longer than 1024 bytes"),
     ] {
         assert_eq!(text, format!("x.conf:{message}"));
     }
 }
 
 #[test]
-fn never_panics() {
-    fn parses_or_names_a_line(words: Vec<u8>) -> bool {
+fn never_panics_on_random_text() {
+    fn parses_or_reports_a_line(words: Vec<u8>) -> bool {
         const WORDS: [&str; 16] = [
             "[broker]",
             "[queue",
@@ -173,7 +173,7 @@
         parse("x", &text.join(" ")).map_or_else(|e| e.line < 1000, |_| true)
     }
     let mut runs = QuickCheck::new().tests(2_000).rng(Gen::from_size_and_seed(60, 3));
-    runs.quickcheck(parses_or_names_a_line as fn(Vec<u8>) -> bool);
+    runs.quickcheck(parses_or_reports_a_line as fn(Vec<u8>) -> bool);
 }
 
 #[test]
--- a/operator-config/tests/secret.rs
+++ b/operator-config/tests/secret.rs
@@ -1,10 +1,10 @@
-//! Files with secrets: their permissions and sizes.
+//! Permissions, sizes and contents of files with secrets.
 
 use asterrill_operator_config::read_secret;
 use std::os::unix::fs::PermissionsExt;
 
 #[test]
-fn refuses_a_secret_that_others_may_read() {
+fn rejects_a_secret_that_other_users_may_read() {
     let path = std::env::temp_dir().join(format!("asterrill-secret-{}", std::process::id()));
     let with = |text: &str, mode: u32| {
         std::fs::write(&path, text).unwrap();
@@ -16,9 +16,9 @@
         let error = with("s3cret", mode).unwrap_err().to_string();
         assert!(error.contains("chmod 600") && !error.contains("s3cret"), "{error}");
     }
-    assert!(with("", 0o600).unwrap_err().to_string().contains("is empty"));
+    assert!(with("", 0o600).unwrap_err().to_string().contains("the first line is empty"));
     assert!(with(&"x".repeat(2000), 0o600).unwrap_err().to_string().contains("longer"));
     std::fs::remove_file(&path).unwrap();
     assert!(read_secret(&path).unwrap_err().to_string().contains("No such file"));
-    assert!(read_secret(&std::env::temp_dir()).unwrap_err().to_string().contains("no regular file"));
+    assert!(read_secret(&std::env::temp_dir()).unwrap_err().to_string().contains("not a regular file"));
 }
