--- a/net/tests/closing.rs
+++ b/net/tests/closing.rs
@@ -1,5 +1,5 @@
-//! Ends of connections on loopback sockets, with what crosses them forced: the one worker is blocked until
-//! the bytes, the end and the new connections are all there.
+//! Closing of connections and listeners on loopback sockets while data is in flight. The tests block the only worker until the
+//! bytes, the close and the new connections have all arrived, which forces the race between them.
 
 use asterrill_net::{
     bind, listen, run_connection, spawn, start_worker, BufferPool, ConnectionEnd, ConnectionHandler,
@@ -12,132 +12,141 @@
 use std::sync::Once;
 use std::time::Duration;
 
-const WAIT: Duration = Duration::from_secs(10);
+/// How long a test waits for an expected event.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-fn worker() {
+fn ensure_worker() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| start_worker().unwrap());
 }
 
-/// Answers the first byte with so many and wants no more; or answers each, and closes after that.
-struct Closing {
-    out: Outbox,
-    answer: usize,
-    once: bool,
+/// A handler that replies to each byte with `reply_bytes` bytes and requests a close after each read. With `first_only`, it
+/// replies to the first byte only and accepts no more data.
+struct ClosingHandler {
+    outbox: Outbox,
+    reply_bytes: usize,
+    first_only: bool,
 }
 
-impl ConnectionHandler for Closing {
+impl ConnectionHandler for ClosingHandler {
     fn on_data(&mut self, bytes: &[u8]) -> bool {
-        bytes.iter().take(if self.once { 1 } else { bytes.len() }).for_each(|byte| {
-            self.out.put(&[&vec![*byte; self.answer]]);
+        bytes.iter().take(if self.first_only { 1 } else { bytes.len() }).for_each(|byte| {
+            self.outbox.put(&[&vec![*byte; self.reply_bytes]]);
         });
-        self.out.finish();
-        !self.once
+        self.outbox.finish();
+        !self.first_only
     }
     fn on_half_closed(&mut self) {
-        self.out.finish();
+        self.outbox.finish();
     }
     fn linger_us(&self) -> Option<u64> {
         Some(1_500_000)
     }
 }
 
-/// A server of such connections: its address, the outbox of each connection, and how each ended.
-fn closing(
-    answer: usize, once: bool, handle: &ListenerHandle,
+/// Starts a server with a [`ClosingHandler`] per connection. Returns its address, the outboxes of accepted connections and how
+/// each connection ended.
+fn start_server(
+    reply_bytes: usize, first_only: bool, handle: &ListenerHandle,
 ) -> (SocketAddr, Receiver<Outbox>, Receiver<ConnectionEnd>) {
-    worker();
+    ensure_worker();
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let at = listener.local_addr().unwrap();
-    let ((outs, out), (ends, end)) = (channel(), channel());
+    let address = listener.local_addr().unwrap();
+    let ((outbox_sender, outboxes), (end_sender, ends)) = (channel(), channel());
     let (pool, log, handle) =
         (BufferPool::new(256), slog::Logger::root(slog::Discard, slog::o!()), handle.clone());
     let on_connection = move |stream: TcpStream, permit| {
-        let (pool, outs, ends) = (pool.clone(), outs.clone(), ends.clone());
+        let (pool, outbox_sender, end_sender) = (pool.clone(), outbox_sender.clone(), end_sender.clone());
         spawn("closing", move || {
-            let out = Outbox::new(&pool, 200 * BUFFER_BYTES);
-            outs.send(out.clone()).unwrap_or_default();
-            let end = run_connection(&stream, &out, &pool, &mut Closing { out: out.clone(), answer, once });
+            let outbox = Outbox::new(&pool, 200 * BUFFER_BYTES);
+            outbox_sender.send(outbox.clone()).unwrap_or_default();
+            let mut handler = ClosingHandler { outbox: outbox.clone(), reply_bytes, first_only };
+            let end = run_connection(&stream, &outbox, &pool, &mut handler);
             drop((stream, permit));
-            ends.send(end).unwrap_or_default();
+            end_sender.send(end).unwrap_or_default();
         })
         .unwrap();
     };
     spawn("listen", move || listen(listener, &handle, ConnectionLimit::new(8), log, || {}, on_connection))
         .unwrap();
-    (at, out, end)
+    (address, outboxes, ends)
 }
 
-/// Blocks the worker until the sender is dropped: whatever happens meanwhile arrives all at once.
-fn halt_worker() -> Sender<()> {
-    let ((go, wait), (is, has)) = (channel::<()>(), channel());
-    spawn("halt", move || {
-        is.send(()).unwrap();
-        wait.recv().unwrap_or_default(); // of a thread: the worker stands still
+/// Blocks the worker until the returned sender is dropped, so that everything that happens meanwhile is seen at once.
+fn block_worker() -> Sender<()> {
+    let ((release, released), (blocked_sender, blocked)) = (channel::<()>(), channel());
+    spawn("block", move || {
+        blocked_sender.send(()).unwrap();
+        // `recv` of the standard library blocks the whole worker thread, not just this coroutine.
+        released.recv().unwrap_or_default();
     })
     .unwrap();
-    has.recv_timeout(WAIT).unwrap();
-    go
+    blocked.recv_timeout(TIMEOUT).unwrap();
+    release
 }
 
 fn read_all(stream: &mut StdStream) -> std::io::Result<usize> {
-    stream.set_read_timeout(Some(WAIT)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream.read_to_end(&mut Vec::new())
 }
 
 #[test]
-fn an_answer_arrives_complete_though_bytes_are_left_unread_when_the_connection_is_closed() {
-    let (at, _out, end) = closing(60_000, true, &ListenerHandle::default());
-    let mut stream = StdStream::connect(at).unwrap();
+fn a_reply_arrives_complete_when_the_connection_closes_over_unread_bytes() {
+    let (address, _outboxes, ends) = start_server(60_000, true, &ListenerHandle::default());
+    let mut stream = StdStream::connect(address).unwrap();
     stream.write_all(&[7; 30_000]).unwrap();
-    // The answer lies in the system's buffers when the connection is closed; it is read only after that.
-    assert!(end.recv_timeout(Duration::from_millis(200)).is_err(), "it waits for the other side");
+    // The reply is in the socket buffers when the server closes the connection, and is read only afterwards.
+    assert!(
+        ends.recv_timeout(Duration::from_millis(200)).is_err(),
+        "the connection ended before the peer closed it"
+    );
     assert_eq!(read_all(&mut stream).unwrap(), 60_000);
     drop(stream);
-    assert_eq!(end.recv_timeout(WAIT), Ok(ConnectionEnd::Closed));
+    assert_eq!(ends.recv_timeout(TIMEOUT), Ok(ConnectionEnd::Closed));
 }
 
 #[test]
-fn what_arrived_before_a_connection_is_closed_is_read_and_answered() {
-    let (at, out, end) = closing(1, false, &ListenerHandle::default());
-    let mut stream = StdStream::connect(at).unwrap();
-    let out = out.recv_timeout(WAIT).unwrap();
-    let go = halt_worker();
+fn data_that_arrived_before_a_close_is_read_and_answered() {
+    let (address, outboxes, ends) = start_server(1, false, &ListenerHandle::default());
+    let mut stream = StdStream::connect(address).unwrap();
+    let outbox = outboxes.recv_timeout(TIMEOUT).unwrap();
+    let release = block_worker();
     stream.write_all(b"request").unwrap();
-    out.finish();
-    drop(go);
+    outbox.finish();
+    drop(release);
     assert_eq!(read_all(&mut stream).unwrap(), 7);
     drop(stream);
-    assert_eq!(end.recv_timeout(WAIT), Ok(ConnectionEnd::Closed));
+    assert_eq!(ends.recv_timeout(TIMEOUT), Ok(ConnectionEnd::Closed));
 }
 
 #[test]
-fn lingering_for_a_peer_that_never_closes_ends_in_time() {
-    let (at, _out, end) = closing(1, true, &ListenerHandle::default());
-    let mut stream = StdStream::connect(at).unwrap();
+fn lingering_for_a_peer_that_never_closes_ends_at_the_deadline() {
+    let (address, _outboxes, ends) = start_server(1, true, &ListenerHandle::default());
+    let mut stream = StdStream::connect(address).unwrap();
     stream.write_all(b"x").unwrap();
-    assert_eq!(read_all(&mut stream).unwrap(), 1); // our end of it is still open
-    assert_eq!(end.recv_timeout(WAIT), Ok(ConnectionEnd::Closed));
+    // The server has closed its half; the client keeps its own open.
+    assert_eq!(read_all(&mut stream).unwrap(), 1);
+    assert_eq!(ends.recv_timeout(TIMEOUT), Ok(ConnectionEnd::Closed));
 }
 
 #[test]
-fn a_closed_listener_accepts_what_the_system_had_accepted_and_nothing_after_it() {
+fn a_closed_listener_accepts_queued_connections_and_refuses_later_ones() {
     let handle = ListenerHandle::default();
-    let (at, _out, end) = closing(3, false, &handle);
-    let go = halt_worker();
-    let mut queued: Vec<StdStream> = (0..5).map(|_| StdStream::connect(at).unwrap()).collect();
+    let (address, _outboxes, ends) = start_server(3, false, &handle);
+    let release = block_worker();
+    let mut queued: Vec<StdStream> = (0..5).map(|_| StdStream::connect(address).unwrap()).collect();
     queued.iter_mut().skip(1).for_each(|stream| stream.write_all(b"ab").unwrap());
     handle.close();
-    drop(go);
-    // Those that said something are answered; the one that did not is not reset either.
+    drop(release);
+    // Connections that sent data get a reply; the silent one is not reset either.
     for stream in &mut queued[1..] {
         assert_eq!(read_all(stream).unwrap(), 6);
     }
     queued[0].set_read_timeout(Some(Duration::from_millis(50))).unwrap();
-    let silent = queued[0].read(&mut [0]).unwrap_err().kind();
-    assert!(matches!(silent, std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut), "{silent:?}");
+    let error = queued[0].read(&mut [0]).unwrap_err().kind();
+    assert!(matches!(error, std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut), "{error:?}");
     drop(queued);
-    (0..5).for_each(|_| assert_eq!(end.recv_timeout(WAIT), Ok(ConnectionEnd::Closed)));
-    let late = StdStream::connect(at).map(|_| ()).unwrap_err();
-    assert_eq!(late.kind(), std::io::ErrorKind::ConnectionRefused);
+    (0..5).for_each(|_| assert_eq!(ends.recv_timeout(TIMEOUT), Ok(ConnectionEnd::Closed)));
+    let error = StdStream::connect(address).map(|_| ()).unwrap_err();
+    assert_eq!(error.kind(), std::io::ErrorKind::ConnectionRefused);
 }
--- a/net/tests/drivers.rs
+++ b/net/tests/drivers.rs
@@ -1,4 +1,4 @@
-//! The drivers on loopback sockets, against peers that read slowly, close at once or say nothing. All tests share the one
+//! The drivers on loopback sockets, with peers that read slowly, close at once or stay silent. All tests share the single
 //! worker.
 
 use asterrill_net::*;
@@ -10,22 +10,22 @@
 use std::sync::{Arc, Mutex, MutexGuard, Once, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long a test waits for what must happen.
-const WAIT: Duration = Duration::from_secs(10);
+/// How long a test waits for an expected event.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts the worker, once in the process.
-fn worker() {
+/// Starts the worker, once per process.
+fn ensure_worker() {
     static ONCE: Once = Once::new();
     ONCE.call_once(|| start_worker().unwrap());
 }
 
-/// Lets one test at a time use the worker: several here occupy it on purpose, and others have windows of time.
+/// Lets one test at a time use the worker, since some tests occupy it on purpose and others measure time.
 fn exclusive() -> MutexGuard<'static, ()> {
     static WORKER: Mutex<()> = Mutex::new(());
     WORKER.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Answers each byte with so many of the same.
+/// A handler that replies to each byte with `repeat` copies of it.
 struct Echo {
     outbox: Outbox,
     repeat: usize,
@@ -42,32 +42,32 @@
     }
 }
 
-/// Accepts connections and runs each in its coroutine; reports how each ended.
-fn echo(
+/// Starts a server with an [`Echo`] handler per connection. Returns its address and the events of its connections.
+fn start_echo_server(
     pool: &BufferPool, max_pending: usize, repeat: usize, max_connections: usize,
 ) -> (SocketAddr, Receiver<&'static str>) {
-    worker();
+    ensure_worker();
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     let (events, received) = channel();
     let limit_events = events.clone();
     let (pool, log) = (pool.clone(), slog::Logger::root(slog::Discard, slog::o!()));
     let on_connection = move |stream: TcpStream, permit| {
         let (pool, events) = (pool.clone(), events.clone());
         spawn("echo", move || {
-            let out = Outbox::new(&pool, max_pending);
+            let outbox = Outbox::new(&pool, max_pending);
             let end = run_connection(
                 &stream,
-                &out,
+                &outbox,
                 &pool,
-                &mut Echo { outbox: out.clone(), repeat, events: events.clone() },
+                &mut Echo { outbox: outbox.clone(), repeat, events: events.clone() },
             );
             drop((stream, permit));
             events.send(if end == ConnectionEnd::Closed { "closed" } else { "broken" }).unwrap_or_default();
         })
         .unwrap();
     };
-    let on_limit = move || limit_events.send("crowded").unwrap_or_default();
+    let on_limit = move || limit_events.send("limit reached").unwrap_or_default();
     spawn("listen", move || {
         listen(
             listener,
@@ -79,26 +79,26 @@
         )
     })
     .unwrap();
-    (at, received)
+    (address, received)
 }
 
 #[test]
-fn a_slow_reader_is_closed_at_its_limit_and_delays_nobody() {
+fn a_slow_reader_is_closed_at_its_limit_and_does_not_delay_others() {
     let _worker = exclusive();
     let pool = BufferPool::new(64);
-    let (at, received) = echo(&pool, 20 * BUFFER_BYTES, 4 * BUFFER_BYTES, 8);
-    let mut slow = StdStream::connect(at).unwrap();
-    let mut other = StdStream::connect(at).unwrap();
-    let until = Instant::now() + WAIT;
-    // What the system takes in for it is bounded too, so it comes to its end.
+    let (address, received) = start_echo_server(&pool, 20 * BUFFER_BYTES, 4 * BUFFER_BYTES, 8);
+    let mut slow = StdStream::connect(address).unwrap();
+    let mut other = StdStream::connect(address).unwrap();
+    let until = Instant::now() + TIMEOUT;
+    // The socket buffers are bounded too, so the slow connection reaches its limit and is closed.
     while received.try_recv() != Ok("closed") {
         assert!(Instant::now() < until && pool.usage().in_use <= 64);
         slow.write_all(b"x").unwrap_or_default();
         other.write_all(b"y").unwrap();
-        let mut back = vec![0; 4 * BUFFER_BYTES];
-        other.set_read_timeout(Some(WAIT)).unwrap();
-        other.read_exact(&mut back).unwrap();
-        assert!(back.iter().all(|byte| *byte == b'y'));
+        let mut reply = vec![0; 4 * BUFFER_BYTES];
+        other.set_read_timeout(Some(TIMEOUT)).unwrap();
+        other.read_exact(&mut reply).unwrap();
+        assert!(reply.iter().all(|byte| *byte == b'y'));
     }
     drop((slow, other));
     while pool.usage().in_use > 0 {
@@ -108,32 +108,33 @@
 }
 
 #[test]
-fn a_slow_peer_leaves_buffers_to_others() {
+fn the_outbox_of_a_slow_peer_leaves_buffers_to_others() {
     let _worker = exclusive();
     let pool = BufferPool::new(16);
     let [slow, other] = [(); 2].map(|()| Outbox::new(&pool, 100 * BUFFER_BYTES));
     assert!((0..20).any(|_| !slow.put(&[&[0; BUFFER_BYTES]])));
-    assert!(other.put(&[b"an answer"]));
+    assert!(other.put(&[b"a reply"]));
 }
 
 #[test]
-fn peers_that_send_as_fast_as_they_are_read_delay_nobody() {
+fn peers_that_send_as_fast_as_they_are_read_do_not_delay_others() {
     let _worker = exclusive();
-    let (at, _heard) = echo(&BufferPool::new(64), BUFFER_BYTES, 0, 8);
+    let (address, _events) = start_echo_server(&BufferPool::new(64), BUFFER_BYTES, 0, 8);
     let stop = Arc::new(AtomicBool::new(false));
     let flood = |stop: Arc<AtomicBool>| {
-        let mut stream = StdStream::connect(at).unwrap();
+        let mut stream = StdStream::connect(address).unwrap();
         move || while !stop.load(Ordering::Relaxed) && stream.write_all(&[0; 1 << 18]).is_ok() {}
     };
     let floods = [(); 3].map(|()| std::thread::spawn(flood(stop.clone())));
     let mut slowest = Duration::ZERO;
     for _ in 0..5 {
         let start = Instant::now();
-        let mut other = StdStream::connect(at).unwrap();
+        let mut other = StdStream::connect(address).unwrap();
         other.write_all(b"y").unwrap();
         other.shutdown(std::net::Shutdown::Write).unwrap();
-        other.set_read_timeout(Some(WAIT)).unwrap();
-        other.read_to_end(&mut Vec::new()).unwrap(); // closed once all of it was taken
+        other.set_read_timeout(Some(TIMEOUT)).unwrap();
+        // The server closes the connection once it has handled all data.
+        other.read_to_end(&mut Vec::new()).unwrap();
         slowest = slowest.max(start.elapsed());
     }
     stop.store(true, Ordering::Relaxed);
@@ -142,37 +143,37 @@
 }
 
 #[test]
-fn a_half_closed_connection_gets_its_answers() {
+fn a_half_closed_connection_gets_its_replies() {
     let _worker = exclusive();
-    let (at, received) = echo(&BufferPool::new(64), 20 * BUFFER_BYTES, 3 * BUFFER_BYTES, 8);
-    let mut stream = StdStream::connect(at).unwrap();
+    let (address, received) = start_echo_server(&BufferPool::new(64), 20 * BUFFER_BYTES, 3 * BUFFER_BYTES, 8);
+    let mut stream = StdStream::connect(address).unwrap();
     stream.write_all(b"ab").unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
-    let mut back = Vec::new();
-    stream.read_to_end(&mut back).unwrap();
-    assert_eq!((back.len(), back[0], back[6 * BUFFER_BYTES - 1]), (6 * BUFFER_BYTES, b'a', b'b'));
-    assert_eq!(received.recv_timeout(WAIT), Ok("half closed"));
-    assert_eq!(received.recv_timeout(WAIT), Ok("closed"));
+    let mut reply = Vec::new();
+    stream.read_to_end(&mut reply).unwrap();
+    assert_eq!((reply.len(), reply[0], reply[6 * BUFFER_BYTES - 1]), (6 * BUFFER_BYTES, b'a', b'b'));
+    assert_eq!(received.recv_timeout(TIMEOUT), Ok("half closed"));
+    assert_eq!(received.recv_timeout(TIMEOUT), Ok("closed"));
 }
 
 #[test]
 fn at_the_limit_the_next_connection_waits_until_one_ends() {
     let _worker = exclusive();
-    let (at, received) = echo(&BufferPool::new(8), BUFFER_BYTES, 1, 1);
-    let first = StdStream::connect(at).unwrap();
-    let mut second = StdStream::connect(at).unwrap();
+    let (address, received) = start_echo_server(&BufferPool::new(8), BUFFER_BYTES, 1, 1);
+    let first = StdStream::connect(address).unwrap();
+    let mut second = StdStream::connect(address).unwrap();
     second.write_all(b"z").unwrap();
     second.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
     assert!(second.read(&mut [0]).is_err());
-    // The callback that may close an idle connection is called again and again: the first may be busy now and idle later.
-    assert!((0..3).all(|_| received.recv_timeout(WAIT) == Ok("crowded")));
+    // The callback that may close an idle connection is called repeatedly, since the first connection may become idle later.
+    assert!((0..3).all(|_| received.recv_timeout(TIMEOUT) == Ok("limit reached")));
     drop(first);
-    assert!(std::iter::from_fn(|| received.recv_timeout(WAIT).ok()).any(|event| event == "half closed"));
-    second.set_read_timeout(Some(WAIT)).unwrap();
+    assert!(std::iter::from_fn(|| received.recv_timeout(TIMEOUT).ok()).any(|event| event == "half closed"));
+    second.set_read_timeout(Some(TIMEOUT)).unwrap();
     assert_eq!(second.read(&mut [0]).unwrap(), 1);
 }
 
-/// Reports what becomes of a link.
+/// A handler that reports the state changes of a link.
 struct Observer {
     outbox: Outbox,
     events: Sender<&'static str>,
@@ -198,20 +199,20 @@
     }
 }
 
-fn link(to: SocketAddr, eager: bool) -> (Outbox, Receiver<&'static str>) {
-    worker();
+fn start_link(to: SocketAddr, eager: bool) -> (Outbox, Receiver<&'static str>) {
+    ensure_worker();
     let pool = BufferPool::new(8);
-    let out = Outbox::new(&pool, BUFFER_BYTES);
-    let ((events, received), link_outbox) = (channel(), out.clone());
+    let outbox = Outbox::new(&pool, BUFFER_BYTES);
+    let ((events, received), link_outbox) = (channel(), outbox.clone());
     let backoff = Backoff::new(Duration::from_millis(10), Duration::from_millis(80), 5);
     spawn("link", move || {
         run_link(
             &Address::new(to),
-            &out,
+            &outbox,
             &pool,
             eager,
             backoff,
-            &mut Observer { outbox: out.clone(), events },
+            &mut Observer { outbox: outbox.clone(), events },
         )
     })
     .unwrap();
@@ -222,84 +223,85 @@
 fn a_link_that_is_closed_at_once_reconnects_with_backoff() {
     let _worker = exclusive();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     std::thread::spawn(move || listener.incoming().for_each(drop));
-    let (_out, received) = link(at, true);
+    let (_outbox, received) = start_link(address, true);
     let start = Instant::now();
-    let ups = std::iter::from_fn(|| received.recv_timeout(WAIT).ok())
+    let ups = std::iter::from_fn(|| received.recv_timeout(TIMEOUT).ok())
         .filter(|event| *event == "up")
         .take(8)
         .count();
-    // Seven pauses of 10, 20, 40 and then 80 ms, each at least halved by chance.
+    // Between 8 connections are 7 delays, of steps of 10, 20, 40 and then 80 ms. Jitter at most halves each.
     assert!(ups == 8 && start.elapsed() >= Duration::from_millis(195), "{:?}", start.elapsed());
 }
 
 #[test]
-fn a_lazy_link_connects_when_something_waits_and_reports_a_refusal() {
+fn a_lazy_link_connects_when_bytes_are_queued_and_reports_a_refusal() {
     let _worker = exclusive();
-    let at = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (out, received) = link(at, false);
+    let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let (outbox, received) = start_link(address, false);
     assert!(received.recv_timeout(Duration::from_millis(50)).is_err());
-    assert!(out.put(&[b"call"]));
-    assert_eq!(received.recv_timeout(WAIT), Ok("refused"));
-    assert!(out.is_empty());
-    let listener = TcpListener::bind(at).unwrap();
-    out.put(&[b"again"]);
-    let mut came = [0; 5];
-    listener.accept().unwrap().0.read_exact(&mut came).unwrap();
-    assert_eq!((&came, received.recv_timeout(WAIT)), (b"again", Ok("up")));
+    assert!(outbox.put(&[b"call"]));
+    assert_eq!(received.recv_timeout(TIMEOUT), Ok("refused"));
+    assert!(outbox.is_empty());
+    let listener = TcpListener::bind(address).unwrap();
+    outbox.put(&[b"again"]);
+    let mut bytes = [0; 5];
+    listener.accept().unwrap().0.read_exact(&mut bytes).unwrap();
+    assert_eq!((&bytes, received.recv_timeout(TIMEOUT)), (b"again", Ok("up")));
 }
 
 #[test]
-fn a_link_that_was_finished_connects_again_however_often() {
+fn a_finished_link_reconnects_repeatedly() {
     let _worker = exclusive();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (out, received) = link(listener.local_addr().unwrap(), false);
+    let (outbox, received) = start_link(listener.local_addr().unwrap(), false);
     for _ in 0..3 {
-        assert!(out.put(&[b"call"]), "refused though nothing is wrong");
-        assert_eq!(received.recv_timeout(WAIT), Ok("up"));
+        assert!(outbox.put(&[b"call"]), "the outbox refused bytes for the next connection");
+        assert_eq!(received.recv_timeout(TIMEOUT), Ok("up"));
         listener.accept().unwrap().0.read_exact(&mut [0; 4]).unwrap();
-        out.finish_if_connected();
-        assert_eq!(received.recv_timeout(WAIT), Ok("down"));
-        out.finish_if_connected(); // there is no connection any more
+        outbox.finish_if_connected();
+        assert_eq!(received.recv_timeout(TIMEOUT), Ok("down"));
+        // Without a connection, the call must not affect the next one.
+        outbox.finish_if_connected();
     }
 }
 
 #[test]
 fn coroutines_that_end_right_after_a_wait_do_not_block_the_worker() {
     let _worker = exclusive();
-    worker();
+    ensure_worker();
     let (events, received) = channel();
-    for n in 0..5_000 {
+    for index in 0..5_000 {
         let events = events.clone();
         spawn("ends", move || {
-            wait_until(now() + n % 30);
+            wait_until(now() + index % 30);
             events.send(()).unwrap();
         })
         .unwrap();
     }
-    assert_eq!((0..5_000).filter(|_| received.recv_timeout(WAIT).is_ok()).count(), 5_000);
+    assert_eq!((0..5_000).filter(|_| received.recv_timeout(TIMEOUT).is_ok()).count(), 5_000);
 }
 
 #[test]
-fn short_waits_end_in_time_and_a_notification_ends_a_long_one() {
+fn short_waits_last_their_full_time_and_a_notification_ends_a_long_one() {
     let _worker = exclusive();
-    // Waits of under a millisecond never ended with the timers of `may`.
-    worker();
+    // With the timers of `may`, waits of less than a millisecond never end.
+    ensure_worker();
     let (events, received) = channel();
     let notify = Arc::new(Notify::default());
-    let (waits, waiter) = (events.clone(), notify.clone());
+    let (wait_events, waiter) = (events.clone(), notify.clone());
     spawn("waits", move || {
-        for span in (50..3_000).step_by(50) {
-            let at = now() + span;
-            wait_until(at);
-            waits.send((now() >= at, span)).unwrap();
+        for delay_us in (50..3_000).step_by(50) {
+            let deadline = now() + delay_us;
+            wait_until(deadline);
+            wait_events.send((now() >= deadline, delay_us)).unwrap();
         }
     })
     .unwrap();
     for _ in (50..3_000).step_by(50) {
-        let (in_time, span) = received.recv_timeout(WAIT).unwrap();
-        assert!(in_time, "woken before its {span} us were over");
+        let (in_time, delay_us) = received.recv_timeout(TIMEOUT).unwrap();
+        assert!(in_time, "a wait of {delay_us} us ended early");
     }
     spawn("notified", move || {
         waiter.register();
@@ -308,17 +310,17 @@
         events.send((true, 1)).unwrap();
     })
     .unwrap();
-    assert_eq!(received.recv_timeout(WAIT), Ok((true, 0)));
+    assert_eq!(received.recv_timeout(TIMEOUT), Ok((true, 0)));
     notify.notify();
-    assert_eq!(received.recv_timeout(WAIT), Ok((true, 1)));
+    assert_eq!(received.recv_timeout(TIMEOUT), Ok((true, 1)));
 }
 
 #[test]
-fn reduced_limit_accepts_nobody_until_enough_have_ended_and_a_raised_one_does_at_once() {
+fn a_lowered_limit_applies_until_enough_connections_end_and_a_raised_one_applies_at_once() {
     let _worker = exclusive();
-    worker();
+    ensure_worker();
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     let (events, received) = channel();
     let limit = ConnectionLimit::new(2);
     let (pool, log, shared_limit) =
@@ -326,8 +328,8 @@
     let on_connection = move |stream: TcpStream, permit| {
         let (pool, events) = (pool.clone(), events.clone());
         spawn("echo", move || {
-            let out = Outbox::new(&pool, BUFFER_BYTES);
-            run_connection(&stream, &out, &pool, &mut Echo { outbox: out.clone(), repeat: 1, events });
+            let outbox = Outbox::new(&pool, BUFFER_BYTES);
+            run_connection(&stream, &outbox, &pool, &mut Echo { outbox: outbox.clone(), repeat: 1, events });
             drop((stream, permit));
         })
         .unwrap();
@@ -341,7 +343,7 @@
         stream.read(&mut [0]).is_ok_and(|n| n == 1)
     };
     let connect = || {
-        let mut stream = StdStream::connect(at).unwrap();
+        let mut stream = StdStream::connect(address).unwrap();
         stream.write_all(b"z").unwrap();
         stream
     };
@@ -350,7 +352,7 @@
     limit.adjust(-1);
     let mut third = connect();
     drop(first);
-    assert!(!served(&mut third), "one of two connections has ended: the limit is reached");
+    assert!(!served(&mut third), "accepted a connection above the lowered limit of one");
     limit.adjust(1);
     assert!(served(&mut third));
     drop((second, received));
