--- a/settings/tests/compatibility.rs
+++ b/settings/tests/compatibility.rs
@@ -1,10 +1,11 @@
-//! Deployment files make the same versions, with the same digests, as in the build before the names were changed.
+//! Deployment files are read into the same versions, with the same digests, as by the build before identifiers were renamed,
+//! which wrote the fixtures.
 
 use asterrill_entries::write_configuration;
 use asterrill_settings::Deployment;
 
 #[test]
-fn reads_deployment_files_to_the_same_versions() {
+fn reads_deployment_files_into_the_same_versions() {
     let fixtures = [
         (
             include_str!("../../entries/tests/fixtures/wire-example.json"),
--- a/settings/tests/deployment_files.rs
+++ b/settings/tests/deployment_files.rs
@@ -1,5 +1,5 @@
-//! Files of a deployment, read as a stream: the same whatever their order, shared with the version that runs, and refused
-//! by the name of the key at fault.
+//! Deployment files, read as a stream: the order of keys and entries does not matter, names are shared with the running
+//! version, and errors name the invalid key.
 
 use asterrill_entries::{Change, Configuration, EntryKind};
 use asterrill_settings::{
@@ -29,48 +29,51 @@
         "stop_ms": 900, "limits": {"memory_mb": 64, "sockets": 64, "cores": 1}, "settings": settings, "later": [[{}]]})
 }
 
-/// As text, the keys of each object in any order.
-fn text(value: &Value, rng: &mut StdRng) -> String {
+/// Formats a value with the keys of each object in random order.
+fn shuffled_json(value: &Value, rng: &mut StdRng) -> String {
     match value {
         Value::Object(map) => {
-            let mut parts: Vec<String> =
-                map.iter().map(|(key, value)| format!("{}: {}", json!(key), text(value, rng))).collect();
+            let mut parts: Vec<String> = map
+                .iter()
+                .map(|(key, value)| format!("{}: {}", json!(key), shuffled_json(value, rng)))
+                .collect();
             parts.shuffle(rng);
             format!("{{{}}}", parts.join(", "))
         }
         Value::Array(list) => {
-            let parts: Vec<String> = list.iter().map(|value| text(value, rng)).collect();
+            let parts: Vec<String> = list.iter().map(|value| shuffled_json(value, rng)).collect();
             format!("[{}]", parts.join(","))
         }
         scalar => scalar.to_string(),
     }
 }
 
-fn quota(rng: &mut StdRng) -> f64 {
+/// Returns 0, a fraction, a very large number or a random whole number, with equal probability.
+fn random_quota(rng: &mut StdRng) -> f64 {
     [0.0, 0.5, 1e9, f64::from(rng.random_range(0..50_u32))][rng.random_range(0..4)]
 }
 
 #[test]
-fn reads_the_same_in_any_order_and_shares_the_running_version() {
+fn reads_files_in_any_order_and_shares_the_running_version() {
     for seed in 0..2_000 {
         let rng = &mut StdRng::seed_from_u64(seed);
-        let mut tenants: Vec<(String, f64)> = (0..8).map(|i| (format!("t{i}"), quota(rng))).collect();
+        let mut tenants: Vec<(String, f64)> = (0..8).map(|i| (format!("t{i}"), random_quota(rng))).collect();
         let mut running: Option<Configuration> = None;
         for round in 0..3 {
             let (context, before) = (format!("seed {seed} round {round}"), tenants.clone());
             tenants.shuffle(rng);
             match rng.random_range(0..4) {
                 0 => tenants.truncate(5),
-                1 => tenants.push((format!("new{round}"), quota(rng))),
-                _ => tenants[0].1 = quota(rng),
+                1 => tenants.push((format!("new{round}"), random_quota(rng))),
+                _ => tenants[0].1 = random_quota(rng),
             }
             let file = deployment(settings(&tenants));
-            let json = text(&file, rng);
-            let plain = Deployment::from_json(&json).unwrap().configuration;
+            let json = shuffled_json(&file, rng);
+            let unshared = Deployment::from_json(&json).unwrap().configuration;
             let shared = Deployment::from_reader(json.as_bytes(), running.as_ref()).unwrap().configuration;
-            let tree = configuration_from_json(&file["settings"], 64, 64).unwrap();
-            assert_eq!((&shared, shared.digest()), (&plain, plain.digest()), "{context}");
-            assert_eq!((&tree, tree.digest()), (&plain, plain.digest()), "{context}");
+            let from_tree = configuration_from_json(&file["settings"], 64, 64).unwrap();
+            assert_eq!((&shared, shared.digest()), (&unshared, unshared.digest()), "{context}");
+            assert_eq!((&from_tree, from_tree.digest()), (&unshared, unshared.digest()), "{context}");
             let mut found: Vec<(String, f64)> =
                 shared.tenants().map(|(name, rate)| (name.to_string(), rate)).collect();
             tenants.sort_by(|a, b| a.0.cmp(&b.0));
@@ -79,8 +82,8 @@
             assert_eq!(skips, [0.25, 0.5], "{context}");
             if let Some(running) = &running {
                 found.retain(|entry| !before.contains(entry));
-                let gone = before.iter().filter(|(name, _)| shared.tenant(name).is_none()).count();
-                assert_eq!(running.changes_to(&shared).len(), found.len() + gone, "{context}");
+                let removed = before.iter().filter(|(name, _)| shared.tenant(name).is_none()).count();
+                assert_eq!(running.changes_to(&shared).len(), found.len() + removed, "{context}");
             }
             running = Some(shared);
         }
@@ -88,7 +91,7 @@
 }
 
 #[test]
-fn makes_one_change_of_one_changed_quota_and_shares_names() {
+fn one_changed_quota_is_one_change_and_shares_names() {
     let mut tenants: Vec<(String, f64)> = (0..500).map(|i| (format!("tenant-{i}"), 10.0)).collect();
     let running = Deployment::from_json(&deployment(settings(&tenants)).to_string()).unwrap().configuration;
     tenants[77].1 = 11.0;
@@ -129,7 +132,7 @@
     let mut cold = deployment(file);
     cold["settings"]["FamilyInfo"]["Cold"] = json!(true);
     assert!(error_message(Deployment::from_json(&cold.to_string())).contains("ColdFrom"));
-    // The version does not say how a cold server starts.
+    // The version has no settings for a cold start.
     assert!(server_parts(0, 1, &content, Some(true)).err().unwrap().to_string().contains("ColdFrom"));
 }
 
@@ -138,7 +141,7 @@
 }
 
 #[test]
-fn names_key_and_entry_of_an_invalid_entry() {
+fn errors_name_the_key_and_the_entry() {
     let json = |entry: &str| {
         let json = deployment(settings(&[])).to_string();
         json.replace(r#""Tenants":[]"#, &format!(r#""Tenants":[{{"Name":"zeta","QuotaRps":1}},{entry}]"#))
@@ -192,8 +195,8 @@
 }
 
 #[test]
-fn refuses_a_truncated_or_continued_file() {
-    let json = text(
+fn rejects_a_truncated_file_and_trailing_data() {
+    let json = shuffled_json(
         &deployment(settings(&[("acme".into(), 5.0), ("查價".into(), 7.5)])),
         &mut StdRng::seed_from_u64(3),
     );
@@ -210,13 +213,14 @@
     assert!([Deployment::from_json(&long), Deployment::from_reader(long.as_bytes(), None)]
         .into_iter()
         .all(|read| error_message(read).contains("bound FILE")));
-    let broken = std::io::Error::other("the disk is on fire");
-    let reader = std::io::Read::chain(&json.as_bytes()[..200], Broken(Some(broken)));
-    assert!(error_message(Deployment::from_reader(reader, None)).contains("the disk is on fire"));
+    let error = std::io::Error::other("input/output error");
+    let reader = std::io::Read::chain(&json.as_bytes()[..200], FailingReader(Some(error)));
+    assert!(error_message(Deployment::from_reader(reader, None)).contains("input/output error"));
 }
 
-struct Broken(Option<std::io::Error>);
-impl std::io::Read for Broken {
+/// A reader that fails once, then reports the end of the file.
+struct FailingReader(Option<std::io::Error>);
+impl std::io::Read for FailingReader {
     fn read(&mut self, _: &mut [u8]) -> std::io::Result<usize> {
         self.0.take().map_or(Ok(0), Err)
     }
--- a/settings/tests/valid_settings.rs
+++ b/settings/tests/valid_settings.rs
@@ -1,5 +1,5 @@
-//! Settings of any customer: each either makes a server that decides without a panic, or is refused by the name of the key
-//! at fault.
+//! Arbitrary values of settings: each either yields a server that handles RPCs without a panic, or is rejected with an error
+//! that names the invalid key.
 
 use asterrill::*;
 use serde_json::{json, Value};
@@ -22,72 +22,74 @@
         "StepMs": 4})
 }
 
-/// The paths of all values that are no objects.
-fn leaves(value: &Value, at: &str, found: &mut Vec<String>) {
+/// Collects the paths of all values except objects and lists of objects.
+fn collect_leaf_paths(value: &Value, path: &str, paths: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
-            map.iter().for_each(|(key, inner)| leaves(inner, &format!("{at}/{key}"), found))
+            map.iter().for_each(|(key, inner)| collect_leaf_paths(inner, &format!("{path}/{key}"), paths))
         }
         Value::Array(list) if list.iter().any(Value::is_object) => {
-            list.iter().enumerate().for_each(|(i, inner)| leaves(inner, &format!("{at}/{i}"), found));
+            list.iter()
+                .enumerate()
+                .for_each(|(i, inner)| collect_leaf_paths(inner, &format!("{path}/{i}"), paths));
         }
-        _ => found.push(at.to_string()),
+        _ => paths.push(path.to_string()),
     }
 }
 
-/// Plays a few RPCs through a server, with all that may come of them.
+/// Runs a few RPCs through a server, with upstream calls, timers and a drain.
 fn run_server(settings: &Value) -> Result<(), String> {
     let mut server = asterrill_settings::server_parts_from_json(START, 7, settings, None)
         .map_err(|error| error.to_string())?;
     let control = &mut server.control;
-    let valid = |out: &Outcome| {
-        assert!(out.credit.is_none_or(|credit| credit.is_finite() && credit >= 0.0), "{out:?}")
+    let assert_valid = |outcome: &Outcome| {
+        assert!(outcome.credit.is_none_or(|credit| credit.is_finite() && credit >= 0.0), "{outcome:?}")
     };
-    valid(&control.start());
+    assert_valid(&control.start());
     let (mut now, mut running) = (START, Vec::new());
     for n in 0..120_u64 {
         now += 7 * MS;
         let method = MethodId(n as usize % server.idempotency.len());
-        let due = (n % 3 > 0).then_some(now + 300 * MS);
-        let prior = (n % 11 == 10).then(|| RpcId::from_number(n - 1));
-        let (id, caller, unread) = (RpcId::from_number(n), CallerId(n % 5), n % 4 * MS);
+        let deadline = (n % 3 > 0).then_some(now + 300 * MS);
+        let original = (n % 11 == 10).then(|| RpcId::from_number(n - 1));
+        let (id, caller, unread_for) = (RpcId::from_number(n), CallerId(n % 5), n % 4 * MS);
         let tenant = (n % 2 == 0 && !server.tenants.is_empty()).then_some(0);
-        let a = Arrival {
+        let arrival = Arrival {
             id,
             method,
             caller,
-            deadline: due,
+            deadline,
             size_kb: 9.0,
-            unread_for: unread,
-            original: prior,
+            unread_for,
+            original,
             cache_key: Some(n % 7),
         };
-        let out = control.rpc_read(now, a, tenant);
-        valid(&out);
-        running.extend(out.starts);
+        let outcome = control.rpc_read(now, arrival, tenant);
+        assert_valid(&outcome);
+        running.extend(outcome.starts);
         if n % 3 == 0 {
             if let Some(id) = running.pop() {
-                valid(&control.call_needed(now, id));
-                valid(&control.call_ended(now, id, [CallEnd::Ok, CallEnd::TimedOut][n as usize % 2]));
-                let out = control.run_ended(now, id, RunEnd::Ok);
-                valid(&out);
-                running.extend(out.starts);
+                assert_valid(&control.call_needed(now, id));
+                assert_valid(&control.call_ended(now, id, [CallEnd::Ok, CallEnd::TimedOut][n as usize % 2]));
+                let outcome = control.run_ended(now, id, RunEnd::Ok);
+                assert_valid(&outcome);
+                running.extend(outcome.starts);
             }
         }
         let gauges =
             Gauges { runnable: Some(n as f64 % 5.0), memory_ratio: Some(0.5), connections: Some(n as f64) };
-        valid(&control.timer_fired(now, gauges));
+        assert_valid(&control.timer_fired(now, gauges));
         if n == 90 {
-            valid(&control.drain(now, now, now + 500 * MS));
+            assert_valid(&control.drain(now, now, now + 500 * MS));
         }
     }
     Ok(())
 }
 
 #[test]
-fn accepts_any_figure_or_names_its_key() {
+fn accepts_any_value_or_names_its_key() {
     let mut paths = Vec::new();
-    leaves(&settings(), "", &mut paths);
+    collect_leaf_paths(&settings(), "", &mut paths);
     assert!(paths.len() > 30, "{paths:?}");
     let values = [
         json!(0),
@@ -108,7 +110,7 @@
         json!({}),
         Value::Null,
     ];
-    let (mut accepted, mut refused) = (0, 0);
+    let (mut accepted, mut rejected) = (0, 0);
     for path in &paths {
         for value in &values {
             let mut changed = settings();
@@ -116,11 +118,11 @@
             let key = path.rsplit('/').find(|part| part.parse::<usize>().is_err()).unwrap();
             match run_server(&changed) {
                 Ok(()) => accepted += 1,
-                Err(message) if message.contains(key) => refused += 1,
+                Err(message) if message.contains(key) => rejected += 1,
                 Err(message) => panic!("{path} = {value}: {message:?} does not name {key}"),
             }
         }
-        // Not there at all.
+        // The key is missing.
         let (parent, key) = path.rsplit_once('/').unwrap();
         let mut changed = settings();
         if let Some(map) = changed.pointer_mut(parent).and_then(Value::as_object_mut) {
@@ -130,7 +132,7 @@
             }
         }
     }
-    assert!(accepted > 200 && refused > 100, "{accepted} {refused}");
+    assert!(accepted > 200 && rejected > 100, "{accepted} accepted, {rejected} rejected");
 }
 
 #[test]
@@ -147,11 +149,11 @@
             Err(message) => assert!(!valid && message.contains("Name"), "{name:?}: {message}"),
         }
     }
-    for twice in ["Categories", "Tenants"] {
+    for list in ["Categories", "Tenants"] {
         let mut changed = settings();
-        let first = changed[twice][0].clone();
-        changed[twice].as_array_mut().unwrap().push(first);
-        assert!(run_server(&changed).unwrap_err().contains("Name"), "two of one name in {twice}");
+        let first = changed[list][0].clone();
+        changed[list].as_array_mut().unwrap().push(first);
+        assert!(run_server(&changed).unwrap_err().contains("Name"), "duplicate name in {list}");
     }
     assert!(run_server(&json!({})).unwrap_err().contains("FamilyInfo"));
     changed = settings();
@@ -161,7 +163,7 @@
 }
 
 #[test]
-fn names_the_field_at_fault_in_a_deployment_file() {
+fn names_the_invalid_field_of_a_deployment_file() {
     let deployment = json!({"name": "n1", "listen": "127.0.0.1:1", "agent": "127.0.0.1:2", "naming": "127.0.0.1:3",
         "records": "127.0.0.1:4", "seed": "ff", "stop_ms": 900, "limits": {"memory_mb": 64, "sockets": 64},
         "settings": settings()});
@@ -193,9 +195,9 @@
         changed["limits"][key] = value.clone();
         assert!(read(&changed).unwrap_err().contains(key), "{key} = {value}");
     }
-    let mut last = deployment.clone();
-    last.as_object_mut().unwrap().remove("records");
-    assert!(read(&last).unwrap().upstream.is_none());
+    let mut without_upstream = deployment.clone();
+    without_upstream.as_object_mut().unwrap().remove("records");
+    assert!(read(&without_upstream).unwrap().upstream.is_none());
     for cut in [0, 1, 40, deployment.to_string().len() - 1] {
         assert!(asterrill_settings::Deployment::from_json(&deployment.to_string()[..cut])
             .unwrap_err()
