--- a/entries/src/apply.rs
+++ b/entries/src/apply.rs
@@ -67,7 +67,7 @@
 
     fn check_and_put_method(&mut self, name: &Name, method: &Method) -> Result<(), ConfigError> {
         check_name(EntryKind::Method, name)?;
-        check_method(method).map_err(|why| why.in_entry(EntryKind::Method, name))?;
+        check_method(method).map_err(|error| error.in_entry(EntryKind::Method, name))?;
         if self.methods.len() >= MAX_METHODS && !self.methods.contains_key(&**name) {
             return Err(ConfigError::too_many_entries(EntryKind::Method));
         }
@@ -77,7 +77,7 @@
 
     fn check_and_put_tenant(&mut self, name: &Name, quota: f64) -> Result<(), ConfigError> {
         check_name(EntryKind::Tenant, name)?;
-        check_quota(quota).map_err(|why| why.in_entry(EntryKind::Tenant, name))?;
+        check_quota(quota).map_err(|error| error.in_entry(EntryKind::Tenant, name))?;
         if self.tenants.len() >= MAX_TENANTS && !self.tenants.contains_key(&**name) {
             return Err(ConfigError::too_many_entries(EntryKind::Tenant));
         }
--- a/entries/src/configuration.rs
+++ b/entries/src/configuration.rs
@@ -60,16 +60,16 @@
     }
 
     /// This version's own instance of the name, if there is such an entry.
-    pub fn name(&self, kind: EntryKind, name: &str) -> Option<&Name> {
+    pub fn stored_name(&self, kind: EntryKind, name: &str) -> Option<&Name> {
         match kind {
             EntryKind::Method => self.methods.get_key_value(name).map(|(name, _)| name),
             EntryKind::Tenant => self.tenants.get_key_value(name).map(|(name, _)| name),
         }
     }
 
-    /// As [`Configuration::name`], or a new instance.
+    /// As [`Configuration::stored_name`], or a new instance.
     pub fn shared_name(&self, kind: EntryKind, name: &str) -> Name {
-        self.name(kind, name).cloned().unwrap_or_else(|| name.into())
+        self.stored_name(kind, name).cloned().unwrap_or_else(|| name.into())
     }
 
     /// The digest of all that this version says.
@@ -89,7 +89,7 @@
 
     /// Adds or replaces a method, unchecked.
     pub(crate) fn put_method(&mut self, name: &Name, method: Method) {
-        let name = self.name(EntryKind::Method, name).unwrap_or(name).clone();
+        let name = self.stored_name(EntryKind::Method, name).unwrap_or(name).clone();
         let method = without_negative_zeros(method);
         self.digest = self.digest.with(Digest::of_method(&name, &method));
         if let Some(before) = self.methods.insert(name.clone(), method) {
@@ -99,7 +99,7 @@
 
     /// Adds or replaces a tenant, unchecked.
     pub(crate) fn put_tenant(&mut self, name: &Name, quota: f64) {
-        let name = self.name(EntryKind::Tenant, name).unwrap_or(name).clone();
+        let name = self.stored_name(EntryKind::Tenant, name).unwrap_or(name).clone();
         let quota = without_negative_zero(quota);
         self.digest = self.digest.with(Digest::of_tenant(&name, quota));
         if let Some(before) = self.tenants.insert(name.clone(), quota) {
--- a/entries/src/digest.rs
+++ b/entries/src/digest.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_128;
 
 /// Hexadecimal digits of a digest's text.
-const HEX_DIGITS: usize = 32;
+const DIGEST_HEX_DIGITS: usize = 32;
 
 /// What distinguishes the contributions of different kinds of entries. Stored digests depend on these values.
 const GLOBALS_TAG: u8 = 0;
@@ -36,7 +36,8 @@
 
     fn from_str(text: &str) -> Result<Digest, InvalidDigest> {
         // The standard parser would also take a sign.
-        let well_formed = text.len() == HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        let well_formed =
+            text.len() == DIGEST_HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if !well_formed {
             return Err(InvalidDigest);
         }
@@ -52,21 +53,21 @@
 
     /// The contribution of a method.
     pub(crate) fn of_method(name: &str, method: &Method) -> Digest {
-        let effect = match method.idempotency {
+        let idempotency = match method.idempotency {
             Idempotency::Idempotent => 0,
             Idempotency::Keyed => 1,
             Idempotency::NonIdempotent => 2,
         };
-        let figures = [
+        let numbers = [
             method.latency_target,
             method.deadline,
-            effect,
+            idempotency,
             method.criticality.to_bits(),
             method.late_value_ratio.to_bits(),
             method.idempotency_window,
             method.skip_value_ratio.to_bits(),
         ];
-        hash_entry(METHOD_TAG, &figures, name)
+        hash_entry(METHOD_TAG, &numbers, name)
     }
 
     /// The contribution of a tenant with its quota in RPCs a second.
@@ -85,11 +86,11 @@
     }
 }
 
-fn hash_entry(tag: u8, figures: &[u64], name: &str) -> Digest {
-    let mut bytes = Vec::with_capacity(1 + size_of_val(figures) + name.len());
+fn hash_entry(tag: u8, numbers: &[u64], name: &str) -> Digest {
+    let mut bytes = Vec::with_capacity(1 + size_of_val(numbers) + name.len());
     bytes.push(tag);
-    for figure in figures {
-        bytes.extend_from_slice(&figure.to_le_bytes());
+    for number in numbers {
+        bytes.extend_from_slice(&number.to_le_bytes());
     }
     bytes.extend_from_slice(name.as_bytes());
     Digest(xxh3_128(&bytes))
--- a/entries/src/encode.rs
+++ b/entries/src/encode.rs
@@ -4,15 +4,15 @@
 use crate::change::Change;
 use crate::entry::Name;
 use crate::globals::GlobalSettings;
+use crate::keywords::{keyword_for, EFFECTS, FEEDBACK_MODES, STOP_MODES, UPSTREAM_KINDS};
 use crate::time::millis_from_micros;
-use crate::vocabulary::{word_for, EFFECTS, FEEDBACK_MODES, STOP_MODES, UPSTREAM_KINDS};
 use asterrill::{Method, Us};
 use std::fmt::{self, Write};
 
-/// Numbers from here up to [`MAX_PLAIN`] are written without an exponent.
-const MIN_PLAIN: f64 = 1e-5;
-/// See [`MIN_PLAIN`].
-const MAX_PLAIN: f64 = 1e16;
+/// Numbers from here up to [`MAX_PLAIN_NOTATION`] are written without an exponent.
+const MIN_PLAIN_NOTATION: f64 = 1e-5;
+/// See [`MIN_PLAIN_NOTATION`].
+const MAX_PLAIN_NOTATION: f64 = 1e16;
 
 /// A number in as many digits as it takes to read exactly the same again.
 struct Number(f64);
@@ -20,7 +20,7 @@
 impl fmt::Display for Number {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let number = self.0;
-        if number == 0.0 || (MIN_PLAIN..MAX_PLAIN).contains(&number.abs()) {
+        if number == 0.0 || (MIN_PLAIN_NOTATION..MAX_PLAIN_NOTATION).contains(&number.abs()) {
             write!(f, "{number}")
         } else {
             write!(f, "{number:?}")
@@ -71,7 +71,7 @@
 }
 
 /// A limit of the machine; 0 stands for one that was never set.
-fn machine_limit(limit: u64) -> OrNull<u64> {
+fn resource_limit(limit: u64) -> OrNull<u64> {
     OrNull((limit > 0).then_some(limit))
 }
 
@@ -111,8 +111,8 @@
     write!(
         to,
         r#","limits":{{"memory_mb":{},"sockets":{}}}}}"#,
-        machine_limit(globals.memory_mb),
-        machine_limit(globals.sockets),
+        resource_limit(globals.memory_mb),
+        resource_limit(globals.sockets),
     )
 }
 
@@ -128,7 +128,7 @@
     write!(
         to,
         r#","Below":"{}","CallShare":{},"DepWindowMs":{},"LingerMs":{}"#,
-        word_for(UPSTREAM_KINDS, globals.upstream),
+        keyword_for(UPSTREAM_KINDS, globals.upstream),
         OrNull(globals.upstream_call_quota.map(Number)),
         OrNull(globals.upstream_call_window.map(millis)),
         millis(globals.abandoned_call_linger),
@@ -136,8 +136,8 @@
     write!(
         to,
         r#","Say":"{}","StopMode":"{}","FreshMs":{},"IdleMs":{}"#,
-        word_for(FEEDBACK_MODES, globals.feedback_mode),
-        word_for(STOP_MODES, globals.stop_mode),
+        keyword_for(FEEDBACK_MODES, globals.feedback_mode),
+        keyword_for(STOP_MODES, globals.stop_mode),
         millis(globals.response_ttl),
         millis(globals.idle_timeout),
     )?;
@@ -158,7 +158,7 @@
         Quoted(name),
         millis(method.latency_target),
         millis(method.deadline),
-        word_for(EFFECTS, method.idempotency),
+        keyword_for(EFFECTS, method.idempotency),
         Number(method.criticality),
         Number(method.late_value_ratio),
         millis(method.idempotency_window),
--- a/entries/src/entry.rs
+++ b/entries/src/entry.rs
@@ -17,7 +17,7 @@
 
 impl EntryKind {
     /// The word for it in steps: `method` or `tenant`.
-    pub fn word(self) -> &'static str {
+    pub fn keyword(self) -> &'static str {
         match self {
             EntryKind::Method => "method",
             EntryKind::Tenant => "tenant",
--- a/entries/src/error.rs
+++ b/entries/src/error.rs
@@ -19,12 +19,12 @@
         value: f64,
     },
     /// The word is none of those that the field may have.
-    #[error("{key} {word} is not known")]
-    UnknownWord {
+    #[error("{key} {keyword} is not known")]
+    UnknownKeyword {
         /// The field's key.
         key: &'static str,
         /// The start of the word.
-        word: String,
+        keyword: String,
     },
     /// There is no such field here; holds the start of its key.
     #[error("field {0} is not known")]
@@ -33,12 +33,12 @@
     #[error("field {0} stands twice")]
     DuplicateField(String),
     /// The name of an entry is empty, too long, or has characters that it may not have.
-    #[error("Name {name:?} has to be text of 1 to {MAX_NAME_BYTES} bytes{}", if *.word { ", without blanks" } else { "" })]
+    #[error("Name {name:?} has to be text of 1 to {MAX_NAME_BYTES} bytes{}", if *.forbids_whitespace { ", without blanks" } else { "" })]
     InvalidName {
         /// The start of the name.
         name: String,
         /// Blanks are forbidden, too.
-        word: bool,
+        forbids_whitespace: bool,
     },
     /// Two entries of one kind have the same name.
     #[error("Name {name} stands twice in {}", .kind.list_key())]
@@ -49,17 +49,17 @@
         name: Name,
     },
     /// A list is longer than its bound.
-    #[error("{list} has {most} entries at most, the bound {bound}")]
+    #[error("{list} has {max} entries at most, the bound {limit_name}")]
     TooManyEntries {
         /// The key of the list.
         list: &'static str,
         /// The name of the bound.
-        bound: &'static str,
+        limit_name: &'static str,
         /// The value of the bound.
-        most: usize,
+        max: usize,
     },
     /// The entry that is to be removed does not exist.
-    #[error("{} {name} is not known, and can't be taken", .kind.word())]
+    #[error("{} {name} is not known, and can't be taken", .kind.keyword())]
     UnknownEntry {
         /// Its kind.
         kind: EntryKind,
@@ -70,40 +70,40 @@
     #[error("Categories would be empty: the last method can't be taken")]
     LastMethod,
     /// The error was found in this entry.
-    #[error("{} {name}: {why}", .kind.word())]
+    #[error("{} {name}: {error}", .kind.keyword())]
     InEntry {
         /// The entry's kind.
         kind: EntryKind,
         /// The entry's name.
         name: Name,
         /// The error.
-        why: Box<ConfigError>,
+        error: Box<ConfigError>,
     },
 }
 
 impl ConfigError {
     /// There are too many entries of this kind.
     pub fn too_many_entries(kind: EntryKind) -> ConfigError {
-        let (bound, most) = match kind {
+        let (limit_name, max) = match kind {
             EntryKind::Method => ("METHODS", MAX_METHODS),
             EntryKind::Tenant => ("TENANTS", MAX_TENANTS),
         };
-        ConfigError::TooManyEntries { list: kind.list_key(), bound, most }
+        ConfigError::TooManyEntries { list: kind.list_key(), limit_name, max }
     }
 
     /// There are too many gauges.
     pub(crate) fn too_many_gauges() -> ConfigError {
-        ConfigError::TooManyEntries { list: "Gauges", bound: "GAUGES", most: MAX_GAUGES }
+        ConfigError::TooManyEntries { list: "Gauges", limit_name: "GAUGES", max: MAX_GAUGES }
     }
 
     /// The word is none of those that the field may have.
-    pub(crate) fn unknown_word(key: &'static str, word: &str) -> ConfigError {
-        ConfigError::UnknownWord { key, word: word.chars().take(MAX_QUOTED_CHARS).collect() }
+    pub(crate) fn unknown_keyword(key: &'static str, keyword: &str) -> ConfigError {
+        ConfigError::UnknownKeyword { key, keyword: keyword.chars().take(MAX_QUOTED_CHARS).collect() }
     }
 
     /// The same error, with the entry that it was found in.
     pub fn in_entry(self, kind: EntryKind, name: &Name) -> ConfigError {
-        ConfigError::InEntry { kind, name: name.clone(), why: Box::new(self) }
+        ConfigError::InEntry { kind, name: name.clone(), error: Box::new(self) }
     }
 }
 
@@ -117,20 +117,20 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum StepError {
     /// The line is not JSON.
-    #[error("line {line}: not JSON: {why}")]
+    #[error("line {line}: not JSON: {message}")]
     Json {
         /// The line's number.
         line: usize,
         /// The parser's message.
-        why: String,
+        message: String,
     },
     /// The line is JSON, but holds a field that it may not hold.
-    #[error("line {line}: {why}")]
+    #[error("line {line}: {message}")]
     InvalidField {
         /// The line's number.
         line: usize,
         /// The message, with the key at fault.
-        why: String,
+        message: String,
     },
     /// The line is none of those that a step has, or stands where it may not.
     #[error("line {line}: a line puts, takes or gives a frame; only the first may give base and hash")]
@@ -139,12 +139,12 @@
         line: usize,
     },
     /// The line's entry is refused.
-    #[error("line {line}: {why}")]
+    #[error("line {line}: {error}")]
     InvalidEntry {
         /// The line's number.
         line: usize,
         /// Why it is refused.
-        why: ConfigError,
+        error: ConfigError,
     },
     /// The step has more than [`MAX_CHANGES`] changes.
     #[error("a step has {MAX_CHANGES} changes at most, the bound CHANGES")]
--- a/entries/src/fields/entry.rs
+++ b/entries/src/fields/entry.rs
@@ -3,8 +3,8 @@
 use crate::entry::EntryKind;
 use crate::error::ConfigError;
 use crate::fields::object::ObjectFields;
+use crate::keywords::EFFECTS;
 use crate::validation::{check_method, check_name};
-use crate::vocabulary::EFFECTS;
 use asterrill::Method;
 
 /// The fields of a method. `SkipWorth` stands here in steps only; the platform's files list it in `FamilyInfo`.
@@ -35,11 +35,11 @@
         let method = Method {
             latency_target: self.duration("AimMs")?,
             deadline: self.duration("DeadlineMs")?,
-            idempotency: self.word("Effect", EFFECTS)?,
-            criticality: self.figure("Worth")?,
-            late_value_ratio: self.optional_figure("LateWorth")?.unwrap_or(0.0),
+            idempotency: self.keyword("Effect", EFFECTS)?,
+            criticality: self.bounded_number("Worth")?,
+            late_value_ratio: self.optional_bounded_number("LateWorth")?.unwrap_or(0.0),
             idempotency_window: self.optional_duration("WindowMs")?.unwrap_or(0),
-            skip_value_ratio: self.optional_figure("SkipWorth")?.unwrap_or(0.0),
+            skip_value_ratio: self.optional_bounded_number("SkipWorth")?.unwrap_or(0.0),
         };
         check_method(&method)?;
         Ok(method)
@@ -50,6 +50,6 @@
     /// # Errors
     /// [`ConfigError`]: it is absent, of the wrong type or out of bounds.
     pub fn quota(&self) -> Result<f64, ConfigError> {
-        self.figure("QuotaRps")
+        self.bounded_number("QuotaRps")
     }
 }
--- a/entries/src/fields/family_info.rs
+++ b/entries/src/fields/family_info.rs
@@ -4,7 +4,7 @@
 use crate::error::ConfigError;
 use crate::fields::object::{read_fields, ObjectFields};
 use crate::fields::value::{FieldValue, JsonHandler, JsonSeed, StoreValue, Strictness};
-use crate::limits::{MAX_FIGURE, MAX_GAUGES, MAX_METHODS};
+use crate::limits::{MAX_GAUGES, MAX_METHODS, MAX_SETTING_VALUE};
 use serde::de::{Error, MapAccess, SeqAccess};
 
 const GAUGES_KEY: &str = "Gauges";
@@ -126,7 +126,7 @@
                 continue;
             }
             ratios.push(match value {
-                FieldValue::Number(ratio) => ratio.clamp(0.0, MAX_FIGURE) + 0.0,
+                FieldValue::Number(ratio) => ratio.clamp(0.0, MAX_SETTING_VALUE) + 0.0,
                 _ => 0.0,
             });
         }
--- a/entries/src/fields/global.rs
+++ b/entries/src/fields/global.rs
@@ -14,7 +14,7 @@
 const SAFETY_KEYS: &[&str] = &["TipMultiple", "ColdFrom", "RampTimeMs", "StopSendingWithinMs"];
 const LIMITS_KEYS: &[&str] = &["RetryAfter", "MaxRetryAfterMs"];
 const TOP_LEVEL_KEYS: &[&str] = &["StepMs", "ReplicasOfMe", "OverShareWorth"];
-const MACHINE_LIMIT_KEYS: &[&str] = &["memory_mb", "sockets"];
+const RESOURCE_LIMIT_KEYS: &[&str] = &["memory_mb", "sockets"];
 
 /// Which of the required objects were read.
 #[derive(Clone, Copy, Debug, Default)]
@@ -32,7 +32,7 @@
     pub(crate) safety: ObjectFields,
     pub(crate) limits: ObjectFields,
     pub(crate) top_level: ObjectFields,
-    pub(crate) machine_limits: ObjectFields,
+    pub(crate) resource_limits: ObjectFields,
     pub(crate) present: PresentObjects,
 }
 
@@ -45,7 +45,7 @@
             safety: ObjectFields::new(SAFETY_KEYS, strictness),
             limits: ObjectFields::new(LIMITS_KEYS, strictness),
             top_level: ObjectFields::new(TOP_LEVEL_KEYS, strictness),
-            machine_limits: ObjectFields::new(MACHINE_LIMIT_KEYS, strictness),
+            resource_limits: ObjectFields::new(RESOURCE_LIMIT_KEYS, strictness),
             present: PresentObjects::default(),
         }
     }
@@ -86,8 +86,8 @@
     ///
     /// # Errors
     /// Those of the deserializer.
-    pub fn read_machine_limits<'d, A: MapAccess<'d>>(&mut self, object: &mut A) -> Result<bool, A::Error> {
-        let found = object.next_value_seed(JsonSeed(&mut self.machine_limits))?;
+    pub fn read_resource_limits<'d, A: MapAccess<'d>>(&mut self, object: &mut A) -> Result<bool, A::Error> {
+        let found = object.next_value_seed(JsonSeed(&mut self.resource_limits))?;
         self.check_object("limits", found)
     }
 
--- a/entries/src/fields/merge.rs
+++ b/entries/src/fields/merge.rs
@@ -5,9 +5,9 @@
 use crate::fields::object::ObjectFields;
 use crate::fields::value::Strictness;
 use crate::globals::{GlobalSettings, UpstreamKind};
-use crate::limits::{MAX_MACHINE_LIMIT, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY};
+use crate::keywords::{FEEDBACK_MODES, STOP_MODES, UPSTREAM_KINDS};
+use crate::limits::{MAX_RESOURCE_LIMIT, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY};
 use crate::time::micros_from_millis;
-use crate::vocabulary::{FEEDBACK_MODES, STOP_MODES, UPSTREAM_KINDS};
 use asterrill::{FeedbackMode, StopMode, Us};
 
 impl GlobalFields {
@@ -23,7 +23,7 @@
         let mut settings = base.cloned().unwrap_or_default();
         // What other fields depend on comes first.
         merge.switches(&mut settings)?;
-        merge.machine(&mut settings)?;
+        merge.resources(&mut settings)?;
         merge.family_info(&mut settings)?;
         merge.safety(&mut settings)?;
         merge.limits(&mut settings)?;
@@ -78,22 +78,22 @@
     fn switches(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
         let (family_info, limits) = (&self.fields.family_info.scalars, &self.fields.limits);
         self.update(&mut settings.upstream, family_info, "Below", |object, key| {
-            Ok(object.optional_word(key, UPSTREAM_KINDS)?.unwrap_or_default())
+            Ok(object.optional_keyword(key, UPSTREAM_KINDS)?.unwrap_or_default())
         })?;
-        self.update(&mut settings.cold_start, family_info, "Cold", ObjectFields::flag)?;
-        self.update(&mut settings.retry_after, limits, "RetryAfter", ObjectFields::flag)
+        self.update(&mut settings.cold_start, family_info, "Cold", ObjectFields::boolean)?;
+        self.update(&mut settings.retry_after, limits, "RetryAfter", ObjectFields::boolean)
     }
 
-    fn machine(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
+    fn resources(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
         self.update(&mut settings.cores, &self.fields.family_info.scalars, "NCores", |object, key| {
-            let cores = object.figure(key)?;
+            let cores = object.bounded_number(key)?;
             if cores.fract() != 0.0 {
                 return Err(ConfigError::InvalidField(key));
             }
             Ok(cores as u64)
         })?;
-        let memory_mb = self.machine_limit("memory_mb", MEMORY_LIMIT_KEY, settings.memory_mb)?;
-        let sockets = self.machine_limit("sockets", SOCKET_LIMIT_KEY, settings.sockets)?;
+        let memory_mb = self.resource_limit("memory_mb", MEMORY_LIMIT_KEY, settings.memory_mb)?;
+        let sockets = self.resource_limit("sockets", SOCKET_LIMIT_KEY, settings.sockets)?;
         if sockets.fract() != 0.0 {
             return Err(ConfigError::InvalidField(SOCKET_LIMIT_KEY));
         }
@@ -103,11 +103,13 @@
     }
 
     /// A limit that the deployment grants; `before` where it is not given. `key` is its name in messages.
-    fn machine_limit(&self, field: &'static str, key: &'static str, before: u64) -> Result<f64, ConfigError> {
-        let fields = &self.fields.machine_limits;
+    fn resource_limit(
+        &self, field: &'static str, key: &'static str, before: u64,
+    ) -> Result<f64, ConfigError> {
+        let fields = &self.fields.resource_limits;
         match fields.optional_number(field) {
             Err(_) => Err(ConfigError::InvalidField(key)),
-            Ok(Some(value)) if (1.0..=MAX_MACHINE_LIMIT).contains(&value) => Ok(value),
+            Ok(Some(value)) if (1.0..=MAX_RESOURCE_LIMIT).contains(&value) => Ok(value),
             Ok(Some(value)) => Err(ConfigError::OutOfBounds { key, value }),
             // A limit that was set once is never unset again.
             Ok(None) if before > 0 && fields.contains(field) => Err(ConfigError::InvalidField(key)),
@@ -118,14 +120,14 @@
     fn family_info(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
         let fields = &self.fields.family_info.scalars;
         self.update(&mut settings.ram_kb, fields, "RamKb", ObjectFields::number)?;
-        self.update(&mut settings.run_factor, fields, "RunFactor", figure_or_one)?;
-        self.update(&mut settings.kb_per_key, fields, "KbPerKey", figure_or_zero)?;
+        self.update(&mut settings.run_factor, fields, "RunFactor", number_or_one)?;
+        self.update(&mut settings.kb_per_key, fields, "KbPerKey", number_or_zero)?;
         self.upstream(settings)?;
         self.update(&mut settings.feedback_mode, fields, "Say", |object, key| {
-            Ok(object.optional_word(key, FEEDBACK_MODES)?.unwrap_or(FeedbackMode::Off))
+            Ok(object.optional_keyword(key, FEEDBACK_MODES)?.unwrap_or(FeedbackMode::Off))
         })?;
         self.update(&mut settings.stop_mode, fields, "StopMode", |object, key| {
-            Ok(object.optional_word(key, STOP_MODES)?.unwrap_or(StopMode::Off))
+            Ok(object.optional_keyword(key, STOP_MODES)?.unwrap_or(StopMode::Off))
         })?;
         self.update(&mut settings.response_ttl, fields, "FreshMs", duration_or_zero)?;
         self.update(&mut settings.idle_timeout, fields, "IdleMs", duration_or_zero)?;
@@ -140,7 +142,7 @@
         let fields = &self.fields.family_info.scalars;
         let shared = settings.upstream == UpstreamKind::Shared;
         self.update(&mut settings.upstream_call_quota, fields, "CallShare", |object, key| {
-            self.ignore_unused(object.optional_figure(key), shared)
+            self.ignore_unused(object.optional_bounded_number(key), shared)
         })?;
         self.update(&mut settings.upstream_call_window, fields, "DepWindowMs", |object, key| {
             let window = self.ignore_unused(object.optional_number(key), shared)?;
@@ -152,9 +154,9 @@
     fn safety(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
         let fields = &self.fields.safety;
         let cold_start = settings.cold_start;
-        self.update(&mut settings.max_running_per_core, fields, "TipMultiple", ObjectFields::figure)?;
+        self.update(&mut settings.max_running_per_core, fields, "TipMultiple", ObjectFields::bounded_number)?;
         self.update(&mut settings.slow_start_from, fields, "ColdFrom", |object, key| {
-            self.ignore_unused(object.optional_figure(key), cold_start)
+            self.ignore_unused(object.optional_bounded_number(key), cold_start)
         })?;
         self.update(&mut settings.slow_start_duration, fields, "RampTimeMs", ObjectFields::duration)?;
         let delay = &mut settings.health_propagation_delay;
@@ -173,21 +175,21 @@
         let fields = &self.fields.top_level;
         self.update(&mut settings.min_event_interval, fields, "StepMs", duration_or_zero)?;
         self.update(&mut settings.replicas, fields, "ReplicasOfMe", count_or_one)?;
-        self.update(&mut settings.over_quota_weight, fields, "OverShareWorth", figure_or_one)
+        self.update(&mut settings.over_quota_weight, fields, "OverShareWorth", number_or_one)
     }
 }
 
-fn figure_or_one(object: &ObjectFields, key: &'static str) -> Result<f64, ConfigError> {
-    Ok(object.optional_figure(key)?.unwrap_or(1.0))
+fn number_or_one(object: &ObjectFields, key: &'static str) -> Result<f64, ConfigError> {
+    Ok(object.optional_bounded_number(key)?.unwrap_or(1.0))
 }
 
-fn figure_or_zero(object: &ObjectFields, key: &'static str) -> Result<f64, ConfigError> {
-    Ok(object.optional_figure(key)?.unwrap_or(0.0))
+fn number_or_zero(object: &ObjectFields, key: &'static str) -> Result<f64, ConfigError> {
+    Ok(object.optional_bounded_number(key)?.unwrap_or(0.0))
 }
 
 /// The integer part of a number, or 1.
 fn count_or_one(object: &ObjectFields, key: &'static str) -> Result<u64, ConfigError> {
-    Ok(figure_or_one(object, key)? as u64)
+    Ok(number_or_one(object, key)? as u64)
 }
 
 fn duration_or_zero(object: &ObjectFields, key: &'static str) -> Result<Us, ConfigError> {
--- a/entries/src/fields/object.rs
+++ b/entries/src/fields/object.rs
@@ -2,9 +2,9 @@
 
 use crate::error::ConfigError;
 use crate::fields::value::{FieldValue, JsonHandler, Strictness};
-use crate::limits::{MAX_FIGURE, MAX_QUOTED_CHARS};
+use crate::keywords::{parse_keyword, Keywords};
+use crate::limits::{MAX_QUOTED_CHARS, MAX_SETTING_VALUE};
 use crate::time::micros_from_millis;
-use crate::vocabulary::{meaning_of, Words};
 use asterrill::Us;
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, Visitor};
 use std::fmt;
@@ -160,27 +160,27 @@
         self.optional_number(name)?.ok_or(ConfigError::InvalidField(name))
     }
 
-    /// A number from 0 to [`MAX_FIGURE`], or `None` where it is absent or null.
+    /// A number from 0 to [`MAX_SETTING_VALUE`], or `None` where it is absent or null.
     ///
     /// # Errors
     /// As [`ObjectFields::optional_number`], and [`ConfigError::OutOfBounds`].
-    pub fn optional_figure(&self, name: &'static str) -> Result<Option<f64>, ConfigError> {
+    pub fn optional_bounded_number(&self, name: &'static str) -> Result<Option<f64>, ConfigError> {
         match self.optional_number(name)? {
-            Some(value) if value > MAX_FIGURE => Err(ConfigError::OutOfBounds { key: name, value }),
+            Some(value) if value > MAX_SETTING_VALUE => Err(ConfigError::OutOfBounds { key: name, value }),
             value => Ok(value),
         }
     }
 
-    /// A number from 0 to [`MAX_FIGURE`].
+    /// A number from 0 to [`MAX_SETTING_VALUE`].
     ///
     /// # Errors
     /// As [`ObjectFields::number`], and [`ConfigError::OutOfBounds`].
-    pub fn figure(&self, name: &'static str) -> Result<f64, ConfigError> {
-        self.optional_figure(name)?.ok_or(ConfigError::InvalidField(name))
+    pub fn bounded_number(&self, name: &'static str) -> Result<f64, ConfigError> {
+        self.optional_bounded_number(name)?.ok_or(ConfigError::InvalidField(name))
     }
 
     /// A duration, given in milliseconds, in whole microseconds up to
-    /// [`MAX_DURATION`](crate::MAX_DURATION), or `None` where it is absent or null.
+    /// [`MAX_DURATION_US`](crate::MAX_DURATION_US), or `None` where it is absent or null.
     ///
     /// # Errors
     /// As [`ObjectFields::optional_number`].
@@ -188,7 +188,7 @@
         Ok(self.optional_number(name)?.map(micros_from_millis))
     }
 
-    /// A duration, given in milliseconds, in whole microseconds up to [`MAX_DURATION`](crate::MAX_DURATION).
+    /// A duration, given in milliseconds, in whole microseconds up to [`MAX_DURATION_US`](crate::MAX_DURATION_US).
     ///
     /// # Errors
     /// As [`ObjectFields::number`].
@@ -200,9 +200,9 @@
     ///
     /// # Errors
     /// [`ConfigError::InvalidField`] in strict reading: it is no boolean.
-    pub(crate) fn flag(&self, name: &'static str) -> Result<bool, ConfigError> {
+    pub(crate) fn boolean(&self, name: &'static str) -> Result<bool, ConfigError> {
         match self.value(name) {
-            Some(FieldValue::Flag(value)) => Ok(*value),
+            Some(FieldValue::Bool(value)) => Ok(*value),
             Some(_) if self.strictness == Strictness::Strict => Err(ConfigError::InvalidField(name)),
             _ => Ok(false),
         }
@@ -211,22 +211,24 @@
     /// The meaning of a word.
     ///
     /// # Errors
-    /// As [`ObjectFields::text`], and [`ConfigError::UnknownWord`].
-    pub(crate) fn word<T: Copy>(&self, name: &'static str, words: &Words<T>) -> Result<T, ConfigError> {
-        let word = self.text(name)?;
-        meaning_of(words, word).ok_or_else(|| ConfigError::unknown_word(name, word))
+    /// As [`ObjectFields::text`], and [`ConfigError::UnknownKeyword`].
+    pub(crate) fn keyword<T: Copy>(
+        &self, name: &'static str, keywords: &Keywords<T>,
+    ) -> Result<T, ConfigError> {
+        let keyword = self.text(name)?;
+        parse_keyword(keywords, keyword).ok_or_else(|| ConfigError::unknown_keyword(name, keyword))
     }
 
     /// The meaning of a word, or `None` where it is absent or null.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`]: it is no string; and [`ConfigError::UnknownWord`].
-    pub(crate) fn optional_word<T: Copy>(
-        &self, name: &'static str, words: &Words<T>,
+    /// [`ConfigError::InvalidField`]: it is no string; and [`ConfigError::UnknownKeyword`].
+    pub(crate) fn optional_keyword<T: Copy>(
+        &self, name: &'static str, keywords: &Keywords<T>,
     ) -> Result<Option<T>, ConfigError> {
         match self.value(name) {
             None => Ok(None),
-            Some(_) => self.word(name, words).map(Some),
+            Some(_) => self.keyword(name, keywords).map(Some),
         }
     }
 }
--- a/entries/src/fields/value.rs
+++ b/entries/src/fields/value.rs
@@ -11,7 +11,7 @@
     /// `null`.
     Null,
     /// `true` or `false`.
-    Flag(bool),
+    Bool(bool),
     /// A number.
     Number(f64),
     /// A string.
@@ -83,7 +83,7 @@
     }
 
     fn visit_bool<E: Error>(self, value: bool) -> Result<H::Output, E> {
-        self.0.scalar(FieldValue::Flag(value))
+        self.0.scalar(FieldValue::Bool(value))
     }
 
     fn visit_u64<E: Error>(self, value: u64) -> Result<H::Output, E> {
--- a/entries/src/globals.rs
+++ b/entries/src/globals.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::Name;
 use crate::error::ConfigError;
-use crate::limits::{MAX_FIGURE, MAX_GAUGES, MAX_MACHINE_LIMIT, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY};
+use crate::limits::{MAX_GAUGES, MAX_RESOURCE_LIMIT, MAX_SETTING_VALUE, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY};
 use crate::validation::{check_at_most, check_duration};
 use asterrill::{FeedbackMode, StopMode, Upstream, Us};
 
@@ -22,7 +22,7 @@
 /// out have their defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GlobalSettings {
-    /// `FamilyInfo.NCores`: 0 to [`MAX_FIGURE`] cores.
+    /// `FamilyInfo.NCores`: 0 to [`MAX_SETTING_VALUE`] cores.
     pub cores: u64,
     /// `FamilyInfo.RamKb`: memory in kB.
     pub ram_kb: f64,
@@ -144,7 +144,7 @@
     /// # Errors
     /// [`ConfigError`] names the field that is out of bounds, or required and missing.
     pub fn check(&self) -> Result<(), ConfigError> {
-        self.check_figures()?;
+        self.check_numbers()?;
         self.check_durations()?;
         if self.gauges.len() > MAX_GAUGES {
             return Err(ConfigError::too_many_gauges());
@@ -154,8 +154,8 @@
         Ok(())
     }
 
-    fn check_figures(&self) -> Result<(), ConfigError> {
-        let figures = [
+    fn check_numbers(&self) -> Result<(), ConfigError> {
+        let numbers = [
             ("NCores", self.cores as f64),
             ("RunFactor", self.run_factor),
             ("KbPerKey", self.kb_per_key),
@@ -166,12 +166,12 @@
             ("ReplicasOfMe", self.replicas as f64),
             ("OverShareWorth", self.over_quota_weight),
         ];
-        for (key, value) in figures {
-            check_at_most(key, value, MAX_FIGURE)?;
+        for (key, value) in numbers {
+            check_at_most(key, value, MAX_SETTING_VALUE)?;
         }
         check_at_most("RamKb", self.ram_kb, f64::MAX)?;
-        check_at_most(MEMORY_LIMIT_KEY, self.memory_mb as f64, MAX_MACHINE_LIMIT)?;
-        check_at_most(SOCKET_LIMIT_KEY, self.sockets as f64, MAX_MACHINE_LIMIT)
+        check_at_most(MEMORY_LIMIT_KEY, self.memory_mb as f64, MAX_RESOURCE_LIMIT)?;
+        check_at_most(SOCKET_LIMIT_KEY, self.sockets as f64, MAX_RESOURCE_LIMIT)
     }
 
     fn check_durations(&self) -> Result<(), ConfigError> {
--- a/entries/src/vocabulary.rs
+++ b/entries/src/keywords.rs
@@ -4,25 +4,25 @@
 use asterrill::{FeedbackMode, Idempotency, StopMode};
 
 /// The words of one field, each with its meaning.
-pub(crate) type Words<T> = [(&'static str, T)];
+pub(crate) type Keywords<T> = [(&'static str, T)];
 
 /// `Effect` of a method.
-pub(crate) const EFFECTS: &Words<Idempotency> = &[
+pub(crate) const EFFECTS: &Keywords<Idempotency> = &[
     ("free", Idempotency::Idempotent),
     ("guarded", Idempotency::Keyed),
     ("single_shot", Idempotency::NonIdempotent),
 ];
 
 /// `FamilyInfo.Below`.
-pub(crate) const UPSTREAM_KINDS: &Words<UpstreamKind> =
+pub(crate) const UPSTREAM_KINDS: &Keywords<UpstreamKind> =
     &[("off", UpstreamKind::None), ("shared", UpstreamKind::Shared), ("tier", UpstreamKind::Tier)];
 
 /// `FamilyInfo.StopMode`.
-pub(crate) const STOP_MODES: &Words<StopMode> =
+pub(crate) const STOP_MODES: &Keywords<StopMode> =
     &[("off", StopMode::Off), ("abort", StopMode::Abort), ("suspend", StopMode::Suspend)];
 
 /// `FamilyInfo.Say`.
-pub(crate) const FEEDBACK_MODES: &Words<FeedbackMode> = &[
+pub(crate) const FEEDBACK_MODES: &Keywords<FeedbackMode> = &[
     ("off", FeedbackMode::Off),
     ("window", FeedbackMode::Credit),
     ("threshold", FeedbackMode::Threshold),
@@ -30,11 +30,11 @@
 ];
 
 /// The meaning of a word.
-pub(crate) fn meaning_of<T: Copy>(words: &Words<T>, word: &str) -> Option<T> {
-    words.iter().find(|(candidate, _)| *candidate == word).map(|(_, meaning)| *meaning)
+pub(crate) fn parse_keyword<T: Copy>(keywords: &Keywords<T>, keyword: &str) -> Option<T> {
+    keywords.iter().find(|(candidate, _)| *candidate == keyword).map(|(_, value)| *value)
 }
 
 /// The word for a meaning.
-pub(crate) fn word_for<T: PartialEq>(words: &Words<T>, meaning: T) -> &'static str {
-    words.iter().find(|(_, candidate)| *candidate == meaning).map_or("", |(word, _)| word)
+pub(crate) fn keyword_for<T: PartialEq>(keywords: &Keywords<T>, value: T) -> &'static str {
+    keywords.iter().find(|(_, candidate)| *candidate == value).map_or("", |(keyword, _)| keyword)
 }
--- a/entries/src/lib.rs
+++ b/entries/src/lib.rs
@@ -47,13 +47,14 @@
 mod error;
 pub mod fields;
 mod globals;
+mod keywords;
 mod limits;
 mod name_lookup;
 mod read;
 mod step_line;
 mod time;
 mod validation;
-mod vocabulary;
+
 mod write;
 
 pub use asterrill::Method;
@@ -64,8 +65,8 @@
 pub use error::{ConfigError, StepError};
 pub use globals::{GlobalSettings, UpstreamKind};
 pub use limits::{
-    MAX_CHANGES, MAX_DURATION, MAX_FIGURE, MAX_GAUGES, MAX_MACHINE_LIMIT, MAX_METHODS, MAX_NAME_BYTES,
-    MAX_TENANTS, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY,
+    MAX_CHANGES, MAX_DURATION_US, MAX_GAUGES, MAX_METHODS, MAX_NAME_BYTES, MAX_RESOURCE_LIMIT,
+    MAX_SETTING_VALUE, MAX_TENANTS, MEMORY_LIMIT_KEY, SOCKET_LIMIT_KEY,
 };
 pub use name_lookup::NameLookup;
 pub use read::{read_configuration, read_step};
--- a/entries/src/limits.rs
+++ b/entries/src/limits.rs
@@ -18,14 +18,14 @@
 pub const MAX_CHANGES: usize = 2 * (MAX_METHODS + MAX_TENANTS) + 1;
 
 /// Greatest number of cores, servers or callers, and greatest weight or rate.
-pub const MAX_FIGURE: f64 = 1e9;
+pub const MAX_SETTING_VALUE: f64 = 1e9;
 
 /// Longest duration in microseconds, 31 years; longer ones are cut to it. Sums of durations and points in time stay far
 /// from the end of their type.
-pub const MAX_DURATION: Us = 1_000_000_000_000_000;
+pub const MAX_DURATION_US: Us = 1_000_000_000_000_000;
 
 /// Most memory in megabytes (1 TiB), and most file descriptors.
-pub const MAX_MACHINE_LIMIT: f64 = 1_048_576.0;
+pub const MAX_RESOURCE_LIMIT: f64 = 1_048_576.0;
 
 /// Longest part of an unknown key or word that a message repeats, in characters.
 pub(crate) const MAX_QUOTED_CHARS: usize = 64;
--- a/entries/src/read.rs
+++ b/entries/src/read.rs
@@ -28,12 +28,12 @@
     let mut is_first = true;
     for (number, line) in numbered_lines(text) {
         match reader.read(number, line, base)? {
-            Line::Head { base, hash } if is_first => (step.base, step.hash) = (base, hash),
-            Line::Head { .. } => return Err(StepError::UnexpectedLine { line: number }),
+            Line::Header { base, hash } if is_first => (step.base, step.hash) = (base, hash),
+            Line::Header { .. } => return Err(StepError::UnexpectedLine { line: number }),
             Line::Change(_) if step.changes.len() >= MAX_CHANGES => return Err(StepError::TooManyChanges),
             Line::Change(change) => {
                 if !seen.insert(change.key().map(|(kind, name)| (kind, name.clone()))) {
-                    return Err(StepError::InvalidEntry { line: number, why: duplicate_key(change.key()) });
+                    return Err(StepError::InvalidEntry { line: number, error: duplicate_key(change.key()) });
                 }
                 step.changes.push(change);
             }
@@ -56,17 +56,17 @@
     let mut last_line = 0;
     for (number, line) in numbered_lines(text) {
         match reader.read(number, line, &configuration)? {
-            Line::Head { hash, .. } if last_line == 0 => expected = hash,
-            Line::Head { .. } => return Err(StepError::UnexpectedLine { line: number }),
+            Line::Header { hash, .. } if last_line == 0 => expected = hash,
+            Line::Header { .. } => return Err(StepError::UnexpectedLine { line: number }),
             Line::Change(change) => {
                 let added = add_entry(&mut configuration, &change, has_globals);
-                added.map_err(|why| StepError::InvalidEntry { line: number, why })?;
+                added.map_err(|error| StepError::InvalidEntry { line: number, error })?;
                 has_globals |= change.key().is_none();
             }
         }
         last_line = number;
     }
-    let missing = |key| StepError::InvalidEntry { line: last_line, why: ConfigError::InvalidField(key) };
+    let missing = |key| StepError::InvalidEntry { line: last_line, error: ConfigError::InvalidField(key) };
     if !has_globals {
         return Err(missing("frame"));
     }
@@ -86,7 +86,7 @@
 ) -> Result<(), ConfigError> {
     let is_duplicate = match change.key() {
         None => has_globals,
-        Some((kind, name)) => configuration.name(kind, name).is_some(),
+        Some((kind, name)) => configuration.stored_name(kind, name).is_some(),
     };
     if is_duplicate {
         return Err(duplicate_key(change.key()));
--- a/entries/src/step_line.rs
+++ b/entries/src/step_line.rs
@@ -36,19 +36,19 @@
     GLOBALS_KEY,
 ];
 
-const MACHINE_LIMITS_KEY: &str = "limits";
+const RESOURCE_LIMITS_KEY: &str = "limits";
 
 /// All keys of the global settings in a line.
 const GLOBALS_KEYS: &[&str] =
-    &["FamilyInfo", "Safety", "Limits", "StepMs", "ReplicasOfMe", "OverShareWorth", MACHINE_LIMITS_KEY];
+    &["FamilyInfo", "Safety", "Limits", "StepMs", "ReplicasOfMe", "OverShareWorth", RESOURCE_LIMITS_KEY];
 
 /// Versions from 2^53 up can't be distinguished in JSON.
-const BASE_BOUND: f64 = 9_007_199_254_740_992.0;
+const BASE_VERSION_LIMIT: f64 = 9_007_199_254_740_992.0;
 
 /// What a line says.
 pub(crate) enum Line {
     /// The version that a step applies to, or the digest of a complete version.
-    Head {
+    Header {
         /// The version's number.
         base: Option<u64>,
         /// The version's digest.
@@ -78,15 +78,15 @@
         &mut self, number: usize, text: &str, base: &Configuration,
     ) -> Result<Line, StepError> {
         self.parse(number, text)?;
-        let is_head = self.fields.contains(BASE_KEY) || self.fields.contains(HASH_KEY);
+        let is_header = self.fields.contains(BASE_KEY) || self.fields.contains(HASH_KEY);
         let line = match (self.fields.contains(PUT_KEY), self.fields.contains(REMOVE_KEY), &self.globals) {
             (false, false, Some(globals)) => self.globals_line(globals, base),
-            (false, false, None) if is_head => self.head(),
+            (false, false, None) if is_header => self.header(),
             (true, false, None) => self.put(base),
             (false, true, None) => self.removal(base),
             _ => return Err(StepError::UnexpectedLine { line: number }),
         };
-        line.map_err(|why| StepError::InvalidEntry { line: number, why })
+        line.map_err(|error| StepError::InvalidEntry { line: number, error })
     }
 
     /// Reads the fields of a line.
@@ -102,9 +102,9 @@
         }
     }
 
-    /// Refuses all fields but `allowed` ones and `verb`.
-    fn allow_only(&self, verb: Option<&str>, allowed: &[&str]) -> Result<(), ConfigError> {
-        let is_allowed = |key: &str| Some(key) == verb || allowed.contains(&key);
+    /// Refuses all fields but `allowed` ones and `operation`.
+    fn allow_only(&self, operation: Option<&str>, allowed: &[&str]) -> Result<(), ConfigError> {
+        let is_allowed = |key: &str| Some(key) == operation || allowed.contains(&key);
         match LINE_KEYS.iter().find(|key| self.fields.contains(key) && !is_allowed(key)) {
             Some(key) => Err(ConfigError::UnknownField(key.to_string())),
             None => Ok(()),
@@ -117,11 +117,11 @@
         Ok(Line::Change(Change::SetGlobals(Arc::new(globals))))
     }
 
-    fn head(&self) -> Result<Line, ConfigError> {
+    fn header(&self) -> Result<Line, ConfigError> {
         self.allow_only(None, &[BASE_KEY, HASH_KEY])?;
         let base = match self.fields.optional_number(BASE_KEY)? {
             Some(number) if number.fract() != 0.0 => return Err(ConfigError::InvalidField(BASE_KEY)),
-            Some(value) if value >= BASE_BOUND => {
+            Some(value) if value >= BASE_VERSION_LIMIT => {
                 return Err(ConfigError::OutOfBounds { key: BASE_KEY, value });
             }
             number => number.map(|number| number as u64),
@@ -130,7 +130,7 @@
             true => Some(self.fields.text(HASH_KEY)?.parse()?),
             false => None,
         };
-        Ok(Line::Head { base, hash })
+        Ok(Line::Header { base, hash })
     }
 
     fn put(&self, base: &Configuration) -> Result<Line, ConfigError> {
@@ -140,11 +140,11 @@
         let name = base.shared_name(kind, self.fields.entry_name(kind)?);
         let change = match kind {
             EntryKind::Method => {
-                let method = self.fields.method().map_err(|why| why.in_entry(kind, &name))?;
+                let method = self.fields.method().map_err(|error| error.in_entry(kind, &name))?;
                 Change::PutMethod(name, method)
             }
             EntryKind::Tenant => {
-                let quota = self.fields.quota().map_err(|why| why.in_entry(kind, &name))?;
+                let quota = self.fields.quota().map_err(|error| error.in_entry(kind, &name))?;
                 Change::PutTenant(name, quota)
             }
         };
@@ -161,21 +161,21 @@
         }))
     }
 
-    fn kind(&self, verb: &'static str) -> Result<EntryKind, ConfigError> {
-        let word = self.fields.text(verb)?;
+    fn kind(&self, operation: &'static str) -> Result<EntryKind, ConfigError> {
+        let keyword = self.fields.text(operation)?;
         let kinds = [EntryKind::Method, EntryKind::Tenant];
-        let kind = kinds.into_iter().find(|kind| kind.word() == word);
-        kind.ok_or_else(|| ConfigError::unknown_word(verb, word))
+        let kind = kinds.into_iter().find(|kind| kind.keyword() == keyword);
+        kind.ok_or_else(|| ConfigError::unknown_keyword(operation, keyword))
     }
 }
 
 /// The parser's error, by the number of the line in the whole text.
 fn parse_error(line: usize, error: &serde_json::Error) -> StepError {
-    let why = error.to_string().replace(" at line 1 column ", " at column ");
+    let message = error.to_string().replace(" at line 1 column ", " at column ");
     if error.is_data() {
-        StepError::InvalidField { line, why }
+        StepError::InvalidField { line, message }
     } else {
-        StepError::Json { line, why }
+        StepError::Json { line, message }
     }
 }
 
@@ -218,7 +218,7 @@
 
     fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
         read_fields(object, GLOBALS_KEYS, Strictness::Strict, |key, object| match key.name {
-            MACHINE_LIMITS_KEY => self.0.read_machine_limits(object).map(drop),
+            RESOURCE_LIMITS_KEY => self.0.read_resource_limits(object).map(drop),
             _ => self.0.read(key, object),
         })?;
         Ok(true)
--- a/entries/src/validation.rs
+++ b/entries/src/validation.rs
@@ -2,7 +2,7 @@
 
 use crate::entry::EntryKind;
 use crate::error::ConfigError;
-use crate::limits::{MAX_DURATION, MAX_FIGURE, MAX_NAME_BYTES};
+use crate::limits::{MAX_DURATION_US, MAX_NAME_BYTES, MAX_SETTING_VALUE};
 use crate::time::millis_from_micros;
 use asterrill::{Method, Us};
 
@@ -12,10 +12,13 @@
 /// # Errors
 /// [`ConfigError::InvalidName`], with the start of the name.
 pub(crate) fn check_name(kind: EntryKind, name: &str) -> Result<(), ConfigError> {
-    let word = kind == EntryKind::Method;
-    let forbidden = |c: char| c.is_control() || word && c.is_whitespace();
+    let forbids_whitespace = kind == EntryKind::Method;
+    let forbidden = |c: char| c.is_control() || forbids_whitespace && c.is_whitespace();
     if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(forbidden) {
-        return Err(ConfigError::InvalidName { name: name.chars().take(MAX_NAME_BYTES).collect(), word });
+        return Err(ConfigError::InvalidName {
+            name: name.chars().take(MAX_NAME_BYTES).collect(),
+            forbids_whitespace,
+        });
     }
     Ok(())
 }
@@ -28,9 +31,9 @@
     check_duration("AimMs", method.latency_target)?;
     check_duration("DeadlineMs", method.deadline)?;
     check_duration("WindowMs", method.idempotency_window)?;
-    check_at_most("Worth", method.criticality, MAX_FIGURE)?;
-    check_at_most("LateWorth", method.late_value_ratio, MAX_FIGURE)?;
-    check_at_most("SkipWorth", method.skip_value_ratio, MAX_FIGURE)
+    check_at_most("Worth", method.criticality, MAX_SETTING_VALUE)?;
+    check_at_most("LateWorth", method.late_value_ratio, MAX_SETTING_VALUE)?;
+    check_at_most("SkipWorth", method.skip_value_ratio, MAX_SETTING_VALUE)
 }
 
 /// Checks the quota of a tenant, in RPCs a second.
@@ -38,21 +41,21 @@
 /// # Errors
 /// [`ConfigError::OutOfBounds`].
 pub(crate) fn check_quota(quota: f64) -> Result<(), ConfigError> {
-    check_at_most("QuotaRps", quota, MAX_FIGURE)
+    check_at_most("QuotaRps", quota, MAX_SETTING_VALUE)
 }
 
-/// Checks that a number is within 0 and `most`, ends included; NaN is not.
-pub(crate) fn check_at_most(key: &'static str, value: f64, most: f64) -> Result<(), ConfigError> {
-    if (0.0..=most).contains(&value) {
+/// Checks that a number is within 0 and `max`, ends included; NaN is not.
+pub(crate) fn check_at_most(key: &'static str, value: f64, max: f64) -> Result<(), ConfigError> {
+    if (0.0..=max).contains(&value) {
         Ok(())
     } else {
         Err(ConfigError::OutOfBounds { key, value })
     }
 }
 
-/// Checks that a duration is at most [`MAX_DURATION`]. The error has it in milliseconds, as its field does.
+/// Checks that a duration is at most [`MAX_DURATION_US`]. The error has it in milliseconds, as its field does.
 pub(crate) fn check_duration(key: &'static str, value: Us) -> Result<(), ConfigError> {
-    if value <= MAX_DURATION {
+    if value <= MAX_DURATION_US {
         Ok(())
     } else {
         Err(ConfigError::OutOfBounds { key, value: millis_from_micros(value) })
--- a/entries/src/write.rs
+++ b/entries/src/write.rs
@@ -7,7 +7,7 @@
 
 /// A step as text; [`read_step`](crate::read_step) makes the same step of it.
 pub fn write_step(step: &Step) -> String {
-    let mut text = step_head(step);
+    let mut text = step_header(step);
     for change in &step.changes {
         // Writing to a string can't fail.
         encode_change(change, &mut text).unwrap_or_default();
@@ -16,7 +16,7 @@
 }
 
 /// The first line of a step, with the version that it applies to; empty where the step names none.
-fn step_head(step: &Step) -> String {
+fn step_header(step: &Step) -> String {
     match (step.base, step.hash) {
         (None, None) => String::new(),
         (Some(base), None) => format!("{{\"base\":{base}}}\n"),
--- a/entries/tests/entries/model.rs
+++ b/entries/tests/entries/model.rs
@@ -2,8 +2,8 @@
 
 use asterrill::Idempotency;
 use asterrill_entries::{
-    Change, Configuration, EntryKind, GlobalSettings, Method, Name, UpstreamKind, MAX_DURATION, MAX_FIGURE,
-    MAX_NAME_BYTES,
+    Change, Configuration, EntryKind, GlobalSettings, Method, Name, UpstreamKind, MAX_DURATION_US,
+    MAX_NAME_BYTES, MAX_SETTING_VALUE,
 };
 use rand::rngs::StdRng;
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -29,14 +29,14 @@
     match rng.random_range(0..5) {
         0 => 0.0,
         1 => f64::from(rng.random_range(0..1_000_u32)),
-        2 => f64::from_bits(rng.random_range(0..=MAX_FIGURE.to_bits())),
-        3 => rng.random_range(0.0..=MAX_FIGURE),
-        _ => MAX_FIGURE,
+        2 => f64::from_bits(rng.random_range(0..=MAX_SETTING_VALUE.to_bits())),
+        3 => rng.random_range(0.0..=MAX_SETTING_VALUE),
+        _ => MAX_SETTING_VALUE,
     }
 }
 
 pub fn duration(rng: &mut StdRng) -> u64 {
-    let most = *[1_000, 10_000_000, MAX_DURATION].choose(rng).unwrap();
+    let most = *[1_000, 10_000_000, MAX_DURATION_US].choose(rng).unwrap();
     rng.random_range(0..=most)
 }
 
@@ -58,7 +58,7 @@
 
 pub fn globals(rng: &mut StdRng) -> GlobalSettings {
     GlobalSettings {
-        cores: rng.random_range(0..=MAX_FIGURE as u64),
+        cores: rng.random_range(0..=MAX_SETTING_VALUE as u64),
         ram_kb: figure(rng) * 1e200,
         upstream: *[UpstreamKind::None, UpstreamKind::Shared, UpstreamKind::Tier].choose(rng).unwrap(),
         upstream_call_quota: Some(figure(rng)),
@@ -78,12 +78,12 @@
         abandoned_call_linger: duration(rng),
         stop_mode: *[asterrill::StopMode::Abort, asterrill::StopMode::Suspend].choose(rng).unwrap(),
         response_ttl: duration(rng),
-        callers: rng.random_range(0..=MAX_FIGURE as u64),
+        callers: rng.random_range(0..=MAX_SETTING_VALUE as u64),
         max_running_per_core: figure(rng),
         slow_start_duration: duration(rng),
         health_propagation_delay: duration(rng),
         min_event_interval: duration(rng),
-        replicas: rng.random_range(0..=MAX_FIGURE as u64),
+        replicas: rng.random_range(0..=MAX_SETTING_VALUE as u64),
         memory_mb: rng.random_range(1..=1_048_576),
         sockets: rng.random_range(1..=1_048_576),
     }
@@ -122,10 +122,11 @@
             3 => Change::PutMethod("two words".into(), method(rng)),
             4 => Change::PutTenant("fine".into(), -1e-300),
             5 => Change::PutTenant("fine".into(), f64::NAN),
-            6 => {
-                Change::PutMethod("fine".into(), Method { late_value_ratio: MAX_FIGURE * 2.0, ..method(rng) })
-            }
-            7 => Change::PutMethod("fine".into(), Method { deadline: MAX_DURATION + 1, ..method(rng) }),
+            6 => Change::PutMethod(
+                "fine".into(),
+                Method { late_value_ratio: MAX_SETTING_VALUE * 2.0, ..method(rng) },
+            ),
+            7 => Change::PutMethod("fine".into(), Method { deadline: MAX_DURATION_US + 1, ..method(rng) }),
             _ => changes.choose(rng).unwrap().clone(),
         };
         changes.push(invalid);
--- a/entries/tests/entries/versions.rs
+++ b/entries/tests/entries/versions.rs
@@ -108,8 +108,8 @@
     let apart = least(&running, &configuration_with(None, 11.0));
     for next in [running.apply(&change).unwrap(), configuration_with(Some(&running), 11.0)] {
         assert!(Arc::ptr_eq(
-            next.name(EntryKind::Tenant, "t777").unwrap(),
-            running.name(EntryKind::Tenant, "t777").unwrap()
+            next.stored_name(EntryKind::Tenant, "t777").unwrap(),
+            running.stored_name(EntryKind::Tenant, "t777").unwrap()
         ));
         assert!(Arc::ptr_eq(next.globals(), running.globals()));
         let shared = least(&running, &next);
--- a/settings/src/deployment.rs
+++ b/settings/src/deployment.rs
@@ -100,7 +100,7 @@
     fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
         read_fields(object, FILE_KEYS, Strictness::Lenient, |key, object| {
             match key.name {
-                LIMITS_KEY => self.has_limits = self.settings.globals.read_machine_limits(object)?,
+                LIMITS_KEY => self.has_limits = self.settings.globals.read_resource_limits(object)?,
                 SETTINGS_KEY => self.has_settings = object.next_value_seed(JsonSeed(&mut self.settings))?,
                 _ => self.scalars.read_value(key.index, object)?,
             }
--- a/settings/tests/deployment_files.rs
+++ b/settings/tests/deployment_files.rs
@@ -154,7 +154,7 @@
         let name = "n".repeat(length);
         let made = Deployment::from_json(&json(&format!(r#"{{"Name":"{name}","QuotaRps":3}}"#))).unwrap();
         assert_eq!(made.configuration.tenant(&name), Some(3.0));
-        assert!(made.configuration.name(EntryKind::Tenant, &name).is_some());
+        assert!(made.configuration.stored_name(EntryKind::Tenant, &name).is_some());
     }
     let long = format!(r#"{{"Name":"{}","QuotaRps":3}}"#, "n".repeat(129));
     for (invalid, keys) in [
