--- a/entries/src/apply.rs
+++ b/entries/src/apply.rs
@@ -1,4 +1,4 @@
-//! Changes applied to a version: all or none.
+//! Application of changes to a version, all of them or none.
 
 use crate::change::Change;
 use crate::configuration::Configuration;
@@ -12,11 +12,11 @@
 use std::sync::Arc;
 
 impl Configuration {
-    /// The version that the changes lead to.
+    /// Returns the version that results from applying the changes.
     ///
     /// # Errors
-    /// [`ConfigError`] names the key at fault: one that is changed twice, an entry to be removed that does not exist, a
-    /// name, a figure or a number of entries out of bounds. The last method can't be removed.
+    /// [`ConfigError`] names the invalid key: a key that is changed twice, an entry to remove that does not exist, or a
+    /// name, a number or a count of entries that is out of bounds. The last method cannot be removed.
     pub fn apply(&self, changes: &[Change]) -> Result<Configuration, ConfigError> {
         check_distinct_keys(changes)?;
         let mut next = self.clone();
@@ -27,7 +27,7 @@
         Ok(next)
     }
 
-    /// Applies changes in place, removals first: they make room for what is put.
+    /// Applies changes in place. Removals come first, as they make room below the limits for the entries that are put.
     pub(crate) fn apply_all(&mut self, changes: &[Change]) -> Result<(), ConfigError> {
         for change in changes.iter().filter(|change| change.is_removal()) {
             self.apply_one(change)?;
@@ -38,7 +38,7 @@
         Ok(())
     }
 
-    /// Checks a change and applies it in place. Where it is refused, nothing is changed.
+    /// Checks a change and applies it in place. Nothing is modified if the change is rejected.
     pub(crate) fn apply_one(&mut self, change: &Change) -> Result<(), ConfigError> {
         match change {
             Change::SetGlobals(globals) => self.check_and_set_globals(globals),
@@ -56,7 +56,7 @@
             (SOCKET_LIMIT_KEY, self.globals.sockets, globals.sockets),
         ];
         for (key, before, after) in limits {
-            // A limit that was set once is never unset again.
+            // A limit that has been set cannot be unset.
             if before > 0 && after == 0 {
                 return Err(ConfigError::InvalidField(key));
             }
@@ -86,11 +86,11 @@
     }
 }
 
-/// Checks that no key is changed twice.
+/// Checks that no key is changed more than once.
 fn check_distinct_keys(changes: &[Change]) -> Result<(), ConfigError> {
-    // Changes in order, as from `changes_to`, need no set.
-    let mut neighbours = changes.iter().zip(changes.iter().skip(1));
-    if neighbours.all(|(a, b)| a.key() < b.key()) {
+    // Changes sorted by key, as `changes_to` returns them, are checked without a hash set.
+    let mut adjacent_pairs = changes.iter().zip(changes.iter().skip(1));
+    if adjacent_pairs.all(|(a, b)| a.key() < b.key()) {
         return Ok(());
     }
     let mut seen = HashSet::with_capacity(changes.len());
@@ -100,7 +100,7 @@
     }
 }
 
-/// The error for a key that is given twice.
+/// Returns the error for a key that is given more than once.
 pub(crate) fn duplicate_key(key: Option<(EntryKind, &Name)>) -> ConfigError {
     match key {
         None => ConfigError::DuplicateField("frame".into()),
--- a/entries/src/change.rs
+++ b/entries/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of a version, and steps made of them.
+//! Changes to a version, and the steps that group them.
 
 use crate::digest::Digest;
 use crate::entry::{EntryKind, Name};
@@ -6,7 +6,7 @@
 use asterrill::Method;
 use std::sync::Arc;
 
-/// One change of a version. A step contains at most one change per key, so that their order does not matter.
+/// One change to a version. A step contains at most one change per key, so the order of changes does not matter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// Replaces the global settings.
@@ -15,14 +15,14 @@
     PutMethod(Name, Method),
     /// Removes a method.
     RemoveMethod(Name),
-    /// Adds or replaces a tenant, with its quota in RPCs a second over the whole fleet.
+    /// Adds or replaces a tenant, with its quota in RPCs per second across the whole fleet.
     PutTenant(Name, f64),
     /// Removes a tenant.
     RemoveTenant(Name),
 }
 
 impl Change {
-    /// The entry that it changes; `None` for the global settings.
+    /// Returns the kind and name of the entry that it changes, or `None` for the global settings.
     pub fn key(&self) -> Option<(EntryKind, &Name)> {
         match self {
             Change::SetGlobals(_) => None,
@@ -31,19 +31,19 @@
         }
     }
 
-    /// Whether it removes an entry.
+    /// Reports whether it removes an entry.
     pub(crate) fn is_removal(&self) -> bool {
         matches!(self, Change::RemoveMethod(_) | Change::RemoveTenant(_))
     }
 }
 
-/// What leads from one version to the next.
+/// A set of changes that leads from one version to the next.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Step {
-    /// The number of the version that it applies to; `None` for whichever is running.
+    /// The number of the version that it applies to; `None` for the running version, whichever that is.
     pub base: Option<u64>,
-    /// The digest of that version; `None` where it is not checked.
+    /// The digest of that version; `None` if the digest is not to be checked.
     pub hash: Option<Digest>,
-    /// The changes, each key at most once.
+    /// The changes, at most one per key.
     pub changes: Vec<Change>,
 }
--- a/entries/src/configuration.rs
+++ b/entries/src/configuration.rs
@@ -1,4 +1,4 @@
-//! A version: its global settings, methods and tenants, in maps that versions share.
+//! A version of the configuration: global settings, methods and tenants in persistent maps.
 
 use crate::digest::Digest;
 use crate::encode::globals_text;
@@ -9,49 +9,49 @@
 use imbl::ordmap::OrdMap;
 use std::sync::Arc;
 
-/// A complete version. Cheap to clone: versions share what they have in common.
+/// A complete version of the configuration. Cloning is cheap, as versions share their common entries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
     pub(crate) globals: Arc<GlobalSettings>,
     pub(crate) methods: OrdMap<Name, Method>,
-    /// Quotas in RPCs a second.
+    /// Quotas by tenant, in RPCs per second.
     pub(crate) tenants: OrdMap<Name, f64>,
     digest: Digest,
 }
 
 impl Configuration {
-    /// A version without methods and tenants, as a starting point for readers. The settings are not checked.
+    /// Creates a version without methods and tenants, as a starting point for readers. The settings are not checked.
     pub fn new(globals: GlobalSettings) -> Configuration {
         let digest = digest_of_globals(&globals);
         Configuration { globals: Arc::new(globals), methods: OrdMap::new(), tenants: OrdMap::new(), digest }
     }
 
-    /// The settings that are neither methods nor tenants.
+    /// Returns the settings that are neither methods nor tenants.
     pub fn globals(&self) -> &Arc<GlobalSettings> {
         &self.globals
     }
 
-    /// The method of this name.
+    /// Returns the method of this name.
     pub fn method(&self, name: &str) -> Option<&Method> {
         self.methods.get(name)
     }
 
-    /// The quota of the tenant of this name, in RPCs a second over the whole fleet.
+    /// Returns the quota of the tenant of this name, in RPCs per second across the whole fleet.
     pub fn tenant(&self, name: &str) -> Option<f64> {
         self.tenants.get(name).copied()
     }
 
-    /// All methods, ordered by name.
+    /// Returns all methods, ordered by name.
     pub fn methods(&self) -> impl Iterator<Item = (&Name, &Method)> {
         self.methods.iter()
     }
 
-    /// All tenants with their quotas, ordered by name.
+    /// Returns all tenants with their quotas, ordered by name.
     pub fn tenants(&self) -> impl Iterator<Item = (&Name, f64)> {
         self.tenants.iter().map(|(name, quota)| (name, *quota))
     }
 
-    /// How many entries of a kind there are.
+    /// Returns the number of entries of a kind.
     pub fn count(&self, kind: EntryKind) -> usize {
         match kind {
             EntryKind::Method => self.methods.len(),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// This version's own instance of the name, if there is such an entry.
+    /// Returns this version's instance of the name, if it contains the entry.
     pub fn stored_name(&self, kind: EntryKind, name: &str) -> Option<&Name> {
         match kind {
             EntryKind::Method => self.methods.get_key_value(name).map(|(name, _)| name),
@@ -67,17 +67,17 @@
         }
     }
 
-    /// As [`Configuration::stored_name`], or a new instance.
+    /// Returns [`Configuration::stored_name`], or a new instance if this version does not contain the entry.
     pub fn shared_name(&self, kind: EntryKind, name: &str) -> Name {
         self.stored_name(kind, name).cloned().unwrap_or_else(|| name.into())
     }
 
-    /// The digest of all that this version says.
+    /// Returns the digest of the whole version.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Replaces the global settings, unchecked.
+    /// Replaces the global settings without checking them.
     pub(crate) fn set_globals(&mut self, globals: &Arc<GlobalSettings>) {
         if self.globals == *globals {
             return;
@@ -87,7 +87,7 @@
         self.globals = globals.clone();
     }
 
-    /// Adds or replaces a method, unchecked.
+    /// Adds or replaces a method without checking it.
     pub(crate) fn put_method(&mut self, name: &Name, method: Method) {
         let name = self.stored_name(EntryKind::Method, name).unwrap_or(name).clone();
         let method = without_negative_zeros(method);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Adds or replaces a tenant, unchecked.
+    /// Adds or replaces a tenant without checking it.
     pub(crate) fn put_tenant(&mut self, name: &Name, quota: f64) {
         let name = self.stored_name(EntryKind::Tenant, name).unwrap_or(name).clone();
         let quota = without_negative_zero(quota);
@@ -110,7 +110,7 @@
     /// Removes an entry.
     ///
     /// # Errors
-    /// [`ConfigError::UnknownEntry`]: there is none of this name.
+    /// [`ConfigError::UnknownEntry`] if there is no entry of this name.
     pub(crate) fn remove(&mut self, kind: EntryKind, name: &Name) -> Result<(), ConfigError> {
         let removed = match kind {
             EntryKind::Method => self.methods.remove(&**name).map(|method| Digest::of_method(name, &method)),
@@ -126,7 +126,7 @@
     Digest::of_globals(&globals_text(globals))
 }
 
-/// Equal meaning has one form: -0 is 0.
+/// Returns 0 for -0, and any other number unchanged, so that equal versions have equal digests.
 fn without_negative_zero(number: f64) -> f64 {
     number + 0.0
 }
--- a/entries/src/diff.rs
+++ b/entries/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two versions, and versions made from complete lists.
+//! Differences between two versions, and construction of versions from complete lists.
 
 use crate::change::Change;
 use crate::configuration::Configuration;
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 
 impl Configuration {
-    /// The changes that lead from this version to `other`: global settings, then methods, then tenants, by name. Costs
-    /// what differs: parts that the two share are not compared.
+    /// Returns the changes that lead from this version to `other`: global settings, then methods, then tenants, each by
+    /// name. The cost is proportional to the difference, as parts that the two versions share are not compared.
     pub fn changes_to(&self, other: &Configuration) -> Vec<Change> {
         let mut changes = Vec::new();
         if !Arc::ptr_eq(&self.globals, &other.globals) && self.globals != other.globals {
@@ -36,10 +36,11 @@
         changes
     }
 
-    /// The version with just these entries, given in any order. What is the same in `running` is shared with it.
+    /// Creates the version that consists of these entries, which may be in any order. Entries equal to those of
+    /// `running` are shared with it.
     ///
     /// # Errors
-    /// [`ConfigError`], as for [`Configuration::apply`]; and where there is no method.
+    /// [`ConfigError`], as for [`Configuration::apply`], and if there is no method.
     pub fn from_entries(
         running: Option<&Configuration>, globals: GlobalSettings, mut methods: Vec<(Name, Method)>,
         mut tenants: Vec<(Name, f64)>,
@@ -76,7 +77,7 @@
         Ok(next)
     }
 
-    /// The next version, with these entries in the place of all that there are.
+    /// Returns a version in which these entries, sorted by name, replace all entries of this one.
     fn replaced_by(
         &self, globals: GlobalSettings, methods: Vec<(Name, Method)>, tenants: Vec<(Name, f64)>,
     ) -> Result<Configuration, ConfigError> {
@@ -92,7 +93,7 @@
     }
 }
 
-/// The changes from one map to another.
+/// Appends the changes that lead from one map to another.
 fn push_map_changes<V: Clone + PartialEq>(
     from: &OrdMap<Name, V>, to: &OrdMap<Name, V>, put: fn(Name, V) -> Change, remove: fn(Name) -> Change,
     changes: &mut Vec<Change>,
@@ -105,7 +106,7 @@
     }));
 }
 
-/// The changes from running entries to a list, both ordered by name.
+/// Appends the changes that lead from the running entries to a list, both sorted by name.
 fn push_list_changes<'a, V: PartialEq + 'a>(
     running: impl Iterator<Item = (&'a Name, &'a V)>, list: Vec<(Name, V)>, put: fn(Name, V) -> Change,
     remove: fn(Name) -> Change, changes: &mut Vec<Change>,
@@ -127,7 +128,7 @@
     entries.sort_by(|(a, _), (b, _)| compare_names(a, b));
 }
 
-/// Two instances that are one and the same need no comparison of their bytes.
+/// Compares two names, without comparing their bytes if both are the same instance.
 fn compare_names(a: &Name, b: &Name) -> Ordering {
     if Arc::ptr_eq(a, b) {
         Ordering::Equal
@@ -136,10 +137,10 @@
     }
 }
 
-/// Checks that no name is given twice in entries ordered by name.
+/// Checks that no name occurs more than once in entries sorted by name.
 fn check_distinct_names<V>(kind: EntryKind, entries: &[(Name, V)]) -> Result<(), ConfigError> {
-    let mut neighbours = entries.iter().zip(entries.iter().skip(1));
-    match neighbours.find(|((a, _), (b, _))| compare_names(a, b).is_eq()) {
+    let mut adjacent_pairs = entries.iter().zip(entries.iter().skip(1));
+    match adjacent_pairs.find(|((a, _), (b, _))| compare_names(a, b).is_eq()) {
         Some(((name, _), _)) => Err(ConfigError::DuplicateName { kind, name: name.clone() }),
         None => Ok(()),
     }
--- a/entries/src/digest.rs
+++ b/entries/src/digest.rs
@@ -5,24 +5,27 @@
 use std::str::FromStr;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Hexadecimal digits of a digest's text.
+/// Length of a digest's text, in hexadecimal digits.
 const DIGEST_HEX_DIGITS: usize = 32;
 
-/// What distinguishes the contributions of different kinds of entries. Stored digests depend on these values.
+/// Tag of the global settings in hashed bytes. Tags keep entries of different kinds apart; stored digests depend on
+/// them.
 const GLOBALS_TAG: u8 = 0;
+/// Tag of a method in hashed bytes.
 const METHOD_TAG: u8 = 1;
+/// Tag of a tenant in hashed bytes.
 const TENANT_TAG: u8 = 2;
 
-/// A digest of what a version says: equal for equal meaning, whatever order of changes led there. It detects mistakes and
-/// lost updates; it does not protect against forgery.
+/// A digest of the contents of a version. Versions with equal contents have equal digests, whatever order of changes
+/// led to them. The digest detects mistakes and lost updates, but does not protect against forgery.
 ///
-/// It is the sum, modulo 2^128, of the hashes of all entries, so that a change costs only the entries that it touches.
+/// It is the sum, modulo 2^128, of the hashes of all entries, so an update costs only the entries that change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(u128);
 
-/// A text that is not 32 hexadecimal digits.
+/// The error for a text that does not consist of 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a digest has 32 hexadecimal digits")]
+#[error("invalid digest: expected {DIGEST_HEX_DIGITS} hexadecimal digits")]
 pub struct InvalidDigest;
 
 impl fmt::Display for Digest {
@@ -35,7 +38,7 @@
     type Err = InvalidDigest;
 
     fn from_str(text: &str) -> Result<Digest, InvalidDigest> {
-        // The standard parser would also take a sign.
+        // `from_str_radix` also accepts a sign.
         let well_formed =
             text.len() == DIGEST_HEX_DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         if !well_formed {
@@ -46,12 +49,12 @@
 }
 
 impl Digest {
-    /// The contribution of the global settings, given as their canonical text.
+    /// Returns the contribution of the global settings, given as their canonical text.
     pub(crate) fn of_globals(text: &str) -> Digest {
         hash_entry(GLOBALS_TAG, &[], text)
     }
 
-    /// The contribution of a method.
+    /// Returns the contribution of a method.
     pub(crate) fn of_method(name: &str, method: &Method) -> Digest {
         let idempotency = match method.idempotency {
             Idempotency::Idempotent => 0,
@@ -70,17 +73,17 @@
         hash_entry(METHOD_TAG, &numbers, name)
     }
 
-    /// The contribution of a tenant with its quota in RPCs a second.
+    /// Returns the contribution of a tenant with its quota in RPCs per second.
     pub(crate) fn of_tenant(name: &str, quota: f64) -> Digest {
         hash_entry(TENANT_TAG, &[quota.to_bits()], name)
     }
 
-    /// The digest with an entry's contribution.
+    /// Returns the digest with an entry's contribution added.
     pub(crate) fn with(self, entry: Digest) -> Digest {
         Digest(self.0.wrapping_add(entry.0))
     }
 
-    /// The digest without an entry's contribution.
+    /// Returns the digest with an entry's contribution removed.
     pub(crate) fn without(self, entry: Digest) -> Digest {
         Digest(self.0.wrapping_sub(entry.0))
     }
--- a/entries/src/encode.rs
+++ b/entries/src/encode.rs
@@ -1,4 +1,4 @@
-//! Settings and changes as JSON text in the platform's field names, one form for each value. Digests and stored versions
+//! Canonical JSON encoding of settings and changes with the platform's field names. Digests and stored versions
 //! depend on every byte of it.
 
 use crate::change::Change;
@@ -9,12 +9,12 @@
 use asterrill::{Method, Us};
 use std::fmt::{self, Write};
 
-/// Numbers from here up to [`MAX_PLAIN_NOTATION`] are written without an exponent.
+/// Smallest magnitude that is written without an exponent, other than 0.
 const MIN_PLAIN_NOTATION: f64 = 1e-5;
-/// See [`MIN_PLAIN_NOTATION`].
+/// Magnitude from which numbers are written with an exponent.
 const MAX_PLAIN_NOTATION: f64 = 1e16;
 
-/// A number in as many digits as it takes to read exactly the same again.
+/// A number, written with the fewest digits that parse to exactly the same value.
 struct Number(f64);
 
 impl fmt::Display for Number {
@@ -28,7 +28,7 @@
     }
 }
 
-/// A value, or null.
+/// An optional value, written as `null` if absent.
 struct OrNull<T>(Option<T>);
 
 impl<T: fmt::Display> fmt::Display for OrNull<T> {
@@ -40,7 +40,7 @@
     }
 }
 
-/// A JSON string.
+/// A text, written as a JSON string.
 struct Quoted<'t>(&'t str);
 
 impl fmt::Display for Quoted<'_> {
@@ -49,7 +49,7 @@
     }
 }
 
-/// A list of JSON strings.
+/// Names, written as an array of JSON strings.
 struct QuotedList<'n>(&'n [Name]);
 
 impl fmt::Display for QuotedList<'_> {
@@ -65,20 +65,20 @@
     }
 }
 
-/// Microseconds as a number of milliseconds.
+/// Converts microseconds to a number of milliseconds.
 fn millis(duration: Us) -> Number {
     Number(millis_from_micros(duration))
 }
 
-/// A limit of the machine; 0 stands for one that was never set.
+/// Encodes a resource limit; 0, a limit that was never set, becomes `null`.
 fn resource_limit(limit: u64) -> OrNull<u64> {
     OrNull((limit > 0).then_some(limit))
 }
 
-/// The global settings as one JSON object: all of them, null for those that are not set.
+/// Returns all global settings as one JSON object, with `null` for those that are not set.
 pub(crate) fn globals_text(globals: &GlobalSettings) -> String {
     let mut text = String::new();
-    // Writing to a string can't fail.
+    // Writing to a `String` cannot fail.
     encode_globals(globals, &mut text).unwrap_or_default();
     text
 }
@@ -150,7 +150,7 @@
     )
 }
 
-/// A method as a line that puts it.
+/// Writes the line that puts a method.
 pub(crate) fn encode_method(name: &str, method: &Method, to: &mut dyn Write) -> fmt::Result {
     writeln!(
         to,
@@ -166,19 +166,19 @@
     )
 }
 
-/// A tenant as a line that puts it.
+/// Writes the line that puts a tenant.
 pub(crate) fn encode_tenant(name: &str, quota: f64, to: &mut dyn Write) -> fmt::Result {
     writeln!(to, r#"{{"put":"tenant","Name":{},"QuotaRps":{}}}"#, Quoted(name), Number(quota))
 }
 
-/// The global settings as a line that sets them.
+/// Writes the line that sets the global settings.
 pub(crate) fn encode_globals_line(globals: &GlobalSettings, to: &mut dyn Write) -> fmt::Result {
     to.write_str(r#"{"frame":"#)?;
     encode_globals(globals, to)?;
     to.write_str("}\n")
 }
 
-/// A change as a line.
+/// Writes the line for a change.
 pub(crate) fn encode_change(change: &Change, to: &mut dyn Write) -> fmt::Result {
     match change {
         Change::SetGlobals(globals) => encode_globals_line(globals, to),
--- a/entries/src/entry.rs
+++ b/entries/src/entry.rs
@@ -1,8 +1,8 @@
-//! What the entries of a version are called.
+//! Kinds and names of entries.
 
 use std::sync::Arc;
 
-/// The name of a method or tenant, 1 to [`MAX_NAME_BYTES`](crate::MAX_NAME_BYTES) bytes, shared by all versions that
+/// The name of a method or tenant: 1 to [`MAX_NAME_BYTES`](crate::MAX_NAME_BYTES) bytes, shared by all versions that
 /// contain it.
 pub type Name = Arc<str>;
 
@@ -16,7 +16,7 @@
 }
 
 impl EntryKind {
-    /// The word for it in steps: `method` or `tenant`.
+    /// Returns its keyword in steps: `method` or `tenant`.
     pub fn keyword(self) -> &'static str {
         match self {
             EntryKind::Method => "method",
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The key of the platform's settings that lists such entries.
+    /// Returns the key of the list of such entries in the platform's settings.
     pub fn list_key(self) -> &'static str {
         match self {
             EntryKind::Method => "Categories",
--- a/entries/src/fields/entry.rs
+++ b/entries/src/fields/entry.rs
@@ -7,30 +7,32 @@
 use crate::validation::{check_method, check_name};
 use asterrill::Method;
 
-/// The fields of a method. `SkipWorth` stands here in steps only; the platform's files list it in `FamilyInfo`.
+/// The keys of a method. `SkipWorth` is a field of the method in steps only; the platform's files list its values in
+/// `FamilyInfo`.
 pub const METHOD_KEYS: &[&str] =
     &["Name", "AimMs", "DeadlineMs", "Effect", "Worth", "LateWorth", "WindowMs", "SkipWorth"];
 
-/// The fields of a tenant.
+/// The keys of a tenant.
 pub const TENANT_KEYS: &[&str] = &["Name", "QuotaRps"];
 
 impl ObjectFields {
-    /// The name of an entry.
+    /// Returns the name of an entry.
     ///
     /// # Errors
-    /// [`ConfigError`]: it is absent, or not a valid name.
+    /// [`ConfigError`] if it is absent or invalid.
     pub fn entry_name(&self, kind: EntryKind) -> Result<&str, ConfigError> {
         let name = self.text("Name")?;
         check_name(kind, name)?;
         Ok(name)
     }
 
-    /// The figures of a method, without its name.
+    /// Returns the parameters of a method, without its name.
     ///
     /// # Errors
     /// [`ConfigError`] names the field that is absent, of the wrong type or out of bounds.
     pub fn method(&self) -> Result<Method, ConfigError> {
-        // A wrong type of `Effect` comes before faults of other fields, a wrong word of it after those before it.
+        // An `Effect` that is absent or no string is reported before errors of other fields; an unknown keyword in it
+        // is reported in field order.
         self.text("Effect")?;
         let method = Method {
             latency_target: self.duration("AimMs")?,
@@ -45,10 +47,10 @@
         Ok(method)
     }
 
-    /// The quota of a tenant, in RPCs a second over the whole fleet; 0 is valid.
+    /// Returns the quota of a tenant, in RPCs per second across the whole fleet; 0 is valid.
     ///
     /// # Errors
-    /// [`ConfigError`]: it is absent, of the wrong type or out of bounds.
+    /// [`ConfigError`] if it is absent, of the wrong type or out of bounds.
     pub fn quota(&self) -> Result<f64, ConfigError> {
         self.bounded_number("QuotaRps")
     }
--- a/entries/src/fields/family_info.rs
+++ b/entries/src/fields/family_info.rs
@@ -1,4 +1,4 @@
-//! `FamilyInfo`: scalars and two lists.
+//! The fields of `FamilyInfo`: scalars and two lists.
 
 use crate::entry::Name;
 use crate::error::ConfigError;
@@ -29,14 +29,14 @@
     SKIP_VALUE_RATIOS_KEY,
 ];
 
-/// What `FamilyInfo` says.
+/// The fields that were read from `FamilyInfo`.
 #[derive(Clone, Debug)]
 pub(crate) struct FamilyInfoFields {
     pub(crate) scalars: ObjectFields,
-    /// The names of the gauges; `None` where they were not given.
+    /// The names of the gauges; `None` if they were not given.
     pub(crate) gauges: Option<Vec<Name>>,
-    /// Of each method in the order of their list, the fraction of its value that an answer without the upstream call
-    /// earns; empty where it was not given.
+    /// For each method, in the order of the list of methods, the fraction of its value that a response without the
+    /// upstream call is worth; empty if not given.
     pub(crate) skip_value_ratios: Vec<f64>,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Reads an object; returns whether it was one.
+/// Reads an object; the output reports whether the value was one.
 impl JsonHandler for &mut FamilyInfoFields {
     type Output = bool;
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// A list of strings; lenient reading skips anything else.
+/// Handler for the list of gauges. Lenient reading skips elements that are not strings.
 struct GaugeNames(Strictness);
 
 impl JsonHandler for GaugeNames {
@@ -108,7 +108,7 @@
     }
 }
 
-/// A list of numbers; anything else counts as 0.
+/// Handler for the list of ratios. Elements that are not numbers count as 0.
 struct SkipValueRatios;
 
 impl JsonHandler for SkipValueRatios {
@@ -121,7 +121,7 @@
     fn array<'d, A: SeqAccess<'d>>(self, mut array: A) -> Result<Vec<f64>, A::Error> {
         let mut ratios = Vec::new();
         while let Some(value) = array.next_element_seed(JsonSeed(StoreValue))? {
-            // There are no methods beyond the bound; what is listed for them is skipped.
+            // Elements beyond the largest number of methods belong to no method and are skipped.
             if ratios.len() >= MAX_METHODS {
                 continue;
             }
--- a/entries/src/fields/global.rs
+++ b/entries/src/fields/global.rs
@@ -1,4 +1,4 @@
-//! The fields of the global settings, as they are read.
+//! The fields of the global settings, as they are read from JSON.
 
 use crate::error::ConfigError;
 use crate::fields::family_info::FamilyInfoFields;
@@ -6,7 +6,7 @@
 use crate::fields::value::{JsonSeed, Strictness};
 use serde::de::{Error, MapAccess};
 
-/// The keys of the platform's settings that are read. `Categories` lists the methods and `Tenants` the tenants; the
+/// The keys that are read from the platform's settings. `Categories` lists the methods and `Tenants` the tenants; the
 /// others are global settings.
 pub const SETTINGS_KEYS: &[&str] =
     &["FamilyInfo", "Safety", "Limits", "StepMs", "ReplicasOfMe", "OverShareWorth", "Categories", "Tenants"];
@@ -16,7 +16,7 @@
 const TOP_LEVEL_KEYS: &[&str] = &["StepMs", "ReplicasOfMe", "OverShareWorth"];
 const RESOURCE_LIMIT_KEYS: &[&str] = &["memory_mb", "sockets"];
 
-/// Which of the required objects were read.
+/// The presence of each required object.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PresentObjects {
     pub(crate) family_info: bool,
@@ -24,7 +24,7 @@
     pub(crate) limits: bool,
 }
 
-/// Global settings as they are read, complete or in part.
+/// The fields of global settings that were read, complete or partial.
 #[derive(Clone, Debug)]
 pub struct GlobalFields {
     pub(crate) strictness: Strictness,
@@ -37,7 +37,7 @@
 }
 
 impl GlobalFields {
-    /// No fields yet.
+    /// Creates storage without any fields.
     pub fn new(strictness: Strictness) -> GlobalFields {
         GlobalFields {
             strictness,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Of each method in the order of their list, the fraction of its value, 0 to 1, that an answer without the
-    /// upstream call earns (`FamilyInfo.ClassSkipWorth`).
+    /// Returns for each method, in the order of the list of methods, the fraction of its value, 0 to 1, that a response
+    /// without the upstream call is worth (`FamilyInfo.ClassSkipWorth`).
     pub fn skip_value_ratios(&self) -> &[f64] {
         &self.family_info.skip_value_ratios
     }
@@ -82,7 +82,7 @@
         Ok(())
     }
 
-    /// Reads the limits that the deployment grants, `memory_mb` and `sockets`; returns whether there was an object.
+    /// Reads the resource limits of the deployment, `memory_mb` and `sockets`, and reports whether they were an object.
     ///
     /// # Errors
     /// Those of the deserializer.
@@ -91,7 +91,7 @@
         self.check_object("limits", found)
     }
 
-    /// Strict reading refuses anything but an object.
+    /// Returns `found`, or in strict reading an error if the value of `key` was not an object.
     fn check_object<E: Error>(&self, key: &'static str, found: bool) -> Result<bool, E> {
         if !found && self.strictness == Strictness::Strict {
             return Err(E::custom(ConfigError::InvalidField(key)));
--- a/entries/src/fields/merge.rs
+++ b/entries/src/fields/merge.rs
@@ -1,4 +1,4 @@
-//! Fields made into global settings: fields that are given replace those of a base, or all are read where there is none.
+//! Conversion of fields to global settings. Given fields replace those of a base; without a base, all fields are read.
 
 use crate::error::ConfigError;
 use crate::fields::global::GlobalFields;
@@ -11,7 +11,8 @@
 use asterrill::{FeedbackMode, StopMode, Us};
 
 impl GlobalFields {
-    /// The global settings: those that are not given stay as in `base`, or have their defaults where there is none.
+    /// Returns the global settings. Settings that are not given are those of `base`, or the defaults if there is no
+    /// base.
     ///
     /// # Errors
     /// [`ConfigError`] names the field that is required and absent, of the wrong type or out of bounds.
@@ -21,7 +22,7 @@
         }
         let merge = Merge { fields: self, complete: base.is_none() };
         let mut settings = base.cloned().unwrap_or_default();
-        // What other fields depend on comes first.
+        // The settings that decide whether others are used come first.
         merge.switches(&mut settings)?;
         merge.resources(&mut settings)?;
         merge.family_info(&mut settings)?;
@@ -45,15 +46,15 @@
     }
 }
 
-/// Puts fields into settings.
+/// A merge of fields into settings.
 struct Merge<'f> {
     fields: &'f GlobalFields,
-    /// There is no base: all fields are read, also those that are absent.
+    /// Whether there is no base, so that all fields are read, absent ones included.
     complete: bool,
 }
 
 impl Merge<'_> {
-    /// Sets a setting by `read`, if its field is to be read.
+    /// Sets a setting to the result of `read`, if its field was given or there is no base.
     fn update<T>(
         &self, setting: &mut T, object: &ObjectFields, key: &'static str,
         read: impl FnOnce(&ObjectFields, &'static str) -> Result<T, ConfigError>,
@@ -64,7 +65,8 @@
         Ok(())
     }
 
-    /// The value of a field that may have any form where it is unused, in lenient reading.
+    /// Returns the value of a field. In lenient reading, an error in a field that is not used counts as an absent
+    /// field.
     fn ignore_unused(
         &self, value: Result<Option<f64>, ConfigError>, used: bool,
     ) -> Result<Option<f64>, ConfigError> {
@@ -74,7 +76,7 @@
         value
     }
 
-    /// The settings that decide whether others are used.
+    /// Updates the settings that decide whether others are used.
     fn switches(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
         let (family_info, limits) = (&self.fields.family_info.scalars, &self.fields.limits);
         self.update(&mut settings.upstream, family_info, "Below", |object, key| {
@@ -102,7 +104,7 @@
         Ok(())
     }
 
-    /// A limit that the deployment grants; `before` where it is not given. `key` is its name in messages.
+    /// Returns a resource limit of the deployment, or `before` if it is not given. `key` is its name in messages.
     fn resource_limit(
         &self, field: &'static str, key: &'static str, before: u64,
     ) -> Result<f64, ConfigError> {
@@ -111,7 +113,7 @@
             Err(_) => Err(ConfigError::InvalidField(key)),
             Ok(Some(value)) if (1.0..=MAX_RESOURCE_LIMIT).contains(&value) => Ok(value),
             Ok(Some(value)) => Err(ConfigError::OutOfBounds { key, value }),
-            // A limit that was set once is never unset again.
+            // A limit that has been set cannot be unset.
             Ok(None) if before > 0 && fields.contains(field) => Err(ConfigError::InvalidField(key)),
             Ok(None) => Ok(before as f64),
         }
@@ -166,8 +168,8 @@
     fn limits(&self, settings: &mut GlobalSettings) -> Result<(), ConfigError> {
         let retry_after = settings.retry_after;
         self.update(&mut settings.max_retry_after, &self.fields.limits, "MaxRetryAfterMs", |object, key| {
-            let longest = self.ignore_unused(object.optional_number(key), retry_after)?;
-            Ok(longest.map_or(0, micros_from_millis))
+            let max_retry_after = self.ignore_unused(object.optional_number(key), retry_after)?;
+            Ok(max_retry_after.map_or(0, micros_from_millis))
         })
     }
 
@@ -187,7 +189,7 @@
     Ok(object.optional_bounded_number(key)?.unwrap_or(0.0))
 }
 
-/// The integer part of a number, or 1.
+/// Returns the integer part of a number, or 1 if it is absent.
 fn count_or_one(object: &ObjectFields, key: &'static str) -> Result<u64, ConfigError> {
     Ok(number_or_one(object, key)? as u64)
 }
--- a/entries/src/fields/mod.rs
+++ b/entries/src/fields/mod.rs
@@ -1,5 +1,6 @@
-//! The platform's JSON fields, read from any deserializer without building a tree: the scalars of expected fields are
-//! stored, everything else is skipped. What they mean is worked out afterwards, with errors that name the field.
+//! Streaming reader for the platform's JSON fields, from any deserializer and without building a tree. It stores the
+//! scalars of expected fields and skips everything else. Values are interpreted afterwards, with errors that name the
+//! field.
 
 mod entry;
 mod family_info;
--- a/entries/src/fields/object.rs
+++ b/entries/src/fields/object.rs
@@ -9,16 +9,16 @@
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, Visitor};
 use std::fmt;
 
-/// A key that may stand in an object.
+/// A key that an object may contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FieldKey {
-    /// Its place in the list of readable keys.
+    /// Its index in the list of expected keys.
     pub index: usize,
     /// The key itself.
     pub name: &'static str,
 }
 
-/// Reads a key, as one of the expected ones.
+/// Deserializer of a key, as one of the expected names.
 struct KeySeed {
     names: &'static [&'static str],
     strictness: Strictness,
@@ -52,11 +52,11 @@
     }
 }
 
-/// Reads an object: `read_value` is called for each key that is one of at most 64 `names`, and has to read its value.
+/// Reads an object. Calls `read_value`, which must read the value, for each key that is one of `names`, at most 64.
 ///
 /// # Errors
-/// Those of the deserializer and of `read_value`, and [`ConfigError::DuplicateField`]: nobody could tell which of the
-/// two is meant.
+/// Those of the deserializer and of `read_value`, and [`ConfigError::DuplicateField`], as it would be ambiguous which
+/// of the two values is meant.
 pub fn read_fields<'d, A: MapAccess<'d>>(
     mut object: A, names: &'static [&'static str], strictness: Strictness,
     mut read_value: impl FnMut(FieldKey, &mut A) -> Result<(), A::Error>,
@@ -86,12 +86,12 @@
 }
 
 impl ObjectFields {
-    /// Storage for the fields of at most 64 names.
+    /// Creates storage for the fields of at most 64 names.
     pub fn new(names: &'static [&'static str], strictness: Strictness) -> ObjectFields {
         ObjectFields { names, values: vec![None; names.len()], strictness }
     }
 
-    /// How strictly it reads.
+    /// Returns how strictly values are read.
     pub(crate) fn strictness(&self) -> Strictness {
         self.strictness
     }
@@ -101,7 +101,7 @@
         self.values.fill(None);
     }
 
-    /// Reads the value of the name with this index.
+    /// Reads the value of the field with this index in the list of names.
     ///
     /// # Errors
     /// Those of the deserializer.
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Whether the field was given, null included.
+    /// Reports whether the field was given, `null` included.
     pub fn contains(&self, name: &str) -> bool {
         self.get(name).is_some()
     }
@@ -123,15 +123,15 @@
         self.values.get(index)?.as_ref()
     }
 
-    /// The value of a field; null counts as absent.
+    /// Returns the value of a field; `null` counts as absent.
     pub fn value(&self, name: &str) -> Option<&FieldValue> {
         self.get(name).filter(|value| **value != FieldValue::Null)
     }
 
-    /// A string.
+    /// Returns the value of a field that is a string.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`]: it is absent, or no string.
+    /// [`ConfigError::InvalidField`] if it is absent or not a string.
     pub fn text(&self, name: &'static str) -> Result<&str, ConfigError> {
         match self.get(name) {
             Some(FieldValue::Text(text)) => Ok(text),
@@ -139,31 +139,31 @@
         }
     }
 
-    /// A number from 0 up, or `None` where it is absent or null.
+    /// Returns a number of 0 or more, or `None` if the field is absent or `null`.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`]: it is no number, or negative.
+    /// [`ConfigError::InvalidField`] if it is not a number, or negative.
     pub fn optional_number(&self, name: &'static str) -> Result<Option<f64>, ConfigError> {
         match self.value(name) {
             None => Ok(None),
-            // Adding 0 makes 0 of -0.
+            // Adding 0 turns -0 into 0.
             Some(FieldValue::Number(number)) if *number >= 0.0 => Ok(Some(*number + 0.0)),
             Some(_) => Err(ConfigError::InvalidField(name)),
         }
     }
 
-    /// A number from 0 up.
+    /// Returns a number of 0 or more.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`]: it is absent, no number, or negative.
+    /// [`ConfigError::InvalidField`] if it is absent, not a number, or negative.
     pub fn number(&self, name: &'static str) -> Result<f64, ConfigError> {
         self.optional_number(name)?.ok_or(ConfigError::InvalidField(name))
     }
 
-    /// A number from 0 to [`MAX_SETTING_VALUE`], or `None` where it is absent or null.
+    /// Returns a number from 0 to [`MAX_SETTING_VALUE`], or `None` if the field is absent or `null`.
     ///
     /// # Errors
-    /// As [`ObjectFields::optional_number`], and [`ConfigError::OutOfBounds`].
+    /// Those of [`ObjectFields::optional_number`], and [`ConfigError::OutOfBounds`].
     pub fn optional_bounded_number(&self, name: &'static str) -> Result<Option<f64>, ConfigError> {
         match self.optional_number(name)? {
             Some(value) if value > MAX_SETTING_VALUE => Err(ConfigError::OutOfBounds { key: name, value }),
@@ -171,35 +171,36 @@
         }
     }
 
-    /// A number from 0 to [`MAX_SETTING_VALUE`].
+    /// Returns a number from 0 to [`MAX_SETTING_VALUE`].
     ///
     /// # Errors
-    /// As [`ObjectFields::number`], and [`ConfigError::OutOfBounds`].
+    /// Those of [`ObjectFields::number`], and [`ConfigError::OutOfBounds`].
     pub fn bounded_number(&self, name: &'static str) -> Result<f64, ConfigError> {
         self.optional_bounded_number(name)?.ok_or(ConfigError::InvalidField(name))
     }
 
-    /// A duration, given in milliseconds, in whole microseconds up to
-    /// [`MAX_DURATION_US`](crate::MAX_DURATION_US), or `None` where it is absent or null.
+    /// Returns a duration, given in milliseconds, in whole microseconds up to
+    /// [`MAX_DURATION_US`](crate::MAX_DURATION_US), or `None` if the field is absent or `null`.
     ///
     /// # Errors
-    /// As [`ObjectFields::optional_number`].
+    /// Those of [`ObjectFields::optional_number`].
     pub fn optional_duration(&self, name: &'static str) -> Result<Option<Us>, ConfigError> {
         Ok(self.optional_number(name)?.map(micros_from_millis))
     }
 
-    /// A duration, given in milliseconds, in whole microseconds up to [`MAX_DURATION_US`](crate::MAX_DURATION_US).
+    /// Returns a duration, given in milliseconds, in whole microseconds up to
+    /// [`MAX_DURATION_US`](crate::MAX_DURATION_US).
     ///
     /// # Errors
-    /// As [`ObjectFields::number`].
+    /// Those of [`ObjectFields::number`].
     pub fn duration(&self, name: &'static str) -> Result<Us, ConfigError> {
         self.number(name).map(micros_from_millis)
     }
 
-    /// A boolean; `false` where it is absent or null, and in lenient reading also where it is anything else.
+    /// Returns a boolean: `false` if the field is absent or `null`, and in lenient reading also if it is not a boolean.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`] in strict reading: it is no boolean.
+    /// [`ConfigError::InvalidField`] in strict reading if it is not a boolean.
     pub(crate) fn boolean(&self, name: &'static str) -> Result<bool, ConfigError> {
         match self.value(name) {
             Some(FieldValue::Bool(value)) => Ok(*value),
@@ -208,10 +209,10 @@
         }
     }
 
-    /// The meaning of a word.
+    /// Returns the value that a keyword stands for.
     ///
     /// # Errors
-    /// As [`ObjectFields::text`], and [`ConfigError::UnknownKeyword`].
+    /// Those of [`ObjectFields::text`], and [`ConfigError::UnknownKeyword`].
     pub(crate) fn keyword<T: Copy>(
         &self, name: &'static str, keywords: &Keywords<T>,
     ) -> Result<T, ConfigError> {
@@ -219,10 +220,10 @@
         parse_keyword(keywords, keyword).ok_or_else(|| ConfigError::unknown_keyword(name, keyword))
     }
 
-    /// The meaning of a word, or `None` where it is absent or null.
+    /// Returns the value that a keyword stands for, or `None` if the field is absent or `null`.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`]: it is no string; and [`ConfigError::UnknownKeyword`].
+    /// [`ConfigError::InvalidField`] if it is not a string, and [`ConfigError::UnknownKeyword`].
     pub(crate) fn optional_keyword<T: Copy>(
         &self, name: &'static str, keywords: &Keywords<T>,
     ) -> Result<Option<T>, ConfigError> {
@@ -233,7 +234,7 @@
     }
 }
 
-/// Replaces all values by those of an object; returns whether it was one.
+/// Replaces all values by those of an object; the output reports whether the JSON value was one.
 impl JsonHandler for &mut ObjectFields {
     type Output = bool;
 
--- a/entries/src/fields/value.rs
+++ b/entries/src/fields/value.rs
@@ -1,4 +1,4 @@
-//! Single JSON values: what is stored of them, and how strictly they are read.
+//! Reading and storage of single JSON values.
 
 use serde::de::{DeserializeSeed, Deserializer, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde::Deserialize;
@@ -20,31 +20,31 @@
     Nested,
 }
 
-/// How strictly fields are read.
+/// The strictness with which fields are read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Strictness {
-    /// For the platform's files: unknown fields are skipped, and so are optional ones of a wrong type that have no effect.
+    /// Skips unknown fields, and optional fields of a wrong type that have no effect. For the platform's files.
     #[default]
     Lenient,
-    /// For steps, from a text in memory: every field has to be an expected and well-formed one, and numbers are read exactly.
+    /// Rejects fields that are unknown or malformed, and parses numbers exactly. For steps; requires a text in memory.
     Strict,
 }
 
-/// What is made of a JSON value, whatever its type.
+/// Handler for a JSON value of any type.
 pub trait JsonHandler: Sized {
-    /// The result.
+    /// The result of handling a value.
     type Output;
 
-    /// Handles a scalar, and by default also anything nested, as [`FieldValue::Nested`].
+    /// Handles a scalar, and by default also an array or object, as [`FieldValue::Nested`].
     ///
     /// # Errors
-    /// The value is refused.
+    /// An error of the handler if it rejects the value.
     fn scalar<E: Error>(self, value: FieldValue) -> Result<Self::Output, E>;
 
     /// Handles an array; skips it by default.
     ///
     /// # Errors
-    /// Those of the deserializer, and where the value is refused.
+    /// Those of the deserializer and of the handler.
     fn array<'d, A: SeqAccess<'d>>(self, mut array: A) -> Result<Self::Output, A::Error> {
         while array.next_element::<IgnoredAny>()?.is_some() {}
         self.scalar(FieldValue::Nested)
@@ -53,14 +53,14 @@
     /// Handles an object; skips it by default.
     ///
     /// # Errors
-    /// Those of the deserializer, and where the value is refused.
+    /// Those of the deserializer and of the handler.
     fn object<'d, A: MapAccess<'d>>(self, mut object: A) -> Result<Self::Output, A::Error> {
         while object.next_entry::<IgnoredAny, IgnoredAny>()?.is_some() {}
         self.scalar(FieldValue::Nested)
     }
 }
 
-/// Lets a handler read a value from any deserializer.
+/// Adapter that lets a handler read a value from any deserializer.
 pub struct JsonSeed<H>(pub H);
 
 impl<'d, H: JsonHandler> DeserializeSeed<'d> for JsonSeed<H> {
@@ -115,7 +115,7 @@
     }
 }
 
-/// Stores a value as it is.
+/// Handler that returns the value unchanged.
 pub(crate) struct StoreValue;
 
 impl JsonHandler for StoreValue {
@@ -126,7 +126,7 @@
     }
 }
 
-/// Reads the value of a field.
+/// Reads the value of a field with this strictness.
 impl<'d> DeserializeSeed<'d> for Strictness {
     type Value = FieldValue;
 
@@ -141,7 +141,8 @@
     }
 }
 
-/// Reads a value from its text. Numbers are parsed here, as those of the JSON parser may be off by the last bit.
+/// Reads a value from its text. Numbers are parsed by the standard library, as those of the JSON parser may be off in
+/// the last bit.
 fn read_exactly(text: &str) -> Result<FieldValue, serde_json::Error> {
     let is_number = text.starts_with(|c: char| c == '-' || c.is_ascii_digit());
     match text.parse::<f64>() {
--- a/entries/src/globals.rs
+++ b/entries/src/globals.rs
@@ -1,4 +1,4 @@
-//! The settings of a version that are neither methods nor tenants.
+//! Global settings: the settings of a version that are neither methods nor tenants.
 
 use crate::entry::Name;
 use crate::error::ConfigError;
@@ -6,78 +6,78 @@
 use crate::validation::{check_at_most, check_duration};
 use asterrill::{FeedbackMode, StopMode, Upstream, Us};
 
-/// What this server calls.
+/// The upstream that this server calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UpstreamKind {
-    /// It calls nothing.
+    /// No upstream.
     #[default]
     None,
-    /// One dependency that all servers share; a quota of calls and its window are required.
+    /// One dependency that all servers share. It requires a quota of calls and the window of that quota.
     Shared,
-    /// A tier of servers that run the same decisions.
+    /// A tier of servers that run the same decision module.
     Tier,
 }
 
-/// The settings that are neither methods nor tenants. Durations are in microseconds. Settings that the platform leaves
-/// out have their defaults.
+/// The settings that are neither methods nor tenants. Durations are in microseconds. Settings that the platform omits
+/// have their defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GlobalSettings {
     /// `FamilyInfo.NCores`: 0 to [`MAX_SETTING_VALUE`] cores.
     pub cores: u64,
     /// `FamilyInfo.RamKb`: memory in kB.
     pub ram_kb: f64,
-    /// `FamilyInfo.RunFactor`: memory of a running RPC, as a multiple of that of a queued one.
+    /// `FamilyInfo.RunFactor`: memory of a running RPC as a multiple of the memory of a queued one.
     pub run_factor: f64,
-    /// `FamilyInfo.KbPerKey`: memory of a remembered idempotency key, in kB.
+    /// `FamilyInfo.KbPerKey`: memory of a stored idempotency key, in kB.
     pub kb_per_key: f64,
-    /// `FamilyInfo.Below`.
+    /// `FamilyInfo.Below`: the kind of upstream.
     pub upstream: UpstreamKind,
-    /// `FamilyInfo.CallShare`: this server's quota of upstream calls in flight, as a mean over the window. Required where
-    /// the upstream is shared.
+    /// `FamilyInfo.CallShare`: this server's quota of upstream calls in flight, as a mean over the window. Required
+    /// if the upstream is shared.
     pub upstream_call_quota: Option<f64>,
-    /// `FamilyInfo.DepWindowMs`: the window of that mean. Required where the upstream is shared.
+    /// `FamilyInfo.DepWindowMs`: the window of that mean. Required if the upstream is shared.
     pub upstream_call_window: Option<Us>,
-    /// `FamilyInfo.LingerMs`: the longest that an abandoned call still occupies the upstream.
+    /// `FamilyInfo.LingerMs`: the longest time for which an abandoned call still occupies the upstream.
     pub abandoned_call_linger: Us,
     /// `FamilyInfo.Say`: how callers use the feedback published to them.
     pub feedback_mode: FeedbackMode,
-    /// `FamilyInfo.StopMode`: what stopping does to running work.
+    /// `FamilyInfo.StopMode`: what a stop does to running RPCs.
     pub stop_mode: StopMode,
-    /// `FamilyInfo.FreshMs`: how long the response of a read may serve other requests; 0 for never.
+    /// `FamilyInfo.FreshMs`: how long the response of a read may serve other requests; 0 disables such reuse.
     pub response_ttl: Us,
-    /// `FamilyInfo.IdleMs`: after which callers close idle connections themselves; 0 for never.
+    /// `FamilyInfo.IdleMs`: the time after which callers close idle connections themselves; 0 for never.
     pub idle_timeout: Us,
-    /// `FamilyInfo.Callers`: how many there are at the start.
+    /// `FamilyInfo.Callers`: the number of callers at the start.
     pub callers: u64,
-    /// `FamilyInfo.Cold`: the server has only just been started.
+    /// `FamilyInfo.Cold`: whether the server has only just been started.
     pub cold_start: bool,
-    /// `FamilyInfo.Gauges`, in their order; [`MAX_GAUGES`] at most.
+    /// `FamilyInfo.Gauges`: the names of the gauges, in order; at most [`MAX_GAUGES`].
     pub gauges: Vec<Name>,
-    /// `Safety.TipMultiple`: running RPCs a core that a warm server survives.
+    /// `Safety.TipMultiple`: the number of running RPCs per core that a warm server withstands.
     pub max_running_per_core: f64,
-    /// `Safety.ColdFrom`: the fraction of its full speed that a cold server starts with. Required for a cold start.
+    /// `Safety.ColdFrom`: the fraction of its full speed at which a cold server starts. Required for a cold start.
     pub slow_start_from: Option<f64>,
     /// `Safety.RampTimeMs`: how long a cold server takes to reach its full speed.
     pub slow_start_duration: Us,
     /// `Safety.StopSendingWithinMs`: how long callers take to react to a change of health.
     pub health_propagation_delay: Us,
-    /// `Limits.RetryAfter`: rejections may carry a time after which to retry.
+    /// `Limits.RetryAfter`: whether rejections may carry a time after which to retry.
     pub retry_after: bool,
     /// `Limits.MaxRetryAfterMs`: the longest such time.
     pub max_retry_after: Us,
-    /// `StepMs`: the least time between two inputs of the decision module.
+    /// `StepMs`: the minimum time between two inputs of the decision module.
     pub min_event_interval: Us,
-    /// `ReplicasOfMe`: servers of this kind in the whole fleet.
+    /// `ReplicasOfMe`: the number of servers of this kind in the whole fleet.
     pub replicas: u64,
-    /// `OverShareWorth`: value of an RPC beyond its tenant's quota, as a fraction of its method's.
+    /// `OverShareWorth`: the value of an RPC beyond its tenant's quota, as a fraction of its method's value.
     pub over_quota_weight: f64,
-    /// `limits.memory_mb`: megabytes, 1 to 1,048,576; 0 where it was never set.
+    /// `limits.memory_mb`: megabytes, 1 to 1,048,576; 0 if it was never set.
     pub memory_mb: u64,
-    /// `limits.sockets`: file descriptors, 1 to 1,048,576; 0 where it was never set.
+    /// `limits.sockets`: file descriptors, 1 to 1,048,576; 0 if it was never set.
     pub sockets: u64,
 }
 
-/// The defaults of optional settings, and zeros for required ones: a starting point for readers and tests.
+/// Defaults of optional settings and zeros for required ones, as a starting point for readers and tests.
 impl Default for GlobalSettings {
     fn default() -> GlobalSettings {
         GlobalSettings {
@@ -112,10 +112,10 @@
 }
 
 impl GlobalSettings {
-    /// The upstream and its limits, for the decision module.
+    /// Returns the upstream and its limits, for the decision module.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`] where the upstream is shared and its quota or window is missing.
+    /// [`ConfigError::InvalidField`] if the upstream is shared and its quota or window is missing.
     pub fn upstream_limits(&self) -> Result<Upstream, ConfigError> {
         Ok(match self.upstream {
             UpstreamKind::None => Upstream::Absent,
@@ -127,10 +127,10 @@
         })
     }
 
-    /// The fraction of its full speed, 0 to 1, that the server starts with; 1 unless it starts cold.
+    /// Returns the fraction of its full speed, 0 to 1, at which the server starts: 1 unless it starts cold.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`] where it starts cold and the fraction is missing.
+    /// [`ConfigError::InvalidField`] if it starts cold and the fraction is missing.
     pub fn initial_speed(&self, cold_start: bool) -> Result<f64, ConfigError> {
         if !cold_start {
             return Ok(1.0);
--- a/entries/src/keywords.rs
+++ b/entries/src/keywords.rs
@@ -1,27 +1,27 @@
-//! The words of the platform for values of an enumeration, for reading and writing alike.
+//! The platform's keywords for enumerated values, shared by readers and writers.
 
 use crate::globals::UpstreamKind;
 use asterrill::{FeedbackMode, Idempotency, StopMode};
 
-/// The words of one field, each with its meaning.
+/// The keywords of one field, each with its value.
 pub(crate) type Keywords<T> = [(&'static str, T)];
 
-/// `Effect` of a method.
+/// Keywords of a method's `Effect`.
 pub(crate) const EFFECTS: &Keywords<Idempotency> = &[
     ("free", Idempotency::Idempotent),
     ("guarded", Idempotency::Keyed),
     ("single_shot", Idempotency::NonIdempotent),
 ];
 
-/// `FamilyInfo.Below`.
+/// Keywords of `FamilyInfo.Below`.
 pub(crate) const UPSTREAM_KINDS: &Keywords<UpstreamKind> =
     &[("off", UpstreamKind::None), ("shared", UpstreamKind::Shared), ("tier", UpstreamKind::Tier)];
 
-/// `FamilyInfo.StopMode`.
+/// Keywords of `FamilyInfo.StopMode`.
 pub(crate) const STOP_MODES: &Keywords<StopMode> =
     &[("off", StopMode::Off), ("abort", StopMode::Abort), ("suspend", StopMode::Suspend)];
 
-/// `FamilyInfo.Say`.
+/// Keywords of `FamilyInfo.Say`.
 pub(crate) const FEEDBACK_MODES: &Keywords<FeedbackMode> = &[
     ("off", FeedbackMode::Off),
     ("window", FeedbackMode::Credit),
@@ -29,12 +29,12 @@
     ("share_of", FeedbackMode::AcceptProbability),
 ];
 
-/// The meaning of a word.
+/// Returns the value that a keyword stands for.
 pub(crate) fn parse_keyword<T: Copy>(keywords: &Keywords<T>, keyword: &str) -> Option<T> {
     keywords.iter().find(|(candidate, _)| *candidate == keyword).map(|(_, value)| *value)
 }
 
-/// The word for a meaning.
+/// Returns the keyword for a value.
 pub(crate) fn keyword_for<T: PartialEq>(keywords: &Keywords<T>, value: T) -> &'static str {
     keywords.iter().find(|(_, candidate)| *candidate == value).map_or("", |(keyword, _)| keyword)
 }
--- a/entries/src/lib.rs
+++ b/entries/src/lib.rs
@@ -1,20 +1,20 @@
-//! Versions of a backend's settings, entry by entry, and the steps that lead from one version to the next. Free of I/O:
-//! text comes in and goes out, files and sockets are the callers'.
+//! Versions of a backend's configuration, and the steps that lead from one version to the next. The crate performs no
+//! I/O: it reads and writes text, and callers handle files and sockets.
 //!
-//! A [`Configuration`] is one version: its [`GlobalSettings`], and its methods and tenants by name. Versions are values:
-//! one is never changed; [`Configuration::apply`] makes the next one. The two share all that they have in common, so that
-//! a history costs its differences. Each name is stored once, shared by all versions that contain it.
+//! A [`Configuration`] is one version: its [`GlobalSettings`], and its methods and tenants by name. Versions are
+//! immutable values; [`Configuration::apply`] creates the next one. Versions share their common entries, so a history
+//! costs only its differences. Each name is stored once and shared by all versions that contain it.
 //!
-//! * In: a [`Step`] as text ([`read_step`]), a complete version as text ([`read_configuration`]), or the platform's JSON,
-//!   which `asterrill-settings` reads with the help of [`fields`].
-//! * Out: what differs between two versions ([`Configuration::changes_to`]), and text of either kind.
+//! * Input: a [`Step`] as text ([`read_step`]), a complete version as text ([`read_configuration`]), or the platform's
+//!   JSON, which `asterrill-settings` reads with the help of [`fields`].
+//! * Output: the changes between two versions ([`Configuration::changes_to`]), and steps and versions as text.
 //!
 //! Guarantees:
-//! * A step is applied completely or not at all; an error names the key at fault, and the version stays what it was.
-//! * Equal meaning has an equal [`Digest`], whatever steps or files led there.
-//! * `a.apply(&a.changes_to(&b))` is `b`, and `changes_to` costs what differs.
-//! * Every list has a bound, and one that is too long is refused by the bound's name: [`MAX_METHODS`], [`MAX_TENANTS`],
-//!   [`MAX_GAUGES`], [`MAX_CHANGES`].
+//! * A step is applied completely or not at all. An error names the invalid key, and leaves the version unchanged.
+//! * Versions with equal contents have equal [`Digest`]s, whatever steps or files led to them.
+//! * `a.apply(&a.changes_to(&b))` is `b`, and the cost of `changes_to` is proportional to the difference.
+//! * Every list has a limit, and the error for a list that is too long names that limit: [`MAX_METHODS`],
+//!   [`MAX_TENANTS`], [`MAX_GAUGES`], [`MAX_CHANGES`].
 //!
 //! ```
 //! use asterrill_entries::{read_step, Configuration, GlobalSettings};
@@ -29,7 +29,7 @@
 //! let step = read_step(r#"{"put":"tenant","Name":"acme","QuotaRps":120}"#, &running)?;
 //! let next = running.apply(&step.changes)?;
 //! assert_eq!((running.tenant("acme"), next.tenant("acme")), (Some(100.0), Some(120.0)));
-//! // Rolled back, it is exactly what it was.
+//! // A rollback restores exactly the earlier version.
 //! let rolled_back = next.apply(&next.changes_to(&running))?;
 //! assert_eq!(rolled_back.digest(), running.digest());
 //! # Ok::<(), Box<dyn std::error::Error>>(())
--- a/entries/src/name_lookup.rs
+++ b/entries/src/name_lookup.rs
@@ -1,11 +1,12 @@
-//! A version's instances of names, found quickly for a reader that asks for them in their order.
+//! Lookup of a version's instances of names, fast for readers that request them in sorted order.
 
 use crate::configuration::Configuration;
 use crate::entry::{EntryKind, Name};
 use std::cmp::Ordering;
 use std::iter::Peekable;
 
-/// Finds a version's instances of names: one step further where names are asked for in their order, a search otherwise.
+/// Lookup of a version's instances of names. Names requested in sorted order are found by advancing an iterator,
+/// others by a search.
 pub struct NameLookup<'c> {
     configuration: &'c Configuration,
     methods: Names<'c>,
@@ -15,14 +16,14 @@
 type Names<'c> = Peekable<Box<dyn Iterator<Item = &'c Name> + 'c>>;
 
 impl<'c> NameLookup<'c> {
-    /// A lookup in this version.
+    /// Creates a lookup in this version.
     pub fn new(configuration: &'c Configuration) -> NameLookup<'c> {
         let methods: Box<dyn Iterator<Item = &Name>> = Box::new(configuration.methods.keys());
         let tenants: Box<dyn Iterator<Item = &Name>> = Box::new(configuration.tenants.keys());
         NameLookup { configuration, methods: methods.peekable(), tenants: tenants.peekable() }
     }
 
-    /// As [`Configuration::shared_name`].
+    /// Returns the same as [`Configuration::shared_name`].
     pub fn shared_name(&mut self, kind: EntryKind, name: &str) -> Name {
         let names = match kind {
             EntryKind::Method => &mut self.methods,
--- a/entries/src/read.rs
+++ b/entries/src/read.rs
@@ -1,4 +1,4 @@
-//! Steps and complete versions from text: one entry a line, each a JSON object in the platform's field names.
+//! Reader for the text form of steps and complete versions: one JSON object per line, with the platform's field names.
 
 use crate::apply::duplicate_key;
 use crate::change::{Change, Step};
@@ -10,17 +10,17 @@
 use crate::step_line::{Line, LineReader};
 use std::collections::HashSet;
 
-/// The lines that are not blank, with their numbers from 1.
+/// Returns the lines that are not blank, with their numbers, which start at 1.
 fn numbered_lines(text: &str) -> impl Iterator<Item = (usize, &str)> {
     let numbered = text.lines().enumerate().map(|(index, line)| (index + 1, line.trim()));
     numbered.filter(|(_, line)| !line.is_empty())
 }
 
-/// Reads a step. `base` is the version that global settings in part are completed from, and with which names are shared.
-/// Whether it is the version that the step applies to has to be checked by the caller.
+/// Reads a step. Partial global settings are completed from `base`, and names are shared with it. The caller must check
+/// that `base` is the version that the step applies to.
 ///
 /// # Errors
-/// [`StepError`] names the line, the key and the mistake; nothing of the step is used then.
+/// [`StepError`] names the line, the key and the mistake. No part of the step is returned then.
 pub fn read_step(text: &str, base: &Configuration) -> Result<Step, StepError> {
     let mut step = Step::default();
     let mut reader = LineReader::new();
@@ -43,11 +43,12 @@
     Ok(step)
 }
 
-/// Reads a complete version, as [`write_configuration`](crate::write_configuration) writes it. A digest in its first
-/// line has to be that of what is read.
+/// Reads a complete version, as [`write_configuration`](crate::write_configuration) writes it. If the first line
+/// states a digest, the version must have that digest.
 ///
 /// # Errors
-/// [`StepError`] names the line, the key and the mistake. A version has global settings and a method.
+/// [`StepError`] names the line, the key and the mistake. A version without global settings or without a method is
+/// invalid.
 pub fn read_configuration(text: &str) -> Result<Configuration, StepError> {
     let mut configuration = Configuration::new(GlobalSettings::default());
     let mut reader = LineReader::new();
@@ -80,7 +81,7 @@
     }
 }
 
-/// Adds an entry of a complete version, where each may stand once.
+/// Adds an entry of a complete version, in which each key may occur only once.
 fn add_entry(
     configuration: &mut Configuration, change: &Change, has_globals: bool,
 ) -> Result<(), ConfigError> {
--- a/entries/src/step_line.rs
+++ b/entries/src/step_line.rs
@@ -1,4 +1,4 @@
-//! One line of a step or version: a JSON object that names the step's base, or is a change.
+//! Parser for one line of a step or version: a JSON object that is either a header or a change.
 
 use crate::change::Change;
 use crate::configuration::Configuration;
@@ -18,7 +18,7 @@
 const HASH_KEY: &str = "hash";
 const GLOBALS_KEY: &str = "frame";
 
-/// All keys of a line.
+/// All keys that a line may contain.
 const LINE_KEYS: &[&str] = &[
     PUT_KEY,
     REMOVE_KEY,
@@ -38,16 +38,16 @@
 
 const RESOURCE_LIMITS_KEY: &str = "limits";
 
-/// All keys of the global settings in a line.
+/// All keys that the global settings in a line may contain.
 const GLOBALS_KEYS: &[&str] =
     &["FamilyInfo", "Safety", "Limits", "StepMs", "ReplicasOfMe", "OverShareWorth", RESOURCE_LIMITS_KEY];
 
-/// Versions from 2^53 up can't be distinguished in JSON.
+/// Upper limit, exclusive, of the number of a base version: 2^53, as JSON numbers from there on are not exact.
 const BASE_VERSION_LIMIT: f64 = 9_007_199_254_740_992.0;
 
-/// What a line says.
+/// A parsed line.
 pub(crate) enum Line {
-    /// The version that a step applies to, or the digest of a complete version.
+    /// The header: the version that a step applies to, or the digest of a complete version.
     Header {
         /// The version's number.
         base: Option<u64>,
@@ -58,7 +58,7 @@
     Change(Change),
 }
 
-/// Reads lines, one after the other, into the same storage.
+/// Parser of lines that reuses its storage from line to line.
 pub(crate) struct LineReader {
     fields: ObjectFields,
     globals: Option<GlobalFields>,
@@ -69,8 +69,8 @@
         LineReader { fields: ObjectFields::new(LINE_KEYS, Strictness::Strict), globals: None }
     }
 
-    /// Reads the line with this number, from 1. Global settings in part are completed from `base`, and names are shared
-    /// with it.
+    /// Reads the line with this number, which starts at 1. Partial global settings are completed from `base`, and
+    /// names are shared with it.
     ///
     /// # Errors
     /// [`StepError`] names the line and the mistake.
@@ -89,7 +89,7 @@
         line.map_err(|error| StepError::InvalidEntry { line: number, error })
     }
 
-    /// Reads the fields of a line.
+    /// Parses the fields of a line into the storage.
     fn parse(&mut self, number: usize, text: &str) -> Result<(), StepError> {
         self.globals = None;
         self.fields.clear();
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Refuses all fields but `allowed` ones and `operation`.
+    /// Returns an error if the line has a field other than `operation` and the `allowed` ones.
     fn allow_only(&self, operation: Option<&str>, allowed: &[&str]) -> Result<(), ConfigError> {
         let is_allowed = |key: &str| Some(key) == operation || allowed.contains(&key);
         match LINE_KEYS.iter().find(|key| self.fields.contains(key) && !is_allowed(key)) {
@@ -169,7 +169,7 @@
     }
 }
 
-/// The parser's error, by the number of the line in the whole text.
+/// Converts the parser's error to one with the number of the line in the whole text.
 fn parse_error(line: usize, error: &serde_json::Error) -> StepError {
     let message = error.to_string().replace(" at line 1 column ", " at column ");
     if error.is_data() {
@@ -179,7 +179,7 @@
     }
 }
 
-/// Reads the object of a line; returns whether it was one.
+/// Handler for the object of a line; the output reports whether the value was an object.
 struct LineFields<'r>(&'r mut LineReader);
 
 impl JsonHandler for LineFields<'_> {
@@ -206,7 +206,7 @@
     }
 }
 
-/// Reads the object of global settings in a line; returns whether it was one.
+/// Handler for the global settings in a line; the output reports whether the value was an object.
 struct GlobalsObject<'f>(&'f mut GlobalFields);
 
 impl JsonHandler for GlobalsObject<'_> {
--- a/entries/src/validation.rs
+++ b/entries/src/validation.rs
@@ -1,4 +1,4 @@
-//! Checks of single entries and figures.
+//! Validation of single entries and numbers.
 
 use crate::entry::EntryKind;
 use crate::error::ConfigError;
@@ -6,8 +6,8 @@
 use crate::time::millis_from_micros;
 use asterrill::{Method, Us};
 
-/// Checks the name of an entry: 1 to [`MAX_NAME_BYTES`] bytes without control characters. A method's name has no blanks
-/// either, as it stands in lines to the agent.
+/// Checks the name of an entry: 1 to [`MAX_NAME_BYTES`] bytes without control characters. The name of a method may not
+/// contain whitespace either, as it is a field of the lines that are sent to the agent.
 ///
 /// # Errors
 /// [`ConfigError::InvalidName`], with the start of the name.
@@ -23,7 +23,7 @@
     Ok(())
 }
 
-/// Checks the figures of a method.
+/// Checks the parameters of a method.
 ///
 /// # Errors
 /// [`ConfigError::OutOfBounds`] names the field.
@@ -36,15 +36,15 @@
     check_at_most("SkipWorth", method.skip_value_ratio, MAX_SETTING_VALUE)
 }
 
-/// Checks the quota of a tenant, in RPCs a second.
+/// Checks the quota of a tenant, in RPCs per second.
 ///
 /// # Errors
-/// [`ConfigError::OutOfBounds`].
+/// [`ConfigError::OutOfBounds`] if it is out of bounds.
 pub(crate) fn check_quota(quota: f64) -> Result<(), ConfigError> {
     check_at_most("QuotaRps", quota, MAX_SETTING_VALUE)
 }
 
-/// Checks that a number is within 0 and `max`, ends included; NaN is not.
+/// Checks that a number is between 0 and `max`, inclusive. NaN is rejected.
 pub(crate) fn check_at_most(key: &'static str, value: f64, max: f64) -> Result<(), ConfigError> {
     if (0.0..=max).contains(&value) {
         Ok(())
@@ -53,7 +53,7 @@
     }
 }
 
-/// Checks that a duration is at most [`MAX_DURATION_US`]. The error has it in milliseconds, as its field does.
+/// Checks that a duration is at most [`MAX_DURATION_US`]. The error states it in milliseconds, the unit of the field.
 pub(crate) fn check_duration(key: &'static str, value: Us) -> Result<(), ConfigError> {
     if value <= MAX_DURATION_US {
         Ok(())
--- a/entries/src/write.rs
+++ b/entries/src/write.rs
@@ -1,21 +1,21 @@
-//! Steps and complete versions as text: one entry a line, each a JSON object in the platform's field names.
+//! Writer for the text form of steps and complete versions: one JSON object per line, with the platform's field names.
 
 use crate::change::Step;
 use crate::configuration::Configuration;
 use crate::encode::{encode_change, encode_globals_line, encode_method, encode_tenant};
 use std::fmt;
 
-/// A step as text; [`read_step`](crate::read_step) makes the same step of it.
+/// Returns a step as text; [`read_step`](crate::read_step) reads it back to an equal step.
 pub fn write_step(step: &Step) -> String {
     let mut text = step_header(step);
     for change in &step.changes {
-        // Writing to a string can't fail.
+        // Writing to a `String` cannot fail.
         encode_change(change, &mut text).unwrap_or_default();
     }
     text
 }
 
-/// The first line of a step, with the version that it applies to; empty where the step names none.
+/// Returns the first line of a step, which names the version that it applies to; empty if the step names none.
 fn step_header(step: &Step) -> String {
     match (step.base, step.hash) {
         (None, None) => String::new(),
@@ -25,8 +25,8 @@
     }
 }
 
-/// Writes a complete version as lines, the global settings first;
-/// [`read_configuration`](crate::read_configuration) makes the same version of it.
+/// Writes a complete version as lines, the global settings first.
+/// [`read_configuration`](crate::read_configuration) reads them back to an equal version.
 ///
 /// # Errors
 /// Those of `to`.
