--- a/cli/tests/cli.rs
+++ b/cli/tests/cli.rs
@@ -121,7 +121,7 @@
     assert!(code == Some(1) && output.contains("\"entries\":1"), "{output}");
     assert_eq!(diff(&file("step-none", "{\"base\":2}\n")), (Some(0), String::new()));
     for (text, part) in [
-        ("{\"take\":\"tenant\",\"Name\":\"nobody\"}\n", "tenant nobody is not known"),
+        ("{\"take\":\"tenant\",\"Name\":\"nobody\"}\n", "cannot remove tenant nobody: it does not exist"),
         ("{\"base\":2}\n{\"put\":\"tenant\",\"Name\":\"nile\",\"QuotaRps\":-5}\n", "line 2"),
         ("{\"hash\":\"00000000000000000000000000000000\"}\n{\"put\":\"tenant\",\"Name\":\"nile\",\"QuotaRps\":5}\n", "made from hash"),
     ] {
--- a/daemon/tests/configuration_steps.rs
+++ b/daemon/tests/configuration_steps.rs
@@ -246,7 +246,7 @@
         (put("fine", "-1"), ["line 1", "QuotaRps"]),
         ("{\"put\":\"tenant\",\"Name\":\"fine\"}".into(), ["line 1", "QuotaRps"]),
         (format!("{fine}\n{fine}"), ["fine", "twice"]),
-        (format!("{fine}\n{{\"take\":\"tenant\",\"Name\":\"nobody\"}}"), ["nobody", "not known"]),
+        (format!("{fine}\n{{\"take\":\"tenant\",\"Name\":\"nobody\"}}"), ["nobody", "does not exist"]),
         (format!("{fine}\n{{\"take\":\"method\",\"Name\":\"look\"}}"), ["Categories", "last method"]),
         (format!("{fine}\n{{\"put\":\"tenant\",\"Na"), ["line 2", "JSON"]),
         ("{\"frame\":{\"FamilyInfo\":{\"NCores\":0}}}".into(), ["checks", "no core"]),
--- a/entries/src/error.rs
+++ b/entries/src/error.rs
@@ -1,75 +1,78 @@
-//! Why a version, a change of it, or the text of a step is refused.
+//! Errors of versions, of changes to them, and of their text form.
 
 use crate::digest::{Digest, InvalidDigest};
 use crate::entry::{EntryKind, Name};
 use crate::limits::{MAX_CHANGES, MAX_GAUGES, MAX_METHODS, MAX_NAME_BYTES, MAX_QUOTED_CHARS, MAX_TENANTS};
 
-/// Why a version can't say this. Each message names the key at fault, as the platform spells it.
+/// An error in a version or in a change to it. Each message names the invalid key, as the platform spells it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ConfigError {
-    /// The field is absent, or its value has the wrong type.
-    #[error("field {0} is missing or of the wrong form")]
+    /// The field is absent, or its value has the wrong type or format.
+    #[error("field {0} is missing or invalid")]
     InvalidField(&'static str),
     /// The number is outside the range of its field.
     #[error("field {key} is out of bounds: {value}")]
     OutOfBounds {
         /// The field's key.
         key: &'static str,
-        /// The number, in the unit of the field.
+        /// The value, in the unit of the field.
         value: f64,
     },
-    /// The word is none of those that the field may have.
-    #[error("{key} {keyword} is not known")]
+    /// The text is not one of the keywords of the field.
+    #[error("field {key} has the unknown value {keyword:?}")]
     UnknownKeyword {
         /// The field's key.
         key: &'static str,
-        /// The start of the word.
+        /// The start of the text.
         keyword: String,
     },
-    /// There is no such field here; holds the start of its key.
-    #[error("field {0} is not known")]
+    /// The field is not allowed here. Contains the start of its key.
+    #[error("unknown field {0}")]
     UnknownField(String),
     /// The field is given more than once.
-    #[error("field {0} stands twice")]
+    #[error("field {0} is given twice")]
     DuplicateField(String),
-    /// The name of an entry is empty, too long, or has characters that it may not have.
-    #[error("Name {name:?} has to be text of 1 to {MAX_NAME_BYTES} bytes{}", if *.forbids_whitespace { ", without blanks" } else { "" })]
+    /// The name of an entry is empty, too long, or contains characters that are not allowed.
+    #[error(
+        "invalid Name {name:?}: expected 1 to {MAX_NAME_BYTES} bytes without control characters{}",
+        if *.forbids_whitespace { " or whitespace" } else { "" }
+    )]
     InvalidName {
         /// The start of the name.
         name: String,
-        /// Blanks are forbidden, too.
+        /// Whether whitespace is forbidden, in addition to control characters.
         forbids_whitespace: bool,
     },
     /// Two entries of one kind have the same name.
-    #[error("Name {name} stands twice in {}", .kind.list_key())]
+    #[error("Name {name} is given twice in {}", .kind.list_key())]
     DuplicateName {
-        /// The kind of both.
+        /// The kind of both entries.
         kind: EntryKind,
         /// Their name.
         name: Name,
     },
-    /// A list is longer than its bound.
-    #[error("{list} has {max} entries at most, the bound {limit_name}")]
+    /// A list has too many entries.
+    #[error("{list} has more than {max} entries, the bound {limit_name}")]
     TooManyEntries {
         /// The key of the list.
         list: &'static str,
-        /// The name of the bound.
+        /// The name of the limit.
         limit_name: &'static str,
-        /// The value of the bound.
+        /// The value of the limit.
         max: usize,
     },
-    /// The entry that is to be removed does not exist.
-    #[error("{} {name} is not known, and can't be taken", .kind.keyword())]
+    /// The entry to remove does not exist.
+    #[error("cannot remove {} {name}: it does not exist", .kind.keyword())]
     UnknownEntry {
-        /// Its kind.
+        /// The entry's kind.
         kind: EntryKind,
-        /// Its name.
+        /// The entry's name.
         name: Name,
     },
     /// The change would remove the last method.
-    #[error("Categories would be empty: the last method can't be taken")]
+    #[error("cannot remove the last method: Categories must not be empty")]
     LastMethod,
-    /// The error was found in this entry.
+    /// An error in the fields of an entry.
     #[error("{} {name}: {error}", .kind.keyword())]
     InEntry {
         /// The entry's kind.
@@ -82,7 +85,7 @@
 }
 
 impl ConfigError {
-    /// There are too many entries of this kind.
+    /// Returns the error for too many entries of this kind.
     pub fn too_many_entries(kind: EntryKind) -> ConfigError {
         let (limit_name, max) = match kind {
             EntryKind::Method => ("METHODS", MAX_METHODS),
@@ -91,17 +94,17 @@
         ConfigError::TooManyEntries { list: kind.list_key(), limit_name, max }
     }
 
-    /// There are too many gauges.
+    /// Returns the error for too many gauges.
     pub(crate) fn too_many_gauges() -> ConfigError {
         ConfigError::TooManyEntries { list: "Gauges", limit_name: "GAUGES", max: MAX_GAUGES }
     }
 
-    /// The word is none of those that the field may have.
+    /// Returns the error for a text that is not one of the keywords of the field.
     pub(crate) fn unknown_keyword(key: &'static str, keyword: &str) -> ConfigError {
         ConfigError::UnknownKeyword { key, keyword: keyword.chars().take(MAX_QUOTED_CHARS).collect() }
     }
 
-    /// The same error, with the entry that it was found in.
+    /// Wraps the error with the entry in which it was found.
     pub fn in_entry(self, kind: EntryKind, name: &Name) -> ConfigError {
         ConfigError::InEntry { kind, name: name.clone(), error: Box::new(self) }
     }
@@ -113,7 +116,7 @@
     }
 }
 
-/// Why a text is no step, or no version. Lines count from 1.
+/// An error in the text of a step or version. Line numbers start at 1.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum StepError {
     /// The line is not JSON.
@@ -124,37 +127,37 @@
         /// The parser's message.
         message: String,
     },
-    /// The line is JSON, but holds a field that it may not hold.
+    /// The line is JSON, but contains an invalid field.
     #[error("line {line}: {message}")]
     InvalidField {
         /// The line's number.
         line: usize,
-        /// The message, with the key at fault.
+        /// The message, which names the invalid key.
         message: String,
     },
-    /// The line is none of those that a step has, or stands where it may not.
-    #[error("line {line}: a line puts, takes or gives a frame; only the first may give base and hash")]
+    /// The line is not a valid line of a step, or is in the wrong place.
+    #[error("line {line}: expected exactly one of put, take and frame; base and hash are allowed only on the first line")]
     UnexpectedLine {
         /// The line's number.
         line: usize,
     },
-    /// The line's entry is refused.
+    /// The line's entry is rejected.
     #[error("line {line}: {error}")]
     InvalidEntry {
         /// The line's number.
         line: usize,
-        /// Why it is refused.
+        /// The error in the entry.
         error: ConfigError,
     },
     /// The step has more than [`MAX_CHANGES`] changes.
-    #[error("a step has {MAX_CHANGES} changes at most, the bound CHANGES")]
+    #[error("the step has more than {MAX_CHANGES} changes, the bound CHANGES")]
     TooManyChanges,
-    /// The version that was read has another digest than the text states.
-    #[error("hash {found} of what was read is not the hash {expected} that it is to have")]
+    /// The digest of the version that was read differs from the one that the text states.
+    #[error("hash mismatch: expected {expected}, found {found}")]
     HashMismatch {
         /// The digest in the text.
         expected: Digest,
-        /// The digest of what was read.
+        /// The digest of the version that was read.
         found: Digest,
     },
 }
--- a/settings/tests/deployment_files.rs
+++ b/settings/tests/deployment_files.rs
@@ -185,7 +185,7 @@
     {
         let json = deployment(settings(&[])).to_string().replacen('{', &format!("{{{part}"), 1);
         assert!(
-            error_message(Deployment::from_json(&json)).contains(&format!("{key} stands twice")),
+            error_message(Deployment::from_json(&json)).contains(&format!("{key} is given twice")),
             "{key}"
         );
     }
