--- a/cli/src/arguments.rs
+++ b/cli/src/arguments.rs
@@ -1,84 +1,84 @@
-//! The command line. Its doc comments are the help texts.
+//! Definition of the command line. Its doc comments are the help texts.
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 
 #[derive(Parser)]
-#[command(name = "asterrill", version, about = "The operators' command line of asterrilld")]
+#[command(name = "asterrill", version, about = "Command line of asterrilld for operators")]
 pub struct Arguments {
     #[command(subcommand)]
     pub command: Command,
-    /// One JSON object instead of lines
+    /// Print one JSON object instead of lines
     #[arg(long, global = true)]
     pub json: bool,
-    /// The control socket, as `[changes]` control names it
+    /// The control socket, as set by `control` in section `[changes]`
     #[arg(
         long,
         global = true,
         env = "ASTERRILL_SOCKET",
         value_name = "PATH",
-        help = "The control socket, as [changes] control names it"
+        help = "The control socket, as set by control in section [changes]"
     )]
     pub socket: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Check a file by itself: a configuration in JSON, or an operator's file
+    /// Check a single file: a configuration in JSON, or an operator's file
     Check { file: PathBuf },
-    /// What changes from one configuration to another, or by a step of entries, by meaning; exit code 1 if anything does
+    /// Compare two configurations, or show what a step changes; exit code 1 if anything differs
     Diff {
-        /// A configuration; or, where nothing follows, what is compared with what the backend runs
+        /// A configuration; without NEW, a configuration, operator's file or step to compare with the running version
         old: PathBuf,
-        /// A configuration, or a step: a file with one entry a line, or -
+        /// A configuration, or a step: a file with one entry per line, or - for standard input
         new: Option<PathBuf>,
     },
-    /// Hand a file in, or a step of entries: it is checked against what runs, and has no effect yet
+    /// Stage a file or a step: check it against the running version, without any effect yet
     Stage {
-        /// A configuration, an operator's file, or a step: a file with one entry a line, or -
+        /// A configuration, an operator's file, or a step: a file with one entry per line, or - for standard input
         file: PathBuf,
-        /// The version that it was made from
+        /// The version that the change is based on
         #[arg(long)]
         base: Option<u64>,
-        /// Take it although it is risky, or was undone before
+        /// Accept it even if it is risky or was undone before
         #[arg(long)]
         force: bool,
-        /// Wait behind a version on probation instead of being refused
+        /// Wait for the version on probation instead of being rejected
         #[arg(long)]
         queue: bool,
     },
-    /// Let the staged version run, on probation; with a file, that is handed in first
+    /// Activate the staged version, on probation; a file, if given, is staged first
     Apply {
-        /// As for stage
+        /// The file to stage, as for the stage command
         file: Option<PathBuf>,
-        /// Take it although it is risky, or was undone before
+        /// Accept it even if it is risky or was undone before
         #[arg(long, requires = "file")]
         force: bool,
-        /// Only if this version runs
+        /// Apply only if this version is running
         #[arg(long)]
         if_base: Option<u64>,
-        /// How long it is watched, such as 30s or 5m
+        /// Length of the probation, such as 30s or 5m
         #[arg(long, value_parser = parse_duration)]
         probation: Option<u64>,
     },
-    /// What runs, is staged, and is on probation
+    /// Show the running version, the staged version and the version on probation
     Status,
-    /// The version on probation is good
+    /// Confirm the version on probation
     Settle,
-    /// Go back to the version before the one on probation
+    /// Roll back to the version before the one on probation
     Undo,
-    /// Forget what is staged
+    /// Discard the staged version
     Drop,
-    /// What happened to versions, the newest last
+    /// Show the history of versions, the newest event last
     History,
-    /// The others, as the backend knows them: its view, and each member
+    /// Show the backend's view of the cluster, and each member
     Members,
-    /// What the backends have agreed on, and how far this one is with it
+    /// Show or undo the versions on which the backends agree
     Fleet {
         #[command(subcommand)]
         command: FleetCommand,
     },
-    /// Lists of tenants, callers and methods on which the backends agree
+    /// Show or change the lists of tenants, callers and methods on which the backends agree
     List {
         #[command(subcommand)]
         command: ListCommand,
@@ -91,42 +91,42 @@
 
 #[derive(Subcommand)]
 pub enum FleetCommand {
-    /// The version acted on, its form, the lease, and the last versions
+    /// Show the version in effect, its form, the lease and the latest versions
     Status,
-    /// Back to what an earlier version said, as a new one; exit code 1 refused, 4 no majority
+    /// Restore the contents of an earlier version as a new version; exit code 1 if rejected, 4 without a majority
     Undo {
         to: u64,
-        /// Only if this version is the newest
+        /// Accept it only if this version is the newest
         #[arg(long)]
         base: Option<u64>,
     },
 }
 
-/// tenants, callers or methods
+/// Show or change a list: tenants, callers or methods
 #[derive(Subcommand)]
 pub enum ListCommand {
-    /// Its entries
+    /// Show the entries of a list
     Show { list: String },
-    /// Let a key in, or with --out bar it
+    /// Allow a key, or deny it with --out
     Add {
         list: String,
         key: String,
         #[arg(long)]
         out: bool,
-        /// Until when, such as 10m; without it for good
+        /// How long the entry is valid, such as 10m; without it, the entry does not expire
         #[arg(long, value_parser = parse_duration)]
         hold: Option<u64>,
-        /// Only if this version is the newest
+        /// Accept it only if this version is the newest
         #[arg(long)]
         base: Option<u64>,
     },
-    /// Take a key off
+    /// Remove a key from a list
     Remove { list: String, key: String },
-    /// Lines of KEY in or KEY out, a thousand to a version
+    /// Import the lines of a file, each KEY in or KEY out; a thousand lines make one version
     Import { list: String, file: PathBuf },
 }
 
-/// A duration with its unit, in microseconds.
+/// Parses a duration with its unit, to microseconds.
 fn parse_duration(text: &str) -> Result<u64, String> {
     let unit_at = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
     let (number, unit) = text.split_at(unit_at);
@@ -135,8 +135,8 @@
         "s" => 1_000_000,
         "m" => 60_000_000,
         "h" => 3_600_000_000,
-        _ => return Err("a time has a unit: ms, s, m or h, such as 30s".into()),
+        _ => return Err("expected a unit: ms, s, m or h, such as 30s".into()),
     };
-    let number: u64 = number.parse().map_err(|_| "a time is a whole number with a unit, such as 30s")?;
-    number.checked_mul(factor).ok_or_else(|| "the time is too long".into())
+    let number: u64 = number.parse().map_err(|_| "expected a whole number with a unit, such as 30s")?;
+    number.checked_mul(factor).ok_or_else(|| "the duration is too long".into())
 }
--- a/cli/src/changes.rs
+++ b/cli/src/changes.rs
@@ -7,11 +7,11 @@
 use serde_json::json;
 use std::path::Path;
 
-/// What a file would change of what the daemon runs.
+/// Compares a file with the running version of the daemon.
 pub fn diff_running(client: &ControlClient, file: &Path) -> Result<Outcome, Outcome> {
     let mut outcome = client.send(Request::Diff(read_change(file)?));
     if outcome.is_done() && outcome.reply["entries"] != json!(0) {
-        outcome.status = ExitStatus::No;
+        outcome.status = ExitStatus::Negative;
     }
     Ok(outcome)
 }
@@ -24,12 +24,12 @@
     Ok(client.send(Request::Stage { source, base, force, queue }))
 }
 
-/// Lets the staged version run.
+/// Activates the staged version.
 pub fn apply(client: &ControlClient, if_base: Option<u64>, probation_us: Option<u64>) -> Outcome {
     client.send(Request::Apply { if_base, probation_us })
 }
 
-/// Stages a file and lets it run. What is not taken up is not left staged.
+/// Stages a file and activates it. If it cannot be activated, it does not stay staged.
 pub fn stage_and_apply(
     client: &ControlClient, file: &Path, force: bool, if_base: Option<u64>, probation_us: Option<u64>,
 ) -> Result<Outcome, Outcome> {
--- a/cli/src/control_client.rs
+++ b/cli/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the daemon, over its control socket.
+//! Client for the daemon's control socket.
 
 use crate::outcome::{ExitStatus, Outcome};
 use asterrill_rollout::SimpleCommand;
@@ -8,61 +8,61 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The version of the protocol that is spoken.
+/// The version of the control protocol.
 const PROTOCOL_VERSION: u64 = 1;
-/// A request is taken within this, and its answer comes within as long.
-const TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes of an answer at the most.
+/// Timeout for sending a request, and for receiving its reply.
+const IO_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum length of a reply, in bytes.
 const MAX_REPLY_BYTES: u64 = 1 << 20;
 
-/// What is handed in as a change.
+/// The text of a change.
 pub enum ChangeSource {
-    /// A step, one entry a line.
+    /// A step, with one entry per line.
     Step(String),
-    /// A file's whole text.
+    /// The whole text of a file.
     Text(String),
 }
 
-/// One request of the control socket.
+/// One request to the control socket.
 pub enum Request {
     /// A command without arguments.
     Simple(SimpleCommand),
-    /// What a change would mean.
+    /// Compare a change with the running version.
     Diff(ChangeSource),
     /// Stage a change.
     Stage {
-        /// What is handed in.
+        /// The change to stage.
         source: ChangeSource,
-        /// Only if this version runs, or is the newest.
+        /// Accept it only if this version is running, or is the newest agreed one.
         base: Option<u64>,
-        /// Take it although it is risky, or was rolled back before.
+        /// Accept it even if it is risky or was rolled back before.
         force: bool,
-        /// Wait behind a version on probation.
+        /// Wait for the version on probation instead of being rejected.
         queue: bool,
     },
-    /// Let the staged version run.
+    /// Activate the staged version.
     Apply {
-        /// Only if this version runs.
+        /// Apply only if this version is running.
         if_base: Option<u64>,
         /// Length of the probation, in microseconds.
         probation_us: Option<u64>,
     },
-    /// The entries of a list.
+    /// Get the entries of a list.
     List(String),
     /// Change entries of a list.
     ListChange {
         /// The name of the list.
         list: String,
-        /// Only if this version runs, or is the newest.
+        /// Accept it only if this version is running, or is the newest agreed one.
         base: Option<u64>,
         /// Objects with `key`, `standing` and `until`.
         entries: Vec<Value>,
     },
-    /// Return to what an earlier agreed version said.
+    /// Restore the contents of an earlier agreed version.
     FleetUndo {
-        /// That version.
+        /// The number of that version.
         to: u64,
-        /// Only if this version runs, or is the newest.
+        /// Accept it only if this version is running, or is the newest agreed one.
         base: Option<u64>,
     },
 }
@@ -97,27 +97,30 @@
     object
 }
 
-/// Speaks to the daemon.
+/// A client of the daemon's control socket.
 pub struct ControlClient {
     socket: Option<PathBuf>,
 }
 
 impl ControlClient {
-    /// For a socket; `None` where none was named, which fails every request.
+    /// Creates a client of this socket; without a socket, every request fails.
     pub fn new(socket: Option<PathBuf>) -> ControlClient {
         ControlClient { socket }
     }
 
-    /// Sends one request, and waits for its answer.
+    /// Sends one request and waits for its reply.
     pub fn send(&self, request: Request) -> Outcome {
         let Some(path) = &self.socket else {
-            return Outcome::error(ExitStatus::Usage, "name the control socket: --socket");
+            return Outcome::error(
+                ExitStatus::Usage,
+                "no control socket given: use --socket or ASTERRILL_SOCKET",
+            );
         };
-        let reply = exchange(path, &request.into_json()).map_err(|e| e.to_string()).and_then(|line| {
-            serde_json::from_str(&line).map_err(|_| "it said nothing that makes sense".to_string())
-        });
+        let reply = exchange(path, &request.into_json())
+            .map_err(|e| e.to_string())
+            .and_then(|line| serde_json::from_str(&line).map_err(|_| "the reply is not JSON".to_string()));
         match reply {
-            Ok(reply) => Outcome::of(reply),
+            Ok(reply) => Outcome::from_reply(reply),
             Err(why) => Outcome::error(ExitStatus::Unreachable, format!("{}: {why}", path.display())),
         }
     }
@@ -125,9 +128,10 @@
 
 fn exchange(path: &Path, request: &Value) -> std::io::Result<String> {
     let mut stream = UnixStream::connect(path)?;
-    stream.set_read_timeout(Some(TIMEOUT))?;
-    stream.set_write_timeout(Some(TIMEOUT))?;
-    // What is rejected before it was read to its end is answered all the same.
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
+    stream.set_write_timeout(Some(IO_TIMEOUT))?;
+    // The daemon may reject a request, and reply, before it has read all of it. A failed write is therefore an error
+    // only if there is no reply.
     let written = stream.write_all(format!("{request}\n").as_bytes());
     let mut line = String::new();
     let read = BufReader::new(stream).take(MAX_REPLY_BYTES).read_line(&mut line);
--- a/cli/src/display.rs
+++ b/cli/src/display.rs
@@ -1,10 +1,10 @@
-//! Replies in lines for people.
+//! Formatting of replies as lines of text.
 
 use serde_json::{Map, Value};
 use std::fmt::Write;
 
-/// A reply in lines: its fields but for `ok`, lists a line an item.
-pub fn lines(reply: &Value) -> String {
+/// Formats a reply as lines: one per field, except for `ok`, and one per item of a list.
+pub fn format_reply(reply: &Value) -> String {
     let mut lines = String::new();
     let fields = reply.as_object().into_iter().flatten();
     for (name, value) in fields.filter(|(name, _)| *name != "ok") {
@@ -15,22 +15,22 @@
             }
             Value::Object(fields) => {
                 let fields: Vec<String> =
-                    fields.iter().map(|(name, value)| format!("{name}={}", word(value))).collect();
+                    fields.iter().map(|(name, value)| format!("{name}={}", plain_text(value))).collect();
                 push_line(&mut lines, &format!("{name}: {}", fields.join(" ")));
             }
-            value => push_line(&mut lines, &format!("{name}: {}", word(value))),
+            value => push_line(&mut lines, &format!("{name}: {}", plain_text(value))),
         }
     }
     lines
 }
 
 fn push_line(lines: &mut String, line: &str) {
-    // Writing to a string does not fail.
+    // Writing to a `String` cannot fail.
     writeln!(lines, "{line}").unwrap_or_default();
 }
 
-/// A text without quotes, anything else as JSON.
-fn word(value: &Value) -> String {
+/// Formats a string without quotes, and any other value as JSON.
+fn plain_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_string)
 }
 
@@ -38,22 +38,22 @@
     match item.as_object() {
         Some(member) if member.contains_key("standing") => member_line(member),
         Some(event) => event_line(event),
-        None => word(item),
+        None => plain_text(item),
     }
 }
 
-/// An event of the history.
+/// Formats an event of the history.
 fn event_line(event: &Map<String, Value>) -> String {
-    let field = |name: &str| event.get(name).map_or_else(|| "null".into(), word);
+    let field = |name: &str| event.get(name).map_or_else(|| "null".into(), plain_text);
     let (what, version, base, why) = (field("what"), field("version"), field("base"), field("why"));
     format!("{what:8} version {version} (of {base}): {why}")
 }
 
-/// A member of the cluster, or an entry of a list.
+/// Formats a member of the cluster, or an entry of a list.
 fn member_line(member: &Map<String, Value>) -> String {
     let field = |name: &str| match member.get(name) {
         Some(Value::Null) | None => "-".into(),
-        Some(value) => word(value),
+        Some(value) => plain_text(value),
     };
     let (name, address, standing) = (field("name"), field("at"), field("standing"));
     let (since, heard, round_trip) = (field("since_ms"), field("heard_ms"), field("round_trip_us"));
--- a/cli/src/lists.rs
+++ b/cli/src/lists.rs
@@ -1,4 +1,4 @@
-//! Commands about the lists on which the backends agree.
+//! Commands for the lists on which the backends agree.
 
 use crate::arguments::ListCommand;
 use crate::control_client::{ControlClient, Request};
@@ -8,10 +8,10 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Entries of a file that go into one version.
-const ENTRIES_PER_VERSION: usize = 1_000;
+/// Maximum number of entries of a file that go into one version.
+const MAX_ENTRIES_PER_VERSION: usize = 1_000;
 
-/// Carries a command about a list out.
+/// Runs a command for a list.
 pub fn run(client: &ControlClient, command: &ListCommand) -> Result<Outcome, Outcome> {
     match command {
         ListCommand::Show { list } => Ok(client.send(Request::List(list.clone()))),
@@ -32,7 +32,7 @@
     client.send(Request::ListChange { list: list.into(), base, entries }).with_majority_status()
 }
 
-/// Reads the lines of a file, and sends them some at a time, until one is rejected.
+/// Reads the lines of a file and sends them in chunks, until one is rejected.
 fn import(client: &ControlClient, list: &str, file: &Path) -> Result<Outcome, Outcome> {
     let mut entries = Vec::new();
     for (index, line) in read_text(file)?.lines().enumerate() {
@@ -43,13 +43,13 @@
         }
         let (key, standing) = line.rsplit_once(' ').unwrap_or((line, ""));
         if !["in", "out"].contains(&standing) {
-            let why = format!("{}:{line_number}: a line is KEY in or KEY out", file.display());
-            return Err(Outcome::mistake(why));
+            let why = format!("{}:{line_number}: expected KEY in or KEY out", file.display());
+            return Err(Outcome::invalid_input(why));
         }
         entries.push(json!({"key": key.trim(), "standing": standing}));
     }
-    let mut outcome = Outcome::mistake("the file has no line");
-    for chunk in entries.chunks(ENTRIES_PER_VERSION) {
+    let mut outcome = Outcome::invalid_input("the file has no entries");
+    for chunk in entries.chunks(MAX_ENTRIES_PER_VERSION) {
         outcome = change(client, list, None, chunk.to_vec());
         if !outcome.is_done() {
             break;
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,15 +1,17 @@
-//! `asterrill`: checks and compares configurations, and changes that of a running `asterrilld` over its control
-//! socket. Exit codes: 0 done; 1 the answer is no (a mistake, a rejection, a difference); 2 the arguments; 3 nobody
-//! answered; 4 no majority of the backends answered.
+//! Command line `asterrill`, which checks and compares configurations, and changes the configuration of a running
+//! `asterrilld` over its control socket.
 //!
-//! | module | job |
+//! Exit codes: 0 done; 1 negative answer (invalid input, rejection or difference); 2 invalid arguments; 3 no answer
+//! from the daemon; 4 no majority of the backends answered.
+//!
+//! | module | purpose |
 //! | --- | --- |
 //! | `arguments` | the command line |
-//! | `input` | files that operators name |
+//! | `input` | files given on the command line |
 //! | `offline` | commands that need no daemon |
 //! | `changes`, `lists` | commands that change a running daemon |
 //! | `control_client` | requests over the control socket |
-//! | `outcome`, `display` | what came of a command, and its lines for people |
+//! | `outcome`, `display` | the outcome of a command, and its formatting as text |
 
 mod arguments;
 mod changes;
@@ -45,14 +47,14 @@
     if json {
         println!("{}", outcome.reply);
     } else if outcome.is_ok() {
-        print!("{}", display::lines(&outcome.reply));
+        print!("{}", display::format_reply(&outcome.reply));
     } else {
-        eprint!("{}", display::lines(&outcome.reply));
+        eprint!("{}", display::format_reply(&outcome.reply));
     }
     ExitCode::from(outcome.status as u8)
 }
 
-/// Carries a command out. An error is an outcome as well: of a file that can't be used.
+/// Runs a command. An error is an outcome as well: that of a file that cannot be used.
 fn run(arguments: Arguments) -> Result<Outcome, Outcome> {
     let client = ControlClient::new(arguments.socket);
     let simple = |command| Ok(client.send(Request::Simple(command)));
@@ -84,7 +86,7 @@
             Ok(client.send(Request::FleetUndo { to: *to, base: *base }).with_majority_status())
         }
         Command::List { command } => lists::run(&client, command),
-        // Printed by `main`.
-        Command::Completion { .. } | Command::Man => Ok(Outcome::of(serde_json::json!({"ok": true}))),
+        // `main` handles these commands before it calls this function.
+        Command::Completion { .. } | Command::Man => Ok(Outcome::from_reply(serde_json::json!({"ok": true}))),
     }
 }
--- a/cli/src/outcome.rs
+++ b/cli/src/outcome.rs
@@ -1,15 +1,15 @@
-//! What came of a command: an object for the operator, and the exit code.
+//! The outcome of a command: a reply object for the operator, and the exit code.
 
 use serde_json::{json, Value};
 
-/// Why a command ended, as an exit code.
+/// The result of a command, as an exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// It was done.
+    /// The command was done.
     Done = 0,
-    /// The answer is no: a mistake, a rejection, a difference.
-    No = 1,
-    /// The arguments are wrong.
+    /// The answer is negative: an invalid input, a rejection or a difference.
+    Negative = 1,
+    /// The arguments are invalid.
     Usage = 2,
     /// The daemon did not answer.
     Unreachable = 3,
@@ -17,46 +17,46 @@
     NoMajority = 4,
 }
 
-/// The `kind` of a reply where no majority of the backends answered.
+/// The `kind` of a reply if no majority of the backends answered.
 const NO_MAJORITY: &str = "no majority";
 
-/// What came of a command.
+/// The outcome of a command.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// An object with `ok` and, where that is false, `error`.
+    /// An object with `ok` and, if that is false, `error`.
     pub reply: Value,
     /// The exit code.
     pub status: ExitStatus,
 }
 
 impl Outcome {
-    /// The status that the reply's `ok` says.
-    pub fn of(reply: Value) -> Outcome {
-        let status = if reply["ok"] == json!(true) { ExitStatus::Done } else { ExitStatus::No };
+    /// Creates the outcome for a reply, with the status that its `ok` states.
+    pub fn from_reply(reply: Value) -> Outcome {
+        let status = if reply["ok"] == json!(true) { ExitStatus::Done } else { ExitStatus::Negative };
         Outcome { reply, status }
     }
 
-    /// A failure.
+    /// Creates the outcome of a failed command.
     pub fn error(status: ExitStatus, why: impl Into<String>) -> Outcome {
         Outcome { reply: json!({"ok": false, "error": why.into()}), status }
     }
 
-    /// A mistake of the operator.
-    pub fn mistake(why: impl Into<String>) -> Outcome {
-        Outcome::error(ExitStatus::No, why)
+    /// Creates the outcome for an invalid input of the operator.
+    pub fn invalid_input(why: impl Into<String>) -> Outcome {
+        Outcome::error(ExitStatus::Negative, why)
     }
 
-    /// Whether it was done.
+    /// Reports whether the command was done.
     pub fn is_done(&self) -> bool {
         self.status == ExitStatus::Done
     }
 
-    /// Whether the reply says `ok`; a difference is ok as well.
+    /// Reports whether the reply's `ok` is true, as it is for a difference, too.
     pub fn is_ok(&self) -> bool {
         self.reply["ok"] == json!(true)
     }
 
-    /// Tells a missing majority from other rejections.
+    /// Changes the status to [`ExitStatus::NoMajority`] if the reply says that no majority answered.
     pub fn with_majority_status(mut self) -> Outcome {
         if self.reply["kind"] == json!(NO_MAJORITY) {
             self.status = ExitStatus::NoMajority;
--- a/cli/tests/cli.rs
+++ b/cli/tests/cli.rs
@@ -129,7 +129,7 @@
         assert!(code == Some(1) && output.contains(part) && output.contains("step-wrong"), "{output}");
     }
     let (code, output) = run(&["check", step.to_str().unwrap()]);
-    assert!(code == Some(1) && output.contains("a step is checked against what it changes"), "{output}");
+    assert!(code == Some(1) && output.contains("cannot check a step by itself; use diff"), "{output}");
 }
 
 #[test]
