--- a/entries/tests/compatibility.rs
+++ b/entries/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! Texts written by the build before the names were changed are read to the same versions, with the same digests, and
-//! are written again byte for byte. `fixtures/` holds them; the digests in their first lines are that build's.
+//! Compatibility with stored data. The texts in `fixtures/` were written by the build before the identifiers were
+//! renamed, with its digests in their first lines. They must be read to the same versions with the same digests, and be
+//! written again byte for byte.
 
 use asterrill_entries::{
     read_configuration, read_step, write_configuration, write_step, Configuration, Digest, Step,
@@ -11,7 +12,7 @@
 const PARTIAL_STEP: &str = include_str!("fixtures/partial.step");
 const PARTIAL_STEP_REWRITTEN: &str = include_str!("fixtures/partial.rewritten.step");
 
-fn written(configuration: &Configuration) -> String {
+fn write_with_digest(configuration: &Configuration) -> String {
     let mut text = format!("{{\"hash\":\"{}\"}}\n", configuration.digest());
     write_configuration(configuration, &mut text).unwrap();
     text
@@ -26,7 +27,7 @@
     for (text, digest) in digests {
         let configuration = read_configuration(text).unwrap();
         assert_eq!(configuration.digest(), digest.parse::<Digest>().unwrap());
-        assert_eq!(written(&configuration), text);
+        assert_eq!(write_with_digest(&configuration), text);
     }
 }
 
--- a/entries/tests/entries/bounds.rs
+++ b/entries/tests/entries/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds of lists, and what a version has to have.
+//! Limits of lists, and the required parts of a version.
 
 use crate::model::small_configuration;
 use asterrill_entries::{
@@ -7,16 +7,16 @@
 };
 
 #[test]
-fn refuses_too_many_entries_and_removal_of_the_last_method() {
+fn rejects_too_many_entries_and_removal_of_the_last_method() {
     let running = small_configuration(9);
     let puts = |n: usize| (0..n).map(|i| Change::PutTenant(format!("t{i}").as_str().into(), 1.0)).collect();
-    let mut most: Vec<Change> = puts(MAX_TENANTS - 2);
-    let full = running.apply(&most).unwrap();
-    most.push(Change::PutTenant("one more".into(), 1.0));
-    assert!(running.apply(&most).unwrap_err().to_string().contains("TENANTS"));
-    // Another in the place of one that goes.
-    let change = [Change::PutTenant("one more".into(), 1.0), Change::RemoveTenant("t7".into())];
-    assert_eq!(full.apply(&change).unwrap().count(EntryKind::Tenant), MAX_TENANTS);
+    let mut changes: Vec<Change> = puts(MAX_TENANTS - 2);
+    let full = running.apply(&changes).unwrap();
+    changes.push(Change::PutTenant("one more".into(), 1.0));
+    assert!(running.apply(&changes).unwrap_err().to_string().contains("TENANTS"));
+    // At the limit, a tenant can be added if another one is removed by the same step.
+    let replacement = [Change::PutTenant("one more".into(), 1.0), Change::RemoveTenant("t7".into())];
+    assert_eq!(full.apply(&replacement).unwrap().count(EntryKind::Tenant), MAX_TENANTS);
     let methods = (0..MAX_METHODS)
         .map(|i| Change::PutMethod(i.to_string().as_str().into(), running.method("pay").unwrap().clone()));
     assert!(running.apply(&methods.collect::<Vec<_>>()).unwrap_err().to_string().contains("METHODS"));
@@ -24,23 +24,23 @@
     let globals =
         Change::SetGlobals(GlobalSettings { gauges, ..GlobalSettings::clone(running.globals()) }.into());
     assert!(running.apply(&[globals]).unwrap_err().to_string().contains("GAUGES"));
-    let last = ["look", "pay"].map(|name| Change::RemoveMethod(name.into()));
-    assert_eq!(running.apply(&last), Err(ConfigError::LastMethod));
+    let remove_all_methods = ["look", "pay"].map(|name| Change::RemoveMethod(name.into()));
+    assert_eq!(running.apply(&remove_all_methods), Err(ConfigError::LastMethod));
 }
 
 #[test]
-fn refuses_an_incomplete_version_and_another_digest() {
+fn rejects_an_incomplete_version_and_a_wrong_digest() {
     let (running, mut text) = (small_configuration(9), String::new());
     write_configuration(&running, &mut text).unwrap();
-    let hash = format!("{{\"hash\":\"{}\"}}\n{text}", running.digest());
-    assert_eq!(read_configuration(&hash).as_ref(), Ok(&running));
-    let other = hash.replace("\"QuotaRps\":10", "\"QuotaRps\":11");
-    assert!(read_configuration(&other).unwrap_err().to_string().contains("hash"));
-    let without = |what: &str| {
-        let lines: Vec<&str> = text.lines().filter(|line| !line.contains(what)).collect();
+    let with_digest = format!("{{\"hash\":\"{}\"}}\n{text}", running.digest());
+    assert_eq!(read_configuration(&with_digest).as_ref(), Ok(&running));
+    let altered = with_digest.replace("\"QuotaRps\":10", "\"QuotaRps\":11");
+    assert!(read_configuration(&altered).unwrap_err().to_string().contains("hash"));
+    let error_without = |part: &str| {
+        let lines: Vec<&str> = text.lines().filter(|line| !line.contains(part)).collect();
         read_configuration(&lines.join("\n")).unwrap_err().to_string()
     };
-    assert!(without("frame").contains("frame") && without("method").contains("Categories"));
+    assert!(error_without("frame").contains("frame") && error_without("method").contains("Categories"));
     assert!(read_configuration(&format!("{text}{}", text.lines().last().unwrap()))
         .unwrap_err()
         .to_string()
--- a/entries/tests/entries/main.rs
+++ b/entries/tests/entries/main.rs
@@ -1,4 +1,4 @@
-//! Versions, steps and their bounds, checked against a plain model.
+//! Versions, steps and their limits, checked against a simple model.
 
 mod bounds;
 mod model;
--- a/entries/tests/entries/model.rs
+++ b/entries/tests/entries/model.rs
@@ -1,4 +1,4 @@
-//! Random versions and changes, and a plain model of what changes do.
+//! Random versions and changes, and a simple model of the effect of changes.
 
 use asterrill::Idempotency;
 use asterrill_entries::{
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A version in plain maps, to compare with.
+/// A version in standard maps, as the reference.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
     pub globals: GlobalSettings,
@@ -24,8 +24,8 @@
     unusual.into_iter().map(String::from).chain(long).chain((0..16).map(|i| format!("name-{i}"))).collect()
 }
 
-/// Any figure: plain ones, the ends of the range, and such as only an exact parser reads back.
-pub fn figure(rng: &mut StdRng) -> f64 {
+/// Returns a random number: an integer, an end of the range, or one that only an exact parser reads back.
+pub fn number(rng: &mut StdRng) -> f64 {
     match rng.random_range(0..5) {
         0 => 0.0,
         1 => f64::from(rng.random_range(0..1_000_u32)),
@@ -36,19 +36,19 @@
 }
 
 pub fn duration(rng: &mut StdRng) -> u64 {
-    let most = *[1_000, 10_000_000, MAX_DURATION_US].choose(rng).unwrap();
-    rng.random_range(0..=most)
+    let max = *[1_000, 10_000_000, MAX_DURATION_US].choose(rng).unwrap();
+    rng.random_range(0..=max)
 }
 
 pub fn method(rng: &mut StdRng) -> Method {
-    let effects = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NonIdempotent];
+    let idempotencies = [Idempotency::Idempotent, Idempotency::Keyed, Idempotency::NonIdempotent];
     let (latency_target, deadline, window) = (duration(rng), duration(rng), duration(rng));
-    let effect = *effects.choose(rng).unwrap();
-    let (criticality, late_value_ratio, skip_value_ratio) = (figure(rng), figure(rng), figure(rng));
+    let idempotency = *idempotencies.choose(rng).unwrap();
+    let (criticality, late_value_ratio, skip_value_ratio) = (number(rng), number(rng), number(rng));
     Method {
         latency_target,
         deadline,
-        idempotency: effect,
+        idempotency,
         criticality,
         late_value_ratio,
         idempotency_window: window,
@@ -59,12 +59,12 @@
 pub fn globals(rng: &mut StdRng) -> GlobalSettings {
     GlobalSettings {
         cores: rng.random_range(0..=MAX_SETTING_VALUE as u64),
-        ram_kb: figure(rng) * 1e200,
+        ram_kb: number(rng) * 1e200,
         upstream: *[UpstreamKind::None, UpstreamKind::Shared, UpstreamKind::Tier].choose(rng).unwrap(),
-        upstream_call_quota: Some(figure(rng)),
+        upstream_call_quota: Some(number(rng)),
         upstream_call_window: Some(duration(rng)),
         cold_start: rng.random(),
-        slow_start_from: Some(figure(rng)),
+        slow_start_from: Some(number(rng)),
         idle_timeout: duration(rng),
         feedback_mode: *[asterrill::FeedbackMode::Off, asterrill::FeedbackMode::Threshold]
             .choose(rng)
@@ -72,14 +72,14 @@
         gauges: names().sample(rng, 3).map(|name| name.as_str().into()).collect(),
         retry_after: rng.random(),
         max_retry_after: duration(rng),
-        over_quota_weight: figure(rng),
-        run_factor: figure(rng),
-        kb_per_key: figure(rng),
+        over_quota_weight: number(rng),
+        run_factor: number(rng),
+        kb_per_key: number(rng),
         abandoned_call_linger: duration(rng),
         stop_mode: *[asterrill::StopMode::Abort, asterrill::StopMode::Suspend].choose(rng).unwrap(),
         response_ttl: duration(rng),
         callers: rng.random_range(0..=MAX_SETTING_VALUE as u64),
-        max_running_per_core: figure(rng),
+        max_running_per_core: number(rng),
         slow_start_duration: duration(rng),
         health_propagation_delay: duration(rng),
         min_event_interval: duration(rng),
@@ -89,7 +89,7 @@
     }
 }
 
-/// Changes, and whether they have to be refused for a mistake put into them.
+/// Returns random changes, and whether they contain an invalid change, so that they must be rejected.
 pub fn random_changes(rng: &mut StdRng, model: &Model) -> (Vec<Change>, bool) {
     let (mut changes, mut is_invalid, mut keys) = (Vec::new(), false, BTreeSet::new());
     for _ in 0..rng.random_range(1..10) {
@@ -106,7 +106,7 @@
         changes.push(match (kind, exists && rng.random_ratio(1, 3)) {
             (EntryKind::Method, false) => Change::PutMethod(name, method(rng)),
             (EntryKind::Method, true) => Change::RemoveMethod(name),
-            (EntryKind::Tenant, false) => Change::PutTenant(name, figure(rng)),
+            (EntryKind::Tenant, false) => Change::PutTenant(name, number(rng)),
             (EntryKind::Tenant, true) => Change::RemoveTenant(name),
         });
     }
@@ -143,7 +143,7 @@
                 Change::SetGlobals(globals) => next.globals = GlobalSettings::clone(&globals),
                 Change::PutMethod(name, method) => drop(next.methods.insert(name.to_string(), method)),
                 Change::RemoveMethod(name) => drop(next.methods.remove(&*name)),
-                Change::PutTenant(name, rate) => drop(next.tenants.insert(name.to_string(), rate)),
+                Change::PutTenant(name, quota) => drop(next.tenants.insert(name.to_string(), quota)),
                 Change::RemoveTenant(name) => drop(next.tenants.remove(&*name)),
             }
         }
@@ -151,10 +151,11 @@
     }
     pub fn puts(&self) -> Vec<Change> {
         let methods = self.methods.iter().map(|(name, m)| Change::PutMethod(name.as_str().into(), m.clone()));
-        let tenants = self.tenants.iter().map(|(name, rate)| Change::PutTenant(name.as_str().into(), *rate));
+        let tenants =
+            self.tenants.iter().map(|(name, quota)| Change::PutTenant(name.as_str().into(), *quota));
         methods.chain(tenants).collect()
     }
-    /// As a reader of complete files makes it, entries in any order.
+    /// Builds the version from complete lists in random order, as a reader of complete files does.
     pub fn to_configuration(&self, rng: &mut StdRng, running: Option<&Configuration>) -> Configuration {
         let (mut methods, mut tenants) = (Vec::new(), Vec::new());
         let mut puts = self.puts();
@@ -162,7 +163,7 @@
         for change in puts {
             match change {
                 Change::PutMethod(name, method) => methods.push((name, method)),
-                Change::PutTenant(name, rate) => tenants.push((name, rate)),
+                Change::PutTenant(name, quota) => tenants.push((name, quota)),
                 _ => {}
             }
         }
@@ -170,14 +171,14 @@
     }
     pub fn assert_equals(&self, configuration: &Configuration, context: &str) {
         let methods = configuration.methods().map(|(name, m)| (name.to_string(), m.clone()));
-        let tenants = configuration.tenants().map(|(name, rate)| (name.to_string(), rate));
+        let tenants = configuration.tenants().map(|(name, quota)| (name.to_string(), quota));
         let (methods, tenants) = (methods.collect(), tenants.collect());
         let found = Model { globals: GlobalSettings::clone(configuration.globals()), methods, tenants };
         assert_eq!(&found, self, "{context}");
     }
 }
 
-/// Two methods and two tenants.
+/// Returns a version with two methods and two tenants.
 pub fn small_configuration(seed: u64) -> Configuration {
     let rng = &mut StdRng::seed_from_u64(seed);
     let methods = ["look", "pay"].map(|name| (name.into(), method(rng)));
--- a/entries/tests/entries/steps.rs
+++ b/entries/tests/entries/steps.rs
@@ -1,4 +1,4 @@
-//! Texts of steps: partial settings, and the messages for invalid ones.
+//! Steps as text: partial global settings, and the messages for invalid steps.
 
 use crate::model::small_configuration;
 use asterrill_entries::{read_step, Configuration, GlobalSettings, MAX_NAME_BYTES};
@@ -11,7 +11,7 @@
 fn assert_completes(running: &Configuration) {
     let merged = |text: &str| match read_step(text, running).map(|step| step.changes) {
         Ok(changes) => Ok(GlobalSettings::clone(running.apply(&changes).unwrap().globals())),
-        Err(why) => Err(why.to_string()),
+        Err(error) => Err(error.to_string()),
     };
     let before = GlobalSettings::clone(running.globals());
     let first = merged(r#"{"frame":{"FamilyInfo":{"NCores":7,"Say":"window"},"limits":{"memory_mb":96}}}"#);
@@ -43,8 +43,8 @@
         (r#"{"Categories":[]}"#, "Categories"),
         ("7", "frame"),
     ] {
-        let why = merged(&format!(r#"{{"frame":{invalid}}}"#)).unwrap_err();
-        assert!(why.contains(key) && why.contains("line 1"), "{invalid}: {why}");
+        let error = merged(&format!(r#"{{"frame":{invalid}}}"#)).unwrap_err();
+        assert!(error.contains(key) && error.contains("line 1"), "{invalid}: {error}");
     }
 }
 
@@ -52,10 +52,10 @@
 fn names_line_and_key_of_an_invalid_step() {
     let running = small_configuration(9);
     let long = format!(r#"{{"take":"tenant","Name":"{}"}}"#, "n".repeat(MAX_NAME_BYTES + 1));
-    let look = r#"{"put":"method","Name":"look","AimMs":1,"DeadlineMs":2,"Effect":"free","Worth":1}"#;
-    let twice =
+    let method = r#"{"put":"method","Name":"look","AimMs":1,"DeadlineMs":2,"Effect":"free","Worth":1}"#;
+    let duplicate =
         "{\"take\":\"tenant\",\"Name\":\"acme\"}\n{\"put\":\"tenant\",\"Name\":\"acme\",\"QuotaRps\":1}";
-    for (text, line, key) in [
+    for (text, line, part) in [
         (r#"{"put":"tenant","Name":"acme","QuotaRps":-1}"#, 1, "QuotaRps"),
         (r#"{"put":"tenant","Name":"acme","QuotaRps":1e10}"#, 1, "QuotaRps"),
         (r#"{"put":"tenant","Name":"acme","QuotaRps":1e999}"#, 1, "number out of range"),
@@ -79,22 +79,22 @@
         (r#"{"base":1.5}"#, 1, "base"),
         (r#"{"hash":"+0000000000000000000000000000000"}"#, 1, "hash"),
         (&long, 1, "Name"),
-        (twice, 2, "Name acme is given twice"),
+        (duplicate, 2, "Name acme is given twice"),
         ("{\"frame\":{}}\n{\"frame\":{}}", 2, "frame is given twice"),
-        (&look.replace("free", "cheap"), 1, "look: field Effect has the unknown value \"cheap\""),
-        (&look.replace("look", "two words"), 1, "or whitespace"),
-        (&look.replace("2,", "-2,"), 1, "DeadlineMs"),
+        (&method.replace("free", "cheap"), 1, "look: field Effect has the unknown value \"cheap\""),
+        (&method.replace("look", "two words"), 1, "or whitespace"),
+        (&method.replace("2,", "-2,"), 1, "DeadlineMs"),
     ] {
-        let why = read_step(text, &running).expect_err(text).to_string();
-        assert!(why.contains(key) && why.contains(&format!("line {line}")), "{text}: {why}");
+        let error = read_step(text, &running).expect_err(text).to_string();
+        assert!(error.contains(part) && error.contains(&format!("line {line}")), "{text}: {error}");
     }
-    // Cut off anywhere, it is refused, or says what its complete lines say.
-    let text = format!("{look}\n{twice}\n").replace("\"acme\",\"Q", "\"other\",\"Q");
+    // A text that is cut off at any byte is rejected, or reads as the step of its complete lines.
+    let text = format!("{method}\n{duplicate}\n").replace("\"acme\",\"Q", "\"other\",\"Q");
     let complete = read_step(&text, &running).unwrap().changes;
     for cut in 0..text.len() {
         match read_step(&text[..cut], &running) {
             Ok(step) => assert_eq!(step.changes, complete[..step.changes.len()], "{cut}"),
-            Err(why) => assert!(why.to_string().contains("not JSON"), "{cut}: {why}"),
+            Err(error) => assert!(error.to_string().contains("not JSON"), "{cut}: {error}"),
         }
     }
 }
--- a/entries/tests/entries/versions.rs
+++ b/entries/tests/entries/versions.rs
@@ -1,4 +1,4 @@
-//! Versions made by steps, by complete files and by rolling back.
+//! Versions that result from steps, complete files and rollbacks.
 
 use crate::model::{globals, method, random_changes, Model};
 use asterrill_entries::{
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn agrees_with_a_plain_model_after_steps_files_and_rollbacks() {
-    let (mut refused, mut accepted) = (0, 0);
+fn matches_the_model_after_steps_files_and_rollbacks() {
+    let (mut rejected, mut accepted) = (0, 0);
     for seed in 0..2_000 {
         let rng = &mut StdRng::seed_from_u64(seed);
         let (globals, methods) = (globals(rng), BTreeMap::from([("first".to_string(), method(rng))]));
@@ -27,7 +27,7 @@
             let (before, digest) = (model.clone(), configuration.digest());
             match rng.random_range(0..4) {
                 0 => {
-                    // Back to an earlier version, exactly.
+                    // A rollback restores exactly an earlier version.
                     let (earlier, earlier_model) = history.choose(rng).unwrap().clone();
                     let changes = configuration.changes_to(&earlier);
                     (configuration, model) = (configuration.apply(&changes).unwrap(), earlier_model);
@@ -38,7 +38,7 @@
                     );
                 }
                 1 => {
-                    // A complete file, read beside the running version.
+                    // A complete file is read, with the running version to share entries with.
                     let (changes, _) = random_changes(rng, &model);
                     let changes: Vec<Change> = changes
                         .into_iter()
@@ -52,11 +52,11 @@
                     match configuration.apply(&changes) {
                         Ok(next) if !is_invalid => (configuration, model) = (next, model.apply(&changes)),
                         Ok(_) => panic!("{context}: accepted {changes:?}"),
-                        Err(_) if is_invalid => refused += 1,
-                        Err(why) => panic!("{context}: {why} {changes:?}"),
+                        Err(_) if is_invalid => rejected += 1,
+                        Err(error) => panic!("{context}: {error} {changes:?}"),
                     }
                     if !is_invalid {
-                        // The same step by its text.
+                        // The step survives a round trip through its text.
                         accepted += 1;
                         let step = Step { base: Some(round), hash: Some(digest), changes };
                         let text = write_step(&step);
@@ -65,7 +65,7 @@
                 }
             }
             model.assert_equals(&configuration, &context);
-            // Equal meaning has an equal digest, however it came about; another meaning has another.
+            // Versions with equal contents have equal digests, however they were built, and others have other digests.
             let rebuilt = model.to_configuration(rng, None);
             assert_eq!((rebuilt.digest(), &rebuilt), (configuration.digest(), &configuration), "{context}");
             assert_eq!(model == before, configuration.digest() == digest, "{context}");
@@ -74,11 +74,11 @@
         let mut text = String::new();
         write_configuration(&configuration, &mut text).unwrap();
         assert_eq!(read_configuration(&text).as_ref(), Ok(&configuration), "seed {seed}");
-        // From any version to any other.
+        // The changes between any two versions lead from one to the other.
         let [(a, _), (b, earlier_model)] = [0, 1].map(|_| history.choose(rng).unwrap());
-        earlier_model.assert_equals(&a.apply(&a.changes_to(b)).unwrap(), "between versions");
+        earlier_model.assert_equals(&a.apply(&a.changes_to(b)).unwrap(), "changes between two versions");
     }
-    assert!(refused > 1_000 && accepted > 5_000, "{refused} {accepted}");
+    assert!(rejected > 1_000 && accepted > 5_000, "{rejected} rejected, {accepted} accepted");
 }
 
 #[test]
@@ -96,23 +96,23 @@
     };
     let running = configuration_with(None, 10.0);
     let change = [Change::PutTenant("t777".into(), 11.0)];
-    // The least of several runs: the machine has other work.
-    let least = |a: &Configuration, b: &Configuration| -> Duration {
-        let once = |_| {
+    // The minimum of several runs excludes delays by other work on the machine.
+    let min_duration = |a: &Configuration, b: &Configuration| -> Duration {
+        let measure = |_| {
             let start = Instant::now();
             assert_eq!(black_box(a.changes_to(b)), change);
             start.elapsed()
         };
-        (0..20).map(once).min().unwrap()
+        (0..20).map(measure).min().unwrap()
     };
-    let apart = least(&running, &configuration_with(None, 11.0));
+    let unshared = min_duration(&running, &configuration_with(None, 11.0));
     for next in [running.apply(&change).unwrap(), configuration_with(Some(&running), 11.0)] {
         assert!(Arc::ptr_eq(
             next.stored_name(EntryKind::Tenant, "t777").unwrap(),
             running.stored_name(EntryKind::Tenant, "t777").unwrap()
         ));
         assert!(Arc::ptr_eq(next.globals(), running.globals()));
-        let shared = least(&running, &next);
-        assert!(shared * 20 < apart, "{shared:?} for one entry, {apart:?} where nothing is shared");
+        let shared = min_duration(&running, &next);
+        assert!(shared * 20 < unshared, "{shared:?} with shared entries, {unshared:?} without");
     }
 }
