--- a/entries/src/read.rs
+++ b/entries/src/read.rs
@@ -1,4 +1,4 @@
-//! Steps and complete versions from text: one entry a line, each a JSON object in the platform's field names.
+//! Reader for the text form of steps and complete versions: one JSON object per line, with the platform's field names.
 
 use crate::apply::duplicate_key;
 use crate::change::{Change, Step};
@@ -10,17 +10,17 @@
 use crate::step_line::{Line, LineReader};
 use std::collections::HashSet;
 
-/// The lines that are not blank, with their numbers from 1.
+/// Returns the lines that are not blank, with their numbers, which start at 1.
 fn numbered_lines(text: &str) -> impl Iterator<Item = (usize, &str)> {
     let numbered = text.lines().enumerate().map(|(index, line)| (index + 1, line.trim()));
     numbered.filter(|(_, line)| !line.is_empty())
 }
 
-/// Reads a step. `base` is the version that global settings in part are completed from, and with which names are shared.
-/// Whether it is the version that the step applies to has to be checked by the caller.
+/// Reads a step. Partial global settings are completed from `base`, and names are shared with it. The caller must check
+/// that `base` is the version that the step applies to.
 ///
 /// # Errors
-/// [`StepError`] names the line, the key and the mistake; nothing of the step is used then.
+/// [`StepError`] names the line, the key and the mistake. No part of the step is returned then.
 pub fn read_step(text: &str, base: &Configuration) -> Result<Step, StepError> {
     let mut step = Step::default();
     let mut reader = LineReader::new();
@@ -28,12 +28,12 @@
     let mut is_first = true;
     for (number, line) in numbered_lines(text) {
         match reader.read(number, line, base)? {
-            Line::Head { base, hash } if is_first => (step.base, step.hash) = (base, hash),
-            Line::Head { .. } => return Err(StepError::UnexpectedLine { line: number }),
+            Line::Header { base, hash } if is_first => (step.base, step.hash) = (base, hash),
+            Line::Header { .. } => return Err(StepError::UnexpectedLine { line: number }),
             Line::Change(_) if step.changes.len() >= MAX_CHANGES => return Err(StepError::TooManyChanges),
             Line::Change(change) => {
                 if !seen.insert(change.key().map(|(kind, name)| (kind, name.clone()))) {
-                    return Err(StepError::InvalidEntry { line: number, why: duplicate_key(change.key()) });
+                    return Err(StepError::InvalidEntry { line: number, error: duplicate_key(change.key()) });
                 }
                 step.changes.push(change);
             }
@@ -43,11 +43,12 @@
     Ok(step)
 }
 
-/// Reads a complete version, as [`write_configuration`](crate::write_configuration) writes it. A digest in its first
-/// line has to be that of what is read.
+/// Reads a complete version, as [`write_configuration`](crate::write_configuration) writes it. If the first line
+/// states a digest, the version must have that digest.
 ///
 /// # Errors
-/// [`StepError`] names the line, the key and the mistake. A version has global settings and a method.
+/// [`StepError`] names the line, the key and the mistake. A version without global settings or without a method is
+/// invalid.
 pub fn read_configuration(text: &str) -> Result<Configuration, StepError> {
     let mut configuration = Configuration::new(GlobalSettings::default());
     let mut reader = LineReader::new();
@@ -56,17 +57,17 @@
     let mut last_line = 0;
     for (number, line) in numbered_lines(text) {
         match reader.read(number, line, &configuration)? {
-            Line::Head { hash, .. } if last_line == 0 => expected = hash,
-            Line::Head { .. } => return Err(StepError::UnexpectedLine { line: number }),
+            Line::Header { hash, .. } if last_line == 0 => expected = hash,
+            Line::Header { .. } => return Err(StepError::UnexpectedLine { line: number }),
             Line::Change(change) => {
                 let added = add_entry(&mut configuration, &change, has_globals);
-                added.map_err(|why| StepError::InvalidEntry { line: number, why })?;
+                added.map_err(|error| StepError::InvalidEntry { line: number, error })?;
                 has_globals |= change.key().is_none();
             }
         }
         last_line = number;
     }
-    let missing = |key| StepError::InvalidEntry { line: last_line, why: ConfigError::InvalidField(key) };
+    let missing = |key| StepError::InvalidEntry { line: last_line, error: ConfigError::InvalidField(key) };
     if !has_globals {
         return Err(missing("frame"));
     }
@@ -80,13 +81,13 @@
     }
 }
 
-/// Adds an entry of a complete version, where each may stand once.
+/// Adds an entry of a complete version, in which each key may occur only once.
 fn add_entry(
     configuration: &mut Configuration, change: &Change, has_globals: bool,
 ) -> Result<(), ConfigError> {
     let is_duplicate = match change.key() {
         None => has_globals,
-        Some((kind, name)) => configuration.name(kind, name).is_some(),
+        Some((kind, name)) => configuration.stored_name(kind, name).is_some(),
     };
     if is_duplicate {
         return Err(duplicate_key(change.key()));
--- a/entries/src/step_line.rs
+++ b/entries/src/step_line.rs
@@ -1,4 +1,4 @@
-//! One line of a step or version: a JSON object that names the step's base, or is a change.
+//! Parser for one line of a step or version: a JSON object that is either a header or a change.
 
 use crate::change::Change;
 use crate::configuration::Configuration;
@@ -18,7 +18,7 @@
 const HASH_KEY: &str = "hash";
 const GLOBALS_KEY: &str = "frame";
 
-/// All keys of a line.
+/// All keys that a line may contain.
 const LINE_KEYS: &[&str] = &[
     PUT_KEY,
     REMOVE_KEY,
@@ -36,19 +36,19 @@
     GLOBALS_KEY,
 ];
 
-const MACHINE_LIMITS_KEY: &str = "limits";
+const RESOURCE_LIMITS_KEY: &str = "limits";
 
-/// All keys of the global settings in a line.
+/// All keys that the global settings in a line may contain.
 const GLOBALS_KEYS: &[&str] =
-    &["FamilyInfo", "Safety", "Limits", "StepMs", "ReplicasOfMe", "OverShareWorth", MACHINE_LIMITS_KEY];
+    &["FamilyInfo", "Safety", "Limits", "StepMs", "ReplicasOfMe", "OverShareWorth", RESOURCE_LIMITS_KEY];
 
-/// Versions from 2^53 up can't be distinguished in JSON.
-const BASE_BOUND: f64 = 9_007_199_254_740_992.0;
+/// Upper limit, exclusive, of the number of a base version: 2^53, as JSON numbers from there on are not exact.
+const BASE_VERSION_LIMIT: f64 = 9_007_199_254_740_992.0;
 
-/// What a line says.
+/// A parsed line.
 pub(crate) enum Line {
-    /// The version that a step applies to, or the digest of a complete version.
-    Head {
+    /// The header: the version that a step applies to, or the digest of a complete version.
+    Header {
         /// The version's number.
         base: Option<u64>,
         /// The version's digest.
@@ -58,7 +58,7 @@
     Change(Change),
 }
 
-/// Reads lines, one after the other, into the same storage.
+/// Parser of lines that reuses its storage from line to line.
 pub(crate) struct LineReader {
     fields: ObjectFields,
     globals: Option<GlobalFields>,
@@ -69,8 +69,8 @@
         LineReader { fields: ObjectFields::new(LINE_KEYS, Strictness::Strict), globals: None }
     }
 
-    /// Reads the line with this number, from 1. Global settings in part are completed from `base`, and names are shared
-    /// with it.
+    /// Reads the line with this number, which starts at 1. Partial global settings are completed from `base`, and
+    /// names are shared with it.
     ///
     /// # Errors
     /// [`StepError`] names the line and the mistake.
@@ -78,18 +78,18 @@
         &mut self, number: usize, text: &str, base: &Configuration,
     ) -> Result<Line, StepError> {
         self.parse(number, text)?;
-        let is_head = self.fields.contains(BASE_KEY) || self.fields.contains(HASH_KEY);
+        let is_header = self.fields.contains(BASE_KEY) || self.fields.contains(HASH_KEY);
         let line = match (self.fields.contains(PUT_KEY), self.fields.contains(REMOVE_KEY), &self.globals) {
             (false, false, Some(globals)) => self.globals_line(globals, base),
-            (false, false, None) if is_head => self.head(),
+            (false, false, None) if is_header => self.header(),
             (true, false, None) => self.put(base),
             (false, true, None) => self.removal(base),
             _ => return Err(StepError::UnexpectedLine { line: number }),
         };
-        line.map_err(|why| StepError::InvalidEntry { line: number, why })
+        line.map_err(|error| StepError::InvalidEntry { line: number, error })
     }
 
-    /// Reads the fields of a line.
+    /// Parses the fields of a line into the storage.
     fn parse(&mut self, number: usize, text: &str) -> Result<(), StepError> {
         self.globals = None;
         self.fields.clear();
@@ -102,9 +102,9 @@
         }
     }
 
-    /// Refuses all fields but `allowed` ones and `verb`.
-    fn allow_only(&self, verb: Option<&str>, allowed: &[&str]) -> Result<(), ConfigError> {
-        let is_allowed = |key: &str| Some(key) == verb || allowed.contains(&key);
+    /// Returns an error if the line has a field other than `operation` and the `allowed` ones.
+    fn allow_only(&self, operation: Option<&str>, allowed: &[&str]) -> Result<(), ConfigError> {
+        let is_allowed = |key: &str| Some(key) == operation || allowed.contains(&key);
         match LINE_KEYS.iter().find(|key| self.fields.contains(key) && !is_allowed(key)) {
             Some(key) => Err(ConfigError::UnknownField(key.to_string())),
             None => Ok(()),
@@ -117,11 +117,11 @@
         Ok(Line::Change(Change::SetGlobals(Arc::new(globals))))
     }
 
-    fn head(&self) -> Result<Line, ConfigError> {
+    fn header(&self) -> Result<Line, ConfigError> {
         self.allow_only(None, &[BASE_KEY, HASH_KEY])?;
         let base = match self.fields.optional_number(BASE_KEY)? {
             Some(number) if number.fract() != 0.0 => return Err(ConfigError::InvalidField(BASE_KEY)),
-            Some(value) if value >= BASE_BOUND => {
+            Some(value) if value >= BASE_VERSION_LIMIT => {
                 return Err(ConfigError::OutOfBounds { key: BASE_KEY, value });
             }
             number => number.map(|number| number as u64),
@@ -130,7 +130,7 @@
             true => Some(self.fields.text(HASH_KEY)?.parse()?),
             false => None,
         };
-        Ok(Line::Head { base, hash })
+        Ok(Line::Header { base, hash })
     }
 
     fn put(&self, base: &Configuration) -> Result<Line, ConfigError> {
@@ -140,11 +140,11 @@
         let name = base.shared_name(kind, self.fields.entry_name(kind)?);
         let change = match kind {
             EntryKind::Method => {
-                let method = self.fields.method().map_err(|why| why.in_entry(kind, &name))?;
+                let method = self.fields.method().map_err(|error| error.in_entry(kind, &name))?;
                 Change::PutMethod(name, method)
             }
             EntryKind::Tenant => {
-                let quota = self.fields.quota().map_err(|why| why.in_entry(kind, &name))?;
+                let quota = self.fields.quota().map_err(|error| error.in_entry(kind, &name))?;
                 Change::PutTenant(name, quota)
             }
         };
@@ -161,25 +161,25 @@
         }))
     }
 
-    fn kind(&self, verb: &'static str) -> Result<EntryKind, ConfigError> {
-        let word = self.fields.text(verb)?;
+    fn kind(&self, operation: &'static str) -> Result<EntryKind, ConfigError> {
+        let keyword = self.fields.text(operation)?;
         let kinds = [EntryKind::Method, EntryKind::Tenant];
-        let kind = kinds.into_iter().find(|kind| kind.word() == word);
-        kind.ok_or_else(|| ConfigError::unknown_word(verb, word))
+        let kind = kinds.into_iter().find(|kind| kind.keyword() == keyword);
+        kind.ok_or_else(|| ConfigError::unknown_keyword(operation, keyword))
     }
 }
 
-/// The parser's error, by the number of the line in the whole text.
+/// Converts the parser's error to one with the number of the line in the whole text.
 fn parse_error(line: usize, error: &serde_json::Error) -> StepError {
-    let why = error.to_string().replace(" at line 1 column ", " at column ");
+    let message = error.to_string().replace(" at line 1 column ", " at column ");
     if error.is_data() {
-        StepError::InvalidField { line, why }
+        StepError::InvalidField { line, message }
     } else {
-        StepError::Json { line, why }
+        StepError::Json { line, message }
     }
 }
 
-/// Reads the object of a line; returns whether it was one.
+/// Handler for the object of a line; the output reports whether the value was an object.
 struct LineFields<'r>(&'r mut LineReader);
 
 impl JsonHandler for LineFields<'_> {
@@ -206,7 +206,7 @@
     }
 }
 
-/// Reads the object of global settings in a line; returns whether it was one.
+/// Handler for the global settings in a line; the output reports whether the value was an object.
 struct GlobalsObject<'f>(&'f mut GlobalFields);
 
 impl JsonHandler for GlobalsObject<'_> {
@@ -218,7 +218,7 @@
 
     fn object<'d, A: MapAccess<'d>>(self, object: A) -> Result<bool, A::Error> {
         read_fields(object, GLOBALS_KEYS, Strictness::Strict, |key, object| match key.name {
-            MACHINE_LIMITS_KEY => self.0.read_machine_limits(object).map(drop),
+            RESOURCE_LIMITS_KEY => self.0.read_resource_limits(object).map(drop),
             _ => self.0.read(key, object),
         })?;
         Ok(true)
--- a/settings/tests/deployment_files.rs
+++ b/settings/tests/deployment_files.rs
@@ -157,7 +157,7 @@
         let name = "n".repeat(length);
         let made = Deployment::from_json(&json(&format!(r#"{{"Name":"{name}","QuotaRps":3}}"#))).unwrap();
         assert_eq!(made.configuration.tenant(&name), Some(3.0));
-        assert!(made.configuration.name(EntryKind::Tenant, &name).is_some());
+        assert!(made.configuration.stored_name(EntryKind::Tenant, &name).is_some());
     }
     let long = format!(r#"{{"Name":"{}","QuotaRps":3}}"#, "n".repeat(129));
     for (invalid, keys) in [
@@ -188,7 +188,7 @@
     {
         let json = deployment(settings(&[])).to_string().replacen('{', &format!("{{{part}"), 1);
         assert!(
-            error_message(Deployment::from_json(&json)).contains(&format!("{key} stands twice")),
+            error_message(Deployment::from_json(&json)).contains(&format!("{key} is given twice")),
             "{key}"
         );
     }
