--- a/consumer/src/channel.rs
+++ b/consumer/src/channel.rs
@@ -89,8 +89,8 @@
     }
 
     /// Counts all unsettled deliveries as lost, because the broker will redeliver them, to this or another consumer.
-    /// Messages whose run has not started are withdrawn from the engine. Messages that run continue, and a redelivery is
-    /// joined to them.
+    /// Messages whose run has not started are withdrawn from the engine. Messages that run continue, and a redelivery
+    /// is joined to them.
     pub(crate) fn channel_lost(&mut self, subscription: Subscription) {
         self.subscription = subscription;
         for (id, message) in &mut self.messages {
--- a/consumer/src/config.rs
+++ b/consumer/src/config.rs
@@ -57,8 +57,8 @@
 }
 
 impl ConsumerConfig {
-    /// Returns the maximum number of messages that may be held at a time. It allows for the current window, a window of a
-    /// cancelled consumer whose deliveries still arrive, and messages that still run from before a channel was lost.
+    /// Returns the maximum number of messages that may be held at a time. It allows for the current window, a window of
+    /// a cancelled consumer whose deliveries still arrive, and messages that still run from before a channel was lost.
     pub fn max_in_flight(&self) -> usize {
         usize::from(self.prefetch) * 3 + IN_FLIGHT_MARGIN
     }
--- a/consumer/src/deadline.rs
+++ b/consumer/src/deadline.rs
@@ -9,8 +9,8 @@
 /// Returns the deadline of a delivery that was read at `now`; none if it has passed already.
 ///
 /// The deadline is the earlier of two times: `now` plus `processing_timeout`, and the message's `timestamp` plus its
-/// `expiration`. Without a timestamp, the expiration starts at `now`, because the message does not contain the time that it
-/// spent in the queue. A timestamp in the future is replaced by `now`, because clocks differ.
+/// `expiration`. Without a timestamp, the expiration starts at `now`, because the message does not contain the time
+/// that it spent in the queue. A timestamp in the future is replaced by `now`, because clocks differ.
 pub(crate) fn deadline(now: Us, properties: &MessageProperties, processing_timeout: Us) -> Option<Us> {
     let latest = now.saturating_add(processing_timeout);
     let Some(time_to_live) = time_to_live(properties) else {
--- a/consumer/src/dedup.rs
+++ b/consumer/src/dedup.rs
@@ -117,8 +117,8 @@
         self.by_expiry.insert(ExpiryKey { expires_at, sequence, identity });
     }
 
-    /// Returns how a message was settled. For a message without an id, this also removes the entry, because the next equal
-    /// delivery is another message.
+    /// Returns how a message was settled. For a message without an id, this also removes the entry, because the next
+    /// equal delivery is another message.
     pub(crate) fn take(&mut self, now: Us, identity: MessageIdentity) -> Option<Settlement> {
         self.expire(now);
         let SettledEntry { sequence, expires_at, settlement } =
--- a/consumer/src/prefetch.rs
+++ b/consumer/src/prefetch.rs
@@ -1,26 +1,27 @@
 //! Prefetch window: the number of deliveries that may be unsettled at a time.
 //!
-//! The published credit is the number of RPCs that each caller may have outstanding here, and a queue is one caller. The
-//! window is twice the credit, because some of the unsettled deliveries are on the wire. If no credit is published, it is
-//! derived from the number of cores. The window is limited to the deliveries that memory has capacity for. While most
-//! unsettled deliveries wait for a retry, it is halved, because further deliveries would only wait as well.
+//! The published credit is the number of RPCs that each caller may have outstanding here, and a queue is one caller.
+//! The window is twice the credit, because some of the unsettled deliveries are on the wire. If no credit is published,
+//! it is derived from the number of cores. The window is limited to the deliveries that memory has capacity for. While
+//! most unsettled deliveries wait for a retry, it is halved, because further deliveries would only wait as well.
 //!
-//! A change of the window costs a cancel and a new subscription, because brokers differ in whether a new prefetch applies
-//! to an existing consumer. The window therefore grows by doubling, at most once a second, and shrinks at most
-//! every 200 ms. It drops to zero at once: the consumer is cancelled, and is started again after a second at the earliest. This prevents a storm
-//! of subscriptions while the credit fluctuates. The cost is that a server that has just become free gets work up to a
-//! second late.
+//! A change of the window costs a cancel and a new subscription, because brokers differ in whether a new prefetch
+//! applies to an existing consumer. The window therefore grows by doubling, at most once a second, and shrinks at most
+//! every 200 ms. It drops to zero at once: the consumer is cancelled, and is started again after a second at the
+//! earliest. This prevents a storm of subscriptions while the credit fluctuates. The cost is that a server that has
+//! just become free gets work up to a second late.
 
 use asterrill::Us;
 
 /// Minimum time from a change of the window to its next increase, in microseconds.
 const MIN_TIME_TO_INCREASE_US: Us = 1_000_000;
-/// Minimum time from a change of the window to its next decrease, in microseconds. It does not apply to a decrease to 0.
+/// Minimum time from a change of the window to its next decrease, in microseconds. It does not apply to a
+/// decrease to 0.
 const MIN_TIME_TO_DECREASE_US: Us = 200_000;
 /// Credit for each core that is assumed if none is published.
 const CREDIT_PER_CORE: f64 = 2.0;
-/// Unsettled deliveries for each unit of credit. It is above 1 because some deliveries, or their settlements, are on the
-/// wire.
+/// Unsettled deliveries for each unit of credit. It is above 1 because some deliveries, or their settlements, are on
+/// the wire.
 const WINDOW_PER_CREDIT: f64 = 2.0;
 /// Minimum credit at which deliveries are consumed. A credit between this and 1 allows one delivery.
 const MIN_CREDIT: f64 = 0.02;
--- a/consumer/src/queue.rs
+++ b/consumer/src/queue.rs
@@ -51,8 +51,8 @@
 }
 
 impl QueueConsumer {
-    /// Returns a consumer without a connection. `number` is the queue's number within the process, 1 or more, and becomes
-    /// the upper 16 bits of the ids of its messages. `seed` seeds the jitter of its delays.
+    /// Returns a consumer without a connection. `number` is the queue's number within the process, 1 or more, and
+    /// becomes the upper 16 bits of the ids of its messages. `seed` seeds the jitter of its delays.
     pub fn new(now: Us, number: u16, seed: u64, config: ConsumerConfig) -> QueueConsumer {
         QueueConsumer {
             prefetch: PrefetchWindow::new(now, config.prefetch),
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Changes the configuration. Messages in flight keep their deadline, method and route. Ends a drain, so that the queue
-    /// is consumed again.
+    /// Changes the configuration. Messages in flight keep their deadline, method and route. Ends a drain, so that the
+    /// queue is consumed again.
     pub fn reconfigure(&mut self, config: ConsumerConfig) {
         self.prefetch.set_max(config.prefetch);
         self.settled.set_limits(config.dedup_ttl, config.dedup_capacity);
--- a/consumer/src/retry_policy.rs
+++ b/consumer/src/retry_policy.rs
@@ -50,8 +50,8 @@
     /// 4. It ran, is idempotent and has attempts left: it is requeued if the server drains, else retried after a delay
     ///    that doubles with each run. The delay bounds the cost of a poison message, which occupies its place in the
     ///    prefetch window meanwhile.
-    /// 5. It ran: it is rejected, to be dead-lettered if the queue has a dead-letter exchange. An aborted run may have had
-    ///    its effect, and a message that must not take effect twice is not run again.
+    /// 5. It ran: it is rejected, to be dead-lettered if the queue has a dead-letter exchange. An aborted run may have
+    ///    had its effect, and a message that must not take effect twice is not run again.
     pub(crate) fn decide(&self, now: Us, answer: &FinalAnswer<'_>, history: AttemptHistory) -> Disposition {
         let may_run_again =
             history.idempotency == Idempotency::Idempotent && history.runs < self.max_attempts;
--- a/consumer/src/routes.rs
+++ b/consumer/src/routes.rs
@@ -42,8 +42,8 @@
     UnknownTenant(String),
 }
 
-/// Returns the route of a delivery. The id of a caller that is not a number is derived from its name; without a caller, it
-/// is derived from the queue's name.
+/// Returns the route of a delivery. The id of a caller that is not a number is derived from its name; without a caller,
+/// it is derived from the queue's name.
 pub(crate) fn route(
     properties: &MessageProperties, config: &ConsumerConfig, catalog: &dyn Catalog,
 ) -> Result<Route, RouteError> {
--- a/consumer/src/settling.rs
+++ b/consumer/src/settling.rs
@@ -14,8 +14,8 @@
         self.actions.push_back(Action::Settle { tag, settlement });
     }
 
-    /// Removes a message from the table and settles all its deliveries. The settlement is remembered unless the message is
-    /// requeued. Messages are removed only here.
+    /// Removes a message from the table and settles all its deliveries. The settlement is remembered unless the message
+    /// is requeued. Messages are removed only here.
     pub(crate) fn settle(&mut self, now: Us, id: InFlightId, settlement: Settlement) {
         let Some(message) = self.messages.remove(&id) else { return };
         self.remove_from_indexes(id, &message);
@@ -57,8 +57,8 @@
         *count += deliveries as u64;
     }
 
-    /// Starts the drain: the consumer is cancelled, messages that wait for a retry are requeued, and messages submitted to
-    /// the engine are settled when it answers. A second call has no effect.
+    /// Starts the drain: the consumer is cancelled, messages that wait for a retry are requeued, and messages submitted
+    /// to the engine are settled when it answers. A second call has no effect.
     pub fn drain(&mut self, now: Us) {
         if std::mem::replace(&mut self.draining, true) {
             return;
--- a/consumer/src/stats.rs
+++ b/consumer/src/stats.rs
@@ -55,8 +55,8 @@
     pub overrun: u64,
 }
 
-/// Text form of the counters for operators. The names in it are a documented interface (`docs/operate/amqp.md`) and don't
-/// change with the names of the fields.
+/// Text form of the counters for operators. The names in it are a documented interface (`docs/operate/amqp.md`) and
+/// don't change with the names of the fields.
 impl fmt::Display for QueueStats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Counts")
--- a/consumer/src/tests/harness.rs
+++ b/consumer/src/tests/harness.rs
@@ -240,8 +240,8 @@
         self.redeliver_unsettled();
         self.carry_out_actions();
     }
-    /// Delivers at most `limit` messages, as far as the prefetch allows. With `twice`, the first one is delivered under a
-    /// second tag as well if it is a redelivery.
+    /// Delivers at most `limit` messages, as far as the prefetch allows. With `twice`, the first one is delivered under
+    /// a second tag as well if it is a redelivery.
     pub(super) fn deliver(&mut self, limit: usize, twice: bool) {
         for n in 0..limit {
             let allowed = self.prefetch.is_some_and(|prefetch| self.unsettled.len() < usize::from(prefetch));
--- a/consumer/src/timers.rs
+++ b/consumer/src/timers.rs
@@ -13,8 +13,8 @@
 const PREFETCH_UPDATE_INTERVAL_US: Us = 100_000;
 
 impl QueueConsumer {
-    /// Updates the prefetch if that is due, and fires all timers that are due. `credit` is the credit that is published to
-    /// callers, if any, and `memory_capacity` the number of deliveries that memory has capacity for.
+    /// Updates the prefetch if that is due, and fires all timers that are due. `credit` is the credit that is published
+    /// to callers, if any, and `memory_capacity` the number of deliveries that memory has capacity for.
     pub fn update_prefetch(&mut self, now: Us, credit: Option<f64>, cores: f64, memory_capacity: f64) {
         if now >= self.next_prefetch_update {
             self.next_prefetch_update = now + PREFETCH_UPDATE_INTERVAL_US;
--- a/protocol/src/agent.rs
+++ b/protocol/src/agent.rs
@@ -22,7 +22,8 @@
         /// Time since the agent's start, in microseconds.
         uptime: Us,
     },
-    /// End of a run, with its result if it is ok. A run whose result exceeds [`crate::MAX_BODY_BYTES`] counts as aborted.
+    /// End of a run, with its result if it is ok. A run whose result exceeds [`crate::MAX_BODY_BYTES`] counts as
+    /// aborted.
     Ended(NoticeId, RpcId, RunEnd, &'a [u8]),
     /// Request of a run for an upstream call with this body, for which the run waits. The body is `None` if it exceeds
     /// [`crate::MAX_BODY_BYTES`].
--- a/protocol/src/amqp/depth.rs
+++ b/protocol/src/amqp/depth.rs
@@ -1,5 +1,5 @@
-//! Check of the nesting depth of field tables (4.2.5.5) before they are parsed. The codec parses them recursively, and a
-//! deeply nested table would overflow the small stack of a coroutine.
+//! Check of the nesting depth of field tables (4.2.5.5) before they are parsed. The codec parses them recursively, and
+//! a deeply nested table would overflow the small stack of a coroutine.
 
 use crate::ProtocolError;
 
--- a/protocol/src/amqp/session.rs
+++ b/protocol/src/amqp/session.rs
@@ -87,8 +87,8 @@
         self.blocked
     }
 
-    /// Reports whether the delivery with this tag can still be settled: the channel on which it arrived is still open and
-    /// has not been reopened since.
+    /// Reports whether the delivery with this tag can still be settled: the channel on which it arrived is still open
+    /// and has not been reopened since.
     pub fn is_current(&self, tag: DeliveryTag) -> bool {
         self.is_open(tag.channel)
             && self.channels.get(&tag.channel).is_some_and(|state| state.epoch == tag.epoch)
--- a/protocol/src/amqp/session/commands.rs
+++ b/protocol/src/amqp/session/commands.rs
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Consumes from a queue with at most `prefetch` unsettled deliveries, 1 or more (1.8.3.1, 1.8.3.3). Returns false if
-    /// `prefetch` is 0, or the channel is not open or has a consumer.
+    /// Consumes from a queue with at most `prefetch` unsettled deliveries, 1 or more (1.8.3.1, 1.8.3.3). Returns false
+    /// if `prefetch` is 0, or the channel is not open or has a consumer.
     pub fn consume(&mut self, channel: Channel, queue: &str, consumer_tag: &str, prefetch: u16) -> bool {
         if !self.is_open(channel) || prefetch == 0 {
             return false;
@@ -55,8 +55,8 @@
         true
     }
 
-    /// Cancels a consumer (1.8.3.5). Deliveries that the broker sends before it reads this still arrive. Returns false if
-    /// this channel has no active consumer.
+    /// Cancels a consumer (1.8.3.5). Deliveries that the broker sends before it reads this still arrive. Returns false
+    /// if this channel has no active consumer.
     pub fn cancel(&mut self, channel: Channel, consumer_tag: &str) -> bool {
         let state = self.channels.get_mut(&channel).filter(|state| state.consumer == ConsumerStage::Active);
         let Some(state) = state.filter(|_| self.state == State::Open) else { return false };
@@ -81,9 +81,9 @@
         true
     }
 
-    /// Publishes a reply to the queue that its message named, through the default exchange. The broker returns a reply that
-    /// it can't route. Returns the publish sequence number that the confirm will carry, or `None` if the channel is not
-    /// open, the broker has blocked publishing, or the reply does not fit into frames.
+    /// Publishes a reply to the queue that its message named, through the default exchange. The broker returns a reply
+    /// that it can't route. Returns the publish sequence number that the confirm will carry, or `None` if the channel
+    /// is not open, the broker has blocked publishing, or the reply does not fit into frames.
     pub fn publish(&mut self, channel: Channel, reply: &Reply<'_>) -> Option<u64> {
         if !self.is_open(channel) || self.blocked {
             return None;
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Closes the connection from this side (1.4.2.10); [`crate::amqp::Event::CloseConfirmed`] follows. Returns false if
-    /// there is no connection, `connection.start` has not arrived yet, or the connection is closing already.
+    /// Closes the connection from this side (1.4.2.10); [`crate::amqp::Event::CloseConfirmed`] follows. Returns false
+    /// if there is no connection, `connection.start` has not arrived yet, or the connection is closing already.
     pub fn close(&mut self, now: Us, code: u16, text: &str) -> bool {
         if matches!(self.state, State::Disconnected | State::Starting | State::Closing) {
             return false;
--- a/protocol/src/amqp/session/incoming.rs
+++ b/protocol/src/amqp/session/incoming.rs
@@ -16,8 +16,8 @@
 const MAX_QUOTED_CHARS: usize = 64;
 
 impl Session {
-    /// Reads frames up to the next one that results in an event, and advances `input` past it. Without such a frame, all of
-    /// `input` is consumed.
+    /// Reads frames up to the next one that results in an event, and advances `input` past it. Without such a frame,
+    /// all of `input` is consumed.
     ///
     /// # Errors
     /// Invalid frame, or one that is not allowed in the current state. The connection can't be used any more.
@@ -108,8 +108,8 @@
         Ok(None)
     }
 
-    /// Answers `connection.tune` (1.4.2.5) with the smaller of both sides' limits, where 0 stands for no limit, and opens
-    /// the virtual host.
+    /// Answers `connection.tune` (1.4.2.5) with the smaller of both sides' limits, where 0 stands for no limit, and
+    /// opens the virtual host.
     fn tune(&mut self, tune: &connection::Tune) -> Result<Option<Event>, SessionError> {
         let proposed = if tune.frame_max == 0 { u32::MAX } else { tune.frame_max };
         if (proposed as usize) < MIN_FRAME_BYTES {
@@ -220,8 +220,8 @@
         }
     }
 
-    /// Processes a cancel by the broker. If it crosses a cancel from this side, only the confirmation of the latter results
-    /// in an event.
+    /// Processes a cancel by the broker. If it crosses a cancel from this side, only the confirmation of the latter
+    /// results in an event.
     fn cancelled_by_broker(&mut self, channel: Channel, cancel: basic::Cancel) -> Option<Event> {
         let state = self.channels.get_mut(&channel)?;
         let was_active = state.consumer == ConsumerStage::Active;
--- a/protocol/src/tests.rs
+++ b/protocol/src/tests.rs
@@ -229,7 +229,8 @@
         format!("outcome 1 ab PASS 1 {0}\r\n{1}\r\n", MAX_BODY_BYTES + 1, "x".repeat(MAX_BODY_BYTES + 1));
     assert!(feed(&[oversized_result.as_bytes()]).0[0].contains("Aborted"));
     assert!(feed(&[b"request 1 ab 99999999999\r\n"]).1.is_some());
-    // An upstream reply that is too long to forward is an error at once, without a wait for its end, which may never come.
+    // An upstream reply that is too long to forward is an error at once. The reader does not wait for its end, which
+    // may never arrive.
     let (_, feed_upstream) = READERS[2];
     for reply in [
         format!("ab DONE {}\r\n", MAX_BODY_BYTES + 1),
--- a/protocol/src/upstream.rs
+++ b/protocol/src/upstream.rs
@@ -1,4 +1,5 @@
-//! Calls to the upstream tier through the local proxy, and its replies. Both are lines of words, some followed by a body.
+//! Calls to the upstream tier through the local proxy, and its replies. Both are lines of words, some followed by a
+//! body.
 
 use crate::line_reader::LineReader;
 use crate::{ProtocolError, MAX_BODY_BYTES};
