--- a/protocol/src/sidecar/reader.rs
+++ b/protocol/src/sidecar/reader.rs
@@ -248,7 +248,7 @@
             Some(_) => Some(self.milliseconds("patience")?),
             None => None,
         };
-        // The rank is not used, but a frame with a rank out of range is malformed.
+        // The rank is not used, but a rank out of range indicates that the frame as a whole is malformed.
         let rank = self.value("order").map_or(Some(0.0), |rank| rank.parse::<f64>().ok());
         rank.filter(|rank| (0.0..1.0).contains(rank))?;
         let key = match self.value("entity") {
