--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -9,8 +9,8 @@
 /// An error in settings or in a deployment file. The message names the invalid key.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The field is missing, or its value has the wrong type.
-    #[error("field {0} is missing or has the wrong type")]
+    /// The field is missing, or its value has the wrong type or is not allowed.
+    #[error("field {0} is missing or invalid")]
     InvalidField(String),
     /// The settings are well-formed, but the configuration is invalid.
     #[error(transparent)]
--- a/settings/src/json.rs
+++ b/settings/src/json.rs
@@ -2,7 +2,7 @@
 //!
 //! # Errors
 //! Each function that returns a result fails with [`SettingsError::InvalidField`], which names the field, if the field is
-//! missing or has the wrong type.
+//! missing, has the wrong type or is negative.
 
 use crate::error::SettingsError;
 use asterrill::Us;
