--- a/entries/src/fields/global.rs
+++ b/entries/src/fields/global.rs
@@ -63,16 +63,16 @@
     pub fn read<'d, A: MapAccess<'d>>(&mut self, key: FieldKey, object: &mut A) -> Result<(), A::Error> {
         match key.name {
             "FamilyInfo" => {
-                let found = object.next_value_seed(JsonSeed(&mut self.family_info))?;
-                self.present.family_info = self.check_object(key.name, found)?;
+                let is_object = object.next_value_seed(JsonSeed(&mut self.family_info))?;
+                self.present.family_info = self.check_object(key.name, is_object)?;
             }
             "Safety" => {
-                let found = object.next_value_seed(JsonSeed(&mut self.safety))?;
-                self.present.safety = self.check_object(key.name, found)?;
+                let is_object = object.next_value_seed(JsonSeed(&mut self.safety))?;
+                self.present.safety = self.check_object(key.name, is_object)?;
             }
             "Limits" => {
-                let found = object.next_value_seed(JsonSeed(&mut self.limits))?;
-                self.present.limits = self.check_object(key.name, found)?;
+                let is_object = object.next_value_seed(JsonSeed(&mut self.limits))?;
+                self.present.limits = self.check_object(key.name, is_object)?;
             }
             name => {
                 let index = TOP_LEVEL_KEYS.iter().position(|candidate| *candidate == name);
@@ -87,15 +87,15 @@
     /// # Errors
     /// Those of the deserializer.
     pub fn read_resource_limits<'d, A: MapAccess<'d>>(&mut self, object: &mut A) -> Result<bool, A::Error> {
-        let found = object.next_value_seed(JsonSeed(&mut self.resource_limits))?;
-        self.check_object("limits", found)
+        let is_object = object.next_value_seed(JsonSeed(&mut self.resource_limits))?;
+        self.check_object("limits", is_object)
     }
 
-    /// Returns `found`, or in strict reading an error if the value of `key` was not an object.
-    fn check_object<E: Error>(&self, key: &'static str, found: bool) -> Result<bool, E> {
-        if !found && self.strictness == Strictness::Strict {
+    /// Returns `is_object`, or in strict reading an error if it is false.
+    fn check_object<E: Error>(&self, key: &'static str, is_object: bool) -> Result<bool, E> {
+        if !is_object && self.strictness == Strictness::Strict {
             return Err(E::custom(ConfigError::InvalidField(key)));
         }
-        Ok(found)
+        Ok(is_object)
     }
 }
