--- a/daemon/src/change/driver.rs
+++ b/daemon/src/change/driver.rs
@@ -25,7 +25,7 @@
 use std::time::Instant;
 
 /// Microseconds between looks at what was served.
-const SAMPLE_INTERVAL: Us = 100_000;
+const SAMPLE_INTERVAL_US: Us = 100_000;
 
 /// The version that a process starts with.
 pub struct StartVersion {
@@ -108,7 +108,7 @@
         if at < self.next_sample {
             return;
         }
-        self.next_sample = at + SAMPLE_INTERVAL;
+        self.next_sample = at + SAMPLE_INTERVAL_US;
         let sample = dispatcher.with(|core, _, _| core.take_service_sample());
         let verdict = match &mut self.monitor {
             Some(monitor) => {
@@ -160,7 +160,7 @@
         }
         let running = self.rollout.running().number;
         let prepared = match prepared {
-            Some(Ok(prepared)) if prepared.against == running => prepared,
+            Some(Ok(prepared)) if prepared.validated_against == running => prepared,
             Some(Err(rejection)) => return Err(rejection),
             // Another version runs by now, or it was not read at all.
             _ => {
@@ -210,9 +210,18 @@
     }
 
     fn stage(&mut self, dispatcher: &Dispatcher, prepared: PreparedChange) -> Result<StagedReply, Rejection> {
-        let PreparedChange { against, content, hash, entries, base, options, meaning, problems } = prepared;
+        let PreparedChange {
+            validated_against,
+            content,
+            hash,
+            entries,
+            base,
+            options,
+            differences,
+            problems,
+        } = prepared;
         let running = self.rollout.running().number;
-        if against != running {
+        if validated_against != running {
             let error = format!("version {running} came into force while it was read: hand it in again");
             return Err(Rejection { error, problems: None, crossed: true });
         }
@@ -221,7 +230,7 @@
         let count = entries.len();
         self.steps.insert(version, entries);
         self.log_events(&dispatcher.log);
-        Ok(StagedReply { version, hash: hash.to_string(), entries: count, changes: meaning, problems })
+        Ok(StagedReply { version, hash: hash.to_string(), entries: count, changes: differences, problems })
     }
 
     fn drop_staged(&mut self, log: &Logger) -> Result<DroppedReply, Rejection> {
--- a/daemon/src/change/install.rs
+++ b/daemon/src/change/install.rs
@@ -12,7 +12,7 @@
 use asterrill_settings::SettingsError;
 
 /// Entries of a change that go in together: then all others get their turn. Measured: see `docs/design/rollout.md`.
-const SLICE: usize = 200;
+const ENTRIES_PER_SLICE: usize = 200;
 
 /// What is done between two slices of a change: all others get their turn.
 pub type SlicePause<'a> = dyn FnMut(&Dispatcher) + 'a;
@@ -31,7 +31,7 @@
     let global_parts = changed_global_parts(content, step, seed)?;
     let methods = configuration.methods().filter(|_| global_parts.is_some());
     let longest_latency_target = methods.map(|(_, method)| method.latency_target).max().unwrap_or(0);
-    let queues = operator::queue_terms(content.operator_config.broker.as_ref(), configuration)?;
+    let queues = operator::consumer_configs(content.operator_config.broker.as_ref(), configuration)?;
     let requires_tenant = configuration.count(EntryKind::Tenant) > 0;
     dispatcher.with(|core, _, _| core.check_capacity_for(step, &queues)).map_err(SettingsError::new)?;
     stage_slices(dispatcher, step, entry_for, pause);
@@ -48,7 +48,7 @@
     dispatcher: &Dispatcher, step: &[Change], entry_for: impl Fn(&Change) -> Change,
     pause: &mut SlicePause<'_>,
 ) {
-    let mut slices = step.chunks(SLICE).peekable();
+    let mut slices = step.chunks(ENTRIES_PER_SLICE).peekable();
     while let Some(slice) = slices.next() {
         let slice: Vec<Change> = slice.iter().map(&entry_for).collect();
         dispatcher.with(|core, _, _| core.stage(&slice));
--- a/daemon/src/change/prepare.rs
+++ b/daemon/src/change/prepare.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug)]
 pub struct PreparedChange {
     /// The number of that version.
-    pub against: u64,
+    pub validated_against: u64,
     /// What the new version says.
     pub content: VersionContent,
     /// The hash of `content`.
@@ -47,7 +47,7 @@
     /// What else was asked for.
     pub options: StageOptions,
     /// What it means, a line each.
-    pub meaning: Vec<String>,
+    pub differences: Vec<String>,
     /// What is risky about it.
     pub problems: Vec<String>,
 }
@@ -56,10 +56,10 @@
     /// What it would mean.
     pub fn to_diff(&self) -> DiffReply {
         DiffReply {
-            base: self.against,
+            base: self.validated_against,
             hash: self.hash.to_string(),
             entries: self.entries.len(),
-            changes: self.meaning.clone(),
+            changes: self.differences.clone(),
             problems: self.problems.clone(),
         }
     }
@@ -78,11 +78,11 @@
     let SourceContent { content, entries } = read_source(context, source)?;
     let entries = entries.unwrap_or_else(|| context.running.configuration.changes_to(&content.configuration));
     let problems = find_problems(context, &content, &entries, policy, options)?;
-    check_takeable(&context.running, &content, &entries, seed)?;
+    check_applicable(&context.running, &content, &entries, seed)?;
     Ok(PreparedChange {
-        against: context.version,
+        validated_against: context.version,
         hash: content.hash(),
-        meaning: difference(&context.running.configuration, &entries),
+        differences: difference(&context.running.configuration, &entries),
         entries: Arc::new(entries),
         content,
         base,
@@ -176,12 +176,12 @@
 }
 
 /// Whether all that a version says could come into force.
-fn check_takeable(
+fn check_applicable(
     running: &VersionContent, content: &VersionContent, entries: &[Change], seed: u64,
 ) -> Result<(), SettingsError> {
     changed_global_parts(content, entries, seed)?;
     let (old, new) = (&running.operator_config, &content.operator_config);
-    operator::queue_terms(new.broker.as_ref(), &content.configuration)?;
+    operator::consumer_configs(new.broker.as_ref(), &content.configuration)?;
     let without_queues = |config: &OperatorConfig| config.broker.clone().map(BrokerConfig::without_queues);
     if without_queues(new) != without_queues(old)
         || new.changes != old.changes
--- a/daemon/src/change/status.rs
+++ b/daemon/src/change/status.rs
@@ -41,7 +41,7 @@
             changes: stats.changes,
             changes_refused: stats.changes_refused,
             half_applied: stats.half_applied,
-            store_failed: self.store.as_ref().map(Store::failed),
+            store_failed: self.store.as_ref().map(Store::failed_writes),
         }
     }
 
--- a/daemon/src/control_loop.rs
+++ b/daemon/src/control_loop.rs
@@ -16,11 +16,11 @@
 use std::sync::Arc;
 
 /// The loop goes round at least this often, in microseconds.
-const MAX_WAIT: Us = 10_000_000;
+const MAX_WAIT_US: Us = 10_000_000;
 /// A wake-up this late shows a pause of the process: what has arrived meanwhile is read first. In microseconds.
-const LATE_WAKE_UP: Us = 20_000;
+const LATE_WAKEUP_US: Us = 20_000;
 /// Time for that, in microseconds.
-const CATCH_UP_TIME: Us = 5_000;
+const CATCH_UP_US: Us = 5_000;
 
 /// Owns all that is done on the worker beside RPCs.
 pub struct ControlLoop {
@@ -49,12 +49,12 @@
             let deadline = self.dispatcher.arm_clock(self.changes.next_deadline());
             // Who rang while a change went in slice by slice was not waited for.
             let waiting = self.queue.lock().is_waiting();
-            wait_until(if waiting { 0 } else { deadline.min(now() + MAX_WAIT) });
-            self.carry_out_requests();
-            if now() > deadline.saturating_add(LATE_WAKE_UP) {
-                wait_until(now() + CATCH_UP_TIME);
+            wait_until(if waiting { 0 } else { deadline.min(now() + MAX_WAIT_US) });
+            self.process_requests();
+            if now() > deadline.saturating_add(LATE_WAKEUP_US) {
+                wait_until(now() + CATCH_UP_US);
             }
-            self.pass_time();
+            self.tick();
             if self.dispatcher.with(|core, _, _| core.is_drained()) {
                 close_connections(&self.dispatcher);
                 self.queue.close();
@@ -64,7 +64,7 @@
         }
     }
 
-    fn carry_out_requests(&mut self) {
+    fn process_requests(&mut self) {
         let pending = self.queue.take();
         for reply_to in pending.context_requests {
             reply_to.try_send(self.changes.validation_context(&self.dispatcher)).unwrap_or_default();
@@ -83,11 +83,11 @@
         }
     }
 
-    fn pass_time(&mut self) {
-        pass_time(&self.dispatcher);
+    fn tick(&mut self) {
+        tick_core(&self.dispatcher);
         let (queue, shutdown) = (&self.queue, &mut self.shutdown);
         let pause: &mut SlicePause<'_> =
-            &mut |dispatcher| pause_between_slices(dispatcher, queue, shutdown, false);
+            &mut |dispatcher| yield_between_slices(dispatcher, queue, shutdown, false);
         self.changes.tick(&self.dispatcher, pause);
     }
 
@@ -112,7 +112,7 @@
             "agent" => %deployment.agent, "naming" => %deployment.name_service);
         let (queue, shutdown) = (&self.queue, &mut self.shutdown);
         let pause: &mut SlicePause<'_> =
-            &mut |dispatcher| pause_between_slices(dispatcher, queue, shutdown, shutdown_requested);
+            &mut |dispatcher| yield_between_slices(dispatcher, queue, shutdown, shutdown_requested);
         self.changes.reload(dispatcher, deployment, prepared, pause);
     }
 
@@ -122,10 +122,10 @@
                 membership.describe_members().into()
             }
             (OperatorCommand::Simple(SimpleCommand::Fleet), Some(membership)) => {
-                membership.describe_agreed(None).into()
+                membership.describe_agreed_lists(None).into()
             }
             (OperatorCommand::AgreedList(kind), Some(membership)) => {
-                membership.describe_agreed(Some(kind)).into()
+                membership.describe_agreed_lists(Some(kind)).into()
             }
             (OperatorCommand::ProposeAgreed(proposal), Some(membership)) => {
                 // Answers by itself, once that is settled.
@@ -135,7 +135,7 @@
             (command, _) => {
                 let (queue, shutdown) = (&self.queue, &mut self.shutdown);
                 let pause: &mut SlicePause<'_> =
-                    &mut |dispatcher| pause_between_slices(dispatcher, queue, shutdown, shutdown_requested);
+                    &mut |dispatcher| yield_between_slices(dispatcher, queue, shutdown, shutdown_requested);
                 self.changes.execute(&self.dispatcher, command, pause)
             }
         };
@@ -146,18 +146,18 @@
 
 /// Between two slices of a change: all others get their turn, time passes for the core, and the notice to shut down is
 /// not held up. The module hears it with the version still in force; the slices that are left go in after it.
-pub fn pause_between_slices(
+pub fn yield_between_slices(
     dispatcher: &Dispatcher, queue: &RequestQueue, shutdown: &mut Shutdown, shutdown_requested: bool,
 ) {
     yield_to_others();
     if !shutdown.has_begun() && (shutdown_requested || queue.lock().shutdown) {
         shutdown.begin(dispatcher);
     }
-    pass_time(dispatcher);
+    tick_core(dispatcher);
 }
 
 /// Lets time pass for the core, if something is due.
-fn pass_time(dispatcher: &Dispatcher) {
+fn tick_core(dispatcher: &Dispatcher) {
     dispatcher.with(|core, outbound, now| {
         if core.next_deadline().is_some_and(|at| at <= now) {
             core.tick(now, outbound);
--- a/daemon/src/control_socket.rs
+++ b/daemon/src/control_socket.rs
@@ -95,7 +95,7 @@
     }
 
     fn accept(&self, stream: UnixStream) {
-        let Some(slot) = ClientSlot::take(&self.clients) else {
+        let Some(slot) = ClientSlot::try_acquire(&self.clients) else {
             drop(send(&stream, &Reply::Rejected(Rejection::new("too many operators at a time"))));
             return;
         };
@@ -128,7 +128,7 @@
 struct ClientSlot(Arc<AtomicUsize>);
 
 impl ClientSlot {
-    fn take(clients: &Arc<AtomicUsize>) -> Option<ClientSlot> {
+    fn try_acquire(clients: &Arc<AtomicUsize>) -> Option<ClientSlot> {
         let slot = ClientSlot(clients.clone());
         let before = clients.fetch_add(1, Ordering::AcqRel);
         (before < MAX_CLIENTS).then_some(slot)
@@ -145,7 +145,7 @@
 struct LongRequestPermit<'a>(&'a AtomicBool);
 
 impl LongRequestPermit<'_> {
-    fn take(held: &AtomicBool) -> Option<LongRequestPermit<'_>> {
+    fn try_acquire(held: &AtomicBool) -> Option<LongRequestPermit<'_>> {
         (!held.swap(true, Ordering::AcqRel)).then(|| LongRequestPermit(held))
     }
 }
@@ -180,7 +180,7 @@
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
             if bytes.len() as u64 >= LONG_REQUEST_BYTES && permit.is_none() {
-                permit = LongRequestPermit::take(self.long_request);
+                permit = LongRequestPermit::try_acquire(self.long_request);
                 if permit.is_none() && !remaining.is_zero() {
                     std::thread::sleep(LONG_REQUEST_POLL);
                     continue;
--- a/daemon/src/membership/consensus.rs
+++ b/daemon/src/membership/consensus.rs
@@ -1,6 +1,6 @@
 //! The raft node that agrees on lists: its messages go as datagrams of the membership, its writes to the store thread.
 
-use super::shared::Locked;
+use super::shared::MembershipState;
 use crate::store::{read_consensus, truncate_consensus};
 use asterrill::Us;
 use asterrill_consensus::{CompletedProposal, Config, DiskWrite, LeasedPolicy, Node, ProposalOutcome};
@@ -37,7 +37,7 @@
 }
 
 /// What a turn of the raft node has brought.
-pub(super) struct ConsensusTurn {
+pub(super) struct ConsensusOutput {
     /// What is to be made durable, in this order.
     pub(super) writes: Vec<DiskWrite>,
     /// The agreed lists in force, if they may have changed.
@@ -46,19 +46,19 @@
     pub(super) next_tick: Us,
 }
 
-impl ConsensusTurn {
-    fn none() -> ConsensusTurn {
-        ConsensusTurn { writes: Vec::new(), policy: None, next_tick: Us::MAX }
+impl ConsensusOutput {
+    fn none() -> ConsensusOutput {
+        ConsensusOutput { writes: Vec::new(), policy: None, next_tick: Us::MAX }
     }
 }
 
-impl Locked {
+impl MembershipState {
     /// Brings messages, time and durable writes to the raft node; sends what it has to say.
     pub(super) fn run_consensus(
         &mut self, now_monotonic: Us, durable_writes: &Mutex<Vec<u64>>,
-    ) -> ConsensusTurn {
+    ) -> ConsensusOutput {
         let messages = self.membership.take_messages();
-        let Some(node) = &mut self.consensus else { return ConsensusTurn::none() };
+        let Some(node) = &mut self.consensus else { return ConsensusOutput::none() };
         for number in std::mem::take(&mut *durable_writes.lock().unwrap_or_else(|e| e.into_inner())) {
             node.persisted(now_monotonic, number);
         }
@@ -79,7 +79,7 @@
                 proposer.try_send(describe_outcome(outcome).into()).unwrap_or_default();
             }
         }
-        ConsensusTurn {
+        ConsensusOutput {
             writes: node.take_writes(),
             policy: node.take_apply_policy(),
             next_tick: node.next_tick(),
--- a/daemon/src/membership/event_log.rs
+++ b/daemon/src/membership/event_log.rs
@@ -5,13 +5,13 @@
 use slog::{info, warn, Logger};
 
 /// Events logged in one turn; more are counted only.
-const MAX_LOGGED_EVENTS: usize = 20;
+const MAX_LOGGED_EVENTS_PER_TICK: usize = 20;
 
 impl MembershipService {
     /// Logs the events of a turn.
     pub(super) fn log_events(&self, events: Vec<Event>) {
-        let unlogged = events.len().saturating_sub(MAX_LOGGED_EVENTS) as u64;
-        for event in events.into_iter().take(MAX_LOGGED_EVENTS) {
+        let unlogged = events.len().saturating_sub(MAX_LOGGED_EVENTS_PER_TICK) as u64;
+        for event in events.into_iter().take(MAX_LOGGED_EVENTS_PER_TICK) {
             log_event(&self.log, event);
         }
         self.lock().unlogged_events += unlogged;
--- a/daemon/src/membership/run.rs
+++ b/daemon/src/membership/run.rs
@@ -10,16 +10,16 @@
 use std::sync::Arc;
 
 /// Microseconds between two looks at whether the state to persist has changed.
-const PERSIST_INTERVAL: Us = 10_000_000;
+const PERSIST_INTERVAL_US: Us = 10_000_000;
 /// Datagrams that wait to be sent; beyond it the oldest are lost, as on the way.
-const MAX_OUTGOING: usize = 4_096;
+const MAX_OUTGOING_DATAGRAMS: usize = 4_096;
 /// The shortest wait between two turns, in microseconds.
-const MIN_WAIT: Us = 1_000;
+const MIN_WAIT_US: Us = 1_000;
 /// A quota is looked at this many times while its lease lasts.
-const LOOKS_PER_LEASE: Us = 4;
+const RENEWALS_PER_LEASE: Us = 4;
 
 /// What a turn has brought.
-struct Turn {
+struct TickOutput {
     outgoing: VecDeque<Transmit>,
     events: Vec<Event>,
     next_wakeup: Us,
@@ -29,8 +29,8 @@
 
 /// The state on disk, and when it is looked at next.
 struct Persistence {
-    next_look: Us,
-    stored: PersistedState,
+    next_check: Us,
+    saved: PersistedState,
 }
 
 impl MembershipService {
@@ -43,7 +43,7 @@
         spawn("members", move || {
             receiver.receive(|from, bytes| {
                 service.lock().membership.handle_datagram(monotonic_now(), from, bytes);
-                service.clock.notify();
+                service.wakeup.notify();
             });
         })?;
         let (service, dispatcher) = (self.clone(), dispatcher.clone());
@@ -56,7 +56,7 @@
         let service = self.clone();
         Arc::new(move |number| {
             service.durable_writes.lock().unwrap_or_else(|e| e.into_inner()).push(number);
-            service.clock.notify();
+            service.wakeup.notify();
         })
     }
 
@@ -65,11 +65,11 @@
         &self, socket: &DatagramSocket, dispatcher: &Dispatcher, store: Option<Store>,
         on_durable: &Arc<OnDurable>,
     ) {
-        self.clock.register();
-        let mut persistence = Persistence { next_look: monotonic_now(), stored: PersistedState::default() };
+        self.wakeup.register();
+        let mut persistence = Persistence { next_check: monotonic_now(), saved: PersistedState::default() };
         loop {
             let started = monotonic_now();
-            let turn = self.take_turn(started, dispatcher, store.as_ref(), on_durable);
+            let turn = self.tick(started, dispatcher, store.as_ref(), on_durable);
             // The core learns of a smaller quota before anybody else learns anything. It is leased: a process that was
             // paused, or does not come to look, has none when it wakes.
             let changes_allowed = turn.role.allowed_changes == AllowedChanges::Any;
@@ -80,7 +80,7 @@
                 socket.send(destination, &contents);
             }
             self.log_events(turn.events);
-            if let Some(store) = store.as_ref().filter(|_| started >= persistence.next_look) {
+            if let Some(store) = store.as_ref().filter(|_| started >= persistence.next_check) {
                 self.persist(store, &mut persistence, started);
             }
             if turn.left {
@@ -88,15 +88,15 @@
             }
             // Never later than a quota is leased for, by a wide margin.
             let until_wakeup = turn.next_wakeup.saturating_sub(monotonic_now());
-            let wait = until_wakeup.min(self.quota_lease / LOOKS_PER_LEASE);
-            wait_until(now() + wait.max(MIN_WAIT));
+            let wait = until_wakeup.min(self.quota_lease / RENEWALS_PER_LEASE);
+            wait_until(now() + wait.max(MIN_WAIT_US));
         }
     }
 
     /// One turn under the lock: time passes for membership and consensus.
-    fn take_turn(
+    fn tick(
         &self, at: Us, dispatcher: &Dispatcher, store: Option<&Store>, on_durable: &Arc<OnDurable>,
-    ) -> Turn {
+    ) -> TickOutput {
         let mut locked = self.lock();
         if locked.membership.next_wakeup() <= at {
             locked.membership.tick(at);
@@ -110,9 +110,9 @@
         }
         let datagrams = locked.membership.take_datagrams();
         locked.outgoing.extend(datagrams);
-        let excess = locked.outgoing.len().saturating_sub(MAX_OUTGOING);
+        let excess = locked.outgoing.len().saturating_sub(MAX_OUTGOING_DATAGRAMS);
         locked.outgoing.drain(..excess);
-        Turn {
+        TickOutput {
             outgoing: std::mem::take(&mut locked.outgoing),
             events: locked.membership.take_events(),
             next_wakeup: locked.membership.next_wakeup().min(consensus.next_tick),
@@ -123,12 +123,12 @@
 
     /// Stores what a restart needs, if it has changed.
     fn persist(&self, store: &Store, persistence: &mut Persistence, at: Us) {
-        persistence.next_look = at + PERSIST_INTERVAL;
+        persistence.next_check = at + PERSIST_INTERVAL_US;
         let mut state = self.lock().membership.persisted_state(0);
         state.addresses.sort_unstable();
-        if state != persistence.stored {
+        if state != persistence.saved {
             store.save_members(PersistedState { written_at: now(), ..state.clone() }.to_text());
-            persistence.stored = state;
+            persistence.saved = state;
         }
     }
 }
--- a/daemon/src/membership/service.rs
+++ b/daemon/src/membership/service.rs
@@ -1,7 +1,7 @@
 //! Opening the service, and what operators and the shutdown ask of it.
 
 use super::consensus::open_node;
-use super::shared::{Locked, MembershipService};
+use super::shared::{MembershipService, MembershipState};
 use crate::change::Reply;
 use asterrill_consensus::Proposal;
 use asterrill_membership::{EnvelopeCodec, MemberId, MemberName, Membership, PersistedState};
@@ -21,7 +21,7 @@
     pub name: &'a str,
     /// The section of the operator's file.
     pub file: &'a MembershipSection,
-    /// What the process before has stored.
+    /// What the process before has saved.
     pub persisted: Option<PersistedState>,
     /// Seed of what is drawn at random.
     pub seed: u64,
@@ -75,7 +75,7 @@
         let socket = DatagramSocket::bind(file.listen)
             .map_err(|e| SettingsError::new(format!("[members] listen {}: {e}", file.listen)))?;
         let node = config.fleet.map(|(fleet, dir)| open_node(config.name, generation, fleet, dir));
-        let locked = Locked {
+        let locked = MembershipState {
             membership,
             outgoing: VecDeque::new(),
             left: false,
@@ -85,7 +85,7 @@
         };
         let service = MembershipService {
             locked: Mutex::new(locked),
-            clock: Notify::default(),
+            wakeup: Notify::default(),
             durable_writes: Arc::default(),
             expected_members: file.expected_members,
             quota_lease: file.suspicion_timeout,
@@ -102,7 +102,7 @@
         locked.membership.leave(monotonic_now());
         locked.left = true;
         drop(locked);
-        self.clock.notify();
+        self.wakeup.notify();
     }
 
     /// Proposes a change of the agreed lists; the reply is sent when its outcome is certain.
@@ -115,7 +115,7 @@
         let number = node.propose(proposal);
         locked.proposers.insert(number, reply);
         drop(locked);
-        self.clock.notify();
+        self.wakeup.notify();
     }
 }
 
--- a/daemon/src/membership/shared.rs
+++ b/daemon/src/membership/shared.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 /// What is behind the lock.
-pub(super) struct Locked {
+pub(super) struct MembershipState {
     /// The state machine of the membership protocol.
     pub(super) membership: Membership,
     /// Datagrams to send.
@@ -29,9 +29,9 @@
 /// The membership of this backend and the lists that the backends agree on.
 pub struct MembershipService {
     /// Locked for a moment only, never over a wait.
-    pub(super) locked: Mutex<Locked>,
+    pub(super) locked: Mutex<MembershipState>,
     /// Notified when there is something to do before the next wakeup.
-    pub(super) clock: Notify,
+    pub(super) wakeup: Notify,
     /// Numbers of a voter's writes that are durable, for the raft node.
     pub(super) durable_writes: Arc<Mutex<Vec<u64>>>,
     /// By how many members the settings divide what is shared.
@@ -43,12 +43,12 @@
 }
 
 impl MembershipService {
-    pub(super) fn lock(&self) -> MutexGuard<'_, Locked> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, MembershipState> {
         self.locked.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
 
-impl Locked {
+impl MembershipState {
     /// What this backend may do in the present view.
     pub(super) fn role(&self, expected_members: usize) -> RolePolicy {
         let membership = &self.membership;
--- a/daemon/src/membership/status.rs
+++ b/daemon/src/membership/status.rs
@@ -8,13 +8,13 @@
 use serde_json::{json, Value};
 
 /// Rows of an agreed list that are shown.
-const MAX_ROWS: usize = 5_000;
+const MAX_LIST_ROWS: usize = 5_000;
 /// Versions of the agreed lists that are shown.
-const MAX_HISTORY: usize = 20;
+const MAX_LISTED_VERSIONS: usize = 20;
 
 impl MembershipService {
     /// The agreed lists and how far this node is with them, or the rows of one list.
-    pub fn describe_agreed(&self, list: Option<ListKind>) -> Value {
+    pub fn describe_agreed_lists(&self, list: Option<ListKind>) -> Value {
         let locked = self.lock();
         let Some(node) = &locked.consensus else {
             return json!({"ok": false, "error": "there is no section [fleet]"});
@@ -63,7 +63,7 @@
         let standing = if entry.access == Access::Allowed { "in" } else { "out" };
         json!({"key": key, "standing": standing, "until": entry.expires_at})
     };
-    let rows: Vec<Value> = newest.list(kind).take(MAX_ROWS).map(row).collect();
+    let rows: Vec<Value> = newest.list(kind).take(MAX_LIST_ROWS).map(row).collect();
     json!({"ok": true, "list": kind.name(), "version": newest.number, "entries": newest.len(kind),
         "shown": rows.len(), "rows": rows})
 }
@@ -72,7 +72,7 @@
     let (policy, until, now) = (node.apply_policy(), node.lease_until(), monotonic_now());
     let newest = node.version_log().newest();
     let mode = if now >= until { policy.after_lease_expiry().mode } else { policy.mode };
-    let versions = node.version_log().history().rev().take(MAX_HISTORY);
+    let versions = node.version_log().history().rev().take(MAX_LISTED_VERSIONS);
     let versions: Vec<Value> = versions
         .map(|version| {
             let hash = format!("{:016x}", version.hash());
--- a/daemon/src/operator.rs
+++ b/daemon/src/operator.rs
@@ -13,7 +13,7 @@
 use std::path::Path;
 
 /// Of the buffers for bodies, all queues together may hold one in so many.
-const BODY_BUFFERS_PER_QUEUED_BODY: u64 = 4;
+const BODY_BUFFERS_PER_DELIVERY: u64 = 4;
 
 /// The operator's file; empty where there is none.
 #[derive(Default)]
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// A method or tenant that the configuration does not have, by name.
-pub fn queue_terms(
+pub fn consumer_configs(
     broker: Option<&BrokerConfig>, configuration: &Configuration,
 ) -> Result<Vec<ConsumerConfig>, SettingsError> {
     let queues = broker.iter().flat_map(|broker| &broker.queues);
@@ -107,11 +107,11 @@
 /// What is to be consumed, if anything. `body_buffers`: of RPCs, for which there is memory.
 ///
 /// # Errors
-/// Those of [`queue_terms`], and a password file that can't be read.
+/// Those of [`consumer_configs`], and a password file that can't be read.
 pub fn broker_setup(
     now: Us, config: &OperatorConfig, configuration: &Configuration, seed: u64, body_buffers: u64,
 ) -> Result<Option<BrokerSetup>, SettingsError> {
-    let terms = queue_terms(config.broker.as_ref(), configuration)?;
+    let terms = consumer_configs(config.broker.as_ref(), configuration)?;
     let Some(broker) = config.broker.clone() else { return Ok(None) };
     let password = asterrill_operator_config::read_secret(&broker.password_file);
     let password = password.map_err(|fault| SettingsError::new(fault.to_string()))?;
@@ -127,7 +127,7 @@
         consumers: terms,
         seed,
         cores: globals.cores as f64,
-        delivery_capacity: (body_buffers / BODY_BUFFERS_PER_QUEUED_BODY) as f64,
+        delivery_capacity: (body_buffers / BODY_BUFFERS_PER_DELIVERY) as f64,
         publishes_credit: globals.feedback_mode == FeedbackMode::Credit,
     };
     let Some(addresses) = Address::with_fallbacks(&broker.addresses) else { return Ok(None) };
--- a/daemon/src/operator_requests.rs
+++ b/daemon/src/operator_requests.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 /// Requests of one kind that may wait for the worker.
-const MAX_WAITING: usize = 16;
+const MAX_QUEUED_REQUESTS: usize = 16;
 /// Times that a change is read again because another version came into force meanwhile.
-const MAX_REREADS: usize = 4;
+const MAX_RESTAGE_ATTEMPTS: usize = 4;
 /// The worker answers within this.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -129,7 +129,7 @@
     fn stage(&self, request: ChangeRequest) -> Reply {
         let mut retained = request.may_be_retained().then(|| request.clone());
         let mut reply = self.stage_once(request);
-        for _ in 0..MAX_REREADS {
+        for _ in 0..MAX_RESTAGE_ATTEMPTS {
             let crossed = matches!(&reply, Reply::Rejected(rejection) if rejection.crossed);
             let Some(request) = retained.take_if(|_| crossed) else { break };
             retained = Some(request.clone());
@@ -155,7 +155,7 @@
         let (sender, receiver) = sync_channel(1);
         {
             let mut pending = self.queue.lock();
-            if pending.closed || pending.context_requests.len() >= MAX_WAITING {
+            if pending.closed || pending.context_requests.len() >= MAX_QUEUED_REQUESTS {
                 return None;
             }
             pending.context_requests.push(sender);
@@ -173,7 +173,7 @@
             if pending.closed {
                 return rejected("the server is shutting down");
             }
-            if pending.commands.len() >= MAX_WAITING {
+            if pending.commands.len() >= MAX_QUEUED_REQUESTS {
                 return rejected("too many wait to be answered");
             }
             pending.commands.push(PendingCommand { command, reply_to });
--- a/daemon/src/startup.rs
+++ b/daemon/src/startup.rs
@@ -29,7 +29,7 @@
 use std::sync::Arc;
 
 /// Bytes that may wait for the agent, the upstream or the broker.
-const MAX_LINK_BACKLOG: usize = 1024 * 1024;
+const MAX_LINK_BACKLOG_BYTES: usize = 1024 * 1024;
 
 /// All that was configured, read and checked.
 struct Config {
@@ -73,7 +73,7 @@
 }
 
 /// The dispatcher, and what it writes to.
-struct Serving {
+struct ServingParts {
     dispatcher: Arc<Dispatcher>,
     /// Buffers of the sockets.
     pool: BufferPool,
@@ -81,11 +81,13 @@
     upstream_links: Vec<Outbox>,
 }
 
-impl Serving {
-    fn new(deployment: &Deployment, server_parts: ServerParts, idle_timeout: Us, log: &Logger) -> Serving {
+impl ServingParts {
+    fn new(
+        deployment: &Deployment, server_parts: ServerParts, idle_timeout: Us, log: &Logger,
+    ) -> ServingParts {
         // Two pools, so that queued bodies can't keep answers from being written.
         let [pool, body_pool] = [(); 2].map(|()| BufferPool::new(buffers(deployment.memory_mb)));
-        let link = || Outbox::new(&pool, MAX_LINK_BACKLOG);
+        let link = || Outbox::new(&pool, MAX_LINK_BACKLOG_BYTES);
         let link_count = if deployment.upstream.is_some() { upstream_links(deployment.sockets) } else { 0 };
         let agent_link = link();
         let upstream_links: Vec<Outbox> = (0..link_count).map(|_| link()).collect();
@@ -99,7 +101,7 @@
             [pool.clone(), body_pool],
             log.clone(),
         ));
-        Serving { dispatcher, pool, agent_link, upstream_links }
+        ServingParts { dispatcher, pool, agent_link, upstream_links }
     }
 }
 
@@ -129,18 +131,18 @@
     // Files may be copied: no two processes draw the same, nor one after a restart.
     let process_seed = asterrill_recovery::seed(deployment.seed, &deployment.name, now(), std::process::id());
     let cores = server_parts.cores;
-    let Serving { dispatcher, pool, agent_link, upstream_links } =
-        Serving::new(&deployment, server_parts, idle_timeout, log);
+    let ServingParts { dispatcher, pool, agent_link, upstream_links } =
+        ServingParts::new(&deployment, server_parts, idle_timeout, log);
     // Periodic work is spread over processes that started together, where that is configured.
     let jitter_seed = operator.recovery.map(|_| process_seed);
     let mut tasks = Tasks::new(dispatcher.clone(), pool, process_seed, jitter_seed);
     if let Some(broker) = broker {
-        tasks.spawn_broker(broker, MAX_LINK_BACKLOG)?;
+        tasks.spawn_broker(broker, MAX_LINK_BACKLOG_BYTES)?;
     }
-    let site = Site { deployment: &deployment, operator: &operator, process_seed, log };
-    site.start_recovery(&dispatcher, start.content.settings_hash(), cores);
-    let store = site.state_dir().map(|dir| Store::start(dir, log)).transpose()?;
-    let membership = site.start_membership(&dispatcher, store.clone())?;
+    let context = ProcessContext { deployment: &deployment, operator: &operator, process_seed, log };
+    context.start_recovery(&dispatcher, start.content.settings_hash(), cores);
+    let store = context.state_dir().map(|dir| Store::start(dir, log)).transpose()?;
+    let membership = context.start_membership(&dispatcher, store.clone())?;
     let changes = ChangeDriver::new(start, policy, deployment.seed, store.clone());
     let running = changes.running();
     let queue = Arc::new(RequestQueue::default());
@@ -172,14 +174,14 @@
 }
 
 /// What parts need to know of the process that they start in.
-struct Site<'a> {
+struct ProcessContext<'a> {
     deployment: &'a Deployment,
     operator: &'a OperatorConfig,
     process_seed: u64,
     log: &'a Logger,
 }
 
-impl Site<'_> {
+impl ProcessContext<'_> {
     fn state_dir(&self) -> Option<&Path> {
         self.operator.changes.state_dir.as_deref()
     }
--- a/daemon/src/store.rs
+++ b/daemon/src/store.rs
@@ -3,18 +3,18 @@
 //! | module | job |
 //! | --- | --- |
 //! | `writer` | the thread that writes, and what waits for it |
-//! | `versions`, `former_versions` | the file of versions, and files as earlier builds left them |
-//! | `texts` | checksummed texts: learned values, members |
+//! | `versions`, `legacy_versions` | the file of versions, and files as earlier builds left them |
+//! | `checksummed` | checksummed texts: learned values, members |
 //! | `consensus` | the file of a voter |
 
+mod checksummed;
 mod consensus;
-mod former_versions;
-mod texts;
+mod legacy_versions;
 mod versions;
 mod writer;
 
+pub use checksummed::{read_learned, read_members};
 pub use consensus::{read_consensus, truncate_consensus, OnDurable};
-pub use texts::{read_learned, read_members};
 pub use versions::read_versions;
 pub use writer::Store;
 
--- a/daemon/src/store/former_versions.rs
+++ b/daemon/src/store/legacy_versions.rs
@@ -1,6 +1,6 @@
 //! Versions as builds before the file of versions left them, each a complete text in a file of its own.
 
-use super::texts::FORMAT;
+use super::checksummed::FORMAT;
 use crate::durable_file;
 use asterrill_recovery::MAX_TEXT_BYTES;
 use asterrill_rollout::{PersistedState, PersistedVersion};
@@ -13,7 +13,7 @@
 const TEXT_KIND: &str = "state";
 
 /// Reads them. What had been rolled back is forgotten: it was named by a hash of the text.
-pub(super) fn read_former_versions(dir: &Path, log: &Logger) -> Option<PersistedState> {
+pub(super) fn read_legacy_versions(dir: &Path, log: &Logger) -> Option<PersistedState> {
     let [good, probation] = FILE_NAMES.map(|name| {
         let path = dir.join(name);
         read_version(&path).unwrap_or_else(|why| {
@@ -25,7 +25,7 @@
 }
 
 /// Removes them. One that can't be removed is not looked at all the same.
-pub(super) fn remove_former_versions(dir: &Path) {
+pub(super) fn remove_legacy_versions(dir: &Path) {
     FILE_NAMES.iter().for_each(|name| std::fs::remove_file(dir.join(name)).unwrap_or_default());
 }
 
--- a/daemon/src/store/versions.rs
+++ b/daemon/src/store/versions.rs
@@ -1,7 +1,7 @@
 //! The file of versions. What differs from what is there is appended as steps; a snapshot is written at the first write,
 //! after a failure, and when the steps have outgrown it.
 
-use super::former_versions::{read_former_versions, remove_former_versions};
+use super::legacy_versions::{read_legacy_versions, remove_legacy_versions};
 use crate::durable_file;
 use asterrill_rollout::{recover, write_snapshot, PersistedState, WrittenFile};
 use slog::{warn, Logger};
@@ -16,7 +16,7 @@
     let path = dir.join(FILE_NAME);
     let read = match File::open(&path) {
         Ok(file) => recover(BufReader::new(file)).map_err(|fault| fault.to_string()),
-        Err(e) if e.kind() == io::ErrorKind::NotFound => return read_former_versions(dir, log),
+        Err(e) if e.kind() == io::ErrorKind::NotFound => return read_legacy_versions(dir, log),
         Err(e) => Err(e.to_string()),
     };
     let recovered = match read {
@@ -59,7 +59,7 @@
             return Ok(());
         }
         self.written = Some(durable_file::replace_text(&path, |to| write_snapshot(&state, to))?);
-        remove_former_versions(dir);
+        remove_legacy_versions(dir);
         Ok(())
     }
 }
--- a/daemon/src/store/writer.rs
+++ b/daemon/src/store/writer.rs
@@ -1,7 +1,7 @@
 //! The thread that writes: each file completely or not at all, the newest state first, and versions before anything else.
 
+use super::checksummed::{write_learned, write_members};
 use super::consensus::{append_consensus, OnDurable};
-use super::texts::{write_learned, write_members};
 use super::versions::VersionsFile;
 use asterrill_consensus::DiskWrite;
 use asterrill_recovery::Snapshot;
@@ -36,7 +36,7 @@
 struct WriteQueue {
     pending: Mutex<PendingWrites>,
     changed: Condvar,
-    failed: AtomicU64,
+    failed_writes: AtomicU64,
 }
 
 impl WriteQueue {
@@ -75,8 +75,8 @@
             dir: dir.to_path_buf(),
             log: log.clone(),
             versions: VersionsFile::default(),
-            consensus_broken: false,
-            reported_failures: 0,
+            consensus_failed: false,
+            last_reported_failures: 0,
         };
         std::thread::Builder::new().name("store".into()).spawn(move || writer.run())?;
         Ok(Store(queue))
@@ -108,8 +108,8 @@
     }
 
     /// Times that something could not be written.
-    pub fn failed(&self) -> u64 {
-        self.0.failed.load(Ordering::Relaxed)
+    pub fn failed_writes(&self) -> u64 {
+        self.0.failed_writes.load(Ordering::Relaxed)
     }
 }
 
@@ -120,10 +120,10 @@
     log: Logger,
     versions: VersionsFile,
     /// A write of the voter's file has failed: what is there may end in the middle.
-    consensus_broken: bool,
+    consensus_failed: bool,
     /// Failures at the last report: a directory that stays full or read-only is reported at its first, second, fourth
     /// failure.
-    reported_failures: u64,
+    last_reported_failures: u64,
 }
 
 impl Writer {
@@ -144,19 +144,19 @@
         let learned = pending.learned.map_or(Ok(()), |learned| write_learned(dir, &learned));
         let members = pending.members.map_or(Ok(()), |text| write_members(dir, &text));
         // After a failure nothing more is reported as durable. A restart reads anew what is there.
-        let consensus = if self.consensus_broken {
+        let consensus = if self.consensus_failed {
             Ok(())
         } else {
             append_consensus(dir, &pending.consensus, pending.on_durable.as_deref())
         };
-        self.consensus_broken |= consensus.is_err();
+        self.consensus_failed |= consensus.is_err();
         [versions, learned, members, consensus]
     }
 
     fn report(&mut self, error: &io::Error) {
-        let failed = self.queue.failed.fetch_add(1, Ordering::Relaxed) + 1;
-        if failed >= self.reported_failures * 2 {
-            self.reported_failures = failed;
+        let failed = self.queue.failed_writes.fetch_add(1, Ordering::Relaxed) + 1;
+        if failed >= self.last_reported_failures * 2 {
+            self.last_reported_failures = failed;
             warn!(self.log, "the state could not be written: a restart starts with what is on disk";
                 "path" => %self.dir.display(), "why" => %error, "times" => failed);
         }
--- a/daemon/src/tests/change.rs
+++ b/daemon/src/tests/change.rs
@@ -5,7 +5,7 @@
     prepare, ChangeDriver, ChangeRequest, ChangeSource, OperatorCommand, PreparedChange, Request,
     RolloutPolicy, SlicePause, StartVersion, VersionContent,
 };
-use crate::control_loop::pause_between_slices;
+use crate::control_loop::yield_between_slices;
 use crate::dispatcher::Dispatcher;
 use crate::operator_requests::{PendingCommand, RequestHandler, RequestQueue};
 use crate::shutdown::Shutdown;
@@ -185,10 +185,10 @@
         let queue = RequestQueue::default();
         let mut shutdown = Shutdown::new(None, None, 900 * MS);
         dispatcher.clock.register();
-        pause_between_slices(&dispatcher, &queue, &mut shutdown, false);
+        yield_between_slices(&dispatcher, &queue, &mut shutdown, false);
         let before = dispatcher.serving();
         queue.lock().shutdown = true;
-        pause_between_slices(&dispatcher, &queue, &mut shutdown, false);
+        yield_between_slices(&dispatcher, &queue, &mut shutdown, false);
         let pending = queue.lock().shutdown;
         sender.send((before, dispatcher.serving(), shutdown.has_begun(), pending)).unwrap();
     })
--- a/daemon/src/tests/store.rs
+++ b/daemon/src/tests/store.rs
@@ -105,7 +105,7 @@
         vec![asterrill_consensus::DiskWrite { number: 1, bytes: vec![1; 64], replace: false }],
         &on_durable,
     );
-    wait(|| store.failed() >= 2);
+    wait(|| store.failed_writes() >= 2);
     assert_eq!(read_versions(&dir, &log()), Some(state(1, None)));
     assert_eq!(reported.load(Ordering::Relaxed), 0);
     // There is space again: the next state is written.
@@ -184,7 +184,7 @@
         store.save_versions(state(number, Some(number + 1)));
     }
     wait(|| read_versions(&dir, &log()) == Some(state(499, Some(500))));
-    assert_eq!(store.failed(), 0);
+    assert_eq!(store.failed_writes(), 0);
     std::fs::remove_dir_all(dir).unwrap();
 }
 
@@ -234,7 +234,7 @@
 fn unwritable_directory_is_only_counted() {
     let store = Store::start(Path::new("/proc/nowhere"), &log()).unwrap();
     store.save_versions(state(1, None));
-    wait(|| store.failed() > 0);
+    wait(|| store.failed_writes() > 0);
     store.save_versions(state(2, None));
-    wait(|| store.failed() > 1);
+    wait(|| store.failed_writes() > 1);
 }
