--- a/daemon/src/arguments.rs
+++ b/daemon/src/arguments.rs
@@ -1,16 +1,16 @@
-//! The command line.
+//! Command line arguments.
 
 use std::path::PathBuf;
 
-/// One backend: RPCs of sidecars, and of the queues that an operator's file names, under one admission. What it
-/// needs to know of its place among the others is in the JSON file that the environment variable GW_CONFIG names.
+/// Serves one backend: admits RPCs from sidecars and from the queues that the operator's file names. The address and
+/// the settings of the backend are in the JSON file that the environment variable GW_CONFIG names.
 #[derive(clap::Parser, Debug)]
 #[command(version)]
 pub struct Arguments {
-    /// The operator's file (docs/operate/amqp.md); without it sidecars alone are served
+    /// Operator's file (docs/operate/amqp.md); without it only sidecars are served
     #[arg(long, value_name = "PATH")]
     pub file: Option<PathBuf>,
-    /// Only checks both files; nothing is started
+    /// Check both files and exit without serving
     #[arg(long)]
     pub check: bool,
 }
--- a/daemon/src/change.rs
+++ b/daemon/src/change.rs
@@ -1,14 +1,16 @@
-//! Changes of the configuration, carried out: versions come from signals and from the control socket, are read and
-//! checked against what runs beside the worker, put in slice by slice on it, come into force in one input of the core,
-//! are watched, and written down.
+//! Configuration changes: validation, installation, probation and rollback.
 //!
-//! | module | job |
+//! A change arrives on the control socket or by SIGHUP. It is parsed and validated off the worker thread, against the
+//! running version. The worker then stages its entries in slices, activates all of them in one input of the core,
+//! monitors the service during probation and persists the result.
+//!
+//! | module | purpose |
 //! | --- | --- |
-//! | `content` | what one version says, and the one that runs |
-//! | `request`, `command`, `reply` | what operators ask for, and the answers as JSON |
-//! | `prepare` | reading and checking a change, beside the worker |
-//! | `install` | putting a version in force, slice by slice |
-//! | `driver`, `status` | the transaction on the worker, and what it reports |
+//! | `content` | content of one version, and a shared handle to the running one |
+//! | `request`, `command`, `reply` | requests of operators, and the replies as JSON |
+//! | `prepare` | parsing and validation of a change, off the worker thread |
+//! | `install` | installation of a version in slices |
+//! | `driver`, `status` | the transaction on the worker, and its status |
 
 mod command;
 mod content;
--- a/daemon/src/change/command.rs
+++ b/daemon/src/change/command.rs
@@ -1,37 +1,37 @@
-//! What operators ask for.
+//! Requests and commands of operators.
 
 use super::prepare::PreparedChange;
 use super::request::ChangeRequest;
 use asterrill::Us;
 use asterrill_rollout::SimpleCommand;
 
-/// A request of the control socket.
+/// Request on the control socket.
 #[derive(Clone, Debug)]
 pub enum Request {
-    /// Stage a change.
+    /// Stages a change.
     Stage(ChangeRequest),
-    /// Say what a change would mean.
+    /// Describes the effect of a change without staging it.
     Diff(ChangeRequest),
-    /// Anything that needs no reading beside the worker.
+    /// Command that needs no parsing off the worker thread.
     Command(OperatorCommand),
 }
 
-/// What the worker carries out for an operator.
+/// Command that the worker executes for an operator.
 #[derive(Clone, Debug)]
 pub enum OperatorCommand {
-    /// Stage a change that was read and checked.
+    /// Stages a validated change.
     Stage(Box<PreparedChange>),
-    /// Let the staged version run.
+    /// Applies the staged version.
     Apply {
-        /// Only if this version runs.
+        /// Version that must be running, otherwise the command is rejected.
         if_base: Option<u64>,
-        /// Length of the probation in microseconds; `None`: as the operator's file has it.
+        /// Duration of the probation in microseconds; `None` for that of the operator's file.
         probation: Option<Us>,
     },
-    /// A command without arguments.
+    /// Command without arguments.
     Simple(SimpleCommand),
-    /// A list on which the backends agree.
+    /// Shows a list on which the backends agree.
     AgreedList(asterrill_consensus::ListKind),
-    /// Change what the backends agree on.
+    /// Proposes a change of the agreed lists.
     ProposeAgreed(asterrill_consensus::Proposal),
 }
--- a/daemon/src/change/content.rs
+++ b/daemon/src/change/content.rs
@@ -1,4 +1,4 @@
-//! What one version says, and a handle to the version that runs for threads beside the worker.
+//! Content of one version, and a shared handle to the running version for threads other than the worker.
 
 use asterrill_entries::Configuration;
 use asterrill_operator_config::OperatorConfig;
@@ -6,19 +6,19 @@
 use asterrill_settings::SettingsError;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What one version says: the configuration's entries, and the operator's file. Cheap to clone.
+/// Content of one version: the entries of the configuration and the operator's file. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct VersionContent {
     /// Global settings, methods and tenants.
     pub configuration: Configuration,
-    /// The operator's file, parsed.
+    /// Parsed operator's file.
     pub operator_config: Arc<OperatorConfig>,
-    /// The operator's file as it was written; empty where there is none.
+    /// Text of the operator's file; empty if there is none.
     operator_text: Arc<str>,
 }
 
 impl VersionContent {
-    /// Of parts that were read already.
+    /// Creates a version from a configuration and an operator's file that are parsed already.
     pub fn new(
         configuration: Configuration, operator_config: OperatorConfig, operator_text: &str,
     ) -> VersionContent {
@@ -26,66 +26,67 @@
         VersionContent { configuration, operator_config, operator_text: operator_text.into() }
     }
 
-    /// The same with other entries.
+    /// Returns a copy with another configuration.
     pub fn with_configuration(&self, configuration: Configuration) -> VersionContent {
         VersionContent { configuration, ..self.clone() }
     }
 
-    /// The same with another operator's file.
+    /// Returns a copy with another operator's file.
     ///
     /// # Errors
-    /// What is wrong with that file, and where.
+    /// The file is invalid. The error names the line.
     pub fn with_operator_file(&self, text: &str) -> Result<VersionContent, SettingsError> {
         let parsed = asterrill_operator_config::parse("operator's file", text);
-        let operator_config = parsed.map_err(|mistake| SettingsError::new(mistake.to_string()))?;
+        let operator_config = parsed.map_err(|error| SettingsError::new(error.to_string()))?;
         Ok(VersionContent::new(self.configuration.clone(), operator_config, text))
     }
 
-    /// The version's hash: the same for the same meaning of the entries.
+    /// Returns the hash of the version. It does not depend on how equal entries are written.
     pub fn hash(&self) -> VersionHash {
         version_hash(&self.configuration, &self.operator_text)
     }
 
-    /// A hash of the entries alone, as snapshots of learned values name it.
+    /// Returns a hash of the entries alone, by which snapshots of learned values identify the settings.
     pub fn settings_hash(&self) -> u64 {
         asterrill_recovery::seed(0, &self.configuration.digest().to_string(), 0, 0)
     }
 
-    /// The version as it persists.
+    /// Converts the version to its persisted form.
     pub fn to_persisted(&self, number: u64) -> PersistedVersion {
         let (content, operator_file) = (self.configuration.clone(), self.operator_text.clone());
         PersistedVersion { number, content, operator_file }
     }
 
-    /// The content of a version that was read back.
+    /// Restores the content of a persisted version.
     ///
     /// # Errors
-    /// What is wrong with its operator's file.
+    /// The persisted operator's file is invalid.
     pub fn from_persisted(version: &PersistedVersion) -> Result<VersionContent, SettingsError> {
         let empty = VersionContent::new(version.content.clone(), OperatorConfig::default(), "");
         empty.with_operator_file(&version.operator_file)
     }
 }
 
-/// The content that runs, for threads that read a file beside it: what is the same is shared.
+/// Content of the running version, shared with the threads that parse files. Equal entries of a parsed file share its
+/// memory.
 pub struct RunningContent(Mutex<VersionContent>);
 
 impl RunningContent {
-    /// Begins with this content.
+    /// Creates a handle to `content`.
     pub fn new(content: &VersionContent) -> RunningContent {
         RunningContent(Mutex::new(content.clone()))
     }
 
-    /// A copy of what runs.
+    /// Returns a copy of the running content.
     pub fn get(&self) -> VersionContent {
         self.lock().clone()
     }
 
-    /// Another content runs.
+    /// Replaces the running content.
     pub fn set(&self, content: &VersionContent) {
-        let before = std::mem::replace(&mut *self.lock(), content.clone());
-        // Dropped outside of the lock: it may be long.
-        drop(before);
+        let previous = std::mem::replace(&mut *self.lock(), content.clone());
+        // Freeing a large configuration takes long, so it is done after the lock was released.
+        drop(previous);
     }
 
     fn lock(&self) -> MutexGuard<'_, VersionContent> {
--- a/daemon/src/change/driver.rs
+++ b/daemon/src/change/driver.rs
@@ -1,4 +1,4 @@
-//! The driver of the transaction, on the worker: stages, applies, watches, confirms and rolls back.
+//! Driver of the rollout transaction on the worker: stages, applies, monitors, confirms and rolls back changes.
 
 use super::command::OperatorCommand;
 use super::content::{RunningContent, VersionContent};
@@ -24,27 +24,30 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Microseconds between looks at what was served.
+/// Interval between samples of the service statistics, in microseconds.
 const SAMPLE_INTERVAL_US: Us = 100_000;
 
-/// The version that a process starts with.
+/// Reason recorded for a confirmation or a rollback that an operator requested.
+const REQUESTED: &str = "requested by an operator";
+
+/// Version that the process starts with.
 pub struct StartVersion {
-    /// What it says.
+    /// Content of the version.
     pub content: VersionContent,
-    /// Its number.
+    /// Number of the version.
     pub number: u64,
-    /// Versions that were rolled back, the oldest first.
+    /// Versions that were rolled back, oldest first.
     pub rolled_back: Vec<RolledBack>,
 }
 
-/// Carries changes out at the dispatcher.
+/// Applies configuration changes to the dispatcher.
 pub struct ChangeDriver {
     pub(super) rollout: Rollout<VersionContent>,
-    /// Of versions that are staged, queued or on probation: what leads there from the one before.
+    /// Changes from the previous version, by the number of each version that is staged, queued or on probation.
     steps: BTreeMap<u64, Arc<Vec<Change>>>,
     running: Arc<RunningContent>,
     baseline: Baseline,
-    /// The same since the change that is watched: the baseline of the next one, if this one stays.
+    /// Baseline measured since the change on probation. It replaces `baseline` when that change is confirmed.
     next_baseline: Baseline,
     monitor: Option<ProbationMonitor>,
     next_sample: Us,
@@ -54,7 +57,7 @@
 }
 
 impl ChangeDriver {
-    /// Begins with a version, and writes it down if there is a store.
+    /// Creates a driver with its first version, and persists that if there is a store.
     pub fn new(start: StartVersion, policy: RolloutPolicy, seed: u64, store: Option<Store>) -> ChangeDriver {
         let StartVersion { content, number, rolled_back } = start;
         let hash = content.hash();
@@ -75,12 +78,12 @@
         driver
     }
 
-    /// What runs, for other threads.
+    /// Returns the handle to the running content for other threads.
     pub fn running(&self) -> Arc<RunningContent> {
         self.running.clone()
     }
 
-    /// When `tick` is due next; only while something is on probation must it be in time.
+    /// Returns the time at which `tick` must be called. Calls have to be on time only during a probation.
     pub fn next_deadline(&self) -> Us {
         if self.monitor.is_some() {
             self.next_sample
@@ -89,20 +92,20 @@
         }
     }
 
-    /// Graceful shutdown began: nothing is applied any more, and nothing rolled back.
+    /// Ends the monitoring at the start of a graceful shutdown. From then on no change is applied or rolled back.
     pub fn begin_shutdown(&mut self) {
         self.rollout.begin_shutdown();
         self.monitor = None;
     }
 
-    /// What a change is to be read and checked against.
+    /// Returns the running version and the observed load that a change is validated against.
     pub fn validation_context(&self, dispatcher: &Dispatcher) -> ValidationContext {
         let running = self.rollout.running();
         let observed = dispatcher.with(|core, _, _| core.recent_load());
         ValidationContext { version: running.number, running: running.content.clone(), observed }
     }
 
-    /// Time has passed: what was served is looked at.
+    /// Takes a sample of the service statistics if it is due, and acts on the verdict of the probation monitor.
     pub fn tick(&mut self, dispatcher: &Dispatcher, pause: &mut SlicePause<'_>) {
         let at = now();
         if at < self.next_sample {
@@ -125,7 +128,7 @@
             Verdict::RollBack { expected, observed } => {
                 let why = describe_loss(expected, observed);
                 if let Err(rejection) = self.roll_back(dispatcher, &why, pause) {
-                    warn!(dispatcher.log, "rolling the change back failed"; "why" => rejection.error);
+                    warn!(dispatcher.log, "rolling back the change failed"; "why" => rejection.error);
                 }
             }
             Verdict::Confirm { expected, observed } => {
@@ -134,8 +137,10 @@
         }
     }
 
-    /// A configuration file was read again, on a signal: its addresses are taken up by the caller, the rest goes
-    /// through the same transaction as any change. `prepared`: how that was read, if it differs from what ran then.
+    /// Applies a configuration file that was reloaded on a signal, by the same transaction as any other change.
+    ///
+    /// The caller updates the addresses. `prepared` is the result of the validation off the worker thread; `None` if
+    /// the file had no changes then.
     pub fn reload(
         &mut self, dispatcher: &Dispatcher, deployment: Deployment,
         prepared: Option<Result<PreparedChange, Rejection>>, pause: &mut SlicePause<'_>,
@@ -156,13 +161,13 @@
         prepared: Option<Result<PreparedChange, Rejection>>, pause: &mut SlicePause<'_>,
     ) -> Result<(), Rejection> {
         if !dispatcher.changes_allowed.load(Ordering::Acquire) {
-            return Err(Rejection::new("half of the members or fewer are seen"));
+            return Err(Rejection::new("this backend sees half of the members or fewer"));
         }
         let running = self.rollout.running().number;
         let prepared = match prepared {
             Some(Ok(prepared)) if prepared.validated_against == running => prepared,
             Some(Err(rejection)) => return Err(rejection),
-            // Another version runs by now, or it was not read at all.
+            // Another version has been applied since the validation, or the file was not validated.
             _ => {
                 let source = ChangeSource::Configuration(deployment.configuration);
                 let request = ChangeRequest { source, base: None, options: StageOptions::default() };
@@ -174,14 +179,15 @@
         Ok(())
     }
 
-    /// Carries out what an operator asks for.
+    /// Executes a command of an operator.
     pub fn execute(
         &mut self, dispatcher: &Dispatcher, command: OperatorCommand, pause: &mut SlicePause<'_>,
     ) -> Reply {
-        // Cut off from the others, it goes back at the most: what is changed here would be changed here alone.
+        // A backend that is cut off from the majority accepts no new version, because it would diverge from the others.
+        // It may still return to the previous version.
         let isolated = !dispatcher.changes_allowed.load(Ordering::Acquire);
         if isolated && matches!(command, OperatorCommand::Stage(_) | OperatorCommand::Apply { .. }) {
-            let why = "this backend sees half of its members or fewer: only undo and settle are taken";
+            let why = "this backend sees half of the members or fewer: stage and apply are rejected";
             return Reply::Rejected(Rejection::new(why));
         }
         let result = match command {
@@ -200,8 +206,8 @@
     ) -> Result<Reply, Rejection> {
         match command {
             SimpleCommand::Status => Ok(Reply::Status(Box::new(self.status(dispatcher)))),
-            SimpleCommand::Confirm => self.confirm(dispatcher, "asked for").map(Reply::Confirmed),
-            SimpleCommand::RollBack => self.roll_back(dispatcher, "asked for", pause).map(Reply::RolledBack),
+            SimpleCommand::Confirm => self.confirm(dispatcher, REQUESTED).map(Reply::Confirmed),
+            SimpleCommand::RollBack => self.roll_back(dispatcher, REQUESTED, pause).map(Reply::RolledBack),
             SimpleCommand::Drop => self.drop_staged(&dispatcher.log).map(Reply::Dropped),
             SimpleCommand::History => Ok(Reply::History(self.history())),
             SimpleCommand::Members => Err(Rejection::new("there is no section [members]")),
@@ -222,7 +228,9 @@
         } = prepared;
         let running = self.rollout.running().number;
         if validated_against != running {
-            let error = format!("version {running} came into force while it was read: hand it in again");
+            let error = format!(
+                "version {running} was applied while the change was validated: submit the change again"
+            );
             return Err(Rejection { error, problems: None, crossed: true });
         }
         let proposal = Proposal { content, hash: hash.clone(), base, options };
@@ -245,7 +253,7 @@
     ) -> Result<AppliedReply, Rejection> {
         let at = now();
         let probation = probation.unwrap_or(self.policy.probation);
-        let before = self.rollout.running().content.clone();
+        let previous = self.rollout.running().content.clone();
         let version = match self.rollout.apply(at, if_base, probation) {
             Ok(version) => version,
             Err(error) => {
@@ -253,19 +261,20 @@
                 return Err(error.into());
             }
         };
-        // Written first: after a crash from here on the last good version is what starts.
+        // Persisted before it is installed, so that after a crash the process starts on the last good version.
         self.persist();
         let start = Instant::now();
-        let step = self.step_to(&version, &before);
+        let step = self.step_to(&version, &previous);
         if let Err(error) = install(dispatcher, &version, &step, self.seed, Change::clone, pause) {
-            // It passed all checks, so this is a defect, or places ran out; nothing of it was applied.
+            // The change has passed validation, so this is a defect, or the core has no capacity for its entries.
+            // Nothing of it was applied.
             drop(self.rollout.roll_back(at, &error.to_string()));
             self.persist();
             self.log_events(&dispatcher.log);
             return Err(error.into());
         }
         let took_us = start.elapsed().as_micros() as u64;
-        self.monitor = Some(ProbationMonitor::new(now(), &self.baseline, before.configuration, probation));
+        self.monitor = Some(ProbationMonitor::new(now(), &self.baseline, previous.configuration, probation));
         self.next_sample = now();
         self.running.set(&version.content);
         self.log_events(&dispatcher.log);
@@ -278,11 +287,11 @@
         })
     }
 
-    /// What led to a version from the one before.
-    fn step_to(&self, version: &Version<VersionContent>, before: &VersionContent) -> Arc<Vec<Change>> {
+    /// Returns the changes that lead from `previous` to `version`.
+    fn step_to(&self, version: &Version<VersionContent>, previous: &VersionContent) -> Arc<Vec<Change>> {
         match self.steps.get(&version.number) {
             Some(step) => step.clone(),
-            None => Arc::new(before.configuration.changes_to(&version.content.configuration)),
+            None => Arc::new(previous.configuration.changes_to(&version.content.configuration)),
         }
     }
 
@@ -299,11 +308,11 @@
     fn roll_back(
         &mut self, dispatcher: &Dispatcher, why: &str, pause: &mut SlicePause<'_>,
     ) -> Result<RolledBackReply, Rejection> {
-        let bad = self.rollout.running().clone();
+        let replaced = self.rollout.running().clone();
         let version = self.rollout.roll_back(now(), why)?;
         self.monitor = None;
         self.next_baseline = Baseline::default();
-        let step = self.step_to(&bad, &version.content);
+        let step = self.step_to(&replaced, &version.content);
         let installed = self.install_inverse(dispatcher, &version, &step, pause);
         dispatcher.with(|core, _, _| core.commit_change());
         self.running.set(&version.content);
@@ -314,16 +323,16 @@
         Ok(RolledBackReply { version: number, hash, entries: step.len() })
     }
 
-    /// Puts a version in force again that a step led away from.
+    /// Installs `version` again by the inverse of the step that led away from it.
     fn install_inverse(
         &self, dispatcher: &Dispatcher, version: &Version<VersionContent>, step: &[Change],
         pause: &mut SlicePause<'_>,
     ) -> Result<(), SettingsError> {
-        let before = &version.content.configuration;
-        install(dispatcher, version, step, self.seed, |entry| inverse(entry, before), pause)
+        let restored = &version.content.configuration;
+        install(dispatcher, version, step, self.seed, |entry| inverse(entry, restored), pause)
     }
 
-    /// Writes down what a restart needs, if there is a place for it.
+    /// Persists the versions that a restart needs, if there is a store.
     fn persist(&self) {
         let Some(store) = &self.store else { return };
         let good = self.rollout.last_good();
@@ -336,7 +345,7 @@
         });
     }
 
-    /// Logs each event once, with all that decided it, and forgets what led to versions that are over.
+    /// Logs each new event with the reason for it, and removes the steps of versions that are no longer pending.
     fn log_events(&mut self, log: &Logger) {
         for event in self.rollout.take_events() {
             let entries = self.steps.get(&event.version).map_or(0, |step| step.len());
@@ -345,15 +354,15 @@
         }
         let on_probation = self.rollout.phase() != Phase::Confirmed;
         let running = Some(self.rollout.running()).filter(|_| on_probation);
-        let open = [running, self.rollout.staged(), self.rollout.queued()];
-        let open = open.map(|version| version.map(|version| version.number));
-        self.steps.retain(|number, _| open.contains(&Some(*number)));
+        let pending = [running, self.rollout.staged(), self.rollout.queued()];
+        let pending = pending.map(|version| version.map(|version| version.number));
+        self.steps.retain(|number, _| pending.contains(&Some(*number)));
     }
 }
 
 fn describe_loss(expected: Loss, observed: Loss) -> String {
     format!(
-        "loss of {:.3} where {:.3} was to be expected, on {:.0} RPCs' worth",
+        "observed loss {:.3}, expected {:.3}, effective sample of {:.0} RPCs",
         observed.fraction, expected.fraction, observed.effective_samples
     )
 }
--- a/daemon/src/change/install.rs
+++ b/daemon/src/change/install.rs
@@ -1,5 +1,5 @@
-//! Putting a version in force: entries go in slice by slice beside those in force, then one input of the core switches
-//! over to all of them.
+//! Installation of a version: its entries are staged in slices beside the active ones, then one input of the core
+//! activates all of them.
 
 use super::content::VersionContent;
 use super::prepare::changed_global_parts;
@@ -11,17 +11,19 @@
 use asterrill_rollout::Version;
 use asterrill_settings::SettingsError;
 
-/// Entries of a change that go in together: then all others get their turn. Measured: see `docs/design/rollout.md`.
+/// Number of entries staged without a pause. Then other coroutines run. See `docs/design/rollout.md` for measurements.
 const ENTRIES_PER_SLICE: usize = 200;
 
-/// What is done between two slices of a change: all others get their turn.
+/// Callback between two slices of a change, in which other coroutines run.
 pub type SlicePause<'a> = dyn FnMut(&Dispatcher) + 'a;
 
-/// The one place where a version comes into force: its entries go in beside those that are in force, a slice at a
-/// time; then one input of the core switches over to all of them. `entry_for`: what goes in for an entry of `step`.
+/// Installs a version. This is the only function that activates one.
+///
+/// The entries are staged beside the active ones, a slice at a time; then one input of the core activates all of them.
+/// `entry_for` returns the entry to stage for an entry of `step`.
 ///
 /// # Errors
-/// The version can't be taken up; nothing was done.
+/// The version can't be installed. Nothing has changed then.
 pub fn install(
     dispatcher: &Dispatcher, version: &Version<VersionContent>, step: &[Change], seed: u64,
     entry_for: impl Fn(&Change) -> Change, pause: &mut SlicePause<'_>,
@@ -58,15 +60,15 @@
     }
 }
 
-/// What rolls an entry back: what `before` says of its key.
-pub fn inverse(entry: &Change, before: &Configuration) -> Change {
+/// Returns the change that rolls `entry` back to the value that its key has in `previous`.
+pub fn inverse(entry: &Change, previous: &Configuration) -> Change {
     match entry {
-        Change::SetGlobals(_) => Change::SetGlobals(before.globals().clone()),
-        Change::PutMethod(name, _) | Change::RemoveMethod(name) => match before.method(name) {
+        Change::SetGlobals(_) => Change::SetGlobals(previous.globals().clone()),
+        Change::PutMethod(name, _) | Change::RemoveMethod(name) => match previous.method(name) {
             Some(method) => Change::PutMethod(name.clone(), method.clone()),
             None => Change::RemoveMethod(name.clone()),
         },
-        Change::PutTenant(name, _) | Change::RemoveTenant(name) => match before.tenant(name) {
+        Change::PutTenant(name, _) | Change::RemoveTenant(name) => match previous.tenant(name) {
             Some(quota) => Change::PutTenant(name.clone(), quota),
             None => Change::RemoveTenant(name.clone()),
         },
--- a/daemon/src/change/prepare.rs
+++ b/daemon/src/change/prepare.rs
@@ -1,4 +1,4 @@
-//! Reading a change and checking it against what runs, beside the worker.
+//! Parsing and validation of a change against the running version, off the worker thread.
 
 use super::content::VersionContent;
 use super::reply::{DiffReply, Rejection};
@@ -12,48 +12,48 @@
 use asterrill_settings::{GlobalParts, SettingsError};
 use std::sync::Arc;
 
-/// The figures by which changes are judged, from the operator's file.
+/// Rollout settings of the operator's file.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutPolicy {
-    /// Length of a probation, in microseconds.
+    /// Duration of a probation, in microseconds.
     pub probation: Us,
-    /// By how much a figure may differ from the running one without being risky.
+    /// Factor by which a value may differ from the running one before the change counts as risky.
     pub max_change_factor: f64,
 }
 
-/// What a change is read and checked against.
+/// State of the backend that a change is validated against.
 pub struct ValidationContext {
-    /// The number of the running version.
+    /// Number of the running version.
     pub version: u64,
-    /// What that version says.
+    /// Content of the running version.
     pub running: VersionContent,
-    /// The load of the last minute, and memory in use.
+    /// Load of the last minute, and memory in use.
     pub observed: ObservedLoad,
 }
 
-/// A change that was read and checked against a version. Cheap to clone.
+/// Change that was parsed and validated against a version. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct PreparedChange {
-    /// The number of that version.
+    /// Number of the version that it was validated against.
     pub validated_against: u64,
-    /// What the new version says.
+    /// Content of the new version.
     pub content: VersionContent,
-    /// The hash of `content`.
+    /// Hash of `content`.
     pub hash: VersionHash,
-    /// What leads there from that version.
+    /// Entries that differ from the version that it was validated against.
     pub entries: Arc<Vec<Change>>,
-    /// The version that it was made from, where that was given.
+    /// Version that the change was made from, if the request named it.
     pub base: Option<u64>,
-    /// What else was asked for.
+    /// Options of the request.
     pub options: StageOptions,
-    /// What it means, a line each.
+    /// Readable differences, one per line.
     pub differences: Vec<String>,
-    /// What is risky about it.
+    /// Risks that the checks found.
     pub problems: Vec<String>,
 }
 
 impl PreparedChange {
-    /// What it would mean.
+    /// Returns the reply to a diff request.
     pub fn to_diff(&self) -> DiffReply {
         DiffReply {
             base: self.validated_against,
@@ -65,11 +65,12 @@
     }
 }
 
-/// Reads a change and checks it against what runs. Costs what the change takes to read, and what differs; nothing of it
-/// is done on the worker.
+/// Parses a change and validates it against the running version.
+///
+/// The cost grows with the size of the change and the number of entries that differ. None of it is spent on the worker.
 ///
 /// # Errors
-/// What is wrong with the change; nothing has changed then.
+/// The change is invalid, or risky and not forced. Nothing has changed then.
 pub fn prepare(
     context: &ValidationContext, request: ChangeRequest, policy: RolloutPolicy, seed: u64,
 ) -> Result<PreparedChange, Rejection> {
@@ -99,10 +100,10 @@
     }
 }
 
-/// A change as it was read.
+/// Content parsed from the source of a change.
 struct SourceContent {
     content: VersionContent,
-    /// The entries that differ, where they were computed already.
+    /// Entries that differ from the running version, if they are known already.
     entries: Option<Vec<Change>>,
 }
 
@@ -123,23 +124,25 @@
 
 fn apply_step(context: &ValidationContext, text: String) -> Result<SourceContent, Rejection> {
     let running = &context.running.configuration;
-    let step = read_step(&text, running).map_err(|fault| Rejection::new(fault.to_string()))?;
+    let step = read_step(&text, running).map_err(|error| Rejection::new(error.to_string()))?;
     check_base(context, step.base)?;
     let digest = running.digest();
     if let Some(given) = step.hash.filter(|given| *given != digest) {
-        return Err(Rejection::new(format!("it was made from hash {given}, but {digest} runs")));
+        return Err(Rejection::new(format!(
+            "the change was made from hash {given}, but hash {digest} is running"
+        )));
     }
     drop(text);
     let applied = running.apply(&step.changes);
-    let configuration = applied.map_err(|fault| Rejection::new(fault.to_string()))?;
-    // The step as it was read, without what runs already: a list of its own for that would cost as much memory again.
+    let configuration = applied.map_err(|error| Rejection::new(error.to_string()))?;
+    // Entries equal to the running ones are removed in place, because a second list would need as much memory again.
     let mut entries = step.changes;
     entries.retain(|entry| differs(entry, running));
     entries.shrink_to_fit();
     Ok(SourceContent { content: context.running.with_configuration(configuration), entries: Some(entries) })
 }
 
-/// Whether an entry says something else than what runs.
+/// Reports whether an entry differs from the running configuration.
 fn differs(entry: &Change, running: &Configuration) -> bool {
     match entry {
         Change::SetGlobals(globals) => globals != running.globals(),
@@ -149,7 +152,10 @@
     }
 }
 
-/// The problems of a change that may be taken up, in words.
+/// Returns the texts of the problems of an acceptable change.
+///
+/// # Errors
+/// The change is invalid, has risks and is not forced, or needs more memory than is free.
 fn find_problems(
     context: &ValidationContext, content: &VersionContent, entries: &[Change], policy: RolloutPolicy,
     options: StageOptions,
@@ -158,24 +164,24 @@
     let staged = &content.configuration;
     let free_kb = free_memory_kb();
     let added_kb = staged.globals().memory_mb.saturating_sub(running.globals().memory_mb) as f64 * 1024.0;
-    if free_kb.is_some_and(|free| added_kb > free) {
-        let why = format!("it wants {added_kb:.0} kB more for itself than there are free");
+    if let Some(free) = free_kb.filter(|free| added_kb > *free) {
+        let why = format!("memory_mb needs {added_kb:.0} kB more, but only {free:.0} kB are free");
         return Err(Rejection::new(why));
     }
-    // What is booked now is a part of what there is.
+    // Memory that the running version has reserved is available to the new one.
     let available_kb = free_kb.map_or(0.0, |free| free + running.globals().ram_kb);
     let observed = ObservedLoad { available_kb, ..context.observed.clone() };
     let problems = check(running, staged, entries, &observed, policy.max_change_factor);
     let texts: Vec<String> = problems.iter().map(Problem::to_string).collect();
-    let stops = |problem: &Problem| matches!(problem, Problem::Invalid(_)) || !options.force;
-    if problems.iter().any(stops) {
-        let error = "it does not pass the checks".into();
+    let is_blocking = |problem: &Problem| matches!(problem, Problem::Invalid(_)) || !options.force;
+    if problems.iter().any(is_blocking) {
+        let error = "the change did not pass the checks".into();
         return Err(Rejection { error, problems: Some(texts), crossed: false });
     }
     Ok(texts)
 }
 
-/// Whether all that a version says could come into force.
+/// Checks that all sections of a version can be applied without a restart.
 fn check_applicable(
     running: &VersionContent, content: &VersionContent, entries: &[Change], seed: u64,
 ) -> Result<(), SettingsError> {
@@ -190,14 +196,18 @@
         || new.fleet != old.fleet
     {
         let why =
-            "[broker], [changes], [recovery], [members], [fleet] and [log] are taken up at the next start only";
+            "changes of [broker], [changes], [recovery], [members], [fleet] and [log] take effect only at the next start";
         return Err(SettingsError::new(why.into()));
     }
     Ok(())
 }
 
-/// The parts of the decision module that are no entries, if a change touches them: methods do, by the shortest and
-/// longest of their times.
+/// Returns the global parts of the decision module if a change affects them.
+///
+/// Changes of methods affect them, because they depend on the shortest and the longest of the methods' times.
+///
+/// # Errors
+/// The configuration is invalid.
 pub fn changed_global_parts(
     content: &VersionContent, entries: &[Change], seed: u64,
 ) -> Result<Option<GlobalParts>, SettingsError> {
@@ -208,7 +218,7 @@
     asterrill_settings::global_parts(now(), seed, &content.configuration).map(Some)
 }
 
-/// Memory of the machine that is free, in kB; `None` where the system does not say.
+/// Returns the available memory of the machine in kB, or `None` if the system does not report it.
 fn free_memory_kb() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/meminfo").ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("MemAvailable:"))?;
--- a/daemon/src/change/reply.rs
+++ b/daemon/src/change/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to operators: typed, and as the JSON objects of the control socket.
+//! Replies to operators, as types and as the JSON objects of the control socket.
 
 use asterrill::Us;
 use asterrill_rollout::RolloutError;
@@ -6,21 +6,21 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// Why a request was not carried out.
+/// Reason for rejecting a request.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Rejection {
-    /// The reason.
+    /// Readable reason.
     pub error: String,
-    /// What the checks found, where it did not pass them.
+    /// Problems that the checks found, if the change did not pass them.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub problems: Option<Vec<String>>,
-    /// Another version came into force while the change was read: it may be read again.
+    /// True if another version was applied during validation, so that the change may be validated again.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub crossed: bool,
 }
 
 impl Rejection {
-    /// Without problems of the checks.
+    /// Creates a rejection without problems of the checks.
     pub fn new(error: impl Into<String>) -> Rejection {
         Rejection { error: error.into(), problems: None, crossed: false }
     }
@@ -38,199 +38,199 @@
     }
 }
 
-/// What a change would mean.
+/// Effect that a change would have.
 #[derive(Clone, Debug, Serialize)]
 pub struct DiffReply {
-    /// The version that it was compared with.
+    /// Number of the running version that the change was compared with.
     pub base: u64,
-    /// The hash of the version.
+    /// Hash of the new version.
     pub hash: String,
-    /// How many entries differ.
+    /// Number of entries that differ.
     pub entries: usize,
-    /// What it means, a line each.
+    /// Readable differences, one per line.
     pub changes: Vec<String>,
-    /// What is risky about it.
+    /// Risks that the checks found.
     pub problems: Vec<String>,
 }
 
-/// A change was staged.
+/// Version that was staged.
 #[derive(Clone, Debug, Serialize)]
 pub struct StagedReply {
-    /// The number of the version.
+    /// Number of the staged version.
     pub version: u64,
-    /// The hash of the version.
+    /// Hash of the staged version.
     pub hash: String,
-    /// How many entries differ.
+    /// Number of entries that differ.
     pub entries: usize,
-    /// What it means, a line each.
+    /// Readable differences, one per line.
     pub changes: Vec<String>,
-    /// What is risky about it.
+    /// Risks that the checks found.
     pub problems: Vec<String>,
 }
 
-/// A version runs, on probation.
+/// Version that was applied and is on probation.
 #[derive(Clone, Debug, Serialize)]
 pub struct AppliedReply {
-    /// The number of the version.
+    /// Number of the applied version.
     pub version: u64,
-    /// The hash of the version.
+    /// Hash of the applied version.
     pub hash: String,
-    /// How many entries differ.
+    /// Number of entries that differ.
     pub entries: usize,
-    /// How long it took to put it in force, in microseconds.
+    /// Duration of the installation, in microseconds.
     pub took_us: u64,
-    /// Length of the probation, in microseconds.
+    /// Duration of the probation, in microseconds.
     pub probation_us: Us,
 }
 
-/// The version on probation is good.
+/// Version whose probation was confirmed.
 #[derive(Clone, Debug, Serialize)]
 pub struct ConfirmedReply {
-    /// The number of the version.
+    /// Number of the confirmed version.
     pub version: u64,
-    /// The hash of the version.
+    /// Hash of the confirmed version.
     pub hash: String,
 }
 
-/// The version before the one on probation runs again.
+/// Version that was restored in place of the one on probation.
 #[derive(Clone, Debug, Serialize)]
 pub struct RolledBackReply {
-    /// The number of the version.
+    /// Number of the restored version.
     pub version: u64,
-    /// The hash of the version.
+    /// Hash of the restored version.
     pub hash: String,
-    /// How many entries differ.
+    /// Number of entries that differ.
     pub entries: usize,
 }
 
-/// What was staged is forgotten.
+/// Staged version that was dropped.
 #[derive(Clone, Debug, Serialize)]
 pub struct DroppedReply {
-    /// The number of the version.
+    /// Number of the dropped version.
     pub version: u64,
 }
 
-/// One event of the history.
+/// Event of the history.
 #[derive(Clone, Debug, Serialize)]
 pub struct EventReply {
-    /// When it happened, in microseconds.
+    /// Time of the event, in microseconds.
     pub at: Us,
-    /// What happened; see `EventKind::as_str`.
+    /// Kind of the event; see `EventKind::as_str`.
     pub what: &'static str,
-    /// The number of the version.
+    /// Number of the version.
     pub version: u64,
-    /// The hash of the version.
+    /// Hash of the version.
     pub hash: String,
-    /// The version that it was made from.
+    /// Number of the version that it was made from.
     pub base: u64,
-    /// The reason.
+    /// Readable reason.
     pub why: String,
 }
 
-/// What happened to versions.
+/// History of versions.
 #[derive(Clone, Debug, Serialize)]
 pub struct HistoryReply {
-    /// The oldest first.
+    /// Events, oldest first.
     pub history: Vec<EventReply>,
 }
 
-/// The probation of the running version.
+/// Probation of the running version.
 #[derive(Clone, Debug, Serialize)]
 pub struct ProbationReply {
-    /// When it ends at the latest, in microseconds.
+    /// Latest end of the probation, in microseconds.
     pub until: Us,
-    /// The version to which a roll back returns.
+    /// Number of the version that a rollback restores.
     pub good: u64,
 }
 
-/// How far the recovery after a start is.
+/// Progress of the recovery after a start.
 #[derive(Clone, Debug, Serialize)]
 pub struct RecoveryReply {
-    /// The name of the stage.
+    /// Name of the stage.
     pub name: &'static str,
-    /// Why it is at this stage.
+    /// Reason for being at this stage.
     pub why: &'static str,
-    /// When it entered the stage, in microseconds.
+    /// Start of the stage, in microseconds.
     pub since: Us,
-    /// Outages of the upstream that were seen since the start.
+    /// Number of upstream outages observed since the start.
     pub outages: u64,
 }
 
-/// Figures since the start.
+/// Counters since the start.
 #[derive(Clone, Debug, Serialize)]
 pub struct CountersReply {
-    /// RPCs read.
+    /// RPCs received.
     pub rpcs: u64,
-    /// Answers: ok.
+    /// RPCs answered with success.
     pub ok: u64,
-    /// Answers: rejected.
+    /// RPCs answered with a rejection.
     pub pushed_back: u64,
-    /// Answers: aborted.
+    /// RPCs answered with an abort.
     pub aborted: u64,
-    /// RPCs whose caller left before the answer.
+    /// RPCs whose caller disconnected before the answer.
     pub gone: u64,
-    /// Versions that were put in force.
+    /// Versions that were activated.
     pub changes: u64,
     /// Changes that were rejected.
     pub changes_refused: u64,
-    /// Answers given while parts of the core had different versions; 0, or it is a defect.
+    /// Answers given while parts of the core had different versions. Any value but 0 is a defect.
     pub half_applied: u64,
-    /// Writes of the store that failed; `None` without a store.
+    /// Failed writes of the store; `None` without a store.
     pub store_failed: Option<u64>,
 }
 
-/// What runs, is staged, and is on probation.
+/// Running and pending versions, with counters.
 #[derive(Clone, Debug, Serialize)]
 pub struct StatusReply {
-    /// The number of the version.
+    /// Number of the running version.
     pub version: u64,
-    /// The hash of the version.
+    /// Hash of the running version.
     pub hash: String,
-    /// The version that it was made from.
+    /// Number of the version that it was made from.
     pub base: u64,
-    /// How many methods there are.
+    /// Number of methods.
     pub methods: usize,
-    /// How many tenants there are.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Present while the running version is on probation.
+    /// Probation of the running version, if it is not confirmed yet.
     pub probation: Option<ProbationReply>,
-    /// The staged version.
+    /// Number of the staged version.
     pub staged: Option<u64>,
-    /// The version behind the one on probation.
+    /// Number of the version that is queued behind the one on probation.
     pub queued: Option<u64>,
-    /// How far the recovery is, where that is configured.
+    /// Progress of the recovery, if it is configured.
     pub stage: Option<RecoveryReply>,
-    /// Figures since the start.
+    /// Counters since the start.
     pub counters: CountersReply,
 }
 
-/// An answer to an operator.
+/// Reply to an operator.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// To `diff`.
+    /// Reply to `diff`.
     Diff(DiffReply),
-    /// To `stage`.
+    /// Reply to `stage`.
     Staged(StagedReply),
-    /// To `apply`.
+    /// Reply to `apply`.
     Applied(AppliedReply),
-    /// To `settle`.
+    /// Reply to `settle`.
     Confirmed(ConfirmedReply),
-    /// To `undo`.
+    /// Reply to `undo`.
     RolledBack(RolledBackReply),
-    /// To `drop`.
+    /// Reply to `drop`.
     Dropped(DroppedReply),
-    /// To `history`.
+    /// Reply to `history`.
     History(HistoryReply),
-    /// To `status`.
+    /// Reply to `status`.
     Status(Box<StatusReply>),
-    /// An object about the cluster's members or what they agree on, with its own `ok`.
+    /// Object about the cluster's members or their agreed lists, which contains its own `ok`.
     Cluster(Value),
-    /// To anything that was not done.
+    /// Reply to any request that was not carried out.
     Rejected(Rejection),
 }
 
 impl Reply {
-    /// Whether what was asked for was done.
+    /// Reports whether the request was carried out.
     pub fn is_ok(&self) -> bool {
         match self {
             Reply::Rejected(_) => false,
@@ -239,7 +239,7 @@
         }
     }
 
-    /// As one JSON object with `ok` and, where that is false, `error`.
+    /// Converts the reply to one JSON object, with `ok` and, if that is false, `error`.
     pub fn to_json(&self) -> Value {
         match self {
             Reply::Diff(body) => object(true, body),
--- a/daemon/src/change/request.rs
+++ b/daemon/src/change/request.rs
@@ -1,35 +1,36 @@
-//! A change as it is asked for.
+//! Requests for a change of the configuration.
 
 use asterrill_entries::Configuration;
 use asterrill_rollout::StageOptions;
 
-/// Bytes of a text up to which it may be held while it is read, to be read again.
+/// Maximum size of a text that is retained during validation, so that it can be validated again.
 const MAX_RETAINED_TEXT_BYTES: usize = 512 * 1024;
 
-/// What is handed in as a change.
+/// Source of a change.
 #[derive(Clone, Debug)]
 pub enum ChangeSource {
-    /// A file's text: settings in JSON, or an operator's file.
+    /// Text of a file: settings in JSON, or an operator's file.
     Text(String),
-    /// A step, one entry a line.
+    /// Step, with one entry per line.
     Step(String),
-    /// Entries that were read already.
+    /// Configuration that was parsed already.
     Configuration(Configuration),
 }
 
-/// A change as it was asked for.
+/// Request for a change.
 #[derive(Clone, Debug)]
 pub struct ChangeRequest {
-    /// What is handed in.
+    /// Source of the change.
     pub source: ChangeSource,
-    /// The version that it was made from, where that is given.
+    /// Version that the change was made from, if the request names it.
     pub base: Option<u64>,
-    /// What else was asked for.
+    /// Options of the request.
     pub options: StageOptions,
 }
 
 impl ChangeRequest {
-    /// Whether a copy may be held while it is read, to read it again if another version came into force meanwhile.
+    /// Reports whether a copy may be retained during validation, to validate it again if another version is applied
+    /// meanwhile.
     pub fn may_be_retained(&self) -> bool {
         match &self.source {
             ChangeSource::Text(text) | ChangeSource::Step(text) => text.len() <= MAX_RETAINED_TEXT_BYTES,
--- a/daemon/src/change/status.rs
+++ b/daemon/src/change/status.rs
@@ -1,4 +1,4 @@
-//! What the driver reports: its status and its history.
+//! Status and history that the driver reports.
 
 use super::driver::ChangeDriver;
 use super::reply::{CountersReply, EventReply, HistoryReply, ProbationReply, RecoveryReply, StatusReply};
@@ -8,7 +8,7 @@
 use asterrill_rollout::{Event, Phase};
 
 impl ChangeDriver {
-    /// What runs, is staged, and is on probation, with figures since the start.
+    /// Returns the running and pending versions, and the counters since the start.
     pub(super) fn status(&self, dispatcher: &Dispatcher) -> StatusReply {
         let running = self.rollout.running();
         let configuration = &running.content.configuration;
@@ -45,9 +45,9 @@
         }
     }
 
-    /// What happened to versions, the oldest first.
+    /// Returns the events of versions, oldest first.
     pub(super) fn history(&self) -> HistoryReply {
-        let reply = |event: &Event| EventReply {
+        let to_reply = |event: &Event| EventReply {
             at: event.at,
             what: event.kind.as_str(),
             version: event.version,
@@ -55,7 +55,7 @@
             base: event.base,
             why: event.reason.clone(),
         };
-        HistoryReply { history: self.rollout.history().map(reply).collect() }
+        HistoryReply { history: self.rollout.history().map(to_reply).collect() }
     }
 }
 
--- a/daemon/src/deployment.rs
+++ b/daemon/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The configuration file that GW_CONFIG names, and the version that a process starts with.
+//! Configuration file named by GW_CONFIG, and selection of the version that the process starts with.
 
 use crate::change::{StartVersion, VersionContent};
 use crate::store;
@@ -8,20 +8,25 @@
 use asterrill_settings::{Deployment, SettingsError};
 use slog::{info, warn, Logger};
 
-/// The environment variable that names the file.
+/// Environment variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
 
-/// Reads the configuration file; what it has in common with `running` is shared with that.
+/// Reads the configuration file. Entries that are equal in `running` share its memory.
+///
+/// # Errors
+/// GW_CONFIG is not set, or the file can't be read or is invalid.
 pub fn read_deployment(running: Option<&Configuration>) -> Result<Deployment, SettingsError> {
     let path = std::env::var(CONFIG_VARIABLE)
-        .map_err(|_| SettingsError::new(format!("{CONFIG_VARIABLE} is not set")))?;
+        .map_err(|_| SettingsError::new(format!("environment variable {CONFIG_VARIABLE} is not set")))?;
     let file = std::fs::File::open(&path).map_err(|e| SettingsError::new(format!("{path}: {e}")))?;
-    let read = Deployment::from_reader(file, running);
-    read.map_err(|fault| SettingsError::new(format!("{path}: {fault}")))
+    let deployment = Deployment::from_reader(file, running);
+    deployment.map_err(|error| SettingsError::new(format!("{path}: {error}")))
 }
 
-/// The version that a process starts with: the configuration as it was read, or the last good version if that was on
-/// probation when the process before ended, or had been rolled back. `deployment` is brought to that version.
+/// Returns the version that the process starts with, and updates `deployment` to it.
+///
+/// This is the configuration that was read, unless it was on probation when the previous process ended or had been
+/// rolled back; then it is the last good version.
 pub fn choose_start_version(
     deployment: &mut Deployment, operator_config: OperatorConfig, operator_text: &str, log: &Logger,
 ) -> StartVersion {
@@ -29,7 +34,7 @@
     let Some(dir) = configured.operator_config.changes.state_dir.clone() else {
         return StartVersion { content: configured, number: 1, rolled_back: Vec::new() };
     };
-    // One that can't be made shows when it is written.
+    // A failure to create the directory is reported by the first write to it.
     std::fs::create_dir_all(&dir).unwrap_or_default();
     match choose_start(&configured.hash(), store::read_versions(&dir, log)) {
         StartDecision::Configured { number, rolled_back } => {
@@ -44,8 +49,8 @@
                 deployment.configuration = content.configuration.clone();
                 StartVersion { content, number: good.number, rolled_back }
             }
-            Err(fault) => {
-                warn!(log, "the last good version can't be used"; "why" => %fault);
+            Err(error) => {
+                warn!(log, "the last good version can't be used; starting on the configured one"; "why" => %error);
                 StartVersion { content: configured, number: good.number + 1, rolled_back }
             }
         },
--- a/daemon/src/logging.rs
+++ b/daemon/src/logging.rs
@@ -1,26 +1,26 @@
-//! The log on standard error, written by a thread of its own.
+//! Log on standard error, written by a dedicated thread.
 
 use asterrill_operator_config::LogFormat;
 use slog::{o, Drain, Logger};
 
-/// Records that may wait for the thread; more are dropped and counted by it.
-const MAX_WAITING_RECORDS: usize = 512;
+/// Maximum number of records that wait for the log thread. The thread counts and drops those beyond it.
+const MAX_QUEUED_RECORDS: usize = 512;
 
-/// The log, and the guard that waits for its thread when dropped.
+/// Starts the log thread. Returns the logger, and a guard that waits for the thread when it is dropped.
 pub fn start(format: LogFormat) -> (Logger, slog_async::AsyncGuard) {
     let (drain, guard) = match format {
         LogFormat::Plain => {
             let plain = slog_term::PlainDecorator::new(std::io::stderr());
-            in_background(slog_term::FullFormat::new(plain).build().fuse())
+            spawn_log_thread(slog_term::FullFormat::new(plain).build().fuse())
         }
-        LogFormat::Json => in_background(slog_json::Json::default(std::io::stderr()).fuse()),
+        LogFormat::Json => spawn_log_thread(slog_json::Json::default(std::io::stderr()).fuse()),
     };
     (Logger::root(drain.fuse(), o!()), guard)
 }
 
-fn in_background<D>(drain: D) -> (slog_async::Async, slog_async::AsyncGuard)
+fn spawn_log_thread<D>(drain: D) -> (slog_async::Async, slog_async::AsyncGuard)
 where
     D: Drain<Err = slog::Never, Ok = ()> + Send + 'static,
 {
-    slog_async::Async::new(drain).chan_size(MAX_WAITING_RECORDS).build_with_guard()
+    slog_async::Async::new(drain).chan_size(MAX_QUEUED_RECORDS).build_with_guard()
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,6 @@
-//! asterrilld: one backend. Starts the parts, waits for signals, ends with code 0 after a graceful shutdown.
+//! Entry point of asterrilld, the daemon that serves one backend.
+//!
+//! Exits with code 0 after a graceful shutdown.
 
 mod agent_session;
 mod arguments;
@@ -41,7 +43,8 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // A panic is a defect here. What is left would serve without one of its parts: better to start anew.
+    // A panic is always a defect. The process aborts and is restarted, because it must not go on serving without one
+    // of its components.
     std::panic::set_hook(Box::new(|panic| {
         eprintln!("asterrilld: {panic}");
         std::process::abort();
@@ -49,8 +52,8 @@
     let arguments = <Arguments as clap::Parser>::parse();
     match run(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("asterrilld: {fault}");
+        Err(error) => {
+            eprintln!("asterrilld: {error}");
             ExitCode::FAILURE
         }
     }
@@ -59,9 +62,9 @@
 fn run(arguments: &Arguments) -> Result<(), SettingsError> {
     let operator_file = arguments.file.as_deref().map(operator::read).transpose()?.unwrap_or_default();
     let (log, guard) = logging::start(operator_file.config.changes.log_format);
-    let done = startup::run(&log, arguments, operator_file);
-    // What was logged is on standard error before the program ends.
+    let result = startup::run(&log, arguments, operator_file);
+    // Flushes the log to standard error before the process exits.
     drop(log);
     drop(guard);
-    done
+    result
 }
--- a/daemon/src/membership/service.rs
+++ b/daemon/src/membership/service.rs
@@ -20,7 +20,7 @@
     /// This backend's name.
     pub name: &'a str,
     /// The section of the operator's file.
-    pub file: &'a MembershipSection,
+    pub section: &'a MembershipSection,
     /// What the process before has saved.
     pub persisted: Option<PersistedState>,
     /// Seed of what is drawn at random.
@@ -33,8 +33,8 @@
 ///
 /// # Errors
 /// The key can't be read, or the name can't be that of a member.
-pub fn check(name: &str, file: &MembershipSection) -> Result<(MemberName, String), SettingsError> {
-    let key = asterrill_operator_config::read_secret(&file.key_file)
+pub fn check(name: &str, section: &MembershipSection) -> Result<(MemberName, String), SettingsError> {
+    let key = asterrill_operator_config::read_secret(&section.key_file)
         .map_err(|error| SettingsError::new(error.to_string()))?;
     let name = MemberName::new(name)
         .ok_or_else(|| SettingsError::new(format!("name {name:?} is none for a member")))?;
@@ -49,31 +49,31 @@
     pub fn open(
         config: MembershipConfig<'_>, log: &Logger,
     ) -> Result<(Arc<MembershipService>, DatagramSocket), SettingsError> {
-        let file = config.file;
-        let (name, key) = check(config.name, file)?;
-        let restored = PersistedState::restore(config.persisted, now(), file.forget_after);
+        let section = config.section;
+        let (name, key) = check(config.name, section)?;
+        let restored = PersistedState::restore(config.persisted, now(), section.forget_after);
         let generation = restored.generation;
         let local_id = MemberId {
             name,
-            addr: file.advertise,
+            addr: section.advertise,
             generation,
             incarnation: 0,
-            zone: file.zone.clone(),
-            capacity: file.capacity,
+            zone: section.zone.clone(),
+            capacity: section.capacity,
         };
-        let codec = EnvelopeCodec::new(key.as_bytes(), &file.cluster, config.name, generation);
-        let contacts = file.seed_addresses.iter().copied().chain(restored.addresses).collect();
+        let codec = EnvelopeCodec::new(key.as_bytes(), &section.cluster, config.name, generation);
+        let contacts = section.seed_addresses.iter().copied().chain(restored.addresses).collect();
         let membership = Membership::new(
             monotonic_now(),
             local_id,
             codec,
-            protocol_config(file),
+            protocol_config(section),
             contacts,
             restored.agreed_members,
             config.seed,
         );
-        let socket = DatagramSocket::bind(file.listen)
-            .map_err(|e| SettingsError::new(format!("[members] listen {}: {e}", file.listen)))?;
+        let socket = DatagramSocket::bind(section.listen)
+            .map_err(|e| SettingsError::new(format!("[members] listen {}: {e}", section.listen)))?;
         let node = config.fleet.map(|(fleet, dir)| open_node(config.name, generation, fleet, dir));
         let locked = MembershipState {
             membership,
@@ -87,12 +87,12 @@
             locked: Mutex::new(locked),
             wakeup: Notify::default(),
             durable_writes: Arc::default(),
-            expected_members: file.expected_members,
-            quota_lease: file.suspicion_timeout,
+            expected_members: section.expected_members,
+            quota_lease: section.suspicion_timeout,
             log: log.clone(),
         };
-        info!(log, "membership started"; "cluster" => &file.cluster, "listen" => %file.listen,
-            "advertise" => %file.advertise, "start" => generation, "expect" => file.expected_members);
+        info!(log, "membership started"; "cluster" => &section.cluster, "listen" => %section.listen,
+            "advertise" => %section.advertise, "start" => generation, "expect" => section.expected_members);
         Ok((Arc::new(service), socket))
     }
 
@@ -119,14 +119,14 @@
     }
 }
 
-fn protocol_config(file: &MembershipSection) -> asterrill_membership::MembershipConfig {
+fn protocol_config(section: &MembershipSection) -> asterrill_membership::MembershipConfig {
     asterrill_membership::MembershipConfig {
-        probe_interval: file.probe_interval,
-        suspicion_timeout: file.suspicion_timeout,
-        announce_interval: file.contact_interval,
-        join_delay: file.join_delay,
-        forget_after: file.forget_after,
-        flap_window: file.flap_window,
-        expected_members: file.expected_members,
+        probe_interval: section.probe_interval,
+        suspicion_timeout: section.suspicion_timeout,
+        announce_interval: section.contact_interval,
+        join_delay: section.join_delay,
+        forget_after: section.forget_after,
+        flap_window: section.flap_window,
+        expected_members: section.expected_members,
     }
 }
--- a/daemon/src/startup.rs
+++ b/daemon/src/startup.rs
@@ -1,4 +1,4 @@
-//! Start-up: reads and checks all that was configured, then makes the parts and starts their coroutines.
+//! Startup: loads and validates the configuration, then builds the components and starts their coroutines.
 
 use crate::arguments::Arguments;
 use crate::change::{ChangeDriver, RolloutPolicy, StartVersion};
@@ -28,10 +28,10 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Bytes that may wait for the agent, the upstream or the broker.
+/// Maximum number of bytes queued for one link to the agent, the upstream or the broker.
 const MAX_LINK_BACKLOG_BYTES: usize = 1024 * 1024;
 
-/// All that was configured, read and checked.
+/// Validated configuration of the process.
 struct Config {
     deployment: Deployment,
     start: StartVersion,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// After how many microseconds a connection is idle too long: where callers close idle ones by themselves.
+    /// Returns the time in microseconds after which an idle connection is closed; `Us::MAX` if none is configured.
     fn idle_timeout(&self) -> Us {
         match self.start.content.configuration.globals().idle_timeout {
             0 => Us::MAX,
@@ -72,10 +72,10 @@
     }
 }
 
-/// The dispatcher, and what it writes to.
+/// Dispatcher and the outboxes that it writes to.
 struct ServingParts {
     dispatcher: Arc<Dispatcher>,
-    /// Buffers of the sockets.
+    /// Socket buffers.
     pool: BufferPool,
     agent_link: Outbox,
     upstream_links: Vec<Outbox>,
@@ -85,7 +85,7 @@
     fn new(
         deployment: &Deployment, server_parts: ServerParts, idle_timeout: Us, log: &Logger,
     ) -> ServingParts {
-        // Two pools, so that queued bodies can't keep answers from being written.
+        // Bodies have a pool of their own, so that queued bodies can't exhaust the buffers needed to write answers.
         let [pool, body_pool] = [(); 2].map(|()| BufferPool::new(buffers(deployment.memory_mb)));
         let link = || Outbox::new(&pool, MAX_LINK_BACKLOG_BYTES);
         let link_count = if deployment.upstream.is_some() { upstream_links(deployment.sockets) } else { 0 };
@@ -105,10 +105,10 @@
     }
 }
 
-/// Runs one backend until it has shut down; with `--check` only reads and checks what was configured.
+/// Runs one backend until it has shut down. With `--check`, only loads and validates the configuration.
 ///
 /// # Errors
-/// What is wrong with the configuration, or could not be opened.
+/// The configuration is invalid, or a file or socket can't be opened.
 pub fn run(log: &Logger, arguments: &Arguments, operator_file: OperatorFile) -> Result<(), SettingsError> {
     let config = Config::load(operator_file, log)?;
     if arguments.check {
@@ -116,24 +116,25 @@
     }
     asterrill_net::start_worker()?;
     let listen = config.deployment.listen;
-    let listener = asterrill_net::bind(listen).map_err(|e| SettingsError::new(format!("{listen}: {e}")))?;
+    let listener = asterrill_net::bind(listen)
+        .map_err(|e| SettingsError::new(format!("can't listen on {listen}: {e}")))?;
     let signals = Signals::new([SIGTERM, SIGUSR1, SIGHUP])?;
     start(config, listener, signals, log)?.run();
     Ok(())
 }
 
-/// Makes the parts and starts their coroutines. Returns what waits for signals.
+/// Builds the components and starts their coroutines. Returns the loop that waits for signals.
 fn start(
     config: Config, listener: TcpListener, signals: Signals, log: &Logger,
 ) -> Result<SignalLoop, SettingsError> {
     let (policy, idle_timeout) = (config.policy(), config.idle_timeout());
     let Config { deployment, start, operator, server_parts, broker } = config;
-    // Files may be copied: no two processes draw the same, nor one after a restart.
+    // The seed differs for every process and after each restart, even if several hosts use copies of the same files.
     let process_seed = asterrill_recovery::seed(deployment.seed, &deployment.name, now(), std::process::id());
     let cores = server_parts.cores;
     let ServingParts { dispatcher, pool, agent_link, upstream_links } =
         ServingParts::new(&deployment, server_parts, idle_timeout, log);
-    // Periodic work is spread over processes that started together, where that is configured.
+    // With [recovery] configured, periodic work of processes that started together is spread over time.
     let jitter_seed = operator.recovery.map(|_| process_seed);
     let mut tasks = Tasks::new(dispatcher.clone(), pool, process_seed, jitter_seed);
     if let Some(broker) = broker {
@@ -173,7 +174,7 @@
     Ok(SignalLoop { signals, handler, running, membership, log: log.clone() })
 }
 
-/// What parts need to know of the process that they start in.
+/// Process-wide values that recovery and membership are started with.
 struct ProcessContext<'a> {
     deployment: &'a Deployment,
     operator: &'a OperatorConfig,
@@ -186,17 +187,17 @@
         self.operator.changes.state_dir.as_deref()
     }
 
-    /// Recovery from a snapshot of learned values, where that is configured.
-    fn start_recovery(&self, dispatcher: &Dispatcher, settings: u64, cores: f64) {
-        let Some(terms) = self.operator.recovery else { return };
+    /// Starts recovery from a snapshot of learned values, if it is configured.
+    fn start_recovery(&self, dispatcher: &Dispatcher, settings_hash: u64, cores: f64) {
+        let Some(recovery) = self.operator.recovery else { return };
         let state_dir = self.state_dir();
         let config = RecoveryConfig {
             name: self.deployment.name.clone(),
-            settings_hash: settings,
+            settings_hash,
             cores,
             memory_mb: self.deployment.memory_mb,
             clocks: read_clocks(),
-            settings: terms,
+            settings: recovery,
             snapshot: state_dir.and_then(|dir| read_learned(dir, self.log)),
             seed: self.process_seed,
             persistent: state_dir.is_some(),
@@ -206,15 +207,15 @@
         });
     }
 
-    /// Membership among the other backends, where that is configured.
+    /// Joins the cluster of backends, if it is configured.
     fn start_membership(
         &self, dispatcher: &Arc<Dispatcher>, store: Option<Store>,
     ) -> Result<Option<Arc<MembershipService>>, SettingsError> {
-        let Some(file) = &self.operator.members else { return Ok(None) };
+        let Some(section) = &self.operator.members else { return Ok(None) };
         let state_dir = self.state_dir();
         let config = MembershipConfig {
             name: &self.deployment.name,
-            file,
+            section,
             persisted: state_dir.and_then(|dir| read_members(dir, self.log)),
             seed: self.process_seed,
             fleet: self.operator.fleet.as_ref().zip(state_dir),
--- a/daemon/src/tests/change.rs
+++ b/daemon/src/tests/change.rs
@@ -138,7 +138,7 @@
         assert_eq!(execute(&mut changes, &dispatcher, command, &mut |_| ())["ok"], json!(true));
     }
     let reply = execute(&mut changes, &dispatcher, OperatorCommand::Stage(Box::new(late)), &mut |_| ());
-    assert!(reply["error"].as_str().is_some_and(|why| why.contains("version 2 came into force")), "{reply}");
+    assert!(reply["error"].as_str().is_some_and(|why| why.contains("version 2 was applied")), "{reply}");
     assert_eq!(execute(&mut changes, &dispatcher, STATUS, &mut |_| ())["staged"], json!(null));
 }
 
--- a/daemon/tests/configuration_steps.rs
+++ b/daemon/tests/configuration_steps.rs
@@ -240,7 +240,7 @@
     let fine = put("fine", "1");
     for (step, parts) in [
         ("{\"base\":77}\n".to_string() + &fine, ["made from version 77", "version 1 is running"]),
-        (format!("{{\"hash\":\"{}\"}}\n{fine}", "0".repeat(32)), ["made from hash 000", "runs"]),
+        (format!("{{\"hash\":\"{}\"}}\n{fine}", "0".repeat(32)), ["made from hash 000", "is running"]),
         (put(&long, "1"), ["line 1", "1 to 128 bytes"]),
         (put("", "1"), ["line 1", "1 to 128 bytes"]),
         (put("fine", "-1"), ["line 1", "QuotaRps"]),
