--- a/daemon/src/change/driver.rs
+++ b/daemon/src/change/driver.rs
@@ -183,8 +183,8 @@
     pub fn execute(
         &mut self, dispatcher: &Dispatcher, command: OperatorCommand, pause: &mut SlicePause<'_>,
     ) -> Reply {
-        // A backend that is cut off from the majority accepts no new version, because it would diverge from the others.
-        // It may still return to the previous version.
+        // A backend that is cut off from the majority accepts no new version, because it would diverge from the
+        // others. It may still return to the previous version.
         let isolated = !dispatcher.changes_allowed.load(Ordering::Acquire);
         if isolated && matches!(command, OperatorCommand::Stage(_) | OperatorCommand::Apply { .. }) {
             let why = "this backend sees half of the members or fewer: stage and apply are rejected";
@@ -210,7 +210,7 @@
             SimpleCommand::RollBack => self.roll_back(dispatcher, REQUESTED, pause).map(Reply::RolledBack),
             SimpleCommand::Drop => self.drop_staged(&dispatcher.log).map(Reply::Dropped),
             SimpleCommand::History => Ok(Reply::History(self.history())),
-            SimpleCommand::Members => Err(Rejection::new("there is no section [members]")),
+            SimpleCommand::Members => Err(Rejection::new("the operator's file has no section [members]")),
             SimpleCommand::Fleet => no_fleet(),
         }
     }
@@ -368,5 +368,5 @@
 }
 
 fn no_fleet() -> Result<Reply, Rejection> {
-    Err(Rejection::new("there is no section [fleet]"))
+    Err(Rejection::new("the operator's file has no section [fleet]"))
 }
--- a/daemon/src/change/install.rs
+++ b/daemon/src/change/install.rs
@@ -11,7 +11,7 @@
 use asterrill_rollout::Version;
 use asterrill_settings::SettingsError;
 
-/// Number of entries staged without a pause. Then other coroutines run. See `docs/design/rollout.md` for measurements.
+/// Number of entries staged before other coroutines run. See `docs/design/rollout.md` for measurements.
 const ENTRIES_PER_SLICE: usize = 200;
 
 /// Callback between two slices of a change, in which other coroutines run.
@@ -19,8 +19,8 @@
 
 /// Installs a version. This is the only function that activates one.
 ///
-/// The entries are staged beside the active ones, a slice at a time; then one input of the core activates all of them.
-/// `entry_for` returns the entry to stage for an entry of `step`.
+/// The entries are staged beside the active ones, a slice at a time; then one input of the core activates all of
+/// them. `entry_for` returns the entry to stage for an entry of `step`.
 ///
 /// # Errors
 /// The version can't be installed. Nothing has changed then.
--- a/daemon/src/change/prepare.rs
+++ b/daemon/src/change/prepare.rs
@@ -67,7 +67,8 @@
 
 /// Parses a change and validates it against the running version.
 ///
-/// The cost grows with the size of the change and the number of entries that differ. None of it is spent on the worker.
+/// The cost grows with the size of the change and the number of entries that differ. None of it is spent on the
+/// worker.
 ///
 /// # Errors
 /// The change is invalid, or risky and not forced. Nothing has changed then.
--- a/daemon/src/control_loop.rs
+++ b/daemon/src/control_loop.rs
@@ -1,5 +1,4 @@
-//! The control loop on the worker: lets time pass for the core, carries requests out, and ends the program once it has
-//! drained.
+//! Control loop on the worker: advances the core's time, executes requests, and ends the process once it has drained.
 
 use crate::change::{ChangeDriver, OperatorCommand, Reply, SlicePause};
 use crate::dispatcher::Dispatcher;
@@ -15,41 +14,43 @@
 use slog::{info, warn};
 use std::sync::Arc;
 
-/// The loop goes round at least this often, in microseconds.
+/// Maximum time between two iterations of the loop, in microseconds.
 const MAX_WAIT_US: Us = 10_000_000;
-/// A wake-up this late shows a pause of the process: what has arrived meanwhile is read first. In microseconds.
+/// Delay of a wakeup, in microseconds, beyond which the process counts as having been paused. Input that arrived
+/// during the pause is then read before timers expire.
 const LATE_WAKEUP_US: Us = 20_000;
-/// Time for that, in microseconds.
+/// Time for reading that input, in microseconds.
 const CATCH_UP_US: Us = 5_000;
 
-/// Owns all that is done on the worker beside RPCs.
+/// Owner of all work on the worker that is not part of an RPC.
 pub struct ControlLoop {
-    /// Where RPCs are decided.
+    /// Dispatcher that decides RPCs.
     pub dispatcher: Arc<Dispatcher>,
     /// Requests from other threads.
     pub queue: Arc<RequestQueue>,
     /// Addresses that a reload may change.
     pub addresses: Arc<PeerAddresses>,
-    /// The other backends, where they are configured.
+    /// Membership in the cluster of backends, if it is configured.
     pub membership: Option<Arc<MembershipService>>,
     /// Graceful shutdown.
     pub shutdown: Shutdown,
-    /// Changes of the configuration.
+    /// Driver of configuration changes.
     pub changes: ChangeDriver,
-    /// Ends the thread that waits for signals.
+    /// Handle that ends the signal loop.
     pub signals: Handle,
 }
 
 impl ControlLoop {
-    /// Runs until the program has drained.
+    /// Runs until the backend has drained.
     pub fn run(mut self) {
         self.dispatcher.clock.register();
         self.dispatcher.with(|core, outbound, now| core.start(now, outbound));
         loop {
             let deadline = self.dispatcher.arm_clock(self.changes.next_deadline());
-            // Who rang while a change went in slice by slice was not waited for.
-            let waiting = self.queue.lock().is_waiting();
-            wait_until(if waiting { 0 } else { deadline.min(now() + MAX_WAIT_US) });
+            // A notification that arrived while a change was installed in slices does not end the next wait, so the
+            // queue is checked first.
+            let has_requests = !self.queue.lock().is_empty();
+            wait_until(if has_requests { 0 } else { deadline.min(now() + MAX_WAIT_US) });
             self.process_requests();
             if now() > deadline.saturating_add(LATE_WAKEUP_US) {
                 wait_until(now() + CATCH_UP_US);
@@ -91,7 +92,7 @@
         self.changes.tick(&self.dispatcher, pause);
     }
 
-    /// The configuration file was read again. One that can't be used changes nothing.
+    /// Applies a reloaded configuration file. An invalid file changes nothing.
     fn reload(&mut self, reload: Result<Reload, SettingsError>, shutdown_requested: bool) {
         let dispatcher = &self.dispatcher;
         let is_ok = reload.is_ok();
@@ -101,8 +102,8 @@
         });
         let Reload { deployment, prepared } = match reload {
             Ok(reload) => reload,
-            Err(fault) => {
-                warn!(dispatcher.log, "configuration unchanged"; "why" => %fault);
+            Err(error) => {
+                warn!(dispatcher.log, "configuration unchanged"; "why" => %error);
                 return;
             }
         };
@@ -128,7 +129,7 @@
                 membership.describe_agreed_lists(Some(kind)).into()
             }
             (OperatorCommand::ProposeAgreed(proposal), Some(membership)) => {
-                // Answers by itself, once that is settled.
+                // The membership service sends the reply once the outcome of the proposal is known.
                 membership.propose(proposal, reply_to);
                 return;
             }
@@ -139,13 +140,15 @@
                 self.changes.execute(&self.dispatcher, command, pause)
             }
         };
-        // Whoever asked may have gone meanwhile.
+        // Sending fails if the client has stopped waiting.
         reply_to.try_send(reply).unwrap_or_default();
     }
 }
 
-/// Between two slices of a change: all others get their turn, time passes for the core, and the notice to shut down is
-/// not held up. The module hears it with the version still in force; the slices that are left go in after it.
+/// Yields to the other coroutines between two slices of a change, and advances the core's time.
+///
+/// A shutdown request is not delayed by the change: the drain starts with the version that is still active, and the
+/// remaining slices follow it.
 pub fn yield_between_slices(
     dispatcher: &Dispatcher, queue: &RequestQueue, shutdown: &mut Shutdown, shutdown_requested: bool,
 ) {
@@ -156,7 +159,7 @@
     tick_core(dispatcher);
 }
 
-/// Lets time pass for the core, if something is due.
+/// Advances the core's time if one of its timers is due.
 fn tick_core(dispatcher: &Dispatcher) {
     dispatcher.with(|core, outbound, now| {
         if core.next_deadline().is_some_and(|at| at <= now) {
--- a/daemon/src/control_socket.rs
+++ b/daemon/src/control_socket.rs
@@ -1,5 +1,7 @@
-//! The control socket: a Unix socket that only the owner of the process may open. A line of JSON comes, a line of JSON
-//! goes back; the program `asterrill` speaks it. Its threads touch nothing but the request queue.
+//! Control socket: a Unix socket that only the owner of the process may open.
+//!
+//! Each request is a line of JSON, and so is its reply. The command-line client is `asterrill`. The threads of the
+//! socket pass requests on through the request queue and share no other state with the worker.
 
 use crate::change::{Rejection, Reply, Request};
 use crate::control_request;
@@ -12,51 +14,56 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes of a request at the most.
+/// Maximum size of a request.
 const MAX_REQUEST_BYTES: u64 = 4 * 1024 * 1024;
-/// Bytes of a request beyond which only one is read and answered at a time.
+/// Size from which on a request counts as long. Only one long request is read and handled at a time.
 const LONG_REQUEST_BYTES: u64 = 512 * 1024;
-/// Between looks whether another long request is done.
-const LONG_REQUEST_POLL: Duration = Duration::from_millis(5);
-/// Operators that are served at a time.
+/// Interval between checks whether another long request has completed.
+const LONG_REQUEST_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum number of clients that are served at a time.
 const MAX_CLIENTS: usize = 4;
-/// A request is complete within this, and its answer is taken within as long.
+/// Time within which a client must send a complete request, and within which it must read the reply.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Before the next try to accept after a failed one.
+/// Delay before the next attempt after a failure to accept a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Carries requests out, on any thread.
+/// Function that executes a request; callable from any thread.
 pub type Handler = Arc<dyn Fn(Request) -> Reply + Send + Sync>;
 
-/// Listens from now on. A socket that an earlier process has left there is taken over; anything else is not.
+/// Opens the control socket at `path` and serves it on a thread of its own.
+///
+/// A stale socket of an earlier process is replaced.
+///
+/// # Errors
+/// The path exists and is not a socket, another process listens on it, or the socket can't be opened.
 pub fn listen(path: &Path, handler: Handler, log: &Logger) -> io::Result<()> {
-    let named = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
-    remove_stale_socket(path).map_err(named)?;
-    let listener = bind_private(path).map_err(named)?;
-    info!(log, "control socket is open"; "path" => %path.display());
+    let with_path = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
+    remove_stale_socket(path).map_err(with_path)?;
+    let listener = bind_private(path).map_err(with_path)?;
+    info!(log, "listening on the control socket"; "path" => %path.display());
     let server = Server {
         handler,
         log: log.clone(),
         clients: Arc::new(AtomicUsize::new(0)),
-        long_request: Arc::new(AtomicBool::new(false)),
+        long_request_active: Arc::new(AtomicBool::new(false)),
     };
     std::thread::Builder::new().name("control".into()).spawn(move || server.run(&listener))?;
     Ok(())
 }
 
-/// Removes a socket on which nobody listens any more.
+/// Removes a socket on which no process listens.
 fn remove_stale_socket(path: &Path) -> io::Result<()> {
     let Ok(metadata) = std::fs::symlink_metadata(path) else { return Ok(()) };
     if !metadata.file_type().is_socket() {
-        return Err(io::Error::other("it is there, and no socket"));
+        return Err(io::Error::other("the path exists and is not a socket"));
     }
     if UnixStream::connect(path).is_ok() {
-        return Err(io::Error::other("another process listens there"));
+        return Err(io::Error::other("another process is listening on this socket"));
     }
     std::fs::remove_file(path)
 }
 
-/// Makes the socket where nobody else can reach it, and moves it into its place once it is for its owner only.
+/// Creates the socket in a private directory and moves it into place after restricting its permissions to the owner.
 fn bind_private(path: &Path) -> io::Result<UnixListener> {
     let private_dir = path.with_extension(format!("{}.new", std::process::id()));
     std::fs::DirBuilder::new().mode(0o700).create(&private_dir)?;
@@ -70,15 +77,15 @@
     listener
 }
 
-/// What the threads of the socket share.
+/// State shared by the threads of the socket.
 #[derive(Clone)]
 struct Server {
     handler: Handler,
     log: Logger,
-    /// Operators that are served.
+    /// Number of clients being served.
     clients: Arc<AtomicUsize>,
-    /// A long request is held.
-    long_request: Arc<AtomicBool>,
+    /// True while a long request is read or handled.
+    long_request_active: Arc<AtomicBool>,
 }
 
 impl Server {
@@ -87,7 +94,7 @@
             match stream {
                 Ok(stream) => self.accept(stream),
                 Err(e) => {
-                    warn!(self.log, "accepting an operator failed"; "error" => %e);
+                    warn!(self.log, "accepting a connection on the control socket failed; retrying"; "error" => %e);
                     std::thread::sleep(ACCEPT_RETRY_DELAY);
                 }
             }
@@ -96,7 +103,8 @@
 
     fn accept(&self, stream: UnixStream) {
         let Some(slot) = ClientSlot::try_acquire(&self.clients) else {
-            drop(send(&stream, &Reply::Rejected(Rejection::new("too many operators at a time"))));
+            let why = format!("too many clients: at most {MAX_CLIENTS} are served at a time");
+            drop(send(&stream, &Reply::Rejected(Rejection::new(why))));
             return;
         };
         let server = self.clone();
@@ -104,34 +112,37 @@
             drop(server.serve(&stream));
             drop(slot);
         };
-        // Where no thread can be made, the slot is given back with the closure.
+        // If no thread can be started, dropping the closure releases the slot.
         drop(std::thread::Builder::new().name("operator".into()).spawn(serve));
     }
 
-    /// Handles requests one after the other, each complete within its time.
+    /// Handles the requests of one client in order, until it disconnects or exceeds the time limit.
     fn serve(&self, stream: &UnixStream) -> io::Result<()> {
-        let mut reader =
-            RequestReader { from: BufReader::new(stream), stream, long_request: &self.long_request };
+        let mut reader = RequestReader {
+            from: BufReader::new(stream),
+            stream,
+            long_request_active: &self.long_request_active,
+        };
         while let Some(line) = reader.next()? {
             let reply = match control_request::parse(line.text) {
                 Ok(request) => (self.handler)(request),
                 Err(why) => Reply::Rejected(Rejection::new(why)),
             };
-            drop(line.long_request);
+            drop(line.long_request_permit);
             send(stream, &reply)?;
         }
         Ok(())
     }
 }
 
-/// The place of one operator; given back when dropped.
+/// Slot of one client, released when dropped.
 struct ClientSlot(Arc<AtomicUsize>);
 
 impl ClientSlot {
     fn try_acquire(clients: &Arc<AtomicUsize>) -> Option<ClientSlot> {
         let slot = ClientSlot(clients.clone());
-        let before = clients.fetch_add(1, Ordering::AcqRel);
-        (before < MAX_CLIENTS).then_some(slot)
+        let previous = clients.fetch_add(1, Ordering::AcqRel);
+        (previous < MAX_CLIENTS).then_some(slot)
     }
 }
 
@@ -141,12 +152,12 @@
     }
 }
 
-/// The right to hold a long request: one operator has it at a time.
+/// Permit to hold a long request in memory, released when dropped. There is one permit for all clients.
 struct LongRequestPermit<'a>(&'a AtomicBool);
 
 impl LongRequestPermit<'_> {
-    fn try_acquire(held: &AtomicBool) -> Option<LongRequestPermit<'_>> {
-        (!held.swap(true, Ordering::AcqRel)).then(|| LongRequestPermit(held))
+    fn try_acquire(active: &AtomicBool) -> Option<LongRequestPermit<'_>> {
+        (!active.swap(true, Ordering::AcqRel)).then(|| LongRequestPermit(active))
     }
 }
 
@@ -156,23 +167,24 @@
     }
 }
 
-/// A request as it came.
+/// Line of text that contains one request.
 struct RequestLine<'a> {
     text: String,
-    /// Held until the request is handled.
-    long_request: Option<LongRequestPermit<'a>>,
+    /// Permit of a long request, held until the request is handled.
+    long_request_permit: Option<LongRequestPermit<'a>>,
 }
 
-/// Reads the requests of one operator.
+/// Reader of the requests of one client.
 struct RequestReader<'a> {
     from: BufReader<&'a UnixStream>,
     stream: &'a UnixStream,
-    long_request: &'a AtomicBool,
+    long_request_active: &'a AtomicBool,
 }
 
 impl<'a> RequestReader<'a> {
-    /// The next line; `None` at the end, or if it is not complete in its time. Of long ones one is read at a time:
-    /// others wait in the sockets.
+    /// Returns the next line, or `None` at the end of the stream and if the line exceeds the limits of size or time.
+    ///
+    /// Only one long line is read at a time. The rest of other long lines waits in the socket buffers.
     fn next(&mut self) -> io::Result<Option<RequestLine<'a>>> {
         let deadline = Instant::now() + REQUEST_TIMEOUT;
         let mut bytes = Vec::new();
@@ -180,18 +192,18 @@
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
             if bytes.len() as u64 >= LONG_REQUEST_BYTES && permit.is_none() {
-                permit = LongRequestPermit::try_acquire(self.long_request);
+                permit = LongRequestPermit::try_acquire(self.long_request_active);
                 if permit.is_none() && !remaining.is_zero() {
-                    std::thread::sleep(LONG_REQUEST_POLL);
+                    std::thread::sleep(LONG_REQUEST_POLL_INTERVAL);
                     continue;
                 }
                 if permit.is_none() {
-                    self.reject("another request of more than 512 KiB is being read: ask again")?;
+                    self.reject("another request of more than 512 KiB is being read: try again later")?;
                     return Ok(None);
                 }
             }
             if remaining.is_zero() || bytes.len() as u64 >= MAX_REQUEST_BYTES {
-                self.reject("a request is a line of 4 MiB at most, within 5 s")?;
+                self.reject("a request must be one line of at most 4 MiB, received within 5 s")?;
                 return Ok(None);
             }
             self.stream.set_read_timeout(Some(remaining))?;
@@ -200,7 +212,7 @@
                 Ok(0) => return Ok(None),
                 Ok(_) if bytes.ends_with(b"\n") => {
                     let text = String::from_utf8(bytes).ok();
-                    return Ok(text.map(|text| RequestLine { text, long_request: permit }));
+                    return Ok(text.map(|text| RequestLine { text, long_request_permit: permit }));
                 }
                 Ok(_) => {}
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
--- a/daemon/src/operator.rs
+++ b/daemon/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file, made into what is switched on by it.
+//! Loading of the operator's file, and construction of the queue consumers that it configures.
 
 use crate::queues::{QueueConfig, QueueConsumers};
 use asterrill::{FeedbackMode, Us};
@@ -12,41 +12,44 @@
 use asterrill_settings::SettingsError;
 use std::path::Path;
 
-/// Of the buffers for bodies, all queues together may hold one in so many.
+/// Ratio of body buffers to the deliveries that all queues together may hold.
 const BODY_BUFFERS_PER_DELIVERY: u64 = 4;
 
-/// The operator's file; empty where there is none.
+/// Operator's file; empty if there is none.
 #[derive(Default)]
 pub struct OperatorFile {
-    /// The file, parsed.
+    /// Parsed file.
     pub config: OperatorConfig,
-    /// The text that it was read from.
+    /// Text of the file.
     pub text: String,
 }
 
-/// Reads and checks the file.
+/// Reads and parses the operator's file.
+///
+/// # Errors
+/// The file can't be read or is invalid.
 pub fn read(path: &Path) -> Result<OperatorFile, SettingsError> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| SettingsError::new(format!("{name}: {e}")))?;
     let config = asterrill_operator_config::parse(&name, &text)
-        .map_err(|mistake| SettingsError::new(mistake.to_string()))?;
+        .map_err(|error| SettingsError::new(error.to_string()))?;
     Ok(OperatorFile { config, text })
 }
 
-/// The consumers of queues, where their broker is, and the pause between connections to it.
+/// Queue consumers with the parameters of the connection to their broker.
 pub struct BrokerSetup {
-    /// The consumers.
+    /// Queue consumers.
     pub queues: QueueConsumers,
-    /// The broker, and others to try if it does not answer.
+    /// Address of the broker, and fallback addresses that are tried if it does not answer.
     pub addresses: Address,
-    /// In microseconds.
+    /// Delay between connection attempts, in microseconds.
     pub reconnect_backoff: asterrill_operator_config::Backoff,
 }
 
-/// The terms of each queue.
+/// Returns the consumer configuration of each queue.
 ///
 /// # Errors
-/// A method or tenant that the configuration does not have, by name.
+/// A queue names a method or tenant that is not configured, or names no tenant although tenants are configured.
 pub fn consumer_configs(
     broker: Option<&BrokerConfig>, configuration: &Configuration,
 ) -> Result<Vec<ConsumerConfig>, SettingsError> {
@@ -60,22 +63,22 @@
 }
 
 fn check_names(queue: &QueueSection, configuration: &Configuration) -> Result<(), SettingsError> {
-    let fault = |why: String| SettingsError::new(format!("queue {}: {why}", queue.name));
-    if let Some(name) = names(&queue.method).find(|name| configuration.method(name).is_none()) {
-        return Err(fault(format!("there is no method {name}")));
+    let error = |why: String| SettingsError::new(format!("queue {}: {why}", queue.name));
+    if let Some(name) = possible_values(&queue.method).find(|name| configuration.method(name).is_none()) {
+        return Err(error(format!("unknown method {name}")));
     }
-    if let Some(name) = names(&queue.tenant).find(|name| configuration.tenant(name).is_none()) {
-        return Err(fault(format!("there is no tenant {name}")));
+    if let Some(name) = possible_values(&queue.tenant).find(|name| configuration.tenant(name).is_none()) {
+        return Err(error(format!("unknown tenant {name}")));
     }
     let has_tenants = configuration.count(EntryKind::Tenant) > 0;
     if has_tenants && queue.tenant == ValueSource::default() {
-        return Err(fault("tenants are distinguished here: it wants tenant or tenant-header".into()));
+        return Err(error("tenants are configured, so tenant or tenant-header is required".into()));
     }
     Ok(())
 }
 
-/// All values that a source may give.
-fn names(source: &ValueSource) -> impl Iterator<Item = &String> {
+/// Returns all values that a source may yield.
+fn possible_values(source: &ValueSource) -> impl Iterator<Item = &String> {
     source.default_value.iter().chain(source.values.values())
 }
 
@@ -104,17 +107,19 @@
     }
 }
 
-/// What is to be consumed, if anything. `body_buffers`: of RPCs, for which there is memory.
+/// Returns the queue consumers and their broker, or `None` if no broker is configured.
+///
+/// `body_buffers` is the number of buffers for RPC bodies that fit in memory.
 ///
 /// # Errors
-/// Those of [`consumer_configs`], and a password file that can't be read.
+/// Those of [`consumer_configs`], or the password file can't be read.
 pub fn broker_setup(
     now: Us, config: &OperatorConfig, configuration: &Configuration, seed: u64, body_buffers: u64,
 ) -> Result<Option<BrokerSetup>, SettingsError> {
-    let terms = consumer_configs(config.broker.as_ref(), configuration)?;
+    let consumers = consumer_configs(config.broker.as_ref(), configuration)?;
     let Some(broker) = config.broker.clone() else { return Ok(None) };
     let password = asterrill_operator_config::read_secret(&broker.password_file);
-    let password = password.map_err(|fault| SettingsError::new(fault.to_string()))?;
+    let password = password.map_err(|error| SettingsError::new(error.to_string()))?;
     let login = Login {
         credentials: Credentials { user: broker.user, password },
         virtual_host: broker.virtual_host,
@@ -124,7 +129,7 @@
     let globals = configuration.globals();
     let queue_config = QueueConfig {
         login,
-        consumers: terms,
+        consumers,
         seed,
         cores: globals.cores as f64,
         delivery_capacity: (body_buffers / BODY_BUFFERS_PER_DELIVERY) as f64,
--- a/daemon/src/operator_requests.rs
+++ b/daemon/src/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of operators and signals: read and checked on the threads that they come in on, carried out on the worker.
+//! Requests from operators and signals: validated on the threads that receive them, executed on the worker.
 
 use crate::change::{
     prepare, ChangeRequest, ChangeSource, OperatorCommand, PreparedChange, Rejection, Reply, Request,
@@ -11,94 +11,94 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Requests of one kind that may wait for the worker.
+/// Maximum number of requests of one kind that wait for the worker.
 const MAX_QUEUED_REQUESTS: usize = 16;
-/// Times that a change is read again because another version came into force meanwhile.
+/// Maximum number of times that a change is validated again because another version was applied meanwhile.
 const MAX_RESTAGE_ATTEMPTS: usize = 4;
-/// The worker answers within this.
+/// Maximum time to wait for a reply of the worker.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A command that waits for the worker.
+/// Command that waits for the worker.
 pub struct PendingCommand {
-    /// What is to be done.
+    /// Command to execute.
     pub command: OperatorCommand,
-    /// Who waits for the reply.
+    /// Channel of the client that waits for the reply.
     pub reply_to: SyncSender<Reply>,
 }
 
-/// A configuration file that was read again, and how its entries compared with what ran then, if they differ.
+/// Reloaded configuration file, with the result of its validation if its entries differ from the running ones.
 pub struct Reload {
-    /// What was read.
+    /// Parsed file.
     pub deployment: Deployment,
-    /// `None` where nothing differs, or the worker did not answer.
+    /// Result of the validation; `None` if nothing differs or the worker did not answer.
     pub prepared: Option<Result<PreparedChange, Rejection>>,
 }
 
-/// What waits for the worker.
+/// Requests that wait for the worker.
 #[derive(Default)]
 pub struct PendingRequests {
-    /// The notice to shut down came.
+    /// True if a shutdown was requested.
     pub shutdown: bool,
-    /// The last configuration file that was read again.
+    /// Last configuration file that was reloaded.
     pub reload: Option<Result<Reload, SettingsError>>,
-    /// Who waits for what a change is to be checked against.
+    /// Channels of the threads that wait for a validation context.
     pub context_requests: Vec<SyncSender<ValidationContext>>,
-    /// Commands in the order in which they came.
+    /// Commands in the order of their arrival.
     pub commands: Vec<PendingCommand>,
-    /// Nobody carries requests out any more.
+    /// True if requests are no longer executed.
     closed: bool,
 }
 
 impl PendingRequests {
-    /// Something is to be done.
-    pub fn is_waiting(&self) -> bool {
-        self.shutdown
-            || self.reload.is_some()
-            || !self.context_requests.is_empty()
-            || !self.commands.is_empty()
+    /// Reports whether no request is waiting.
+    pub fn is_empty(&self) -> bool {
+        !self.shutdown
+            && self.reload.is_none()
+            && self.context_requests.is_empty()
+            && self.commands.is_empty()
     }
 }
 
-/// Takes requests to the worker.
+/// Queue of requests to the worker.
 #[derive(Default)]
 pub struct RequestQueue(Mutex<PendingRequests>);
 
 impl RequestQueue {
-    /// The requests that wait.
+    /// Locks the queue.
     pub fn lock(&self) -> MutexGuard<'_, PendingRequests> {
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Takes all that waits.
+    /// Removes and returns all pending requests.
     pub fn take(&self) -> PendingRequests {
         std::mem::take(&mut *self.lock())
     }
 
-    /// Nothing is carried out any more; whoever waits for a reply is answered at once.
+    /// Closes the queue. Pending requests are dropped, so that threads waiting for a reply return at once.
     pub fn close(&self) {
         *self.lock() = PendingRequests { closed: true, ..PendingRequests::default() };
     }
 }
 
-/// Handles requests of operators, on any thread.
+/// Handler of operators' requests; callable from any thread.
 #[derive(Clone)]
 pub struct RequestHandler {
-    /// Takes requests to the worker.
+    /// Queue of requests to the worker.
     pub queue: Arc<RequestQueue>,
-    /// Wakes the worker, and counts rejected changes.
+    /// Dispatcher, which wakes the worker and counts rejected changes.
     pub dispatcher: Arc<Dispatcher>,
-    /// By which changes are judged.
+    /// Rollout settings by which changes are validated.
     pub policy: RolloutPolicy,
-    /// The seed of the decision module.
+    /// Seed of the decision module.
     pub seed: u64,
 }
 
 impl RequestHandler {
-    /// Carries a request out: a change is read and checked here, on the thread of who asks.
+    /// Executes a request. A change is parsed and validated on the calling thread.
     pub fn handle(&self, request: Request) -> Reply {
         let (reply, is_change) = match request {
             Request::Diff(request) => {
-                let diff = self.read(request).map(|prepared| Reply::Diff(prepared.to_diff()));
+                let diff = self.prepare_change(request).map(|prepared| Reply::Diff(prepared.to_diff()));
                 (diff.into(), true)
             }
             Request::Stage(request) => (self.stage(request), true),
@@ -113,7 +113,7 @@
         reply
     }
 
-    /// A configuration file was read again: what differs from what runs is checked here, if anything does.
+    /// Validates a reloaded configuration file on the calling thread, if it differs from the running configuration.
     pub fn prepare_reload(&self, deployment: Deployment, running: &RunningContent) -> Reload {
         if deployment.configuration.digest() == running.get().configuration.digest() {
             return Reload { deployment, prepared: None };
@@ -125,7 +125,7 @@
         Reload { deployment, prepared }
     }
 
-    /// Stages a change. If another version came into force meanwhile, it is read again against that one.
+    /// Stages a change. If another version was applied during validation, the change is validated again against that.
     fn stage(&self, request: ChangeRequest) -> Reply {
         let mut retained = request.may_be_retained().then(|| request.clone());
         let mut reply = self.stage_once(request);
@@ -139,18 +139,19 @@
     }
 
     fn stage_once(&self, request: ChangeRequest) -> Reply {
-        match self.read(request) {
+        match self.prepare_change(request) {
             Ok(prepared) => self.execute(OperatorCommand::Stage(Box::new(prepared))),
             Err(rejection) => Reply::Rejected(rejection),
         }
     }
 
-    fn read(&self, request: ChangeRequest) -> Result<PreparedChange, Rejection> {
-        let context = self.validation_context().ok_or_else(|| Rejection::new("nobody answers"))?;
+    fn prepare_change(&self, request: ChangeRequest) -> Result<PreparedChange, Rejection> {
+        let no_answer = || Rejection::new("no answer: the server is overloaded or shutting down");
+        let context = self.validation_context().ok_or_else(no_answer)?;
         prepare(&context, request, self.policy, self.seed)
     }
 
-    /// What a change is to be read and checked against; `None` where the worker does not answer.
+    /// Requests the validation context from the worker; returns `None` if the worker does not answer.
     fn validation_context(&self) -> Option<ValidationContext> {
         let (sender, receiver) = sync_channel(1);
         {
@@ -164,22 +165,26 @@
         receiver.recv_timeout(REPLY_TIMEOUT).ok()
     }
 
-    /// Brings a command to the worker and waits for the reply, so long at most.
+    /// Queues a command for the worker and waits for the reply, up to `REPLY_TIMEOUT`.
     fn execute(&self, command: OperatorCommand) -> Reply {
         let (reply_to, receiver) = sync_channel(1);
-        let rejected = |why: &str| Reply::Rejected(Rejection::new(why));
+        let rejected = |why: String| Reply::Rejected(Rejection::new(why));
         {
             let mut pending = self.queue.lock();
             if pending.closed {
-                return rejected("the server is shutting down");
+                return rejected("the server is shutting down".into());
             }
             if pending.commands.len() >= MAX_QUEUED_REQUESTS {
-                return rejected("too many wait to be answered");
+                return rejected(format!(
+                    "{MAX_QUEUED_REQUESTS} commands are already waiting: try again later"
+                ));
             }
             pending.commands.push(PendingCommand { command, reply_to });
         }
         self.dispatcher.clock.notify();
         let reply = receiver.recv_timeout(REPLY_TIMEOUT);
-        reply.unwrap_or_else(|_| rejected("no answer within 5 s: ask for the status"))
+        reply.unwrap_or_else(|_| {
+            rejected("no answer within 5 s: the command may still be executed, check the status".into())
+        })
     }
 }
--- a/daemon/src/signals.rs
+++ b/daemon/src/signals.rs
@@ -1,4 +1,4 @@
-//! The thread that waits for signals: SIGTERM shuts down, SIGHUP reads the configuration again, SIGUSR1 logs counters.
+//! Signal handling: SIGTERM shuts down, SIGHUP reloads the configuration, SIGUSR1 logs the counters.
 
 use crate::change::RunningContent;
 use crate::deployment::read_deployment;
@@ -9,17 +9,17 @@
 use slog::{info, Logger};
 use std::sync::Arc;
 
-/// Takes signals to the worker.
+/// Loop that receives signals and queues requests for the worker.
 pub struct SignalLoop {
-    /// The signals that are waited for.
+    /// Registered signals.
     pub signals: Signals,
-    /// Takes requests to the worker.
+    /// Handler that queues requests for the worker.
     pub handler: RequestHandler,
-    /// What runs, with which a file that is read again is compared.
+    /// Running content, with which a reloaded file is compared.
     pub running: Arc<RunningContent>,
-    /// The other backends, where they are configured.
+    /// Membership in the cluster of backends, if it is configured.
     pub membership: Option<Arc<MembershipService>>,
-    /// The log.
+    /// Logger.
     pub log: Logger,
 }
 
@@ -43,6 +43,6 @@
             }
             self.handler.dispatcher.clock.notify();
         }
-        info!(self.log, "ended"; "counters" => self.handler.dispatcher.stats_line());
+        info!(self.log, "stopped"; "counters" => self.handler.dispatcher.stats_line());
     }
 }
--- a/daemon/src/tests/control_socket.rs
+++ b/daemon/src/tests/control_socket.rs
@@ -31,23 +31,29 @@
     for (asked, part) in [
         (&b"{\"v\": 1, \"do\": \"status\"}\n"[..], "Status"),
         (b"{\"v\": 1, \"do\": \"apply\", \"if_base\": 3}\n", "if_base: Some(3)"),
-        (b"{\"v\": 1, \"do\": \"apply\", \"if_base\": -3}\n", "if_base is no whole number"),
-        (b"{\"v\": 1, \"do\": \"stage\"}\n", "stage wants text or step"),
-        (b"{\"v\": 1, \"do\": \"diff\", \"step\": 3}\n", "diff wants text or step"),
-        (b"{\"v\": 1, \"do\": \"stage\", \"step\": \"s\", \"text\": \"t\"}\n", "text or step, not both"),
+        (
+            b"{\"v\": 1, \"do\": \"apply\", \"if_base\": -3}\n",
+            "if_base: expected a non-negative integer, found -3",
+        ),
+        (b"{\"v\": 1, \"do\": \"stage\"}\n", "stage requires text or step"),
+        (b"{\"v\": 1, \"do\": \"diff\", \"step\": 3}\n", "diff requires text or step"),
+        (
+            b"{\"v\": 1, \"do\": \"stage\", \"step\": \"s\", \"text\": \"t\"}\n",
+            "expected either text or step, found both",
+        ),
         (
             b"{\"v\": 1, \"do\": \"stage\", \"step\": \"s\", \"base\": 3}\n",
             "source: Step(\\\"s\\\"), base: Some(3)",
         ),
-        (b"{\"v\": 2, \"do\": \"status\"}\n", "speaks version 1"),
-        (b"{\"v\": 1, \"do\": \"dance\"}\n", "is not known"),
-        (b"what?\n", "not JSON"),
+        (b"{\"v\": 2, \"do\": \"status\"}\n", "expected protocol version 1, found 2"),
+        (b"{\"v\": 1, \"do\": \"dance\"}\n", "unknown command \\\"dance\\\""),
+        (b"what?\n", "not valid JSON"),
     ] {
         let line = ask(&path, asked);
         assert!(line.contains(part), "{line} for {part}");
     }
     let long = vec![b'x'; MAX_REQUEST_BYTES as usize + 1];
-    assert!(ask(&path, &long).contains("a line of 4 MiB at most"));
+    assert!(ask(&path, &long).contains("one line of at most 4 MiB"));
     // The half line is given up in its time.
     let mut line = String::new();
     half.set_read_timeout(Some(REQUEST_TIMEOUT * 2)).unwrap();
@@ -57,7 +63,7 @@
     assert!(listen(&path, handler.clone(), &log).unwrap_err().to_string().contains("another process"));
     std::fs::remove_file(&path).unwrap();
     std::fs::write(&path, "a file").unwrap();
-    assert!(listen(&path, handler, &log).unwrap_err().to_string().contains("no socket"));
+    assert!(listen(&path, handler, &log).unwrap_err().to_string().contains("not a socket"));
     std::fs::remove_file(&path).unwrap();
 }
 
@@ -118,7 +124,7 @@
         BufReader::new(stream).read_line(&mut line).unwrap();
         said.push(line);
     }
-    assert!(said[0].contains("a line of 4 MiB at most, within 5 s"), "{said:?}");
+    assert!(said[0].contains("one line of at most 4 MiB, received within 5 s"), "{said:?}");
     assert!(said[1].contains("another request of more than 512 KiB is being read"), "{said:?}");
     assert!(ask(&path, &long).contains("\"ok\":true"), "and then there is room again");
     std::fs::remove_file(&path).unwrap();
