--- a/daemon/src/membership.rs
+++ b/daemon/src/membership.rs
@@ -1,5 +1,7 @@
-//! Membership of this backend: the state machines of `asterrill-membership` and `asterrill-consensus`, joined to a datagram
-//! socket, to the core and to the operators. They have a lock and coroutines of their own: no RPC ever waits for them.
+//! Membership of this backend in the cluster.
+//!
+//! Connects the state machines of `asterrill-membership` and `asterrill-consensus` to a datagram socket, to the core
+//! and to the control socket. They have their own lock and coroutines, so that no RPC waits for them.
 
 mod consensus;
 mod event_log;
--- a/daemon/src/membership/consensus.rs
+++ b/daemon/src/membership/consensus.rs
@@ -1,4 +1,5 @@
-//! The raft node that agrees on lists: its messages go as datagrams of the membership, its writes to the store thread.
+//! Raft node that agrees on lists. Its messages are sent in datagrams of the membership protocol, and its writes are
+//! done by the store thread.
 
 use super::shared::MembershipState;
 use crate::store::{read_consensus, truncate_consensus};
@@ -12,10 +13,10 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// Opens the raft node, a voter's from what is on disk.
+/// Creates the raft node. A voter restores its state from disk.
 ///
 /// # Errors
-/// Storage that can't be read, or that holds something else.
+/// The storage can't be read, or its content is invalid.
 pub(super) fn open_node(
     name: &str, generation: u64, fleet: &FleetConfig, dir: &Path,
 ) -> Result<Node, SettingsError> {
@@ -36,13 +37,13 @@
     Ok(node)
 }
 
-/// What a turn of the raft node has brought.
+/// Output of the raft node for one tick.
 pub(super) struct ConsensusOutput {
-    /// What is to be made durable, in this order.
+    /// Writes to make durable, in this order.
     pub(super) writes: Vec<DiskWrite>,
-    /// The agreed lists in force, if they may have changed.
+    /// Agreed lists in effect, if they may have changed.
     pub(super) policy: Option<LeasedPolicy>,
-    /// When the next turn is due.
+    /// Time of the next tick.
     pub(super) next_tick: Us,
 }
 
@@ -53,7 +54,7 @@
 }
 
 impl MembershipState {
-    /// Brings messages, time and durable writes to the raft node; sends what it has to say.
+    /// Passes messages, the time and completed writes to the raft node, and sends its messages and replies.
     pub(super) fn run_consensus(
         &mut self, now_monotonic: Us, durable_writes: &Mutex<Vec<u64>>,
     ) -> ConsensusOutput {
@@ -75,7 +76,7 @@
         }
         for CompletedProposal { number, outcome } in node.take_outcomes() {
             if let Some(proposer) = self.proposers.remove(&number) {
-                // Whoever proposed it may have gone meanwhile.
+                // Sending fails if the client has stopped waiting.
                 proposer.try_send(describe_outcome(outcome).into()).unwrap_or_default();
             }
         }
@@ -94,6 +95,6 @@
         }
         ProposalOutcome::Rejected(why) => json!({"ok": false, "error": why, "kind": "refused"}),
         ProposalOutcome::NoQuorum => json!({"ok": false, "kind": "no majority",
-            "error": "no majority of the keepers answered in time; it may still come to pass"}),
+            "error": "no majority of the voters answered in time; the proposal may still be committed"}),
     }
 }
--- a/daemon/src/membership/run.rs
+++ b/daemon/src/membership/run.rs
@@ -1,4 +1,4 @@
-//! The coroutines: one reads datagrams, one lets time pass and sends.
+//! Coroutines of the membership service: one receives datagrams, one runs the periodic tick and sends datagrams.
 
 use super::shared::MembershipService;
 use crate::dispatcher::Dispatcher;
@@ -9,16 +9,16 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Microseconds between two looks at whether the state to persist has changed.
+/// Interval between checks whether the persisted state has changed, in microseconds.
 const PERSIST_INTERVAL_US: Us = 10_000_000;
-/// Datagrams that wait to be sent; beyond it the oldest are lost, as on the way.
+/// Maximum number of queued datagrams. Beyond it the oldest are dropped, which the protocol treats like network loss.
 const MAX_OUTGOING_DATAGRAMS: usize = 4_096;
-/// The shortest wait between two turns, in microseconds.
+/// Minimum wait between two ticks, in microseconds.
 const MIN_WAIT_US: Us = 1_000;
-/// A quota is looked at this many times while its lease lasts.
+/// Number of times that a quota is renewed during its lease.
 const RENEWALS_PER_LEASE: Us = 4;
 
-/// What a turn has brought.
+/// Output of one tick.
 struct TickOutput {
     outgoing: VecDeque<Transmit>,
     events: Vec<Event>,
@@ -27,14 +27,17 @@
     left: bool,
 }
 
-/// The state on disk, and when it is looked at next.
+/// State saved last, and the time of the next check for changes.
 struct Persistence {
     next_check: Us,
     saved: PersistedState,
 }
 
 impl MembershipService {
-    /// Starts the coroutines.
+    /// Starts the coroutines of the service.
+    ///
+    /// # Errors
+    /// The socket can't be shared, or a coroutine can't be started.
     pub fn start(
         self: &Arc<MembershipService>, socket: DatagramSocket, dispatcher: &Arc<Dispatcher>,
         store: Option<Store>,
@@ -51,7 +54,7 @@
         spawn("members' clock", move || service.run(&socket, &dispatcher, store, &on_durable))
     }
 
-    /// What the store thread calls when a voter's write is durable.
+    /// Returns the callback that the store thread calls when a voter's write is durable.
     fn on_durable(self: &Arc<MembershipService>) -> Arc<OnDurable> {
         let service = self.clone();
         Arc::new(move |number| {
@@ -60,7 +63,7 @@
         })
     }
 
-    /// Lets time pass and sends, until this backend has left.
+    /// Runs the periodic tick and sends datagrams, until this backend has left the cluster.
     fn run(
         &self, socket: &DatagramSocket, dispatcher: &Dispatcher, store: Option<Store>,
         on_durable: &Arc<OnDurable>,
@@ -69,59 +72,59 @@
         let mut persistence = Persistence { next_check: monotonic_now(), saved: PersistedState::default() };
         loop {
             let started = monotonic_now();
-            let turn = self.tick(started, dispatcher, store.as_ref(), on_durable);
-            // The core learns of a smaller quota before anybody else learns anything. It is leased: a process that was
-            // paused, or does not come to look, has none when it wakes.
-            let changes_allowed = turn.role.allowed_changes == AllowedChanges::Any;
+            let output = self.tick(started, dispatcher, store.as_ref(), on_durable);
+            // A smaller quota is set in the core before any datagram that announces it is sent. The quota is leased,
+            // so that it has expired when a process resumes after a pause or is late.
+            let changes_allowed = output.role.allowed_changes == AllowedChanges::Any;
             dispatcher.lease(started.saturating_add(self.quota_lease), changes_allowed);
-            let quota = turn.role.quota_factor;
+            let quota = output.role.quota_factor;
             dispatcher.with(|core, outbound, now| core.set_quota_fraction(now, quota, outbound));
-            for Transmit { destination, contents } in turn.outgoing {
+            for Transmit { destination, contents } in output.outgoing {
                 socket.send(destination, &contents);
             }
-            self.log_events(turn.events);
+            self.log_events(output.events);
             if let Some(store) = store.as_ref().filter(|_| started >= persistence.next_check) {
                 self.persist(store, &mut persistence, started);
             }
-            if turn.left {
+            if output.left {
                 return;
             }
-            // Never later than a quota is leased for, by a wide margin.
-            let until_wakeup = turn.next_wakeup.saturating_sub(monotonic_now());
+            // The wait is a fraction of the quota's lease, so that the lease is renewed well before it expires.
+            let until_wakeup = output.next_wakeup.saturating_sub(monotonic_now());
             let wait = until_wakeup.min(self.quota_lease / RENEWALS_PER_LEASE);
             wait_until(now() + wait.max(MIN_WAIT_US));
         }
     }
 
-    /// One turn under the lock: time passes for membership and consensus.
+    /// Advances membership and consensus to the time `at`, under the lock.
     fn tick(
         &self, at: Us, dispatcher: &Dispatcher, store: Option<&Store>, on_durable: &Arc<OnDurable>,
     ) -> TickOutput {
-        let mut locked = self.lock();
-        if locked.membership.next_wakeup() <= at {
-            locked.membership.tick(at);
+        let mut state = self.lock();
+        if state.membership.next_wakeup() <= at {
+            state.membership.tick(at);
         }
-        let consensus = locked.run_consensus(at, &self.durable_writes);
+        let consensus = state.run_consensus(at, &self.durable_writes);
         if let Some(store) = store.filter(|_| !consensus.writes.is_empty()) {
             store.save_consensus(consensus.writes, on_durable);
         }
         if let Some(policy) = consensus.policy {
             dispatcher.set_apply_policy(policy);
         }
-        let datagrams = locked.membership.take_datagrams();
-        locked.outgoing.extend(datagrams);
-        let excess = locked.outgoing.len().saturating_sub(MAX_OUTGOING_DATAGRAMS);
-        locked.outgoing.drain(..excess);
+        let datagrams = state.membership.take_datagrams();
+        state.outgoing.extend(datagrams);
+        let excess = state.outgoing.len().saturating_sub(MAX_OUTGOING_DATAGRAMS);
+        state.outgoing.drain(..excess);
         TickOutput {
-            outgoing: std::mem::take(&mut locked.outgoing),
-            events: locked.membership.take_events(),
-            next_wakeup: locked.membership.next_wakeup().min(consensus.next_tick),
-            role: locked.role(self.expected_members),
-            left: locked.left,
+            outgoing: std::mem::take(&mut state.outgoing),
+            events: state.membership.take_events(),
+            next_wakeup: state.membership.next_wakeup().min(consensus.next_tick),
+            role: state.role(self.expected_members),
+            left: state.left,
         }
     }
 
-    /// Stores what a restart needs, if it has changed.
+    /// Saves the state that a restart needs, if it has changed.
     fn persist(&self, store: &Store, persistence: &mut Persistence, at: Us) {
         persistence.next_check = at + PERSIST_INTERVAL_US;
         let mut state = self.lock().membership.persisted_state(0);
--- a/daemon/src/membership/service.rs
+++ b/daemon/src/membership/service.rs
@@ -1,7 +1,8 @@
-//! Opening the service, and what operators and the shutdown ask of it.
+//! Creation of the membership service, and its operations for operators and the shutdown.
 
 use super::consensus::open_node;
 use super::shared::{MembershipService, MembershipState};
+use super::status::NO_FLEET_SECTION;
 use crate::change::Reply;
 use asterrill_consensus::Proposal;
 use asterrill_membership::{EnvelopeCodec, MemberId, MemberName, Membership, PersistedState};
@@ -15,37 +16,37 @@
 use std::sync::mpsc::SyncSender;
 use std::sync::{Arc, Mutex};
 
-/// What a start needs of the operator's file and of the process before.
+/// Parameters for starting the service.
 pub struct MembershipConfig<'a> {
-    /// This backend's name.
+    /// Name of this backend.
     pub name: &'a str,
-    /// The section of the operator's file.
+    /// Section [members] of the operator's file.
     pub section: &'a MembershipSection,
-    /// What the process before has saved.
+    /// State that the previous process saved.
     pub persisted: Option<PersistedState>,
-    /// Seed of what is drawn at random.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// How lists are agreed on, and the directory of a voter's storage.
+    /// Section [fleet], which configures the agreement on lists, and the directory of a voter's storage.
     pub fleet: Option<(&'a FleetConfig, &'a Path)>,
 }
 
-/// Reads the key, and checks the name.
+/// Reads the key of the cluster and checks the member's name.
 ///
 /// # Errors
-/// The key can't be read, or the name can't be that of a member.
+/// The key can't be read, or the name is not a valid member name.
 pub fn check(name: &str, section: &MembershipSection) -> Result<(MemberName, String), SettingsError> {
     let key = asterrill_operator_config::read_secret(&section.key_file)
         .map_err(|error| SettingsError::new(error.to_string()))?;
     let name = MemberName::new(name)
-        .ok_or_else(|| SettingsError::new(format!("name {name:?} is none for a member")))?;
+        .ok_or_else(|| SettingsError::new(format!("{name:?} is not a valid member name")))?;
     Ok((name, key))
 }
 
 impl MembershipService {
-    /// Opens the socket, so that a failure shows before anything else starts.
+    /// Creates the service and binds its socket, so that a failure is reported before anything else starts.
     ///
     /// # Errors
-    /// Those of [`check`], an address that can't be bound, or raft storage that can't be used.
+    /// Those of [`check`], the address can't be bound, or the raft storage is unusable.
     pub fn open(
         config: MembershipConfig<'_>, log: &Logger,
     ) -> Result<(Arc<MembershipService>, DatagramSocket), SettingsError> {
@@ -75,7 +76,7 @@
         let socket = DatagramSocket::bind(section.listen)
             .map_err(|e| SettingsError::new(format!("[members] listen {}: {e}", section.listen)))?;
         let node = config.fleet.map(|(fleet, dir)| open_node(config.name, generation, fleet, dir));
-        let locked = MembershipState {
+        let state = MembershipState {
             membership,
             outgoing: VecDeque::new(),
             left: false,
@@ -84,7 +85,7 @@
             unlogged_events: 0,
         };
         let service = MembershipService {
-            locked: Mutex::new(locked),
+            state: Mutex::new(state),
             wakeup: Notify::default(),
             durable_writes: Arc::default(),
             expected_members: section.expected_members,
@@ -96,25 +97,25 @@
         Ok((Arc::new(service), socket))
     }
 
-    /// This backend leaves, and announces it.
+    /// Leaves the cluster and announces that to the other members.
     pub fn leave(&self) {
-        let mut locked = self.lock();
-        locked.membership.leave(monotonic_now());
-        locked.left = true;
-        drop(locked);
+        let mut state = self.lock();
+        state.membership.leave(monotonic_now());
+        state.left = true;
+        drop(state);
         self.wakeup.notify();
     }
 
-    /// Proposes a change of the agreed lists; the reply is sent when its outcome is certain.
+    /// Proposes a change of the agreed lists. The reply is sent once the outcome is known.
     pub fn propose(&self, proposal: Proposal, reply: SyncSender<Reply>) {
-        let mut locked = self.lock();
-        let Some(node) = &mut locked.consensus else {
-            let error = json!({"ok": false, "error": "there is no section [fleet]"});
+        let mut state = self.lock();
+        let Some(node) = &mut state.consensus else {
+            let error = json!({"ok": false, "error": NO_FLEET_SECTION});
             return reply.try_send(error.into()).unwrap_or_default();
         };
         let number = node.propose(proposal);
-        locked.proposers.insert(number, reply);
-        drop(locked);
+        state.proposers.insert(number, reply);
+        drop(state);
         self.wakeup.notify();
     }
 }
--- a/daemon/src/membership/shared.rs
+++ b/daemon/src/membership/shared.rs
@@ -1,4 +1,4 @@
-//! What the coroutines and the operators' threads share.
+//! State shared by the coroutines of the service and the threads of the control socket.
 
 use crate::change::Reply;
 use asterrill::Us;
@@ -10,46 +10,46 @@
 use std::sync::mpsc::SyncSender;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What is behind the lock.
+/// State behind the lock.
 pub(super) struct MembershipState {
-    /// The state machine of the membership protocol.
+    /// State machine of the membership protocol.
     pub(super) membership: Membership,
     /// Datagrams to send.
     pub(super) outgoing: VecDeque<Transmit>,
-    /// This backend has left.
+    /// True once this backend has left the cluster.
     pub(super) left: bool,
-    /// The raft node, where lists are agreed on.
+    /// Raft node, if agreement on lists is configured.
     pub(super) consensus: Option<Node>,
-    /// Who waits for the outcome of a proposal, by its number.
+    /// Channels that wait for the outcome of a proposal, by its number.
     pub(super) proposers: BTreeMap<u64, SyncSender<Reply>>,
-    /// Events that were not logged one by one.
+    /// Number of events that were counted instead of logged.
     pub(super) unlogged_events: u64,
 }
 
-/// The membership of this backend and the lists that the backends agree on.
+/// Membership of this backend, and the lists that the backends agree on.
 pub struct MembershipService {
-    /// Locked for a moment only, never over a wait.
-    pub(super) locked: Mutex<MembershipState>,
-    /// Notified when there is something to do before the next wakeup.
+    /// State of the service. The lock is held briefly and never during a wait.
+    pub(super) state: Mutex<MembershipState>,
+    /// Notification of work that is due before the next wakeup.
     pub(super) wakeup: Notify,
-    /// Numbers of a voter's writes that are durable, for the raft node.
+    /// Numbers of the voter's writes that are durable but not yet reported to the raft node.
     pub(super) durable_writes: Arc<Mutex<Vec<u64>>>,
-    /// By how many members the settings divide what is shared.
+    /// Number of members among which the settings divide the shared limits.
     pub(super) expected_members: usize,
-    /// A quota holds for so many microseconds after it was looked at last.
+    /// Duration for which a quota is valid after its last renewal, in microseconds.
     pub(super) quota_lease: Us,
-    /// The log.
+    /// Logger.
     pub(super) log: Logger,
 }
 
 impl MembershipService {
     pub(super) fn lock(&self) -> MutexGuard<'_, MembershipState> {
-        self.locked.lock().unwrap_or_else(|e| e.into_inner())
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
 
 impl MembershipState {
-    /// What this backend may do in the present view.
+    /// Returns the policy of this backend in the current view.
     pub(super) fn role(&self, expected_members: usize) -> RolePolicy {
         let membership = &self.membership;
         let fraction = membership.quota_fraction();
--- a/daemon/src/membership/status.rs
+++ b/daemon/src/membership/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown, as JSON whose field names are part of the control socket's interface.
+//! Status for operators, as JSON whose field names are part of the interface of the control socket.
 
 use super::shared::MembershipService;
 use asterrill::Us;
@@ -7,17 +7,19 @@
 use asterrill_net::monotonic_now;
 use serde_json::{json, Value};
 
-/// Rows of an agreed list that are shown.
+/// Error text for requests that need the section [fleet] where the operator's file has none.
+pub(super) const NO_FLEET_SECTION: &str = "the operator's file has no section [fleet]";
+/// Maximum number of rows of an agreed list in a reply.
 const MAX_LIST_ROWS: usize = 5_000;
-/// Versions of the agreed lists that are shown.
+/// Maximum number of versions of the agreed lists in a reply.
 const MAX_LISTED_VERSIONS: usize = 20;
 
 impl MembershipService {
-    /// The agreed lists and how far this node is with them, or the rows of one list.
+    /// Describes the state of the agreed lists at this node, or the rows of one list.
     pub fn describe_agreed_lists(&self, list: Option<ListKind>) -> Value {
-        let locked = self.lock();
-        let Some(node) = &locked.consensus else {
-            return json!({"ok": false, "error": "there is no section [fleet]"});
+        let state = self.lock();
+        let Some(node) = &state.consensus else {
+            return json!({"ok": false, "error": NO_FLEET_SECTION});
         };
         match list {
             Some(kind) => describe_list(node, kind),
@@ -25,10 +27,10 @@
         }
     }
 
-    /// The view, and each member.
+    /// Describes the view and each member.
     pub fn describe_members(&self) -> Value {
-        let locked = self.lock();
-        let membership = &locked.membership;
+        let state = self.lock();
+        let membership = &state.membership;
         let now = monotonic_now();
         let evidence = membership.evidence();
         let own = membership.local_id();
@@ -40,16 +42,16 @@
                 "since_ms": elapsed_ms(evidence.since, now), "missing": missing},
             "own": {"name": own.name.as_str(), "at": own.addr.to_string(), "start": own.generation,
                 "incarnation": own.incarnation, "out": membership.is_displaced()},
-            "part": locked.role(self.expected_members).quota_factor,
+            "part": state.role(self.expected_members).quota_factor,
             "transition_ms": membership.quota_reassignment_delay() / 1_000,
             "members": members,
-            "counters": describe_counters(&membership.counters, locked.unlogged_events)})
+            "counters": describe_counters(&membership.counters, state.unlogged_events)})
     }
 
-    /// All counters, as one line for the log.
+    /// Returns all counters as one line for the log.
     pub fn stats_line(&self) -> String {
-        let locked = self.lock();
-        describe_counters(&locked.membership.counters, locked.unlogged_events).to_string()
+        let state = self.lock();
+        describe_counters(&state.membership.counters, state.unlogged_events).to_string()
     }
 }
 
--- a/daemon/src/store.rs
+++ b/daemon/src/store.rs
@@ -1,11 +1,11 @@
-//! What persists on disk: versions of the configuration, what was learned, who the members were, and a voter's log.
+//! State on disk: versions of the configuration, learned values, known members, and a voter's raft log.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `writer` | the thread that writes, and what waits for it |
-//! | `versions`, `legacy_versions` | the file of versions, and files as earlier builds left them |
-//! | `checksummed` | checksummed texts: learned values, members |
-//! | `consensus` | the file of a voter |
+//! | `writer` | the thread that writes, and its queue |
+//! | `versions`, `legacy_versions` | the file of versions, and its former format |
+//! | `checksummed` | texts with a checksum: learned values and members |
+//! | `consensus` | the raft file of a voter |
 
 mod checksummed;
 mod consensus;
--- a/daemon/src/store/checksummed.rs
+++ b/daemon/src/store/checksummed.rs
@@ -1,4 +1,4 @@
-//! Texts with a checksum: what was learned, and who the members were.
+//! Texts with a checksum: learned values and known members.
 
 use crate::durable_file;
 use asterrill_membership::PersistedState;
@@ -7,14 +7,14 @@
 use std::io;
 use std::path::Path;
 
-/// The format of checksummed texts.
+/// Format version of checksummed texts.
 pub(super) const FORMAT: u32 = 1;
 
 const LEARNED_FILE: &str = "learned";
-/// The file of the members, and what its text is called.
+/// Name of the file of members, and the kind in the header of its text.
 const MEMBERS_FILE: &str = "members";
 
-/// Reads what an earlier process had learned. What can't be used is logged, and is as if it were not there.
+/// Reads the learned values of an earlier process. An unusable file is logged and ignored.
 pub fn read_learned(dir: &Path, log: &Logger) -> Option<Snapshot> {
     let path = dir.join(LEARNED_FILE);
     let read = read_parsed(&path, |text| Snapshot::from_text(text).map_err(|e| e.to_string()));
@@ -28,7 +28,7 @@
     durable_file::replace(&dir.join(LEARNED_FILE), learned.to_text().as_bytes())
 }
 
-/// Reads who the members were. What can't be used is logged, and is as if it were not there.
+/// Reads the members known to an earlier process. An unusable file is logged and ignored.
 pub fn read_members(dir: &Path, log: &Logger) -> Option<PersistedState> {
     let path = dir.join(MEMBERS_FILE);
     let read = read_parsed(&path, |text| {
@@ -46,9 +46,9 @@
     durable_file::replace(&dir.join(MEMBERS_FILE), text.as_bytes())
 }
 
-/// What a text says; `None` where there is no file.
+/// Reads and parses a text; returns `None` if the file does not exist.
 fn read_parsed<T>(path: &Path, parse: impl FnOnce(&str) -> Result<T, String>) -> Result<Option<T>, String> {
-    // One byte more than there may be, so that a text that is too long shows as one.
+    // One byte more than the limit is read, so that a text that is too long is detected.
     let text = durable_file::read_text(path, MAX_TEXT_BYTES as u64 + 1).map_err(|e| e.to_string())?;
     text.map(|text| parse(&text)).transpose()
 }
--- a/daemon/src/store/consensus.rs
+++ b/daemon/src/store/consensus.rs
@@ -1,4 +1,4 @@
-//! The file of a voter: what it has to have on disk before it answers.
+//! Raft file of a voter, which must be on disk before the voter answers.
 
 use crate::durable_file;
 use asterrill_consensus::DiskWrite;
@@ -6,12 +6,12 @@
 use std::io::{self, Write};
 use std::path::Path;
 
-/// Called with the number of a write once that is on disk.
+/// Callback that receives the number of a write once it is on disk.
 pub type OnDurable = dyn Fn(u64) + Send + Sync;
 
 const FILE_NAME: &str = "agreed";
 
-/// The bytes of the file; empty where there is none.
+/// Reads the file; returns no bytes if it does not exist.
 pub fn read_consensus(dir: &Path) -> io::Result<Vec<u8>> {
     match std::fs::read(dir.join(FILE_NAME)) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
@@ -19,14 +19,15 @@
     }
 }
 
-/// Cuts off what follows the first `length` bytes, those of the complete records.
+/// Truncates the file to `length` bytes, which removes an incomplete record at its end.
 pub fn truncate_consensus(dir: &Path, length: usize) -> io::Result<()> {
     let file = File::options().write(true).create(true).truncate(false).open(dir.join(FILE_NAME))?;
     file.set_len(length as u64)?;
     file.sync_all()
 }
 
-/// Appends to the file, or puts another in its place, as each write says; one sync for all that came together.
+/// Appends to the file or replaces it, as each write specifies. All appends without a replacement between them share
+/// one sync.
 pub(super) fn append_consensus(
     dir: &Path, writes: &[DiskWrite], on_durable: Option<&OnDurable>,
 ) -> io::Result<()> {
--- a/daemon/src/store/legacy_versions.rs
+++ b/daemon/src/store/legacy_versions.rs
@@ -1,4 +1,4 @@
-//! Versions as builds before the file of versions left them, each a complete text in a file of its own.
+//! Former format of the versions, with a complete text in a file of its own for each version.
 
 use super::checksummed::FORMAT;
 use crate::durable_file;
@@ -7,12 +7,12 @@
 use slog::{warn, Logger};
 use std::path::Path;
 
-/// The files of the good version and of the one on probation.
+/// File names of the good version and of the one on probation.
 const FILE_NAMES: [&str; 2] = ["good", "probation"];
-/// What their checksummed texts are called.
+/// Kind in the header of their checksummed texts.
 const TEXT_KIND: &str = "state";
 
-/// Reads them. What had been rolled back is forgotten: it was named by a hash of the text.
+/// Reads the files. Their rolled back versions are ignored, because they were identified by a hash of the text.
 pub(super) fn read_legacy_versions(dir: &Path, log: &Logger) -> Option<PersistedState> {
     let [good, probation] = FILE_NAMES.map(|name| {
         let path = dir.join(name);
@@ -24,7 +24,7 @@
     Some(PersistedState { good: good?, probation, rolled_back: Vec::new() })
 }
 
-/// Removes them. One that can't be removed is not looked at all the same.
+/// Removes the files. Errors are ignored, because the files are not read once the new format exists.
 pub(super) fn remove_legacy_versions(dir: &Path) {
     FILE_NAMES.iter().for_each(|name| std::fs::remove_file(dir.join(name)).unwrap_or_default());
 }
@@ -33,25 +33,26 @@
     let text = durable_file::read_text(path, MAX_TEXT_BYTES as u64 + 1).map_err(|e| e.to_string())?;
     let Some(text) = text else { return Ok(None) };
     let body = asterrill_recovery::decode_checksummed(TEXT_KIND, FORMAT, &text)
-        .map_err(|fault| fault.to_string())?;
+        .map_err(|error| error.to_string())?;
     parse_version(body).map(Some)
 }
 
-/// `version N`, what was undone, `text` with its length; then settings and limits in JSON, and the operator's file.
+/// Parses `version N`, the rolled back versions, and `text` with its length, followed by the settings and limits in
+/// JSON and the operator's file.
 fn parse_version(body: &str) -> Result<PersistedVersion, String> {
-    let damaged = || "it is damaged".to_string();
-    let (first_line, _) = body.split_once('\n').ok_or_else(damaged)?;
+    let expected = |what: &str| format!("the file is damaged: expected {what}");
+    let (first_line, _) = body.split_once('\n').ok_or_else(|| expected("a line with the version"))?;
     let number = first_line.strip_prefix("version ").and_then(|number| number.parse().ok());
-    let number = number.ok_or_else(damaged)?;
-    let (_, rest) = body.split_once("\ntext ").ok_or_else(damaged)?;
-    let (_, text) = rest.split_once('\n').ok_or_else(damaged)?;
+    let number = number.ok_or_else(|| expected("\"version N\" in the first line"))?;
+    let (_, rest) = body.split_once("\ntext ").ok_or_else(|| expected("a line \"text LENGTH\""))?;
+    let (_, text) = rest.split_once('\n').ok_or_else(|| expected("content after \"text LENGTH\""))?;
     let (json, operator_file) = text.split_once("\n---\n").unwrap_or((text, ""));
     let value: serde_json::Value = serde_json::from_str(json).map_err(|e| e.to_string())?;
-    let part = |name| asterrill_settings::json::object(&value, name).map_err(|fault| fault.to_string());
+    let part = |name| asterrill_settings::json::object(&value, name).map_err(|error| error.to_string());
     let (settings, limits) = (part("settings")?, part("limits")?);
-    let limit = |name| asterrill_settings::json::integer(limits, name).map_err(|fault| fault.to_string());
+    let limit = |name| asterrill_settings::json::integer(limits, name).map_err(|error| error.to_string());
     let content =
         asterrill_settings::configuration_from_json(settings, limit("memory_mb")?, limit("sockets")?);
-    let content = content.map_err(|fault| fault.to_string())?;
+    let content = content.map_err(|error| error.to_string())?;
     Ok(PersistedVersion { number, content, operator_file: operator_file.into() })
 }
--- a/daemon/src/store/versions.rs
+++ b/daemon/src/store/versions.rs
@@ -1,5 +1,5 @@
-//! The file of versions. What differs from what is there is appended as steps; a snapshot is written at the first write,
-//! after a failure, and when the steps have outgrown it.
+//! File of versions. Changes are appended as steps. A snapshot is written by the first write, after a failed write,
+//! and when the steps exceed their limit of size.
 
 use super::legacy_versions::{read_legacy_versions, remove_legacy_versions};
 use crate::durable_file;
@@ -11,7 +11,7 @@
 
 pub(super) const FILE_NAME: &str = "versions";
 
-/// Reads which versions an earlier process has left. What can't be used is logged, and is as if it were not there.
+/// Reads the versions that an earlier process saved. An unusable file is logged and ignored.
 pub fn read_versions(dir: &Path, log: &Logger) -> Option<PersistedState> {
     let path = dir.join(FILE_NAME);
     let read = match File::open(&path) {
@@ -27,32 +27,35 @@
         }
     };
     if recovered.torn_bytes > 0 {
-        warn!(log, "the last record of the state file is incomplete: ignored";
+        warn!(log, "the last record of the state file is incomplete; it is ignored";
             "path" => %path.display(), "bytes" => recovered.torn_bytes);
     }
     if let Some(damage) = &recovered.damaged {
-        warn!(log, "the state file is damaged: only the records before the damage are used";
+        warn!(log, "the state file is damaged; only the records before the damage are used";
             "path" => %path.display(), "why" => %damage, "version" => recovered.state.good.number);
     }
     Some(recovered.state)
 }
 
-/// The file, as far as this process has written it.
+/// Writer of the file of versions.
 #[derive(Default)]
 pub(super) struct VersionsFile {
-    /// `None` before the first write and after a failure, when it is unknown what is there.
+    /// Content that this process has written; `None` before the first write, and after a failed write left the
+    /// content of the file unknown.
     written: Option<WrittenFile>,
 }
 
 impl VersionsFile {
-    /// Writes what leads from what is there to `state`. After a failure a snapshot takes the place of the file the next
-    /// time: steps never follow a hole.
+    /// Brings the file to `state` by appending steps or, if that is not possible, by a snapshot.
+    ///
+    /// After a failure the next write is a snapshot that replaces the file, so that no step follows a missing one.
     pub(super) fn write(&mut self, dir: &Path, state: PersistedState) -> io::Result<()> {
         let path = dir.join(FILE_NAME);
         let update = self.written.as_ref().and_then(|written| written.update_to(&state));
         if let Some((written, update)) = self.written.take().zip(update) {
             if !update.is_empty() {
-                // Not made where it is missing: steps are nothing without the snapshot before them.
+                // The file is not created if it is missing, because steps are useless without the snapshot before
+                // them.
                 durable_file::append_text(&path, |to| update.write(to))?;
             }
             self.written = Some(written.after_update(state, &update));
--- a/daemon/src/store/writer.rs
+++ b/daemon/src/store/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes: each file completely or not at all, the newest state first, and versions before anything else.
+//! Thread that writes the state files. Only the newest state of each kind is written, and versions are written first.
 
 use super::checksummed::{write_learned, write_members};
 use super::consensus::{append_consensus, OnDurable};
@@ -12,13 +12,13 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 
-/// What is to be written next.
+/// States that wait to be written.
 #[derive(Default)]
 struct PendingWrites {
     versions: Option<PersistedState>,
     learned: Option<Snapshot>,
     members: Option<String>,
-    /// What a voter has to have on disk, in this order.
+    /// Writes of a voter, in this order.
     consensus: Vec<DiskWrite>,
     on_durable: Option<Arc<OnDurable>>,
 }
@@ -49,8 +49,8 @@
         self.changed.notify_one();
     }
 
-    /// Waits until something is to be written, and takes it.
-    fn next(&self) -> PendingWrites {
+    /// Waits until a write is pending, and takes all pending writes.
+    fn take_pending(&self) -> PendingWrites {
         let mut pending = self.lock();
         while pending.is_empty() {
             pending = self.changed.wait(pending).unwrap_or_else(|e| e.into_inner());
@@ -62,12 +62,12 @@
     }
 }
 
-/// A directory where state persists. Cheap to clone.
+/// Handle to a directory in which state is persisted. Cheap to clone.
 #[derive(Clone)]
 pub struct Store(Arc<WriteQueue>);
 
 impl Store {
-    /// Starts the thread that writes.
+    /// Starts the writer thread.
     pub fn start(dir: &Path, log: &Logger) -> io::Result<Store> {
         let queue = Arc::new(WriteQueue::default());
         let mut writer = Writer {
@@ -82,24 +82,26 @@
         Ok(Store(queue))
     }
 
-    /// From now on this is to be on disk. Of several states the last counts: what is appended leads to it from what is
-    /// there, so at most one waits, nothing is left out and nothing is written twice. Costs the caller nothing that
-    /// grows with the version.
+    /// Queues versions to be written.
+    ///
+    /// Only the last queued state is written. The steps appended for it lead from the content of the file to that
+    /// state, so that no change is lost or written twice. The cost to the caller does not grow with the size of the
+    /// version.
     pub fn save_versions(&self, state: PersistedState) {
         self.0.update(|pending| pending.versions = Some(state));
     }
 
-    /// The same for what was learned.
+    /// Queues learned values to be written; only the last ones are.
     pub fn save_learned(&self, learned: Snapshot) {
         self.0.update(|pending| pending.learned = Some(learned));
     }
 
-    /// The same for who the members are.
+    /// Queues the text of the known members to be written; only the last one is.
     pub fn save_members(&self, text: String) {
         self.0.update(|pending| pending.members = Some(text));
     }
 
-    /// What a voter has to have on disk: each of it is written, in this order.
+    /// Queues writes of a voter. Each of them is written, in this order, and `on_durable` is called afterwards.
     pub fn save_consensus(&self, writes: Vec<DiskWrite>, on_durable: &Arc<OnDurable>) {
         self.0.update(|pending| {
             pending.consensus.extend(writes);
@@ -107,29 +109,29 @@
         });
     }
 
-    /// Times that something could not be written.
+    /// Returns the number of failed writes.
     pub fn failed_writes(&self) -> u64 {
         self.0.failed_writes.load(Ordering::Relaxed)
     }
 }
 
-/// The state of the thread.
+/// State of the writer thread.
 struct Writer {
     queue: Arc<WriteQueue>,
     dir: PathBuf,
     log: Logger,
     versions: VersionsFile,
-    /// A write of the voter's file has failed: what is there may end in the middle.
+    /// True after a write of the voter's file has failed, so that it may end in an incomplete record.
     consensus_failed: bool,
-    /// Failures at the last report: a directory that stays full or read-only is reported at its first, second, fourth
-    /// failure.
+    /// Number of failures at the last report. Reports are logged at the first, second, fourth failure and so on, so
+    /// that a directory that stays full or read-only does not flood the log.
     last_reported_failures: u64,
 }
 
 impl Writer {
     fn run(&mut self) {
         loop {
-            let pending = self.queue.next();
+            let pending = self.queue.take_pending();
             let results = self.write(pending);
             results.into_iter().filter_map(Result::err).for_each(|error| self.report(&error));
         }
@@ -143,7 +145,7 @@
         };
         let learned = pending.learned.map_or(Ok(()), |learned| write_learned(dir, &learned));
         let members = pending.members.map_or(Ok(()), |text| write_members(dir, &text));
-        // After a failure nothing more is reported as durable. A restart reads anew what is there.
+        // After a failure no write is reported as durable any more. A restart reads the file again.
         let consensus = if self.consensus_failed {
             Ok(())
         } else {
@@ -157,7 +159,7 @@
         let failed = self.queue.failed_writes.fetch_add(1, Ordering::Relaxed) + 1;
         if failed >= self.last_reported_failures * 2 {
             self.last_reported_failures = failed;
-            warn!(self.log, "the state could not be written: a restart starts with what is on disk";
+            warn!(self.log, "the state could not be written; a restart will use what is on disk";
                 "path" => %self.dir.display(), "why" => %error, "times" => failed);
         }
     }
