--- a/daemon/src/operator_requests.rs
+++ b/daemon/src/operator_requests.rs
@@ -130,8 +130,8 @@
         let mut retained = request.may_be_retained().then(|| request.clone());
         let mut reply = self.stage_once(request);
         for _ in 0..MAX_RESTAGE_ATTEMPTS {
-            let crossed = matches!(&reply, Reply::Rejected(rejection) if rejection.crossed);
-            let Some(request) = retained.take_if(|_| crossed) else { break };
+            let is_outdated = matches!(&reply, Reply::Rejected(rejection) if rejection.crossed);
+            let Some(request) = retained.take_if(|_| is_outdated) else { break };
             retained = Some(request.clone());
             reply = self.stage_once(request);
         }
--- a/daemon/src/tests/change.rs
+++ b/daemon/src/tests/change.rs
@@ -1,4 +1,4 @@
-//! Changes carried out at a dispatcher, with what comes between two slices of them.
+//! Changes applied to a dispatcher, including the pauses between two slices.
 
 use super::*;
 use crate::change::{
@@ -19,21 +19,21 @@
 const ROLL_BACK: OperatorCommand = OperatorCommand::Simple(SimpleCommand::RollBack);
 const STATUS: OperatorCommand = OperatorCommand::Simple(SimpleCommand::Status);
 
-/// Executes a command; hands back the reply as operators see it.
+/// Executes a command and returns the reply as JSON.
 fn execute(
     changes: &mut ChangeDriver, dispatcher: &Dispatcher, command: OperatorCommand, pause: &mut SlicePause<'_>,
 ) -> Value {
     changes.execute(dispatcher, command, pause).to_json()
 }
 
-/// A version with so many guests beside acme.
-fn guests(names: std::ops::Range<usize>) -> Configuration {
+/// Returns a configuration with the tenant acme and the tenants of the given numbers.
+fn tenants(numbers: std::ops::Range<usize>) -> Configuration {
     with_tenants(
-        &std::iter::once("acme".into()).chain(names.map(|n| format!("guest {n}"))).collect::<Vec<_>>(),
+        &std::iter::once("acme".into()).chain(numbers.map(|n| format!("tenant {n}"))).collect::<Vec<_>>(),
     )
 }
 
-fn begin(start: &Configuration) -> (Arc<Dispatcher>, ChangeDriver) {
+fn start_driver(start: &Configuration) -> (Arc<Dispatcher>, ChangeDriver) {
     let pool = BufferPool::new(500);
     let server = asterrill_settings::server_parts(now(), 1, start, None).unwrap();
     let core = Core::new(now(), server, BufferPool::new(500), 4);
@@ -50,27 +50,27 @@
     )
 }
 
-fn prepare_change(dispatcher: &Dispatcher, changes: &ChangeDriver, to: &Configuration) -> PreparedChange {
+fn prepare_change(dispatcher: &Dispatcher, changes: &ChangeDriver, new: &Configuration) -> PreparedChange {
     let options = StageOptions { force: true, queue: false };
-    let request = ChangeRequest { source: ChangeSource::Configuration(to.clone()), base: None, options };
+    let request = ChangeRequest { source: ChangeSource::Configuration(new.clone()), base: None, options };
     prepare(&changes.validation_context(dispatcher), request, POLICY, 1).unwrap()
 }
 
-fn knows(dispatcher: &Dispatcher, tenant: &str) -> bool {
+fn has_tenant(dispatcher: &Dispatcher, tenant: &str) -> bool {
     dispatcher.with(|core, _, _| core.has_tenant(tenant))
 }
 
 #[test]
-fn others_run_between_slices_and_see_the_old_version_until_the_last() {
-    let (start, to) = (guests(0..1_000), guests(500..1_500));
-    let (dispatcher, mut changes) = begin(&start);
-    let prepared = prepare_change(&dispatcher, &changes, &to);
-    let mut turns = 0;
+fn other_coroutines_run_between_slices_and_see_the_old_version_until_the_last() {
+    let (start, new) = (tenants(0..1_000), tenants(500..1_500));
+    let (dispatcher, mut changes) = start_driver(&start);
+    let prepared = prepare_change(&dispatcher, &changes, &new);
+    let mut pauses = 0;
     let mut pause = |dispatcher: &Dispatcher| {
-        turns += 1;
+        pauses += 1;
         assert!(
-            knows(dispatcher, "guest 0")
-                && !knows(dispatcher, "guest 1499")
+            has_tenant(dispatcher, "tenant 0")
+                && !has_tenant(dispatcher, "tenant 1499")
                 && dispatcher.with(|core, _, _| core.version()) == 1
         );
     };
@@ -83,28 +83,29 @@
         &mut pause,
     );
     assert_eq!(applied["ok"], json!(true), "{applied}");
-    assert_eq!(turns, 4, "five slices of 200");
+    assert_eq!(pauses, 4, "pauses between five slices of 200 entries");
     assert!(
-        !knows(&dispatcher, "guest 0") && knows(&dispatcher, "guest 1499") && knows(&dispatcher, "guest 700")
+        !has_tenant(&dispatcher, "tenant 0")
+            && has_tenant(&dispatcher, "tenant 1499")
+            && has_tenant(&dispatcher, "tenant 700")
     );
-    let mut turns = 0;
-    let rolled_back = execute(&mut changes, &dispatcher, ROLL_BACK, &mut |_| turns += 1);
-    assert_eq!((&rolled_back["ok"], turns), (&json!(true), 4));
-    assert!(knows(&dispatcher, "guest 0") && !knows(&dispatcher, "guest 1499"));
+    let mut pauses = 0;
+    let rolled_back = execute(&mut changes, &dispatcher, ROLL_BACK, &mut |_| pauses += 1);
+    assert_eq!((&rolled_back["ok"], pauses), (&json!(true), 4));
+    assert!(has_tenant(&dispatcher, "tenant 0") && !has_tenant(&dispatcher, "tenant 1499"));
     assert_eq!(dispatcher.stats().half_applied, 0);
 }
 
 #[test]
-fn reloaded_file_prepared_against_another_version_is_compared_again() {
-    let start = guests(0..3);
-    let (dispatcher, mut changes) = begin(&start);
+fn reloaded_file_is_validated_again_if_another_version_was_applied() {
+    let start = tenants(0..3);
+    let (dispatcher, mut changes) = start_driver(&start);
     let mut file = sample_settings();
-    file["Tenants"] = json!([{"Name": "acme", "QuotaRps": 500_000}, {"Name": "guest 0", "QuotaRps": 1_000_000},
-        {"Name": "guest 1", "QuotaRps": 1_000_000}, {"Name": "guest 2", "QuotaRps": 1_000_000}]);
-    let to = configuration(&file);
-    let old = prepare_change(&dispatcher, &changes, &to);
-    // Meanwhile a step comes into force that puts one whom the file does not know.
-    let prepared = prepare_change(&dispatcher, &changes, &guests(0..4));
+    file["Tenants"] = json!([{"Name": "acme", "QuotaRps": 500_000}, {"Name": "tenant 0", "QuotaRps": 1_000_000},
+        {"Name": "tenant 1", "QuotaRps": 1_000_000}, {"Name": "tenant 2", "QuotaRps": 1_000_000}]);
+    let outdated = prepare_change(&dispatcher, &changes, &configuration(&file));
+    // Meanwhile a step is applied that adds a tenant missing from the file.
+    let prepared = prepare_change(&dispatcher, &changes, &tenants(0..4));
     for command in [
         OperatorCommand::Stage(Box::new(prepared)),
         OperatorCommand::Apply { if_base: None, probation: None },
@@ -112,27 +113,27 @@
     ] {
         assert_eq!(execute(&mut changes, &dispatcher, command, &mut |_| ())["ok"], json!(true));
     }
-    assert!(knows(&dispatcher, "guest 3"));
-    let nowhere = "127.0.0.1:1";
-    let whole = json!({"name": "n1", "listen": nowhere, "agent": nowhere, "naming": nowhere, "seed": "1",
+    assert!(has_tenant(&dispatcher, "tenant 3"));
+    let unused = "127.0.0.1:1";
+    let complete = json!({"name": "n1", "listen": unused, "agent": unused, "naming": unused, "seed": "1",
         "stop_ms": 900, "limits": {"memory_mb": 64, "sockets": 64}, "settings": file});
-    let deployment = asterrill_settings::Deployment::from_json(&whole.to_string()).unwrap();
-    changes.reload(&dispatcher, deployment, Some(Ok(old)), &mut |_| ());
-    // Compared with what runs now, a tenant goes: that is risky, so it is refused whole.
+    let deployment = asterrill_settings::Deployment::from_json(&complete.to_string()).unwrap();
+    changes.reload(&dispatcher, deployment, Some(Ok(outdated)), &mut |_| ());
+    // Compared with the running version, the file removes a tenant. That is risky, so the whole change is rejected.
     let status = execute(&mut changes, &dispatcher, STATUS, &mut |_| ());
     assert_eq!(
         (&status["version"], &status["counters"]["changes_refused"]),
         (&json!(2), &json!(1)),
         "{status}"
     );
-    assert!(knows(&dispatcher, "guest 3"));
+    assert!(has_tenant(&dispatcher, "tenant 3"));
 }
 
 #[test]
-fn rejects_change_prepared_against_a_replaced_version() {
-    let (dispatcher, mut changes) = begin(&guests(0..3));
-    let late = prepare_change(&dispatcher, &changes, &guests(0..5));
-    let prepared = prepare_change(&dispatcher, &changes, &guests(0..4));
+fn rejects_change_validated_against_a_replaced_version() {
+    let (dispatcher, mut changes) = start_driver(&tenants(0..3));
+    let late = prepare_change(&dispatcher, &changes, &tenants(0..5));
+    let prepared = prepare_change(&dispatcher, &changes, &tenants(0..4));
     let apply = OperatorCommand::Apply { if_base: None, probation: None };
     for command in [OperatorCommand::Stage(Box::new(prepared)), apply, CONFIRM] {
         assert_eq!(execute(&mut changes, &dispatcher, command, &mut |_| ())["ok"], json!(true));
@@ -143,9 +144,9 @@
 }
 
 #[test]
-fn change_crossed_by_another_version_is_read_again_and_staged() {
-    let (dispatcher, mut changes) = begin(&guests(0..3));
-    let other = prepare_change(&dispatcher, &changes, &guests(0..4));
+fn change_is_validated_again_and_staged_if_another_version_was_applied() {
+    let (dispatcher, mut changes) = start_driver(&tenants(0..3));
+    let other = prepare_change(&dispatcher, &changes, &tenants(0..4));
     let queue = Arc::new(RequestQueue::default());
     let handler =
         RequestHandler { queue: queue.clone(), dispatcher: dispatcher.clone(), policy: POLICY, seed: 1 };
@@ -156,13 +157,13 @@
         handler.handle(Request::Stage(ChangeRequest { source, base: None, options }))
     });
     let until = std::time::Instant::now() + std::time::Duration::from_secs(10);
-    let mut crossing = Some(other);
+    let mut concurrent = Some(other);
     while !operator.is_finished() && std::time::Instant::now() < until {
         let pending = queue.take();
         for reply_to in pending.context_requests {
             reply_to.try_send(changes.validation_context(&dispatcher)).unwrap();
-            // Another version comes into force as soon as the change has what it is to be checked against.
-            let Some(prepared) = crossing.take() else { continue };
+            // Another version is applied as soon as the change has its validation context.
+            let Some(prepared) = concurrent.take() else { continue };
             let apply = OperatorCommand::Apply { if_base: None, probation: None };
             for command in [OperatorCommand::Stage(Box::new(prepared)), apply, CONFIRM] {
                 assert_eq!(execute(&mut changes, &dispatcher, command, &mut |_| ())["ok"], json!(true));
@@ -179,7 +180,7 @@
 #[test]
 fn shutdown_begins_between_two_slices() {
     start_worker().unwrap();
-    let (dispatcher, _) = begin(&guests(0..3));
+    let (dispatcher, _) = start_driver(&tenants(0..3));
     let (sender, receiver) = std::sync::mpsc::channel();
     spawn("clock", move || {
         let queue = RequestQueue::default();
@@ -195,35 +196,36 @@
     .unwrap();
     let (before, after, begun, pending) = receiver.recv_timeout(std::time::Duration::from_secs(10)).unwrap();
     assert!(before != Some(false) && after == Some(false) && begun);
-    assert!(pending, "the rest of it is done once the change is in");
+    assert!(pending, "the request stays queued for the steps of the shutdown that follow the change");
 }
 
-/// `cargo test --release -p asterrill-daemon cost_of_slices -- --ignored --nocapture`
+/// Measures the duration of slices. Run with
+/// `cargo test --release -p asterrill-daemon cost_of_slices -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
-fn cost_of_slices_of_a_change_of_all_quotas_and_methods_and_of_its_undo() {
-    let version = |quota: u64, aim: u64| {
+fn cost_of_slices_of_a_change_of_all_quotas_and_methods_and_of_its_rollback() {
+    let version = |quota: u64, latency_target_ms: u64| {
         let mut settings = sample_settings();
-        let method = |n: u64| json!({"Name": format!("method-{n:05}"), "AimMs": aim, "DeadlineMs": 900, "Effect": "free", "Worth": 1});
+        let method = |n: u64| json!({"Name": format!("method-{n:05}"), "AimMs": latency_target_ms, "DeadlineMs": 900, "Effect": "free", "Worth": 1});
         settings["Categories"] = (0..4_700).map(method).collect();
         let tenant = |n: u64| json!({"Name": format!("tenant-{n:05}"), "QuotaRps": quota});
         settings["Tenants"] = (0..49_000).map(tenant).collect();
         configuration(&settings)
     };
-    let (start, to) = (version(100, 400), version(120, 500));
-    let (dispatcher, mut changes) = begin(&start);
-    let from = std::time::Instant::now();
-    let prepared = prepare_change(&dispatcher, &changes, &to);
-    let read = from.elapsed();
-    for turn in 0..3 {
+    let (start, new) = (version(100, 400), version(120, 500));
+    let (dispatcher, mut changes) = start_driver(&start);
+    let started = std::time::Instant::now();
+    let prepared = prepare_change(&dispatcher, &changes, &new);
+    let validation = started.elapsed();
+    for round in 0..3 {
         let (last, mut longest) = (std::cell::Cell::new(None), std::time::Duration::ZERO);
         let mut pause = |_: &Dispatcher| {
             let now = std::time::Instant::now();
             let since: Option<std::time::Instant> = last.replace(Some(now));
             longest = longest.max(since.map_or(std::time::Duration::ZERO, |since| now - since));
         };
-        let from = std::time::Instant::now();
-        let reply = if turn % 2 == 0 {
+        let started = std::time::Instant::now();
+        let reply = if round % 2 == 0 {
             let stage = OperatorCommand::Stage(Box::new(prepared.clone()));
             assert_eq!(execute(&mut changes, &dispatcher, stage, &mut pause)["ok"], json!(true));
             execute(
@@ -236,7 +238,7 @@
             execute(&mut changes, &dispatcher, ROLL_BACK, &mut pause)
         };
         assert_eq!(reply["ok"], json!(true), "{reply}");
-        let (all, end) = (from.elapsed(), last.get().map(|last| last.elapsed()));
-        println!("read {read:?}; all {all:?}, the longest slice {longest:?}, the last one with what follows {end:?}");
+        let (total, end) = (started.elapsed(), last.get().map(|last| last.elapsed()));
+        println!("validation {validation:?}; total {total:?}, longest slice {longest:?}, last slice and switch {end:?}");
     }
 }
--- a/daemon/src/tests/control_socket.rs
+++ b/daemon/src/tests/control_socket.rs
@@ -1,24 +1,25 @@
-//! The control socket against operators that are slow, long or wrong.
+//! Control socket with slow clients, long requests and invalid requests.
 
 use super::*;
 use crate::change::{ChangeRequest, ChangeSource};
 use serde_json::json;
 
-fn ask(path: &Path, bytes: &[u8]) -> String {
+/// Sends bytes on a new connection and returns the reply line.
+fn send_request(path: &Path, bytes: &[u8]) -> String {
     let mut stream = UnixStream::connect(path).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
     stream.write_all(bytes).unwrap();
     let mut line = String::new();
     let mut reader = BufReader::new(&stream);
     reader.read_line(&mut line).unwrap();
-    // The slot is given back before the connection ends: without the wait the next one could find none free.
+    // The slot is released before the connection ends. Without this wait the next client could find no free slot.
     stream.shutdown(std::net::Shutdown::Write).unwrap();
     drop(reader.read_to_end(&mut Vec::new()));
     line
 }
 
 #[test]
-fn socket_is_private_and_bad_requests_are_named_while_others_are_served() {
+fn socket_is_private_and_invalid_requests_are_rejected_while_another_client_is_slow() {
     let path = std::env::temp_dir().join(format!("asterrilld-control-{}", std::process::id()));
     std::fs::remove_file(&path).unwrap_or_default();
     let log = Logger::root(slog::Discard, slog::o!());
@@ -26,9 +27,9 @@
     listen(&path, handler.clone(), &log).unwrap();
     let mode = std::fs::metadata(&path).unwrap().permissions().mode() & 0o777;
     assert_eq!(mode, 0o600);
-    let mut half = UnixStream::connect(&path).unwrap();
-    half.write_all(b"{\"v\": 1, ").unwrap();
-    for (asked, part) in [
+    let mut incomplete = UnixStream::connect(&path).unwrap();
+    incomplete.write_all(b"{\"v\": 1, ").unwrap();
+    for (request, part) in [
         (&b"{\"v\": 1, \"do\": \"status\"}\n"[..], "Status"),
         (b"{\"v\": 1, \"do\": \"apply\", \"if_base\": 3}\n", "if_base: Some(3)"),
         (
@@ -49,17 +50,17 @@
         (b"{\"v\": 1, \"do\": \"dance\"}\n", "unknown command \\\"dance\\\""),
         (b"what?\n", "not valid JSON"),
     ] {
-        let line = ask(&path, asked);
-        assert!(line.contains(part), "{line} for {part}");
+        let line = send_request(&path, request);
+        assert!(line.contains(part), "{line} does not contain {part}");
     }
     let long = vec![b'x'; MAX_REQUEST_BYTES as usize + 1];
-    assert!(ask(&path, &long).contains("one line of at most 4 MiB"));
-    // The half line is given up in its time.
+    assert!(send_request(&path, &long).contains("one line of at most 4 MiB"));
+    // The incomplete request is rejected after its time limit.
     let mut line = String::new();
-    half.set_read_timeout(Some(REQUEST_TIMEOUT * 2)).unwrap();
-    BufReader::new(half).read_line(&mut line).unwrap();
+    incomplete.set_read_timeout(Some(REQUEST_TIMEOUT * 2)).unwrap();
+    BufReader::new(incomplete).read_line(&mut line).unwrap();
     assert!(line.contains("within 5 s"), "{line}");
-    // A place where somebody listens is not taken over; one that a process has left is.
+    // A socket that another process listens on is not replaced, nor is a file of another kind.
     assert!(listen(&path, handler.clone(), &log).unwrap_err().to_string().contains("another process"));
     std::fs::remove_file(&path).unwrap();
     std::fs::write(&path, "a file").unwrap();
@@ -68,64 +69,67 @@
 }
 
 #[test]
-fn one_long_request_is_held_at_a_time_and_others_wait_or_are_rejected() {
+fn one_long_request_is_handled_at_a_time_and_others_wait_or_are_rejected() {
     let path = std::env::temp_dir().join(format!("asterrilld-long-{}", std::process::id()));
     std::fs::remove_file(&path).unwrap_or_default();
-    // A long one waits a while for the company of another, which it must not get.
-    let (inside, came) = (std::sync::Mutex::new((0_u32, 0_u32)), std::sync::Condvar::new());
+    // The handler holds each long request for a while and records how many long requests it holds at a time. The pair
+    // contains the current number and the maximum.
+    let (held, changed) = (std::sync::Mutex::new((0_u32, 0_u32)), std::sync::Condvar::new());
     let handler: Handler = Arc::new(move |request| match request {
         Request::Stage(ChangeRequest { source: ChangeSource::Step(step), .. }) => {
-            let mut now = inside.lock().unwrap();
-            now.0 += 1;
-            now.1 = now.1.max(now.0);
-            came.notify_all();
+            let mut held = held.lock().unwrap();
+            held.0 += 1;
+            held.1 = held.1.max(held.0);
+            changed.notify_all();
             let wait = Duration::from_millis(300);
-            now = came.wait_timeout_while(now, wait, |now| now.1 < 2).unwrap().0;
-            now.0 -= 1;
-            json!({"ok": true, "bytes": step.len(), "together": now.1}).into()
+            held = changed.wait_timeout_while(held, wait, |held| held.1 < 2).unwrap().0;
+            held.0 -= 1;
+            json!({"ok": true, "bytes": step.len(), "max_held": held.1}).into()
         }
         other => json!({"ok": false, "error": format!("{other:?}")}).into(),
     });
     listen(&path, handler, &Logger::root(slog::Discard, slog::o!())).unwrap();
     let bytes = 3 * 1024 * 1024;
     let long = format!("{{\"v\": 1, \"do\": \"stage\", \"step\": \"{}\"}}\n", "s".repeat(bytes)).into_bytes();
-    assert!(ask(&path, &long).contains(&format!("\"bytes\":{bytes}")));
-    let all: Vec<_> = (0..3)
+    assert!(send_request(&path, &long).contains(&format!("\"bytes\":{bytes}")));
+    let clients: Vec<_> = (0..3)
         .map(|_| {
-            let (at, complete) = (path.clone(), long.clone());
-            std::thread::spawn(move || ask(&at, &complete))
+            let (path, complete) = (path.clone(), long.clone());
+            std::thread::spawn(move || send_request(&path, &complete))
         })
         .collect();
-    for one in all {
-        let reply = one.join().unwrap();
-        assert!(reply.contains("\"together\":1"), "{reply}");
+    for client in clients {
+        let reply = client.join().unwrap();
+        assert!(reply.contains("\"max_held\":1"), "{reply}");
     }
-    // One is half there: another waits until it is whole, and is answered after it.
+    // While one long request is incomplete, another one waits, and it is answered after the first.
     let mut first = UnixStream::connect(&path).unwrap();
     first.write_all(&long[..bytes / 2]).unwrap();
     let (at, complete) = (path.clone(), long.clone());
-    let second = std::thread::spawn(move || ask(&at, &complete));
-    assert!(ask(&path, b"{\"v\": 1, \"do\": \"status\"}\n").contains("Status"), "short ones are served");
-    assert!(!second.is_finished(), "two are held");
+    let second = std::thread::spawn(move || send_request(&at, &complete));
+    let reply = send_request(&path, b"{\"v\": 1, \"do\": \"status\"}\n");
+    assert!(reply.contains("Status"), "a short request was not served: {reply}");
+    assert!(!second.is_finished(), "a second long request was handled");
     first.write_all(&long[bytes / 2..]).unwrap();
     let mut line = String::new();
     BufReader::new(&first).read_line(&mut line).unwrap();
     assert!(line.contains("\"ok\":true"), "{line}");
     assert!(second.join().unwrap().contains("\"ok\":true"));
-    // One that never becomes whole holds others up for its own time only; who waited as long is reply why.
-    let mut never = UnixStream::connect(&path).unwrap();
-    never.write_all(&long[..bytes]).unwrap();
-    let mut late = UnixStream::connect(&path).unwrap();
-    late.write_all(&long[..530 * 1024]).unwrap(); // what is not read of it yet waits in the socket
-    let mut said = Vec::new();
-    for stream in [never, late] {
+    // An incomplete long request delays others only until its own time limit. A client that waited as long is told
+    // the reason. Of the second request only the part that fits the socket buffers is sent.
+    let mut incomplete = UnixStream::connect(&path).unwrap();
+    incomplete.write_all(&long[..bytes]).unwrap();
+    let mut waiting = UnixStream::connect(&path).unwrap();
+    waiting.write_all(&long[..530 * 1024]).unwrap();
+    let mut replies = Vec::new();
+    for stream in [incomplete, waiting] {
         stream.set_read_timeout(Some(REQUEST_TIMEOUT * 2)).unwrap();
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).unwrap();
-        said.push(line);
+        replies.push(line);
     }
-    assert!(said[0].contains("one line of at most 4 MiB, received within 5 s"), "{said:?}");
-    assert!(said[1].contains("another request of more than 512 KiB is being read"), "{said:?}");
-    assert!(ask(&path, &long).contains("\"ok\":true"), "and then there is room again");
+    assert!(replies[0].contains("one line of at most 4 MiB, received within 5 s"), "{replies:?}");
+    assert!(replies[1].contains("another request of more than 512 KiB is being read"), "{replies:?}");
+    assert!(send_request(&path, &long).contains("\"ok\":true"), "the permit was not released");
     std::fs::remove_file(&path).unwrap();
 }
