--- a/daemon/tests/configuration_steps.rs
+++ b/daemon/tests/configuration_steps.rs
@@ -1,5 +1,6 @@
-//! The configuration of a running process changed by steps of entries, over its control socket and by files that are read
-//! again, with what may cross that: judged by what sidecars are answered. No sleep decides a verdict.
+//! Configuration changes of a running daemon, by steps on its control socket and by reloaded files, also concurrently
+//! with each other, with a shutdown and with a kill. The checks use the answers that sidecars receive and do not
+//! depend on sleeps.
 
 mod stand_ins;
 
@@ -20,7 +21,7 @@
 const ABORTED: u8 = 5;
 const PUSHED_BACK: u8 = 11;
 
-/// A process with a control socket and a state directory.
+/// Daemon with a control socket and a state directory.
 struct Node {
     child: Option<Child>,
     listen: SocketAddr,
@@ -31,33 +32,33 @@
 }
 
 impl Node {
-    /// With so many tenants, `t00000` and on.
+    /// Starts a daemon with the given number of tenants, named `t00000` and so on.
     fn new(name: &'static str, tenants: usize) -> Node {
         let (listen, mut config, reports) = start_stand_ins(false);
-        let all = (0..tenants).map(|n| json!({"Name": tenant(n), "QuotaRps": 100}));
-        config["settings"]["Tenants"] = all.collect();
+        let tenants = (0..tenants).map(|n| json!({"Name": tenant(n), "QuotaRps": 100}));
+        config["settings"]["Tenants"] = tenants.collect();
         config["settings"]["FamilyInfo"]["RamKb"] = json!(900_000);
         let dir = std::env::temp_dir().join(format!("asterrilld-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
-        let reply = format!(
+        let operator_file = format!(
             "[changes]\ncontrol {}\nstate {}\nprobation 10m\n",
             dir.join("control").display(),
             dir.join("state").display()
         );
-        std::fs::write(dir.join("operator.conf"), reply).unwrap();
+        std::fs::write(dir.join("operator.conf"), operator_file).unwrap();
         let mut node = Node { child: None, listen, config, name, dir, _reports: reports };
         node.start();
         node
     }
-    /// Starts it, on what its file says now.
+    /// Writes the configuration file and starts the daemon.
     fn start(&mut self) {
-        self.write();
+        self.write_config();
         let mut command = Command::new(env!("CARGO_BIN_EXE_asterrilld"));
         command.arg("--file").arg(self.dir.join("operator.conf")).env("GW_CONFIG", config_path(self.name));
         self.child = Some(command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap());
         drop(connect(self.listen));
     }
-    fn write(&self) {
+    fn write_config(&self) {
         std::fs::write(config_path(self.name), self.config.to_string()).unwrap();
     }
     fn signal(&self, name: &str) {
@@ -74,7 +75,7 @@
     fn stage(&self, step: &str) -> Value {
         self.request(json!({"do": "stage", "step": step}))
     }
-    /// Stages and applies a step that has to be taken.
+    /// Stages and applies a step, and checks that both are accepted.
     fn stage_and_apply(&self, step: &str) -> Value {
         let staged = self.stage(step);
         assert_eq!(staged["ok"], json!(true), "{staged}");
@@ -85,20 +86,20 @@
     fn status(&self) -> Value {
         self.request(json!({"do": "status"}))
     }
-    /// Ends it in order; what it counted has to be so.
-    fn finish(mut self, counted: &[&str]) {
+    /// Shuts the daemon down gracefully and checks that its log contains the given counters.
+    fn finish(mut self, counters: &[&str]) {
         self.signal("TERM");
         let output = wait_for_exit(self.child.take().unwrap());
         assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
-        for counted in counted.iter().chain(&["half_applied=0 "]) {
-            assert!(stderr_text(&output).contains(counted), "{counted} {}", stderr_text(&output));
+        for counter in counters.iter().chain(&["half_applied=0 "]) {
+            assert!(stderr_text(&output).contains(counter), "{counter} {}", stderr_text(&output));
         }
         std::fs::remove_dir_all(&self.dir).unwrap();
     }
 }
 
 impl Drop for Node {
-    /// Nothing is left behind, also where a test fails.
+    /// Kills the daemon if the test has failed before it ended.
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().unwrap_or_default();
@@ -113,7 +114,7 @@
 
 fn control_request(socket: &Path, mut request: Value) -> Value {
     request["v"] = json!(1);
-    let until = Instant::now() + WAIT;
+    let until = Instant::now() + TIMEOUT;
     let mut stream = loop {
         match UnixStream::connect(socket) {
             Ok(stream) => break stream,
@@ -121,19 +122,20 @@
         }
         thread::yield_now();
     };
-    stream.set_read_timeout(Some(WAIT * 3)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT * 3)).unwrap();
     stream.write_all(format!("{request}\n").as_bytes()).unwrap();
     let mut line = String::new();
     let mut reader = BufReader::new(&stream);
     reader.read_line(&mut line).unwrap();
-    // The client's slot is given back before the connection ends: without the wait the next one could find none free.
+    // The slot is released before the connection ends. Without this wait the next client could find no free slot.
     stream.shutdown(std::net::Shutdown::Write).unwrap_or_default();
     drop(reader.read_to_end(&mut Vec::new()));
     serde_json::from_str(&line).unwrap()
 }
 
-/// Whether the file of versions holds the complete step that puts this version on probation. Its head, `step probation
-/// NUMBER BASE HASH FILE BYTES SUM SUM`, can be on disk before the BYTES of its body.
+/// Reports whether the file of versions holds the complete step that puts the version with this hash on probation.
+///
+/// Its header, `step probation NUMBER BASE HASH FILE BYTES SUM SUM`, can be on disk before the BYTES of its body.
 fn has_complete_probation_step(versions: &str, hash: &str) -> bool {
     let mut rest = versions;
     while let Some((line, after)) = rest.split_once('\n') {
@@ -147,12 +149,12 @@
 }
 
 fn rpc(stream: u32, id: u64, tenant: &str) -> Vec<u8> {
-    let born = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
-    let (id, born) = (format!("{id:016x}"), born.to_string());
+    let sent_at = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis();
+    let (id, sent_at) = (format!("{id:016x}"), sent_at.to_string());
     let fields = [
         ("route", "look"),
         ("trace", &id),
-        ("born", &born),
+        ("born", &sent_at),
         ("client", "4"),
         ("customer", tenant),
         ("patience", "1900"),
@@ -161,33 +163,35 @@
     encode_frame(1, stream, &fields, b"body")
 }
 
-/// Asks one thing after the other on one connection.
+/// Sidecar that sends one RPC at a time on one connection.
 struct Sidecar {
     stream: TcpStream,
-    asked: u32,
-    of: u64,
+    sent: u32,
+    first_id: u64,
 }
 
 impl Sidecar {
-    fn new(node: &Node, of: u64) -> Sidecar {
-        Sidecar { stream: connect(node.listen), asked: 0, of: of << 32 }
+    /// Connects to a node. The ids of the RPCs are unique for each `index`.
+    fn new(node: &Node, index: u64) -> Sidecar {
+        Sidecar { stream: connect(node.listen), sent: 0, first_id: index << 32 }
     }
-    /// The code of the answer.
-    fn ask(&mut self, tenant: &str) -> u8 {
-        self.asked += 1;
-        self.stream.write_all(&rpc(self.asked, self.of + u64::from(self.asked), tenant)).unwrap();
+    /// Sends an RPC and returns the code of its answer.
+    fn call(&mut self, tenant: &str) -> u8 {
+        self.sent += 1;
+        self.stream.write_all(&rpc(self.sent, self.first_id + u64::from(self.sent), tenant)).unwrap();
         loop {
-            let (kind, on, payload) = read_frame(&mut self.stream).expect("an answer");
-            if (kind, on) == (2, self.asked) {
+            let (kind, stream, payload) =
+                read_frame(&mut self.stream).expect("the connection ended before the answer");
+            if (kind, stream) == (2, self.sent) {
                 return payload[0];
             }
-            assert_eq!(kind, 6, "on {on}: {payload:?}");
+            assert_eq!(kind, 6, "frame on stream {stream}: {payload:?}");
         }
     }
-    /// Whether a tenant is served, however busy the server is.
+    /// Reports whether a tenant is served, and retries while the server pushes back.
     fn serves(&mut self, tenant: &str) -> bool {
         loop {
-            match self.ask(tenant) {
+            match self.call(tenant) {
                 OK => return true,
                 ABORTED => return false,
                 code => assert_eq!(code, PUSHED_BACK),
@@ -197,19 +201,19 @@
 }
 
 #[test]
-fn applies_and_undoes_a_step() {
+fn applies_and_rolls_back_a_step() {
     let node = Node::new("at-once", 3);
     let start = node.status();
     let mut sidecar = Sidecar::new(&node, 1);
     assert!(sidecar.serves(&tenant(0)) && !sidecar.serves("new"));
     let step =
         "{\"put\":\"tenant\",\"Name\":\"new\",\"QuotaRps\":7}\n{\"take\":\"tenant\",\"Name\":\"t00000\"}\n";
-    // Only checked at first.
+    // A diff only checks the step.
     let diff = node.request(json!({"do": "diff", "step": step}));
     assert_eq!(
         (&diff["ok"], &diff["entries"]),
         (&json!(false), &json!(null)),
-        "a tenant that goes is risky: {diff}"
+        "removing a tenant is risky: {diff}"
     );
     let diff = node.request(json!({"do": "diff", "step": step, "force": true}));
     let lines = json!(["tenant new: RPCs per second: 0 -> 7", "tenant t00000: removed"]);
@@ -220,12 +224,16 @@
         (&staged["version"], &staged["entries"], &staged["hash"]),
         (&json!(2), &json!(2), &diff["hash"])
     );
-    assert!(!sidecar.serves("new") && sidecar.serves(&tenant(0)), "staged only");
+    assert!(!sidecar.serves("new") && sidecar.serves(&tenant(0)), "the staged step has an effect");
     let applied = node.request(json!({"do": "apply"}));
     assert_eq!((&applied["ok"], &applied["hash"]), (&json!(true), &diff["hash"]), "{applied}");
     assert!(sidecar.serves("new") && !sidecar.serves(&tenant(0)) && sidecar.serves(&tenant(1)));
     let undone = node.request(json!({"do": "undo"}));
-    assert_eq!((&undone["hash"], &undone["entries"]), (&start["hash"], &json!(2)), "to exactly what was");
+    assert_eq!(
+        (&undone["hash"], &undone["entries"]),
+        (&start["hash"], &json!(2)),
+        "not the previous version"
+    );
     assert!(!sidecar.serves("new") && sidecar.serves(&tenant(0)));
     node.finish(&["changes=2 ", "changes_refused=1 "]);
 }
@@ -237,18 +245,18 @@
     let long = "n".repeat(129);
     let put =
         |name: &str, quota: &str| format!("{{\"put\":\"tenant\",\"Name\":\"{name}\",\"QuotaRps\":{quota}}}");
-    let fine = put("fine", "1");
+    let valid = put("fine", "1");
     for (step, parts) in [
-        ("{\"base\":77}\n".to_string() + &fine, ["made from version 77", "version 1 is running"]),
-        (format!("{{\"hash\":\"{}\"}}\n{fine}", "0".repeat(32)), ["made from hash 000", "is running"]),
+        ("{\"base\":77}\n".to_string() + &valid, ["made from version 77", "version 1 is running"]),
+        (format!("{{\"hash\":\"{}\"}}\n{valid}", "0".repeat(32)), ["made from hash 000", "is running"]),
         (put(&long, "1"), ["line 1", "1 to 128 bytes"]),
         (put("", "1"), ["line 1", "1 to 128 bytes"]),
         (put("fine", "-1"), ["line 1", "QuotaRps"]),
         ("{\"put\":\"tenant\",\"Name\":\"fine\"}".into(), ["line 1", "QuotaRps"]),
-        (format!("{fine}\n{fine}"), ["fine", "twice"]),
-        (format!("{fine}\n{{\"take\":\"tenant\",\"Name\":\"nobody\"}}"), ["nobody", "not known"]),
-        (format!("{fine}\n{{\"take\":\"method\",\"Name\":\"look\"}}"), ["Categories", "last method"]),
-        (format!("{fine}\n{{\"put\":\"tenant\",\"Na"), ["line 2", "JSON"]),
+        (format!("{valid}\n{valid}"), ["fine", "twice"]),
+        (format!("{valid}\n{{\"take\":\"tenant\",\"Name\":\"nobody\"}}"), ["nobody", "not known"]),
+        (format!("{valid}\n{{\"take\":\"method\",\"Name\":\"look\"}}"), ["Categories", "last method"]),
+        (format!("{valid}\n{{\"put\":\"tenant\",\"Na"), ["line 2", "JSON"]),
         ("{\"frame\":{\"FamilyInfo\":{\"NCores\":0}}}".into(), ["checks", "no core"]),
     ] {
         let reply = node.stage(&step).to_string();
@@ -257,7 +265,7 @@
             "{step}: {reply}"
         );
     }
-    // A name of 1 byte and one of 64, and a quota of zero, are none of these.
+    // Names of 1 byte and of 64 bytes and a quota of zero are valid.
     let step = [put("n", "0"), put(&"n".repeat(64), "1")].join("\n");
     assert_eq!(node.stage(&step)["entries"], json!(2));
     let status = node.status();
@@ -278,48 +286,48 @@
     assert_eq!(node.request(json!({"do": "settle"}))["ok"], json!(true));
     let reply = node.stage(&second);
     assert_eq!(reply["error"], json!("the change was made from version 1, but version 2 is running"));
-    // The same without a number, by its hash alone.
+    // The same step with a hash but without a version number is rejected too.
     let reply = node.stage(&second.replace("\"base\":1,", ""));
     assert!(reply["error"].as_str().is_some_and(|why| why.contains("made from hash")), "{reply}");
     assert_eq!(node.status()["version"], json!(2));
     node.finish(&["changes=1 ", "changes_refused=2 "]);
 }
 
-/// Sidecars that ask all the time, for tenants that stay.
-struct Load {
-    over: Arc<AtomicBool>,
+/// Sidecars that send RPCs continuously, for tenants that the changes do not remove.
+struct BackgroundLoad {
+    stop: Arc<AtomicBool>,
     sidecars: Vec<thread::JoinHandle<(u32, u32)>>,
 }
 
-impl Load {
-    fn new(node: &Node, tenants: usize) -> Load {
-        let over = Arc::new(AtomicBool::new(false));
-        let ask = |of: u64| {
-            let (mut sidecar, over) = (Sidecar::new(node, 100 + of), over.clone());
+impl BackgroundLoad {
+    fn new(node: &Node, tenants: usize) -> BackgroundLoad {
+        let stop = Arc::new(AtomicBool::new(false));
+        let start_sidecar = |index: u64| {
+            let (mut sidecar, stop) = (Sidecar::new(node, 100 + index), stop.clone());
             thread::spawn(move || {
                 let mut aborted = 0;
-                while !over.load(Ordering::Relaxed) {
-                    let n = (u64::from(sidecar.asked) * 7919 + of) as usize % tenants;
-                    aborted += u32::from(sidecar.ask(&tenant(n)) == ABORTED);
+                while !stop.load(Ordering::Relaxed) {
+                    let n = (u64::from(sidecar.sent) * 7919 + index) as usize % tenants;
+                    aborted += u32::from(sidecar.call(&tenant(n)) == ABORTED);
                 }
-                (sidecar.asked, aborted)
+                (sidecar.sent, aborted)
             })
         };
-        Load { sidecars: (0..3).map(ask).collect(), over }
+        BackgroundLoad { sidecars: (0..3).map(start_sidecar).collect(), stop }
     }
-    /// Each RPC was answered, and none as if its tenant were unknown. How many there were.
+    /// Stops the sidecars, checks that no RPC was aborted as for an unknown tenant, and returns the number of RPCs.
     fn finish(self) -> u32 {
-        self.over.store(true, Ordering::Relaxed);
-        let ended = self.sidecars.into_iter().map(|sidecar| sidecar.join().unwrap());
-        ended.fold(0, |all, (asked, aborted)| {
-            assert_eq!(aborted, 0, "an RPC of a tenant that is there was aborted");
-            all + asked
+        self.stop.store(true, Ordering::Relaxed);
+        let results = self.sidecars.into_iter().map(|sidecar| sidecar.join().unwrap());
+        results.fold(0, |total, (sent, aborted)| {
+            assert_eq!(aborted, 0, "an RPC of an existing tenant was aborted");
+            total + sent
         })
     }
 }
 
-/// A step that gives the first so many tenants another quota, takes those after them up to `all`, and puts as many new
-/// ones, `n00000` and on.
+/// Returns a step that changes the quotas of the first `quotas` tenants, removes those after them up to `all`, and
+/// adds as many new ones, named `nXXXXX` with the numbers of the removed ones.
 fn large_step(quotas: usize, all: usize) -> String {
     let mut step = String::new();
     for n in 0..quotas {
@@ -333,40 +341,41 @@
 }
 
 #[test]
-fn all_quotas_change_under_load_at_one_moment() {
+fn all_quotas_change_atomically_under_load() {
     const ALL: usize = 49_000;
-    const STAY: usize = 47_000;
+    const KEPT: usize = 47_000;
     let node = Node::new("all", ALL);
-    let load = Load::new(&node, STAY);
-    // In the order of names the first and the last entry of the change: on one connection there is one moment.
-    let (mut sidecar, over) = (Sidecar::new(&node, 7), Arc::new(AtomicBool::new(false)));
-    let done = over.clone();
-    let (goes, comes) = (tenant(ALL - 1), format!("n{STAY:05}"));
+    let load = BackgroundLoad::new(&node, KEPT);
+    // The first and the last entry of the change, in the order of names, must change at the same moment as seen on
+    // one connection.
+    let (mut sidecar, stop) = (Sidecar::new(&node, 7), Arc::new(AtomicBool::new(false)));
+    let stopped = stop.clone();
+    let (removed, added) = (tenant(ALL - 1), format!("n{KEPT:05}"));
     let prober = thread::spawn(move || {
-        let (mut turned, mut seen) = (false, [0; 2]);
-        while !done.load(Ordering::Relaxed) || !turned {
-            for (name, new) in [(&goes, false), (&comes, true)] {
-                let under = sidecar.serves(name) == new;
+        let (mut switched, mut seen) = (false, [0; 2]);
+        while !stopped.load(Ordering::Relaxed) || !switched {
+            for (name, served_after) in [(&removed, false), (&added, true)] {
+                let by_new_version = sidecar.serves(name) == served_after;
                 assert!(
-                    under || !turned,
-                    "{name} is decided under the version before after the new one was in force"
+                    by_new_version || !switched,
+                    "{name} was decided by the old version after the new one was active"
                 );
-                turned |= under;
-                seen[usize::from(turned)] += 1;
+                switched |= by_new_version;
+                seen[usize::from(switched)] += 1;
             }
         }
         seen
     });
-    let staged = node.request(json!({"do": "stage", "step": large_step(STAY, ALL), "force": true}));
-    assert_eq!((&staged["ok"], &staged["entries"]), (&json!(true), &json!(ALL + ALL - STAY)), "{staged}");
+    let staged = node.request(json!({"do": "stage", "step": large_step(KEPT, ALL), "force": true}));
+    assert_eq!((&staged["ok"], &staged["entries"]), (&json!(true), &json!(ALL + ALL - KEPT)), "{staged}");
     let applied = node.request(json!({"do": "apply"}));
     assert_eq!(applied["ok"], json!(true), "{applied}");
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     let seen = prober.join().unwrap();
     assert!(seen[0] > 0 && seen[1] > 0, "{seen:?}");
     let mut sidecar = Sidecar::new(&node, 8);
     let undone = node.request(json!({"do": "undo"}));
-    assert_eq!(undone["entries"], json!(ALL + ALL - STAY), "{undone}");
+    assert_eq!(undone["entries"], json!(ALL + ALL - KEPT), "{undone}");
     assert!(sidecar.serves(&tenant(ALL - 1)) && !sidecar.serves("n48999"));
     assert!(load.finish() > 100);
     assert_eq!(node.status()["counters"]["half_applied"], json!(0));
@@ -374,18 +383,19 @@
 }
 
 #[test]
-fn undo_waits_for_the_last_slice_of_a_step() {
+fn rollback_waits_for_the_last_slice_of_a_step() {
     const ALL: usize = 8_000;
     let node = Node::new("undo", ALL);
     let start = node.status();
-    let load = Load::new(&node, ALL / 2);
+    let load = BackgroundLoad::new(&node, ALL / 2);
     for _ in 0..5 {
         let staged = node.request(json!({"do": "stage", "step": large_step(ALL / 2, ALL), "force": true}));
         assert_eq!(staged["ok"], json!(true), "{staged}");
         let socket = node.dir.join("control");
         let applies = thread::spawn(move || control_request(&socket, json!({"do": "apply"})));
-        // Asked for all the time: the first that comes once the change has begun is carried out after its last slice.
-        let until = Instant::now() + WAIT;
+        // Undo is requested continuously. The first request after the start of the change is executed after its last
+        // slice.
+        let until = Instant::now() + TIMEOUT;
         while node.request(json!({"do": "undo"}))["ok"] != json!(true) {
             assert!(Instant::now() < until);
         }
@@ -407,25 +417,26 @@
         let staged = node.request(json!({"do": "stage", "step": large_step(ALL, ALL)}));
         assert_eq!(staged["ok"], json!(true), "{staged}");
         node.config["settings"]["Tenants"][0]["QuotaRps"] = json!(555);
-        node.write();
+        node.write_config();
         let socket = node.dir.join("control");
         let applies = thread::spawn(move || control_request(&socket, json!({"do": "apply"})));
         if round > 0 {
-            assert_eq!(node.status()["ok"], json!(true)); // it is under way, or over
+            // After this reply the change is in progress or complete.
+            assert_eq!(node.status()["ok"], json!(true));
         }
         node.signal("HUP");
         let applied = applies.join().unwrap();
-        // The file was read, and is dealt with once nothing has to be waited for.
-        let until = Instant::now() + WAIT;
+        // Either the reload or the step is rejected once the other one is on probation.
+        let until = Instant::now() + TIMEOUT;
         let status = loop {
             let status = node.status();
-            let refused = status["counters"]["changes_refused"] != json!(0);
-            if refused && status["version"] != json!(1) {
+            let is_rejected = status["counters"]["changes_refused"] != json!(0);
+            if is_rejected && status["version"] != json!(1) {
                 break status;
             }
             assert!(Instant::now() < until, "{status} {applied}");
         };
-        // One of the two runs, whole, on probation; the other was refused for that.
+        // One of the two changes is completely applied and on probation, and the other was rejected for that reason.
         assert_eq!(status["counters"]["changes"], json!(1), "{status}");
         assert_eq!(status["probation"]["good"], json!(1), "{status}");
         match applied["ok"].as_bool() {
@@ -449,19 +460,19 @@
     let socket = node.dir.join("control");
     let applies = thread::spawn(move || control_request(&socket, json!({"do": "apply"})));
     node.signal("TERM");
-    // What crosses the notice is served to the end, whichever way the two fell.
-    let mut asked = 0;
+    // RPCs are served until the drain begins, whether the step or the shutdown comes first.
+    let mut served = 0;
     while node.request(json!({"do": "drop"}))["error"] != json!("nothing is staged") {
-        asked += u32::from(sidecar.serves(&tenant(1)));
+        served += u32::from(sidecar.serves(&tenant(1)));
     }
     let reply = node.stage("{\"put\":\"tenant\",\"Name\":\"late\",\"QuotaRps\":1}");
     assert_eq!(reply["error"], json!("the server is shutting down"), "{reply}");
     let applied = applies.join().unwrap();
-    let wanted = ["the server is shutting down", "nothing is staged"].map(|why| json!(why));
-    assert!(applied["ok"] == json!(true) || wanted.contains(&applied["error"]), "{applied} after {asked}");
-    sidecar.stream.set_read_timeout(Some(WAIT)).unwrap();
+    let expected = ["the server is shutting down", "nothing is staged"].map(|why| json!(why));
+    assert!(applied["ok"] == json!(true) || expected.contains(&applied["error"]), "{applied} after {served}");
+    sidecar.stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let rest = sidecar.stream.read_to_end(&mut Vec::new());
-    assert!(rest.is_ok_and(|_| true), "it ends in order");
+    assert!(rest.is_ok_and(|_| true), "the connection was reset");
     let mut node = node;
     let output = wait_for_exit(node.child.take().unwrap());
     assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
@@ -478,7 +489,8 @@
     const ALL: usize = 8_000;
     let mut node = Node::new("killed", ALL);
     let good = node.status()["hash"].clone();
-    // By steps: the file says what was good. Killed at several moments from the wish to the version in force.
+    // A version applied by steps, with the good version in the configuration file. The daemon is killed at several
+    // moments between the request and the activation.
     for moment in 0..6 {
         let staged = node.request(json!({"do": "stage", "step": large_step(ALL / 2, ALL), "force": true}));
         assert_eq!(staged["ok"], json!(true), "{staged}");
@@ -493,13 +505,14 @@
         assert_eq!((&status["hash"], &status["probation"]), (&good, &json!(null)), "moment {moment}");
         assert!(Sidecar::new(&node, 1).serves(&tenant(ALL - 1)), "moment {moment}");
     }
-    // By a whole file, which stands there when it starts again: what was on probation is not what it starts with.
+    // A version applied by a reloaded file, which is still there at the restart. The daemon must not start on it,
+    // because it was on probation.
     let mut file = node.config.clone();
     file["settings"]["Tenants"].as_array_mut().unwrap().iter_mut().for_each(|t| t["QuotaRps"] = json!(90));
     std::mem::swap(&mut node.config, &mut file);
-    node.write();
+    node.write_config();
     node.signal("HUP");
-    let until = Instant::now() + WAIT;
+    let until = Instant::now() + TIMEOUT;
     loop {
         let status = node.status();
         let hash = status["hash"].as_str().unwrap();
@@ -511,11 +524,11 @@
     }
     node.kill();
     node.start();
-    assert_eq!(node.status()["hash"], good, "it was on probation");
+    assert_eq!(node.status()["hash"], good, "it started on the version on probation");
     assert!(Sidecar::new(&node, 2).serves(&tenant(0)));
-    // And one that is cut off in the middle changes nothing.
-    let whole = file.to_string();
-    std::fs::write(config_path("killed"), &whole[..whole.len() / 2]).unwrap();
+    // A truncated file changes nothing.
+    let complete = file.to_string();
+    std::fs::write(config_path("killed"), &complete[..complete.len() / 2]).unwrap();
     node.signal("HUP");
     node.signal("USR1");
     let mut sidecar = Sidecar::new(&node, 3);
@@ -523,7 +536,7 @@
     node.finish(&["reloads_failed=1 "]);
 }
 
-/// A peer that stops in the middle of a line is given up, and nobody else waits for it.
+/// Guards against a client that disconnects in the middle of a request and blocks others or holds its slot.
 #[test]
 fn abandoned_request_leaves_nothing_behind() {
     let node = Node::new("leaves", 3);
@@ -538,7 +551,7 @@
         Ok(0) => {}
         other => assert!(other.is_err_and(|e| e.kind() != ErrorKind::WouldBlock)),
     }
-    // What says what runs already is no entry of it.
+    // Entries that are equal to the running ones do not count as changes.
     node.stage_and_apply(&large_step(2, 2));
     assert_eq!(node.request(json!({"do": "settle"}))["ok"], json!(true));
     assert_eq!(node.stage_and_apply(&large_step(3, 3))["entries"], json!(1));
--- a/daemon/tests/program.rs
+++ b/daemon/tests/program.rs
@@ -1,5 +1,5 @@
-//! The program on loopback sockets, from start to drain, against stand-ins for the agent, the upstream tier,
-//! the name service and a sidecar.
+//! The daemon on loopback sockets, from start to drain, with stand-ins for the agent, the upstream tier, the name
+//! service and a sidecar.
 
 mod stand_ins;
 
@@ -13,28 +13,29 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn serves_from_start_to_drain_despite_bad_peers() {
+fn serves_from_start_to_drain_despite_invalid_peers() {
     let (listen, config, reports) = start_stand_ins(false);
     let child = start_daemon("serves", &config.to_string());
     let mut checks = connect(listen);
     checks.write_all(&encode_frame(4, 1, &[("thorough", "1")], &[])).unwrap();
     let (kind, stream, payload) = read_frame(&mut checks).unwrap();
     assert_eq!((kind, stream, payload[0]), (5, 1, 0));
-    assert_eq!(reports.recv_timeout(WAIT).unwrap(), r#"PUT /ns/hosts/n1 HTTP/1.1 {"serving":"yes"}"#);
+    assert_eq!(reports.recv_timeout(TIMEOUT).unwrap(), r#"PUT /ns/hosts/n1 HTTP/1.1 {"serving":"yes"}"#);
 
-    // A peer that breaks the framing gets an error, and is closed once what it is owed was answered.
-    let mut bad = connect(listen);
-    bad.write_all(&[rpc_frame(1, "00000000000000b1", b"owed"), encode_frame(9, 2, &[], &[])].concat())
+    // A peer that violates the framing gets an error, and its connection is closed once its open RPCs are answered.
+    let mut invalid = connect(listen);
+    invalid
+        .write_all(&[rpc_frame(1, "00000000000000b1", b"owed"), encode_frame(9, 2, &[], &[])].concat())
         .unwrap();
     let mut seen = Vec::new();
-    while let Some((kind, stream, _)) = read_frame(&mut bad) {
+    while let Some((kind, stream, _)) = read_frame(&mut invalid) {
         seen.push((kind, stream));
     }
     assert_eq!(seen, [(2, 0), (2, 1)]);
 
-    // Answers carry the result unchanged; a half-closed connection gets its answers.
+    // Answers carry the result unchanged, and a half-closed connection gets its answers.
     let mut sidecar = connect(listen);
-    // As many as a cold server takes at once, however they are read: more may be pushed back.
+    // A cold server admits three RPCs at once and may push back more.
     for n in 1..=3 {
         let body = format!("{n}\r\n\0any bytes");
         sidecar.write_all(&rpc_frame(n, &format!("00000000000000a{n}"), body.as_bytes())).unwrap();
@@ -50,7 +51,8 @@
     answered.sort();
     assert_eq!(answered, [1, 2, 3]);
 
-    // SIGTERM: announced on each connection, reported, and what crosses it is still answered.
+    // SIGTERM is announced on each connection and reported to the name service. RPCs sent at the same time are
+    // answered.
     let mut last = connect(listen);
     last.write_all(&rpc_frame(1, "00000000000000c1", b"before")).unwrap();
     assert_eq!(read_frame(&mut last).unwrap().1, 1);
@@ -60,7 +62,7 @@
     last.write_all(&rpc_frame(2, "00000000000000c2", b"crossing")).unwrap();
     let (kind, stream, payload) = read_frame(&mut last).unwrap();
     assert_eq!((kind, stream, payload[0]), (2, 2, 0));
-    while !reports.recv_timeout(WAIT).unwrap().ends_with(r#"{"serving":"no"}"#) {}
+    while !reports.recv_timeout(TIMEOUT).unwrap().ends_with(r#"{"serving":"no"}"#) {}
     let output = wait_for_exit(child);
     assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
     assert!(
@@ -71,17 +73,18 @@
 }
 
 #[test]
-fn reads_what_arrived_during_a_pause_before_time_passes() {
+fn reads_input_that_arrived_during_a_pause_before_timers_expire() {
     let (listen, config, reports) = start_stand_ins(false);
     let child = start_daemon("pause", &config.to_string());
-    assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
+    assert!(reports.recv_timeout(TIMEOUT).unwrap().contains("yes"));
     let mut sidecar = connect(listen);
     let rpc = rpc_frame(1, "00000000000000e1", b"slow");
-    let patience = rpc.windows(4).position(|four| four == b"1900").unwrap();
-    sidecar.write_all(&[&rpc[..patience], b"0500", &rpc[patience + 4..]].concat()).unwrap();
+    let timeout = rpc.windows(4).position(|four| four == b"1900").unwrap();
+    sidecar.write_all(&[&rpc[..timeout], b"0500", &rpc[timeout + 4..]].concat()).unwrap();
     thread::sleep(Duration::from_millis(150));
+    // The run ends during the pause, and so does the RPC's timeout of 500 ms.
     send_signal(&child, "STOP");
-    thread::sleep(Duration::from_millis(800)); // it ends meanwhile, and would have been due
+    thread::sleep(Duration::from_millis(800));
     send_signal(&child, "CONT");
     let (kind, _, payload) = read_frame(&mut sidecar).unwrap();
     assert_eq!((kind, payload[0]), (2, 0));
@@ -93,24 +96,27 @@
 fn closes_connections_without_a_complete_frame() {
     let (listen, config, reports) = start_stand_ins(false);
     let child = start_daemon("mute", &config.to_string());
-    assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
+    assert!(reports.recv_timeout(TIMEOUT).unwrap().contains("yes"));
     let start = Instant::now();
-    let mut asked = connect(listen); // asks once and stays
-    asked.write_all(&rpc_frame(1, "0000000000000001", b"body")).unwrap();
-    assert_eq!(read_frame(&mut asked).unwrap().2[0], 0);
-    let mut half = connect(listen);
-    half.write_all(&rpc_frame(1, "0000000000000002", b"body")[..40]).unwrap();
-    let mut mute: Vec<TcpStream> = (0..600).map(|_| connect(listen)).collect(); // more than there is room for
+    // This sidecar sends one RPC and keeps its connection open.
+    let mut idle = connect(listen);
+    idle.write_all(&rpc_frame(1, "0000000000000001", b"body")).unwrap();
+    assert_eq!(read_frame(&mut idle).unwrap().2[0], 0);
+    let mut partial = connect(listen);
+    partial.write_all(&rpc_frame(1, "0000000000000002", b"body")[..40]).unwrap();
+    // These are more connections than the limit allows.
+    let mut silent: Vec<TcpStream> = (0..600).map(|_| connect(listen)).collect();
     let mut late = connect(listen);
     late.write_all(&rpc_frame(1, "0000000000000003", b"body")).unwrap();
     assert_eq!(read_frame(&mut late).unwrap().2[0], 0);
     assert!(start.elapsed() < Duration::from_millis(700), "{:?}", start.elapsed());
-    for stream in mute.iter_mut().chain([&mut half]) {
-        stream.set_read_timeout(Some(WAIT)).unwrap();
-        stream.read_to_end(&mut Vec::new()).unwrap_or_default(); // an error, or a close alone
+    // Each of them is closed, possibly by a reset.
+    for stream in silent.iter_mut().chain([&mut partial]) {
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
+        stream.read_to_end(&mut Vec::new()).unwrap_or_default();
     }
     assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
-    // Others that ask for nothing but health are as many as they like: they go before who had a run.
+    // Connections that only send health checks are evicted before one that has had a run, however many they are.
     let _checkers: Vec<TcpStream> = (0..60)
         .map(|_| {
             let mut stream = connect(listen);
@@ -119,8 +125,8 @@
             stream
         })
         .collect();
-    asked.write_all(&rpc_frame(2, "0000000000000004", b"body")).unwrap();
-    assert_eq!(read_frame(&mut asked).unwrap().2[0], 0);
+    idle.write_all(&rpc_frame(2, "0000000000000004", b"body")).unwrap();
+    assert_eq!(read_frame(&mut idle).unwrap().2[0], 0);
     send_signal(&child, "TERM");
     assert_eq!(wait_for_exit(child).status.code(), Some(0));
 }
@@ -129,39 +135,41 @@
 fn reload_moves_to_the_new_addresses_and_changes_nothing_else() {
     let notices = Notices::default();
     let (listen, config, reports) = start_stand_ins_with(false, notices.clone());
-    let child = start_daemon("anew", &config.to_string());
-    assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
+    let child = start_daemon("reload", &config.to_string());
+    assert!(reports.recv_timeout(TIMEOUT).unwrap().contains("yes"));
     let mut sidecar = connect(listen);
-    let mut serves = |stream: u32| {
+    let mut assert_serves = |stream: u32| {
         sidecar.write_all(&rpc_frame(stream, &format!("00000000000000f{stream}"), b"body")).unwrap();
-        let (kind, on, payload) = read_frame(&mut sidecar).unwrap();
-        assert!((kind, on, payload[0]) == (2, stream, 0) && payload.ends_with(b"ydob"), "{payload:?}");
+        let (kind, answered, payload) = read_frame(&mut sidecar).unwrap();
+        assert!((kind, answered, payload[0]) == (2, stream, 0) && payload.ends_with(b"ydob"), "{payload:?}");
     };
-    serves(1);
-    let anew = |config: &str| {
-        std::fs::write(config_path("anew"), config).unwrap();
+    assert_serves(1);
+    let reload = |config: &str| {
+        std::fs::write(config_path("reload"), config).unwrap();
         send_signal(&child, "HUP");
     };
-    anew(&config.to_string()[..90]); // half written
-    serves(2);
-    thread::sleep(Duration::from_millis(200)); // signals that wait are taken together
+    // A truncated file is not applied.
+    reload(&config.to_string()[..90]);
+    assert_serves(2);
+    // Signals that are pending at the same time are merged, so the next one is sent later.
+    thread::sleep(Duration::from_millis(200));
     let (_, moved, moved_reports) = start_stand_ins_with(false, notices);
-    anew(&moved.to_string());
-    assert!(moved_reports.recv_timeout(WAIT).unwrap().contains("yes"));
-    serves(3);
+    reload(&moved.to_string());
+    assert!(moved_reports.recv_timeout(TIMEOUT).unwrap().contains("yes"));
+    assert_serves(3);
     send_signal(&child, "TERM");
     let output = wait_for_exit(child);
     assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
-    for counted in ["reloads=1 ", "reloads_failed=1 ", " ok=3 ", "agent_up=3 "] {
-        assert!(stderr_text(&output).contains(counted), "{counted} {}", stderr_text(&output));
+    for counter in ["reloads=1 ", "reloads_failed=1 ", " ok=3 ", "agent_up=3 "] {
+        assert!(stderr_text(&output).contains(counter), "{counter} {}", stderr_text(&output));
     }
 }
 
 #[test]
 fn survives_and_counts_garbage_from_every_peer() {
     let (listen, config, reports) = start_stand_ins(true);
-    let child = start_daemon("nonsense", &config.to_string());
-    assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
+    let child = start_daemon("garbage", &config.to_string());
+    assert!(reports.recv_timeout(TIMEOUT).unwrap().contains("yes"));
     let mut sidecar = connect(listen);
     sidecar.write_all(&rpc_frame(1, "00000000000000d1", b"body")).unwrap();
     let (kind, stream, payload) = read_frame(&mut sidecar).unwrap();
@@ -169,42 +177,42 @@
     send_signal(&child, "TERM");
     let output = wait_for_exit(child);
     assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
-    for counted in ["bad_agent=1 ", "bad_below=1 ", "bad_naming=1 ", "reports_lost=1 ", " ok=1 "] {
-        assert!(stderr_text(&output).contains(counted), "{counted} {}", stderr_text(&output));
+    for counter in ["bad_agent=1 ", "bad_below=1 ", "bad_naming=1 ", "reports_lost=1 ", " ok=1 "] {
+        assert!(stderr_text(&output).contains(counter), "{counter} {}", stderr_text(&output));
     }
 }
 
 #[test]
 fn names_configuration_errors_before_listening() {
     let (_, config, _) = start_stand_ins(false);
-    let fails = |name: &str, config: &str| {
+    let startup_error = |name: &str, config: &str| {
         let output = wait_for_exit(start_daemon(name, config));
         assert_eq!(output.status.code(), Some(1));
         stderr_text(&output)
     };
-    assert!(fails("junk", "{").contains("not JSON"));
+    assert!(startup_error("garbage-file", "{").contains("not JSON"));
     for (field, value) in
         [("agent", json!(7)), ("seed", json!("xyz")), ("stop_ms", json!(null)), ("limits", json!({}))]
     {
-        let mut wrong = config.clone();
-        wrong[field] = value;
-        assert!(fails(field, &wrong.to_string()).contains(field), "{field}");
+        let mut invalid = config.clone();
+        invalid[field] = value;
+        assert!(startup_error(field, &invalid.to_string()).contains(field), "{field}");
     }
-    let mut wrong = config.clone();
-    wrong["settings"]["Safety"]["TipMultiple"] = json!("many");
-    assert!(fails("settings", &wrong.to_string()).contains("TipMultiple"));
-    // A listener that does not share its port, as another program's would not.
+    let mut invalid = config.clone();
+    invalid["settings"]["Safety"]["TipMultiple"] = json!("many");
+    assert!(startup_error("settings", &invalid.to_string()).contains("TipMultiple"));
+    // The address is in use by a listener that does not share its port, like that of another program.
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let taken_address = taken.local_addr().unwrap().to_string();
-    let mut wrong = config.clone();
-    wrong["listen"] = json!(taken_address);
-    assert!(fails("taken", &wrong.to_string()).contains(&taken_address));
+    let mut invalid = config.clone();
+    invalid["listen"] = json!(taken_address);
+    assert!(startup_error("taken", &invalid.to_string()).contains(&taken_address));
     let output = Command::new(env!("CARGO_BIN_EXE_asterrilld")).env_remove("GW_CONFIG").output().unwrap();
     assert!(output.status.code() == Some(1) && stderr_text(&output).contains("GW_CONFIG"));
 }
 
-/// The line by which the platform starts a backend.
-fn run_line() -> String {
+/// Returns the command line by which the platform starts a backend.
+fn platform_command() -> String {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/balancer.toml");
     let text = std::fs::read_to_string(file).unwrap();
     let line = text.lines().find_map(|line| line.strip_prefix("run = \"")).unwrap();
@@ -213,8 +221,8 @@
 
 #[test]
 fn runs_as_one_process_with_only_its_own_sockets() {
-    let run = run_line();
-    assert_eq!(run, "exec target/release/asterrilld", "nothing new is on in run");
+    let run = platform_command();
+    assert_eq!(run, "exec target/release/asterrilld", "the platform's command enables something new");
     let (listen, config, reports) = start_stand_ins(false);
     let path = config_path("platform");
     std::fs::write(&path, config.to_string()).unwrap();
@@ -222,13 +230,13 @@
     let mut command = Command::new("/bin/sh");
     command.args(["-c", &line]).env("GW_CONFIG", &path).stdout(Stdio::piped()).stderr(Stdio::piped());
     let child = command.spawn().unwrap();
-    assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
+    assert!(reports.recv_timeout(TIMEOUT).unwrap().contains("yes"));
     let mut sidecar = connect(listen);
     sidecar.write_all(&rpc_frame(1, "00000000000000f1", b"body")).unwrap();
     assert_eq!(read_frame(&mut sidecar).unwrap().2[0], 0);
 
     let (pid, read) = (child.id(), |path: String| std::fs::read_to_string(path).unwrap_or_default());
-    // By exec: the process that was started is the program, and nothing has it for a parent.
+    // The shell was replaced by exec: the started process is the daemon, and it has no children.
     let exe = std::fs::read_link(format!("/proc/{pid}/exe")).unwrap();
     assert_eq!(exe, std::fs::canonicalize(env!("CARGO_BIN_EXE_asterrilld")).unwrap());
     let parent = |stat: &str| stat.rsplit(')').next()?.split_whitespace().nth(1)?.parse::<u32>().ok();
@@ -238,32 +246,32 @@
             assert_ne!(parent(&read(format!("/proc/{name}/stat"))), Some(pid), "a child: {name}");
         }
     }
-    // Linked dynamically against the C library.
+    // The daemon is linked dynamically against the C library.
     let maps = read(format!("/proc/{pid}/maps"));
     assert!(maps.contains("/libc.so") && maps.contains("/ld-"), "{maps}");
-    // Of its sockets one listens, on IPv4 over TCP; none is IPv6 or UDP, and none of Unix has a name to come to.
+    // One of its sockets listens, on TCP over IPv4. None uses IPv6 or UDP, and no Unix socket has a path.
     let fds = std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap().flatten();
     let inode =
         |link: PathBuf| link.to_str()?.strip_prefix("socket:[")?.strip_suffix(']').map(str::to_string);
     let own: Vec<String> = fds.filter_map(|fd| std::fs::read_link(fd.path()).ok().and_then(inode)).collect();
-    let of = |table: &str, column: usize| -> Vec<Vec<String>> {
+    let own_rows = |table: &str, column: usize| -> Vec<Vec<String>> {
         let rows = read(format!("/proc/{pid}/net/{table}"));
         let rows = rows.lines().skip(1).map(|row| row.split_whitespace().map(str::to_string).collect());
         rows.filter(|row: &Vec<String>| row.get(column).is_some_and(|inode| own.contains(inode))).collect()
     };
-    let tcp = of("tcp", 9);
+    let tcp = own_rows("tcp", 9);
     assert_eq!(tcp.iter().filter(|row| row[3] == "0A").count(), 1, "{tcp:?}");
     assert!(tcp.len() >= 3, "the links to the agent and the name service show as well: {tcp:?}");
-    assert_eq!((of("tcp6", 9), of("udp", 9), of("udp6", 9)), (vec![], vec![], vec![]));
-    let named: Vec<Vec<String>> = of("unix", 6).into_iter().filter(|row| row.len() > 7).collect();
+    assert_eq!((own_rows("tcp6", 9), own_rows("udp", 9), own_rows("udp6", 9)), (vec![], vec![], vec![]));
+    let named: Vec<Vec<String>> = own_rows("unix", 6).into_iter().filter(|row| row.len() > 7).collect();
     assert!(named.is_empty(), "{named:?}");
     send_signal(&child, "TERM");
     assert_eq!(wait_for_exit(child).status.code(), Some(0));
 }
 
-/// Asks the control socket for the status.
-fn status(socket: &std::path::Path) -> Value {
-    let until = Instant::now() + WAIT;
+/// Requests the status on the control socket.
+fn request_status(socket: &std::path::Path) -> Value {
+    let until = Instant::now() + TIMEOUT;
     let mut stream = loop {
         match std::os::unix::net::UnixStream::connect(socket) {
             Ok(stream) => break stream,
@@ -275,22 +283,23 @@
     let mut line = String::new();
     let mut reader = BufReader::new(&stream);
     reader.read_line(&mut line).unwrap();
-    // The client's slot is given back before the connection ends: without the wait the next one could find none free.
+    // The slot is released before the connection ends. Without this wait the next client could find no free slot.
     stream.shutdown(std::net::Shutdown::Write).unwrap_or_default();
     drop(reader.read_to_end(&mut Vec::new()));
     serde_json::from_str(&line).unwrap()
 }
 
 #[test]
-fn snapshot_survives_a_kill_and_a_damaged_one_does_no_harm() {
+fn snapshot_is_restored_after_a_kill_and_a_damaged_one_is_ignored() {
     let dir = std::env::temp_dir().join(format!("asterrilld-{}-return", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let (state, socket, file) = (dir.join("state"), dir.join("control"), dir.join("operator.conf"));
-    let (at, to) = (socket.display(), state.display());
-    let config = format!("[changes]\ncontrol {at}\nstate {to}\n[recovery]\nsnapshot 1s\n");
+    let (socket_path, state_path) = (socket.display(), state.display());
+    let config = format!("[changes]\ncontrol {socket_path}\nstate {state_path}\n[recovery]\nsnapshot 1s\n");
     std::fs::write(&file, config).unwrap();
-    // One life: some RPCs are served, until a snapshot stands on disk if one is waited for; then it is killed.
-    let life = |name: &str, snapshot: bool| {
+    // Starts a daemon, serves some RPCs, waits for a snapshot on disk if requested, kills the daemon and returns its
+    // log.
+    let run_until_killed = |name: &str, wait_for_snapshot: bool| {
         let (listen, config, _reports) = start_stand_ins_with(false, Notices::default());
         let path = config_path(name);
         std::fs::write(&path, config.to_string()).unwrap();
@@ -298,34 +307,35 @@
         command.arg("--file").arg(&file).env("GW_CONFIG", &path);
         let mut child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn().unwrap();
         let mut sidecar = connect(listen);
-        let until = Instant::now() + WAIT;
+        let until = Instant::now() + TIMEOUT;
         let (mut stream, mut served) = (0, 0);
         let has_methods =
             || std::fs::read_to_string(state.join("learned")).is_ok_and(|t| t.contains("\nmethod "));
-        while (served < 12 || snapshot && !has_methods()) && Instant::now() < until {
+        while (served < 12 || wait_for_snapshot && !has_methods()) && Instant::now() < until {
             stream += 1;
             sidecar.write_all(&rpc_frame(stream, &format!("{stream:016x}"), b"body")).unwrap();
             served += u32::from(read_frame(&mut sidecar).unwrap().2[0] == 0);
         }
         assert!(served >= 12, "{name}: {served}");
-        let status = status(&socket);
+        let status = request_status(&socket);
         let stages = ["restoring", "cold", "warming", "full"];
         assert!(status["stage"]["name"].as_str().is_some_and(|name| stages.contains(&name)), "{status}");
         assert!(status["stage"]["why"].is_string() && status["stage"]["since"].is_u64(), "{status}");
         child.kill().unwrap();
         stderr_text(&child.wait_with_output().unwrap())
     };
-    assert!(!life("return-1", true).contains("snapshot restored"));
-    let again = life("return-2", true);
-    assert!(again.contains("snapshot restored: Costs"), "{again}");
-    let whole = std::fs::read_to_string(state.join("learned")).unwrap();
-    for odd in ["", "what?", &whole[..whole.len() / 2], &whole.replace("machine 2", "machine 3")] {
-        std::fs::write(state.join("learned"), odd).unwrap();
-        let log = life("return-3", false);
-        assert!(log.contains("snapshot not used"), "{odd:?}: {log}");
+    assert!(!run_until_killed("return-1", true).contains("snapshot restored"));
+    let log = run_until_killed("return-2", true);
+    assert!(log.contains("snapshot restored: Costs"), "{log}");
+    let complete = std::fs::read_to_string(state.join("learned")).unwrap();
+    for damaged in ["", "what?", &complete[..complete.len() / 2], &complete.replace("machine 2", "machine 3")]
+    {
+        std::fs::write(state.join("learned"), damaged).unwrap();
+        let log = run_until_killed("return-3", false);
+        assert!(log.contains("snapshot not used"), "{damaged:?}: {log}");
     }
     std::fs::remove_dir_all(&state).unwrap();
     std::fs::write(&state, "no directory").unwrap();
-    assert!(life("return-4", false).contains("could not be written"));
+    assert!(run_until_killed("return-4", false).contains("could not be written"));
     std::fs::remove_dir_all(dir).unwrap();
 }
--- a/daemon/tests/shutdown_and_reload.rs
+++ b/daemon/tests/shutdown_and_reload.rs
@@ -1,5 +1,7 @@
-//! What crosses a notice to leave, a signal or the end of a connection, forced on sockets: the process is stopped by its
-//! id, bytes and signals are delivered, and it is let go on. A sleep brings a moment about here; none decides a verdict.
+//! Races of requests with shutdown, reload and the close of a connection, on real sockets.
+//!
+//! The daemon is paused with SIGSTOP, bytes and signals are delivered, and it is resumed with SIGCONT, so that all of
+//! them arrive at the same time. Sleeps only produce a situation; no result depends on their duration.
 
 mod stand_ins;
 
@@ -11,16 +13,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What crosses an end by so much is sent again, by the page; the threads of a test get as much once more.
-const CROSSING: Duration = Duration::from_millis(50);
+/// Time before the close of a connection in which a sidecar has to expect that an RPC it sent is lost, and sends it
+/// again. The test allows twice as much, for delays of its own threads.
+const LOSS_WINDOW: Duration = Duration::from_millis(50);
 
-/// Stops the process, and waits until it is.
+/// Stops the process with SIGSTOP, and waits until it is stopped.
 fn pause_process(child: &Child) {
     send_signal(child, "STOP");
     let stat = format!("/proc/{}/stat", child.id());
-    let until = Instant::now() + WAIT;
+    let until = Instant::now() + TIMEOUT;
     while !std::fs::read_to_string(&stat).unwrap().rsplit(')').next().unwrap().trim().starts_with('T') {
-        assert!(Instant::now() < until, "it does not stop");
+        assert!(Instant::now() < until, "the process was not stopped");
         thread::sleep(Duration::from_millis(1));
     }
 }
@@ -29,10 +32,10 @@
     send_signal(child, "CONT");
 }
 
-/// The answer on a stream: its code and body. Frames that tell of no answer are passed over.
-fn answer(from: &mut TcpStream, stream: u32) -> (u8, Vec<u8>) {
+/// Reads the answer on a stream and returns its code and payload. Other frames are skipped.
+fn read_answer(from: &mut TcpStream, stream: u32) -> (u8, Vec<u8>) {
     loop {
-        let (kind, on, payload) = read_frame(from).expect("an answer before the end");
+        let (kind, on, payload) = read_frame(from).expect("the connection ended before the answer");
         if (kind, on) == (2, stream) {
             return (payload[0], payload);
         }
@@ -43,51 +46,52 @@
 fn start_with_stand_ins(name: &str) -> (Child, SocketAddr, std::sync::mpsc::Receiver<String>) {
     let (listen, config, reports) = start_stand_ins(false);
     let child = start_daemon(name, &config.to_string());
-    assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
+    assert!(reports.recv_timeout(TIMEOUT).unwrap().contains("yes"));
     (child, listen, reports)
 }
 
 #[test]
-fn answers_all_that_arrives_with_sigterm() {
+fn answers_all_rpcs_that_arrive_with_sigterm() {
     let (child, listen, reports) = start_with_stand_ins("arrives");
-    let [mut whole, mut half, mut silent] = [(); 3].map(|()| connect(listen));
-    whole.write_all(&rpc_frame(1, "00000000000000a1", b"first")).unwrap();
-    assert_eq!(answer(&mut whole, 1).0, 0);
+    let [mut complete, mut partial, mut silent] = [(); 3].map(|()| connect(listen));
+    complete.write_all(&rpc_frame(1, "00000000000000a1", b"first")).unwrap();
+    assert_eq!(read_answer(&mut complete, 1).0, 0);
     pause_process(&child);
-    // A whole RPC, half a one, one on a connection that nobody has taken in yet, a connection alone, and both signals twice.
-    whole.write_all(&rpc_frame(2, "00000000000000a2", b"whole")).unwrap();
+    // A complete RPC, a partial one, one on a connection that is not accepted yet, a connection without input, and
+    // both signals twice.
+    complete.write_all(&rpc_frame(2, "00000000000000a2", b"whole")).unwrap();
     let bytes = rpc_frame(1, "00000000000000a3", b"half");
-    half.write_all(&bytes[..30]).unwrap();
+    partial.write_all(&bytes[..30]).unwrap();
     let mut queued = TcpStream::connect(listen).unwrap();
     queued.write_all(&rpc_frame(1, "00000000000000a4", b"queued")).unwrap();
-    let mut bare = TcpStream::connect(listen).unwrap();
+    let mut unused = TcpStream::connect(listen).unwrap();
     ["TERM", "HUP", "TERM", "HUP"].into_iter().for_each(|name| send_signal(&child, name));
     resume_process(&child);
-    let (code, payload) = answer(&mut whole, 2);
+    let (code, payload) = read_answer(&mut complete, 2);
     assert!(code == 0 && payload.ends_with(b"elohw"), "{payload:?}");
-    assert_eq!(answer(&mut queued, 1).0, 0, "within the grace it is run");
-    half.write_all(&bytes[30..]).unwrap();
-    assert!([0, 11].contains(&answer(&mut half, 1).0));
-    // Each connection ends in order once all is over: nobody is reset.
-    for stream in [&mut whole, &mut half, &mut queued, &mut silent, &mut bare] {
-        stream.set_read_timeout(Some(WAIT)).unwrap();
+    assert_eq!(read_answer(&mut queued, 1).0, 0, "an RPC that arrives within the grace period is run");
+    partial.write_all(&bytes[30..]).unwrap();
+    assert!([0, 11].contains(&read_answer(&mut partial, 1).0));
+    // Each connection is closed in order at the end, without a reset.
+    for stream in [&mut complete, &mut partial, &mut queued, &mut silent, &mut unused] {
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.read_to_end(&mut Vec::new()).unwrap();
     }
-    while !reports.recv_timeout(WAIT).unwrap().ends_with(r#"{"serving":"no"}"#) {}
+    while !reports.recv_timeout(TIMEOUT).unwrap().ends_with(r#"{"serving":"no"}"#) {}
     let output = wait_for_exit(child);
     assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
     assert!(
         !stderr_text(&output).contains(" reloads=0 "),
-        "the file was read again: {}",
+        "the file was not reloaded: {}",
         stderr_text(&output)
     );
-    for counted in ["rpcs=4 ", "reloads_failed=0 ", "gone=0 "] {
-        assert!(stderr_text(&output).contains(counted), "{counted} {}", stderr_text(&output));
+    for counter in ["rpcs=4 ", "reloads_failed=0 ", "gone=0 "] {
+        assert!(stderr_text(&output).contains(counter), "{counter} {}", stderr_text(&output));
     }
 }
 
 #[test]
-fn sidecars_that_never_stop_lose_only_what_crosses_the_close() {
+fn sidecars_that_keep_sending_lose_only_rpcs_sent_right_before_the_close() {
     for round in 0..3 {
         let (child, listen, _reports) = start_with_stand_ins(&format!("very-end-{round}"));
         let mut stream = connect(listen);
@@ -115,10 +119,14 @@
             sent.push((n, Instant::now()));
             thread::sleep(Duration::from_millis(3));
         }
-        let (answered, end) = reader.join().unwrap().expect("an end in order, not a reset");
+        let (answered, end) = reader.join().unwrap().expect("the connection was reset");
         assert!(answered.len() > 30 && sent.len() > 30, "{} of {}", answered.len(), sent.len());
         for (stream, at) in sent.iter().filter(|(stream, _)| !answered.contains(stream)) {
-            assert!(*at + 2 * CROSSING > end, "{stream} of {} lost, {:?} before the end", n, end - *at);
+            assert!(
+                *at + 2 * LOSS_WINDOW > end,
+                "RPC {stream} of {n} lost, {:?} before the close",
+                end - *at
+            );
         }
         assert_eq!(wait_for_exit(child).status.code(), Some(0));
     }
@@ -129,59 +137,59 @@
     let (listen, mut config, _reports) = start_stand_ins(false);
     let naming = TcpListener::bind("127.0.0.1:0").unwrap();
     config["naming"] = json!(naming.local_addr().unwrap().to_string());
-    let (reports, lines) = std::sync::mpsc::channel();
+    let (sender, reports) = std::sync::mpsc::channel();
     thread::spawn(move || {
-        // Each connection is read to its end, and never answered.
+        // Each connection is read to its end and never answered.
         for mut stream in naming.incoming().flatten() {
-            let reports = reports.clone();
+            let sender = sender.clone();
             thread::spawn(move || {
                 let mut bytes = vec![0; 4096];
                 while let Ok(n @ 1..) = stream.read(&mut bytes) {
-                    reports.send(String::from_utf8_lossy(&bytes[..n]).into_owned()).unwrap_or_default();
+                    sender.send(String::from_utf8_lossy(&bytes[..n]).into_owned()).unwrap_or_default();
                 }
             });
         }
     });
     let child = start_daemon("silent-naming", &config.to_string());
     let mut sidecar = connect(listen);
-    assert!(lines.recv_timeout(WAIT).unwrap().contains("yes"));
+    assert!(reports.recv_timeout(TIMEOUT).unwrap().contains("yes"));
     for stream in 1..=20 {
-        let asked = Instant::now();
+        let sent = Instant::now();
         sidecar.write_all(&rpc_frame(stream, &format!("{:016x}", 0xb000 + stream), b"body")).unwrap();
-        assert_eq!(answer(&mut sidecar, stream).0, 0);
-        assert!(asked.elapsed() < Duration::from_millis(500), "held up: {:?}", asked.elapsed());
+        assert_eq!(read_answer(&mut sidecar, stream).0, 0);
+        assert!(sent.elapsed() < Duration::from_millis(500), "delayed by {:?}", sent.elapsed());
     }
     std::fs::write(config_path("silent-naming"), config.to_string()).unwrap();
     send_signal(&child, "HUP");
     send_signal(&child, "TERM");
     let output = wait_for_exit(child);
     assert_eq!(output.status.code(), Some(0), "{}", stderr_text(&output));
-    // The last word that was sent is the true one, on a connection that came after all others.
-    let words: Vec<String> = lines.try_iter().collect();
-    let last = words.iter().rfind(|line| line.contains("serving")).unwrap();
-    assert!(last.contains(r#"{"serving":"no"}"#), "{words:?}");
+    // The last report, on the last connection, has the final state.
+    let received: Vec<String> = reports.try_iter().collect();
+    let last = received.iter().rfind(|report| report.contains("serving")).unwrap();
+    assert!(last.contains(r#"{"serving":"no"}"#), "{received:?}");
 }
 
 #[test]
 fn successor_takes_over_the_address() {
     let (listen, config, reports) = start_stand_ins(false);
     let first = start_daemon("before", &config.to_string());
-    assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
+    assert!(reports.recv_timeout(TIMEOUT).unwrap().contains("yes"));
     let mut slow = connect(listen);
     slow.write_all(&rpc_frame(1, "00000000000000c1", b"slow")).unwrap();
     send_signal(&first, "TERM");
-    // It has an agent of its own, and the same name, address and name service.
-    let (_, mut other, _others) = start_stand_ins(false);
-    other["listen"] = json!(listen.to_string());
-    other["naming"] = config["naming"].clone();
-    let second = start_daemon("after", &other.to_string());
-    while !reports.recv_timeout(WAIT).unwrap().ends_with(r#"{"serving":"yes"}"#) {}
-    assert_eq!(answer(&mut slow, 1).0, 0, "what was in hand ends where it was");
+    // The successor has its own agent, and the same name, address and name service.
+    let (_, mut second_config, _second_reports) = start_stand_ins(false);
+    second_config["listen"] = json!(listen.to_string());
+    second_config["naming"] = config["naming"].clone();
+    let second = start_daemon("after", &second_config.to_string());
+    while !reports.recv_timeout(TIMEOUT).unwrap().ends_with(r#"{"serving":"yes"}"#) {}
+    assert_eq!(read_answer(&mut slow, 1).0, 0, "an open RPC is completed by the process that accepted it");
     assert_eq!(wait_for_exit(first).status.code(), Some(0));
     for n in 0..20 {
         let mut sidecar = TcpStream::connect(listen).unwrap();
         sidecar.write_all(&rpc_frame(1, &format!("{:016x}", 0xd000 + n), b"body")).unwrap();
-        assert_eq!(answer(&mut sidecar, 1).0, 0);
+        assert_eq!(read_answer(&mut sidecar, 1).0, 0);
     }
     send_signal(&second, "TERM");
     let output = wait_for_exit(second);
@@ -190,26 +198,26 @@
 }
 
 #[test]
-fn reload_with_fewer_sockets_keeps_connections_and_bounds_new_ones() {
+fn reload_with_fewer_sockets_keeps_open_connections() {
     let (listen, mut config, reports) = start_stand_ins(false);
     let child = start_daemon("fewer", &config.to_string());
-    assert!(reports.recv_timeout(WAIT).unwrap().contains("yes"));
+    assert!(reports.recv_timeout(TIMEOUT).unwrap().contains("yes"));
     let mut sidecars: Vec<TcpStream> = (0..30).map(|_| connect(listen)).collect();
     for (n, sidecar) in sidecars.iter_mut().enumerate() {
         sidecar.write_all(&rpc_frame(1, &format!("{:016x}", 0xf000 + n), b"body")).unwrap();
-        assert!([0, 11].contains(&answer(sidecar, 1).0));
+        assert!([0, 11].contains(&read_answer(sidecar, 1).0));
     }
     config["limits"]["sockets"] = json!(30);
     std::fs::write(config_path("fewer"), config.to_string()).unwrap();
     pause_process(&child);
     send_signal(&child, "HUP");
-    // All ask in the very moment in which there is no more room for all of them.
+    // All sidecars send an RPC at the moment at which the limit drops below their number.
     for (n, sidecar) in sidecars.iter_mut().enumerate() {
         sidecar.write_all(&rpc_frame(2, &format!("{:016x}", 0xf100 + n), b"body")).unwrap();
     }
     resume_process(&child);
     for sidecar in &mut sidecars {
-        assert!([0, 11].contains(&answer(sidecar, 2).0));
+        assert!([0, 11].contains(&read_answer(sidecar, 2).0));
     }
     send_signal(&child, "TERM");
     let output = wait_for_exit(child);
--- a/daemon/tests/stand_ins/mod.rs
+++ b/daemon/tests/stand_ins/mod.rs
@@ -1,5 +1,7 @@
-//! Stand-ins for the agent, the upstream tier, the name service and a sidecar, and the program itself.
-#![allow(dead_code)] // each test binary uses some of it
+//! Stand-ins for the agent, the upstream tier, the name service and a sidecar, and functions that run the daemon.
+
+// Each test binary uses only some of the functions.
+#![allow(dead_code)]
 
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -11,11 +13,13 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-pub const WAIT: Duration = Duration::from_secs(10);
+/// Time limit for anything that a test waits for.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-pub fn config(listen: SocketAddr, agent: SocketAddr, records: SocketAddr, naming: SocketAddr) -> Value {
+/// Returns the configuration file for a daemon with the given addresses.
+pub fn config(listen: SocketAddr, agent: SocketAddr, upstream: SocketAddr, naming: SocketAddr) -> Value {
     json!({"name": "n1", "listen": listen.to_string(), "agent": agent.to_string(),
-        "records": records.to_string(), "naming": naming.to_string(), "seed": "00000000000000ff", "stop_ms": 900,
+        "records": upstream.to_string(), "naming": naming.to_string(), "seed": "00000000000000ff", "stop_ms": 900,
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64},
         "settings": {
             "Categories": [{"Name": "look", "AimMs": 800, "DeadlineMs": 2000, "Effect": "free", "Worth": 1}],
@@ -25,8 +29,10 @@
             "StopSendingWithinMs": 300}, "StepMs": 4}})
 }
 
-/// An address for the daemon to listen on. It stays bound here, without listening, as long as this process runs: the
-/// daemon shares ports (`SO_REUSEPORT`), while no other test's socket can be given this one in between.
+/// Returns an address for the daemon to listen on.
+///
+/// The address stays bound by a socket of this process that does not listen. The daemon can bind it too, because it
+/// shares ports (`SO_REUSEPORT`), but the system does not assign it to a socket of another test meanwhile.
 pub fn free_address() -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_reuse_port(true).unwrap();
@@ -53,11 +59,11 @@
 }
 
 pub fn wait_for_exit(mut child: Child) -> Output {
-    let until = Instant::now() + WAIT;
+    let until = Instant::now() + TIMEOUT;
     while child.try_wait().unwrap().is_none() {
         if Instant::now() > until {
             child.kill().unwrap();
-            panic!("it does not end: {}", stderr_text(&child.wait_with_output().unwrap()));
+            panic!("the daemon does not exit: {}", stderr_text(&child.wait_with_output().unwrap()));
         }
         thread::sleep(Duration::from_millis(10));
     }
@@ -68,7 +74,7 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// Reads a line and the body that its last word tells of, for the commands that carry one.
+/// Reads a command line and, for commands that have one, the body whose length is the last word of the line.
 pub fn read_command(from: &mut impl BufRead) -> Option<(Vec<String>, Vec<u8>)> {
     let mut line = String::new();
     if from.read_line(&mut line).ok()? == 0 {
@@ -85,68 +91,70 @@
     Some((words, body))
 }
 
-/// Takes one connection, and answers what comes first on it with nonsense.
-pub fn answer_with_garbage(at: &TcpListener, with: &[u8]) {
-    let mut stream = at.accept().unwrap().0;
+/// Accepts one connection, answers the first input on it with `garbage` and waits until the peer closes it.
+pub fn answer_with_garbage(listener: &TcpListener, garbage: &[u8]) {
+    let mut stream = listener.accept().unwrap().0;
     assert!(stream.read(&mut [0; 1024]).unwrap() > 0);
-    stream.write_all(with).unwrap();
-    stream.read(&mut [0; 1024]).unwrap_or_default(); // until it is closed
+    stream.write_all(garbage).unwrap();
+    stream.read(&mut [0; 1024]).unwrap_or_default();
 }
 
-/// All the notices of an agent, which go on where it moves to.
+/// Notices of an agent, which a second stand-in continues after a move to another address.
 pub type Notices = Arc<Mutex<Vec<Vec<u8>>>>;
 
-/// An agent whose first link breaks in the middle of a run. Each run makes one call; its result is the reply.
-pub fn run_agent(at: TcpListener, nonsense: bool, notices: Notices) {
-    let mut greeted = !notices.lock().unwrap().is_empty();
-    if nonsense {
-        answer_with_garbage(&at, b"greeting PERHAPS\r\n");
+/// Runs an agent whose first link breaks in the middle of a run. Each run makes one upstream call and returns its
+/// reply.
+pub fn run_agent(listener: TcpListener, garbage: bool, notices: Notices) {
+    let mut link_broken_before = !notices.lock().unwrap().is_empty();
+    if garbage {
+        answer_with_garbage(&listener, b"greeting PERHAPS\r\n");
     }
-    for stream in at.incoming() {
+    for stream in listener.incoming() {
         let mut to = stream.unwrap();
         let mut from = BufReader::new(to.try_clone().unwrap());
         while let Some((words, body)) = read_command(&mut from) {
             let mut notices = notices.lock().unwrap();
-            let mut tell = |bytes: Vec<u8>| drop(to.write_all(&bytes));
+            let mut send = |bytes: Vec<u8>| drop(to.write_all(&bytes));
             let number = notices.len() + 1;
             match words[0].as_str() {
                 "subscribe" => {
-                    tell(b"greeting EMPTY 5\r\n".to_vec());
-                    notices.iter().skip(words[1].parse().unwrap()).for_each(|n| tell(n.clone()));
+                    send(b"greeting EMPTY 5\r\n".to_vec());
+                    notices.iter().skip(words[1].parse().unwrap()).for_each(|notice| send(notice.clone()));
                 }
                 "launch" if body == b"slow" => {
                     thread::sleep(Duration::from_millis(600));
                     let line = format!("outcome {number} {} PASS 600 4\r\nslow\r\n", words[1]);
                     notices.push(line.into_bytes());
-                    tell(notices[number - 1].clone());
+                    send(notices[number - 1].clone());
                 }
                 "launch" => {
                     let line = format!("request {number} {} {}\r\n", words[1], body.len());
                     notices.push([line.as_bytes(), &body, b"\r\n"].concat());
-                    if !std::mem::replace(&mut greeted, true) {
-                        break; // the notice waits for the next link
+                    if !std::mem::replace(&mut link_broken_before, true) {
+                        // The notice is sent on the next link.
+                        break;
                     }
-                    tell(notices[number - 1].clone());
+                    send(notices[number - 1].clone());
                 }
                 "deliver" => {
                     let line = format!("outcome {number} {} PASS 1 {}\r\n", words[1], body.len());
                     notices.push([line.as_bytes(), &body, b"\r\n"].concat());
-                    tell(notices[number - 1].clone());
+                    send(notices[number - 1].clone());
                 }
-                "sample" => tell(format!("sampled {} 1\r\n", words[1]).into_bytes()),
-                "exercise" => tell(format!("exercised {} PASS\r\n", words[1]).into_bytes()),
+                "sample" => send(format!("sampled {} 1\r\n", words[1]).into_bytes()),
+                "exercise" => send(format!("exercised {} PASS\r\n", words[1]).into_bytes()),
                 _ => {}
             }
         }
     }
 }
 
-/// A upstream tier that answers each call with its body, turned round.
-pub fn run_upstream(at: TcpListener, nonsense: bool) {
-    if nonsense {
-        answer_with_garbage(&at, b"what?\r\n");
+/// Runs an upstream tier that answers each call with its body reversed.
+pub fn run_upstream(listener: TcpListener, garbage: bool) {
+    if garbage {
+        answer_with_garbage(&listener, b"what?\r\n");
     }
-    for stream in at.incoming() {
+    for stream in listener.incoming() {
         let mut to = stream.unwrap();
         let mut from = BufReader::new(to.try_clone().unwrap());
         thread::spawn(move || {
@@ -161,11 +169,12 @@
     }
 }
 
-pub fn run_name_service(at: TcpListener, reports: Sender<String>, nonsense: bool) {
-    if nonsense {
-        answer_with_garbage(&at, b"HTTP/9 who?\r\n\r\n");
+/// Runs a name service that sends the request line and the body of each load report to `reports`.
+pub fn run_name_service(listener: TcpListener, reports: Sender<String>, garbage: bool) {
+    if garbage {
+        answer_with_garbage(&listener, b"HTTP/9 who?\r\n\r\n");
     }
-    for stream in at.incoming() {
+    for stream in listener.incoming() {
         let mut to = stream.unwrap();
         let mut from = BufReader::new(to.try_clone().unwrap());
         let reports = reports.clone();
@@ -211,10 +220,10 @@
     encode_frame(1, stream, &fields, body)
 }
 
-/// The next frame: its type, stream and payload. None at the end of the connection.
+/// Reads the next frame and returns its type, stream and payload, or `None` at the end of the connection.
 pub fn read_frame(from: &mut TcpStream) -> Option<(u8, u32, Vec<u8>)> {
     let mut head = [0; 9];
-    from.set_read_timeout(Some(WAIT)).unwrap();
+    from.set_read_timeout(Some(TIMEOUT)).unwrap();
     from.read_exact(&mut head).ok()?;
     let length = u32::from_be_bytes(head[..4].try_into().unwrap()) as usize;
     let mut payload = vec![0; length - 5];
@@ -223,7 +232,7 @@
 }
 
 pub fn connect(to: SocketAddr) -> TcpStream {
-    let until = Instant::now() + WAIT;
+    let until = Instant::now() + TIMEOUT;
     loop {
         match TcpStream::connect(to) {
             Ok(stream) => return stream,
@@ -233,18 +242,22 @@
     }
 }
 
-pub fn start_stand_ins(nonsense: bool) -> (SocketAddr, Value, Receiver<String>) {
-    start_stand_ins_with(nonsense, Notices::default())
+/// Starts all stand-ins with an agent that has sent no notices yet; see [`start_stand_ins_with`].
+pub fn start_stand_ins(garbage: bool) -> (SocketAddr, Value, Receiver<String>) {
+    start_stand_ins_with(garbage, Notices::default())
 }
 
-pub fn start_stand_ins_with(nonsense: bool, notices: Notices) -> (SocketAddr, Value, Receiver<String>) {
-    let [a, r, n] = [(); 3].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
-    let at = |l: &TcpListener| l.local_addr().unwrap();
+/// Starts all stand-ins. Returns the address for the daemon, its configuration, and the load reports that arrive.
+///
+/// With `garbage`, each stand-in answers its first connection with garbage.
+pub fn start_stand_ins_with(garbage: bool, notices: Notices) -> (SocketAddr, Value, Receiver<String>) {
+    let [agent, upstream, naming] = [(); 3].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
+    let address = |listener: &TcpListener| listener.local_addr().unwrap();
     let listen = free_address();
-    let config = config(listen, at(&a), at(&r), at(&n));
-    let (reporter, reports) = channel();
-    thread::spawn(move || run_agent(a, nonsense, notices));
-    thread::spawn(move || run_upstream(r, nonsense));
-    thread::spawn(move || run_name_service(n, reporter, nonsense));
+    let config = config(listen, address(&agent), address(&upstream), address(&naming));
+    let (sender, reports) = channel();
+    thread::spawn(move || run_agent(agent, garbage, notices));
+    thread::spawn(move || run_upstream(upstream, garbage));
+    thread::spawn(move || run_name_service(naming, sender, garbage));
     (listen, config, reports)
 }
