--- a/daemon/src/change/driver.rs
+++ b/daemon/src/change/driver.rs
@@ -140,7 +140,7 @@
     /// Applies a configuration file that was reloaded on a signal, by the same transaction as any other change.
     ///
     /// The caller updates the addresses. `prepared` is the result of the validation off the worker thread; `None` if
-    /// the file had no changes then.
+    /// the file had no changes then or was not validated.
     pub fn reload(
         &mut self, dispatcher: &Dispatcher, deployment: Deployment,
         prepared: Option<Result<PreparedChange, Rejection>>, pause: &mut SlicePause<'_>,
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -43,8 +43,8 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // A panic is always a defect. The process aborts and is restarted, because it must not go on serving without one
-    // of its components.
+    // A panic is always a defect. The process aborts, because a restart is better than serving without one of its
+    // components.
     std::panic::set_hook(Box::new(|panic| {
         eprintln!("asterrilld: {panic}");
         std::process::abort();
--- a/daemon/src/store/checksummed.rs
+++ b/daemon/src/store/checksummed.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 /// Format version of checksummed texts.
-pub(super) const FORMAT: u32 = 1;
+pub(super) const FORMAT_VERSION: u32 = 1;
 
 const LEARNED_FILE: &str = "learned";
 /// Name of the file of members, and the kind in the header of its text.
@@ -32,7 +32,7 @@
 pub fn read_members(dir: &Path, log: &Logger) -> Option<PersistedState> {
     let path = dir.join(MEMBERS_FILE);
     let read = read_parsed(&path, |text| {
-        let body = decode_checksummed(MEMBERS_FILE, FORMAT, text).map_err(|e| e.to_string())?;
+        let body = decode_checksummed(MEMBERS_FILE, FORMAT_VERSION, text).map_err(|e| e.to_string())?;
         PersistedState::from_text(body).map_err(|e| e.to_string())
     });
     read.unwrap_or_else(|why| {
@@ -42,7 +42,7 @@
 }
 
 pub(super) fn write_members(dir: &Path, text: &str) -> io::Result<()> {
-    let text = encode_checksummed(MEMBERS_FILE, FORMAT, text);
+    let text = encode_checksummed(MEMBERS_FILE, FORMAT_VERSION, text);
     durable_file::replace(&dir.join(MEMBERS_FILE), text.as_bytes())
 }
 
--- a/daemon/src/store/consensus.rs
+++ b/daemon/src/store/consensus.rs
@@ -9,11 +9,11 @@
 /// Callback that receives the number of a write once it is on disk.
 pub type OnDurable = dyn Fn(u64) + Send + Sync;
 
-const FILE_NAME: &str = "agreed";
+const RAFT_FILE: &str = "agreed";
 
 /// Reads the file; returns no bytes if it does not exist.
 pub fn read_consensus(dir: &Path) -> io::Result<Vec<u8>> {
-    match std::fs::read(dir.join(FILE_NAME)) {
+    match std::fs::read(dir.join(RAFT_FILE)) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
         read => read,
     }
@@ -21,7 +21,7 @@
 
 /// Truncates the file to `length` bytes, which removes an incomplete record at its end.
 pub fn truncate_consensus(dir: &Path, length: usize) -> io::Result<()> {
-    let file = File::options().write(true).create(true).truncate(false).open(dir.join(FILE_NAME))?;
+    let file = File::options().write(true).create(true).truncate(false).open(dir.join(RAFT_FILE))?;
     file.set_len(length as u64)?;
     file.sync_all()
 }
@@ -32,7 +32,7 @@
     dir: &Path, writes: &[DiskWrite], on_durable: Option<&OnDurable>,
 ) -> io::Result<()> {
     let Some(last) = writes.last() else { return Ok(()) };
-    let path = dir.join(FILE_NAME);
+    let path = dir.join(RAFT_FILE);
     let mut unsynced = None;
     for write in writes {
         if write.replace {
--- a/daemon/src/store/legacy_versions.rs
+++ b/daemon/src/store/legacy_versions.rs
@@ -1,6 +1,6 @@
-//! Former format of the versions, with a complete text in a file of its own for each version.
+//! Format of builds that predate the file of versions, with a complete text in a file of its own for each version.
 
-use super::checksummed::FORMAT;
+use super::checksummed::FORMAT_VERSION;
 use crate::durable_file;
 use asterrill_recovery::MAX_TEXT_BYTES;
 use asterrill_rollout::{PersistedState, PersistedVersion};
@@ -32,7 +32,7 @@
 fn read_version(path: &Path) -> Result<Option<PersistedVersion>, String> {
     let text = durable_file::read_text(path, MAX_TEXT_BYTES as u64 + 1).map_err(|e| e.to_string())?;
     let Some(text) = text else { return Ok(None) };
-    let body = asterrill_recovery::decode_checksummed(TEXT_KIND, FORMAT, &text)
+    let body = asterrill_recovery::decode_checksummed(TEXT_KIND, FORMAT_VERSION, &text)
         .map_err(|error| error.to_string())?;
     parse_version(body).map(Some)
 }
--- a/daemon/src/store/versions.rs
+++ b/daemon/src/store/versions.rs
@@ -9,13 +9,13 @@
 use std::io::{self, BufReader};
 use std::path::Path;
 
-pub(super) const FILE_NAME: &str = "versions";
+pub(super) const VERSIONS_FILE: &str = "versions";
 
 /// Reads the versions that an earlier process saved. An unusable file is logged and ignored.
 pub fn read_versions(dir: &Path, log: &Logger) -> Option<PersistedState> {
-    let path = dir.join(FILE_NAME);
+    let path = dir.join(VERSIONS_FILE);
     let read = match File::open(&path) {
-        Ok(file) => recover(BufReader::new(file)).map_err(|fault| fault.to_string()),
+        Ok(file) => recover(BufReader::new(file)).map_err(|error| error.to_string()),
         Err(e) if e.kind() == io::ErrorKind::NotFound => return read_legacy_versions(dir, log),
         Err(e) => Err(e.to_string()),
     };
@@ -50,7 +50,7 @@
     ///
     /// After a failure the next write is a snapshot that replaces the file, so that no step follows a missing one.
     pub(super) fn write(&mut self, dir: &Path, state: PersistedState) -> io::Result<()> {
-        let path = dir.join(FILE_NAME);
+        let path = dir.join(VERSIONS_FILE);
         let update = self.written.as_ref().and_then(|written| written.update_to(&state));
         if let Some((written, update)) = self.written.take().zip(update) {
             if !update.is_empty() {
--- a/daemon/src/tests/store.rs
+++ b/daemon/src/tests/store.rs
@@ -1,6 +1,6 @@
 //! State files after damage, failed and interrupted writes, compaction, and in the former format.
 
-use super::versions::{VersionsFile, FILE_NAME as VERSIONS};
+use super::versions::{VersionsFile, VERSIONS_FILE};
 use super::*;
 use asterrill::{Idempotency, Method};
 use asterrill_entries::{Change, Configuration, EntryKind, GlobalSettings};
@@ -56,7 +56,7 @@
     }
 }
 fn file_length(dir: &Path) -> u64 {
-    std::fs::metadata(dir.join(VERSIONS)).unwrap().len()
+    std::fs::metadata(dir.join(VERSIONS_FILE)).unwrap().len()
 }
 
 #[test]
@@ -77,14 +77,14 @@
     write_all(&dir, &mut file, &[rolled_back]);
     assert_eq!(file_length(&dir), snapshot + steps);
     // If the last step is truncated, the state before it is read; if the snapshot is truncated, none is.
-    let text = std::fs::read(dir.join(VERSIONS)).unwrap();
-    std::fs::write(dir.join(VERSIONS), &text[..text.len() - 1]).unwrap();
+    let text = std::fs::read(dir.join(VERSIONS_FILE)).unwrap();
+    std::fs::write(dir.join(VERSIONS_FILE), &text[..text.len() - 1]).unwrap();
     assert_eq!(read_versions(&dir, &discarding_log()), Some(state(2, Some(3))));
-    std::fs::write(dir.join(VERSIONS), &text[..30]).unwrap();
+    std::fs::write(dir.join(VERSIONS_FILE), &text[..30]).unwrap();
     assert_eq!(read_versions(&dir, &discarding_log()), None);
-    std::fs::write(dir.join(VERSIONS), "of another program").unwrap();
+    std::fs::write(dir.join(VERSIONS_FILE), "of another program").unwrap();
     assert_eq!(read_versions(&dir, &discarding_log()), None);
-    std::fs::remove_file(dir.join(VERSIONS)).unwrap();
+    std::fs::remove_file(dir.join(VERSIONS_FILE)).unwrap();
     assert_eq!(read_versions(&dir, &discarding_log()), None);
     std::fs::remove_dir_all(dir).unwrap();
 }
@@ -118,7 +118,7 @@
 #[test]
 fn snapshot_replaces_the_steps_after_a_failed_write() {
     let dir = temp_dir("hole");
-    let (path, backup) = (dir.join(VERSIONS), dir.join("aside"));
+    let (path, backup) = (dir.join(VERSIONS_FILE), dir.join("aside"));
     let mut file = VersionsFile::default();
     write_all(&dir, &mut file, &[state(1, None), state(1, Some(2))]);
     // The disk is full during one write.
@@ -143,7 +143,7 @@
 #[test]
 fn kill_before_the_rename_of_a_snapshot_leaves_the_old_file() {
     let dir = temp_dir("killed");
-    let (path, temporary) = (dir.join(VERSIONS), dir.join("versions.new"));
+    let (path, temporary) = (dir.join(VERSIONS_FILE), dir.join("versions.new"));
     write_all(&dir, &mut VersionsFile::default(), &[state(5, Some(6))]);
     let new = std::fs::read(&path).unwrap();
     for cut in 0..=new.len() {
@@ -226,7 +226,7 @@
     assert_eq!(read_versions(&dir, &discarding_log()), Some(state(1, None)));
     assert!(!dir.join("good").exists() && !dir.join("probation").exists());
     // A damaged file is ignored.
-    std::fs::remove_file(dir.join(VERSIONS)).unwrap();
+    std::fs::remove_file(dir.join(VERSIONS_FILE)).unwrap();
     std::fs::write(dir.join("good"), &legacy_file(4, &rolled_back, &text(5))[..200]).unwrap();
     assert_eq!(read_versions(&dir, &discarding_log()), None);
     std::fs::remove_dir_all(dir).unwrap();
--- a/daemon/tests/configuration_steps.rs
+++ b/daemon/tests/configuration_steps.rs
@@ -342,15 +342,15 @@
 
 #[test]
 fn all_quotas_change_atomically_under_load() {
-    const ALL: usize = 49_000;
-    const KEPT: usize = 47_000;
-    let node = Node::new("all", ALL);
-    let load = BackgroundLoad::new(&node, KEPT);
+    const TENANTS: usize = 49_000;
+    const KEPT_TENANTS: usize = 47_000;
+    let node = Node::new("all", TENANTS);
+    let load = BackgroundLoad::new(&node, KEPT_TENANTS);
     // The first and the last entry of the change, in the order of names, must change at the same moment as seen on
     // one connection.
     let (mut sidecar, stop) = (Sidecar::new(&node, 7), Arc::new(AtomicBool::new(false)));
     let stopped = stop.clone();
-    let (removed, added) = (tenant(ALL - 1), format!("n{KEPT:05}"));
+    let (removed, added) = (tenant(TENANTS - 1), format!("n{KEPT_TENANTS:05}"));
     let prober = thread::spawn(move || {
         let (mut switched, mut seen) = (false, [0; 2]);
         while !stopped.load(Ordering::Relaxed) || !switched {
@@ -366,8 +366,13 @@
         }
         seen
     });
-    let staged = node.request(json!({"do": "stage", "step": large_step(KEPT, ALL), "force": true}));
-    assert_eq!((&staged["ok"], &staged["entries"]), (&json!(true), &json!(ALL + ALL - KEPT)), "{staged}");
+    let staged =
+        node.request(json!({"do": "stage", "step": large_step(KEPT_TENANTS, TENANTS), "force": true}));
+    assert_eq!(
+        (&staged["ok"], &staged["entries"]),
+        (&json!(true), &json!(TENANTS + TENANTS - KEPT_TENANTS)),
+        "{staged}"
+    );
     let applied = node.request(json!({"do": "apply"}));
     assert_eq!(applied["ok"], json!(true), "{applied}");
     stop.store(true, Ordering::Relaxed);
@@ -375,8 +380,8 @@
     assert!(seen[0] > 0 && seen[1] > 0, "{seen:?}");
     let mut sidecar = Sidecar::new(&node, 8);
     let undone = node.request(json!({"do": "undo"}));
-    assert_eq!(undone["entries"], json!(ALL + ALL - KEPT), "{undone}");
-    assert!(sidecar.serves(&tenant(ALL - 1)) && !sidecar.serves("n48999"));
+    assert_eq!(undone["entries"], json!(TENANTS + TENANTS - KEPT_TENANTS), "{undone}");
+    assert!(sidecar.serves(&tenant(TENANTS - 1)) && !sidecar.serves("n48999"));
     assert!(load.finish() > 100);
     assert_eq!(node.status()["counters"]["half_applied"], json!(0));
     node.finish(&["changes=2 ", "no_buffer=0 "]);
@@ -384,26 +389,27 @@
 
 #[test]
 fn rollback_waits_for_the_last_slice_of_a_step() {
-    const ALL: usize = 8_000;
-    let node = Node::new("undo", ALL);
+    const TENANTS: usize = 8_000;
+    let node = Node::new("undo", TENANTS);
     let start = node.status();
-    let load = BackgroundLoad::new(&node, ALL / 2);
+    let load = BackgroundLoad::new(&node, TENANTS / 2);
     for _ in 0..5 {
-        let staged = node.request(json!({"do": "stage", "step": large_step(ALL / 2, ALL), "force": true}));
+        let staged =
+            node.request(json!({"do": "stage", "step": large_step(TENANTS / 2, TENANTS), "force": true}));
         assert_eq!(staged["ok"], json!(true), "{staged}");
         let socket = node.dir.join("control");
-        let applies = thread::spawn(move || control_request(&socket, json!({"do": "apply"})));
+        let apply = thread::spawn(move || control_request(&socket, json!({"do": "apply"})));
         // Undo is requested continuously. The first request after the start of the change is executed after its last
         // slice.
         let until = Instant::now() + TIMEOUT;
         while node.request(json!({"do": "undo"}))["ok"] != json!(true) {
             assert!(Instant::now() < until);
         }
-        assert_eq!(applies.join().unwrap()["ok"], json!(true));
+        assert_eq!(apply.join().unwrap()["ok"], json!(true));
         let status = node.status();
         assert_eq!((&status["hash"], &status["version"]), (&start["hash"], &json!(1)));
         let mut sidecar = Sidecar::new(&node, 9);
-        assert!(sidecar.serves(&tenant(ALL - 1)) && !sidecar.serves(&format!("n{:05}", ALL - 1)));
+        assert!(sidecar.serves(&tenant(TENANTS - 1)) && !sidecar.serves(&format!("n{:05}", TENANTS - 1)));
     }
     load.finish();
     node.finish(&["changes=10 "]);
@@ -411,21 +417,21 @@
 
 #[test]
 fn reload_during_a_step_is_applied_before_it_or_rejected_after_it() {
-    const ALL: usize = 8_000;
+    const TENANTS: usize = 8_000;
     for round in 0..3 {
-        let mut node = Node::new("reload", ALL);
-        let staged = node.request(json!({"do": "stage", "step": large_step(ALL, ALL)}));
+        let mut node = Node::new("reload", TENANTS);
+        let staged = node.request(json!({"do": "stage", "step": large_step(TENANTS, TENANTS)}));
         assert_eq!(staged["ok"], json!(true), "{staged}");
         node.config["settings"]["Tenants"][0]["QuotaRps"] = json!(555);
         node.write_config();
         let socket = node.dir.join("control");
-        let applies = thread::spawn(move || control_request(&socket, json!({"do": "apply"})));
+        let apply = thread::spawn(move || control_request(&socket, json!({"do": "apply"})));
         if round > 0 {
             // After this reply the change is in progress or complete.
             assert_eq!(node.status()["ok"], json!(true));
         }
         node.signal("HUP");
-        let applied = applies.join().unwrap();
+        let applied = apply.join().unwrap();
         // Either the reload or the step is rejected once the other one is on probation.
         let until = Instant::now() + TIMEOUT;
         let status = loop {
@@ -444,21 +450,21 @@
             _ => assert_ne!(status["hash"], staged["hash"], "{status} {applied}"),
         }
         let mut sidecar = Sidecar::new(&node, 3);
-        assert!(sidecar.serves(&tenant(ALL - 1)));
+        assert!(sidecar.serves(&tenant(TENANTS - 1)));
         node.finish(&["changes=1 ", "reloads=1 "]);
     }
 }
 
 #[test]
 fn drain_rejects_steps_and_is_not_delayed_by_one() {
-    const ALL: usize = 20_000;
-    let node = Node::new("drain", ALL);
+    const TENANTS: usize = 20_000;
+    let node = Node::new("drain", TENANTS);
     let mut sidecar = Sidecar::new(&node, 1);
     assert!(sidecar.serves(&tenant(0)));
-    let staged = node.request(json!({"do": "stage", "step": large_step(ALL, ALL)}));
+    let staged = node.request(json!({"do": "stage", "step": large_step(TENANTS, TENANTS)}));
     assert_eq!(staged["ok"], json!(true), "{staged}");
     let socket = node.dir.join("control");
-    let applies = thread::spawn(move || control_request(&socket, json!({"do": "apply"})));
+    let apply = thread::spawn(move || control_request(&socket, json!({"do": "apply"})));
     node.signal("TERM");
     // RPCs are served until the drain begins, whether the step or the shutdown comes first.
     let mut served = 0;
@@ -467,7 +473,7 @@
     }
     let reply = node.stage("{\"put\":\"tenant\",\"Name\":\"late\",\"QuotaRps\":1}");
     assert_eq!(reply["error"], json!("the server is shutting down"), "{reply}");
-    let applied = applies.join().unwrap();
+    let applied = apply.join().unwrap();
     let expected = ["the server is shutting down", "nothing is staged"].map(|why| json!(why));
     assert!(applied["ok"] == json!(true) || expected.contains(&applied["error"]), "{applied} after {served}");
     sidecar.stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -486,13 +492,14 @@
 
 #[test]
 fn restarts_on_the_last_good_version_after_a_kill() {
-    const ALL: usize = 8_000;
-    let mut node = Node::new("killed", ALL);
+    const TENANTS: usize = 8_000;
+    let mut node = Node::new("killed", TENANTS);
     let good = node.status()["hash"].clone();
     // A version applied by steps, with the good version in the configuration file. The daemon is killed at several
     // moments between the request and the activation.
     for moment in 0..6 {
-        let staged = node.request(json!({"do": "stage", "step": large_step(ALL / 2, ALL), "force": true}));
+        let staged =
+            node.request(json!({"do": "stage", "step": large_step(TENANTS / 2, TENANTS), "force": true}));
         assert_eq!(staged["ok"], json!(true), "{staged}");
         let mut stream = UnixStream::connect(node.dir.join("control")).unwrap();
         stream.write_all(b"{\"v\":1,\"do\":\"apply\"}\n").unwrap();
@@ -503,7 +510,7 @@
         node.start();
         let status = node.status();
         assert_eq!((&status["hash"], &status["probation"]), (&good, &json!(null)), "moment {moment}");
-        assert!(Sidecar::new(&node, 1).serves(&tenant(ALL - 1)), "moment {moment}");
+        assert!(Sidecar::new(&node, 1).serves(&tenant(TENANTS - 1)), "moment {moment}");
     }
     // A version applied by a reloaded file, which is still there at the restart. The daemon must not start on it,
     // because it was on probation.
--- a/daemon/tests/shutdown_and_reload.rs
+++ b/daemon/tests/shutdown_and_reload.rs
@@ -32,14 +32,14 @@
     send_signal(child, "CONT");
 }
 
-/// Reads the answer on a stream and returns its code and payload. Other frames are skipped.
+/// Reads the answer on a stream and returns its code and payload. Announcements of a drain are skipped.
 fn read_answer(from: &mut TcpStream, stream: u32) -> (u8, Vec<u8>) {
     loop {
-        let (kind, on, payload) = read_frame(from).expect("the connection ended before the answer");
-        if (kind, on) == (2, stream) {
+        let (kind, found, payload) = read_frame(from).expect("the connection ended before the answer");
+        if (kind, found) == (2, stream) {
             return (payload[0], payload);
         }
-        assert!(kind == 6 && on == 0, "{kind} on {on}: {payload:?}");
+        assert!(kind == 6 && found == 0, "frame of type {kind} on stream {found}: {payload:?}");
     }
 }
 
