--- a/daemon/src/control_loop.rs
+++ b/daemon/src/control_loop.rs
@@ -1,5 +1,4 @@
-//! The control loop on the worker: lets time pass for the core, carries requests out, and ends the program once it has
-//! drained.
+//! Control loop on the worker: advances the core's time, executes requests, and ends the process once it has drained.
 
 use crate::change::{ChangeDriver, OperatorCommand, Reply, SlicePause};
 use crate::dispatcher::Dispatcher;
@@ -15,46 +14,48 @@
 use slog::{info, warn};
 use std::sync::Arc;
 
-/// The loop goes round at least this often, in microseconds.
-const MAX_WAIT: Us = 10_000_000;
-/// A wake-up this late shows a pause of the process: what has arrived meanwhile is read first. In microseconds.
-const LATE_WAKE_UP: Us = 20_000;
-/// Time for that, in microseconds.
-const CATCH_UP_TIME: Us = 5_000;
+/// Maximum time between two iterations of the loop, in microseconds.
+const MAX_WAIT_US: Us = 10_000_000;
+/// Delay of a wakeup, in microseconds, beyond which the process counts as having been paused. Input that arrived
+/// during the pause is then read before timers expire.
+const LATE_WAKEUP_US: Us = 20_000;
+/// Time for reading that input, in microseconds.
+const CATCH_UP_US: Us = 5_000;
 
-/// Owns all that is done on the worker beside RPCs.
+/// Owner of all work on the worker that is not part of an RPC.
 pub struct ControlLoop {
-    /// Where RPCs are decided.
+    /// Dispatcher that decides RPCs.
     pub dispatcher: Arc<Dispatcher>,
     /// Requests from other threads.
     pub queue: Arc<RequestQueue>,
     /// Addresses that a reload may change.
     pub addresses: Arc<PeerAddresses>,
-    /// The other backends, where they are configured.
+    /// Membership in the cluster of backends, if it is configured.
     pub membership: Option<Arc<MembershipService>>,
     /// Graceful shutdown.
     pub shutdown: Shutdown,
-    /// Changes of the configuration.
+    /// Driver of configuration changes.
     pub changes: ChangeDriver,
-    /// Ends the thread that waits for signals.
+    /// Handle that ends the signal loop.
     pub signals: Handle,
 }
 
 impl ControlLoop {
-    /// Runs until the program has drained.
+    /// Runs until the backend has drained.
     pub fn run(mut self) {
         self.dispatcher.clock.register();
         self.dispatcher.with(|core, outbound, now| core.start(now, outbound));
         loop {
             let deadline = self.dispatcher.arm_clock(self.changes.next_deadline());
-            // Who rang while a change went in slice by slice was not waited for.
-            let waiting = self.queue.lock().is_waiting();
-            wait_until(if waiting { 0 } else { deadline.min(now() + MAX_WAIT) });
-            self.carry_out_requests();
-            if now() > deadline.saturating_add(LATE_WAKE_UP) {
-                wait_until(now() + CATCH_UP_TIME);
+            // A notification that arrived while a change was installed in slices does not end the next wait, so the
+            // queue is checked first.
+            let has_requests = !self.queue.lock().is_empty();
+            wait_until(if has_requests { 0 } else { deadline.min(now() + MAX_WAIT_US) });
+            self.process_requests();
+            if now() > deadline.saturating_add(LATE_WAKEUP_US) {
+                wait_until(now() + CATCH_UP_US);
             }
-            self.pass_time();
+            self.tick();
             if self.dispatcher.with(|core, _, _| core.is_drained()) {
                 close_connections(&self.dispatcher);
                 self.queue.close();
@@ -64,7 +65,7 @@
         }
     }
 
-    fn carry_out_requests(&mut self) {
+    fn process_requests(&mut self) {
         let pending = self.queue.take();
         for reply_to in pending.context_requests {
             reply_to.try_send(self.changes.validation_context(&self.dispatcher)).unwrap_or_default();
@@ -83,15 +84,15 @@
         }
     }
 
-    fn pass_time(&mut self) {
-        pass_time(&self.dispatcher);
+    fn tick(&mut self) {
+        tick_core(&self.dispatcher);
         let (queue, shutdown) = (&self.queue, &mut self.shutdown);
         let pause: &mut SlicePause<'_> =
-            &mut |dispatcher| pause_between_slices(dispatcher, queue, shutdown, false);
+            &mut |dispatcher| yield_between_slices(dispatcher, queue, shutdown, false);
         self.changes.tick(&self.dispatcher, pause);
     }
 
-    /// The configuration file was read again. One that can't be used changes nothing.
+    /// Applies a reloaded configuration file. An invalid file changes nothing.
     fn reload(&mut self, reload: Result<Reload, SettingsError>, shutdown_requested: bool) {
         let dispatcher = &self.dispatcher;
         let is_ok = reload.is_ok();
@@ -101,8 +102,8 @@
         });
         let Reload { deployment, prepared } = match reload {
             Ok(reload) => reload,
-            Err(fault) => {
-                warn!(dispatcher.log, "configuration unchanged"; "why" => %fault);
+            Err(error) => {
+                warn!(dispatcher.log, "configuration unchanged"; "why" => %error);
                 return;
             }
         };
@@ -112,7 +113,7 @@
             "agent" => %deployment.agent, "naming" => %deployment.name_service);
         let (queue, shutdown) = (&self.queue, &mut self.shutdown);
         let pause: &mut SlicePause<'_> =
-            &mut |dispatcher| pause_between_slices(dispatcher, queue, shutdown, shutdown_requested);
+            &mut |dispatcher| yield_between_slices(dispatcher, queue, shutdown, shutdown_requested);
         self.changes.reload(dispatcher, deployment, prepared, pause);
     }
 
@@ -122,42 +123,44 @@
                 membership.describe_members().into()
             }
             (OperatorCommand::Simple(SimpleCommand::Fleet), Some(membership)) => {
-                membership.describe_agreed(None).into()
+                membership.describe_agreed_lists(None).into()
             }
             (OperatorCommand::AgreedList(kind), Some(membership)) => {
-                membership.describe_agreed(Some(kind)).into()
+                membership.describe_agreed_lists(Some(kind)).into()
             }
             (OperatorCommand::ProposeAgreed(proposal), Some(membership)) => {
-                // Answers by itself, once that is settled.
+                // The membership service sends the reply once the outcome of the proposal is known.
                 membership.propose(proposal, reply_to);
                 return;
             }
             (command, _) => {
                 let (queue, shutdown) = (&self.queue, &mut self.shutdown);
                 let pause: &mut SlicePause<'_> =
-                    &mut |dispatcher| pause_between_slices(dispatcher, queue, shutdown, shutdown_requested);
+                    &mut |dispatcher| yield_between_slices(dispatcher, queue, shutdown, shutdown_requested);
                 self.changes.execute(&self.dispatcher, command, pause)
             }
         };
-        // Whoever asked may have gone meanwhile.
+        // Sending fails if the client has stopped waiting.
         reply_to.try_send(reply).unwrap_or_default();
     }
 }
 
-/// Between two slices of a change: all others get their turn, time passes for the core, and the notice to shut down is
-/// not held up. The module hears it with the version still in force; the slices that are left go in after it.
-pub fn pause_between_slices(
+/// Yields to the other coroutines between two slices of a change, and advances the core's time.
+///
+/// A shutdown request is not delayed by the change: the drain starts with the version that is still active, and the
+/// remaining slices follow it.
+pub fn yield_between_slices(
     dispatcher: &Dispatcher, queue: &RequestQueue, shutdown: &mut Shutdown, shutdown_requested: bool,
 ) {
     yield_to_others();
     if !shutdown.has_begun() && (shutdown_requested || queue.lock().shutdown) {
         shutdown.begin(dispatcher);
     }
-    pass_time(dispatcher);
+    tick_core(dispatcher);
 }
 
-/// Lets time pass for the core, if something is due.
-fn pass_time(dispatcher: &Dispatcher) {
+/// Advances the core's time if one of its timers is due.
+fn tick_core(dispatcher: &Dispatcher) {
     dispatcher.with(|core, outbound, now| {
         if core.next_deadline().is_some_and(|at| at <= now) {
             core.tick(now, outbound);
--- a/daemon/src/membership/consensus.rs
+++ b/daemon/src/membership/consensus.rs
@@ -1,6 +1,7 @@
-//! The raft node that agrees on lists: its messages go as datagrams of the membership, its writes to the store thread.
+//! Raft node that agrees on lists. Its messages are sent in datagrams of the membership protocol, and its writes are
+//! done by the store thread.
 
-use super::shared::Locked;
+use super::shared::MembershipState;
 use crate::store::{read_consensus, truncate_consensus};
 use asterrill::Us;
 use asterrill_consensus::{CompletedProposal, Config, DiskWrite, LeasedPolicy, Node, ProposalOutcome};
@@ -12,10 +13,10 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// Opens the raft node, a voter's from what is on disk.
+/// Creates the raft node. A voter restores its state from disk.
 ///
 /// # Errors
-/// Storage that can't be read, or that holds something else.
+/// The storage can't be read, or its content is invalid.
 pub(super) fn open_node(
     name: &str, generation: u64, fleet: &FleetConfig, dir: &Path,
 ) -> Result<Node, SettingsError> {
@@ -36,29 +37,29 @@
     Ok(node)
 }
 
-/// What a turn of the raft node has brought.
-pub(super) struct ConsensusTurn {
-    /// What is to be made durable, in this order.
+/// Output of the raft node for one tick.
+pub(super) struct ConsensusOutput {
+    /// Writes to make durable, in this order.
     pub(super) writes: Vec<DiskWrite>,
-    /// The agreed lists in force, if they may have changed.
+    /// Agreed lists in effect, if they may have changed.
     pub(super) policy: Option<LeasedPolicy>,
-    /// When the next turn is due.
+    /// Time of the next tick.
     pub(super) next_tick: Us,
 }
 
-impl ConsensusTurn {
-    fn none() -> ConsensusTurn {
-        ConsensusTurn { writes: Vec::new(), policy: None, next_tick: Us::MAX }
+impl ConsensusOutput {
+    fn none() -> ConsensusOutput {
+        ConsensusOutput { writes: Vec::new(), policy: None, next_tick: Us::MAX }
     }
 }
 
-impl Locked {
-    /// Brings messages, time and durable writes to the raft node; sends what it has to say.
+impl MembershipState {
+    /// Passes messages, the time and completed writes to the raft node, and sends its messages and replies.
     pub(super) fn run_consensus(
         &mut self, now_monotonic: Us, durable_writes: &Mutex<Vec<u64>>,
-    ) -> ConsensusTurn {
+    ) -> ConsensusOutput {
         let messages = self.membership.take_messages();
-        let Some(node) = &mut self.consensus else { return ConsensusTurn::none() };
+        let Some(node) = &mut self.consensus else { return ConsensusOutput::none() };
         for number in std::mem::take(&mut *durable_writes.lock().unwrap_or_else(|e| e.into_inner())) {
             node.persisted(now_monotonic, number);
         }
@@ -75,11 +76,11 @@
         }
         for CompletedProposal { number, outcome } in node.take_outcomes() {
             if let Some(proposer) = self.proposers.remove(&number) {
-                // Whoever proposed it may have gone meanwhile.
+                // Sending fails if the client has stopped waiting.
                 proposer.try_send(describe_outcome(outcome).into()).unwrap_or_default();
             }
         }
-        ConsensusTurn {
+        ConsensusOutput {
             writes: node.take_writes(),
             policy: node.take_apply_policy(),
             next_tick: node.next_tick(),
@@ -94,6 +95,6 @@
         }
         ProposalOutcome::Rejected(why) => json!({"ok": false, "error": why, "kind": "refused"}),
         ProposalOutcome::NoQuorum => json!({"ok": false, "kind": "no majority",
-            "error": "no majority of the keepers answered in time; it may still come to pass"}),
+            "error": "no majority of the voters answered in time; the proposal may still be committed"}),
     }
 }
