--- a/lab/src/fleet/agree/faults.rs
+++ b/lab/src/fleet/agree/faults.rs
@@ -24,7 +24,7 @@
     let cut_off = |group: &[usize]| {
         let rest = (0..nodes).filter(|n| !group.contains(n)).collect();
         vec![
-            ScheduledFault::new(from, FaultKind::GossipSplit(vec![group.to_vec(), rest]), &[]),
+            ScheduledFault::new(from, FaultKind::GossipPartition(vec![group.to_vec(), rest]), &[]),
             ScheduledFault::new(to, FaultKind::GossipHeal, &[]),
         ]
     };
--- a/lab/src/fleet/agree/mod.rs
+++ b/lab/src/fleet/agree/mod.rs
@@ -2,10 +2,10 @@
 //! node, while faults go on; a stand-in of that caller calls every node all the time, and its answers say who acts on
 //! what.
 
-mod caller;
+mod evaluation;
 mod faults;
-mod judge;
-mod play;
+mod probe_caller;
+mod run;
 mod timing;
 
-pub use play::scenario;
+pub use run::scenario;
--- a/lab/src/fleet/agree/caller.rs
+++ b/lab/src/fleet/agree/probe_caller.rs
@@ -13,14 +13,14 @@
 use std::time::{Duration, Instant};
 
 /// The number of the caller.
-pub(super) const CALLER: u64 = 77;
+pub(super) const PROBE_CALLER_ID: u64 = 77;
 const CONNECT_TIMEOUT: Duration = ms(200);
 const RECONNECT_PAUSE: Duration = ms(30);
 const READ_TIMEOUT: Duration = ms(2_500);
 const UNANSWERED_AFTER: Duration = ms(2_400);
 const PATIENCE: Duration = ms(1_500);
 const CALL_PAUSE: Duration = ms(40);
-const LAST_ANSWERS: Duration = ms(300);
+const FINAL_ANSWERS_WAIT: Duration = ms(300);
 
 /// One call: when it was sent, to whom, and whether it was served.
 #[derive(Clone, Copy, Debug)]
@@ -38,14 +38,14 @@
 }
 
 /// The caller, in a thread for each node.
-pub(super) struct BarredCaller {
+pub(super) struct ProbeCaller {
     ledger: Arc<Mutex<CallLedger>>,
     stopped: Arc<AtomicBool>,
 }
 
-impl BarredCaller {
-    pub(super) fn start(fleet: &Fleet) -> BarredCaller {
-        let caller = BarredCaller { ledger: Arc::default(), stopped: Arc::default() };
+impl ProbeCaller {
+    pub(super) fn start(fleet: &Fleet) -> ProbeCaller {
+        let caller = ProbeCaller { ledger: Arc::default(), stopped: Arc::default() };
         for (node, member) in fleet.members.iter().enumerate() {
             let (at, start) = (member.node.at, fleet.start);
             let (ledger, stopped) = (caller.ledger.clone(), caller.stopped.clone());
@@ -57,7 +57,7 @@
     /// Calls no more; what was called.
     pub(super) fn stop(self) -> CallLedger {
         self.stopped.store(true, Ordering::Release);
-        std::thread::sleep(LAST_ANSWERS);
+        std::thread::sleep(FINAL_ANSWERS_WAIT);
         std::mem::take(&mut *lock(&self.ledger))
     }
 }
@@ -76,8 +76,13 @@
                 return;
             }
             let trace = unix_us() ^ (node as u64) << 56;
-            let header =
-                RpcHeader { method: PRICE.name, trace, caller: CALLER, patience: PATIENCE, tenant: None };
+            let header = RpcHeader {
+                method: PRICE.name,
+                trace,
+                caller: PROBE_CALLER_ID,
+                patience: PATIENCE,
+                tenant: None,
+            };
             let (at_ms, sent) = (start.elapsed().as_millis() as u64, Instant::now());
             if connection.write_all(&header.encode(stream, b"price 77")).is_err() {
                 break;
--- a/lab/src/fleet/agree/play.rs
+++ b/lab/src/fleet/agree/run.rs
@@ -1,15 +1,15 @@
 //! The scenario: faults, and a change of the caller's entry every few seconds.
 
-use super::caller::{BarredCaller, CALLER};
+use super::evaluation::{evaluate, Change, FinalNodeState, Recording, VersionId};
 use super::faults::draw;
-use super::judge::{judge, Change, NodeEnd, Recording, VersionId};
+use super::probe_caller::{ProbeCaller, PROBE_CALLER_ID};
 use super::timing::{CHANGES, CHANGE_EVERY_MS};
-use crate::fleet::cluster::{Fleet, Plan};
+use crate::fleet::cluster::{Fleet, FleetConfig};
 use crate::fleet::fault_injection::InjectedFaults;
 use crate::fleet::fault_script::ScheduledFault;
 use crate::fleet::members::setup::{member_setup, operator_file, request};
 use crate::fleet::options::FleetOptions;
-use crate::fleet::workload::COLD;
+use crate::fleet::workload::COLD_START;
 use crate::method::PRICE;
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
@@ -25,14 +25,14 @@
 const BEFORE_FIRST_CHANGE_MS: u64 = 200;
 const BEHIND_LAST_CHANGE: Duration = ms(1_500);
 const PROPOSERS: usize = 3; // nodes at which operators propose
-const SLOTS: usize = 10; // of the upstream, which is not called
+const UPSTREAM_SLOTS: usize = 10; // of the upstream, which is not called
 
 /// Plays it.
 pub fn scenario(report: &mut Report, options: &FleetOptions) -> Result<(), ScenarioError> {
     let nodes = options.nodes.max(LEAST_NODES);
     let plan = draw(nodes, options.seed);
     let mut fleet = start_fleet(nodes, options)?;
-    let caller = BarredCaller::start(&fleet);
+    let caller = ProbeCaller::start(&fleet);
     wait_for_leases(&fleet)?;
     let offset_ms = fleet.at_ms() + BEFORE_FIRST_CHANGE_MS;
     let mut injector =
@@ -49,10 +49,11 @@
     injector.inject_until(&mut fleet, offset_ms + CHANGES as u64 * CHANGE_EVERY_MS)?;
     std::thread::sleep(BEHIND_LAST_CHANGE);
     let ledger = caller.stop();
-    let ends = (0..nodes).map(|n| NodeEnd::read(&fleet, n)).collect();
-    let unanswered = injector.injected.count_unexcused(&ledger.unanswered);
-    let recording = Recording { name: plan.name, changes, without_majority, ends, ledger, unanswered };
-    judge(report, &mut fleet, &recording);
+    let final_states = (0..nodes).map(|n| FinalNodeState::read(&fleet, n)).collect();
+    let unanswered = injector.injected.count_unexplained(&ledger.unanswered);
+    let recording =
+        Recording { name: plan.name, changes, without_majority, final_states, ledger, unanswered };
+    evaluate(report, &mut fleet, &recording);
     if !report.broken().is_empty() {
         plan.faults.iter().for_each(|fault| eprintln!("{fault}"));
         recording.changes.iter().for_each(|change| eprintln!("{change:?}"));
@@ -67,8 +68,14 @@
         shared_upstream: None,
         ..member_setup(&[PRICE.without_work()], nodes)
     };
-    let (slots, call, network) = (SLOTS, ms(1), Some(options.seed));
-    Fleet::start(&Plan { nodes, setup, cold: COLD, slots, call, network })
+    Fleet::start(&FleetConfig {
+        nodes,
+        setup,
+        cold_start: COLD_START,
+        upstream_slots: UPSTREAM_SLOTS,
+        upstream_call_time: ms(1),
+        network_seed: Some(options.seed),
+    })
 }
 
 /// Until all act on what the voters say.
@@ -113,14 +120,14 @@
 }
 
 /// Admits or bars the caller, at a random node; none where no version came of it.
-fn change_entry(fleet: &Fleet, admitted: bool, rng: &mut StdRng) -> Option<Change> {
-    let standing = if admitted { "in" } else { "out" };
-    let row = json!([{"key": CALLER.to_string(), "standing": standing}]);
+fn change_entry(fleet: &Fleet, allowed: bool, rng: &mut StdRng) -> Option<Change> {
+    let standing = if allowed { "in" } else { "out" };
+    let row = json!([{"key": PROBE_CALLER_ID.to_string(), "standing": standing}]);
     let change = json!({"do": "list-change", "list": "callers", "entries": row});
     let by = rng.random_range(0..PROPOSERS);
     let proposed_ms = fleet.at_ms();
     let answer: Value = request(&fleet.members[by].node.dir, change)?;
     let number = answer["version"].as_u64().filter(|number| *number > 0)?;
     let version = VersionId { number, hash: answer["hash"].as_str()?.to_string() };
-    Some(Change { version, proposed_ms, settled_ms: fleet.at_ms(), admitted })
+    Some(Change { version, proposed_ms, committed_ms: fleet.at_ms(), allowed })
 }
--- a/lab/src/fleet/agree/timing.rs
+++ b/lab/src/fleet/agree/timing.rs
@@ -10,4 +10,4 @@
 /// Milliseconds after which a change is in force everywhere.
 pub(super) const IN_FORCE_MS: u64 = LEASE_MS + LEASE_MS / 20 + LEASE_MS / 5;
 /// Milliseconds between two calls of one node, and what an answer takes.
-pub(super) const CALL_MS: u64 = 150;
+pub(super) const CALL_INTERVAL_MS: u64 = 150;
--- a/lab/src/fleet/callers/attempts.rs
+++ b/lab/src/fleet/callers/attempts.rs
@@ -20,8 +20,8 @@
         };
         let body = format!("{} {} {rpc}", method.method, self.number).into_bytes();
         self.rpcs.insert(rpc, Rpc { method, first_sent: at, body, attempts: 0 });
-        self.account_tenth(at, |tenth| tenth.called += method.criticality);
-        self.account(|ledger| ledger.rpcs += 1);
+        self.record_bucket(at, |bucket| bucket.called += method.criticality);
+        self.record(|ledger| ledger.rpcs += 1);
         self.set_timer(at + method.patience, Timer::PatienceOver(rpc));
         self.attempt(rpc);
     }
@@ -29,7 +29,7 @@
     pub(super) fn finish_rpc(&mut self, rpc: u64, ok: bool) {
         let Some(rpc) = self.rpcs.remove(&rpc) else { return };
         if ok && rpc.first_sent.elapsed() <= rpc.method.target {
-            self.account_tenth(rpc.first_sent, |tenth| tenth.in_time += rpc.method.criticality);
+            self.record_bucket(rpc.first_sent, |bucket| bucket.in_time += rpc.method.criticality);
         }
     }
 
@@ -57,7 +57,7 @@
         if connection.to.write_all(&header.encode(stream, &rpc.body)).is_err() {
             connection.shut_down();
         }
-        self.account_tenth(now, |tenth| tenth.attempts += 1);
+        self.record_bucket(now, |bucket| bucket.attempts += 1);
         let timer = Timer::AnswerDeadline { node, connection: connection_id, stream };
         self.set_timer(now + patience + ANSWER_SLACK, timer);
     }
@@ -67,7 +67,7 @@
         let Some(connection) = self.connection(node, connection) else { return };
         if let Some(attempt) = connection.in_flight.remove(&stream) {
             let unanswered = UnansweredAttempt { node, sent: attempt.sent };
-            self.account(|ledger| ledger.unanswered.push(unanswered));
+            self.record(|ledger| ledger.unanswered.push(unanswered));
         }
     }
 
@@ -91,13 +91,13 @@
         let Some(attempt) = connection.in_flight.remove(&stream) else {
             // One that came after its time was over is no second one, unless it was answered before.
             let late = stream <= connection.last_stream && connection.answered <= connection.last_stream;
-            return self.account(|ledger| ledger.answered_twice += u64::from(!late));
+            return self.record(|ledger| ledger.answered_twice += u64::from(!late));
         };
         match answer.code {
             OK => {
                 let expected = self.rpcs.get(&attempt.rpc).map(|rpc| [b"did ", &rpc.body[..]].concat());
                 let wrong = expected.is_some_and(|expected| expected != answer.body);
-                self.account(|ledger| ledger.wrong_results += u64::from(wrong));
+                self.record(|ledger| ledger.wrong_results += u64::from(wrong));
                 self.finish_rpc(attempt.rpc, true);
             }
             REJECTED => self.handle_rejection(node, attempt.rpc, answer),
@@ -110,8 +110,8 @@
         if let Some(ms) = answer.field("pause").and_then(|value| value.parse().ok()) {
             self.paused_until.insert(node, now + Duration::from_millis(ms));
         }
-        self.account(|ledger| ledger.rejections.push(Rejection { node, at: now }));
-        let terminal = answer.field("terminal") == Some("1") && !self.ignoring;
+        self.record(|ledger| ledger.rejections.push(Rejection { node, at: now }));
+        let terminal = answer.field("terminal") == Some("1") && !self.ignores_hints;
         if terminal {
             self.finish_rpc(rpc, false);
         } else {
--- a/lab/src/fleet/callers/balancing.rs
+++ b/lab/src/fleet/callers/balancing.rs
@@ -18,10 +18,10 @@
 
     /// Whether a backend may be called, and has capacity here for one more attempt.
     fn may_call(&self, node: usize, now: Instant) -> bool {
-        let paused = !self.ignoring && self.paused_until.get(&node).is_some_and(|until| *until > now);
+        let paused = !self.ignores_hints && self.paused_until.get(&node).is_some_and(|until| *until > now);
         let unreachable = self.unreachable_until.get(&node).is_some_and(|until| *until > now);
         let has_capacity = self.connections.get(&node).is_none_or(|connection| {
-            let credit = connection.credit.filter(|_| !self.ignoring).unwrap_or(MAX_STREAMS as f64);
+            let credit = connection.credit.filter(|_| !self.ignores_hints).unwrap_or(MAX_STREAMS as f64);
             let in_flight = connection.in_flight.len();
             in_flight < MAX_STREAMS && (in_flight as f64) < credit.max(0.0).ceil()
         });
@@ -31,8 +31,9 @@
     /// A backend that the list names, with a connection that may carry one more RPC.
     pub(super) fn choose_backend(&mut self) -> Option<usize> {
         let now = Instant::now();
-        let listed = self.shared.naming.listed(self.list_delay());
-        let listed = listed.iter().filter_map(|name| self.shared.targets.by_name.get(name).copied());
+        let listed = self.shared.name_service.listed_backends(self.list_delay());
+        let listed =
+            listed.iter().filter_map(|name| self.shared.backend_addresses.by_name.get(name).copied());
         let able: Vec<(usize, SocketAddr)> = listed.filter(|(node, _)| self.may_call(*node, now)).collect();
         let choices = able.iter().copied().choose_multiple(&mut self.rng, CHOICES);
         let in_flight = |(node, _): &(usize, SocketAddr)| {
--- a/lab/src/fleet/callers/caller.rs
+++ b/lab/src/fleet/callers/caller.rs
@@ -1,9 +1,9 @@
 //! One caller: its timers, its connections and the loop that serves both.
 
 use super::connection::{Connection, ConnectionId, Event};
-use super::ledger::{CallerLedger, Tenth};
-use super::profile::{CallerProfile, Targets};
-use crate::fleet::naming::Naming;
+use super::ledger::{Bucket, CallerLedger};
+use super::profile::{BackendAddresses, CallerProfile};
+use crate::fleet::name_service::NameService;
 use crate::load::MethodLoad;
 use crate::sync::lock;
 use rand::rngs::StdRng;
@@ -27,20 +27,23 @@
     stopped: Arc<AtomicBool>,
     start: Instant,
     pub(super) profile: CallerProfile,
-    pub(super) targets: Targets,
-    pub(super) naming: Naming,
+    pub(super) backend_addresses: BackendAddresses,
+    pub(super) name_service: NameService,
 }
 
 impl Shared {
-    pub(super) fn new(start: Instant, profile: &CallerProfile, targets: &Targets, naming: &Naming) -> Shared {
+    pub(super) fn new(
+        start: Instant, profile: &CallerProfile, backend_addresses: &BackendAddresses,
+        name_service: &NameService,
+    ) -> Shared {
         Shared {
             ledger: Arc::default(),
             reconnect_at: Arc::default(),
             stopped: Arc::default(),
             start,
             profile: profile.clone(),
-            targets: targets.clone(),
-            naming: naming.clone(),
+            backend_addresses: backend_addresses.clone(),
+            name_service: name_service.clone(),
         }
     }
 
@@ -80,7 +83,7 @@
 pub(super) struct Caller {
     pub(super) number: usize,
     /// It ignores what backends advertise.
-    pub(super) ignoring: bool,
+    pub(super) ignores_hints: bool,
     pub(super) shared: Shared,
     pub(super) rng: StdRng,
     /// By the backend's number.
@@ -99,12 +102,12 @@
 }
 
 impl Caller {
-    pub(super) fn new(number: usize, ignoring: bool, shared: Shared) -> Caller {
+    pub(super) fn new(number: usize, ignores_hints: bool, shared: Shared) -> Caller {
         let (event_sender, events) = channel();
         let seed = shared.profile.seed * SEEDS_PER_LOAD + number as u64;
         Caller {
             number,
-            ignoring,
+            ignores_hints,
             shared,
             rng: StdRng::seed_from_u64(seed),
             connections: BTreeMap::new(),
@@ -120,12 +123,12 @@
         }
     }
 
-    pub(super) fn account(&self, change: impl FnOnce(&mut CallerLedger)) {
+    pub(super) fn record(&self, change: impl FnOnce(&mut CallerLedger)) {
         change(&mut lock(&self.shared.ledger));
     }
 
-    pub(super) fn account_tenth(&self, at: Instant, change: impl FnOnce(&mut Tenth)) {
-        self.account(|ledger| change(ledger.tenth(self.shared.start, at)));
+    pub(super) fn record_bucket(&self, at: Instant, change: impl FnOnce(&mut Bucket)) {
+        self.record(|ledger| change(ledger.bucket(self.shared.start, at)));
     }
 
     pub(super) fn set_timer(&mut self, at: Instant, timer: Timer) {
--- a/lab/src/fleet/callers/ledger.rs
+++ b/lab/src/fleet/callers/ledger.rs
@@ -1,14 +1,14 @@
 //! The callers' own account.
 
-use crate::fleet::upstream::slot;
+use crate::fleet::upstream::element_mut;
 use std::time::Instant;
 
 /// Milliseconds of one slot of the ledger.
-pub const TENTH_MS: u64 = 100;
+pub const BUCKET_MS: u64 = 100;
 
 /// What a tenth of a second saw, by the moment at which RPCs were first sent.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tenth {
+pub struct Bucket {
     /// Criticality that was called for.
     pub called: f64,
     /// Of that, what was answered ok within its latency target.
@@ -39,7 +39,7 @@
 #[derive(Default)]
 pub struct CallerLedger {
     /// By tenths of a second since the start.
-    pub tenths: Vec<Tenth>,
+    pub buckets: Vec<Bucket>,
     /// RPCs.
     pub rpcs: u64,
     /// Attempts without an answer.
@@ -54,14 +54,14 @@
 
 impl CallerLedger {
     /// The slot of a moment.
-    pub(super) fn tenth(&mut self, start: Instant, at: Instant) -> &mut Tenth {
-        let index = at.saturating_duration_since(start).as_millis() / u128::from(TENTH_MS);
-        slot(&mut self.tenths, index as usize)
+    pub(super) fn bucket(&mut self, start: Instant, at: Instant) -> &mut Bucket {
+        let index = at.saturating_duration_since(start).as_millis() / u128::from(BUCKET_MS);
+        element_mut(&mut self.buckets, index as usize)
     }
 }
 
 /// The part (0 to 1) of the criticality called for in these tenths that was answered in time.
-pub fn in_time(tenths: &[Tenth]) -> f64 {
-    let sum = |of: fn(&Tenth) -> f64| tenths.iter().map(of).sum::<f64>();
-    sum(|tenth| tenth.in_time) / sum(|tenth| tenth.called).max(1e-9)
+pub fn in_time_share(buckets: &[Bucket]) -> f64 {
+    let sum = |of: fn(&Bucket) -> f64| buckets.iter().map(of).sum::<f64>();
+    sum(|bucket| bucket.in_time) / sum(|bucket| bucket.called).max(1e-9)
 }
--- a/lab/src/fleet/callers/mod.rs
+++ b/lab/src/fleet/callers/mod.rs
@@ -9,6 +9,6 @@
 mod profile;
 mod spawn;
 
-pub use ledger::{in_time, CallerLedger, Rejection, Tenth, UnansweredAttempt, TENTH_MS};
-pub use profile::{CallerProfile, Targets};
+pub use ledger::{in_time_share, Bucket, CallerLedger, Rejection, UnansweredAttempt, BUCKET_MS};
+pub use profile::{BackendAddresses, CallerProfile};
 pub use spawn::Callers;
--- a/lab/src/fleet/callers/profile.rs
+++ b/lab/src/fleet/callers/profile.rs
@@ -17,14 +17,14 @@
     /// RPCs a second, of all.
     pub rate: f64,
     /// Of 1, the part of callers that ignores what backends advertise.
-    pub ignoring: f64,
+    pub ignoring_share: f64,
     /// Seed of all random draws.
     pub seed: u64,
 }
 
 /// Where backends are: by name, the number and the address.
 #[derive(Clone)]
-pub struct Targets {
+pub struct BackendAddresses {
     /// By the name in the name service.
     pub by_name: Arc<BTreeMap<String, (usize, SocketAddr)>>,
 }
--- a/lab/src/fleet/callers/spawn.rs
+++ b/lab/src/fleet/callers/spawn.rs
@@ -2,8 +2,8 @@
 
 use super::caller::{Caller, Shared};
 use super::ledger::CallerLedger;
-use super::profile::{CallerProfile, Targets};
-use crate::fleet::naming::Naming;
+use super::profile::{BackendAddresses, CallerProfile};
+use crate::fleet::name_service::NameService;
 use crate::sync::lock;
 use std::sync::MutexGuard;
 use std::thread;
@@ -17,11 +17,14 @@
 
 impl Callers {
     /// Starts them; `start` is when their account begins.
-    pub fn start(start: Instant, profile: &CallerProfile, targets: &Targets, naming: &Naming) -> Callers {
-        let callers = Callers { shared: Shared::new(start, profile, targets, naming) };
-        let ignoring = (profile.callers as f64 * profile.ignoring).round() as usize;
+    pub fn start(
+        start: Instant, profile: &CallerProfile, backend_addresses: &BackendAddresses,
+        name_service: &NameService,
+    ) -> Callers {
+        let callers = Callers { shared: Shared::new(start, profile, backend_addresses, name_service) };
+        let ignores_hints = (profile.callers as f64 * profile.ignoring_share).round() as usize;
         for number in 0..profile.callers {
-            let mut caller = Caller::new(number, number < ignoring, callers.shared.clone());
+            let mut caller = Caller::new(number, number < ignores_hints, callers.shared.clone());
             thread::spawn(move || caller.run());
         }
         callers
--- a/lab/src/fleet/cluster.rs
+++ b/lab/src/fleet/cluster.rs
@@ -1,9 +1,9 @@
 //! A fleet of processes with their agents, on loopback addresses of their own, and proxies between them and what they
 //! depend on.
 
-use super::callers::{CallerProfile, Callers, Targets};
+use super::callers::{BackendAddresses, CallerProfile, Callers};
 use super::datagram_network::DatagramNetwork;
-use super::naming::Naming;
+use super::name_service::NameService;
 use super::tcp_proxy::TcpProxy;
 use super::upstream::Upstream;
 use crate::agent::{Agent, ColdStart};
@@ -19,8 +19,8 @@
 const SIDECAR_PORT: u16 = 7_000;
 const GOSSIP_PORT: u16 = 7_946;
 const CONTACTS: usize = 3;
-const LISTED_WITHIN: Duration = Duration::from_secs(8);
-const LIST_DELAY: Duration = Duration::from_millis(2_100); // lists of all callers are later than this
+const LISTED_TIMEOUT: Duration = Duration::from_secs(8);
+const MAX_LIST_DELAY: Duration = Duration::from_millis(2_100); // lists of all callers are later than this
 
 /// One process with the agent of its machine, and proxies between it and what it depends on.
 pub struct Member {
@@ -33,9 +33,9 @@
     /// Between the process and the upstream.
     pub upstream_proxy: TcpProxy,
     /// Between the process and the name service.
-    pub naming_proxy: TcpProxy,
+    pub name_service_proxy: TcpProxy,
     /// When it was started last, or could last answer again.
-    pub since: Instant,
+    pub available_since: Instant,
     /// It was started and not stopped.
     pub up: bool,
 }
@@ -47,30 +47,30 @@
     /// The upstream that all share.
     pub upstream: Upstream,
     /// The name service.
-    pub naming: Naming,
+    pub name_service: NameService,
     /// When the fleet was started.
     pub start: Instant,
     /// Between the processes, where they gossip.
     pub network: Option<DatagramNetwork>,
     /// How cores are when a machine restarts.
-    pub cold: ColdStart,
+    pub cold_start: ColdStart,
 }
 
 /// What a fleet is made of.
 #[derive(Clone)]
-pub struct Plan {
+pub struct FleetConfig {
     /// Processes.
     pub nodes: usize,
     /// How each is set up.
     pub setup: Setup,
     /// How cores are when a machine restarts.
-    pub cold: ColdStart,
+    pub cold_start: ColdStart,
     /// Calls at a time that the upstream can do.
-    pub slots: usize,
+    pub upstream_slots: usize,
     /// How long each call takes.
-    pub call: Duration,
+    pub upstream_call_time: Duration,
     /// Seed of the network between processes that gossip; none if they do not.
-    pub network: Option<u64>,
+    pub network_seed: Option<u64>,
 }
 
 /// An address that no connection of the system's choosing ever takes.
@@ -88,49 +88,51 @@
 
 /// The words of the operator's file that differ from member to member.
 fn placeholders(n: usize, own: SocketAddr, network: &DatagramNetwork) -> Vec<(String, String)> {
-    let contacts = network.at.iter().take(CONTACTS).map(|at| format!("contact {at}\n"));
+    let contacts = network.addresses.iter().take(CONTACTS).map(|at| format!("contact {at}\n"));
     vec![
         ("{own}".into(), own.to_string()),
-        ("{relay}".into(), network.at[n].to_string()),
+        ("{relay}".into(), network.addresses[n].to_string()),
         ("{contacts}".into(), contacts.collect()),
     ]
 }
 
 impl Fleet {
     /// Starts all, and waits until each listens.
-    pub fn start(plan: &Plan) -> Result<Fleet, ScenarioError> {
+    pub fn start(config: &FleetConfig) -> Result<Fleet, ScenarioError> {
         let start = Instant::now();
-        let upstream = Upstream::start(start, plan.slots, plan.call)?;
-        let naming = Naming::start(start)?;
-        let own: Vec<SocketAddr> = (0..plan.nodes).map(gossip_address).collect();
-        let network = plan.network.map(|seed| DatagramNetwork::start(&own, seed)).transpose()?;
+        let upstream = Upstream::start(start, config.upstream_slots, config.upstream_call_time)?;
+        let name_service = NameService::start(start)?;
+        let own: Vec<SocketAddr> = (0..config.nodes).map(gossip_address).collect();
+        let network = config.network_seed.map(|seed| DatagramNetwork::start(&own, seed)).transpose()?;
         let mut members = Vec::new();
         for (n, own) in own.iter().enumerate() {
             let mut placement = placement(n);
             if let Some(network) = &network {
                 placement.placeholders = placeholders(n, *own, network);
             }
-            members.push(Member::start(plan, &placement, upstream.at, naming.at)?);
+            members.push(Member::start(config, &placement, upstream.address, name_service.address)?);
         }
         for member in &members {
             member.node.wait_until_listening()?;
         }
-        Ok(Fleet { members, upstream, naming, start, network, cold: plan.cold })
+        Ok(Fleet { members, upstream, name_service, start, network, cold_start: config.cold_start })
     }
 
     /// Where each process is reached.
-    pub fn targets(&self) -> Targets {
+    pub fn backend_addresses(&self) -> BackendAddresses {
         let target = |(n, m): (usize, &Member)| (format!("n{n}"), (n, m.node.at));
-        Targets { by_name: Arc::new(self.members.iter().enumerate().map(target).collect()) }
+        BackendAddresses { by_name: Arc::new(self.members.iter().enumerate().map(target).collect()) }
     }
 
     /// Waits until callers find all of them: lists are late.
     pub fn wait_until_listed(&self) {
-        let until = Instant::now() + LISTED_WITHIN;
-        while self.naming.listed(Duration::ZERO).len() < self.members.len() && Instant::now() < until {
+        let until = Instant::now() + LISTED_TIMEOUT;
+        while self.name_service.listed_backends(Duration::ZERO).len() < self.members.len()
+            && Instant::now() < until
+        {
             std::thread::sleep(Duration::from_millis(20));
         }
-        std::thread::sleep(LIST_DELAY);
+        std::thread::sleep(MAX_LIST_DELAY);
     }
 
     /// Runs beyond the first of bodies that begin so, over all agents.
@@ -147,7 +149,7 @@
 
     /// Starts callers of this fleet.
     pub fn start_callers(&self, profile: &CallerProfile) -> Callers {
-        Callers::start(self.start, profile, &self.targets(), &self.naming)
+        Callers::start(self.start, profile, &self.backend_addresses(), &self.name_service)
     }
 
     /// A member's state directory.
@@ -170,7 +172,7 @@
         // SIGKILL ends one that is stopped as well.
         self.members.iter_mut().for_each(|member| member.node.kill());
         self.upstream.stop();
-        self.naming.stop();
+        self.name_service.stop();
         let alive = |m: &&Member| std::path::Path::new(&format!("/proc/{}", m.node.process())).exists();
         self.members.iter().filter(alive).count()
     }
@@ -178,16 +180,19 @@
 
 impl Member {
     fn start(
-        plan: &Plan, placement: &Placement, upstream: SocketAddr, naming: SocketAddr,
+        config: &FleetConfig, placement: &Placement, upstream: SocketAddr, name_service: SocketAddr,
     ) -> Result<Member, ScenarioError> {
-        let agent = Agent::start(plan.setup.cores, &plan.setup.methods)?;
-        let [agent_proxy, upstream_proxy, naming_proxy] =
-            [TcpProxy::start(agent.at)?, TcpProxy::start(upstream)?, TcpProxy::start(naming)?];
-        let services =
-            Services { agent: agent_proxy.at, upstream: upstream_proxy.at, naming: naming_proxy.at };
-        let node = Node::spawn(&plan.setup, placement, &services, "none")?;
-        let since = Instant::now();
-        Ok(Member { node, agent, agent_proxy, upstream_proxy, naming_proxy, since, up: true })
+        let agent = Agent::start(config.setup.cores, &config.setup.methods)?;
+        let [agent_proxy, upstream_proxy, name_service_proxy] =
+            [TcpProxy::start(agent.at)?, TcpProxy::start(upstream)?, TcpProxy::start(name_service)?];
+        let services = Services {
+            agent: agent_proxy.address,
+            upstream: upstream_proxy.address,
+            naming: name_service_proxy.address,
+        };
+        let node = Node::spawn(&config.setup, placement, &services, "none")?;
+        let available_since = Instant::now();
+        Ok(Member { node, agent, agent_proxy, upstream_proxy, name_service_proxy, available_since, up: true })
     }
 }
 
--- a/lab/src/fleet/cold_start.rs
+++ b/lab/src/fleet/cold_start.rs
@@ -1,9 +1,9 @@
 //! `fleet-cold`: all servers start cold at once, among as many callers that send whatever they are allowed to.
 
 use super::cluster::Fleet;
-use super::single_call::look_up;
+use super::single_call::lookup_header;
 use super::small_fleet::{member_setup, start_fleet};
-use super::workload::{COLD, WARM_UP};
+use super::workload::{COLD_START, WARM_UP};
 use crate::method::{Method, LOOK};
 use crate::report::{Report, ScenarioError};
 use crate::sidecar::{Answer, ANSWER, MAX_STREAMS};
@@ -130,7 +130,7 @@
         self.last_stream += 1;
         self.in_flight.insert(self.last_stream, self.advice.is_some());
         let body = format!("look {caller} {}", self.last_stream);
-        let bytes = look_up(caller, rng).encode(self.last_stream, body.as_bytes());
+        let bytes = lookup_header(caller, rng).encode(self.last_stream, body.as_bytes());
         self.to.write_all(&bytes).is_ok()
     }
 
@@ -191,7 +191,7 @@
 fn restart_cold(fleet: &mut Fleet) -> Result<Instant, ScenarioError> {
     for member in &mut fleet.members {
         member.node.kill();
-        member.agent.restart_cold(COLD);
+        member.agent.restart_cold(COLD_START);
     }
     let start = Instant::now();
     for member in &mut fleet.members {
--- a/lab/src/fleet/datagram_network.rs
+++ b/lab/src/fleet/datagram_network.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NetworkConditions {
     /// Directions that carry nothing: from, to.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub blocked_links: BTreeSet<(usize, usize)>,
     /// Of 1, the part that gets lost.
     pub loss: f64,
     /// Of 1, the part that comes twice.
@@ -53,13 +53,13 @@
     conditions: NetworkConditions,
     rng: StdRng,
     in_transit: BinaryHeap<Reverse<InTransit>>,
-    carried: u64,
+    delivered: u64,
 }
 
 /// The relays of all members, which end when this is dropped.
 pub struct DatagramNetwork {
     /// Where each member is reached.
-    pub at: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
     stopped: Arc<AtomicBool>,
 }
@@ -75,16 +75,17 @@
             conditions: NetworkConditions::default(),
             rng: StdRng::seed_from_u64(seed),
             in_transit: BinaryHeap::new(),
-            carried: 0,
+            delivered: 0,
         };
-        let (mut at, mut sockets) = (Vec::new(), Vec::new());
+        let (mut addresses, mut sockets) = (Vec::new(), Vec::new());
         for _ in own {
             let socket = UdpSocket::bind("127.0.0.1:0")?;
             socket.set_read_timeout(Some(READ_TIMEOUT))?;
-            at.push(socket.local_addr()?);
+            addresses.push(socket.local_addr()?);
             sockets.push(socket);
         }
-        let network = DatagramNetwork { at, state: Arc::new(Mutex::new(state)), stopped: Arc::default() };
+        let network =
+            DatagramNetwork { addresses, state: Arc::new(Mutex::new(state)), stopped: Arc::default() };
         for (to, socket) in sockets.iter().enumerate() {
             let (socket, own) = (socket.try_clone()?, own.to_vec());
             let (state, stopped) = (network.state.clone(), network.stopped.clone());
@@ -100,8 +101,8 @@
         change(&mut lock(&self.state).conditions);
     }
     /// Datagrams that were delivered.
-    pub fn carried(&self) -> u64 {
-        lock(&self.state).carried
+    pub fn delivered(&self) -> u64 {
+        lock(&self.state).delivered
     }
 }
 
@@ -139,13 +140,13 @@
         while self.in_transit.peek().is_some_and(|Reverse(datagram)| datagram.at <= now) {
             due.extend(self.in_transit.pop().map(|Reverse(datagram)| datagram));
         }
-        self.carried += due.len() as u64;
+        self.delivered += due.len() as u64;
         due
     }
 
     fn accept(&mut self, from: Option<usize>, to: usize, bytes: &[u8]) {
-        let NetworkConditions { cut, loss, duplication, delay } = &self.conditions;
-        if from.is_some_and(|from| cut.contains(&(from, to))) || self.rng.random::<f64>() < *loss {
+        let NetworkConditions { blocked_links, loss, duplication, delay } = &self.conditions;
+        if from.is_some_and(|from| blocked_links.contains(&(from, to))) || self.rng.random::<f64>() < *loss {
             return;
         }
         for _ in 0..1 + usize::from(self.rng.random::<f64>() < *duplication) {
@@ -156,7 +157,7 @@
 }
 
 /// The directions that are cut if only members of a common group hear each other.
-pub fn cuts_between(groups: &[Vec<usize>], nodes: usize) -> BTreeSet<(usize, usize)> {
+pub fn links_between_groups(groups: &[Vec<usize>], nodes: usize) -> BTreeSet<(usize, usize)> {
     let together = |a: usize, b: usize| groups.iter().any(|group| group.contains(&a) && group.contains(&b));
     let pairs = (0..nodes).flat_map(|a| (0..nodes).map(move |b| (a, b)));
     pairs.filter(|(a, b)| a != b && !together(*a, *b)).collect()
--- a/lab/src/fleet/fault_injection.rs
+++ b/lab/src/fleet/fault_injection.rs
@@ -2,7 +2,7 @@
 
 use super::callers::UnansweredAttempt;
 use super::cluster::{Fleet, Member};
-use super::datagram_network::{cuts_between, NetworkConditions};
+use super::datagram_network::{links_between_groups, NetworkConditions};
 use super::fault_script::{FaultKind, ScheduledFault, StateFault};
 use crate::agent::ColdStart;
 use crate::report::ScenarioError;
@@ -12,11 +12,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const LONGEST_PATIENCE: Duration = Duration::from_millis(3_300); // of any caller
-const FLOOD: Duration = Duration::from_secs(1);
-const FLOOD_DATAGRAMS: u32 = 20_000; // at the most
-const FLOOD_PACE: Duration = Duration::from_micros(100);
-const EXITS_WITHIN: Duration = Duration::from_secs(6);
+const MAX_PATIENCE: Duration = Duration::from_millis(3_300); // of any caller
+const FLOOD_DURATION: Duration = Duration::from_secs(1);
+const MAX_FLOOD_DATAGRAMS: u32 = 20_000; // at the most
+const FLOOD_INTERVAL: Duration = Duration::from_micros(100);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// A time in which a member was stopped and could not answer.
 struct Pause {
@@ -36,14 +36,14 @@
 impl InjectedFaults {
     /// The attempts without an answer that count. A member that is stopped answers nothing; it is called all the same, and
     /// once it runs again its callers are gone.
-    pub fn count_unexcused(&self, unanswered: &[UnansweredAttempt]) -> usize {
+    pub fn count_unexplained(&self, unanswered: &[UnansweredAttempt]) -> usize {
         let now = Instant::now();
         let still_paused = self.paused.iter().map(|(node, from)| (*node, *from, now));
         let over = self.pauses.iter().map(|pause| (pause.node, pause.from, pause.to));
         let pauses: Vec<(usize, Instant, Instant)> = over.chain(still_paused).collect();
         let excused = |attempt: &UnansweredAttempt| {
             pauses.iter().any(|(node, from, to)| {
-                *node == attempt.node && *from <= attempt.sent + LONGEST_PATIENCE && attempt.sent <= *to
+                *node == attempt.node && *from <= attempt.sent + MAX_PATIENCE && attempt.sent <= *to
             })
         };
         unanswered.iter().filter(|attempt| !excused(attempt)).count()
@@ -56,16 +56,20 @@
         &mut self, fault: &ScheduledFault, injected: &mut InjectedFaults,
     ) -> Result<(), ScenarioError> {
         match &fault.kind {
-            FaultKind::UpstreamGone => self.members.iter().for_each(|m| m.upstream_proxy.refuse(true)),
-            FaultKind::UpstreamBack(speed) => {
+            FaultKind::UpstreamDown => self.members.iter().for_each(|m| m.upstream_proxy.set_refusing(true)),
+            FaultKind::UpstreamRestored(speed) => {
                 self.upstream.state().restart(*speed);
-                self.members.iter().for_each(|m| m.upstream_proxy.refuse(false));
+                self.members.iter().for_each(|m| m.upstream_proxy.set_refusing(false));
             }
-            FaultKind::NamingGone => self.members.iter().for_each(|m| m.naming_proxy.refuse(true)),
-            FaultKind::NamingBack => self.members.iter().for_each(|m| m.naming_proxy.refuse(false)),
-            FaultKind::GossipSplit(_)
-            | FaultKind::GossipDeaf
-            | FaultKind::GossipMute
+            FaultKind::NameServiceDown => {
+                self.members.iter().for_each(|m| m.name_service_proxy.set_refusing(true))
+            }
+            FaultKind::NameServiceRestored => {
+                self.members.iter().for_each(|m| m.name_service_proxy.set_refusing(false))
+            }
+            FaultKind::GossipPartition(_)
+            | FaultKind::GossipInboundBlocked
+            | FaultKind::GossipOutboundBlocked
             | FaultKind::GossipLoss(_)
             | FaultKind::GossipDelay(_)
             | FaultKind::GossipDuplication(_)
@@ -89,21 +93,21 @@
     fn inject_member(
         &mut self, n: usize, kind: &FaultKind, injected: &mut InjectedFaults,
     ) -> Result<(), ScenarioError> {
-        let cold = self.cold;
+        let cold_start = self.cold_start;
         let member = &mut self.members[n];
         match kind {
             FaultKind::Kill => {
                 member.node.kill();
-                member.agent.restart_cold(cold);
+                member.agent.restart_cold(cold_start);
                 member.up = false;
             }
             FaultKind::Crash => {
                 member.node.kill();
                 member.agent.backend_restarted();
                 member.node.restart()?;
-                member.since = Instant::now();
+                member.available_since = Instant::now();
             }
-            FaultKind::Start if !member.up => member.start_again(cold)?,
+            FaultKind::Start if !member.up => member.restart_machine(cold_start)?,
             FaultKind::Pause => {
                 member.node.signal("STOP");
                 injected.paused.insert(n, Instant::now());
@@ -112,9 +116,9 @@
                 member.node.signal("CONT");
                 let from = injected.paused.remove(&n);
                 injected.pauses.extend(from.map(|from| Pause { node: n, from, to: Instant::now() }));
-                member.since = Instant::now();
+                member.available_since = Instant::now();
             }
-            FaultKind::Term => {
+            FaultKind::Terminate => {
                 member.node.signal("TERM");
                 member.up = false;
             }
@@ -129,9 +133,15 @@
         let Some(network) = &self.network else { return Err("these processes do not gossip".into()) };
         let members = self.members.len();
         network.change_conditions(|conditions| match &fault.kind {
-            FaultKind::GossipSplit(groups) => conditions.cut = cuts_between(groups, members),
-            FaultKind::GossipDeaf => conditions.cut.extend(cuts_towards(&fault.nodes, members)),
-            FaultKind::GossipMute => conditions.cut.extend(cuts_from(&fault.nodes, members)),
+            FaultKind::GossipPartition(groups) => {
+                conditions.blocked_links = links_between_groups(groups, members)
+            }
+            FaultKind::GossipInboundBlocked => {
+                conditions.blocked_links.extend(links_to(&fault.nodes, members))
+            }
+            FaultKind::GossipOutboundBlocked => {
+                conditions.blocked_links.extend(links_from(&fault.nodes, members))
+            }
             FaultKind::GossipLoss(n) => conditions.loss = *n as f64 / 100.0,
             FaultKind::GossipDelay(ms) => conditions.delay = Duration::from_millis(*ms),
             FaultKind::GossipDuplication(n) => conditions.duplication = *n as f64 / 100.0,
@@ -139,7 +149,7 @@
             _ => {}
         });
         if fault.kind == FaultKind::GossipFlood {
-            let to = fault.nodes.iter().filter_map(|n| network.at.get(*n).copied());
+            let to = fault.nodes.iter().filter_map(|n| network.addresses.get(*n).copied());
             let to: Vec<SocketAddr> = to.collect();
             std::thread::spawn(move || flood(&to));
         }
@@ -153,20 +163,20 @@
         let text = std::fs::read_to_string(&snapshot).unwrap_or_default();
         match fault {
             StateFault::Lost => std::fs::remove_dir_all(&dir).unwrap_or_default(),
-            StateFault::Torn => std::fs::write(&snapshot, &text[..text.len() / 2])?,
-            StateFault::Old => {
+            StateFault::Truncated => std::fs::write(&snapshot, &text[..text.len() / 2])?,
+            StateFault::Outdated => {
                 let old = edit_snapshot(&text, "moment ", |_| "moment 1 1 0000000000000001".into());
                 std::fs::write(&snapshot, old)?;
             }
-            StateFault::Other => {
+            StateFault::OtherDeployment => {
                 std::fs::write(&snapshot, edit_snapshot(&text, "method ", costlier_method))?;
             }
-            StateFault::ReadOnly => {
+            StateFault::Unwritable => {
                 // Root writes whatever the mode says; a file in the directory's place stops anybody.
                 std::fs::remove_dir_all(&dir).unwrap_or_default();
                 std::fs::write(&dir, "no directory")?;
             }
-            StateFault::Full => fill_disk(&dir)?,
+            StateFault::DiskFull => fill_disk(&dir)?,
             StateFault::Swap(with) => {
                 let other = self.state_dir(*with).join("learned");
                 let other_text = std::fs::read_to_string(&other).unwrap_or_default();
@@ -180,49 +190,49 @@
 
 impl Member {
     /// The machine starts, and was up for as long as it takes to start the process.
-    fn start_again(&mut self, cold: ColdStart) -> Result<(), ScenarioError> {
+    fn restart_machine(&mut self, cold_start: ColdStart) -> Result<(), ScenarioError> {
         if let Ok(None) = self.node.child.try_wait() {
-            self.node.wait_for_exit(EXITS_WITHIN);
+            self.node.wait_for_exit(EXIT_TIMEOUT);
             self.node.kill();
         }
-        self.agent.restart_cold(cold);
+        self.agent.restart_cold(cold_start);
         self.node.restart()?;
-        (self.since, self.up) = (Instant::now(), true);
+        (self.available_since, self.up) = (Instant::now(), true);
         Ok(())
     }
 
     /// Faults of the link to the agent.
     fn inject_agent_link(&mut self, kind: &FaultKind) {
         match kind {
-            FaultKind::AgentHang => self.agent_proxy.hang(true),
-            FaultKind::AgentPass => {
-                self.agent_proxy.hang(false);
+            FaultKind::AgentLinkStalled => self.agent_proxy.set_stalled(true),
+            FaultKind::AgentLinkRestored => {
+                self.agent_proxy.set_stalled(false);
                 // What it decided meanwhile had reasons of its own.
-                self.since = Instant::now();
+                self.available_since = Instant::now();
             }
-            FaultKind::AgentDeaf => self.agent_proxy.hang_direction(true, true),
-            FaultKind::AgentMute => self.agent_proxy.hang_direction(false, true),
-            FaultKind::AgentDelay(ms) => self.agent_proxy.delay(Duration::from_millis(*ms)),
+            FaultKind::AgentInboundStalled => self.agent_proxy.set_direction_stalled(true, true),
+            FaultKind::AgentOutboundStalled => self.agent_proxy.set_direction_stalled(false, true),
+            FaultKind::AgentLinkDelay(ms) => self.agent_proxy.set_delay(Duration::from_millis(*ms)),
             _ => {}
         }
     }
 }
 
 /// All directions that end at these members.
-pub(super) fn cuts_towards(nodes: &[usize], members: usize) -> Vec<(usize, usize)> {
+pub(super) fn links_to(nodes: &[usize], members: usize) -> Vec<(usize, usize)> {
     nodes.iter().flat_map(|n| (0..members).map(move |from| (from, *n))).collect()
 }
 
 /// All directions that begin at these members.
-pub(super) fn cuts_from(nodes: &[usize], members: usize) -> Vec<(usize, usize)> {
+pub(super) fn links_from(nodes: &[usize], members: usize) -> Vec<(usize, usize)> {
     nodes.iter().flat_map(|n| (0..members).map(move |to| (*n, to))).collect()
 }
 
 /// Sends garbage for a second, from an address of its own and bounded in number.
 fn flood(to: &[SocketAddr]) {
     let Ok(socket) = UdpSocket::bind("127.0.0.1:0") else { return };
-    let until = Instant::now() + FLOOD;
-    for n in 0..FLOOD_DATAGRAMS {
+    let until = Instant::now() + FLOOD_DURATION;
+    for n in 0..MAX_FLOOD_DATAGRAMS {
         if Instant::now() > until {
             return;
         }
@@ -231,7 +241,7 @@
         for at in to {
             socket.send_to(&bytes[n as usize % 3], at).map(drop).unwrap_or_default();
         }
-        std::thread::sleep(FLOOD_PACE);
+        std::thread::sleep(FLOOD_INTERVAL);
     }
 }
 
--- a/lab/src/fleet/fault_script.rs
+++ b/lab/src/fleet/fault_script.rs
@@ -39,35 +39,35 @@
     /// SIGCONT.
     Resume,
     /// SIGTERM.
-    Term,
+    Terminate,
     /// Something happens to a state directory.
     State(StateFault),
     /// The upstream is away.
-    UpstreamGone,
+    UpstreamDown,
     /// The upstream is back, empty and at a part of its speed.
-    UpstreamBack(f64),
+    UpstreamRestored(f64),
     /// The link to the agent carries nothing.
-    AgentHang,
+    AgentLinkStalled,
     /// It carries everything again.
-    AgentPass,
+    AgentLinkRestored,
     /// It carries nothing to the agent.
-    AgentDeaf,
+    AgentInboundStalled,
     /// It carries nothing from the agent.
-    AgentMute,
+    AgentOutboundStalled,
     /// It is late by so many milliseconds, each way.
-    AgentDelay(u64),
+    AgentLinkDelay(u64),
     /// The name service is away.
-    NamingGone,
+    NameServiceDown,
     /// The name service is back.
-    NamingBack,
+    NameServiceRestored,
     /// All callers break off their connections.
-    Reconnect,
+    CallersReconnect,
     /// Members of a common group hear each other, others do not.
-    GossipSplit(Vec<Vec<usize>>),
+    GossipPartition(Vec<Vec<usize>>),
     /// Members take no datagrams.
-    GossipDeaf,
+    GossipInboundBlocked,
     /// Members send no datagrams.
-    GossipMute,
+    GossipOutboundBlocked,
     /// Of 100 datagrams so many are lost.
     GossipLoss(u64),
     /// Datagrams are late by so many milliseconds at the most.
@@ -86,15 +86,15 @@
     /// It is removed.
     Lost,
     /// Its snapshot is cut in half.
-    Torn,
+    Truncated,
     /// As if written a week ago.
-    Old,
+    Outdated,
     /// Of another deployment.
-    Other,
+    OtherDeployment,
     /// Nothing can be written there.
-    ReadOnly,
+    Unwritable,
     /// Whatever is written there finds a full disk.
-    Full,
+    DiskFull,
     /// It has the snapshot of another member, which has its own.
     Swap(usize),
 }
@@ -120,30 +120,30 @@
             FaultKind::Start => write!(f, "{at} start {nodes}"),
             FaultKind::Pause => write!(f, "{at} pause {nodes}"),
             FaultKind::Resume => write!(f, "{at} resume {nodes}"),
-            FaultKind::Term => write!(f, "{at} term {nodes}"),
+            FaultKind::Terminate => write!(f, "{at} term {nodes}"),
             FaultKind::State(StateFault::Lost) => write!(f, "{at} state {nodes} lost"),
-            FaultKind::State(StateFault::Torn) => write!(f, "{at} state {nodes} torn"),
-            FaultKind::State(StateFault::Old) => write!(f, "{at} state {nodes} old"),
-            FaultKind::State(StateFault::Other) => write!(f, "{at} state {nodes} other"),
-            FaultKind::State(StateFault::ReadOnly) => write!(f, "{at} state {nodes} readonly"),
-            FaultKind::State(StateFault::Full) => write!(f, "{at} state {nodes} full"),
+            FaultKind::State(StateFault::Truncated) => write!(f, "{at} state {nodes} torn"),
+            FaultKind::State(StateFault::Outdated) => write!(f, "{at} state {nodes} old"),
+            FaultKind::State(StateFault::OtherDeployment) => write!(f, "{at} state {nodes} other"),
+            FaultKind::State(StateFault::Unwritable) => write!(f, "{at} state {nodes} readonly"),
+            FaultKind::State(StateFault::DiskFull) => write!(f, "{at} state {nodes} full"),
             FaultKind::State(StateFault::Swap(with)) => write!(f, "{at} state {nodes} swap n{with}"),
-            FaultKind::UpstreamGone => write!(f, "{at} below gone"),
-            FaultKind::UpstreamBack(speed) => write!(f, "{at} below back {speed}"),
-            FaultKind::AgentHang => write!(f, "{at} agent {nodes} hang"),
-            FaultKind::AgentPass => write!(f, "{at} agent {nodes} pass"),
-            FaultKind::AgentDeaf => write!(f, "{at} agent {nodes} deaf"),
-            FaultKind::AgentMute => write!(f, "{at} agent {nodes} mute"),
-            FaultKind::AgentDelay(ms) => write!(f, "{at} agent {nodes} delay {ms}"),
-            FaultKind::NamingGone => write!(f, "{at} naming gone"),
-            FaultKind::NamingBack => write!(f, "{at} naming back"),
-            FaultKind::Reconnect => write!(f, "{at} callers reconnect"),
-            FaultKind::GossipSplit(groups) => {
+            FaultKind::UpstreamDown => write!(f, "{at} below gone"),
+            FaultKind::UpstreamRestored(speed) => write!(f, "{at} below back {speed}"),
+            FaultKind::AgentLinkStalled => write!(f, "{at} agent {nodes} hang"),
+            FaultKind::AgentLinkRestored => write!(f, "{at} agent {nodes} pass"),
+            FaultKind::AgentInboundStalled => write!(f, "{at} agent {nodes} deaf"),
+            FaultKind::AgentOutboundStalled => write!(f, "{at} agent {nodes} mute"),
+            FaultKind::AgentLinkDelay(ms) => write!(f, "{at} agent {nodes} delay {ms}"),
+            FaultKind::NameServiceDown => write!(f, "{at} naming gone"),
+            FaultKind::NameServiceRestored => write!(f, "{at} naming back"),
+            FaultKind::CallersReconnect => write!(f, "{at} callers reconnect"),
+            FaultKind::GossipPartition(groups) => {
                 let group = |g: &Vec<usize>| g.iter().map(|n| format!("n{n}")).collect::<Vec<_>>().join(",");
                 write!(f, "{at} net split {}", groups.iter().map(group).collect::<Vec<_>>().join("|"))
             }
-            FaultKind::GossipDeaf => write!(f, "{at} net deaf {nodes}"),
-            FaultKind::GossipMute => write!(f, "{at} net mute {nodes}"),
+            FaultKind::GossipInboundBlocked => write!(f, "{at} net deaf {nodes}"),
+            FaultKind::GossipOutboundBlocked => write!(f, "{at} net mute {nodes}"),
             FaultKind::GossipLoss(n) => write!(f, "{at} net lossy {n}"),
             FaultKind::GossipDelay(ms) => write!(f, "{at} net late {ms}"),
             FaultKind::GossipDuplication(n) => write!(f, "{at} net double {n}"),
@@ -193,31 +193,31 @@
         ["start", list] => (FaultKind::Start, members(list)?),
         ["pause", list] => (FaultKind::Pause, members(list)?),
         ["resume", list] => (FaultKind::Resume, members(list)?),
-        ["term", list] => (FaultKind::Term, members(list)?),
+        ["term", list] => (FaultKind::Terminate, members(list)?),
         ["state", list, "lost"] => (FaultKind::State(StateFault::Lost), members(list)?),
-        ["state", list, "torn"] => (FaultKind::State(StateFault::Torn), members(list)?),
-        ["state", list, "old"] => (FaultKind::State(StateFault::Old), members(list)?),
-        ["state", list, "other"] => (FaultKind::State(StateFault::Other), members(list)?),
-        ["state", list, "readonly"] => (FaultKind::State(StateFault::ReadOnly), members(list)?),
-        ["state", list, "full"] => (FaultKind::State(StateFault::Full), members(list)?),
+        ["state", list, "torn"] => (FaultKind::State(StateFault::Truncated), members(list)?),
+        ["state", list, "old"] => (FaultKind::State(StateFault::Outdated), members(list)?),
+        ["state", list, "other"] => (FaultKind::State(StateFault::OtherDeployment), members(list)?),
+        ["state", list, "readonly"] => (FaultKind::State(StateFault::Unwritable), members(list)?),
+        ["state", list, "full"] => (FaultKind::State(StateFault::DiskFull), members(list)?),
         ["state", list, "swap", with] => (FaultKind::State(StateFault::Swap(member(with)?)), members(list)?),
-        ["below", "gone"] => (FaultKind::UpstreamGone, vec![]),
+        ["below", "gone"] => (FaultKind::UpstreamDown, vec![]),
         ["below", "back", speed] => {
-            (FaultKind::UpstreamBack(speed.parse().ok().filter(|s| *s > 0.0 && *s <= 4.0)?), vec![])
+            (FaultKind::UpstreamRestored(speed.parse().ok().filter(|s| *s > 0.0 && *s <= 4.0)?), vec![])
         }
-        ["agent", list, "hang"] => (FaultKind::AgentHang, members(list)?),
-        ["agent", list, "pass"] => (FaultKind::AgentPass, members(list)?),
-        ["agent", list, "deaf"] => (FaultKind::AgentDeaf, members(list)?),
-        ["agent", list, "mute"] => (FaultKind::AgentMute, members(list)?),
-        ["agent", list, "delay", ms] => (FaultKind::AgentDelay(ms.parse().ok()?), members(list)?),
-        ["naming", "gone"] => (FaultKind::NamingGone, vec![]),
-        ["naming", "back"] => (FaultKind::NamingBack, vec![]),
-        ["callers", "reconnect"] => (FaultKind::Reconnect, vec![]),
+        ["agent", list, "hang"] => (FaultKind::AgentLinkStalled, members(list)?),
+        ["agent", list, "pass"] => (FaultKind::AgentLinkRestored, members(list)?),
+        ["agent", list, "deaf"] => (FaultKind::AgentInboundStalled, members(list)?),
+        ["agent", list, "mute"] => (FaultKind::AgentOutboundStalled, members(list)?),
+        ["agent", list, "delay", ms] => (FaultKind::AgentLinkDelay(ms.parse().ok()?), members(list)?),
+        ["naming", "gone"] => (FaultKind::NameServiceDown, vec![]),
+        ["naming", "back"] => (FaultKind::NameServiceRestored, vec![]),
+        ["callers", "reconnect"] => (FaultKind::CallersReconnect, vec![]),
         ["net", "split", groups] => {
-            (FaultKind::GossipSplit(groups.split('|').map(members).collect::<Option<_>>()?), vec![])
+            (FaultKind::GossipPartition(groups.split('|').map(members).collect::<Option<_>>()?), vec![])
         }
-        ["net", "deaf", list] => (FaultKind::GossipDeaf, members(list)?),
-        ["net", "mute", list] => (FaultKind::GossipMute, members(list)?),
+        ["net", "deaf", list] => (FaultKind::GossipInboundBlocked, members(list)?),
+        ["net", "mute", list] => (FaultKind::GossipOutboundBlocked, members(list)?),
         ["net", "lossy", n] => (FaultKind::GossipLoss(n.parse().ok().filter(|n| *n <= 100)?), vec![]),
         ["net", "late", ms] => (FaultKind::GossipDelay(ms.parse().ok().filter(|ms| *ms <= 60_000)?), vec![]),
         ["net", "double", n] => (FaultKind::GossipDuplication(n.parse().ok().filter(|n| *n <= 100)?), vec![]),
--- a/lab/src/fleet/idle_flood.rs
+++ b/lab/src/fleet/idle_flood.rs
@@ -25,7 +25,7 @@
 const AGENT_RESET_AT: u64 = 8; // calls
 const UPSTREAM_RESET_AT: u64 = 16;
 const NEVER: Duration = Duration::from_secs(30); // no report comes any more
-const EXITS_WITHIN: Duration = Duration::from_secs(4);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Idle clients that come again and again.
 struct IdleClients {
@@ -98,9 +98,9 @@
     report.rule("nothing was served before", call_once(member.node.at, 1, &mut rng) == Some(OK));
     // Away, or there without a word.
     if seed.is_multiple_of(2) {
-        member.naming_proxy.refuse(true);
+        member.name_service_proxy.set_refusing(true);
     } else {
-        member.naming_proxy.hang(true);
+        member.name_service_proxy.set_stalled(true);
     }
     let clients = IdleClients::start(member.node.at);
     thread::sleep(ms(500));
@@ -109,7 +109,7 @@
     let made = clients.stop();
     let member = &mut fleet.members[0];
     member.node.signal("TERM");
-    let code = member.node.wait_for_exit(EXITS_WITHIN);
+    let code = member.node.wait_for_exit(EXIT_TIMEOUT);
     let log = member.node.read_log();
     report_service(report, &service);
     for name in ["closed_crowded", "bad_sidecar", "connections", "reports_lost", "agent_up"] {
@@ -135,8 +135,8 @@
     while begin.elapsed() < FLOODED_FOR {
         let turn = Instant::now();
         match service.calls {
-            AGENT_RESET_AT => member.agent_proxy.reset(),
-            UPSTREAM_RESET_AT => member.upstream_proxy.reset(),
+            AGENT_RESET_AT => member.agent_proxy.reset_connections(),
+            UPSTREAM_RESET_AT => member.upstream_proxy.reset_connections(),
             _ => {}
         }
         let code = call_once(at, 2 + service.calls % 3, rng);
@@ -153,10 +153,10 @@
 
 /// The name service comes back; how long until the process has reported.
 fn wait_for_report(fleet: &Fleet) -> Duration {
-    fleet.members[0].naming_proxy.refuse(false);
-    fleet.members[0].naming_proxy.hang(false);
+    fleet.members[0].name_service_proxy.set_refusing(false);
+    fleet.members[0].name_service_proxy.set_stalled(false);
     let back = Instant::now();
-    while fleet.naming.reported("n0").is_none_or(|at| at < back) && back.elapsed() < NEVER {
+    while fleet.name_service.last_serving_report("n0").is_none_or(|at| at < back) && back.elapsed() < NEVER {
         thread::sleep(ms(10));
     }
     back.elapsed()
--- a/lab/src/fleet/members/cpu.rs
+++ b/lab/src/fleet/members/cpu.rs
@@ -2,8 +2,8 @@
 //! five.
 
 use super::setup::{member_setup, operator_file, FILE_WITHOUT_MEMBERS};
-use crate::fleet::cluster::{Fleet, Plan};
-use crate::fleet::workload::COLD;
+use crate::fleet::cluster::{Fleet, FleetConfig};
+use crate::fleet::workload::COLD_START;
 use crate::load::{run_load, sum, RateSpan};
 use crate::method::{FRAMED, LOOK, PRICE};
 use crate::report::{Report, ScenarioError};
@@ -16,13 +16,20 @@
 const ROUNDS: u64 = 5;
 const WARM_UP: Duration = ms(500);
 const ALL_KNOWN: Duration = ms(6_000); // until all know each other
-const SLOTS: usize = 1_000;
+const UPSTREAM_SLOTS: usize = 1_000;
 
 /// A fleet whose runs cost nothing, with this operator's file, on a network with this seed.
 pub fn start_idle_fleet(nodes: usize, file: String, seed: u64) -> Result<Fleet, ScenarioError> {
     let methods = [PRICE, LOOK].map(|method| method.without_work());
     let setup = Setup { operator_file: Some(file), shared_upstream: None, ..member_setup(&methods, nodes) };
-    Fleet::start(&Plan { nodes, setup, cold: COLD, slots: SLOTS, call: ms(0), network: Some(seed) })
+    Fleet::start(&FleetConfig {
+        nodes,
+        setup,
+        cold_start: COLD_START,
+        upstream_slots: UPSTREAM_SLOTS,
+        upstream_call_time: ms(0),
+        network_seed: Some(seed),
+    })
 }
 
 type Figure = fn(&Round) -> f64;
--- a/lab/src/fleet/members/faults.rs
+++ b/lab/src/fleet/members/faults.rs
@@ -19,7 +19,7 @@
 }
 
 fn split(groups: &[&[usize]]) -> FaultKind {
-    FaultKind::GossipSplit(groups.iter().map(|group| group.to_vec()).collect())
+    FaultKind::GossipPartition(groups.iter().map(|group| group.to_vec()).collect())
 }
 
 /// When faults begin and end, in ms of load.
@@ -59,8 +59,8 @@
             let (a, b) = (nodes / 3, 2 * nodes / 3);
             ("three parts", span.network(vec![split(&[&all[..a], &all[a..b], &all[b..]])]))
         }
-        3 => ("one hears nobody", span.members(FaultKind::GossipDeaf, one, FaultKind::GossipHeal)),
-        4 => ("nobody hears one", span.members(FaultKind::GossipMute, one, FaultKind::GossipHeal)),
+        3 => ("one hears nobody", span.members(FaultKind::GossipInboundBlocked, one, FaultKind::GossipHeal)),
+        4 => ("nobody hears one", span.members(FaultKind::GossipOutboundBlocked, one, FaultKind::GossipHeal)),
         5 => ("a bridge", span.network(vec![split(&[&all[..=nodes / 2], &all[nodes / 2..]])])),
         6 => ("loss of 5", span.network(vec![FaultKind::GossipLoss(5)])),
         7 => {
@@ -83,7 +83,10 @@
             let short = Span { to: span.from + 1_500, ..span };
             ("a flood", short.members(FaultKind::GossipFlood, some, FaultKind::GossipHeal))
         }
-        14 => ("one that does no work", span.members(FaultKind::AgentHang, one, FaultKind::AgentPass)),
+        14 => (
+            "one that does no work",
+            span.members(FaultKind::AgentLinkStalled, one, FaultKind::AgentLinkRestored),
+        ),
         _ => ("cut, pause and death", cut_pause_and_death(&all, few, &span)),
     };
     FaultPlan { name, faults }
@@ -93,7 +96,7 @@
     let restart = |(i, n): (usize, &usize)| {
         let at = from + i as u64 * rng.random_range(900..1_100);
         [
-            ScheduledFault::new(at, FaultKind::Term, &[*n]),
+            ScheduledFault::new(at, FaultKind::Terminate, &[*n]),
             ScheduledFault::new(at + 700, FaultKind::Start, &[*n]),
         ]
     };
--- a/lab/src/fleet/members/mod.rs
+++ b/lab/src/fleet/members/mod.rs
@@ -2,12 +2,12 @@
 //! for its view; what it took of the shared upstream is in the upstream's own account.
 
 mod cpu;
+mod evaluation;
 mod faults;
-mod judge;
 mod observation;
-mod play;
 mod reachability;
+mod run;
 pub mod setup;
 
 pub use cpu::{cpu, start_idle_fleet};
-pub use play::scenario;
+pub use run::scenario;
--- a/lab/src/fleet/members/observation.rs
+++ b/lab/src/fleet/members/observation.rs
@@ -13,7 +13,7 @@
 const ANSWER_TIMEOUT: Duration = ms(400);
 
 /// The times that the operators' page promises for so many members, in ms.
-pub(super) struct Promises {
+pub(super) struct DocumentedBounds {
     /// Until all that are there have found a loss.
     pub(super) detection_ms: u64,
     /// Until a part that was lost may be taken.
@@ -22,11 +22,11 @@
     pub(super) healing_ms: u64,
 }
 
-impl Promises {
-    pub(super) fn new(nodes: usize) -> Promises {
+impl DocumentedBounds {
+    pub(super) fn new(nodes: usize) -> DocumentedBounds {
         let notice = PROBE_MS * (2 * nodes as u64 + 2) + SUSPICION_MS;
         let greet = GREET_MS * 5 / 4;
-        Promises {
+        DocumentedBounds {
             detection_ms: notice,
             transition_ms: notice + notice / 10 + PROBE_MS,
             healing_ms: notice + 4 * greet + SETTLE_MS,
@@ -43,7 +43,7 @@
     /// Members that it says have failed.
     pub(super) failed: BTreeSet<usize>,
     /// Its part of what is shared, of its even one.
-    pub(super) part: f64,
+    pub(super) share: f64,
 }
 
 impl Observation {
@@ -58,7 +58,7 @@
             node,
             view: answer["view"]["name"].as_str()?.into(),
             failed: failed.filter_map(number).collect(),
-            part: answer["part"].as_f64()?,
+            share: answer["part"].as_f64()?,
         })
     }
 }
@@ -80,15 +80,15 @@
     pub(super) offset_ms: u64,
     /// When the last fault comes, in ms of load.
     pub(super) last_fault_ms: u64,
-    pub(super) promises: Promises,
+    pub(super) bounds: DocumentedBounds,
 }
 
 impl Recording {
     /// What has been true, without a change, for so long before a moment.
-    pub(super) fn settled(&self, at_ms: u64, span_ms: u64) -> Option<&Reachability> {
+    pub(super) fn stable_state(&self, at_ms: u64, span_ms: u64) -> Option<&Reachability> {
         let epoch = self.epochs.iter().rev().find(|epoch| epoch.since_ms <= at_ms)?;
-        let settled = epoch.since_ms == 0 || epoch.since_ms + span_ms <= at_ms;
-        settled.then_some(&epoch.reachability)
+        let stable_state = epoch.since_ms == 0 || epoch.since_ms + span_ms <= at_ms;
+        stable_state.then_some(&epoch.reachability)
     }
 
     /// What is true at the end.
--- a/lab/src/fleet/members/reachability.rs
+++ b/lab/src/fleet/members/reachability.rs
@@ -1,7 +1,7 @@
 //! Who can hear whom, as far as the injected faults say.
 
-use crate::fleet::datagram_network::cuts_between;
-use crate::fleet::fault_injection::{cuts_from, cuts_towards};
+use crate::fleet::datagram_network::links_between_groups;
+use crate::fleet::fault_injection::{links_from, links_to};
 use crate::fleet::fault_script::{FaultKind, ScheduledFault};
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
     up: Vec<bool>,
     running: Vec<bool>,
     /// Directions that carry nothing: from, to.
-    pub(super) cut: BTreeSet<(usize, usize)>,
+    pub(super) blocked_links: BTreeSet<(usize, usize)>,
     /// The network is such that a view may be any of those that lead.
     pub(super) lossy: bool,
 }
@@ -19,7 +19,12 @@
 impl Reachability {
     /// All hear each other.
     pub(super) fn complete(nodes: usize) -> Reachability {
-        Reachability { up: vec![true; nodes], running: vec![true; nodes], cut: BTreeSet::new(), lossy: false }
+        Reachability {
+            up: vec![true; nodes],
+            running: vec![true; nodes],
+            blocked_links: BTreeSet::new(),
+            lossy: false,
+        }
     }
 
     /// How many members there are.
@@ -32,27 +37,30 @@
         let members = self.up.len();
         let nodes = &fault.nodes;
         match &fault.kind {
-            FaultKind::Kill | FaultKind::Term => nodes.iter().for_each(|n| self.up[*n] = false),
+            FaultKind::Kill | FaultKind::Terminate => nodes.iter().for_each(|n| self.up[*n] = false),
             FaultKind::Start => nodes.iter().for_each(|n| self.up[*n] = true),
             FaultKind::Pause => nodes.iter().for_each(|n| self.running[*n] = false),
             FaultKind::Resume => nodes.iter().for_each(|n| self.running[*n] = true),
-            FaultKind::GossipSplit(groups) => self.cut = cuts_between(groups, members),
-            FaultKind::GossipDeaf => self.cut.extend(cuts_towards(nodes, members)),
-            FaultKind::GossipMute => self.cut.extend(cuts_from(nodes, members)),
+            FaultKind::GossipPartition(groups) => self.blocked_links = links_between_groups(groups, members),
+            FaultKind::GossipInboundBlocked => self.blocked_links.extend(links_to(nodes, members)),
+            FaultKind::GossipOutboundBlocked => self.blocked_links.extend(links_from(nodes, members)),
             FaultKind::GossipLoss(_) | FaultKind::GossipDelay(_) => self.lossy = true,
-            FaultKind::GossipHeal => (self.cut, self.lossy) = (BTreeSet::new(), false),
+            FaultKind::GossipHeal => (self.blocked_links, self.lossy) = (BTreeSet::new(), false),
             _ => {}
         }
     }
 
     /// Whether a member can answer.
-    pub(super) fn is_on(&self, n: usize) -> bool {
+    pub(super) fn is_responsive(&self, n: usize) -> bool {
         self.up[n] && self.running[n]
     }
 
     /// Whether two members hear each other.
     pub(super) fn connected(&self, a: usize, b: usize) -> bool {
-        self.is_on(a) && self.is_on(b) && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a))
+        self.is_responsive(a)
+            && self.is_responsive(b)
+            && !self.blocked_links.contains(&(a, b))
+            && !self.blocked_links.contains(&(b, a))
     }
 
     /// Members that one is in touch with, both ways, directly or over others, itself among them.
--- a/lab/src/fleet/members/play.rs
+++ b/lab/src/fleet/members/run.rs
@@ -1,15 +1,15 @@
 //! The scenario: load, faults, and all members asked for their views all the time.
 
+use super::evaluation::evaluate;
 use super::faults::{draw, FaultPlan, FIRST_FAULT_MS};
-use super::judge::judge;
-use super::observation::{Epoch, Observation, Promises, Recording};
+use super::observation::{DocumentedBounds, Epoch, Observation, Recording};
 use super::reachability::Reachability;
-use super::setup::{member_setup, CALL, CALLS_EACH};
-use crate::fleet::cluster::{Fleet, Plan};
+use super::setup::{member_setup, UPSTREAM_CALLS_PER_NODE, UPSTREAM_CALL_TIME};
+use crate::fleet::cluster::{Fleet, FleetConfig};
 use crate::fleet::fault_injection::InjectedFaults;
 use crate::fleet::fault_script;
 use crate::fleet::options::FleetOptions;
-use crate::fleet::workload::{caller_profile, mean_work, methods, COLD, WEIGHTS};
+use crate::fleet::workload::{caller_profile, mean_work, methods, COLD_START, METHOD_WEIGHTS};
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use crate::time::ms;
@@ -19,23 +19,23 @@
 const LOAD: f64 = 0.45; // of the cores; calls are then more than what there is to share
 const RESERVE: f64 = 4.0; // what is over the whole is served all the same, and seen
 const BEHIND_PROMISES_MS: u64 = 1_000;
-const LAST_ANSWERS: Duration = ms(3_400);
+const FINAL_ANSWERS_WAIT: Duration = ms(3_400);
 const FEW: usize = 12; // members that are asked more often
 
 /// Plays it.
 pub fn scenario(report: &mut Report, options: &FleetOptions) -> Result<(), ScenarioError> {
     let nodes = options.nodes;
-    let promises = Promises::new(nodes);
+    let bounds = DocumentedBounds::new(nodes);
     let plan = match &options.script {
         Some(path) => {
             let faults = fault_script::parse(&std::fs::read_to_string(path)?, nodes)?;
             FaultPlan { name: "script", faults }
         }
-        None => draw(nodes, options.seed, promises.transition_ms),
+        None => draw(nodes, options.seed, bounds.transition_ms),
     };
     let mut fleet = start_fleet(options)?;
     let methods = methods();
-    let rate = nodes as f64 * CORES / mean_work(&methods, &WEIGHTS).as_secs_f64() * LOAD;
+    let rate = nodes as f64 * CORES / mean_work(&methods, &METHOD_WEIGHTS).as_secs_f64() * LOAD;
     let offset_ms = fleet.at_ms();
     let callers = fleet.start_callers(&caller_profile(rate, options.seed));
     let last_fault_ms = plan.faults.last().map_or(FIRST_FAULT_MS, |fault| fault.at_ms);
@@ -46,20 +46,27 @@
         injected: InjectedFaults::default(),
         offset_ms,
         last_fault_ms,
-        promises,
+        bounds,
     };
     record(&mut fleet, &mut recording)?;
-    callers.stop(LAST_ANSWERS);
-    judge(report, &mut fleet, &callers, &recording);
+    callers.stop(FINAL_ANSWERS_WAIT);
+    evaluate(report, &mut fleet, &callers, &recording);
     Ok(())
 }
 
 fn start_fleet(options: &FleetOptions) -> Result<Fleet, ScenarioError> {
     let nodes = options.nodes;
     let setup = Setup { program: options.other.clone(), ..member_setup(&methods(), nodes) };
-    let slots = (CALLS_EACH * nodes as f64 * RESERVE) as usize;
-    let plan = Plan { nodes, setup, cold: COLD, slots, call: CALL, network: Some(options.seed) };
-    let fleet = Fleet::start(&plan)?;
+    let upstream_slots = (UPSTREAM_CALLS_PER_NODE * nodes as f64 * RESERVE) as usize;
+    let config = FleetConfig {
+        nodes,
+        setup,
+        cold_start: COLD_START,
+        upstream_slots,
+        upstream_call_time: UPSTREAM_CALL_TIME,
+        network_seed: Some(options.seed),
+    };
+    let fleet = Fleet::start(&config)?;
     fleet.wait_until_listed();
     Ok(fleet)
 }
@@ -67,7 +74,7 @@
 /// Injects the faults, and asks all members that can answer for their views, until what is promised has to have come.
 fn record(fleet: &mut Fleet, recording: &mut Recording) -> Result<(), ScenarioError> {
     let nodes = fleet.members.len();
-    let promised_ms = recording.promises.healing_ms + recording.promises.transition_ms;
+    let promised_ms = recording.bounds.healing_ms + recording.bounds.transition_ms;
     let end_ms = recording.offset_ms + recording.last_fault_ms + promised_ms + BEHIND_PROMISES_MS;
     let pace = ms(if nodes <= FEW { 100 } else { 400 });
     let mut next = 0;
@@ -83,7 +90,7 @@
             recording.epochs.push(Epoch { since_ms: fleet.at_ms(), reachability: now.clone() });
             next += 1;
         }
-        let able = (0..nodes).filter(|n| now.is_on(*n));
+        let able = (0..nodes).filter(|n| now.is_responsive(*n));
         recording.observations.extend(able.filter_map(|n| Observation::read(fleet, n)));
         std::thread::sleep(pace.saturating_sub(turn.elapsed()));
     }
--- a/lab/src/fleet/members/setup.rs
+++ b/lab/src/fleet/members/setup.rs
@@ -23,9 +23,9 @@
     "[changes]\ncontrol {dir}/control\nstate {dir}/state\n[members]\ncluster lab\nlisten {own}\n\
     advertise {relay}\nkey-file {password}\n{contacts}probe 150ms\nsuspicion 900ms\ngreet 500ms\nsettle 1s\n";
 /// Calls to the upstream at a time, of each process.
-pub const CALLS_EACH: f64 = 2.5;
+pub const UPSTREAM_CALLS_PER_NODE: f64 = 2.5;
 /// How long each call takes.
-pub const CALL: Duration = ms(150);
+pub const UPSTREAM_CALL_TIME: Duration = ms(150);
 const CORES: usize = 2;
 const ANSWER_TIMEOUT: Duration = ms(6_000);
 
@@ -43,7 +43,11 @@
         operator_file: Some(operator_file(nodes)),
         warm_up: WARM_UP,
         skip_value: 0.5,
-        shared_upstream: Some(UpstreamPart { calls: CALLS_EACH, replicas: nodes, linger: CALL }),
+        shared_upstream: Some(UpstreamPart {
+            calls: UPSTREAM_CALLS_PER_NODE,
+            replicas: nodes,
+            linger: UPSTREAM_CALL_TIME,
+        }),
         ..Setup::new(methods, CORES)
     }
 }
--- a/lab/src/fleet/members/tests/reachability.rs
+++ b/lab/src/fleet/members/tests/reachability.rs
@@ -4,16 +4,16 @@
 
 #[test]
 fn views_follow_from_who_hears_whom() {
-    let mut truth = Reachability::complete(5);
-    assert!((0..5).all(|n| truth.expected_view(n) == "whole"));
+    let mut reachability = Reachability::complete(5);
+    assert!((0..5).all(|n| reachability.expected_view(n) == "whole"));
     let split = |groups: &[&[usize]]| {
         let groups = groups.iter().map(|group| group.to_vec()).collect();
-        ScheduledFault::new(0, FaultKind::GossipSplit(groups), &[])
+        ScheduledFault::new(0, FaultKind::GossipPartition(groups), &[])
     };
-    truth.apply(&split(&[&[0, 1], &[2, 3], &[4]]));
-    assert_eq!([0, 2, 4].map(|n| truth.expected_view(n)), ["minority", "minority", "alone"]);
-    truth.apply(&split(&[&[0, 1, 2], &[2, 3, 4]]));
-    assert!((0..5).all(|n| truth.expected_view(n) == "whole"), "a bridge keeps them together");
-    truth.apply(&ScheduledFault::new(0, FaultKind::Pause, &[2]));
-    assert_eq!(truth.expected_view(0), "minority");
+    reachability.apply(&split(&[&[0, 1], &[2, 3], &[4]]));
+    assert_eq!([0, 2, 4].map(|n| reachability.expected_view(n)), ["minority", "minority", "alone"]);
+    reachability.apply(&split(&[&[0, 1, 2], &[2, 3, 4]]));
+    assert!((0..5).all(|n| reachability.expected_view(n) == "whole"), "a bridge keeps them together");
+    reachability.apply(&ScheduledFault::new(0, FaultKind::Pause, &[2]));
+    assert_eq!(reachability.expected_view(0), "minority");
 }
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -9,7 +9,7 @@
 mod fault_script;
 mod idle_flood;
 pub mod members;
-mod naming;
+mod name_service;
 mod options;
 mod plot;
 mod ready;
--- a/lab/src/fleet/naming.rs
+++ b/lab/src/fleet/name_service.rs
@@ -1,6 +1,6 @@
 //! A name service: backends report, callers see lists that are late.
 
-use super::upstream::slot;
+use super::upstream::element_mut;
 use crate::stand_ins::{HttpRequest, NO_CONTENT};
 use crate::sync::lock;
 use std::collections::{BTreeMap, VecDeque};
@@ -14,14 +14,14 @@
 const EXPIRES_AFTER: Duration = Duration::from_secs(3); // an entry without a load report is taken off the list
 const LIST_EVERY: Duration = Duration::from_millis(100);
 const HISTORY: usize = 100; // lists
-const TENTH_MS: u128 = 100;
+const BUCKET_MS: u128 = 100;
 const REPORT_PATH: &str = "PUT /ns/hosts/";
 
 /// The name service.
 #[derive(Clone)]
-pub struct Naming {
+pub struct NameService {
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     shared: Arc<Mutex<Lists>>,
     stopped: Arc<AtomicBool>,
 }
@@ -62,24 +62,25 @@
 
     fn take_report(&mut self, name: String, serving: bool, start: Instant) {
         self.last_reports.insert(name, Report { at: Instant::now(), serving });
-        let tenth = (start.elapsed().as_millis() / TENTH_MS) as usize;
-        *slot(&mut self.reports, tenth) += 1;
+        let bucket = (start.elapsed().as_millis() / BUCKET_MS) as usize;
+        *element_mut(&mut self.reports, bucket) += 1;
     }
 }
 
-impl Naming {
+impl NameService {
     /// Listens on a port that the system chooses; `start` is when its account begins.
-    pub fn start(start: Instant) -> std::io::Result<Naming> {
+    pub fn start(start: Instant) -> std::io::Result<NameService> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let naming = Naming { at: listener.local_addr()?, shared: Arc::default(), stopped: Arc::default() };
-        let (acceptor, lister) = (naming.clone(), naming.clone());
+        let name_service =
+            NameService { address: listener.local_addr()?, shared: Arc::default(), stopped: Arc::default() };
+        let (acceptor, lister) = (name_service.clone(), name_service.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 if acceptor.stopped.load(Ordering::Acquire) {
                     return;
                 }
-                let naming = acceptor.clone();
-                thread::spawn(move || naming.serve(stream, start));
+                let name_service = acceptor.clone();
+                thread::spawn(move || name_service.serve(stream, start));
             }
         });
         thread::spawn(move || {
@@ -88,17 +89,17 @@
                 thread::sleep(LIST_EVERY);
             }
         });
-        Ok(naming)
+        Ok(name_service)
     }
 
     /// Ends its threads.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
-        drop(TcpStream::connect(self.at)); // so that the acceptor looks
+        drop(TcpStream::connect(self.address)); // so that the acceptor looks
     }
 
     /// Who was listed so long ago.
-    pub fn listed(&self, ago: Duration) -> Vec<String> {
+    pub fn listed_backends(&self, ago: Duration) -> Vec<String> {
         let (then, lists) = (Instant::now() - ago, lock(&self.shared));
         let listing = lists.history.iter().rev().find(|listing| listing.at <= then);
         let listing = listing.or_else(|| lists.history.front());
@@ -106,13 +107,13 @@
     }
 
     /// When the last report of this backend came, if it takes work.
-    pub fn reported(&self, name: &str) -> Option<Instant> {
+    pub fn last_serving_report(&self, name: &str) -> Option<Instant> {
         let lists = lock(&self.shared);
         lists.last_reports.get(name).filter(|report| report.serving).map(|report| report.at)
     }
 
     /// The most reports that came in one tenth of a second from then on, in tenths since the start.
-    pub fn most_reports(&self, from: usize) -> u32 {
+    pub fn peak_reports(&self, from: usize) -> u32 {
         lock(&self.shared).reports.iter().skip(from).copied().max().unwrap_or(0)
     }
 
--- a/lab/src/fleet/options.rs
+++ b/lab/src/fleet/options.rs
@@ -5,7 +5,7 @@
 
 /// What happens to the fleet in `fleet-return`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Kind {
+pub enum OutageKind {
     /// All are killed within a moment and start again
     All,
     /// Seven in ten are, while the rest carry on; for odd seeds again while they are still warming
@@ -18,19 +18,20 @@
     #[value(name = "below-lost")]
     UpstreamLost,
     /// Some stand still for ten seconds, or start anew beside an agent that goes on, or lose a way of their link to it
-    Odd,
+    #[value(name = "odd")]
+    PartialFailure,
 }
 
-impl Kind {
+impl OutageKind {
     /// What it is called in reports.
     pub fn label(self) -> &'static str {
         match self {
-            Kind::All => "all",
-            Kind::Most => "most",
-            Kind::Rolling => "rolling",
-            Kind::StateLost => "statelost",
-            Kind::UpstreamLost => "belowlost",
-            Kind::Odd => "odd",
+            OutageKind::All => "all",
+            OutageKind::Most => "most",
+            OutageKind::Rolling => "rolling",
+            OutageKind::StateLost => "statelost",
+            OutageKind::UpstreamLost => "belowlost",
+            OutageKind::PartialFailure => "odd",
         }
     }
 }
@@ -41,7 +42,7 @@
     /// Seed of all random draws.
     pub seed: u64,
     /// What happens, instead of what the seed draws.
-    pub kind: Option<Kind>,
+    pub kind: Option<OutageKind>,
     /// Processes.
     pub nodes: usize,
     /// Faults written by hand, instead of what the seed draws.
--- a/lab/src/fleet/ready.rs
+++ b/lab/src/fleet/ready.rs
@@ -3,10 +3,10 @@
 
 use super::cluster::{Fleet, Member};
 use super::fault_script::StateFault;
-use super::naming::Naming;
+use super::name_service::NameService;
 use super::single_call::is_healthy_by;
 use super::small_fleet::{member_setup, start_fleet};
-use super::workload::{methods, COLD};
+use super::workload::{methods, COLD_START};
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use crate::time::ms;
@@ -33,11 +33,11 @@
     report.rule("a process had persisted nothing before the restart", persisted == nodes);
     for member in &mut fleet.members {
         member.node.kill();
-        member.agent.restart_cold(COLD);
+        member.agent.restart_cold(COLD_START);
     }
     for n in 0..nodes {
         damage_state(&fleet, n)?;
-        fleet.members[n].agent_proxy.hang(has_late_agent(n));
+        fleet.members[n].agent_proxy.set_stalled(has_late_agent(n));
     }
     let ready_after = restart_all(&mut fleet)?;
     report_ready(report, &ready_after);
@@ -57,7 +57,7 @@
             let text = std::fs::read(&snapshot)?;
             std::fs::write(&snapshot, &text[..text.len() / 2])?;
         }
-        3 => fleet.damage_state(n, &StateFault::Full)?,
+        3 => fleet.damage_state(n, &StateFault::DiskFull)?,
         _ => {}
     }
     Ok(())
@@ -70,20 +70,22 @@
         member.node.restart()?;
     }
     let wait = |(n, member): (usize, &Member)| {
-        let (at, naming) = (member.node.at, fleet.naming.clone());
-        thread::spawn(move || wait_until_ready(n, at, &naming, start))
+        let (at, name_service) = (member.node.at, fleet.name_service.clone());
+        thread::spawn(move || wait_until_ready(n, at, &name_service, start))
     };
     let waits: Vec<_> = fleet.members.iter().enumerate().map(wait).collect();
     thread::sleep(AGENT_DELAY.saturating_sub(start.elapsed()));
-    fleet.members.iter().for_each(|member| member.agent_proxy.hang(false));
+    fleet.members.iter().for_each(|member| member.agent_proxy.set_stalled(false));
     Ok(waits.into_iter().map(|wait| wait.join().unwrap_or(None)).collect())
 }
 
 /// A process is ready once it is healthy and has reported that it takes work.
-fn wait_until_ready(n: usize, at: SocketAddr, naming: &Naming, start: Instant) -> Option<Duration> {
+fn wait_until_ready(
+    n: usize, at: SocketAddr, name_service: &NameService, start: Instant,
+) -> Option<Duration> {
     let healthy = is_healthy_by(at, start + NEVER);
     while healthy && Instant::now() < start + NEVER {
-        if naming.reported(&format!("n{n}")).is_some_and(|reported| reported > start) {
+        if name_service.last_serving_report(&format!("n{n}")).is_some_and(|reported| reported > start) {
             return Some(start.elapsed());
         }
         thread::sleep(ms(5));
--- a/lab/src/fleet/restart_recovery/faults.rs
+++ b/lab/src/fleet/restart_recovery/faults.rs
@@ -1,43 +1,49 @@
 //! The faults of a kind, drawn from the seed.
 
 use crate::fleet::fault_script::{FaultKind, ScheduledFault, StateFault};
-use crate::fleet::options::Kind;
+use crate::fleet::options::OutageKind;
 use crate::fleet::workload::WARM_UP;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 
 /// The kinds, in the order in which seeds draw them.
-pub(super) const KINDS: [Kind; 6] =
-    [Kind::All, Kind::Most, Kind::Rolling, Kind::StateLost, Kind::UpstreamLost, Kind::Odd];
+pub(super) const KINDS: [OutageKind; 6] = [
+    OutageKind::All,
+    OutageKind::Most,
+    OutageKind::Rolling,
+    OutageKind::StateLost,
+    OutageKind::UpstreamLost,
+    OutageKind::PartialFailure,
+];
 /// Milliseconds of load at which the first fault comes.
 pub(super) const FIRST_FAULT_MS: u64 = 12_000;
 const ROLLING_DOWN_MS: u64 = 700; // that each process is down
 const SEED_MASK: u64 = 0x5eed;
 
 /// The part of all cores that is called for.
-pub(super) fn load(kind: Kind, seed: u64) -> f64 {
+pub(super) fn load(kind: OutageKind, seed: u64) -> f64 {
     match kind {
-        Kind::All | Kind::StateLost => 0.8,
-        Kind::Most if seed.is_multiple_of(2) => 0.6,
-        Kind::Most => 0.9,
-        Kind::Rolling | Kind::Odd => 0.6,
-        Kind::UpstreamLost => 0.7,
+        OutageKind::All | OutageKind::StateLost => 0.8,
+        OutageKind::Most if seed.is_multiple_of(2) => 0.6,
+        OutageKind::Most => 0.9,
+        OutageKind::Rolling | OutageKind::PartialFailure => 0.6,
+        OutageKind::UpstreamLost => 0.7,
     }
 }
 
 /// The faults, in their order.
-pub(super) fn draw(kind: Kind, nodes: usize, seed: u64) -> Vec<ScheduledFault> {
+pub(super) fn draw(kind: OutageKind, nodes: usize, seed: u64) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed ^ SEED_MASK);
     let all: Vec<usize> = (0..nodes).collect();
     let down_ms = rng.random_range(300..700);
     let mut faults = match kind {
-        Kind::All => restart_all(&all, down_ms, seed),
-        Kind::Most => restart_most(all, down_ms, seed, &mut rng),
-        Kind::Rolling => restart_in_turns(&all),
-        Kind::StateLost => lose_state(&all, down_ms, seed),
-        Kind::UpstreamLost => lose_upstream(&mut rng),
-        Kind::Odd => odd(all, seed, &mut rng),
+        OutageKind::All => restart_all(&all, down_ms, seed),
+        OutageKind::Most => restart_most(all, down_ms, seed, &mut rng),
+        OutageKind::Rolling => restart_in_turns(&all),
+        OutageKind::StateLost => lose_state(&all, down_ms, seed),
+        OutageKind::UpstreamLost => lose_upstream(&mut rng),
+        OutageKind::PartialFailure => odd(all, seed, &mut rng),
     };
     faults.sort_by_key(|fault| fault.at_ms);
     faults
@@ -50,7 +56,7 @@
         ScheduledFault::new(back, FaultKind::Start, all),
     ];
     if seed.is_multiple_of(3) {
-        faults.push(ScheduledFault::new(back + 50, FaultKind::Reconnect, &[]));
+        faults.push(ScheduledFault::new(back + 50, FaultKind::CallersReconnect, &[]));
     }
     faults
 }
@@ -76,7 +82,7 @@
     let restart = |(i, n): (usize, &usize)| {
         let at = FIRST_FAULT_MS + i as u64 * WARM_UP.as_millis() as u64 / 4;
         [
-            ScheduledFault::new(at, FaultKind::Term, &[*n]),
+            ScheduledFault::new(at, FaultKind::Terminate, &[*n]),
             ScheduledFault::new(at + ROLLING_DOWN_MS, FaultKind::Start, &[*n]),
         ]
     };
@@ -84,8 +90,13 @@
 }
 
 fn lose_state(all: &[usize], down_ms: u64, seed: u64) -> Vec<ScheduledFault> {
-    let damages =
-        [StateFault::Lost, StateFault::Torn, StateFault::Old, StateFault::Other, StateFault::ReadOnly];
+    let damages = [
+        StateFault::Lost,
+        StateFault::Truncated,
+        StateFault::Outdated,
+        StateFault::OtherDeployment,
+        StateFault::Unwritable,
+    ];
     let damage = &damages[seed as usize / KINDS.len() % damages.len()];
     let (half, rest) = all.split_at(all.len() / 2);
     let mut faults = vec![
@@ -103,10 +114,10 @@
 fn lose_upstream(rng: &mut StdRng) -> Vec<ScheduledFault> {
     let back = FIRST_FAULT_MS + rng.random_range(5_000..7_000);
     vec![
-        ScheduledFault::new(FIRST_FAULT_MS, FaultKind::UpstreamGone, &[]),
-        ScheduledFault::new(back, FaultKind::UpstreamBack(0.33), &[]),
+        ScheduledFault::new(FIRST_FAULT_MS, FaultKind::UpstreamDown, &[]),
+        ScheduledFault::new(back, FaultKind::UpstreamRestored(0.33), &[]),
         // It warms up: full speed again after a while.
-        ScheduledFault::new(back + 3_000, FaultKind::UpstreamBack(1.0), &[]),
+        ScheduledFault::new(back + 3_000, FaultKind::UpstreamRestored(1.0), &[]),
     ]
 }
 
@@ -118,15 +129,15 @@
     let (first, last, span_ms) = match seed / KINDS.len() as u64 % 6 {
         0 => (FaultKind::Pause, FaultKind::Resume, 10_000),
         1 => (FaultKind::Crash, FaultKind::Crash, 1_500),
-        2 => (FaultKind::AgentDeaf, FaultKind::AgentPass, 2_500),
-        3 => (FaultKind::AgentMute, FaultKind::AgentPass, 2_500),
-        4 => (FaultKind::AgentHang, FaultKind::AgentPass, 2_500),
-        _ => (FaultKind::NamingGone, FaultKind::NamingBack, 5_000),
+        2 => (FaultKind::AgentInboundStalled, FaultKind::AgentLinkRestored, 2_500),
+        3 => (FaultKind::AgentOutboundStalled, FaultKind::AgentLinkRestored, 2_500),
+        4 => (FaultKind::AgentLinkStalled, FaultKind::AgentLinkRestored, 2_500),
+        _ => (FaultKind::NameServiceDown, FaultKind::NameServiceRestored, 5_000),
     };
     let mut faults = Vec::new();
-    if first == FaultKind::NamingGone {
-        faults.push(ScheduledFault::new(FIRST_FAULT_MS, FaultKind::AgentDelay(20), &some));
-        faults.push(ScheduledFault::new(FIRST_FAULT_MS + span_ms, FaultKind::AgentDelay(0), &some));
+    if first == FaultKind::NameServiceDown {
+        faults.push(ScheduledFault::new(FIRST_FAULT_MS, FaultKind::AgentLinkDelay(20), &some));
+        faults.push(ScheduledFault::new(FIRST_FAULT_MS + span_ms, FaultKind::AgentLinkDelay(0), &some));
         some.clear();
     }
     faults.push(ScheduledFault::new(FIRST_FAULT_MS, first, &some));
--- a/lab/src/fleet/restart_recovery/findings.rs
+++ b/lab/src/fleet/restart_recovery/measurements.rs
@@ -1,17 +1,17 @@
 //! What one run has found.
 
 use super::faults::FIRST_FAULT_MS;
-use crate::fleet::callers::{in_time, CallerLedger, Tenth, TENTH_MS};
+use crate::fleet::callers::{in_time_share, Bucket, CallerLedger, BUCKET_MS};
 use crate::fleet::fault_script::ScheduledFault;
 use serde_json::{json, Value};
 
-const TENTHS: usize = 10; // of a second
-const CURVE_FROM: usize = (FIRST_FAULT_MS / TENTH_MS) as usize - 2 * TENTHS; // two seconds before the first fault
+const BUCKETS_PER_SECOND: usize = 10; // of a second
+const CURVE_FROM: usize = (FIRST_FAULT_MS / BUCKET_MS) as usize - 2 * BUCKETS_PER_SECOND; // two seconds before the first fault
 
 /// What one run has found.
-pub(super) struct Findings {
+pub(super) struct Measurements {
     /// From the begin of the load on.
-    pub(super) tenths: Vec<Tenth>,
+    pub(super) buckets: Vec<Bucket>,
     /// Service before the fault, and once it is full again.
     pub(super) before: f64,
     pub(super) after: f64,
@@ -40,11 +40,14 @@
     pub(super) none_panicked: bool,
 }
 
-impl Findings {
+impl Measurements {
     /// The part in time of each second of load, from two seconds before the first fault.
     fn curve(&self) -> Vec<f64> {
-        let tenths = self.tenths.get(CURVE_FROM..).unwrap_or(&[]);
-        tenths.chunks(TENTHS).map(|second| (in_time(second) * 1_000.0).round() / 1_000.0).collect()
+        let buckets = self.buckets.get(CURVE_FROM..).unwrap_or(&[]);
+        buckets
+            .chunks(BUCKETS_PER_SECOND)
+            .map(|second| (in_time_share(second) * 1_000.0).round() / 1_000.0)
+            .collect()
     }
 
     /// What is reported of this build as of another.
--- a/lab/src/fleet/restart_recovery/mod.rs
+++ b/lab/src/fleet/restart_recovery/mod.rs
@@ -2,8 +2,8 @@
 //! is full again, and who was called too much meanwhile.
 
 mod faults;
-mod findings;
-mod play;
+mod measurements;
+mod run;
 mod scenario;
 mod service;
 
--- a/lab/src/fleet/restart_recovery/scenario.rs
+++ b/lab/src/fleet/restart_recovery/scenario.rs
@@ -1,11 +1,11 @@
 //! The scenario and its rules.
 
 use super::faults::{draw, load, KINDS};
-use super::findings::Findings;
-use super::play::play;
-use crate::fleet::callers::in_time;
+use super::measurements::Measurements;
+use super::run::run;
+use crate::fleet::callers::in_time_share;
 use crate::fleet::fault_script;
-use crate::fleet::options::{FleetOptions, Kind};
+use crate::fleet::options::{FleetOptions, OutageKind};
 use crate::fleet::plot::{self, Curve};
 use crate::report::{Report, ScenarioError};
 use serde_json::json;
@@ -21,7 +21,7 @@
         Some(path) => fault_script::parse(&std::fs::read_to_string(path)?, options.nodes)?,
         None => draw(kind, options.nodes, options.seed),
     };
-    let found = play(options, kind, &faults, None)?;
+    let found = run(options, kind, &faults, None)?;
     report.set("kind", json!(kind.label()));
     report.set("nodes", json!(options.nodes));
     for (name, value) in found.figures().as_object().into_iter().flatten() {
@@ -34,7 +34,7 @@
     report.set("reports_peak_tenth", json!(found.reports_peak));
     report.set("snapshots_failed", json!(found.snapshots_failed));
     if let Some(path) = &options.other {
-        let other = play(options, kind, &faults, Some(path))?;
+        let other = run(options, kind, &faults, Some(path))?;
         report.set("other", other.figures());
         draw_plot(options, kind, &[("this build", &found), ("the build before", &other)])?;
     } else {
@@ -47,7 +47,7 @@
     Ok(())
 }
 
-fn check(report: &mut Report, found: &Findings, options: &FleetOptions, load_meant: f64) {
+fn check(report: &mut Report, found: &Measurements, options: &FleetOptions, load_meant: f64) {
     report.rule("an RPC got no final answer", found.unanswered == 0);
     report.rule("an RPC was answered twice", found.ledger.answered_twice == 0);
     report.rule("an RPC got the result of another", found.ledger.wrong_results == 0);
@@ -69,13 +69,15 @@
     report.rule("reports come in step", !(many && in_step));
 }
 
-fn draw_plot(options: &FleetOptions, kind: Kind, all: &[(&str, &Findings)]) -> Result<(), ScenarioError> {
+fn draw_plot(
+    options: &FleetOptions, kind: OutageKind, all: &[(&str, &Measurements)],
+) -> Result<(), ScenarioError> {
     let Some(path) = &options.plot else { return Ok(()) };
-    let curve = |(name, found): &(&str, &Findings)| {
-        let spans = found.tenths.windows(SMOOTHED).enumerate();
+    let curve = |(name, found): &(&str, &Measurements)| {
+        let spans = found.buckets.windows(SMOOTHED).enumerate();
         Curve {
             name: name.to_string(),
-            points: spans.map(|(i, span)| (i as f64 / 10.0, in_time(span))).collect(),
+            points: spans.map(|(i, span)| (i as f64 / 10.0, in_time_share(span))).collect(),
         }
     };
     let curves: Vec<Curve> = all.iter().map(curve).collect();
--- a/lab/src/fleet/single_call.rs
+++ b/lab/src/fleet/single_call.rs
@@ -15,7 +15,7 @@
 const CONNECT_TIMEOUT: Duration = ms(500);
 
 /// What a sidecar says of an RPC of [`LOOK`].
-pub(super) fn look_up(caller: u64, rng: &mut StdRng) -> RpcHeader<'static> {
+pub(super) fn lookup_header(caller: u64, rng: &mut StdRng) -> RpcHeader<'static> {
     RpcHeader { method: LOOK.name, trace: rng.random(), caller, patience: ms(1_500), tenant: None }
 }
 
@@ -54,7 +54,7 @@
     let mut to = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT).ok()?;
     let left = until.saturating_duration_since(Instant::now());
     to.set_read_timeout(Some(left.max(ms(1)))).ok()?;
-    to.write_all(&look_up(caller, rng).encode(1, b"look 1")).ok()?;
+    to.write_all(&lookup_header(caller, rng).encode(1, b"look 1")).ok()?;
     loop {
         let frame = read_frame(&mut to)?;
         if frame.answers(1) {
--- a/lab/src/fleet/small_fleet.rs
+++ b/lab/src/fleet/small_fleet.rs
@@ -1,7 +1,7 @@
 //! Fleets without gossip and without a shared upstream, for the scenarios of single moments.
 
-use super::cluster::{Fleet, Plan};
-use super::workload::{COLD, WARM_UP};
+use super::cluster::{Fleet, FleetConfig};
+use super::workload::{COLD_START, WARM_UP};
 use crate::method::Method;
 use crate::report::ScenarioError;
 use crate::setup::Setup;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 const CORES: usize = 2;
-const SLOTS: usize = 400; // of the upstream
+const UPSTREAM_SLOTS: usize = 400; // of the upstream
 
 /// A member with two cores, for so many callers.
 pub(super) fn member_setup(methods: &[Method], sockets: u64, callers: usize) -> Setup {
@@ -26,6 +26,13 @@
 
 /// Starts a fleet of them.
 pub(super) fn start_fleet(nodes: usize, setup: Setup) -> Result<Fleet, ScenarioError> {
-    let call: Duration = ms(10);
-    Fleet::start(&Plan { nodes, setup, cold: COLD, slots: SLOTS, call, network: None })
+    let upstream_call_time: Duration = ms(10);
+    Fleet::start(&FleetConfig {
+        nodes,
+        setup,
+        cold_start: COLD_START,
+        upstream_slots: UPSTREAM_SLOTS,
+        upstream_call_time,
+        network_seed: None,
+    })
 }
--- a/lab/src/fleet/tcp_proxy.rs
+++ b/lab/src/fleet/tcp_proxy.rs
@@ -18,7 +18,7 @@
     /// Each piece is delayed by so long.
     pub delay: Duration,
     /// Nothing passes, and nothing breaks: what comes is withheld until it is healed.
-    pub hangs: bool,
+    pub stalled: bool,
 }
 
 #[derive(Default)]
@@ -33,7 +33,7 @@
 /// A proxy for TCP. It ends when it is dropped.
 pub struct TcpProxy {
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     stopped: Arc<AtomicBool>,
 }
@@ -42,7 +42,7 @@
     /// Listens on a port that the system chooses and passes on to `to`.
     pub fn start(to: SocketAddr) -> std::io::Result<TcpProxy> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let at = listener.local_addr()?;
+        let address = listener.local_addr()?;
         let (state, stopped) = (Arc::new(Mutex::new(State::default())), Arc::new(AtomicBool::new(false)));
         let (shared, stop_flag) = (state.clone(), stopped.clone());
         thread::spawn(move || {
@@ -57,45 +57,45 @@
                 }
                 drop(locked);
                 let Ok(upstream) = TcpStream::connect(to) else { continue };
-                drop(join(from, upstream, &shared, &stop_flag));
+                drop(proxy_connection(from, upstream, &shared, &stop_flag));
             }
         });
-        Ok(TcpProxy { at, state, stopped })
+        Ok(TcpProxy { address, state, stopped })
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
         lock(&self.state)
     }
     /// Both directions hang, or pass again.
-    pub fn hang(&self, hangs: bool) {
+    pub fn set_stalled(&self, stalled: bool) {
         let mut state = self.state();
-        (state.forward.hangs, state.backward.hangs) = (hangs, hangs);
+        (state.forward.stalled, state.backward.stalled) = (stalled, stalled);
     }
     /// Both directions are delayed by so much.
-    pub fn delay(&self, by: Duration) {
+    pub fn set_delay(&self, by: Duration) {
         let mut state = self.state();
         (state.forward.delay, state.backward.delay) = (by, by);
     }
     /// One direction hangs, or passes again: what the process sends (`forward`), or what comes back.
-    pub fn hang_direction(&self, forward: bool, hangs: bool) {
+    pub fn set_direction_stalled(&self, forward: bool, stalled: bool) {
         let mut state = self.state();
         if forward {
-            state.forward.hangs = hangs;
+            state.forward.stalled = stalled;
         } else {
-            state.backward.hangs = hangs;
+            state.backward.stalled = stalled;
         }
     }
     /// All connections break off.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         for connection in self.state().connections.drain(..).flatten() {
             connection.shutdown(Shutdown::Both).unwrap_or_default();
         }
     }
     /// The other side is away, with all connections, or is there again.
-    pub fn refuse(&self, refusing: bool) {
+    pub fn set_refusing(&self, refusing: bool) {
         self.state().refusing = refusing;
         if refusing {
-            self.reset();
+            self.reset_connections();
         }
     }
 }
@@ -103,13 +103,13 @@
 impl Drop for TcpProxy {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Release);
-        self.reset();
-        drop(TcpStream::connect(self.at)); // so that the acceptor looks
+        self.reset_connections();
+        drop(TcpStream::connect(self.address)); // so that the acceptor looks
     }
 }
 
 /// Passes on what comes on both connections.
-fn join(
+fn proxy_connection(
     from: TcpStream, to: TcpStream, state: &Arc<Mutex<State>>, stopped: &Arc<AtomicBool>,
 ) -> std::io::Result<()> {
     from.set_nodelay(true)?;
@@ -121,13 +121,15 @@
     drop(locked);
     for (from, to, forward) in [(from.try_clone()?, to.try_clone()?, true), (to, from, false)] {
         let (state, stopped) = (state.clone(), stopped.clone());
-        thread::spawn(move || pass(from, to, forward, &state, &stopped));
+        thread::spawn(move || forward_direction(from, to, forward, &state, &stopped));
     }
     Ok(())
 }
 
 /// Passes one direction on until it ends.
-fn pass(mut from: TcpStream, mut to: TcpStream, forward: bool, state: &Mutex<State>, stopped: &AtomicBool) {
+fn forward_direction(
+    mut from: TcpStream, mut to: TcpStream, forward: bool, state: &Mutex<State>, stopped: &AtomicBool,
+) {
     let mut bytes = vec![0; READ_BYTES];
     while let Ok(n @ 1..) = from.read(&mut bytes) {
         loop {
@@ -135,7 +137,7 @@
             if stopped.load(Ordering::Acquire) {
                 return;
             }
-            if !direction.hangs {
+            if !direction.stalled {
                 thread::sleep(direction.delay);
                 break;
             }
--- a/lab/src/fleet/tests/datagram_network.rs
+++ b/lab/src/fleet/tests/datagram_network.rs
@@ -9,16 +9,16 @@
     sockets.iter().for_each(|s| s.set_read_timeout(Some(Duration::from_millis(200))).unwrap());
     let network = DatagramNetwork::start(&own, 1).unwrap();
     let passes = |from: usize, to: usize| {
-        sockets[from].send_to(b"x", network.at[to]).unwrap();
+        sockets[from].send_to(b"x", network.addresses[to]).unwrap();
         sockets[to].recv_from(&mut [0; 8]).is_ok()
     };
     assert!(passes(0, 1) && passes(1, 0));
-    network.change_conditions(|w| w.cut = BTreeSet::from([(0, 1)]));
+    network.change_conditions(|w| w.blocked_links = BTreeSet::from([(0, 1)]));
     assert!(!passes(0, 1) && passes(1, 0) && passes(0, 2));
-    network.change_conditions(|w| (w.loss, w.cut) = (1.0, BTreeSet::new()));
+    network.change_conditions(|w| (w.loss, w.blocked_links) = (1.0, BTreeSet::new()));
     assert!(!passes(0, 2));
     network.change_conditions(|w| (w.loss, w.duplication) = (0.0, 1.0));
     assert!(passes(0, 2) && sockets[2].recv_from(&mut [0; 8]).is_ok(), "it comes twice");
-    let bridge = cuts_between(&[vec![0, 1], vec![1, 2]], 3);
+    let bridge = links_between_groups(&[vec![0, 1], vec![1, 2]], 3);
     assert_eq!(bridge, BTreeSet::from([(0, 2), (2, 0)]));
 }
--- a/lab/src/fleet/tests/tcp_proxy.rs
+++ b/lab/src/fleet/tests/tcp_proxy.rs
@@ -24,33 +24,33 @@
 #[test]
 fn a_relay_passes_delays_hangs_each_way_by_itself_resets_and_is_gone() {
     let proxy = TcpProxy::start(echo()).unwrap();
-    let mut connection = TcpStream::connect(proxy.at).unwrap();
+    let mut connection = TcpStream::connect(proxy.address).unwrap();
     connection.set_read_timeout(Some(Duration::from_millis(80))).unwrap();
     let mut one = [0; 1];
     connection.write_all(b"a").unwrap();
     connection.read_exact(&mut one).unwrap();
     assert_eq!(&one, b"a");
-    proxy.delay(Duration::from_millis(20));
+    proxy.set_delay(Duration::from_millis(20));
     let start = Instant::now();
     connection.write_all(b"b").unwrap();
     connection.read_exact(&mut one).unwrap();
     assert!(start.elapsed() >= Duration::from_millis(40));
-    proxy.delay(Duration::ZERO);
+    proxy.set_delay(Duration::ZERO);
     for forward in [true, false] {
-        proxy.hang_direction(forward, true);
+        proxy.set_direction_stalled(forward, true);
         connection.write_all(b"c").unwrap();
         assert!(connection.read_exact(&mut one).is_err(), "nothing comes while it hangs");
-        proxy.hang_direction(forward, false);
+        proxy.set_direction_stalled(forward, false);
         connection.read_exact(&mut one).unwrap();
         assert_eq!(&one, b"c", "what was withheld comes");
     }
-    proxy.reset();
+    proxy.reset_connections();
     assert!(matches!(connection.read(&mut one), Ok(0) | Err(_)));
-    proxy.refuse(true);
-    let mut other = TcpStream::connect(proxy.at).unwrap();
+    proxy.set_refusing(true);
+    let mut other = TcpStream::connect(proxy.address).unwrap();
     assert!(matches!(other.read(&mut one), Ok(0) | Err(_)));
-    proxy.refuse(false);
-    let mut other = TcpStream::connect(proxy.at).unwrap();
+    proxy.set_refusing(false);
+    let mut other = TcpStream::connect(proxy.address).unwrap();
     other.write_all(b"d").unwrap();
     other.read_exact(&mut one).unwrap();
     assert_eq!(&one, b"d");
--- a/lab/src/fleet/upstream.rs
+++ b/lab/src/fleet/upstream.rs
@@ -12,13 +12,13 @@
 
 const IDLE_WAIT: Duration = Duration::from_millis(50);
 const WAITING_PER_SLOT: usize = 4; // calls, beyond which more are rejected
-const TENTH_MS: u64 = 100;
+const BUCKET_MS: u64 = 100;
 
 /// The upstream.
 #[derive(Clone)]
 pub struct Upstream {
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     shared: Arc<(Mutex<UpstreamState>, Condvar)>,
     stopped: Arc<AtomicBool>,
 }
@@ -61,8 +61,8 @@
     }
 
     /// Whether it had a slot free all through these tenths of a second since the start.
-    pub fn had_free_slot(&self, tenths: RangeInclusive<usize>) -> bool {
-        self.full.range(tenths).next().is_none()
+    pub fn had_free_slot(&self, buckets: RangeInclusive<usize>) -> bool {
+        self.full.range(buckets).next().is_none()
     }
 
     /// It restarts at a part of its speed: nothing is left of calls before.
@@ -77,10 +77,10 @@
         let now = Instant::now();
         let calls = (self.waiting.len() + self.in_progress.len()) as f64;
         while self.counted < now {
-            let tenth = ((self.counted - self.start).as_millis() as u64 / TENTH_MS) as usize;
-            let edge = self.start + Duration::from_millis((tenth as u64 + 1) * TENTH_MS);
+            let bucket = ((self.counted - self.start).as_millis() as u64 / BUCKET_MS) as usize;
+            let edge = self.start + Duration::from_millis((bucket as u64 + 1) * BUCKET_MS);
             let until = edge.min(now);
-            *slot(&mut self.occupancy, tenth) += calls * (until - self.counted).as_secs_f64();
+            *element_mut(&mut self.occupancy, bucket) += calls * (until - self.counted).as_secs_f64();
             self.counted = until;
         }
     }
@@ -88,10 +88,10 @@
     /// Whether there is space for one more call, which is counted.
     fn admit(&mut self) -> bool {
         self.count_occupancy();
-        let tenth = (self.start.elapsed().as_millis() as u64 / TENTH_MS) as usize;
-        *slot(&mut self.arrivals, tenth) += 1;
+        let bucket = (self.start.elapsed().as_millis() as u64 / BUCKET_MS) as usize;
+        *element_mut(&mut self.arrivals, bucket) += 1;
         if !self.waiting.is_empty() || self.in_progress.len() >= self.slots {
-            self.full.insert(tenth);
+            self.full.insert(bucket);
         }
         let admitted = self.waiting.len() < WAITING_PER_SLOT * self.slots;
         self.rejected += u64::from(!admitted);
@@ -130,7 +130,7 @@
 }
 
 /// An element of a list that grows up to it.
-pub(super) fn slot<T: Clone + Default>(list: &mut Vec<T>, index: usize) -> &mut T {
+pub(super) fn element_mut<T: Clone + Default>(list: &mut Vec<T>, index: usize) -> &mut T {
     if list.len() <= index {
         list.resize(index + 1, T::default());
     }
@@ -156,7 +156,7 @@
             rejected: 0,
         };
         let shared = Arc::new((Mutex::new(state), Condvar::new()));
-        let upstream = Upstream { at: listener.local_addr()?, shared, stopped: Arc::default() };
+        let upstream = Upstream { address: listener.local_addr()?, shared, stopped: Arc::default() };
         let (acceptor, worker) = (upstream.clone(), upstream.clone());
         thread::spawn(move || acceptor.accept(&listener));
         thread::spawn(move || worker.work());
@@ -172,7 +172,7 @@
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
         self.shared.1.notify_all();
-        drop(TcpStream::connect(self.at)); // so that the acceptor looks
+        drop(TcpStream::connect(self.address)); // so that the acceptor looks
     }
 
     fn accept(&self, listener: &TcpListener) {
--- a/lab/src/fleet/workload.rs
+++ b/lab/src/fleet/workload.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 /// How often the methods of [`methods`] are called in relation to each other.
-pub const WEIGHTS: [u32; 3] = [10, 30, 4];
+pub const METHOD_WEIGHTS: [u32; 3] = [10, 30, 4];
 /// How long cores take to warm up.
 pub const WARM_UP: Duration = ms(4_000);
 /// How the cores of a machine that restarts are.
-pub const COLD: ColdStart = ColdStart { initial_speed: 0.3, warm_up: WARM_UP };
+pub const COLD_START: ColdStart = ColdStart { initial_speed: 0.3, warm_up: WARM_UP };
 const CALLERS: usize = 6;
 
 /// The methods of a fleet: one that calls the upstream, and one that must not run twice.
@@ -27,9 +27,9 @@
 /// Six callers that call three methods so often a second; one of them ignores what backends advertise.
 pub fn caller_profile(rate: f64, seed: u64) -> CallerProfile {
     let methods: Vec<MethodLoad> =
-        methods().iter().zip(WEIGHTS).map(|(method, weight)| method.load(weight)).collect();
+        methods().iter().zip(METHOD_WEIGHTS).map(|(method, weight)| method.load(weight)).collect();
     let unsafe_to_retry = vec![UPDATE.name];
-    CallerProfile { methods, unsafe_to_retry, callers: CALLERS, rate, ignoring: 1.0 / 6.0, seed }
+    CallerProfile { methods, unsafe_to_retry, callers: CALLERS, rate, ignoring_share: 1.0 / 6.0, seed }
 }
 
 /// The mean work of one RPC, by the weights of what is called. A run that calls the upstream takes its work before the
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -176,7 +176,7 @@
     let mut left = fleet.end();
     drop(fleet);
     let mut fleet = start_idle_fleet(nodes, operator_file(nodes), seed)?;
-    let begun = fleet.members.iter().map(|m| m.since).max().unwrap_or(fleet.start);
+    let begun = fleet.members.iter().map(|m| m.available_since).max().unwrap_or(fleet.start);
     let all: Vec<usize> = (0..nodes).collect();
     let met_ms = wait_until(&fleet, begun, ALL_MET_WITHIN, &all, |answer| answer.alive + 1 >= nodes);
     std::thread::sleep(STARTED);
