--- a/lab/src/fleet/fault_script.rs
+++ b/lab/src/fleet/fault_script.rs
@@ -1,38 +1,39 @@
-//! Faults as lines: a moment in milliseconds since the load began, what, whom, how. Written by hand or drawn from a
-//! seed; printed with a failure, and played again with `--script`.
+//! Fault scripts: one fault a line, with the time in milliseconds since the load began, the fault, the members and
+//! further arguments. Scripts are written by hand or generated from a seed; a scenario that fails prints its script, and
+//! `--script` runs it again.
 //!
 //! ```text
-//! 6000 kill n0,n1,n2         # SIGKILL, with the machine: its agent forgets and its cores are cold
-//! 6400 start all             # those that are down
+//! 6000 kill n0,n1,n2         # SIGKILL and a restart of the machine: the agent loses its runs, the cores are cold
+//! 6400 start all             # starts the members that are down
 //! 7000 pause n3 / resume n3  # SIGSTOP, SIGCONT
 //! 7000 term n4               # SIGTERM
-//! 7000 crash n5              # SIGKILL of the process alone, and a start: its agent goes on
-//! 6200 state n0 lost         # of its state directory: lost, torn, old, other, readonly, full
+//! 7000 crash n5              # SIGKILL and start of the process alone: the agent keeps running
+//! 6200 state n0 lost         # damages the state directory: lost, torn, old, other, readonly, full
 //! 6200 state n0 swap n1
 //! 8000 below gone / below back 0.33
-//! 9000 agent n2 hang / agent n2 pass        # the link stands and carries nothing
-//! 9000 agent n2 deaf / agent n2 mute        # one way of it only: to the agent, from the agent
-//! 9000 agent n2 delay 20                    # milliseconds, each way
+//! 9000 agent n2 hang / agent n2 pass        # the link stays open and transfers nothing
+//! 9000 agent n2 deaf / agent n2 mute        # one direction only: to the agent, from the agent
+//! 9000 agent n2 delay 20                    # milliseconds in each direction
 //! 9000 naming gone / naming back
 //! 9000 callers reconnect
-//! 9000 net split n0,n1|n2,n3,n4             # who is in a group together hears each other; a bridge is in two
-//! 9000 net deaf n3 / net mute n3            # of datagrams between processes, one way only
-//! 9000 net lossy 15 / net late 300 / net double 20     # in 100, in ms at the most, in 100
-//! 9000 net heal                             # all of these
-//! 9000 net flood n0                         # garbage, another cluster's and recorded datagrams, for a second
+//! 9000 net split n0,n1|n2,n3,n4             # members reach each other within a group; a member may be in two groups
+//! 9000 net deaf n3 / net mute n3            # blocks datagrams between processes, to n3 / from n3
+//! 9000 net lossy 15 / net late 300 / net double 20     # percent, milliseconds at most, percent
+//! 9000 net heal                             # ends all faults of the network
+//! 9000 net flood n0                         # sends invalid datagrams for a second
 //! ```
 
 use crate::report::ScenarioError;
 use std::fmt;
 
-/// What goes wrong, or ends.
+/// A fault, or the end of one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// SIGKILL, with the machine: its agent restarts, and its cores are cold.
+    /// SIGKILL and a restart of the machine: the agent restarts, and the cores are cold.
     Kill,
-    /// SIGKILL of the process alone, and a start: its agent goes on.
+    /// SIGKILL and start of the process alone: the agent keeps running.
     Crash,
-    /// Starts processes that are down.
+    /// Start of the processes that are down.
     Start,
     /// SIGSTOP.
     Pause,
@@ -40,73 +41,73 @@
     Resume,
     /// SIGTERM.
     Terminate,
-    /// Something happens to a state directory.
+    /// Damage to the state directory.
     State(StateFault),
-    /// The upstream is away.
+    /// The upstream is unreachable.
     UpstreamDown,
-    /// The upstream is back, empty and at a part of its speed.
+    /// The upstream is reachable again, without its former calls and at this fraction of its speed.
     UpstreamRestored(f64),
-    /// The link to the agent carries nothing.
+    /// The link to the agent transfers nothing, in either direction.
     AgentLinkStalled,
-    /// It carries everything again.
+    /// The link to the agent transfers data again, in both directions.
     AgentLinkRestored,
-    /// It carries nothing to the agent.
+    /// The link transfers nothing to the agent.
     AgentInboundStalled,
-    /// It carries nothing from the agent.
+    /// The link transfers nothing from the agent.
     AgentOutboundStalled,
-    /// It is late by so many milliseconds, each way.
+    /// The link to the agent delays data by this many milliseconds in each direction.
     AgentLinkDelay(u64),
-    /// The name service is away.
+    /// The name service is unreachable.
     NameServiceDown,
-    /// The name service is back.
+    /// The name service is reachable again.
     NameServiceRestored,
-    /// All callers break off their connections.
+    /// All callers close their connections.
     CallersReconnect,
-    /// Members of a common group hear each other, others do not.
+    /// Members reach each other only within a group.
     GossipPartition(Vec<Vec<usize>>),
-    /// Members take no datagrams.
+    /// Members receive no datagrams.
     GossipInboundBlocked,
     /// Members send no datagrams.
     GossipOutboundBlocked,
-    /// Of 100 datagrams so many are lost.
+    /// This percentage of the datagrams is lost.
     GossipLoss(u64),
-    /// Datagrams are late by so many milliseconds at the most.
+    /// Datagrams are delayed by at most this many milliseconds.
     GossipDelay(u64),
-    /// Of 100 datagrams so many come twice.
+    /// This percentage of the datagrams is delivered twice.
     GossipDuplication(u64),
-    /// The network is whole again.
+    /// All faults of the network between members end.
     GossipHeal,
-    /// Members take garbage for a second.
+    /// Members receive invalid datagrams for a second.
     GossipFlood,
 }
 
-/// FaultKind becomes of a state directory.
+/// Damage to a state directory.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StateFault {
-    /// It is removed.
+    /// The directory is removed.
     Lost,
-    /// Its snapshot is cut in half.
+    /// The snapshot is truncated to half of its length.
     Truncated,
-    /// As if written a week ago.
+    /// The snapshot has a time stamp of long ago.
     Outdated,
-    /// Of another deployment.
+    /// The snapshot has the method costs of another deployment.
     OtherDeployment,
-    /// Nothing can be written there.
+    /// The directory is replaced by a file, so that nothing can be written there.
     Unwritable,
-    /// Whatever is written there finds a full disk.
+    /// Writes fail as on a full disk.
     DiskFull,
-    /// It has the snapshot of another member, which has its own.
+    /// The snapshots of this and another member are swapped.
     Swap(usize),
 }
 
-/// One fault.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
     /// Milliseconds since the load began.
     pub at_ms: u64,
-    /// What goes wrong.
+    /// The fault.
     pub kind: FaultKind,
-    /// Numbers of members; empty where none is meant.
+    /// Indices of the members; empty for faults that concern no single member.
     pub nodes: Vec<usize>,
 }
 
@@ -154,28 +155,28 @@
 }
 
 impl ScheduledFault {
-    /// A fault of members, so many milliseconds after the load began.
+    /// Returns a fault that is injected this many milliseconds after the load began.
     pub fn new(at_ms: u64, kind: FaultKind, nodes: &[usize]) -> ScheduledFault {
         ScheduledFault { at_ms, kind, nodes: nodes.to_vec() }
     }
 }
 
-/// Reads a script for so many members; its faults in their order.
+/// Parses a script for a fleet of this many nodes and returns its faults in the order of their times.
 ///
 /// # Errors
-/// A line is not understood: the error has its number and text.
+/// A line is not valid; the error has its number and text.
 pub fn parse(text: &str, nodes: usize) -> Result<Vec<ScheduledFault>, ScenarioError> {
-    let mut lines = Vec::new();
+    let mut faults = Vec::new();
     for (i, line) in text.lines().enumerate() {
         let words: Vec<&str> = line.split('#').next().unwrap_or("").split_whitespace().collect();
         if words.is_empty() {
             continue;
         }
-        let wrong = || format!("line {} of the script is not understood: {line:?}", i + 1);
-        lines.push(parse_line(&words, nodes).ok_or_else(wrong)?);
+        let invalid = || format!("line {} of the fault script is not a valid fault: {line:?}", i + 1);
+        faults.push(parse_line(&words, nodes).ok_or_else(invalid)?);
     }
-    lines.sort_by_key(|line: &ScheduledFault| line.at_ms);
-    Ok(lines)
+    faults.sort_by_key(|fault: &ScheduledFault| fault.at_ms);
+    Ok(faults)
 }
 
 fn parse_line(words: &[&str], nodes: usize) -> Option<ScheduledFault> {
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Several real processes among stand-ins, with faults between them.
+//! Scenarios with several real backend processes, stand-in services and injected faults.
 
 pub mod agree;
 mod callers;
--- a/lab/src/fleet/options.rs
+++ b/lab/src/fleet/options.rs
@@ -1,29 +1,30 @@
-//! How the scenarios of a fleet are played.
+//! Options of the fleet scenarios.
 
 use clap::ValueEnum;
 use std::path::PathBuf;
 
-/// What happens to the fleet in `fleet-return`.
+/// The outage that `fleet-return` injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum OutageKind {
-    /// All are killed within a moment and start again
+    /// All processes are killed at once and restarted
     All,
-    /// Seven in ten are, while the rest carry on; for odd seeds again while they are still warming
+    /// Seven in ten processes are killed at once and restarted; odd seeds kill them again during the warm-up
     Most,
-    /// One after the other leaves and starts again, faster than they warm up
+    /// Processes shut down and restart one after the other, faster than they warm up
     Rolling,
-    /// All are killed, and their state is lost, swapped, torn, old or another's
+    /// All processes are killed, and their state is lost, swapped, truncated, outdated or of another deployment
     StateLost,
-    /// The upstream is away, and comes back empty and at a third of its speed
+    /// The upstream is unreachable, then returns without its calls and at a third of its speed
     #[value(name = "below-lost")]
     UpstreamLost,
-    /// Some stand still for ten seconds, or start anew beside an agent that goes on, or lose a way of their link to it
+    /// Some processes pause for ten seconds, restart while their agent keeps running, lose one or both directions of
+    /// the link to the agent, or lose the name service
     #[value(name = "odd")]
     PartialFailure,
 }
 
 impl OutageKind {
-    /// What it is called in reports.
+    /// Returns the name in reports.
     pub fn label(self) -> &'static str {
         match self {
             OutageKind::All => "all",
@@ -36,21 +37,21 @@
     }
 }
 
-/// How a scenario of a fleet is played.
+/// Options of a fleet scenario.
 #[derive(Clone)]
 pub struct FleetOptions {
-    /// Seed of all random draws.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// What happens, instead of what the seed draws.
+    /// The outage, in place of the one that the seed selects.
     pub kind: Option<OutageKind>,
-    /// Processes.
+    /// Number of processes.
     pub nodes: usize,
-    /// Faults written by hand, instead of what the seed draws.
+    /// Path of a fault script, in place of the faults that the seed selects.
     pub script: Option<PathBuf>,
-    /// Where the curve of service is drawn, as SVG.
+    /// Path of the SVG plot of service over time.
     pub plot: Option<PathBuf>,
-    /// Another build.
+    /// Path of another build of `asterrilld`.
     pub other: Option<PathBuf>,
-    /// Seconds after which it ends; by default once service is full again.
+    /// Duration in seconds; by default the scenario ends once service has recovered.
     pub seconds: Option<u64>,
 }
--- a/lab/src/fleet/plot.rs
+++ b/lab/src/fleet/plot.rs
@@ -1,18 +1,18 @@
-//! The curve of service over time, as a picture.
+//! SVG plots of service over time.
 
 use crate::report::ScenarioError;
 use plotters::prelude::*;
 use std::path::Path;
 
-/// One curve.
+/// A curve of a plot.
 pub struct Curve {
-    /// Its name.
+    /// Name in the legend.
     pub name: String,
-    /// Seconds, and the part (0 to 1) that was in time.
+    /// Pairs of seconds and the share (0 to 1) that was answered in time.
     pub points: Vec<(f64, f64)>,
 }
 
-/// Draws curves over seconds, with faults as upright lines.
+/// Draws curves over time in seconds, and a vertical line at each fault.
 pub fn draw_curves(path: &Path, title: &str, curves: &[Curve], faults: &[f64]) -> Result<(), ScenarioError> {
     draw(path, title, curves, faults).map_err(|error| format!("{}: {error}", path.display()).into())
 }
@@ -20,8 +20,8 @@
 fn draw(
     path: &Path, title: &str, curves: &[Curve], faults: &[f64],
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let ends = curves.iter().flat_map(|curve| curve.points.iter().map(|(x, _)| *x));
-    let end = ends.fold(1.0, f64::max);
+    let x_values = curves.iter().flat_map(|curve| curve.points.iter().map(|(x, _)| *x));
+    let x_max = x_values.fold(1.0, f64::max);
     let root = SVGBackend::new(path, (900, 360)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -29,7 +29,7 @@
         .margin(8)
         .x_label_area_size(32)
         .y_label_area_size(44)
-        .build_cartesian_2d(0.0..end, 0.0..1.05)?;
+        .build_cartesian_2d(0.0..x_max, 0.0..1.05)?;
     chart.configure_mesh().x_desc("seconds").y_desc("criticality in time").draw()?;
     for at in faults {
         chart.draw_series(LineSeries::new([(*at, 0.0), (*at, 1.05)], RED.mix(0.4)))?;
--- a/lab/src/fleet/small_fleet.rs
+++ b/lab/src/fleet/small_fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets without gossip and without a shared upstream, for the scenarios of single moments.
+//! Fleets without gossip and without a shared upstream, for short scenarios.
 
 use super::cluster::{Fleet, FleetConfig};
 use super::workload::{COLD_START, WARM_UP};
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 const CORES: usize = 2;
-const UPSTREAM_SLOTS: usize = 400; // of the upstream
+const UPSTREAM_SLOTS: usize = 400;
 
-/// A member with two cores, for so many callers.
+/// Returns the setup of a member with two cores.
 pub(super) fn member_setup(methods: &[Method], sockets: u64, callers: usize) -> Setup {
     Setup {
         memory_mb: 64,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Starts a fleet of them.
+/// Starts a fleet of members with this setup.
 pub(super) fn start_fleet(nodes: usize, setup: Setup) -> Result<Fleet, ScenarioError> {
     let upstream_call_time: Duration = ms(10);
     Fleet::start(&FleetConfig {
--- a/lab/src/fleet/workload.rs
+++ b/lab/src/fleet/workload.rs
@@ -1,4 +1,4 @@
-//! What callers ask of a fleet, and how much work that is.
+//! Methods and call rates of the fleet scenarios, and the work that they cause.
 
 use super::callers::CallerProfile;
 use crate::agent::ColdStart;
@@ -7,15 +7,15 @@
 use crate::time::ms;
 use std::time::Duration;
 
-/// How often the methods of [`methods`] are called in relation to each other.
+/// Relative call frequencies of the methods of [`methods`].
 pub const METHOD_WEIGHTS: [u32; 3] = [10, 30, 4];
-/// How long cores take to warm up.
+/// Time that cores take to warm up.
 pub const WARM_UP: Duration = ms(4_000);
-/// How the cores of a machine that restarts are.
+/// Speed of the cores of a machine that has just restarted.
 pub const COLD_START: ColdStart = ColdStart { initial_speed: 0.3, warm_up: WARM_UP };
 const CALLERS: usize = 6;
 
-/// The methods of a fleet: one that calls the upstream, and one that must not run twice.
+/// Returns the methods of a fleet; one of them calls the upstream, and another must not run twice.
 pub fn methods() -> [Method; 3] {
     [
         Method { work: ms(16), target_ms: 200, deadline_ms: 800, ..PRICE },
@@ -24,7 +24,8 @@
     ]
 }
 
-/// Six callers that call three methods so often a second; one of them ignores what backends advertise.
+/// Returns the profile of six callers that together send `rate` RPCs a second to three methods; one of the callers
+/// ignores what backends advertise.
 pub fn caller_profile(rate: f64, seed: u64) -> CallerProfile {
     let methods: Vec<MethodLoad> =
         methods().iter().zip(METHOD_WEIGHTS).map(|(method, weight)| method.load(weight)).collect();
@@ -32,11 +33,11 @@
     CallerProfile { methods, unsafe_to_retry, callers: CALLERS, rate, ignoring_share: 1.0 / 6.0, seed }
 }
 
-/// The mean work of one RPC, by the weights of what is called. A run that calls the upstream takes its work before the
-/// call, and again after it, as [`crate::agent::Agent`] has it.
+/// Returns the mean work of one RPC, weighted by call frequency. A run that calls the upstream does its work once before
+/// the call and once after it, as [`crate::agent::Agent`] implements it.
 pub fn mean_work(methods: &[Method], weights: &[u32]) -> Duration {
-    let total: u32 = weights.iter().sum();
+    let total_weight: u32 = weights.iter().sum();
     let work = |m: &Method| m.work.as_secs_f64() * if m.calls_upstream { 2.0 } else { 1.0 };
-    let sum: f64 = methods.iter().zip(weights).map(|(m, w)| work(m) * f64::from(*w)).sum();
-    Duration::from_secs_f64(sum / f64::from(total.max(1)))
+    let weighted_work: f64 = methods.iter().zip(weights).map(|(m, w)| work(m) * f64::from(*w)).sum();
+    Duration::from_secs_f64(weighted_work / f64::from(total_weight.max(1)))
 }
