--- a/lab/src/fleet/cluster.rs
+++ b/lab/src/fleet/cluster.rs
@@ -1,5 +1,5 @@
-//! A fleet of processes with their agents, on loopback addresses of their own, and proxies between them and what they
-//! depend on.
+//! A fleet of processes on separate loopback addresses, with their agents, and proxies between the processes and the
+//! services that they depend on.
 
 use super::callers::{BackendAddresses, CallerProfile, Callers};
 use super::datagram_network::DatagramNetwork;
@@ -18,77 +18,79 @@
 
 const SIDECAR_PORT: u16 = 7_000;
 const GOSSIP_PORT: u16 = 7_946;
-const CONTACTS: usize = 3;
+const CONTACTS_PER_MEMBER: usize = 3;
 const LISTED_TIMEOUT: Duration = Duration::from_secs(8);
-const MAX_LIST_DELAY: Duration = Duration::from_millis(2_100); // lists of all callers are later than this
+/// Upper bound of the delay with which callers see the list of the name service.
+const MAX_LIST_DELAY: Duration = Duration::from_millis(2_100);
 
-/// One process with the agent of its machine, and proxies between it and what it depends on.
+/// A process with the agent of its machine, and proxies between the process and its dependencies.
 pub struct Member {
     /// The process.
     pub node: Node,
-    /// Its agent.
+    /// The agent of its machine.
     pub agent: Agent,
-    /// Between the process and its agent.
+    /// Proxy between the process and its agent.
     pub agent_proxy: TcpProxy,
-    /// Between the process and the upstream.
+    /// Proxy between the process and the upstream.
     pub upstream_proxy: TcpProxy,
-    /// Between the process and the name service.
+    /// Proxy between the process and the name service.
     pub name_service_proxy: TcpProxy,
-    /// When it was started last, or could last answer again.
+    /// Time of the last start, or of the last return from a fault that kept it from answering.
     pub available_since: Instant,
-    /// It was started and not stopped.
+    /// Whether the process was started and not stopped since.
     pub up: bool,
 }
 
-/// A fleet of processes, each on an address of the loopback range of its own.
+/// A fleet of processes, each on its own loopback address.
 pub struct Fleet {
-    /// The processes.
+    /// The members, by index.
     pub members: Vec<Member>,
-    /// The upstream that all share.
+    /// The upstream that all members share.
     pub upstream: Upstream,
     /// The name service.
     pub name_service: NameService,
-    /// When the fleet was started.
+    /// Start time of the fleet.
     pub start: Instant,
-    /// Between the processes, where they gossip.
+    /// Network between the processes, if they gossip.
     pub network: Option<DatagramNetwork>,
-    /// How cores are when a machine restarts.
+    /// Speed of the cores after a restart of a machine.
     pub cold_start: ColdStart,
 }
 
-/// What a fleet is made of.
+/// Size and parts of a fleet.
 #[derive(Clone)]
 pub struct FleetConfig {
-    /// Processes.
+    /// Number of processes.
     pub nodes: usize,
-    /// How each is set up.
+    /// Setup of each process.
     pub setup: Setup,
-    /// How cores are when a machine restarts.
+    /// Speed of the cores after a restart of a machine.
     pub cold_start: ColdStart,
-    /// Calls at a time that the upstream can do.
+    /// Calls that the upstream processes concurrently.
     pub upstream_slots: usize,
-    /// How long each call takes.
+    /// Time that the upstream takes for a call.
     pub upstream_call_time: Duration,
-    /// Seed of the network between processes that gossip; none if they do not.
+    /// Seed of the network between processes that gossip; none for a fleet without gossip.
     pub network_seed: Option<u64>,
 }
 
-/// An address that no connection of the system's choosing ever takes.
+/// Returns the name and address of a member. The system never assigns such an address to a connection of its own choice.
 fn placement(n: usize) -> Placement {
     let process = std::process::id();
     let (a, b) = (20 + (process / 250 % 200) as u8, (process % 250) as u8 + 1);
-    let at = SocketAddr::from(([127, a, b, n as u8 + 1], SIDECAR_PORT));
-    Placement { name: format!("n{n}"), at, placeholders: Vec::new() }
+    let address = SocketAddr::from(([127, a, b, n as u8 + 1], SIDECAR_PORT));
+    Placement { name: format!("n{n}"), at: address, placeholders: Vec::new() }
 }
 
-/// Where a member takes datagrams.
+/// Returns the address at which a member receives datagrams.
 fn gossip_address(n: usize) -> SocketAddr {
     SocketAddr::from((placement(n).at.ip(), GOSSIP_PORT))
 }
 
-/// The words of the operator's file that differ from member to member.
+/// Returns the placeholders of the operator's file that differ between members, with their values.
 fn placeholders(n: usize, own: SocketAddr, network: &DatagramNetwork) -> Vec<(String, String)> {
-    let contacts = network.addresses.iter().take(CONTACTS).map(|at| format!("contact {at}\n"));
+    let contacts =
+        network.addresses.iter().take(CONTACTS_PER_MEMBER).map(|address| format!("contact {address}\n"));
     vec![
         ("{own}".into(), own.to_string()),
         ("{relay}".into(), network.addresses[n].to_string()),
@@ -97,7 +99,7 @@
 }
 
 impl Fleet {
-    /// Starts all, and waits until each listens.
+    /// Starts all processes and waits until each of them listens.
     pub fn start(config: &FleetConfig) -> Result<Fleet, ScenarioError> {
         let start = Instant::now();
         let upstream = Upstream::start(start, config.upstream_slots, config.upstream_call_time)?;
@@ -118,24 +120,24 @@
         Ok(Fleet { members, upstream, name_service, start, network, cold_start: config.cold_start })
     }
 
-    /// Where each process is reached.
+    /// Returns the index and address of each process, by name.
     pub fn backend_addresses(&self) -> BackendAddresses {
         let target = |(n, m): (usize, &Member)| (format!("n{n}"), (n, m.node.at));
         BackendAddresses { by_name: Arc::new(self.members.iter().enumerate().map(target).collect()) }
     }
 
-    /// Waits until callers find all of them: lists are late.
+    /// Waits until the delayed lists of all callers have every member, or a timeout expires.
     pub fn wait_until_listed(&self) {
-        let until = Instant::now() + LISTED_TIMEOUT;
+        let deadline = Instant::now() + LISTED_TIMEOUT;
         while self.name_service.listed_backends(Duration::ZERO).len() < self.members.len()
-            && Instant::now() < until
+            && Instant::now() < deadline
         {
             std::thread::sleep(Duration::from_millis(20));
         }
         std::thread::sleep(MAX_LIST_DELAY);
     }
 
-    /// Runs beyond the first of bodies that begin so, over all agents.
+    /// Returns how many runs repeated an earlier one with the same body, over all agents, for bodies with this prefix.
     pub fn repeated_effects(&self, prefix: &str) -> u64 {
         let mut starts: BTreeMap<Vec<u8>, u64> = BTreeMap::new();
         for member in &self.members {
@@ -152,24 +154,24 @@
         Callers::start(self.start, profile, &self.backend_addresses(), &self.name_service)
     }
 
-    /// A member's state directory.
+    /// Returns the state directory of a member.
     pub fn state_dir(&self, n: usize) -> PathBuf {
         self.members[n].node.dir.join("state")
     }
 
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the start of the fleet.
     pub fn at_ms(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 
-    /// Whether no process has panicked, by their logs.
+    /// Reports whether the logs of all processes are free of panics.
     pub fn none_panicked(&self) -> bool {
         self.members.iter().all(|member| !member.node.read_log().contains("panick"))
     }
 
-    /// Ends every process by its id; how many are still there.
+    /// Kills every process and returns how many of them still exist.
     pub fn end(&mut self) -> usize {
-        // SIGKILL ends one that is stopped as well.
+        // SIGKILL also ends processes that are stopped by SIGSTOP.
         self.members.iter_mut().for_each(|member| member.node.kill());
         self.upstream.stop();
         self.name_service.stop();
--- a/lab/src/fleet/datagram_network.rs
+++ b/lab/src/fleet/datagram_network.rs
@@ -1,5 +1,6 @@
-//! The network between processes: a relay for datagrams at each address that is advertised. It tells the sender by the
-//! address it sends from, so each direction of each pair is cut, lost, duplicated and delayed on its own.
+//! Network between processes: a datagram relay at the advertised address of each member. The relay identifies the sender
+//! by its source address, so that the link from one member to another can be blocked in each direction separately.
+//! Loss, duplication and delay apply to each datagram independently.
 
 use crate::sync::lock;
 use rand::rngs::StdRng;
@@ -12,29 +13,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What becomes of datagrams on their way.
+/// Faults that apply to datagrams in transit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NetworkConditions {
-    /// Directions that carry nothing: from, to.
+    /// Links that transfer nothing, as pairs of sender and receiver.
     pub blocked_links: BTreeSet<(usize, usize)>,
-    /// Of 1, the part that gets lost.
+    /// Probability (0 to 1) that a datagram is lost.
     pub loss: f64,
-    /// Of 1, the part that comes twice.
+    /// Probability (0 to 1) that a datagram is delivered twice.
     pub duplication: f64,
-    /// At the most; each is drawn, so that datagrams overtake each other.
-    pub delay: Duration,
+    /// Upper bound of the delay. The delay of each datagram is random, so that datagrams are reordered.
+    pub max_delay: Duration,
 }
 
-/// A datagram on its way.
+/// A datagram in transit, ordered by its delivery time.
 struct InTransit {
-    at: Instant,
+    deliver_at: Instant,
     to: usize,
     bytes: Vec<u8>,
 }
 
 impl PartialEq for InTransit {
     fn eq(&self, other: &InTransit) -> bool {
-        self.at == other.at
+        self.deliver_at == other.deliver_at
     }
 }
 impl Eq for InTransit {}
@@ -45,7 +46,7 @@
 }
 impl Ord for InTransit {
     fn cmp(&self, other: &InTransit) -> std::cmp::Ordering {
-        self.at.cmp(&other.at)
+        self.deliver_at.cmp(&other.deliver_at)
     }
 }
 
@@ -56,20 +57,20 @@
     delivered: u64,
 }
 
-/// The relays of all members, which end when this is dropped.
+/// Relays of all members; dropping it stops them.
 pub struct DatagramNetwork {
-    /// Where each member is reached.
+    /// Address of the relay of each member.
     pub addresses: Vec<SocketAddr>,
     state: Arc<Mutex<State>>,
     stopped: Arc<AtomicBool>,
 }
 
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
-const DELIVERY_PAUSE: Duration = Duration::from_millis(1);
-const MAX_DATAGRAM: usize = 2_048; // bytes
+const DELIVERY_INTERVAL: Duration = Duration::from_millis(1);
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 impl DatagramNetwork {
-    /// `own`: where each member takes its datagrams, and sends from.
+    /// Starts the relays. `own` has the address at which each member receives datagrams and from which it sends them.
     pub fn start(own: &[SocketAddr], seed: u64) -> std::io::Result<DatagramNetwork> {
         let state = State {
             conditions: NetworkConditions::default(),
@@ -96,35 +97,35 @@
         Ok(network)
     }
 
-    /// Changes the conditions of all datagrams from now on.
+    /// Changes the conditions for all datagrams that are sent from now on.
     pub fn change_conditions(&self, change: impl FnOnce(&mut NetworkConditions)) {
         change(&mut lock(&self.state).conditions);
     }
-    /// Datagrams that were delivered.
+    /// Returns the number of delivered datagrams.
     pub fn delivered(&self) -> u64 {
         lock(&self.state).delivered
     }
 }
 
-/// Takes what is sent to one member.
+/// Receives the datagrams for one member until the network is stopped.
 fn receive(socket: &UdpSocket, to: usize, own: &[SocketAddr], state: &Mutex<State>, stopped: &AtomicBool) {
-    let mut bytes = [0; MAX_DATAGRAM];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES];
     while !stopped.load(Ordering::Acquire) {
         let Ok((n, from)) = socket.recv_from(&mut bytes) else { continue };
-        // None for a stranger, whose datagrams are not cut.
-        let from = own.iter().position(|at| *at == from);
+        // The sender is none if it is no member; its datagrams are never blocked.
+        let from = own.iter().position(|address| *address == from);
         lock(state).accept(from, to, &bytes[..n]);
     }
 }
 
-/// Sends datagrams on when they are due, each from the relay of the member that it is for.
+/// Delivers datagrams when they are due, each from the relay of its receiver.
 fn deliver(sockets: &[UdpSocket], own: &[SocketAddr], state: &Mutex<State>, stopped: &AtomicBool) {
     while !stopped.load(Ordering::Acquire) {
         for datagram in lock(state).take_due(Instant::now()) {
             let (socket, to) = (&sockets[datagram.to], own[datagram.to]);
             socket.send_to(&datagram.bytes, to).map(drop).unwrap_or_default();
         }
-        thread::sleep(DELIVERY_PAUSE);
+        thread::sleep(DELIVERY_INTERVAL);
     }
 }
 
@@ -137,7 +138,7 @@
 impl State {
     fn take_due(&mut self, now: Instant) -> Vec<InTransit> {
         let mut due = Vec::new();
-        while self.in_transit.peek().is_some_and(|Reverse(datagram)| datagram.at <= now) {
+        while self.in_transit.peek().is_some_and(|Reverse(datagram)| datagram.deliver_at <= now) {
             due.extend(self.in_transit.pop().map(|Reverse(datagram)| datagram));
         }
         self.delivered += due.len() as u64;
@@ -145,22 +146,22 @@
     }
 
     fn accept(&mut self, from: Option<usize>, to: usize, bytes: &[u8]) {
-        let NetworkConditions { blocked_links, loss, duplication, delay } = &self.conditions;
+        let NetworkConditions { blocked_links, loss, duplication, max_delay } = &self.conditions;
         if from.is_some_and(|from| blocked_links.contains(&(from, to))) || self.rng.random::<f64>() < *loss {
             return;
         }
         for _ in 0..1 + usize::from(self.rng.random::<f64>() < *duplication) {
-            let at = Instant::now() + delay.mul_f64(self.rng.random::<f64>());
-            self.in_transit.push(Reverse(InTransit { at, to, bytes: bytes.to_vec() }));
+            let deliver_at = Instant::now() + max_delay.mul_f64(self.rng.random::<f64>());
+            self.in_transit.push(Reverse(InTransit { deliver_at, to, bytes: bytes.to_vec() }));
         }
     }
 }
 
-/// The directions that are cut if only members of a common group hear each other.
-pub fn links_between_groups(groups: &[Vec<usize>], nodes: usize) -> BTreeSet<(usize, usize)> {
-    let together = |a: usize, b: usize| groups.iter().any(|group| group.contains(&a) && group.contains(&b));
+/// Returns the links that are blocked if members reach each other only within a group.
+pub fn blocked_links_between(groups: &[Vec<usize>], nodes: usize) -> BTreeSet<(usize, usize)> {
+    let same_group = |a: usize, b: usize| groups.iter().any(|group| group.contains(&a) && group.contains(&b));
     let pairs = (0..nodes).flat_map(|a| (0..nodes).map(move |b| (a, b)));
-    pairs.filter(|(a, b)| a != b && !together(*a, *b)).collect()
+    pairs.filter(|(a, b)| a != b && !same_group(*a, *b)).collect()
 }
 
 #[cfg(test)]
--- a/lab/src/fleet/fault_injection.rs
+++ b/lab/src/fleet/fault_injection.rs
@@ -1,8 +1,8 @@
-//! Injects the faults of a script into a fleet.
+//! Injection of scripted faults into a fleet.
 
 use super::callers::UnansweredAttempt;
 use super::cluster::{Fleet, Member};
-use super::datagram_network::{links_between_groups, NetworkConditions};
+use super::datagram_network::{blocked_links_between, NetworkConditions};
 use super::fault_script::{FaultKind, ScheduledFault, StateFault};
 use crate::agent::ColdStart;
 use crate::report::ScenarioError;
@@ -12,46 +12,47 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const MAX_PATIENCE: Duration = Duration::from_millis(3_300); // of any caller
+/// The longest time that any caller waits for an answer.
+const MAX_PATIENCE: Duration = Duration::from_millis(3_300);
 const FLOOD_DURATION: Duration = Duration::from_secs(1);
-const MAX_FLOOD_DATAGRAMS: u32 = 20_000; // at the most
+const MAX_FLOOD_DATAGRAMS: u32 = 20_000;
 const FLOOD_INTERVAL: Duration = Duration::from_micros(100);
 const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A time in which a member was stopped and could not answer.
+/// A time span in which a member was stopped by SIGSTOP and could not answer.
 struct Pause {
     node: usize,
     from: Instant,
     to: Instant,
 }
 
-/// What the injected faults have done so far.
+/// The injected faults that explain missing answers.
 #[derive(Default)]
 pub struct InjectedFaults {
-    /// Since when members are stopped.
+    /// Members that are stopped now, and since when.
     paused: BTreeMap<usize, Instant>,
     pauses: Vec<Pause>,
 }
 
 impl InjectedFaults {
-    /// The attempts without an answer that count. A member that is stopped answers nothing; it is called all the same, and
-    /// once it runs again its callers are gone.
+    /// Returns the number of attempts without an answer that no pause explains. A stopped member still receives calls but
+    /// answers none of them, and its callers have given up by the time it runs again.
     pub fn count_unexplained(&self, unanswered: &[UnansweredAttempt]) -> usize {
         let now = Instant::now();
         let still_paused = self.paused.iter().map(|(node, from)| (*node, *from, now));
-        let over = self.pauses.iter().map(|pause| (pause.node, pause.from, pause.to));
-        let pauses: Vec<(usize, Instant, Instant)> = over.chain(still_paused).collect();
-        let excused = |attempt: &UnansweredAttempt| {
+        let ended = self.pauses.iter().map(|pause| (pause.node, pause.from, pause.to));
+        let pauses: Vec<(usize, Instant, Instant)> = ended.chain(still_paused).collect();
+        let explained = |attempt: &UnansweredAttempt| {
             pauses.iter().any(|(node, from, to)| {
                 *node == attempt.node && *from <= attempt.sent + MAX_PATIENCE && attempt.sent <= *to
             })
         };
-        unanswered.iter().filter(|attempt| !excused(attempt)).count()
+        unanswered.iter().filter(|attempt| !explained(attempt)).count()
     }
 }
 
 impl Fleet {
-    /// Injects one fault.
+    /// Injects a fault.
     pub fn inject(
         &mut self, fault: &ScheduledFault, injected: &mut InjectedFaults,
     ) -> Result<(), ScenarioError> {
@@ -76,7 +77,7 @@
             | FaultKind::GossipHeal
             | FaultKind::GossipFlood => self.inject_network(fault)?,
             _ => {
-                // Processes die together, within a few milliseconds, before anything else is done about them.
+                // All processes are killed first, within a few milliseconds, so that they fail together.
                 if matches!(fault.kind, FaultKind::Kill | FaultKind::Crash) {
                     for n in &fault.nodes {
                         self.members[*n].node.child.kill().unwrap_or_default();
@@ -128,13 +129,15 @@
         Ok(())
     }
 
-    /// Faults of the network between processes.
+    /// Injects a fault of the network between processes.
     fn inject_network(&self, fault: &ScheduledFault) -> Result<(), ScenarioError> {
-        let Some(network) = &self.network else { return Err("these processes do not gossip".into()) };
+        let Some(network) = &self.network else {
+            return Err("network faults need a fleet with gossip; this fleet has none".into());
+        };
         let members = self.members.len();
         network.change_conditions(|conditions| match &fault.kind {
             FaultKind::GossipPartition(groups) => {
-                conditions.blocked_links = links_between_groups(groups, members)
+                conditions.blocked_links = blocked_links_between(groups, members)
             }
             FaultKind::GossipInboundBlocked => {
                 conditions.blocked_links.extend(links_to(&fault.nodes, members))
@@ -143,20 +146,20 @@
                 conditions.blocked_links.extend(links_from(&fault.nodes, members))
             }
             FaultKind::GossipLoss(n) => conditions.loss = *n as f64 / 100.0,
-            FaultKind::GossipDelay(ms) => conditions.delay = Duration::from_millis(*ms),
+            FaultKind::GossipDelay(ms) => conditions.max_delay = Duration::from_millis(*ms),
             FaultKind::GossipDuplication(n) => conditions.duplication = *n as f64 / 100.0,
             FaultKind::GossipHeal => *conditions = NetworkConditions::default(),
             _ => {}
         });
         if fault.kind == FaultKind::GossipFlood {
-            let to = fault.nodes.iter().filter_map(|n| network.addresses.get(*n).copied());
-            let to: Vec<SocketAddr> = to.collect();
-            std::thread::spawn(move || flood(&to));
+            let targets = fault.nodes.iter().filter_map(|n| network.addresses.get(*n).copied());
+            let targets: Vec<SocketAddr> = targets.collect();
+            std::thread::spawn(move || flood(&targets));
         }
         Ok(())
     }
 
-    /// Damages the state of a member that is down.
+    /// Damages the state directory of a member that is down.
     pub fn damage_state(&self, n: usize, fault: &StateFault) -> Result<(), ScenarioError> {
         let dir = self.state_dir(n);
         let snapshot = dir.join("learned");
@@ -172,7 +175,7 @@
                 std::fs::write(&snapshot, edit_snapshot(&text, "method ", costlier_method))?;
             }
             StateFault::Unwritable => {
-                // Root writes whatever the mode says; a file in the directory's place stops anybody.
+                // Permission bits do not stop root from writing; a file in place of the directory does.
                 std::fs::remove_dir_all(&dir).unwrap_or_default();
                 std::fs::write(&dir, "no directory")?;
             }
@@ -189,7 +192,7 @@
 }
 
 impl Member {
-    /// The machine starts, and was up for as long as it takes to start the process.
+    /// Restarts the machine: the agent restarts with cold cores, then the process starts.
     fn restart_machine(&mut self, cold_start: ColdStart) -> Result<(), ScenarioError> {
         if let Ok(None) = self.node.child.try_wait() {
             self.node.wait_for_exit(EXIT_TIMEOUT);
@@ -201,13 +204,13 @@
         Ok(())
     }
 
-    /// Faults of the link to the agent.
+    /// Injects a fault of the link to the agent.
     fn inject_agent_link(&mut self, kind: &FaultKind) {
         match kind {
             FaultKind::AgentLinkStalled => self.agent_proxy.set_stalled(true),
             FaultKind::AgentLinkRestored => {
                 self.agent_proxy.set_stalled(false);
-                // What it decided meanwhile had reasons of its own.
+                // Decisions during the fault were due to the fault and do not count as stale.
                 self.available_since = Instant::now();
             }
             FaultKind::AgentInboundStalled => self.agent_proxy.set_direction_stalled(true, true),
@@ -218,44 +221,45 @@
     }
 }
 
-/// All directions that end at these members.
+/// Returns all links to these members, as pairs of sender and receiver.
 pub(super) fn links_to(nodes: &[usize], members: usize) -> Vec<(usize, usize)> {
     nodes.iter().flat_map(|n| (0..members).map(move |from| (from, *n))).collect()
 }
 
-/// All directions that begin at these members.
+/// Returns all links from these members, as pairs of sender and receiver.
 pub(super) fn links_from(nodes: &[usize], members: usize) -> Vec<(usize, usize)> {
     nodes.iter().flat_map(|n| (0..members).map(move |to| (*n, to))).collect()
 }
 
-/// Sends garbage for a second, from an address of its own and bounded in number.
-fn flood(to: &[SocketAddr]) {
+/// Sends invalid datagrams from a separate address for [`FLOOD_DURATION`], at most [`MAX_FLOOD_DATAGRAMS`] to each target.
+fn flood(targets: &[SocketAddr]) {
     let Ok(socket) = UdpSocket::bind("127.0.0.1:0") else { return };
-    let until = Instant::now() + FLOOD_DURATION;
+    let deadline = Instant::now() + FLOOD_DURATION;
     for n in 0..MAX_FLOOD_DATAGRAMS {
-        if Instant::now() > until {
+        if Instant::now() > deadline {
             return;
         }
-        // By turns too short, of another version, and well formed by its looks.
-        let bytes = [vec![1; 8], vec![9; 80], [vec![1], vec![(n % 251) as u8; 200]].concat()];
-        for at in to {
-            socket.send_to(&bytes[n as usize % 3], at).map(drop).unwrap_or_default();
+        // In turn: one that is too short, one of another version, and one with a plausible length and version.
+        let datagrams = [vec![1; 8], vec![9; 80], [vec![1], vec![(n % 251) as u8; 200]].concat()];
+        for target in targets {
+            socket.send_to(&datagrams[n as usize % 3], target).map(drop).unwrap_or_default();
         }
         std::thread::sleep(FLOOD_INTERVAL);
     }
 }
 
-/// Each file is written beside its place: there, into a device that is always full.
+/// Makes writes to the state directory fail with a full disk. Each file is first written under a temporary name, which
+/// becomes a link to a device that is always full.
 fn fill_disk(dir: &Path) -> std::io::Result<()> {
     for name in ["learned", "good", "probation", "members"] {
-        let beside = dir.join(name).with_extension("new");
-        std::fs::remove_file(&beside).unwrap_or_default();
-        symlink("/dev/full", &beside)?;
+        let temporary = dir.join(name).with_extension("new");
+        std::fs::remove_file(&temporary).unwrap_or_default();
+        symlink("/dev/full", &temporary)?;
     }
     Ok(())
 }
 
-/// A method's line with the costs of another deployment: a hundred times what it is here.
+/// Returns a method line of a snapshot with a hundred times the mean cost, as another deployment could have it.
 fn costlier_method(line: &str) -> String {
     let words: Vec<&str> = line.splitn(5, ' ').collect();
     match words[..] {
@@ -267,7 +271,7 @@
     }
 }
 
-/// A snapshot with the lines that begin so changed, under a checksum that holds.
+/// Returns a snapshot in which the lines with this prefix are changed, with a matching checksum.
 fn edit_snapshot(text: &str, prefix: &str, change: impl Fn(&str) -> String) -> String {
     let body: String = text
         .lines()
--- a/lab/src/fleet/members/reachability.rs
+++ b/lab/src/fleet/members/reachability.rs
@@ -1,6 +1,6 @@
 //! Who can hear whom, as far as the injected faults say.
 
-use crate::fleet::datagram_network::links_between_groups;
+use crate::fleet::datagram_network::blocked_links_between;
 use crate::fleet::fault_injection::{links_from, links_to};
 use crate::fleet::fault_script::{FaultKind, ScheduledFault};
 use std::collections::BTreeSet;
@@ -41,7 +41,7 @@
             FaultKind::Start => nodes.iter().for_each(|n| self.up[*n] = true),
             FaultKind::Pause => nodes.iter().for_each(|n| self.running[*n] = false),
             FaultKind::Resume => nodes.iter().for_each(|n| self.running[*n] = true),
-            FaultKind::GossipPartition(groups) => self.blocked_links = links_between_groups(groups, members),
+            FaultKind::GossipPartition(groups) => self.blocked_links = blocked_links_between(groups, members),
             FaultKind::GossipInboundBlocked => self.blocked_links.extend(links_to(nodes, members)),
             FaultKind::GossipOutboundBlocked => self.blocked_links.extend(links_from(nodes, members)),
             FaultKind::GossipLoss(_) | FaultKind::GossipDelay(_) => self.lossy = true,
--- a/lab/src/fleet/tcp_proxy.rs
+++ b/lab/src/fleet/tcp_proxy.rs
@@ -1,5 +1,5 @@
-//! Proxies between a process and what it depends on: each has one way in and one way out, and can delay, withhold,
-//! reset or refuse what passes; the first two for each direction by itself.
+//! TCP proxies between a process and its dependencies. A proxy can delay or stall each direction separately, reset
+//! connections, and refuse new ones.
 
 use crate::sync::lock;
 use std::io::{Read, Write};
@@ -10,14 +10,14 @@
 use std::time::Duration;
 
 const READ_BYTES: usize = 16 * 1024;
-const HANG_POLL: Duration = Duration::from_millis(2);
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What a proxy does to what passes in one direction.
+/// Faults of one direction of a proxy.
 #[derive(Clone, Debug, Default)]
 pub struct Direction {
-    /// Each piece is delayed by so long.
+    /// Delay of each piece of data.
     pub delay: Duration,
-    /// Nothing passes, and nothing breaks: what comes is withheld until it is healed.
+    /// Whether the direction transfers nothing while connections stay open; data is withheld until the stall ends.
     pub stalled: bool,
 }
 
@@ -25,21 +25,21 @@
 struct State {
     forward: Direction,
     backward: Direction,
-    /// Connections are refused, as by a port at which nobody listens.
+    /// Whether connections are closed as soon as they are accepted, as if the dependency were down.
     refusing: bool,
     connections: Vec<[TcpStream; 2]>,
 }
 
-/// A proxy for TCP. It ends when it is dropped.
+/// A TCP proxy; dropping it stops it and resets its connections.
 pub struct TcpProxy {
-    /// Where it listens.
+    /// Address at which the proxy listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     stopped: Arc<AtomicBool>,
 }
 
 impl TcpProxy {
-    /// Listens on a port that the system chooses and passes on to `to`.
+    /// Starts a proxy to `to` on a port that the system chooses.
     pub fn start(to: SocketAddr) -> std::io::Result<TcpProxy> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -52,7 +52,8 @@
                 }
                 let locked = lock(&shared);
                 if locked.refusing {
-                    drop(from); // at once, so that whoever connects learns of it by an end without a byte
+                    // Closes the connection at once, so that the client sees its end without a byte.
+                    drop(from);
                     continue;
                 }
                 drop(locked);
@@ -66,17 +67,17 @@
     fn state(&self) -> MutexGuard<'_, State> {
         lock(&self.state)
     }
-    /// Both directions hang, or pass again.
+    /// Stalls both directions, or ends the stall.
     pub fn set_stalled(&self, stalled: bool) {
         let mut state = self.state();
         (state.forward.stalled, state.backward.stalled) = (stalled, stalled);
     }
-    /// Both directions are delayed by so much.
+    /// Sets the delay of both directions.
     pub fn set_delay(&self, by: Duration) {
         let mut state = self.state();
         (state.forward.delay, state.backward.delay) = (by, by);
     }
-    /// One direction hangs, or passes again: what the process sends (`forward`), or what comes back.
+    /// Stalls one direction, or ends its stall: from the process to its dependency (`forward`), or back.
     pub fn set_direction_stalled(&self, forward: bool, stalled: bool) {
         let mut state = self.state();
         if forward {
@@ -85,13 +86,13 @@
             state.backward.stalled = stalled;
         }
     }
-    /// All connections break off.
+    /// Resets all connections.
     pub fn reset_connections(&self) {
         for connection in self.state().connections.drain(..).flatten() {
             connection.shutdown(Shutdown::Both).unwrap_or_default();
         }
     }
-    /// The other side is away, with all connections, or is there again.
+    /// Refuses new connections and resets open ones, or accepts connections again.
     pub fn set_refusing(&self, refusing: bool) {
         self.state().refusing = refusing;
         if refusing {
@@ -104,11 +105,12 @@
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Release);
         self.reset_connections();
-        drop(TcpStream::connect(self.address)); // so that the acceptor looks
+        // The connection wakes the acceptor, which then sees the stop flag.
+        drop(TcpStream::connect(self.address));
     }
 }
 
-/// Passes on what comes on both connections.
+/// Transfers data between two connections in both directions.
 fn proxy_connection(
     from: TcpStream, to: TcpStream, state: &Arc<Mutex<State>>, stopped: &Arc<AtomicBool>,
 ) -> std::io::Result<()> {
@@ -126,7 +128,7 @@
     Ok(())
 }
 
-/// Passes one direction on until it ends.
+/// Transfers data in one direction until it ends.
 fn forward_direction(
     mut from: TcpStream, mut to: TcpStream, forward: bool, state: &Mutex<State>, stopped: &AtomicBool,
 ) {
@@ -141,13 +143,13 @@
                 thread::sleep(direction.delay);
                 break;
             }
-            thread::sleep(HANG_POLL);
+            thread::sleep(STALL_POLL_INTERVAL);
         }
         if to.write_all(&bytes[..n]).is_err() {
             break;
         }
     }
-    // An end passes on as an end; what still comes in the other direction passes.
+    // The end of this direction is passed on; the other direction may still transfer data.
     to.shutdown(Shutdown::Write).unwrap_or_default();
     from.shutdown(Shutdown::Read).unwrap_or_default();
 }
--- a/lab/src/fleet/tests/datagram_network.rs
+++ b/lab/src/fleet/tests/datagram_network.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn cuts_and_heals_each_direction_of_each_pair() {
+fn blocks_and_restores_each_direction_of_each_link() {
     let sockets: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
     let own: Vec<SocketAddr> = sockets.iter().map(|s| s.local_addr().unwrap()).collect();
     sockets.iter().for_each(|s| s.set_read_timeout(Some(Duration::from_millis(200))).unwrap());
@@ -13,12 +13,13 @@
         sockets[to].recv_from(&mut [0; 8]).is_ok()
     };
     assert!(passes(0, 1) && passes(1, 0));
-    network.change_conditions(|w| w.blocked_links = BTreeSet::from([(0, 1)]));
+    network.change_conditions(|conditions| conditions.blocked_links = BTreeSet::from([(0, 1)]));
     assert!(!passes(0, 1) && passes(1, 0) && passes(0, 2));
-    network.change_conditions(|w| (w.loss, w.blocked_links) = (1.0, BTreeSet::new()));
+    network
+        .change_conditions(|conditions| (conditions.loss, conditions.blocked_links) = (1.0, BTreeSet::new()));
     assert!(!passes(0, 2));
-    network.change_conditions(|w| (w.loss, w.duplication) = (0.0, 1.0));
-    assert!(passes(0, 2) && sockets[2].recv_from(&mut [0; 8]).is_ok(), "it comes twice");
-    let bridge = links_between_groups(&[vec![0, 1], vec![1, 2]], 3);
-    assert_eq!(bridge, BTreeSet::from([(0, 2), (2, 0)]));
+    network.change_conditions(|conditions| (conditions.loss, conditions.duplication) = (0.0, 1.0));
+    assert!(passes(0, 2) && sockets[2].recv_from(&mut [0; 8]).is_ok(), "the datagram is delivered twice");
+    let blocked = blocked_links_between(&[vec![0, 1], vec![1, 2]], 3);
+    assert_eq!(blocked, BTreeSet::from([(0, 2), (2, 0)]));
 }
--- a/lab/src/fleet/tests/tcp_proxy.rs
+++ b/lab/src/fleet/tests/tcp_proxy.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::time::Instant;
 
-fn echo() -> SocketAddr {
+fn start_echo_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn a_relay_passes_delays_hangs_each_way_by_itself_resets_and_is_gone() {
-    let proxy = TcpProxy::start(echo()).unwrap();
+fn transfers_delays_stalls_each_direction_resets_and_refuses() {
+    let proxy = TcpProxy::start(start_echo_server()).unwrap();
     let mut connection = TcpStream::connect(proxy.address).unwrap();
     connection.set_read_timeout(Some(Duration::from_millis(80))).unwrap();
     let mut one = [0; 1];
@@ -39,10 +39,10 @@
     for forward in [true, false] {
         proxy.set_direction_stalled(forward, true);
         connection.write_all(b"c").unwrap();
-        assert!(connection.read_exact(&mut one).is_err(), "nothing comes while it hangs");
+        assert!(connection.read_exact(&mut one).is_err(), "a stalled direction transfers nothing");
         proxy.set_direction_stalled(forward, false);
         connection.read_exact(&mut one).unwrap();
-        assert_eq!(&one, b"c", "what was withheld comes");
+        assert_eq!(&one, b"c", "withheld data is transferred after the stall");
     }
     proxy.reset_connections();
     assert!(matches!(connection.read(&mut one), Ok(0) | Err(_)));
