--- a/lab/src/fleet/callers/attempts.rs
+++ b/lab/src/fleet/callers/attempts.rs
@@ -1,4 +1,4 @@
-//! RPCs from their first attempt to their final answer.
+//! Life cycle of RPCs from the first attempt to the final answer.
 
 use super::caller::{Caller, Rpc, Timer};
 use super::connection::{Attempt, ConnectionId};
@@ -9,9 +9,12 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-const MAX_ATTEMPTS: u32 = 3; // of one RPC, where it may be retried
-const ANSWER_SLACK: Duration = Duration::from_millis(250); // beyond an attempt's patience until its answer counts as missing
-const MIN_PATIENCE: Duration = Duration::from_millis(5); // for an attempt
+/// Attempts of an RPC that may be retried.
+const MAX_ATTEMPTS_PER_RPC: u32 = 3;
+/// Time after the patience of an attempt at which its answer counts as missing.
+const ANSWER_SLACK: Duration = Duration::from_millis(250);
+/// Remaining patience of an RPC below which it is not attempted again.
+const MIN_ATTEMPT_PATIENCE: Duration = Duration::from_millis(5);
 
 impl Caller {
     pub(super) fn start_rpc(&mut self, rpc: u64, at: Instant) {
@@ -20,7 +23,7 @@
         };
         let body = format!("{} {} {rpc}", method.method, self.number).into_bytes();
         self.rpcs.insert(rpc, Rpc { method, first_sent: at, body, attempts: 0 });
-        self.record_bucket(at, |bucket| bucket.called += method.criticality);
+        self.record_bucket(at, |bucket| bucket.offered += method.criticality);
         self.record(|ledger| ledger.rpcs += 1);
         self.set_timer(at + method.patience, Timer::PatienceOver(rpc));
         self.attempt(rpc);
@@ -38,13 +41,13 @@
         let Some(rpc) = self.rpcs.get(&id) else { return };
         let (method, attempts) = (rpc.method, rpc.attempts);
         let patience = (rpc.first_sent + method.patience).saturating_duration_since(now);
-        if attempts >= MAX_ATTEMPTS || patience < MIN_PATIENCE {
+        if attempts >= MAX_ATTEMPTS_PER_RPC || patience < MIN_ATTEMPT_PATIENCE {
             return self.finish_rpc(id, false);
         }
         let Some(node) = self.choose_backend() else {
-            // No backend is to be called just now: a little later, while there is patience.
-            let later = Duration::from_millis(self.rng.random_range(20..60));
-            return self.set_timer(now + later, Timer::Retry(id));
+            // No backend can be called now; the RPC is tried again shortly while its patience lasts.
+            let delay = Duration::from_millis(self.rng.random_range(20..60));
+            return self.set_timer(now + delay, Timer::Retry(id));
         };
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         rpc.attempts += 1;
@@ -62,8 +65,8 @@
         self.set_timer(now + patience + ANSWER_SLACK, timer);
     }
 
-    /// An attempt that is still in flight has no answer.
-    pub(super) fn expect_answer(&mut self, node: usize, connection: ConnectionId, stream: u32) {
+    /// Records an attempt that is still in flight at its deadline as unanswered.
+    pub(super) fn handle_answer_deadline(&mut self, node: usize, connection: ConnectionId, stream: u32) {
         let Some(connection) = self.connection(node, connection) else { return };
         if let Some(attempt) = connection.in_flight.remove(&stream) {
             let unanswered = UnansweredAttempt { node, sent: attempt.sent };
@@ -71,7 +74,7 @@
         }
     }
 
-    /// An attempt came to nothing: another, unless it may have run and must not run twice.
+    /// Schedules another attempt of an RPC after a failed one. An RPC that may have run and must not run twice is ended.
     pub(super) fn retry(&mut self, id: u64, may_have_run: bool) {
         let Some(rpc) = self.rpcs.get(&id) else { return };
         if may_have_run && self.shared.profile.unsafe_to_retry.contains(&rpc.method.method) {
@@ -89,15 +92,16 @@
         connection.credit = advice.or(connection.credit);
         connection.answered += 1;
         let Some(attempt) = connection.in_flight.remove(&stream) else {
-            // One that came after its time was over is no second one, unless it was answered before.
+            // An answer to an attempt that has passed its deadline is late, not a duplicate, unless the attempt was
+            // answered before.
             let late = stream <= connection.last_stream && connection.answered <= connection.last_stream;
             return self.record(|ledger| ledger.answered_twice += u64::from(!late));
         };
         match answer.code {
             OK => {
                 let expected = self.rpcs.get(&attempt.rpc).map(|rpc| [b"did ", &rpc.body[..]].concat());
-                let wrong = expected.is_some_and(|expected| expected != answer.body);
-                self.record(|ledger| ledger.wrong_results += u64::from(wrong));
+                let is_wrong = expected.is_some_and(|expected| expected != answer.body);
+                self.record(|ledger| ledger.wrong_results += u64::from(is_wrong));
                 self.finish_rpc(attempt.rpc, true);
             }
             REJECTED => self.handle_rejection(node, attempt.rpc, answer),
--- a/lab/src/fleet/callers/balancing.rs
+++ b/lab/src/fleet/callers/balancing.rs
@@ -1,4 +1,4 @@
-//! Which backend a caller chooses.
+//! Choice of the backend for an attempt.
 
 use super::caller::Caller;
 use super::connection::{Connection, ConnectionId};
@@ -8,15 +8,16 @@
 use std::net::{Shutdown, SocketAddr};
 use std::time::{Duration, Instant};
 
-const CHOICES: usize = 2; // of which the one with less in flight is taken
+/// Number of random candidates, of which the one with fewer attempts in flight is chosen.
+const RANDOM_CHOICES: usize = 2;
 
 impl Caller {
-    /// How late this caller sees the list: between one and two seconds.
+    /// Returns the delay with which this caller sees the list: between one and two seconds.
     fn list_delay(&self) -> Duration {
         Duration::from_millis(1_000 + (self.number as u64 * 137) % 1_000)
     }
 
-    /// Whether a backend may be called, and has capacity here for one more attempt.
+    /// Reports whether a backend may be called, and its connection has capacity for another attempt.
     fn may_call(&self, node: usize, now: Instant) -> bool {
         let paused = !self.ignores_hints && self.paused_until.get(&node).is_some_and(|until| *until > now);
         let unreachable = self.unreachable_until.get(&node).is_some_and(|until| *until > now);
@@ -28,14 +29,15 @@
         !paused && !unreachable && has_capacity
     }
 
-    /// A backend that the list names, with a connection that may carry one more RPC.
+    /// Chooses a listed backend and returns its index, with an open connection that has capacity for another attempt.
     pub(super) fn choose_backend(&mut self) -> Option<usize> {
         let now = Instant::now();
         let listed = self.shared.name_service.listed_backends(self.list_delay());
         let listed =
             listed.iter().filter_map(|name| self.shared.backend_addresses.by_name.get(name).copied());
-        let able: Vec<(usize, SocketAddr)> = listed.filter(|(node, _)| self.may_call(*node, now)).collect();
-        let choices = able.iter().copied().choose_multiple(&mut self.rng, CHOICES);
+        let candidates: Vec<(usize, SocketAddr)> =
+            listed.filter(|(node, _)| self.may_call(*node, now)).collect();
+        let choices = candidates.iter().copied().choose_multiple(&mut self.rng, RANDOM_CHOICES);
         let in_flight = |(node, _): &(usize, SocketAddr)| {
             self.connections.get(node).map_or(0, |connection| connection.in_flight.len())
         };
@@ -59,7 +61,7 @@
         Some(())
     }
 
-    /// A connection broke: what was in flight on it may have run.
+    /// Handles a broken connection. The attempts in flight on it may have run.
     pub(super) fn connection_broke(&mut self, node: usize, id: ConnectionId) {
         if self.connection(node, id).is_none() {
             return;
--- a/lab/src/fleet/callers/caller.rs
+++ b/lab/src/fleet/callers/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: its timers, its connections and the loop that serves both.
+//! Event loop of a caller, with its timers and connections.
 
 use super::connection::{Connection, ConnectionId, Event};
 use super::ledger::{Bucket, CallerLedger};
@@ -15,11 +15,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const LONGEST_WAIT: Duration = Duration::from_millis(100); // until the loop looks whether it has to stop
-const RECONNECT_SPREAD_MS: u64 = 50;
-const SEEDS_PER_LOAD: u64 = 1_000; // each caller has a seed of its own
+/// Longest wait for an event before the loop checks whether it has to stop.
+const MAX_EVENT_WAIT: Duration = Duration::from_millis(100);
+const MAX_RECONNECT_DELAY_MS: u64 = 50;
+/// Seeds that are reserved for the callers of one profile, as each caller has its own seed.
+const SEEDS_PER_PROFILE: u64 = 1_000;
 
-/// What the callers of a fleet share.
+/// State that the callers of a fleet share.
 #[derive(Clone)]
 pub(super) struct Shared {
     pub(super) ledger: Arc<Mutex<CallerLedger>>,
@@ -56,7 +58,7 @@
     }
 }
 
-/// An RPC that has no final answer.
+/// An RPC without a final answer.
 pub(super) struct Rpc {
     pub(super) method: MethodLoad,
     pub(super) first_sent: Instant,
@@ -64,34 +66,34 @@
     pub(super) attempts: u32,
 }
 
-/// What happens at a moment. The order is that of timers of the same moment.
+/// An action that is due at a point in time. The order of the variants is that of timers that are due at the same time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The next RPC is sent.
+    /// The next RPC has to be sent.
     NextRpc,
-    /// An RPC is attempted again.
+    /// An RPC has to be attempted again.
     Retry(u64),
-    /// An attempt ought to have its answer.
+    /// The answer to an attempt is due.
     AnswerDeadline { node: usize, connection: ConnectionId, stream: u32 },
-    /// The patience of an RPC is over.
+    /// The patience of an RPC has ended.
     PatienceOver(u64),
-    /// All connections are broken off.
+    /// All connections have to be closed.
     Reconnect,
 }
 
-/// One caller.
+/// A stand-in caller.
 pub(super) struct Caller {
     pub(super) number: usize,
-    /// It ignores what backends advertise.
+    /// Whether it ignores the credit and the pauses that backends advertise.
     pub(super) ignores_hints: bool,
     pub(super) shared: Shared,
     pub(super) rng: StdRng,
-    /// By the backend's number.
+    /// Open connections, by the index of the backend.
     pub(super) connections: BTreeMap<usize, Connection>,
     pub(super) connections_made: ConnectionId,
-    /// Until when backends are not called, as they said so.
+    /// End of the pauses that backends asked for, by the index of the backend.
     pub(super) paused_until: BTreeMap<usize, Instant>,
-    /// The same, as they could not be reached.
+    /// Time until which unreachable backends are not called, by the index of the backend.
     pub(super) unreachable_until: BTreeMap<usize, Instant>,
     pub(super) rpcs: BTreeMap<u64, Rpc>,
     last_rpc: u64,
@@ -104,7 +106,7 @@
 impl Caller {
     pub(super) fn new(number: usize, ignores_hints: bool, shared: Shared) -> Caller {
         let (event_sender, events) = channel();
-        let seed = shared.profile.seed * SEEDS_PER_LOAD + number as u64;
+        let seed = shared.profile.seed * SEEDS_PER_PROFILE + number as u64;
         Caller {
             number,
             ignores_hints,
@@ -135,7 +137,7 @@
         self.timers.push(Reverse((at, timer)));
     }
 
-    /// Sends RPCs until the callers are stopped and none is left.
+    /// Sends RPCs until the callers are stopped and no RPC is in flight.
     pub(super) fn run(&mut self) {
         self.set_timer(Instant::now(), Timer::NextRpc);
         loop {
@@ -144,8 +146,8 @@
                 let Some(Reverse((at, timer))) = self.timers.pop() else { break };
                 self.handle_timer(at, timer);
             }
-            let next = self.timers.peek().map_or(now + LONGEST_WAIT, |Reverse((at, _))| *at);
-            let wait = next.saturating_duration_since(Instant::now()).min(LONGEST_WAIT);
+            let next = self.timers.peek().map_or(now + MAX_EVENT_WAIT, |Reverse((at, _))| *at);
+            let wait = next.saturating_duration_since(Instant::now()).min(MAX_EVENT_WAIT);
             match self.events.recv_timeout(wait) {
                 Ok(event) => self.handle_event(event),
                 Err(RecvTimeoutError::Timeout) => {}
@@ -156,15 +158,15 @@
                 self.connections.clear();
                 return;
             }
-            self.look_for_reconnect();
+            self.check_reconnect_request();
         }
     }
 
-    fn look_for_reconnect(&mut self) {
+    fn check_reconnect_request(&mut self) {
         let reconnect_at = *lock(&self.shared.reconnect_at);
         if reconnect_at != self.reconnected_at {
             self.reconnected_at = reconnect_at;
-            let delay = Duration::from_millis(self.rng.random_range(0..RECONNECT_SPREAD_MS));
+            let delay = Duration::from_millis(self.rng.random_range(0..MAX_RECONNECT_DELAY_MS));
             self.set_timer(Instant::now() + delay, Timer::Reconnect);
         }
     }
@@ -174,14 +176,14 @@
             Timer::NextRpc if self.shared.is_stopped() => {}
             Timer::NextRpc => {
                 let (callers, rate) = (self.shared.profile.callers as f64, self.shared.profile.rate);
-                let gap = -(1.0 - self.rng.random::<f64>()).ln() * callers / rate;
-                self.set_timer(at + Duration::from_secs_f64(gap), Timer::NextRpc);
+                let interval = -(1.0 - self.rng.random::<f64>()).ln() * callers / rate;
+                self.set_timer(at + Duration::from_secs_f64(interval), Timer::NextRpc);
                 self.last_rpc += 1;
                 self.start_rpc(self.last_rpc, at);
             }
             Timer::Retry(rpc) => self.attempt(rpc),
             Timer::AnswerDeadline { node, connection, stream } => {
-                self.expect_answer(node, connection, stream);
+                self.handle_answer_deadline(node, connection, stream);
             }
             Timer::PatienceOver(rpc) => self.finish_rpc(rpc, false),
             Timer::Reconnect => self.connections.values().for_each(Connection::shut_down),
@@ -202,7 +204,7 @@
         }
     }
 
-    /// A connection, if it is still the one to that backend.
+    /// Returns the connection to a backend, if it is still the one with this identifier.
     pub(super) fn connection(&mut self, node: usize, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(&node).filter(|connection| connection.id == id)
     }
--- a/lab/src/fleet/callers/connection.rs
+++ b/lab/src/fleet/callers/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection to a backend, and what comes on it.
+//! Connection of a caller to a backend, and the events on it.
 
 use crate::sidecar::{read_frame, Answer, ANSWER, DRAINING};
 use std::collections::BTreeMap;
@@ -9,37 +9,37 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Tells connections of one caller apart, also to the same backend.
+/// Identifies a connection among those of one caller, also among those to the same backend.
 pub(super) type ConnectionId = u64;
 
-/// An attempt in flight.
+/// An attempt that awaits its answer.
 pub(super) struct Attempt {
     pub(super) rpc: u64,
     pub(super) sent: Instant,
 }
 
-/// What came on a connection.
+/// An event on a connection.
 pub(super) enum Event {
     Answer { node: usize, connection: ConnectionId, stream: u32, answer: Answer },
     Draining { node: usize, connection: ConnectionId },
     Broken { node: usize, connection: ConnectionId },
 }
 
-/// A connection to a backend.
+/// A connection to a backend, with the attempts in flight on it.
 pub(super) struct Connection {
     pub(super) id: ConnectionId,
     pub(super) to: TcpStream,
     pub(super) last_stream: u32,
-    /// By stream.
+    /// Attempts that await an answer, by stream.
     pub(super) in_flight: BTreeMap<u32, Attempt>,
     pub(super) answered: u32,
     pub(super) draining: bool,
-    /// What the backend advertised last.
+    /// The credit that the backend advertised last.
     pub(super) credit: Option<f64>,
 }
 
 impl Connection {
-    /// Connects, and sends what comes as events.
+    /// Connects, and starts a thread that sends what is received as events.
     pub(super) fn open(
         id: ConnectionId, node: usize, at: SocketAddr, events: &Sender<Event>,
     ) -> Option<Connection> {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Reads frames until the connection ends.
+/// Reads frames and sends their events until the connection ends.
 fn read_events(
     mut from: TcpStream, node: usize, connection: ConnectionId, events: &Sender<Event>,
 ) -> Option<()> {
--- a/lab/src/fleet/callers/profile.rs
+++ b/lab/src/fleet/callers/profile.rs
@@ -1,30 +1,30 @@
-//! How callers behave, and where they find backends.
+//! Profile of callers, and the addresses of backends.
 
 use crate::load::MethodLoad;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How callers behave.
+/// Behaviour of the callers.
 #[derive(Clone)]
 pub struct CallerProfile {
-    /// The methods that they call.
+    /// Methods that they call.
     pub methods: Vec<MethodLoad>,
     /// Methods that must not be retried once they may have run.
     pub unsafe_to_retry: Vec<&'static str>,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
-    /// RPCs a second, of all.
+    /// RPCs a second of all callers together.
     pub rate: f64,
-    /// Of 1, the part of callers that ignores what backends advertise.
+    /// Share (0 to 1) of the callers that ignore the credit and the pauses that backends advertise.
     pub ignoring_share: f64,
-    /// Seed of all random draws.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
-/// Where backends are: by name, the number and the address.
+/// Indices and addresses of the backends.
 #[derive(Clone)]
 pub struct BackendAddresses {
-    /// By the name in the name service.
+    /// Index and address, by the name in the name service.
     pub by_name: Arc<BTreeMap<String, (usize, SocketAddr)>>,
 }
--- a/lab/src/fleet/callers/spawn.rs
+++ b/lab/src/fleet/callers/spawn.rs
@@ -1,4 +1,4 @@
-//! The callers of a fleet, each in a thread of its own.
+//! Callers of a fleet, each in its own thread.
 
 use super::caller::{Caller, Shared};
 use super::ledger::CallerLedger;
@@ -9,14 +9,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The callers of a fleet.
+/// The running callers of a fleet.
 #[derive(Clone)]
 pub struct Callers {
     shared: Shared,
 }
 
 impl Callers {
-    /// Starts them; `start` is when their account begins.
+    /// Starts the callers; `start` is the time at which their statistics begin.
     pub fn start(
         start: Instant, profile: &CallerProfile, backend_addresses: &BackendAddresses,
         name_service: &NameService,
@@ -30,17 +30,17 @@
         callers
     }
 
-    /// Their account so far.
+    /// Returns the locked statistics of the callers so far.
     pub fn ledger(&self) -> MutexGuard<'_, CallerLedger> {
         lock(&self.shared.ledger)
     }
 
-    /// All break off their connections within the next 50 ms and connect anew.
+    /// Makes all callers close their connections within the next 50 ms and reconnect.
     pub fn reconnect(&self) {
         *lock(&self.shared.reconnect_at) = Some(Instant::now());
     }
 
-    /// No more RPCs are sent; those in flight may end.
+    /// Stops sending new RPCs, and waits this long for those in flight.
     pub fn stop(&self, wait: Duration) {
         self.shared.stop();
         thread::sleep(wait);
--- a/lab/src/fleet/name_service.rs
+++ b/lab/src/fleet/name_service.rs
@@ -1,4 +1,4 @@
-//! A name service: backends report, callers see lists that are late.
+//! Stand-in for the name service: backends send load reports, and callers see the list of backends with a delay.
 
 use super::upstream::element_mut;
 use crate::stand_ins::{HttpRequest, NO_CONTENT};
@@ -11,31 +11,32 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const EXPIRES_AFTER: Duration = Duration::from_secs(3); // an entry without a load report is taken off the list
-const LIST_EVERY: Duration = Duration::from_millis(100);
-const HISTORY: usize = 100; // lists
+/// Time after the last load report at which a backend is removed from the list.
+const REPORT_TTL: Duration = Duration::from_secs(3);
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_SNAPSHOTS: usize = 100;
 const BUCKET_MS: u128 = 100;
 const REPORT_PATH: &str = "PUT /ns/hosts/";
 
-/// The name service.
+/// The name service; clones share its state.
 #[derive(Clone)]
 pub struct NameService {
-    /// Where it listens.
+    /// Address at which the name service listens.
     pub address: SocketAddr,
     shared: Arc<Mutex<Lists>>,
     stopped: Arc<AtomicBool>,
 }
 
-/// A backend's last load report.
+/// The last load report of a backend.
 #[derive(Clone, Copy)]
 struct Report {
     at: Instant,
-    /// It takes work.
+    /// Whether the backend accepts RPCs.
     serving: bool,
 }
 
-/// Who was listed at a moment.
-struct Listing {
+/// The list of backends at a point in time.
+struct ListSnapshot {
     at: Instant,
     names: Vec<String>,
 }
@@ -43,24 +44,24 @@
 #[derive(Default)]
 struct Lists {
     last_reports: BTreeMap<String, Report>,
-    history: VecDeque<Listing>,
-    /// Reports that came, by tenths of a second since the start.
+    history: VecDeque<ListSnapshot>,
+    /// Number of received reports, by 100 ms buckets since the start.
     reports: Vec<u32>,
 }
 
 impl Lists {
-    fn append_listing(&mut self) {
+    fn append_snapshot(&mut self) {
         let now = Instant::now();
-        let listed = |report: &Report| report.serving && report.at + EXPIRES_AFTER > now;
+        let listed = |report: &Report| report.serving && report.at + REPORT_TTL > now;
         let names = self.last_reports.iter().filter(|(_, report)| listed(report));
         let names = names.map(|(name, _)| name.clone()).collect();
-        self.history.push_back(Listing { at: now, names });
-        while self.history.len() > HISTORY {
+        self.history.push_back(ListSnapshot { at: now, names });
+        while self.history.len() > MAX_SNAPSHOTS {
             self.history.pop_front();
         }
     }
 
-    fn take_report(&mut self, name: String, serving: bool, start: Instant) {
+    fn record_report(&mut self, name: String, serving: bool, start: Instant) {
         self.last_reports.insert(name, Report { at: Instant::now(), serving });
         let bucket = (start.elapsed().as_millis() / BUCKET_MS) as usize;
         *element_mut(&mut self.reports, bucket) += 1;
@@ -68,12 +69,12 @@
 }
 
 impl NameService {
-    /// Listens on a port that the system chooses; `start` is when its account begins.
+    /// Starts a name service on a port that the system chooses; `start` is the time at which its statistics begin.
     pub fn start(start: Instant) -> std::io::Result<NameService> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let name_service =
             NameService { address: listener.local_addr()?, shared: Arc::default(), stopped: Arc::default() };
-        let (acceptor, lister) = (name_service.clone(), name_service.clone());
+        let (acceptor, snapshot_writer) = (name_service.clone(), name_service.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 if acceptor.stopped.load(Ordering::Acquire) {
@@ -84,37 +85,38 @@
             }
         });
         thread::spawn(move || {
-            while !lister.stopped.load(Ordering::Acquire) {
-                lock(&lister.shared).append_listing();
-                thread::sleep(LIST_EVERY);
+            while !snapshot_writer.stopped.load(Ordering::Acquire) {
+                lock(&snapshot_writer.shared).append_snapshot();
+                thread::sleep(SNAPSHOT_INTERVAL);
             }
         });
         Ok(name_service)
     }
 
-    /// Ends its threads.
+    /// Stops its threads.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
-        drop(TcpStream::connect(self.address)); // so that the acceptor looks
+        // The connection wakes the acceptor, which then sees the stop flag.
+        drop(TcpStream::connect(self.address));
     }
 
-    /// Who was listed so long ago.
+    /// Returns the names of the backends that were listed this long ago, or in the oldest snapshot that is kept.
     pub fn listed_backends(&self, ago: Duration) -> Vec<String> {
         let (then, lists) = (Instant::now() - ago, lock(&self.shared));
-        let listing = lists.history.iter().rev().find(|listing| listing.at <= then);
-        let listing = listing.or_else(|| lists.history.front());
-        listing.map(|listing| listing.names.clone()).unwrap_or_default()
+        let snapshot = lists.history.iter().rev().find(|snapshot| snapshot.at <= then);
+        let snapshot = snapshot.or_else(|| lists.history.front());
+        snapshot.map(|snapshot| snapshot.names.clone()).unwrap_or_default()
     }
 
-    /// When the last report of this backend came, if it takes work.
+    /// Returns the time of the last report of a backend, if that report says that it accepts RPCs.
     pub fn last_serving_report(&self, name: &str) -> Option<Instant> {
         let lists = lock(&self.shared);
         lists.last_reports.get(name).filter(|report| report.serving).map(|report| report.at)
     }
 
-    /// The most reports that came in one tenth of a second from then on, in tenths since the start.
-    pub fn peak_reports(&self, from: usize) -> u32 {
-        lock(&self.shared).reports.iter().skip(from).copied().max().unwrap_or(0)
+    /// Returns the largest number of reports in one bucket, from this bucket on.
+    pub fn peak_reports(&self, first_bucket: usize) -> u32 {
+        lock(&self.shared).reports.iter().skip(first_bucket).copied().max().unwrap_or(0)
     }
 
     fn serve(&self, stream: TcpStream, start: Instant) -> std::io::Result<()> {
@@ -123,7 +125,7 @@
             let path = request.start.strip_prefix(REPORT_PATH).unwrap_or("");
             let name = path.split(' ').next().unwrap_or("").to_string();
             let serving = String::from_utf8_lossy(&request.body).contains("\"yes\"");
-            lock(&self.shared).take_report(name, serving, start);
+            lock(&self.shared).record_report(name, serving, start);
             to.write_all(NO_CONTENT)?;
         }
         Ok(())
--- a/lab/src/fleet/restart_recovery/tests/service.rs
+++ b/lab/src/fleet/restart_recovery/tests/service.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn full_service_lasts_ten_seconds_and_the_floor_is_what_cold_cores_bear() {
-    let bucket = |in_time: f64| Bucket { called: 10.0, in_time, attempts: 10 };
+    let bucket = |in_time: f64| Bucket { offered: 10.0, in_time, attempts: 10 };
     let mut buckets = vec![bucket(10.0); 300];
     buckets[80..120].fill(bucket(2.0));
     buckets[150..160].fill(bucket(2.0));
--- a/lab/src/fleet/upstream.rs
+++ b/lab/src/fleet/upstream.rs
@@ -1,4 +1,5 @@
-//! An upstream that a fleet shares: so many calls at a time, each for so long; what waits beyond a bound is rejected.
+//! Stand-in for an upstream that a fleet shares. It processes a fixed number of calls concurrently, each for a fixed time,
+//! and rejects calls when its queue is full.
 
 use crate::sync::lock;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,13 +12,13 @@
 use std::time::{Duration, Instant};
 
 const IDLE_WAIT: Duration = Duration::from_millis(50);
-const WAITING_PER_SLOT: usize = 4; // calls, beyond which more are rejected
+const MAX_QUEUED_CALLS_PER_SLOT: usize = 4;
 const BUCKET_MS: u64 = 100;
 
-/// The upstream.
+/// The upstream; clones share its state.
 #[derive(Clone)]
 pub struct Upstream {
-    /// Where it listens.
+    /// Address at which the upstream listens.
     pub address: SocketAddr,
     shared: Arc<(Mutex<UpstreamState>, Condvar)>,
     stopped: Arc<AtomicBool>,
@@ -27,109 +28,111 @@
     id: String,
     body: Vec<u8>,
     to: Arc<Mutex<TcpStream>>,
-    /// Of the connection: a call whose connection is gone is given up.
-    alive: Arc<AtomicBool>,
+    /// Whether the connection is open; a call whose connection has closed is not started.
+    connected: Arc<AtomicBool>,
 }
 
-/// Calls in hand, and the upstream's account of them.
+/// Queued and running calls of the upstream, and its statistics.
 pub struct UpstreamState {
     slots: usize,
-    work: Duration,
-    /// Of its full speed.
+    call_time: Duration,
+    /// Fraction of the full speed.
     speed: f64,
-    waiting: VecDeque<Call>,
-    /// By when they end, and a number that keeps those of one moment apart.
-    in_progress: BTreeMap<(Instant, u64), Call>,
-    next_number: u64,
+    queued: VecDeque<Call>,
+    /// Running calls by end time, with a sequence number that distinguishes calls of the same end time.
+    running: BTreeMap<(Instant, u64), Call>,
+    last_sequence_number: u64,
     start: Instant,
-    /// Calls that came, by tenths of a second since the start.
+    /// Number of received calls, by 100 ms buckets since the start.
     pub arrivals: Vec<u32>,
-    /// Calls waiting and in progress, in seconds of one, by such tenths.
+    /// Sum of the seconds that calls were queued or running, by 100 ms buckets since the start.
     pub occupancy: Vec<f64>,
-    /// Up to when that is counted.
-    counted: Instant,
-    /// The tenths in which a call had to wait, or was rejected.
-    full: BTreeSet<usize>,
-    /// Calls that were rejected.
+    /// Time up to which `occupancy` is complete.
+    occupancy_counted_until: Instant,
+    /// Buckets in which a call was queued or rejected, as no slot was free.
+    saturated_buckets: BTreeSet<usize>,
+    /// Number of rejected calls.
     pub rejected: u64,
 }
 
 impl UpstreamState {
-    /// Calls a second that it can do at full speed.
+    /// Returns the calls a second that the upstream can process at full speed.
     pub fn capacity(&self) -> f64 {
-        self.slots as f64 / self.work.as_secs_f64()
+        self.slots as f64 / self.call_time.as_secs_f64()
     }
 
-    /// Whether it had a slot free all through these tenths of a second since the start.
+    /// Reports whether no call had to wait for a slot in these buckets.
     pub fn had_free_slot(&self, buckets: RangeInclusive<usize>) -> bool {
-        self.full.range(buckets).next().is_none()
+        self.saturated_buckets.range(buckets).next().is_none()
     }
 
-    /// It restarts at a part of its speed: nothing is left of calls before.
+    /// Restarts at a fraction of the full speed; earlier calls are lost.
     pub fn restart(&mut self, speed: f64) {
-        self.waiting.clear();
-        self.in_progress.clear();
+        self.queued.clear();
+        self.running.clear();
         self.speed = speed;
     }
 
-    /// Counts occupancy since the last time.
+    /// Updates `occupancy` up to the present.
     fn count_occupancy(&mut self) {
         let now = Instant::now();
-        let calls = (self.waiting.len() + self.in_progress.len()) as f64;
-        while self.counted < now {
-            let bucket = ((self.counted - self.start).as_millis() as u64 / BUCKET_MS) as usize;
-            let edge = self.start + Duration::from_millis((bucket as u64 + 1) * BUCKET_MS);
-            let until = edge.min(now);
-            *element_mut(&mut self.occupancy, bucket) += calls * (until - self.counted).as_secs_f64();
-            self.counted = until;
+        let calls = (self.queued.len() + self.running.len()) as f64;
+        while self.occupancy_counted_until < now {
+            let bucket =
+                ((self.occupancy_counted_until - self.start).as_millis() as u64 / BUCKET_MS) as usize;
+            let bucket_end = self.start + Duration::from_millis((bucket as u64 + 1) * BUCKET_MS);
+            let until = bucket_end.min(now);
+            *element_mut(&mut self.occupancy, bucket) +=
+                calls * (until - self.occupancy_counted_until).as_secs_f64();
+            self.occupancy_counted_until = until;
         }
     }
 
-    /// Whether there is space for one more call, which is counted.
-    fn admit(&mut self) -> bool {
+    /// Counts a received call and reports whether the queue has space for it.
+    fn try_admit(&mut self) -> bool {
         self.count_occupancy();
         let bucket = (self.start.elapsed().as_millis() as u64 / BUCKET_MS) as usize;
         *element_mut(&mut self.arrivals, bucket) += 1;
-        if !self.waiting.is_empty() || self.in_progress.len() >= self.slots {
-            self.full.insert(bucket);
+        if !self.queued.is_empty() || self.running.len() >= self.slots {
+            self.saturated_buckets.insert(bucket);
         }
-        let admitted = self.waiting.len() < WAITING_PER_SLOT * self.slots;
+        let admitted = self.queued.len() < MAX_QUEUED_CALLS_PER_SLOT * self.slots;
         self.rejected += u64::from(!admitted);
         admitted
     }
 
     fn cancel(&mut self, id: &str) {
         self.count_occupancy();
-        self.waiting.retain(|call| call.id != id);
+        self.queued.retain(|call| call.id != id);
     }
 
-    /// Calls whose time is over.
+    /// Removes and returns the calls that have ended.
     fn finish_calls(&mut self, now: Instant) -> Vec<Call> {
         let mut done = Vec::new();
-        while let Some(entry) = self.in_progress.first_entry().filter(|entry| entry.key().0 <= now) {
+        while let Some(entry) = self.running.first_entry().filter(|entry| entry.key().0 <= now) {
             done.push(entry.remove());
         }
         done
     }
 
     fn start_calls(&mut self, now: Instant) {
-        while self.in_progress.len() < self.slots {
-            let Some(call) = self.waiting.pop_front() else { break };
-            if call.alive.load(Ordering::Acquire) {
-                self.next_number += 1;
-                let key = (now + self.work.div_f64(self.speed), self.next_number);
-                self.in_progress.insert(key, call);
+        while self.running.len() < self.slots {
+            let Some(call) = self.queued.pop_front() else { break };
+            if call.connected.load(Ordering::Acquire) {
+                self.last_sequence_number += 1;
+                let key = (now + self.call_time.div_f64(self.speed), self.last_sequence_number);
+                self.running.insert(key, call);
             }
         }
     }
 
-    fn next_end_in(&self) -> Duration {
-        let first = self.in_progress.first_key_value();
+    fn time_until_next_end(&self) -> Duration {
+        let first = self.running.first_key_value();
         first.map_or(IDLE_WAIT, |((at, _), _)| at.saturating_duration_since(Instant::now()))
     }
 }
 
-/// An element of a list that grows up to it.
+/// Returns the element at an index of a list; the list grows to this length if it is shorter.
 pub(super) fn element_mut<T: Clone + Default>(list: &mut Vec<T>, index: usize) -> &mut T {
     if list.len() <= index {
         list.resize(index + 1, T::default());
@@ -138,41 +141,42 @@
 }
 
 impl Upstream {
-    /// Listens on a port that the system chooses; `start` is when its account begins.
-    pub fn start(start: Instant, slots: usize, work: Duration) -> std::io::Result<Upstream> {
+    /// Starts an upstream on a port that the system chooses; `start` is the time at which its statistics begin.
+    pub fn start(start: Instant, slots: usize, call_time: Duration) -> std::io::Result<Upstream> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let state = UpstreamState {
             slots,
-            work,
+            call_time,
             speed: 1.0,
-            waiting: VecDeque::new(),
-            in_progress: BTreeMap::new(),
-            next_number: 0,
+            queued: VecDeque::new(),
+            running: BTreeMap::new(),
+            last_sequence_number: 0,
             start,
             arrivals: Vec::new(),
             occupancy: Vec::new(),
-            counted: start,
-            full: BTreeSet::new(),
+            occupancy_counted_until: start,
+            saturated_buckets: BTreeSet::new(),
             rejected: 0,
         };
         let shared = Arc::new((Mutex::new(state), Condvar::new()));
         let upstream = Upstream { address: listener.local_addr()?, shared, stopped: Arc::default() };
         let (acceptor, worker) = (upstream.clone(), upstream.clone());
         thread::spawn(move || acceptor.accept(&listener));
-        thread::spawn(move || worker.work());
+        thread::spawn(move || worker.process_calls());
         Ok(upstream)
     }
 
-    /// Its calls and its account.
+    /// Returns the locked state: calls and statistics.
     pub fn state(&self) -> MutexGuard<'_, UpstreamState> {
         lock(&self.shared.0)
     }
 
-    /// Ends its threads.
+    /// Stops its threads.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
         self.shared.1.notify_all();
-        drop(TcpStream::connect(self.address)); // so that the acceptor looks
+        // The connection wakes the acceptor, which then sees the stop flag.
+        drop(TcpStream::connect(self.address));
     }
 
     fn accept(&self, listener: &TcpListener) {
@@ -182,14 +186,14 @@
             }
             let upstream = self.clone();
             thread::spawn(move || {
-                let alive = Arc::new(AtomicBool::new(true));
-                drop(upstream.serve(stream, &alive));
-                alive.store(false, Ordering::Release);
+                let connected = Arc::new(AtomicBool::new(true));
+                drop(upstream.serve(stream, &connected));
+                connected.store(false, Ordering::Release);
             });
         }
     }
 
-    fn serve(&self, stream: TcpStream, alive: &Arc<AtomicBool>) -> std::io::Result<()> {
+    fn serve(&self, stream: TcpStream, connected: &Arc<AtomicBool>) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let to = Arc::new(Mutex::new(stream.try_clone()?));
         let mut from = BufReader::new(stream);
@@ -204,13 +208,13 @@
                     let mut body = vec![0; length.parse::<usize>().unwrap_or(0) + 2];
                     from.read_exact(&mut body)?;
                     let mut state = self.state();
-                    if !state.admit() {
+                    if !state.try_admit() {
                         drop(state);
                         lock(&to).write_all(format!("{id} WAIT\r\n").as_bytes())?;
                         continue;
                     }
-                    let (to, alive) = (to.clone(), alive.clone());
-                    state.waiting.push_back(Call { id: id.into(), body, to, alive });
+                    let (to, connected) = (to.clone(), connected.clone());
+                    state.queued.push_back(Call { id: id.into(), body, to, connected });
                     drop(state);
                     self.shared.1.notify_one();
                 }
@@ -220,14 +224,14 @@
         }
     }
 
-    fn work(&self) {
+    fn process_calls(&self) {
         let mut state = self.state();
         while !self.stopped.load(Ordering::Acquire) {
             let now = Instant::now();
             state.count_occupancy();
             let done = state.finish_calls(now);
             state.start_calls(now);
-            let wait = state.next_end_in();
+            let wait = state.time_until_next_end();
             drop(state);
             for call in done {
                 let head = format!("{} DONE {}\r\n", call.id, call.body.len() - 2);
@@ -235,7 +239,7 @@
                 lock(&call.to).write_all(&reply).unwrap_or_default();
             }
             state = self.state();
-            if state.in_progress.len() < state.slots && !state.waiting.is_empty() {
+            if state.running.len() < state.slots && !state.queued.is_empty() {
                 continue;
             }
             state = self.shared.1.wait_timeout(state, wait).unwrap_or_else(|e| e.into_inner()).0;
