--- a/lab/src/fleet/cold_start.rs
+++ b/lab/src/fleet/cold_start.rs
@@ -1,4 +1,4 @@
-//! `fleet-cold`: all servers start cold at once, among as many callers that send whatever they are allowed to.
+//! `fleet-cold`: all servers start cold at once while the same number of callers send all RPCs that their credit allows.
 
 use super::cluster::Fleet;
 use super::single_call::lookup_header;
@@ -21,46 +21,50 @@
 use std::time::{Duration, Instant};
 
 const SOCKETS: u64 = 512;
-const AGENTS_GREETED: Duration = ms(300);
-const ADVICE_HOLDS_FOR: Duration = Duration::from_secs(1); // a caller regards a number for so long
-const BLIND_CALL_ODDS: u32 = 60; // a caller without a number calls once in so many turns
-const TURN: Duration = ms(4);
-const SAMPLE_EVERY: Duration = ms(5);
-const SEEDS_PER_SCENARIO: u64 = 1_000; // each caller has a seed of its own
-const LENGTH_BYTES: usize = 4; // of a frame, before what the length counts
-const HEAD_BYTES: usize = 9;
-const READ_BYTES: usize = 4096;
-
-/// A number that a server advertised: how many RPCs a caller may have in flight there.
+const AGENT_CONNECT_WAIT: Duration = ms(300);
+/// Time after which a caller ignores an advertised credit.
+const CREDIT_TTL: Duration = Duration::from_secs(1);
+/// A caller without credit sends an RPC in one of this many turns, on average.
+const CALL_ODDS_WITHOUT_CREDIT: u32 = 60;
+const TURN_INTERVAL: Duration = ms(4);
+const SAMPLE_INTERVAL: Duration = ms(5);
+/// Seeds that are reserved for the callers of one run, as each caller has its own seed.
+const SEEDS_PER_RUN: u64 = 1_000;
+/// Size of the length field of a frame, which does not count itself.
+const LENGTH_FIELD_BYTES: usize = 4;
+const FRAME_HEAD_BYTES: usize = 9;
+const READ_BUFFER_BYTES: usize = 4096;
+
+/// Credit that a server advertised: the number of RPCs that a caller may have in flight there.
 #[derive(Clone, Copy)]
-struct Advice {
-    number: f64,
-    /// With its fraction rounded at random.
+struct AdvertisedCredit {
+    credit: f64,
+    /// The credit with its fraction rounded up or down at random.
     limit: usize,
-    came: Instant,
+    received_at: Instant,
 }
 
-/// A caller's connection to one server.
+/// Connection of a caller to a server.
 struct Connection {
     to: TcpStream,
     bytes: Vec<u8>,
     last_stream: u32,
-    /// By stream: whether the caller had advice when it was sent.
+    /// RPCs in flight by stream, with whether the caller had credit when it sent them.
     in_flight: BTreeMap<u32, bool>,
-    advice: Option<Advice>,
+    credit: Option<AdvertisedCredit>,
 }
 
-/// What a caller has in flight at a server, sent with advice; and the number that it holds.
+/// RPCs that a caller with credit has in flight at a server, and its credit there.
 #[derive(Clone, Copy, Default)]
-struct Holding {
+struct Usage {
     in_flight: usize,
-    number: f64,
+    credit: f64,
 }
 
-/// By server and caller.
-type Holdings = Vec<Vec<Mutex<Holding>>>;
+/// Usage by server and caller.
+type UsageByServer = Vec<Vec<Mutex<Usage>>>;
 
-/// RPCs of a caller.
+/// Numbers of RPCs of a caller.
 #[derive(Clone, Copy, Default)]
 struct Counts {
     sent: u64,
@@ -72,32 +76,32 @@
         let to = TcpStream::connect(at)?;
         to.set_nodelay(true)?;
         to.set_nonblocking(true)?;
-        Ok(Connection { to, bytes: Vec::new(), last_stream: 0, in_flight: BTreeMap::new(), advice: None })
+        Ok(Connection { to, bytes: Vec::new(), last_stream: 0, in_flight: BTreeMap::new(), credit: None })
     }
 
-    /// In flight, sent with advice.
-    fn advised(&self) -> usize {
-        self.in_flight.values().filter(|advised| **advised).count()
+    /// Returns the number of RPCs in flight that were sent with credit.
+    fn with_credit(&self) -> usize {
+        self.in_flight.values().filter(|with_credit| **with_credit).count()
     }
 
-    /// The next complete frame of what has come: its type, stream and payload.
+    /// Removes the next complete frame from the received bytes and returns its type, stream and payload.
     fn next_frame(&mut self) -> Option<(u8, u32, Vec<u8>)> {
-        let length = u32::from_be_bytes(self.bytes.get(..LENGTH_BYTES)?.try_into().ok()?) as usize;
-        let mut head: Vec<u8> = self.bytes.get(..length + LENGTH_BYTES)?.to_vec();
-        if head.len() < HEAD_BYTES {
+        let length = u32::from_be_bytes(self.bytes.get(..LENGTH_FIELD_BYTES)?.try_into().ok()?) as usize;
+        let mut head: Vec<u8> = self.bytes.get(..length + LENGTH_FIELD_BYTES)?.to_vec();
+        if head.len() < FRAME_HEAD_BYTES {
             return None;
         }
-        let payload = head.split_off(HEAD_BYTES);
-        self.bytes.drain(..length + LENGTH_BYTES);
-        let stream = u32::from_be_bytes(head[LENGTH_BYTES + 1..].try_into().ok()?);
-        Some((head[LENGTH_BYTES], stream, payload))
+        let payload = head.split_off(FRAME_HEAD_BYTES);
+        self.bytes.drain(..length + LENGTH_FIELD_BYTES);
+        let stream = u32::from_be_bytes(head[LENGTH_FIELD_BYTES + 1..].try_into().ok()?);
+        Some((head[LENGTH_FIELD_BYTES], stream, payload))
     }
 
-    /// Reads what has come; how many RPCs were answered.
+    /// Reads what was received and returns how many RPCs it answers.
     fn read_answers(&mut self, rng: &mut StdRng) -> u64 {
-        let mut some = [0; READ_BYTES];
-        while let Ok(n @ 1..) = self.to.read(&mut some) {
-            self.bytes.extend_from_slice(&some[..n]);
+        let mut buffer = [0; READ_BUFFER_BYTES];
+        while let Ok(n @ 1..) = self.to.read(&mut buffer) {
+            self.bytes.extend_from_slice(&buffer[..n]);
         }
         let mut answered = 0;
         while let Some((kind, stream, payload)) = self.next_frame() {
@@ -106,86 +110,89 @@
             }
             answered += 1;
             let answer = Answer::parse(&payload);
-            let number = answer.and_then(|answer| answer.field("advice")?.parse::<f64>().ok());
-            if let Some(number) = number {
-                let limit = number.floor() as usize + usize::from(rng.random::<f64>() < number.fract());
-                self.advice = Some(Advice { number, limit, came: Instant::now() });
+            let credit = answer.and_then(|answer| answer.field("advice")?.parse::<f64>().ok());
+            if let Some(credit) = credit {
+                let limit = credit.floor() as usize + usize::from(rng.random::<f64>() < credit.fract());
+                self.credit = Some(AdvertisedCredit { credit, limit, received_at: Instant::now() });
             }
         }
         answered
     }
 
-    /// Sends one RPC if the caller may; whether it was sent.
+    /// Sends an RPC if the credit allows it, and reports whether it was sent.
     fn send(&mut self, caller: u64, rng: &mut StdRng) -> bool {
-        self.advice = self.advice.filter(|advice| advice.came.elapsed() < ADVICE_HOLDS_FOR);
-        let advised = self.advised();
-        let may = match self.advice {
-            Some(advice) => advised < advice.limit,
-            // A caller without advice calls seldom, and one at a time.
-            None => self.in_flight.len() == advised && rng.random_range(0..BLIND_CALL_ODDS) == 0,
+        self.credit = self.credit.filter(|credit| credit.received_at.elapsed() < CREDIT_TTL);
+        let with_credit = self.with_credit();
+        let allowed = match self.credit {
+            Some(credit) => with_credit < credit.limit,
+            // A caller without credit calls rarely, and has one RPC in flight at a time.
+            None => self.in_flight.len() == with_credit && rng.random_range(0..CALL_ODDS_WITHOUT_CREDIT) == 0,
         };
-        if !may || self.in_flight.len() >= MAX_STREAMS {
+        if !allowed || self.in_flight.len() >= MAX_STREAMS {
             return false;
         }
         self.last_stream += 1;
-        self.in_flight.insert(self.last_stream, self.advice.is_some());
+        self.in_flight.insert(self.last_stream, self.credit.is_some());
         let body = format!("look {caller} {}", self.last_stream);
         let bytes = lookup_header(caller, rng).encode(self.last_stream, body.as_bytes());
         self.to.write_all(&bytes).is_ok()
     }
 
-    fn holding(&self) -> Holding {
-        let number = self.advice.map_or(0.0, |advice| advice.number);
-        Holding { in_flight: self.advised(), number }
+    fn usage(&self) -> Usage {
+        let credit = self.credit.map_or(0.0, |credit| credit.credit);
+        Usage { in_flight: self.with_credit(), credit }
     }
 }
 
-/// One caller of all servers, until it is stopped.
+/// Runs a caller of all servers until it is stopped.
 fn run_caller(
-    caller: usize, servers: &[SocketAddr], seed: u64, holdings: &Holdings, stopped: &AtomicBool,
+    caller: usize, servers: &[SocketAddr], seed: u64, usage: &UsageByServer, stopped: &AtomicBool,
 ) -> std::io::Result<Counts> {
-    let mut rng = StdRng::seed_from_u64(seed * SEEDS_PER_SCENARIO + caller as u64);
+    let mut rng = StdRng::seed_from_u64(seed * SEEDS_PER_RUN + caller as u64);
     let mut connections =
         servers.iter().map(|at| Connection::open(*at)).collect::<std::io::Result<Vec<_>>>()?;
     let mut counts = Counts::default();
     while !stopped.load(Ordering::Acquire) {
-        for (connection, holdings) in connections.iter_mut().zip(holdings) {
+        for (connection, usage) in connections.iter_mut().zip(usage) {
             counts.answered += connection.read_answers(&mut rng);
             counts.sent += u64::from(connection.send(caller as u64 + 1, &mut rng));
-            *lock(&holdings[caller]) = connection.holding();
+            *lock(&usage[caller]) = connection.usage();
         }
-        thread::sleep(TURN);
+        thread::sleep(TURN_INTERVAL);
     }
     Ok(counts)
 }
 
-/// The most that was seen of all servers and moments.
-struct Extremes {
-    /// RPCs in flight beyond the budget, in roots of it.
-    excess: f64,
-    /// Sum of the callers' numbers over the budget.
-    numbers: f64,
+/// Maxima over all servers and samples.
+struct Peaks {
+    /// RPCs in flight beyond the budget plus two, in units of the square root of the budget.
+    excess_in_flight: f64,
+    /// Sum of the callers' credit, divided by the budget.
+    credit_sum: f64,
     samples: u64,
 }
 
-/// Samples what is in flight at each server, and what its callers hold, against the settings' budget at that moment.
-fn sample(holdings: &Holdings, start: Instant) -> Extremes {
-    let mut extremes = Extremes { excess: f64::MIN, numbers: f64::MIN, samples: 0 };
+/// Samples the RPCs in flight and the sum of credit at each server during the warm-up, and compares them with the budget
+/// that follows from the settings at that time.
+fn sample(usage: &UsageByServer, start: Instant) -> Peaks {
+    let mut peaks = Peaks { excess_in_flight: f64::MIN, credit_sum: f64::MIN, samples: 0 };
     while start.elapsed() < WARM_UP {
-        let warmed = (start.elapsed().as_secs_f64() / WARM_UP.as_secs_f64()).min(1.0);
-        let speed = 0.5 + 0.5 * warmed; // as the settings say
+        let warm_up_progress = (start.elapsed().as_secs_f64() / WARM_UP.as_secs_f64()).min(1.0);
+        // The settings state half the speed at the start.
+        let speed = 0.5 + 0.5 * warm_up_progress;
         let budget = (1.0 + 7.0 * speed) * 2.0;
-        for server in holdings {
-            let now: Vec<Holding> = server.iter().map(|holding| *lock(holding)).collect();
+        for server in usage {
+            let now: Vec<Usage> = server.iter().map(|usage| *lock(usage)).collect();
             let in_flight: usize = now.iter().map(|one| one.in_flight).sum();
-            let numbers: f64 = now.iter().map(|one| one.number).sum();
-            extremes.excess = extremes.excess.max((in_flight as f64 - budget - 2.0) / budget.sqrt());
-            extremes.numbers = extremes.numbers.max(numbers / budget);
+            let credit_sum: f64 = now.iter().map(|one| one.credit).sum();
+            peaks.excess_in_flight =
+                peaks.excess_in_flight.max((in_flight as f64 - budget - 2.0) / budget.sqrt());
+            peaks.credit_sum = peaks.credit_sum.max(credit_sum / budget);
         }
-        extremes.samples += 1;
-        thread::sleep(SAMPLE_EVERY);
+        peaks.samples += 1;
+        thread::sleep(SAMPLE_INTERVAL);
     }
-    extremes
+    peaks
 }
 
 fn restart_cold(fleet: &mut Fleet) -> Result<Instant, ScenarioError> {
@@ -200,11 +207,11 @@
     for member in &fleet.members {
         member.node.wait_until_listening()?;
     }
-    thread::sleep(AGENTS_GREETED);
+    thread::sleep(AGENT_CONNECT_WAIT);
     Ok(start)
 }
 
-/// Plays it.
+/// Runs the scenario.
 pub fn cold_start(report: &mut Report, seed: u64, nodes: usize) -> Result<(), ScenarioError> {
     let callers = nodes;
     let methods = [Method { work: ms(30), calls_upstream: false, ..LOOK }];
@@ -213,32 +220,38 @@
     let start = restart_cold(&mut fleet)?;
     let stopped = Arc::new(AtomicBool::new(false));
     let server = |_| (0..callers).map(|_| Mutex::default()).collect();
-    let holdings: Arc<Holdings> = Arc::new((0..nodes).map(server).collect());
+    let usage: Arc<UsageByServer> = Arc::new((0..nodes).map(server).collect());
     let servers: Arc<Vec<SocketAddr>> = Arc::new(fleet.members.iter().map(|m| m.node.at).collect());
     let spawn = |caller: usize| {
-        let (servers, stopped, holdings) = (servers.clone(), stopped.clone(), holdings.clone());
-        thread::spawn(move || run_caller(caller, &servers, seed, &holdings, &stopped))
+        let (servers, stopped, usage) = (servers.clone(), stopped.clone(), usage.clone());
+        thread::spawn(move || run_caller(caller, &servers, seed, &usage, &stopped))
     };
     let threads: Vec<_> = (0..callers).map(spawn).collect();
-    let extremes = sample(&holdings, start);
+    let peaks = sample(&usage, start);
     stopped.store(true, Ordering::Release);
     let mut counts = Counts::default();
     for thread in threads {
-        let of_one = thread.join().map_err(|_| "a caller failed")??;
-        counts.sent += of_one.sent;
-        counts.answered += of_one.answered;
+        let caller_counts = thread.join().map_err(|_| "the thread of a caller panicked")??;
+        counts.sent += caller_counts.sent;
+        counts.answered += caller_counts.answered;
     }
-    let hundredths = |figure: f64| json!((figure * 100.0).round() / 100.0);
+    let two_decimals = |figure: f64| json!((figure * 100.0).round() / 100.0);
     report.set("processes", nodes.into());
     report.set("callers", callers.into());
-    report.set("looks", extremes.samples.into());
+    report.set("looks", peaks.samples.into());
     report.set("sent", counts.sent.into());
     report.set("answered", counts.answered.into());
-    report.set("most_out_over_budget_in_roots", hundredths(extremes.excess));
-    report.set("most_held_over_budget", hundredths(extremes.numbers));
-    report.rule("more than N + 2 root N + 2 were out at a cold server", extremes.excess <= 2.0);
-    report.rule("the numbers that callers held summed to over the budget", extremes.numbers <= 1.0);
-    report.rule("hardly anything was sent", counts.answered > 20 * nodes as u64);
-    report.rule("a process was left over", fleet.end() == 0);
+    report.set("most_out_over_budget_in_roots", two_decimals(peaks.excess_in_flight));
+    report.set("most_held_over_budget", two_decimals(peaks.credit_sum));
+    report.rule(
+        "more than N + 2 * sqrt(N) + 2 RPCs were in flight at a cold server with a budget of N",
+        peaks.excess_in_flight <= 2.0,
+    );
+    report.rule(
+        "the sum of the credit of all callers exceeded the budget of a server",
+        peaks.credit_sum <= 1.0,
+    );
+    report.rule("too few RPCs were answered: 20 per process or fewer", counts.answered > 20 * nodes as u64);
+    report.rule("a process was still running at the end", fleet.end() == 0);
     Ok(())
 }
--- a/lab/src/fleet/idle_flood.rs
+++ b/lab/src/fleet/idle_flood.rs
@@ -1,7 +1,7 @@
 //! `idle-flood`: idle clients fill the descriptors of a process while the name service is down.
 
 use super::cluster::Fleet;
-use super::single_call::{call_once, is_healthy_by, ANSWERED_WITHIN};
+use super::single_call::{call_once, is_healthy_by, ANSWER_TIMEOUT};
 use super::small_fleet::{member_setup, start_fleet};
 use crate::method::{Method, LOOK};
 use crate::report::{Report, ScenarioError};
@@ -18,16 +18,16 @@
 
 const SOCKETS: u64 = 64;
 const CALLERS: usize = 4;
-const CLIENTS: usize = 6; // threads of idle clients
-const CONNECTIONS: usize = 60; // that each of them keeps open
-const FLOODED_FOR: Duration = Duration::from_secs(5);
-const CALL_EVERY: Duration = ms(150);
-const AGENT_RESET_AT: u64 = 8; // calls
-const UPSTREAM_RESET_AT: u64 = 16;
-const NEVER: Duration = Duration::from_secs(30); // no report comes any more
+const CLIENT_THREADS: usize = 6;
+const CONNECTIONS_PER_CLIENT: usize = 60;
+const FLOOD_DURATION: Duration = Duration::from_secs(5);
+const CALL_INTERVAL: Duration = ms(150);
+const AGENT_RESET_AT_CALL: u64 = 8;
+const UPSTREAM_RESET_AT_CALL: u64 = 16;
+const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
 const EXIT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Idle clients that come again and again.
+/// Idle clients that reopen their connections when the server closes them.
 struct IdleClients {
     stopped: Arc<AtomicBool>,
     threads: Vec<JoinHandle<u64>>,
@@ -40,20 +40,21 @@
             let stopped = stopped.clone();
             thread::spawn(move || keep_idle_connections(at, kind, &stopped))
         };
-        let threads = (0..CLIENTS).map(client).collect();
+        let threads = (0..CLIENT_THREADS).map(client).collect();
         IdleClients { stopped, threads }
     }
 
-    /// How many connections they made.
+    /// Stops the clients and returns how many connections they opened.
     fn stop(self) -> u64 {
         self.stopped.store(true, Ordering::Release);
         self.threads.into_iter().map(|client| client.join().unwrap_or(0)).sum()
     }
 }
 
-/// Some clients send nothing, some half a frame, some a health check once. How many connections were made.
+/// Keeps connections open that send nothing, an incomplete frame or a single health check, by the kind of the client.
+/// Returns how many connections were opened.
 fn keep_idle_connections(at: SocketAddr, kind: usize, stopped: &AtomicBool) -> u64 {
-    let (mut open, mut made) = (Vec::<TcpStream>::new(), 0);
+    let (mut open, mut opened) = (Vec::<TcpStream>::new(), 0);
     let sent: Vec<u8> = match kind % 3 {
         0 => Vec::new(),
         1 => vec![0, 0, 0, 90, REQUEST],
@@ -61,15 +62,15 @@
     };
     while !stopped.load(Ordering::Acquire) {
         open.retain(is_open);
-        while open.len() < CONNECTIONS && !stopped.load(Ordering::Acquire) {
+        while open.len() < CONNECTIONS_PER_CLIENT && !stopped.load(Ordering::Acquire) {
             let Ok(mut stream) = TcpStream::connect_timeout(&at, ms(100)) else { break };
             stream.write_all(&sent).unwrap_or_default();
             open.push(stream);
-            made += 1;
+            opened += 1;
         }
         thread::sleep(ms(20));
     }
-    made
+    opened
 }
 
 fn is_open(stream: &TcpStream) -> bool {
@@ -77,9 +78,9 @@
     !matches!(read, Ok(Ok(0))) && !matches!(read, Ok(Err(e)) if e.kind() != ErrorKind::WouldBlock)
 }
 
-/// What the process answered while it was flooded.
+/// Answers of the process while idle connections filled its descriptors.
 #[derive(Default)]
-struct Service {
+struct ServiceCounts {
     calls: u64,
     answered: u64,
     ok: u64,
@@ -88,15 +89,15 @@
     slowest: Duration,
 }
 
-/// Plays it.
+/// Runs the scenario.
 pub fn idle_flood(report: &mut Report, seed: u64) -> Result<(), ScenarioError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let methods = [Method { work: ms(4), ..LOOK }];
     let mut fleet = start_fleet(1, member_setup(&methods, SOCKETS, CALLERS))?;
     fleet.wait_until_listed();
     let member = &fleet.members[0];
-    report.rule("nothing was served before", call_once(member.node.at, 1, &mut rng) == Some(OK));
-    // Away, or there without a word.
+    report.rule("an RPC before the flood was not served", call_once(member.node.at, 1, &mut rng) == Some(OK));
+    // Even seeds make the name service unreachable; odd seeds keep its connections open without an answer.
     if seed.is_multiple_of(2) {
         member.name_service_proxy.set_refusing(true);
     } else {
@@ -106,37 +107,37 @@
     thread::sleep(ms(500));
     let service = call_while_flooded(&fleet, &mut rng);
     let reported_after = wait_for_report(&fleet);
-    let made = clients.stop();
+    let opened = clients.stop();
     let member = &mut fleet.members[0];
     member.node.signal("TERM");
-    let code = member.node.wait_for_exit(EXIT_TIMEOUT);
+    let exit_code = member.node.wait_for_exit(EXIT_TIMEOUT);
     let log = member.node.read_log();
     report_service(report, &service);
     for name in ["closed_crowded", "bad_sidecar", "connections", "reports_lost", "agent_up"] {
         report.set(name, logged_count(&log, name).into());
     }
-    report.set("idle_connections", made.into());
+    report.set("idle_connections", opened.into());
     report.set("report_after_ms", (reported_after.as_millis() as u64).into());
-    let soon = reported_after < Duration::from_secs(3);
-    report.rule("no report came within 3 s of the name service's return", soon);
-    report.rule("the agent's link was not made anew", logged_count(&log, "agent_up") >= 2);
-    let filled = logged_count(&log, "closed_crowded") > 0 && made > 200;
-    report.rule("the clients did not fill the descriptors", filled);
-    report.rule("it did not leave in order", code == Some(0));
-    report.rule("a process was left over", fleet.end() == 0);
+    let in_time = reported_after < Duration::from_secs(3);
+    report.rule("no load report arrived within 3 s of the return of the name service", in_time);
+    report.rule("the link to the agent was not re-established", logged_count(&log, "agent_up") >= 2);
+    let filled = logged_count(&log, "closed_crowded") > 0 && opened > 200;
+    report.rule("the idle clients did not use up the descriptors", filled);
+    report.rule("the process did not exit with code 0 after SIGTERM", exit_code == Some(0));
+    report.rule("a process was still running at the end", fleet.end() == 0);
     Ok(())
 }
 
-/// Calls and checks health, while links to the agent and the upstream break once each.
-fn call_while_flooded(fleet: &Fleet, rng: &mut StdRng) -> Service {
+/// Sends RPCs and health checks, while the links to the agent and the upstream are reset once each.
+fn call_while_flooded(fleet: &Fleet, rng: &mut StdRng) -> ServiceCounts {
     let member = &fleet.members[0];
     let at = member.node.at;
-    let (begin, mut service) = (Instant::now(), Service::default());
-    while begin.elapsed() < FLOODED_FOR {
+    let (start, mut service) = (Instant::now(), ServiceCounts::default());
+    while start.elapsed() < FLOOD_DURATION {
         let turn = Instant::now();
         match service.calls {
-            AGENT_RESET_AT => member.agent_proxy.reset_connections(),
-            UPSTREAM_RESET_AT => member.upstream_proxy.reset_connections(),
+            AGENT_RESET_AT_CALL => member.agent_proxy.reset_connections(),
+            UPSTREAM_RESET_AT_CALL => member.upstream_proxy.reset_connections(),
             _ => {}
         }
         let code = call_once(at, 2 + service.calls % 3, rng);
@@ -145,37 +146,39 @@
         service.ok += u64::from(code == Some(OK));
         service.slowest = service.slowest.max(turn.elapsed());
         service.health_checks += 1;
-        service.healthy += u64::from(is_healthy_by(at, Instant::now() + ANSWERED_WITHIN));
-        thread::sleep(CALL_EVERY.saturating_sub(turn.elapsed()));
+        service.healthy += u64::from(is_healthy_by(at, Instant::now() + ANSWER_TIMEOUT));
+        thread::sleep(CALL_INTERVAL.saturating_sub(turn.elapsed()));
     }
     service
 }
 
-/// The name service comes back; how long until the process has reported.
+/// Restores the name service and returns the time until the process has sent a load report.
 fn wait_for_report(fleet: &Fleet) -> Duration {
     fleet.members[0].name_service_proxy.set_refusing(false);
     fleet.members[0].name_service_proxy.set_stalled(false);
-    let back = Instant::now();
-    while fleet.name_service.last_serving_report("n0").is_none_or(|at| at < back) && back.elapsed() < NEVER {
+    let restored_at = Instant::now();
+    while fleet.name_service.last_serving_report("n0").is_none_or(|at| at < restored_at)
+        && restored_at.elapsed() < REPORT_TIMEOUT
+    {
         thread::sleep(ms(10));
     }
-    back.elapsed()
+    restored_at.elapsed()
 }
 
-/// A count in the statistics that the process logs at its end.
+/// Returns a counter of the statistics that the process logs when it exits; 0 without such a counter.
 fn logged_count(log: &str, name: &str) -> u64 {
     let rest = log.rsplit(&format!("{name}=")).next().unwrap_or("");
     rest.split(|c: char| !c.is_ascii_digit()).next().and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn report_service(report: &mut Report, service: &Service) {
+fn report_service(report: &mut Report, service: &ServiceCounts) {
     report.set("asked", service.calls.into());
     report.set("served", service.ok.into());
     report.set("health_checks", service.health_checks.into());
     report.set("slowest_ms", (service.slowest.as_millis() as u64).into());
-    report.rule("a listed sidecar had no answer within 2 s", service.answered == service.calls);
-    let most = service.ok * 10 >= service.calls * 9;
-    report.rule("under nine in ten of a listed sidecar's RPCs were served", most);
+    report.rule("an RPC of a listed sidecar was not answered within 2 s", service.answered == service.calls);
+    let most_served = service.ok * 10 >= service.calls * 9;
+    report.rule("fewer than 90% of the RPCs of a listed sidecar were served", most_served);
     let healthy = service.healthy == service.health_checks;
-    report.rule("a health check was not answered good within 2 s", healthy);
+    report.rule("a health check was not answered as healthy within 2 s", healthy);
 }
--- a/lab/src/fleet/ready.rs
+++ b/lab/src/fleet/ready.rs
@@ -1,5 +1,5 @@
-//! `fleet-ready`: many processes are killed and start again at once, a quarter each with what they had persisted, without
-//! it, with it torn, and with a full disk; a sixth of their agents come up late.
+//! `fleet-ready`: many processes are killed and restarted at once. A quarter of them has intact persisted state, a quarter
+//! none, a quarter a truncated snapshot, and a quarter a full disk. A sixth of the agents starts late.
 
 use super::cluster::{Fleet, Member};
 use super::fault_script::StateFault;
@@ -15,22 +15,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const READY_WITHIN: Duration = Duration::from_secs(10); // of its start nine in ten are ready
-const NEVER: Duration = Duration::from_secs(30); // one that takes longer is not ready at all
-const AGENT_DELAY: Duration = Duration::from_secs(2); // an agent that comes up late does so after this
-const SNAPSHOTS_WRITTEN: Duration = ms(1_500);
+/// Time after the restart within which nine in ten processes have to be ready.
+const READY_BOUND: Duration = Duration::from_secs(10);
+/// Time after the restart at which a process counts as never ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time after the restart at which late agents start.
+const AGENT_DELAY: Duration = Duration::from_secs(2);
+const SNAPSHOT_WAIT: Duration = ms(1_500);
 const SOCKETS: u64 = 512;
 const CALLERS: usize = 4;
 
-/// Plays it.
+/// Runs the scenario.
 pub fn ready(report: &mut Report, nodes: usize) -> Result<(), ScenarioError> {
-    let file = "[changes]\ncontrol {dir}/control\nstate {dir}/state\n[recovery]\nsnapshot 1s\n";
+    let operator_file = "[changes]\ncontrol {dir}/control\nstate {dir}/state\n[recovery]\nsnapshot 1s\n";
     let setup = member_setup(&methods(), SOCKETS, CALLERS);
-    let mut fleet = start_fleet(nodes, Setup { operator_file: Some(file.into()), ..setup })?;
+    let mut fleet = start_fleet(nodes, Setup { operator_file: Some(operator_file.into()), ..setup })?;
     fleet.wait_until_listed();
-    thread::sleep(SNAPSHOTS_WRITTEN);
+    thread::sleep(SNAPSHOT_WAIT);
     let persisted = (0..nodes).filter(|n| fleet.state_dir(*n).join("learned").exists()).count();
-    report.rule("a process had persisted nothing before the restart", persisted == nodes);
+    report.rule("a process had not written a snapshot before the restart", persisted == nodes);
     for member in &mut fleet.members {
         member.node.kill();
         member.agent.restart_cold(COLD_START);
@@ -41,7 +44,7 @@
     }
     let ready_after = restart_all(&mut fleet)?;
     report_ready(report, &ready_after);
-    report.rule("a process was left over", fleet.end() == 0);
+    report.rule("a process was still running at the end", fleet.end() == 0);
     Ok(())
 }
 
@@ -63,7 +66,8 @@
     Ok(())
 }
 
-/// Starts all processes, and some agents later; how long each process took until it was ready, none if it never was.
+/// Starts all processes, and the late agents after [`AGENT_DELAY`]. Returns the time until each process was ready; none for
+/// one that never was.
 fn restart_all(fleet: &mut Fleet) -> Result<Vec<Option<Duration>>, ScenarioError> {
     let start = Instant::now();
     for member in &mut fleet.members {
@@ -79,12 +83,12 @@
     Ok(waits.into_iter().map(|wait| wait.join().unwrap_or(None)).collect())
 }
 
-/// A process is ready once it is healthy and has reported that it takes work.
+/// Returns the time until a process was ready: healthy, and reported to the name service as accepting RPCs.
 fn wait_until_ready(
     n: usize, at: SocketAddr, name_service: &NameService, start: Instant,
 ) -> Option<Duration> {
-    let healthy = is_healthy_by(at, start + NEVER);
-    while healthy && Instant::now() < start + NEVER {
+    let healthy = is_healthy_by(at, start + READY_TIMEOUT);
+    while healthy && Instant::now() < start + READY_TIMEOUT {
         if name_service.last_serving_report(&format!("n{n}")).is_some_and(|reported| reported > start) {
             return Some(start.elapsed());
         }
@@ -98,15 +102,15 @@
     let ms_of = |after: &Duration| after.as_millis() as u64;
     let mut all: Vec<u64> = ready_after.iter().flatten().map(ms_of).collect();
     all.sort_unstable();
-    let within = all.iter().filter(|ms| **ms <= READY_WITHIN.as_millis() as u64).count();
+    let ready_in_bound = all.iter().filter(|ms| **ms <= READY_BOUND.as_millis() as u64).count();
     report.set("processes", nodes.into());
     report.set("ready", all.len().into());
-    report.set("ready_within_10_s", within.into());
+    report.set("ready_within_10_s", ready_in_bound.into());
     let at = |part: f64| all.get(((all.len() as f64 * part) as usize).min(all.len().saturating_sub(1)));
     report.set("ready_ms", json!({"median": at(0.5), "nine_in_ten": at(0.9), "most": at(1.0)}));
     let prompt = ready_after.iter().enumerate().filter(|(n, _)| !has_late_agent(*n));
     let slowest = prompt.filter_map(|(_, after)| after.as_ref().map(ms_of)).max();
     report.set("ready_ms_most_with_prompt_agents", json!(slowest));
-    report.rule("nine in ten were not ready within 10 s", within * 10 >= nodes * 9);
-    report.rule("a process was never ready", all.len() == nodes);
+    report.rule("fewer than 90% of the processes were ready within 10 s", ready_in_bound * 10 >= nodes * 9);
+    report.rule("a process was not ready within 30 s", all.len() == nodes);
 }
--- a/lab/src/fleet/single_call.rs
+++ b/lab/src/fleet/single_call.rs
@@ -1,4 +1,4 @@
-//! Health checks and RPCs on connections of their own.
+//! Health checks and RPCs on separate connections.
 
 use crate::method::LOOK;
 use crate::sidecar::{encode_health_check, read_frame, RpcHeader, HEALTH, OK};
@@ -10,18 +10,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Within this time a health check or an RPC has its answer.
-pub(super) const ANSWERED_WITHIN: Duration = Duration::from_secs(2);
+/// Time within which a health check or an RPC has to be answered.
+pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 const CONNECT_TIMEOUT: Duration = ms(500);
 
-/// What a sidecar says of an RPC of [`LOOK`].
+/// Returns the header of an RPC of [`LOOK`], with a random trace identifier.
 pub(super) fn lookup_header(caller: u64, rng: &mut StdRng) -> RpcHeader<'static> {
     RpcHeader { method: LOOK.name, trace: rng.random(), caller, patience: ms(1_500), tenant: None }
 }
 
-/// Whether a health check on a connection of its own is answered good by then; it is tried again and again.
-pub(super) fn is_healthy_by(at: SocketAddr, until: Instant) -> bool {
-    while Instant::now() < until {
+/// Reports whether a health check on a separate connection is answered as healthy before the deadline. Failed checks are
+/// repeated.
+pub(super) fn is_healthy_by(at: SocketAddr, deadline: Instant) -> bool {
+    while Instant::now() < deadline {
         if is_healthy(at).is_some() {
             return true;
         }
@@ -32,28 +33,28 @@
 
 fn is_healthy(at: SocketAddr) -> Option<()> {
     let mut to = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT).ok()?;
-    to.set_read_timeout(Some(ANSWERED_WITHIN)).ok()?;
+    to.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
     to.write_all(&encode_health_check(1)).ok()?;
     let frame = read_frame(&mut to)?;
     (frame.kind == HEALTH && frame.code() == Some(OK)).then_some(())
 }
 
-/// Sends one RPC on a connection of its own: the code of its answer, if it is answered in time. A connection that is not
-/// accepted, or ends at once, is tried again.
+/// Sends an RPC on a separate connection and returns the code of its answer, if there is one in time. A connection that is
+/// not accepted, or ends at once, is opened again.
 pub(super) fn call_once(at: SocketAddr, caller: u64, rng: &mut StdRng) -> Option<u8> {
-    let until = Instant::now() + ANSWERED_WITHIN;
-    while Instant::now() < until {
-        if let Some(code) = call(at, caller, until, rng) {
+    let deadline = Instant::now() + ANSWER_TIMEOUT;
+    while Instant::now() < deadline {
+        if let Some(code) = call(at, caller, deadline, rng) {
             return Some(code);
         }
     }
     None
 }
 
-fn call(at: SocketAddr, caller: u64, until: Instant, rng: &mut StdRng) -> Option<u8> {
+fn call(at: SocketAddr, caller: u64, deadline: Instant, rng: &mut StdRng) -> Option<u8> {
     let mut to = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT).ok()?;
-    let left = until.saturating_duration_since(Instant::now());
-    to.set_read_timeout(Some(left.max(ms(1)))).ok()?;
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    to.set_read_timeout(Some(remaining.max(ms(1)))).ok()?;
     to.write_all(&lookup_header(caller, rng).encode(1, b"look 1")).ok()?;
     loop {
         let frame = read_frame(&mut to)?;
