--- a/lab/src/fleet/agree/faults.rs
+++ b/lab/src/fleet/agree/faults.rs
@@ -1,24 +1,24 @@
-//! The faults of a seed.
+//! Faults that a seed selects.
 
-use super::timing::{CHANGE_EVERY_MS, VOTERS};
+use super::timing::{CHANGE_INTERVAL_MS, VOTERS};
 use crate::fleet::fault_script::{FaultKind, ScheduledFault};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 const SEED_MASK: u64 = 0xa9ee;
 
-/// The faults of a seed; times are in ms from the first change on.
+/// Faults that a seed selects; their times count from the first change.
 pub(super) struct FaultPlan {
-    /// What they are called.
+    /// Name in reports.
     pub(super) name: &'static str,
-    /// In their order.
+    /// Faults in the order of their times.
     pub(super) faults: Vec<ScheduledFault>,
 }
 
-/// Draws the faults.
+/// Returns the faults that the seed selects.
 pub(super) fn draw(nodes: usize, seed: u64) -> FaultPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ SEED_MASK);
-    let (from, to) = (CHANGE_EVERY_MS - 700, CHANGE_EVERY_MS * 5 - 500);
+    let (from, to) = (CHANGE_INTERVAL_MS - 700, CHANGE_INTERVAL_MS * 5 - 500);
     let other = rng.random_range(VOTERS.len()..nodes);
     let voter = rng.random_range(0..VOTERS.len());
     let cut_off = |group: &[usize]| {
--- a/lab/src/fleet/agree/mod.rs
+++ b/lab/src/fleet/agree/mod.rs
@@ -1,6 +1,6 @@
-//! `fleet-agree`: real processes that agree on lists. One caller is admitted and barred in turns, by an operator at any
-//! node, while faults go on; a stand-in of that caller calls every node all the time, and its answers say who acts on
-//! what.
+//! `fleet-agree`: real processes that agree on lists. Operators at random nodes allow and deny one caller in turn while
+//! faults are injected. A stand-in for that caller calls every node continuously, and the answers show which version each
+//! node acts on.
 
 mod evaluation;
 mod faults;
--- a/lab/src/fleet/agree/probe_caller.rs
+++ b/lab/src/fleet/agree/probe_caller.rs
@@ -1,4 +1,4 @@
-//! The caller that is admitted and barred, at every node.
+//! Stand-in for the caller that is allowed and denied; it calls every node.
 
 use crate::fleet::callers::UnansweredAttempt;
 use crate::fleet::cluster::Fleet;
@@ -12,17 +12,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The number of the caller.
+/// Identifier of the caller.
 pub(super) const PROBE_CALLER_ID: u64 = 77;
 const CONNECT_TIMEOUT: Duration = ms(200);
-const RECONNECT_PAUSE: Duration = ms(30);
+const RECONNECT_DELAY: Duration = ms(30);
 const READ_TIMEOUT: Duration = ms(2_500);
 const UNANSWERED_AFTER: Duration = ms(2_400);
 const PATIENCE: Duration = ms(1_500);
-const CALL_PAUSE: Duration = ms(40);
+const CALL_INTERVAL: Duration = ms(40);
 const FINAL_ANSWERS_WAIT: Duration = ms(300);
 
-/// One call: when it was sent, to whom, and whether it was served.
+/// A call with the time at which it was sent, the node, and whether it was served.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Call {
     pub(super) at_ms: u64,
@@ -30,14 +30,14 @@
     pub(super) served: bool,
 }
 
-/// The caller's account.
+/// Statistics of the caller.
 #[derive(Default)]
 pub(super) struct CallLedger {
     pub(super) calls: Vec<Call>,
     pub(super) unanswered: Vec<UnansweredAttempt>,
 }
 
-/// The caller, in a thread for each node.
+/// The running caller, with a thread for each node.
 pub(super) struct ProbeCaller {
     ledger: Arc<Mutex<CallLedger>>,
     stopped: Arc<AtomicBool>,
@@ -54,7 +54,7 @@
         caller
     }
 
-    /// Calls no more; what was called.
+    /// Stops the caller and returns its statistics.
     pub(super) fn stop(self) -> CallLedger {
         self.stopped.store(true, Ordering::Release);
         std::thread::sleep(FINAL_ANSWERS_WAIT);
@@ -62,11 +62,11 @@
     }
 }
 
-/// Calls one node again and again, over a connection that is made anew when it breaks.
+/// Calls a node repeatedly until the caller is stopped, and reconnects when the connection breaks.
 fn call_node(at: SocketAddr, node: usize, start: Instant, ledger: &Mutex<CallLedger>, stopped: &AtomicBool) {
     while !stopped.load(Ordering::Acquire) {
         let Ok(mut connection) = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT) else {
-            std::thread::sleep(RECONNECT_PAUSE);
+            std::thread::sleep(RECONNECT_DELAY);
             continue;
         };
         connection.set_nodelay(true).unwrap_or_default();
@@ -90,7 +90,7 @@
             let answer = read_answer(&mut connection, stream);
             let mut ledger = lock(ledger);
             match answer.as_ref().and_then(Frame::code) {
-                // What was aborted says nothing of lists.
+                // An aborted run does not show which list the node acts on.
                 Some(ABORTED) => {}
                 Some(code) => ledger.calls.push(Call { at_ms, node, served: code == OK }),
                 None if sent.elapsed() >= UNANSWERED_AFTER => {
@@ -102,7 +102,7 @@
             if answer.is_none() {
                 break;
             }
-            std::thread::sleep(CALL_PAUSE);
+            std::thread::sleep(CALL_INTERVAL);
         }
     }
 }
