--- a/lab/src/fleet/members/cpu.rs
+++ b/lab/src/fleet/members/cpu.rs
@@ -1,5 +1,5 @@
-//! `members-cpu`: CPU of a framed RPC at one of so many processes, with `[members]` and without, in turns: medians of
-//! five.
+//! `members-cpu`: CPU time of a framed RPC at one of several processes, with and without `[members]` in alternating rounds;
+//! reports medians of five rounds.
 
 use super::setup::{member_setup, operator_file, FILE_WITHOUT_MEMBERS};
 use crate::fleet::cluster::{Fleet, FleetConfig};
@@ -15,10 +15,11 @@
 
 const ROUNDS: u64 = 5;
 const WARM_UP: Duration = ms(500);
-const ALL_KNOWN: Duration = ms(6_000); // until all know each other
+/// Time until all processes have discovered each other.
+const DISCOVERY_WAIT: Duration = ms(6_000);
 const UPSTREAM_SLOTS: usize = 1_000;
 
-/// A fleet whose runs cost nothing, with this operator's file, on a network with this seed.
+/// Starts a fleet whose runs do no work, with this operator's file, on a network with this seed.
 pub fn start_idle_fleet(nodes: usize, file: String, seed: u64) -> Result<Fleet, ScenarioError> {
     let methods = [PRICE, LOOK].map(|method| method.without_work());
     let setup = Setup { operator_file: Some(file), shared_upstream: None, ..member_setup(&methods, nodes) };
@@ -34,35 +35,37 @@
 
 type Figure = fn(&Round) -> f64;
 
-/// What one round has shown.
+/// Figures of one round.
 struct Round {
     cpu_us_per_rpc: f64,
-    /// Of a process without RPCs, in microseconds a second.
+    /// CPU time of a process without RPCs, in microseconds a second.
     idle_cpu_us_per_s: f64,
 }
 
-fn run(nodes: usize, file: &str, load: RateSpan, seed: u64, round: u64) -> Result<Round, ScenarioError> {
-    let never = AtomicBool::new(false);
+fn run_round(
+    nodes: usize, file: &str, load: RateSpan, seed: u64, round: u64,
+) -> Result<Round, ScenarioError> {
+    let never_stopped = AtomicBool::new(false);
     let fleet = start_idle_fleet(nodes, file.to_string(), seed + round)?;
-    std::thread::sleep(ALL_KNOWN);
+    std::thread::sleep(DISCOVERY_WAIT);
     let node = &fleet.members[0].node;
     let others = || fleet.members[1..].iter().map(|m| m.node.cpu_us()).sum::<u64>();
-    run_load(node.at, &FRAMED, &[RateSpan::new(WARM_UP, load.rate)], seed + 50 + round, &never)?;
+    run_load(node.at, &FRAMED, &[RateSpan::new(WARM_UP, load.rate)], seed + 50 + round, &never_stopped)?;
     let (before, others_before, start) = (node.cpu_us(), others(), Instant::now());
-    let stats = run_load(node.at, &FRAMED, &[load], seed + round, &never)?;
+    let stats = run_load(node.at, &FRAMED, &[load], seed + round, &never_stopped)?;
     let rpcs = sum(&stats, |s| s.sent).max(1);
     let cpu_us_per_rpc = (node.cpu_us() - before) as f64 / rpcs as f64;
-    let each = (others() - others_before) as f64 / (nodes - 1) as f64;
-    Ok(Round { cpu_us_per_rpc, idle_cpu_us_per_s: each / start.elapsed().as_secs_f64() })
+    let idle_cpu_us = (others() - others_before) as f64 / (nodes - 1) as f64;
+    Ok(Round { cpu_us_per_rpc, idle_cpu_us_per_s: idle_cpu_us / start.elapsed().as_secs_f64() })
 }
 
-/// Plays it.
+/// Runs the scenario.
 pub fn cpu(report: &mut Report, seed: u64, nodes: usize, load: RateSpan) -> Result<(), ScenarioError> {
     let files = [("off", FILE_WITHOUT_MEMBERS.to_string()), ("on", operator_file(nodes))];
     let mut rounds = [Vec::new(), Vec::new()];
     for round in 0..ROUNDS {
         for ((_, file), rounds) in files.iter().zip(&mut rounds) {
-            rounds.push(run(nodes, file, load, seed, round)?);
+            rounds.push(run_round(nodes, file, load, seed, round)?);
         }
     }
     let figures: [(&str, Figure); 2] = [
--- a/lab/src/fleet/members/evaluation.rs
+++ b/lab/src/fleet/members/evaluation.rs
@@ -1,4 +1,4 @@
-//! What a recording says of the promises and the rules.
+//! Evaluation of a recording against the documented bounds.
 
 use super::faults::FIRST_FAULT_MS;
 use super::observation::{Observation, Recording};
@@ -11,78 +11,100 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
-const USABLE_SHARE: f64 = 0.8; // of the calls that are shared, what the program makes use of
-const CAPACITY_TOLERANCE: f64 = 1.05; // of the whole
-const MIN_DEMAND_SHARE: f64 = 0.85; // of the whole, that has to be called for to show anything
-const OBSERVATION_SLACK_MS: u64 = 500; // between two looks at one member, and what a look takes
-const BASELINE_MS: u64 = 4_000; // before the first fault
-const MAX_PRINTED: usize = 8; // of what is wrong
+/// Share of the configured upstream calls that the program uses.
+const USABLE_SHARE: f64 = 0.8;
+/// Factor of the shared capacity above which it counts as exceeded.
+const CAPACITY_TOLERANCE: f64 = 1.05;
+/// Share of the capacity that calls have to use at some time; with less demand the run does not show whether the capacity
+/// is exceeded.
+const MIN_DEMAND_SHARE: f64 = 0.85;
+/// Interval between observations of a member, and the time that an observation takes.
+const OBSERVATION_SLACK_MS: u64 = 500;
+/// Time before the first fault over which the service is measured as the baseline.
+const BASELINE_MS: u64 = 4_000;
+/// Number of wrong views, and of false failures, that are printed.
+const MAX_PRINTED: usize = 8;
 
-/// What is worked out of a recording.
+/// Figures of a recording.
 struct Evaluation {
-    /// Views that were wrong for longer than is promised, in words.
+    /// Descriptions of the views that were wrong for longer than the documented bound.
     wrong_views: Vec<String>,
-    /// Who said of whom that it had failed, though they were in touch.
+    /// Pairs of a member and a connected member that it reported as failed.
     false_failures: BTreeSet<(usize, usize)>,
-    /// How long losses took to be found, in ms, sorted.
+    /// Times until losses were detected, in ascending order.
     detection_ms: Vec<u64>,
-    /// From the last fault until the last view was right.
+    /// Time from the last fault until the last view was correct.
     healing_ms: u64,
-    /// Calls in hand of the upstream, second by second, over the whole.
+    /// Mean number of calls that the upstream held, for each window of one second since the start of the load.
     upstream_occupancy: Vec<f64>,
     in_time_before: f64,
     in_time_during: f64,
-    /// The sum of all parts, before the first fault and at the end of the last.
+    /// Sum of the shares of all members before the first fault.
     shares_before: f64,
+    /// Sum of the shares of all members at the end of the last fault.
     shares_at_end: f64,
 }
 
 impl Recording {
-    /// When the first fault comes, in ms since the fleet's start.
+    /// Returns the time of the first fault, in milliseconds since the start of the fleet.
     fn first_fault_at_ms(&self) -> u64 {
-        self.offset_ms + FIRST_FAULT_MS
+        self.load_start_ms + FIRST_FAULT_MS
     }
 
-    /// Views are right once what is true has been so for as long as is promised.
+    /// Returns descriptions of the wrong views. A view has to be correct once the reachability has not changed for as long as
+    /// the documented bounds.
     fn wrong_views(&self) -> Vec<String> {
-        let span_ms = self.bounds.healing_ms.max(self.bounds.detection_ms);
-        let is_wrong = |seen: &&Observation| {
-            let Some(reachability) = self.stable_state(seen.at_ms, span_ms) else { return false };
-            let allowed = reachability.lossy && matches!(seen.view.as_str(), "whole" | "majority");
-            seen.view != reachability.expected_view(seen.node) && !allowed
+        let min_duration_ms = self.bounds.healing_ms.max(self.bounds.detection_ms);
+        let is_wrong = |observation: &&Observation| {
+            let Some(reachability) = self.stable_state(observation.at_ms, min_duration_ms) else {
+                return false;
+            };
+            let allowed = reachability.lossy && matches!(observation.view.as_str(), "whole" | "majority");
+            observation.view != reachability.expected_view(observation.node) && !allowed
         };
-        let behind = self.observations.iter().filter(|seen| seen.at_ms >= self.first_fault_at_ms());
-        let line = |seen: &Observation| {
-            format!("{} ms: n{} says {}", seen.at_ms - self.offset_ms, seen.node, seen.view)
+        let after_first_fault =
+            self.observations.iter().filter(|observation| observation.at_ms >= self.first_fault_at_ms());
+        let line = |observation: &Observation| {
+            format!(
+                "{} ms: n{} has the view {}",
+                observation.at_ms - self.load_start_ms,
+                observation.node,
+                observation.view
+            )
         };
-        behind.filter(is_wrong).map(line).collect()
+        after_first_fault.filter(is_wrong).map(line).collect()
     }
 
-    /// Called failed though it was in touch with whoever says so for as long as it takes to notice anything.
+    /// Returns the pairs of a member and a peer that it reported as failed although they had been connected for as long as the
+    /// documented bounds.
     fn false_failures(&self) -> BTreeSet<(usize, usize)> {
-        let span_ms = self.bounds.healing_ms.max(self.bounds.detection_ms);
+        let min_duration_ms = self.bounds.healing_ms.max(self.bounds.detection_ms);
         let mut found = BTreeSet::new();
-        for seen in self.observations.iter().filter(|seen| seen.at_ms >= self.first_fault_at_ms()) {
-            let Some(reachability) = self.stable_state(seen.at_ms, span_ms) else { continue };
-            let in_touch = seen.failed.iter().filter(|m| reachability.connected(seen.node, **m));
-            found.extend(in_touch.map(|m| (seen.node, *m)));
+        for observation in
+            self.observations.iter().filter(|observation| observation.at_ms >= self.first_fault_at_ms())
+        {
+            let Some(reachability) = self.stable_state(observation.at_ms, min_duration_ms) else { continue };
+            let connected_peers =
+                observation.failed.iter().filter(|m| reachability.connected(observation.node, **m));
+            found.extend(connected_peers.map(|m| (observation.node, *m)));
         }
         found
     }
 
-    /// How long losses took to be found, in ms, sorted.
+    /// Returns the times until losses were detected, in ascending order.
     fn detection_ms(&self) -> Vec<u64> {
         let mut detection = Vec::new();
         for epoch in 1..self.epochs.len() {
-            self.detect_deaths(epoch, &mut detection);
-            self.detect_cuts(epoch, &mut detection);
+            self.detect_member_losses(epoch, &mut detection);
+            self.detect_link_losses(epoch, &mut detection);
         }
         detection.sort_unstable();
         detection
     }
 
-    /// For each member that fell silent for all, the first look at each other one that says so.
-    fn detect_deaths(&self, epoch: usize, detection: &mut Vec<u64>) {
+    /// Adds the detection times of members that stopped answering: for each other member, the first observation that reports
+    /// the failure.
+    fn detect_member_losses(&self, epoch: usize, detection: &mut Vec<u64>) {
         let (before, now) = (&self.epochs[epoch - 1].reachability, &self.epochs[epoch]);
         let reachability = &now.reachability;
         let nodes = (0..self.nodes()).collect::<Vec<usize>>();
@@ -91,19 +113,19 @@
             let back = self.epochs[epoch + 1..].iter().find(|later| later.reachability.is_responsive(m));
             let until = back.map_or(u64::MAX, |later| later.since_ms);
             for n in nodes.iter().copied().filter(|n| *n != m && reachability.connected(*n, *n)) {
-                let says_so = |seen: &&Observation| {
-                    let in_time = seen.at_ms >= now.since_ms && seen.at_ms < until;
-                    seen.node == n && in_time && seen.failed.contains(&m)
+                let reports_failure = |observation: &&Observation| {
+                    let in_time = observation.at_ms >= now.since_ms && observation.at_ms < until;
+                    observation.node == n && in_time && observation.failed.contains(&m)
                 };
-                let first = self.observations.iter().find(says_so);
-                detection.extend(first.map(|seen| seen.at_ms - now.since_ms));
+                let first = self.observations.iter().find(reports_failure);
+                detection.extend(first.map(|observation| observation.at_ms - now.since_ms));
             }
         }
     }
 
-    /// A cut: the first look that says so of each direction that carries nothing any more, to whoever hears nothing,
-    /// where nobody between them is left.
-    fn detect_cuts(&self, epoch: usize, detection: &mut Vec<u64>) {
+    /// Adds the detection times of newly blocked links: the first observation of the receiver that reports the sender as
+    /// failed. Links between members that still reach each other through others are left out.
+    fn detect_link_losses(&self, epoch: usize, detection: &mut Vec<u64>) {
         let (before, now) = (&self.epochs[epoch - 1].reachability, &self.epochs[epoch]);
         let reachability = &now.reachability;
         for (b, a) in reachability.blocked_links.iter().filter(|pair| !before.blocked_links.contains(*pair)) {
@@ -113,49 +135,49 @@
             {
                 continue;
             }
-            let says_so = |seen: &&Observation| {
-                seen.node == *a && seen.at_ms >= now.since_ms && seen.failed.contains(b)
+            let reports_failure = |observation: &&Observation| {
+                observation.node == *a && observation.at_ms >= now.since_ms && observation.failed.contains(b)
             };
-            let first = self.observations.iter().find(says_so);
-            detection.extend(first.map(|seen| seen.at_ms - now.since_ms));
+            let first = self.observations.iter().find(reports_failure);
+            detection.extend(first.map(|observation| observation.at_ms - now.since_ms));
         }
     }
 
     fn nodes(&self) -> usize {
-        self.last_epoch().map_or(0, Reachability::nodes)
+        self.final_reachability().map_or(0, Reachability::nodes)
     }
 
-    /// From the last fault until the last view was right.
+    /// Returns the time from the last fault until the last view was correct.
     fn healing_ms(&self) -> u64 {
-        let last_fault_at = self.offset_ms + self.last_fault_ms;
-        let is_wrong = |seen: &&Observation| {
+        let last_fault_at = self.load_start_ms + self.last_fault_ms;
+        let is_wrong = |observation: &&Observation| {
             let wrong = self
-                .last_epoch()
-                .is_some_and(|reachability| reachability.expected_view(seen.node) != seen.view);
-            seen.at_ms > last_fault_at && wrong
+                .final_reachability()
+                .is_some_and(|reachability| reachability.expected_view(observation.node) != observation.view);
+            observation.at_ms > last_fault_at && wrong
         };
         let wrong = self.observations.iter().filter(is_wrong);
-        wrong.map(|seen| seen.at_ms - last_fault_at).max().unwrap_or(0)
+        wrong.map(|observation| observation.at_ms - last_fault_at).max().unwrap_or(0)
     }
 
-    /// The sum of the parts that members said last in a span, of all even parts.
+    /// Returns the sum of the shares that members reported last in a time span, relative to the sum of even shares.
     fn share_sum(&self, from_ms: u64, to_ms: u64) -> f64 {
         let nodes = self.nodes();
-        let part = |n: usize| {
+        let share = |n: usize| {
             let last = self
                 .observations
                 .iter()
-                .rfind(|seen| seen.node == n && (from_ms..to_ms).contains(&seen.at_ms));
-            last.map_or(0.0, |seen| seen.share)
+                .rfind(|observation| observation.node == n && (from_ms..to_ms).contains(&observation.at_ms));
+            last.map_or(0.0, |observation| observation.share)
         };
-        (0..nodes).map(part).sum::<f64>() / nodes as f64
+        (0..nodes).map(share).sum::<f64>() / nodes as f64
     }
 
-    /// What all together had in hand of the upstream, second by second.
+    /// Returns the mean number of calls that the upstream held, for each window of one second since the start of the load.
     fn upstream_occupancy(&self, fleet: &Fleet) -> Vec<f64> {
         let occupancy = fleet.upstream.state().occupancy.clone();
         let second = |buckets: &[f64]| buckets.iter().sum::<f64>();
-        occupancy.get(bucket(self.offset_ms)..).unwrap_or(&[]).windows(10).map(second).collect()
+        occupancy.get(bucket(self.load_start_ms)..).unwrap_or(&[]).windows(10).map(second).collect()
     }
 }
 
@@ -172,10 +194,10 @@
     }
 }
 
-/// Reports what the recording says, and checks the rules.
+/// Reports the figures of a recording and checks the rules.
 pub(super) fn evaluate(report: &mut Report, fleet: &mut Fleet, callers: &Callers, recording: &Recording) {
-    let begun = recording.first_fault_at_ms();
-    let over = recording.offset_ms + recording.last_fault_ms;
+    let first_fault_ms = recording.first_fault_at_ms();
+    let last_fault_ms = recording.load_start_ms + recording.last_fault_ms;
     let ledger = std::mem::take(&mut *callers.ledger());
     let evaluation = Evaluation {
         wrong_views: recording.wrong_views(),
@@ -183,10 +205,14 @@
         detection_ms: recording.detection_ms(),
         healing_ms: recording.healing_ms(),
         upstream_occupancy: recording.upstream_occupancy(fleet),
-        in_time_before: in_time_share_between(&ledger, begun - BASELINE_MS, begun),
-        in_time_during: in_time_share_between(&ledger, begun, over.max(begun + 1_000)),
-        shares_before: recording.share_sum(begun - 1_000, begun),
-        shares_at_end: recording.share_sum(over - 1_000, over),
+        in_time_before: in_time_share_between(&ledger, first_fault_ms - BASELINE_MS, first_fault_ms),
+        in_time_during: in_time_share_between(
+            &ledger,
+            first_fault_ms,
+            last_fault_ms.max(first_fault_ms + 1_000),
+        ),
+        shares_before: recording.share_sum(first_fault_ms - 1_000, first_fault_ms),
+        shares_at_end: recording.share_sum(last_fault_ms - 1_000, last_fault_ms),
     };
     report_views(report, recording, &evaluation);
     report_shared(report, fleet.members.len(), &evaluation);
@@ -197,7 +223,7 @@
         recording.plan.faults.iter().for_each(|fault| eprintln!("{fault}"));
         evaluation.wrong_views.iter().take(MAX_PRINTED).for_each(|wrong| eprintln!("{wrong}"));
         let false_failures = evaluation.false_failures.iter().take(MAX_PRINTED);
-        false_failures.for_each(|(n, m)| eprintln!("n{n} calls n{m} failed"));
+        false_failures.for_each(|(n, m)| eprintln!("n{n} reports the connected member n{m} as failed"));
     }
 }
 
@@ -214,32 +240,31 @@
     report.set("transition_ms", json!(bounds.transition_ms));
     report.set("views_wrong_beyond_bound", json!(evaluation.wrong_views.len()));
     report.set("looks", json!(recording.observations.len()));
-    report.rule("a view was wrong for longer than is promised", evaluation.wrong_views.is_empty());
-    let late = detection.last().is_some_and(|at| *at > bounds.detection_ms + OBSERVATION_SLACK_MS);
-    report.rule("a loss was found later than is promised", !late);
-    report.rule("a member in touch was called failed", evaluation.false_failures.is_empty());
+    report.rule("a view was wrong for longer than the documented bound", evaluation.wrong_views.is_empty());
+    let late =
+        detection.last().is_some_and(|latest_ms| *latest_ms > bounds.detection_ms + OBSERVATION_SLACK_MS);
+    report.rule("a loss was detected later than the documented bound", !late);
+    report.rule("a connected member was reported as failed", evaluation.false_failures.is_empty());
 }
 
 fn report_shared(report: &mut Report, nodes: usize, evaluation: &Evaluation) {
-    let whole = UPSTREAM_CALLS_PER_NODE * USABLE_SHARE * nodes as f64;
-    let over_whole = evaluation
+    let capacity = UPSTREAM_CALLS_PER_NODE * USABLE_SHARE * nodes as f64;
+    let overloaded_seconds = evaluation
         .upstream_occupancy
         .iter()
-        .filter(|upstream_occupancy| **upstream_occupancy > whole * CAPACITY_TOLERANCE)
+        .filter(|held_calls| **held_calls > capacity * CAPACITY_TOLERANCE)
         .count();
     let peak = evaluation.upstream_occupancy.iter().copied().fold(0.0, f64::max);
-    report.set("share_over_whole_beyond_bound", json!(over_whole));
-    report.set("share_peak", json!(peak / whole));
+    report.set("share_over_whole_beyond_bound", json!(overloaded_seconds));
+    report.set("share_peak", json!(peak / capacity));
     report.set("parts_calm", json!(evaluation.shares_before));
     report.set("parts_at_the_end_of_the_fault", json!(evaluation.shares_at_end));
-    report.rule("more than the whole was taken of what is shared", over_whole == 0);
-    let all_taken = (0.99..1.01).contains(&evaluation.shares_before);
-    report.rule("the parts are not all taken in calm", all_taken);
-    let enough = evaluation
-        .upstream_occupancy
-        .iter()
-        .any(|upstream_occupancy| *upstream_occupancy > MIN_DEMAND_SHARE * whole);
-    report.rule("calls asked for were too few to show what is taken", enough);
+    report.rule("the members used more than the shared capacity of the upstream", overloaded_seconds == 0);
+    let fully_assigned = (0.99..1.01).contains(&evaluation.shares_before);
+    report.rule("the shares before the first fault do not add up to the whole capacity", fully_assigned);
+    let enough_demand =
+        evaluation.upstream_occupancy.iter().any(|held_calls| *held_calls > MIN_DEMAND_SHARE * capacity);
+    report.rule("too few calls to show whether the shared capacity is exceeded", enough_demand);
 }
 
 fn report_service(report: &mut Report, fleet: &mut Fleet, recording: &Recording, ledger: &CallerLedger) {
@@ -259,6 +284,6 @@
     report.rule("an RPC was answered twice", ledger.answered_twice == 0);
     report.rule("an RPC got the result of another", ledger.wrong_results == 0);
     report.rule("an effect was made twice", repeated_effects == 0);
-    report.rule("a process was left behind", left == 0);
+    report.rule("a process was still running at the end", left == 0);
     report.rule("a process panicked", none_panicked);
 }
--- a/lab/src/fleet/members/faults.rs
+++ b/lab/src/fleet/members/faults.rs
@@ -1,35 +1,36 @@
-//! The faults of a seed.
+//! Faults that a seed selects.
 
 use crate::fleet::fault_script::{FaultKind, ScheduledFault};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 
-/// Milliseconds of load until the first fault.
+/// Time from the start of the load to the first fault.
 pub(super) const FIRST_FAULT_MS: u64 = 9_000;
-const BEHIND_TRANSITION_MS: u64 = 3_000; // that a fault lasts
+/// Time that a fault lasts beyond the documented transition time.
+const AFTER_TRANSITION_MS: u64 = 3_000;
 const SEED_MASK: u64 = 0xfee1;
 
-/// The faults of a seed, or of a file.
+/// Faults that a seed or a script selects.
 pub(super) struct FaultPlan {
-    /// What they are called.
+    /// Name in reports.
     pub(super) name: &'static str,
-    /// In their order.
+    /// Faults in the order of their times.
     pub(super) faults: Vec<ScheduledFault>,
 }
 
-fn split(groups: &[&[usize]]) -> FaultKind {
+fn partition(groups: &[&[usize]]) -> FaultKind {
     FaultKind::GossipPartition(groups.iter().map(|group| group.to_vec()).collect())
 }
 
-/// When faults begin and end, in ms of load.
+/// Begin and end of faults, in milliseconds since the start of the load.
 struct Span {
     from: u64,
     to: u64,
 }
 
 impl Span {
-    /// Faults of the network from the begin to the end.
+    /// Returns network faults that last for this time span.
     fn network(&self, kinds: Vec<FaultKind>) -> Vec<ScheduledFault> {
         let mut faults: Vec<ScheduledFault> =
             kinds.into_iter().map(|kind| ScheduledFault::new(self.from, kind, &[])).collect();
@@ -37,31 +38,32 @@
         faults
     }
 
-    /// A fault of some members from the begin to the end.
+    /// Returns a fault of some members that lasts for this time span.
     fn members(&self, first: FaultKind, nodes: &[usize], last: FaultKind) -> Vec<ScheduledFault> {
         let healed: &[usize] = if last == FaultKind::GossipHeal { &[] } else { nodes };
         vec![ScheduledFault::new(self.from, first, nodes), ScheduledFault::new(self.to, last, healed)]
     }
 }
 
-/// Draws the faults of a seed; `transition_ms`: until what a lost member had is taken.
+/// Returns the faults that the seed selects; `transition_ms` is the documented time until the share of a lost member may be
+/// taken over.
 pub(super) fn draw(nodes: usize, seed: u64, transition_ms: u64) -> FaultPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ SEED_MASK);
     let mut all: Vec<usize> = (0..nodes).collect();
     all.shuffle(&mut rng);
-    let span = Span { from: FIRST_FAULT_MS, to: FIRST_FAULT_MS + transition_ms + BEHIND_TRANSITION_MS };
+    let span = Span { from: FIRST_FAULT_MS, to: FIRST_FAULT_MS + transition_ms + AFTER_TRANSITION_MS };
     let few = (nodes / 5).max(1);
     let (one, some) = (&all[..1], &all[..few]);
     let (name, faults) = match seed % 16 {
-        0 => ("halves", span.network(vec![split(&[&all[..nodes / 2], &all[nodes / 2..]])])),
-        1 => ("few apart", span.network(vec![split(&[some, &all[few..]])])),
+        0 => ("halves", span.network(vec![partition(&[&all[..nodes / 2], &all[nodes / 2..]])])),
+        1 => ("few apart", span.network(vec![partition(&[some, &all[few..]])])),
         2 => {
             let (a, b) = (nodes / 3, 2 * nodes / 3);
-            ("three parts", span.network(vec![split(&[&all[..a], &all[a..b], &all[b..]])]))
+            ("three parts", span.network(vec![partition(&[&all[..a], &all[a..b], &all[b..]])]))
         }
         3 => ("one hears nobody", span.members(FaultKind::GossipInboundBlocked, one, FaultKind::GossipHeal)),
         4 => ("nobody hears one", span.members(FaultKind::GossipOutboundBlocked, one, FaultKind::GossipHeal)),
-        5 => ("a bridge", span.network(vec![split(&[&all[..=nodes / 2], &all[nodes / 2..]])])),
+        5 => ("a bridge", span.network(vec![partition(&[&all[..=nodes / 2], &all[nodes / 2..]])])),
         6 => ("loss of 5", span.network(vec![FaultKind::GossipLoss(5)])),
         7 => {
             let kinds =
@@ -87,7 +89,7 @@
             "one that does no work",
             span.members(FaultKind::AgentLinkStalled, one, FaultKind::AgentLinkRestored),
         ),
-        _ => ("cut, pause and death", cut_pause_and_death(&all, few, &span)),
+        _ => ("cut, pause and death", partition_pause_and_kill(&all, few, &span)),
     };
     FaultPlan { name, faults }
 }
@@ -105,14 +107,14 @@
     faults
 }
 
-/// Cut, and paused within the cut, and one dead.
-fn cut_pause_and_death(all: &[usize], few: usize, span: &Span) -> Vec<ScheduledFault> {
-    let (paused, dead) = (&all[few..=few], &all[all.len() - 1..]);
-    let mut faults = span.network(vec![split(&[&all[..few], &all[few..]])]);
+/// Returns a partition during which one member is paused and another is killed.
+fn partition_pause_and_kill(all: &[usize], few: usize, span: &Span) -> Vec<ScheduledFault> {
+    let (paused, killed) = (&all[few..=few], &all[all.len() - 1..]);
+    let mut faults = span.network(vec![partition(&[&all[..few], &all[few..]])]);
     faults.push(ScheduledFault::new(span.from + 1_500, FaultKind::Pause, paused));
     faults.push(ScheduledFault::new(span.from + 3_500, FaultKind::Resume, paused));
-    faults.push(ScheduledFault::new(span.from + 2_000, FaultKind::Kill, dead));
-    faults.push(ScheduledFault::new(span.to, FaultKind::Start, dead));
+    faults.push(ScheduledFault::new(span.from + 2_000, FaultKind::Kill, killed));
+    faults.push(ScheduledFault::new(span.to, FaultKind::Start, killed));
     faults.sort_by_key(|fault| fault.at_ms);
     faults
 }
--- a/lab/src/fleet/members/mod.rs
+++ b/lab/src/fleet/members/mod.rs
@@ -1,5 +1,5 @@
-//! `fleet-members`: real processes that know each other, and cuts, losses, pauses and deaths between them. Each is asked
-//! for its view; what it took of the shared upstream is in the upstream's own account.
+//! `fleet-members`: real processes with membership, under partitions, datagram loss, pauses and kills. The scenario asks
+//! each member for its view; the statistics of the upstream show how much of the shared capacity the members used.
 
 mod cpu;
 mod evaluation;
--- a/lab/src/fleet/members/reachability.rs
+++ b/lab/src/fleet/members/reachability.rs
@@ -1,23 +1,23 @@
-//! Who can hear whom, as far as the injected faults say.
+//! Reachability between members that follows from the injected faults.
 
 use crate::fleet::datagram_network::blocked_links_between;
 use crate::fleet::fault_injection::{links_from, links_to};
 use crate::fleet::fault_script::{FaultKind, ScheduledFault};
 use std::collections::BTreeSet;
 
-/// Who can hear whom.
+/// Members that are up, and the links between them.
 #[derive(Clone, PartialEq)]
 pub(super) struct Reachability {
     up: Vec<bool>,
     running: Vec<bool>,
-    /// Directions that carry nothing: from, to.
+    /// Links that transfer nothing, as pairs of sender and receiver.
     pub(super) blocked_links: BTreeSet<(usize, usize)>,
-    /// The network is such that a view may be any of those that lead.
+    /// Whether datagrams are lost or delayed, so that a member may have any view with a majority.
     pub(super) lossy: bool,
 }
 
 impl Reachability {
-    /// All hear each other.
+    /// Returns the state in which all members reach each other.
     pub(super) fn complete(nodes: usize) -> Reachability {
         Reachability {
             up: vec![true; nodes],
@@ -27,12 +27,12 @@
         }
     }
 
-    /// How many members there are.
+    /// Returns the number of members.
     pub(super) fn nodes(&self) -> usize {
         self.up.len()
     }
 
-    /// What a fault changes.
+    /// Applies a fault.
     pub(super) fn apply(&mut self, fault: &ScheduledFault) {
         let members = self.up.len();
         let nodes = &fault.nodes;
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Whether a member can answer.
+    /// Reports whether a member can answer.
     pub(super) fn is_responsive(&self, n: usize) -> bool {
         self.up[n] && self.running[n]
     }
 
-    /// Whether two members hear each other.
+    /// Reports whether two members reach each other in both directions.
     pub(super) fn connected(&self, a: usize, b: usize) -> bool {
         self.is_responsive(a)
             && self.is_responsive(b)
@@ -63,21 +63,21 @@
             && !self.blocked_links.contains(&(b, a))
     }
 
-    /// Members that one is in touch with, both ways, directly or over others, itself among them.
+    /// Returns the members that a member reaches in both directions, directly or through others, including itself.
     pub(super) fn component(&self, n: usize) -> BTreeSet<usize> {
         let mut seen = BTreeSet::from([n]);
-        let mut open = vec![n];
-        while let Some(a) = open.pop() {
+        let mut pending = vec![n];
+        while let Some(a) = pending.pop() {
             for b in (0..self.up.len()).filter(|b| self.connected(a, *b)) {
                 if seen.insert(b) {
-                    open.push(b);
+                    pending.push(b);
                 }
             }
         }
         seen
     }
 
-    /// The view that a member has to come to.
+    /// Returns the view that a member has to reach.
     pub(super) fn expected_view(&self, n: usize) -> &'static str {
         let (reached, all) = (self.component(n).len(), self.up.len());
         match reached {
--- a/lab/src/fleet/members/run.rs
+++ b/lab/src/fleet/members/run.rs
@@ -1,4 +1,4 @@
-//! The scenario: load, faults, and all members asked for their views all the time.
+//! Runs the scenario: load, injected faults, and repeated requests for the views of all members.
 
 use super::evaluation::evaluate;
 use super::faults::{draw, FaultPlan, FIRST_FAULT_MS};
@@ -15,14 +15,17 @@
 use crate::time::ms;
 use std::time::{Duration, Instant};
 
-const CORES: f64 = 2.0; // of each process
-const LOAD: f64 = 0.45; // of the cores; calls are then more than what there is to share
-const RESERVE: f64 = 4.0; // what is over the whole is served all the same, and seen
-const BEHIND_PROMISES_MS: u64 = 1_000;
+const CORES_PER_PROCESS: f64 = 2.0;
+/// Load as a share of the cores. At this load the calls to the upstream exceed the shared capacity.
+const LOAD_SHARE_OF_CORES: f64 = 0.45;
+/// Capacity of the upstream relative to the shared capacity. Calls beyond the shared capacity are served and counted.
+const UPSTREAM_HEADROOM_FACTOR: f64 = 4.0;
+const OBSERVE_AFTER_BOUNDS_MS: u64 = 1_000;
 const FINAL_ANSWERS_WAIT: Duration = ms(3_400);
-const FEW: usize = 12; // members that are asked more often
+/// Largest fleet whose members are asked at the shorter interval.
+const MAX_SMALL_FLEET_NODES: usize = 12;
 
-/// Plays it.
+/// Runs the scenario.
 pub fn scenario(report: &mut Report, options: &FleetOptions) -> Result<(), ScenarioError> {
     let nodes = options.nodes;
     let bounds = DocumentedBounds::new(nodes);
@@ -35,8 +38,9 @@
     };
     let mut fleet = start_fleet(options)?;
     let methods = methods();
-    let rate = nodes as f64 * CORES / mean_work(&methods, &METHOD_WEIGHTS).as_secs_f64() * LOAD;
-    let offset_ms = fleet.at_ms();
+    let rate = nodes as f64 * CORES_PER_PROCESS / mean_work(&methods, &METHOD_WEIGHTS).as_secs_f64()
+        * LOAD_SHARE_OF_CORES;
+    let load_start_ms = fleet.at_ms();
     let callers = fleet.start_callers(&caller_profile(rate, options.seed));
     let last_fault_ms = plan.faults.last().map_or(FIRST_FAULT_MS, |fault| fault.at_ms);
     let mut recording = Recording {
@@ -44,7 +48,7 @@
         observations: Vec::new(),
         epochs: vec![Epoch { since_ms: 0, reachability: Reachability::complete(nodes) }],
         injected: InjectedFaults::default(),
-        offset_ms,
+        load_start_ms,
         last_fault_ms,
         bounds,
     };
@@ -57,7 +61,7 @@
 fn start_fleet(options: &FleetOptions) -> Result<Fleet, ScenarioError> {
     let nodes = options.nodes;
     let setup = Setup { program: options.other.clone(), ..member_setup(&methods(), nodes) };
-    let upstream_slots = (UPSTREAM_CALLS_PER_NODE * nodes as f64 * RESERVE) as usize;
+    let upstream_slots = (UPSTREAM_CALLS_PER_NODE * nodes as f64 * UPSTREAM_HEADROOM_FACTOR) as usize;
     let config = FleetConfig {
         nodes,
         setup,
@@ -71,28 +75,28 @@
     Ok(fleet)
 }
 
-/// Injects the faults, and asks all members that can answer for their views, until what is promised has to have come.
+/// Injects the faults and asks all responsive members for their views, until all documented bounds have passed.
 fn record(fleet: &mut Fleet, recording: &mut Recording) -> Result<(), ScenarioError> {
     let nodes = fleet.members.len();
-    let promised_ms = recording.bounds.healing_ms + recording.bounds.transition_ms;
-    let end_ms = recording.offset_ms + recording.last_fault_ms + promised_ms + BEHIND_PROMISES_MS;
-    let pace = ms(if nodes <= FEW { 100 } else { 400 });
-    let mut next = 0;
-    let mut now = Reachability::complete(nodes);
+    let bounds_ms = recording.bounds.healing_ms + recording.bounds.transition_ms;
+    let end_ms = recording.load_start_ms + recording.last_fault_ms + bounds_ms + OBSERVE_AFTER_BOUNDS_MS;
+    let interval = ms(if nodes <= MAX_SMALL_FLEET_NODES { 100 } else { 400 });
+    let mut next_fault = 0;
+    let mut reachability = Reachability::complete(nodes);
     while fleet.at_ms() < end_ms {
         let turn = Instant::now();
-        while let Some(fault) = recording.plan.faults.get(next) {
-            if fault.at_ms + recording.offset_ms > fleet.at_ms() {
+        while let Some(fault) = recording.plan.faults.get(next_fault) {
+            if fault.at_ms + recording.load_start_ms > fleet.at_ms() {
                 break;
             }
             fleet.inject(fault, &mut recording.injected)?;
-            now.apply(fault);
-            recording.epochs.push(Epoch { since_ms: fleet.at_ms(), reachability: now.clone() });
-            next += 1;
+            reachability.apply(fault);
+            recording.epochs.push(Epoch { since_ms: fleet.at_ms(), reachability: reachability.clone() });
+            next_fault += 1;
         }
-        let able = (0..nodes).filter(|n| now.is_responsive(*n));
-        recording.observations.extend(able.filter_map(|n| Observation::read(fleet, n)));
-        std::thread::sleep(pace.saturating_sub(turn.elapsed()));
+        let responsive = (0..nodes).filter(|n| reachability.is_responsive(*n));
+        recording.observations.extend(responsive.filter_map(|n| Observation::read(fleet, n)));
+        std::thread::sleep(interval.saturating_sub(turn.elapsed()));
     }
     Ok(())
 }
--- a/lab/src/fleet/members/setup.rs
+++ b/lab/src/fleet/members/setup.rs
@@ -1,4 +1,4 @@
-//! Processes that know each other: their files, intervals and promises.
+//! Setup of processes with membership: operator files, intervals and the shared upstream.
 
 use crate::control::request_once;
 use crate::fleet::workload::WARM_UP;
@@ -9,32 +9,32 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Milliseconds between two probes of a member, as in the operator's file below.
+/// Interval between probes of a member, as in the operator's file below.
 pub const PROBE_MS: u64 = 150;
-/// Milliseconds from a suspicion to a failure.
+/// Time from the suspicion of a member until it counts as failed.
 pub const SUSPICION_MS: u64 = 900;
-/// Milliseconds between two greetings of a contact.
+/// Interval between announcements to a contact.
 pub const GREET_MS: u64 = 500;
-/// Milliseconds until a newcomer counts.
+/// Time until a member that has joined counts.
 pub const SETTLE_MS: u64 = 1_000;
-/// The operator's file of a process that knows nobody.
+/// Operator's file of a process without membership.
 pub const FILE_WITHOUT_MEMBERS: &str = "[changes]\ncontrol {dir}/control\nstate {dir}/state\n";
 const FILE_WITH_MEMBERS: &str =
     "[changes]\ncontrol {dir}/control\nstate {dir}/state\n[members]\ncluster lab\nlisten {own}\n\
     advertise {relay}\nkey-file {password}\n{contacts}probe 150ms\nsuspicion 900ms\ngreet 500ms\nsettle 1s\n";
-/// Calls to the upstream at a time, of each process.
+/// Concurrent calls to the upstream, for each process.
 pub const UPSTREAM_CALLS_PER_NODE: f64 = 2.5;
-/// How long each call takes.
+/// Time that the upstream takes for a call.
 pub const UPSTREAM_CALL_TIME: Duration = ms(150);
 const CORES: usize = 2;
 const ANSWER_TIMEOUT: Duration = ms(6_000);
 
-/// The operator's file of a process that expects so many members.
+/// Returns the operator's file of a process that expects this many members.
 pub fn operator_file(nodes: usize) -> String {
     format!("{FILE_WITH_MEMBERS}expect {nodes}\n")
 }
 
-/// A process that expects so many members, and has its part of the upstream that they share.
+/// Returns the setup of a process that expects this many members and shares the upstream with them.
 pub fn member_setup(methods: &[Method], nodes: usize) -> Setup {
     Setup {
         memory_mb: 64,
@@ -52,12 +52,12 @@
     }
 }
 
-/// Sends a request to the control socket of a process, by its directory; none without an answer.
+/// Sends a request to the control socket in the directory of a process and returns the answer, if there is one.
 pub fn request(dir: &Path, request: Value) -> Option<Value> {
     request_within(dir, request, ANSWER_TIMEOUT)
 }
 
-/// The same with a time for the answer.
+/// Sends a request like [`request`], with this timeout for the answer.
 pub fn request_within(dir: &Path, request: Value, timeout: Duration) -> Option<Value> {
     request_once(&dir.join("control"), request, timeout).ok()
 }
--- a/lab/src/fleet/members/tests/faults.rs
+++ b/lab/src/fleet/members/tests/faults.rs
@@ -3,10 +3,11 @@
 use super::*;
 use crate::fleet::fault_script;
 
-const TRANSITION_MS: u64 = 3_120; // what is promised for five members
+/// Documented bound for five members.
+const TRANSITION_MS: u64 = 3_120;
 
 #[test]
-fn faults_follow_from_the_seed_and_parse_again() {
+fn faults_depend_on_the_seed_alone_and_parse_after_printing() {
     for seed in 0..32 {
         let FaultPlan { name, faults } = draw(5, seed, TRANSITION_MS);
         let again = draw(5, seed, TRANSITION_MS);
--- a/lab/src/fleet/restart_recovery/tests/faults.rs
+++ b/lab/src/fleet/restart_recovery/tests/faults.rs
@@ -4,7 +4,7 @@
 use crate::fleet::fault_script;
 
 #[test]
-fn faults_follow_from_the_seed_and_parse_again() {
+fn faults_depend_on_the_seed_alone_and_parse_after_printing() {
     for seed in 0..20 {
         for kind in KINDS {
             let faults = draw(kind, 5, seed);
