--- a/lab/src/fleet/agree/evaluation.rs
+++ b/lab/src/fleet/agree/evaluation.rs
@@ -86,7 +86,8 @@
         calls.filter(move |call| call.node == node && call.at_ms >= from_ms && call.at_ms < to_ms)
     }
 
-    /// Returns the time of the first rejection by a node that held its lease, as it had served a call just before the change.
+    /// Returns the time of the first rejection by a node that held its lease, as it had served a call just before the
+    /// change.
     fn first_rejection(&self, change: &Change, end_ms: u64) -> Option<u64> {
         let first = |node: usize| {
             let served_before = self.ledger.calls.iter().any(|call| {
@@ -153,9 +154,9 @@
     report_service(report, recording);
     report_versions(report, recording);
     let none_panicked = fleet.none_panicked();
-    let left = fleet.end();
-    report.set("left_processes", json!(left));
-    report.rule("a process was still running at the end", left == 0);
+    let remaining_processes = fleet.end();
+    report.set("left_processes", json!(remaining_processes));
+    report.rule("a process was still running at the end", remaining_processes == 0);
     report.rule("a process panicked", none_panicked);
 }
 
--- a/lab/src/fleet/agree/faults.rs
+++ b/lab/src/fleet/agree/faults.rs
@@ -16,12 +16,12 @@
 }
 
 /// Returns the faults that the seed selects.
-pub(super) fn draw(nodes: usize, seed: u64) -> FaultPlan {
+pub(super) fn generate_faults(nodes: usize, seed: u64) -> FaultPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ SEED_MASK);
     let (from, to) = (CHANGE_INTERVAL_MS - 700, CHANGE_INTERVAL_MS * 5 - 500);
     let other = rng.random_range(VOTERS.len()..nodes);
     let voter = rng.random_range(0..VOTERS.len());
-    let cut_off = |group: &[usize]| {
+    let isolate = |group: &[usize]| {
         let rest = (0..nodes).filter(|n| !group.contains(n)).collect();
         vec![
             ScheduledFault::new(from, FaultKind::GossipPartition(vec![group.to_vec(), rest]), &[]),
@@ -30,9 +30,9 @@
     };
     let (name, faults) = match seed % 7 {
         0 => ("none", vec![]),
-        1 => ("one cut off", cut_off(&[other])),
-        2 => ("a keeper cut off", cut_off(&[voter])),
-        3 => ("keepers cut from the rest", cut_off(&VOTERS)),
+        1 => ("one cut off", isolate(&[other])),
+        2 => ("a keeper cut off", isolate(&[voter])),
+        3 => ("keepers cut from the rest", isolate(&VOTERS)),
         4 => ("keepers killed in turns", restart_voters_in_turns(from)),
         5 => {
             let faults = vec![
--- a/lab/src/fleet/agree/probe_caller.rs
+++ b/lab/src/fleet/agree/probe_caller.rs
@@ -47,9 +47,9 @@
     pub(super) fn start(fleet: &Fleet) -> ProbeCaller {
         let caller = ProbeCaller { ledger: Arc::default(), stopped: Arc::default() };
         for (node, member) in fleet.members.iter().enumerate() {
-            let (at, start) = (member.node.at, fleet.start);
+            let (address, start) = (member.node.at, fleet.start);
             let (ledger, stopped) = (caller.ledger.clone(), caller.stopped.clone());
-            std::thread::spawn(move || call_node(at, node, start, &ledger, &stopped));
+            std::thread::spawn(move || call_node(address, node, start, &ledger, &stopped));
         }
         caller
     }
@@ -63,9 +63,11 @@
 }
 
 /// Calls a node repeatedly until the caller is stopped, and reconnects when the connection breaks.
-fn call_node(at: SocketAddr, node: usize, start: Instant, ledger: &Mutex<CallLedger>, stopped: &AtomicBool) {
+fn call_node(
+    address: SocketAddr, node: usize, start: Instant, ledger: &Mutex<CallLedger>, stopped: &AtomicBool,
+) {
     while !stopped.load(Ordering::Acquire) {
-        let Ok(mut connection) = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT) else {
+        let Ok(mut connection) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) else {
             std::thread::sleep(RECONNECT_DELAY);
             continue;
         };
--- a/lab/src/fleet/agree/run.rs
+++ b/lab/src/fleet/agree/run.rs
@@ -1,7 +1,7 @@
 //! Runs the scenario: injects faults, and changes the caller's entry at regular intervals.
 
 use super::evaluation::{evaluate, Change, FinalNodeState, Recording, VersionId};
-use super::faults::draw;
+use super::faults::generate_faults;
 use super::probe_caller::{ProbeCaller, PROBE_CALLER_ID};
 use super::timing::{CHANGE_COUNT, CHANGE_INTERVAL_MS};
 use crate::fleet::cluster::{Fleet, FleetConfig};
@@ -32,7 +32,7 @@
 /// Runs the scenario.
 pub fn scenario(report: &mut Report, options: &FleetOptions) -> Result<(), ScenarioError> {
     let nodes = options.nodes.max(MIN_NODES);
-    let plan = draw(nodes, options.seed);
+    let plan = generate_faults(nodes, options.seed);
     let mut fleet = start_fleet(nodes, options)?;
     let caller = ProbeCaller::start(&fleet);
     wait_for_leases(&fleet)?;
--- a/lab/src/fleet/callers/attempts.rs
+++ b/lab/src/fleet/callers/attempts.rs
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Schedules another attempt of an RPC after a failed one. An RPC that may have run and must not run twice is ended.
+    /// Schedules another attempt of an RPC after a failed one. An RPC that may have run and must not run twice is
+    /// ended.
     pub(super) fn retry(&mut self, id: u64, may_have_run: bool) {
         let Some(rpc) = self.rpcs.get(&id) else { return };
         if may_have_run && self.shared.profile.unsafe_to_retry.contains(&rpc.method.method) {
@@ -88,8 +89,8 @@
         &mut self, node: usize, connection: ConnectionId, stream: u32, answer: &Answer,
     ) {
         let Some(connection) = self.connection(node, connection) else { return };
-        let advice = answer.field("advice").and_then(|value| value.parse().ok());
-        connection.credit = advice.or(connection.credit);
+        let credit = answer.field("advice").and_then(|value| value.parse().ok());
+        connection.credit = credit.or(connection.credit);
         connection.answered += 1;
         let Some(attempt) = connection.in_flight.remove(&stream) else {
             // An answer to an attempt that has passed its deadline is late, not a duplicate, unless the attempt was
@@ -115,7 +116,7 @@
             self.paused_until.insert(node, now + Duration::from_millis(ms));
         }
         self.record(|ledger| ledger.rejections.push(Rejection { node, at: now }));
-        let terminal = answer.field("terminal") == Some("1") && !self.ignores_hints;
+        let terminal = answer.field("terminal") == Some("1") && !self.ignores_credit_and_pauses;
         if terminal {
             self.finish_rpc(rpc, false);
         } else {
--- a/lab/src/fleet/callers/balancing.rs
+++ b/lab/src/fleet/callers/balancing.rs
@@ -19,10 +19,12 @@
 
     /// Reports whether a backend may be called, and its connection has capacity for another attempt.
     fn may_call(&self, node: usize, now: Instant) -> bool {
-        let paused = !self.ignores_hints && self.paused_until.get(&node).is_some_and(|until| *until > now);
+        let paused =
+            !self.ignores_credit_and_pauses && self.paused_until.get(&node).is_some_and(|until| *until > now);
         let unreachable = self.unreachable_until.get(&node).is_some_and(|until| *until > now);
         let has_capacity = self.connections.get(&node).is_none_or(|connection| {
-            let credit = connection.credit.filter(|_| !self.ignores_hints).unwrap_or(MAX_STREAMS as f64);
+            let credit =
+                connection.credit.filter(|_| !self.ignores_credit_and_pauses).unwrap_or(MAX_STREAMS as f64);
             let in_flight = connection.in_flight.len();
             in_flight < MAX_STREAMS && (in_flight as f64) < credit.max(0.0).ceil()
         });
@@ -41,12 +43,12 @@
         let in_flight = |(node, _): &(usize, SocketAddr)| {
             self.connections.get(node).map_or(0, |connection| connection.in_flight.len())
         };
-        let (node, at) = choices.into_iter().min_by_key(in_flight)?;
+        let (node, address) = choices.into_iter().min_by_key(in_flight)?;
         if self.connections.get(&node).is_some_and(|connection| connection.draining) {
             let draining = self.connections.remove(&node);
             draining.into_iter().for_each(|connection| drop(connection.to.shutdown(Shutdown::Write)));
         }
-        if !self.connections.contains_key(&node) && self.connect(node, at).is_none() {
+        if !self.connections.contains_key(&node) && self.connect(node, address).is_none() {
             let pause = Duration::from_millis(self.rng.random_range(100..300));
             self.unreachable_until.insert(node, now + pause);
             return None;
@@ -54,8 +56,8 @@
         Some(node)
     }
 
-    fn connect(&mut self, node: usize, at: SocketAddr) -> Option<()> {
-        let connection = Connection::open(self.connections_made + 1, node, at, &self.event_sender)?;
+    fn connect(&mut self, node: usize, address: SocketAddr) -> Option<()> {
+        let connection = Connection::open(self.connections_made + 1, node, address, &self.event_sender)?;
         self.connections_made += 1;
         self.connections.insert(node, connection);
         Some(())
--- a/lab/src/fleet/callers/caller.rs
+++ b/lab/src/fleet/callers/caller.rs
@@ -23,7 +23,7 @@
 
 /// State that the callers of a fleet share.
 #[derive(Clone)]
-pub(super) struct Shared {
+pub(super) struct SharedState {
     pub(super) ledger: Arc<Mutex<CallerLedger>>,
     pub(super) reconnect_at: Arc<Mutex<Option<Instant>>>,
     stopped: Arc<AtomicBool>,
@@ -33,12 +33,12 @@
     pub(super) name_service: NameService,
 }
 
-impl Shared {
+impl SharedState {
     pub(super) fn new(
         start: Instant, profile: &CallerProfile, backend_addresses: &BackendAddresses,
         name_service: &NameService,
-    ) -> Shared {
-        Shared {
+    ) -> SharedState {
+        SharedState {
             ledger: Arc::default(),
             reconnect_at: Arc::default(),
             stopped: Arc::default(),
@@ -66,7 +66,8 @@
     pub(super) attempts: u32,
 }
 
-/// An action that is due at a point in time. The order of the variants is that of timers that are due at the same time.
+/// An action that is due at a point in time. The order of the variants is that of timers that are due at the same
+/// time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// The next RPC has to be sent.
@@ -85,8 +86,8 @@
 pub(super) struct Caller {
     pub(super) number: usize,
     /// Whether it ignores the credit and the pauses that backends advertise.
-    pub(super) ignores_hints: bool,
-    pub(super) shared: Shared,
+    pub(super) ignores_credit_and_pauses: bool,
+    pub(super) shared: SharedState,
     pub(super) rng: StdRng,
     /// Open connections, by the index of the backend.
     pub(super) connections: BTreeMap<usize, Connection>,
@@ -104,12 +105,12 @@
 }
 
 impl Caller {
-    pub(super) fn new(number: usize, ignores_hints: bool, shared: Shared) -> Caller {
+    pub(super) fn new(number: usize, ignores_credit_and_pauses: bool, shared: SharedState) -> Caller {
         let (event_sender, events) = channel();
         let seed = shared.profile.seed * SEEDS_PER_PROFILE + number as u64;
         Caller {
             number,
-            ignores_hints,
+            ignores_credit_and_pauses,
             shared,
             rng: StdRng::seed_from_u64(seed),
             connections: BTreeMap::new(),
--- a/lab/src/fleet/callers/connection.rs
+++ b/lab/src/fleet/callers/connection.rs
@@ -41,9 +41,9 @@
 impl Connection {
     /// Connects, and starts a thread that sends what is received as events.
     pub(super) fn open(
-        id: ConnectionId, node: usize, at: SocketAddr, events: &Sender<Event>,
+        id: ConnectionId, node: usize, address: SocketAddr, events: &Sender<Event>,
     ) -> Option<Connection> {
-        let to = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT).ok()?;
+        let to = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
         to.set_nodelay(true).ok()?;
         to.set_write_timeout(Some(CONNECT_TIMEOUT)).ok()?;
         let (from, events) = (to.try_clone().ok()?, events.clone());
--- a/lab/src/fleet/callers/spawn.rs
+++ b/lab/src/fleet/callers/spawn.rs
@@ -1,6 +1,6 @@
 //! Callers of a fleet, each in its own thread.
 
-use super::caller::{Caller, Shared};
+use super::caller::{Caller, SharedState};
 use super::ledger::CallerLedger;
 use super::profile::{BackendAddresses, CallerProfile};
 use crate::fleet::name_service::NameService;
@@ -12,7 +12,7 @@
 /// The running callers of a fleet.
 #[derive(Clone)]
 pub struct Callers {
-    shared: Shared,
+    shared: SharedState,
 }
 
 impl Callers {
@@ -21,10 +21,10 @@
         start: Instant, profile: &CallerProfile, backend_addresses: &BackendAddresses,
         name_service: &NameService,
     ) -> Callers {
-        let callers = Callers { shared: Shared::new(start, profile, backend_addresses, name_service) };
-        let ignores_hints = (profile.callers as f64 * profile.ignoring_share).round() as usize;
+        let callers = Callers { shared: SharedState::new(start, profile, backend_addresses, name_service) };
+        let ignoring_count = (profile.callers as f64 * profile.ignoring_share).round() as usize;
         for number in 0..profile.callers {
-            let mut caller = Caller::new(number, number < ignores_hints, callers.shared.clone());
+            let mut caller = Caller::new(number, number < ignoring_count, callers.shared.clone());
             thread::spawn(move || caller.run());
         }
         callers
--- a/lab/src/fleet/cluster.rs
+++ b/lab/src/fleet/cluster.rs
@@ -74,7 +74,8 @@
     pub network_seed: Option<u64>,
 }
 
-/// Returns the name and address of a member. The system never assigns such an address to a connection of its own choice.
+/// Returns the name and address of a member. The system never assigns such an address to a connection of its own
+/// choice.
 fn placement(n: usize) -> Placement {
     let process = std::process::id();
     let (a, b) = (20 + (process / 250 % 200) as u8, (process % 250) as u8 + 1);
@@ -137,7 +138,8 @@
         std::thread::sleep(MAX_LIST_DELAY);
     }
 
-    /// Returns how many runs repeated an earlier one with the same body, over all agents, for bodies with this prefix.
+    /// Returns how many runs repeated an earlier one with the same body, over all agents, for bodies with this
+    /// prefix.
     pub fn repeated_effects(&self, prefix: &str) -> u64 {
         let mut starts: BTreeMap<Vec<u8>, u64> = BTreeMap::new();
         for member in &self.members {
--- a/lab/src/fleet/cold_start.rs
+++ b/lab/src/fleet/cold_start.rs
@@ -1,4 +1,5 @@
-//! `fleet-cold`: all servers start cold at once while the same number of callers send all RPCs that their credit allows.
+//! `fleet-cold`: all servers start cold at once while the same number of callers send all RPCs that their credit
+//! allows.
 
 use super::cluster::Fleet;
 use super::single_call::lookup_header;
@@ -72,8 +73,8 @@
 }
 
 impl Connection {
-    fn open(at: SocketAddr) -> std::io::Result<Connection> {
-        let to = TcpStream::connect(at)?;
+    fn open(address: SocketAddr) -> std::io::Result<Connection> {
+        let to = TcpStream::connect(address)?;
         to.set_nodelay(true)?;
         to.set_nonblocking(true)?;
         Ok(Connection { to, bytes: Vec::new(), last_stream: 0, in_flight: BTreeMap::new(), credit: None })
@@ -150,7 +151,7 @@
 ) -> std::io::Result<Counts> {
     let mut rng = StdRng::seed_from_u64(seed * SEEDS_PER_RUN + caller as u64);
     let mut connections =
-        servers.iter().map(|at| Connection::open(*at)).collect::<std::io::Result<Vec<_>>>()?;
+        servers.iter().map(|address| Connection::open(*address)).collect::<std::io::Result<Vec<_>>>()?;
     let mut counts = Counts::default();
     while !stopped.load(Ordering::Acquire) {
         for (connection, usage) in connections.iter_mut().zip(usage) {
@@ -172,8 +173,8 @@
     samples: u64,
 }
 
-/// Samples the RPCs in flight and the sum of credit at each server during the warm-up, and compares them with the budget
-/// that follows from the settings at that time.
+/// Samples the RPCs in flight and the sum of credit at each server during the warm-up, and compares them with the
+/// budget that follows from the settings at that time.
 fn sample(usage: &UsageByServer, start: Instant) -> Peaks {
     let mut peaks = Peaks { excess_in_flight: f64::MIN, credit_sum: f64::MIN, samples: 0 };
     while start.elapsed() < WARM_UP {
--- a/lab/src/fleet/datagram_network.rs
+++ b/lab/src/fleet/datagram_network.rs
@@ -1,6 +1,6 @@
-//! Network between processes: a datagram relay at the advertised address of each member. The relay identifies the sender
-//! by its source address, so that the link from one member to another can be blocked in each direction separately.
-//! Loss, duplication and delay apply to each datagram independently.
+//! Network between processes: a datagram relay at the advertised address of each member. The relay identifies the
+//! sender by its source address, so that the link from one member to another can be blocked in each direction
+//! separately. Loss, duplication and delay apply to each datagram independently.
 
 use crate::sync::lock;
 use rand::rngs::StdRng;
@@ -70,8 +70,8 @@
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 impl DatagramNetwork {
-    /// Starts the relays. `own` has the address at which each member receives datagrams and from which it sends them.
-    pub fn start(own: &[SocketAddr], seed: u64) -> std::io::Result<DatagramNetwork> {
+    /// Starts the relays. Each member receives datagrams at its address and sends them from there.
+    pub fn start(member_addresses: &[SocketAddr], seed: u64) -> std::io::Result<DatagramNetwork> {
         let state = State {
             conditions: NetworkConditions::default(),
             rng: StdRng::seed_from_u64(seed),
@@ -79,7 +79,7 @@
             delivered: 0,
         };
         let (mut addresses, mut sockets) = (Vec::new(), Vec::new());
-        for _ in own {
+        for _ in member_addresses {
             let socket = UdpSocket::bind("127.0.0.1:0")?;
             socket.set_read_timeout(Some(READ_TIMEOUT))?;
             addresses.push(socket.local_addr()?);
@@ -88,12 +88,13 @@
         let network =
             DatagramNetwork { addresses, state: Arc::new(Mutex::new(state)), stopped: Arc::default() };
         for (to, socket) in sockets.iter().enumerate() {
-            let (socket, own) = (socket.try_clone()?, own.to_vec());
+            let (socket, member_addresses) = (socket.try_clone()?, member_addresses.to_vec());
             let (state, stopped) = (network.state.clone(), network.stopped.clone());
-            thread::spawn(move || receive(&socket, to, &own, &state, &stopped));
+            thread::spawn(move || receive(&socket, to, &member_addresses, &state, &stopped));
         }
-        let (state, stopped, own) = (network.state.clone(), network.stopped.clone(), own.to_vec());
-        thread::spawn(move || deliver(&sockets, &own, &state, &stopped));
+        let (state, stopped, member_addresses) =
+            (network.state.clone(), network.stopped.clone(), member_addresses.to_vec());
+        thread::spawn(move || deliver(&sockets, &member_addresses, &state, &stopped));
         Ok(network)
     }
 
@@ -108,21 +109,26 @@
 }
 
 /// Receives the datagrams for one member until the network is stopped.
-fn receive(socket: &UdpSocket, to: usize, own: &[SocketAddr], state: &Mutex<State>, stopped: &AtomicBool) {
+fn receive(
+    socket: &UdpSocket, to: usize, member_addresses: &[SocketAddr], state: &Mutex<State>,
+    stopped: &AtomicBool,
+) {
     let mut bytes = [0; MAX_DATAGRAM_BYTES];
     while !stopped.load(Ordering::Acquire) {
         let Ok((n, from)) = socket.recv_from(&mut bytes) else { continue };
         // The sender is none if it is no member; its datagrams are never blocked.
-        let from = own.iter().position(|address| *address == from);
+        let from = member_addresses.iter().position(|address| *address == from);
         lock(state).accept(from, to, &bytes[..n]);
     }
 }
 
 /// Delivers datagrams when they are due, each from the relay of its receiver.
-fn deliver(sockets: &[UdpSocket], own: &[SocketAddr], state: &Mutex<State>, stopped: &AtomicBool) {
+fn deliver(
+    sockets: &[UdpSocket], member_addresses: &[SocketAddr], state: &Mutex<State>, stopped: &AtomicBool,
+) {
     while !stopped.load(Ordering::Acquire) {
         for datagram in lock(state).take_due(Instant::now()) {
-            let (socket, to) = (&sockets[datagram.to], own[datagram.to]);
+            let (socket, to) = (&sockets[datagram.to], member_addresses[datagram.to]);
             socket.send_to(&datagram.bytes, to).map(drop).unwrap_or_default();
         }
         thread::sleep(DELIVERY_INTERVAL);
--- a/lab/src/fleet/fault_injection.rs
+++ b/lab/src/fleet/fault_injection.rs
@@ -35,8 +35,8 @@
 }
 
 impl InjectedFaults {
-    /// Returns the number of attempts without an answer that no pause explains. A stopped member still receives calls but
-    /// answers none of them, and its callers have given up by the time it runs again.
+    /// Returns the number of attempts without an answer that no pause explains. A stopped member still receives calls
+    /// but answers none of them, and its callers have given up by the time it runs again.
     pub fn count_unexplained(&self, unanswered: &[UnansweredAttempt]) -> usize {
         let now = Instant::now();
         let still_paused = self.paused.iter().map(|(node, from)| (*node, *from, now));
@@ -231,7 +231,8 @@
     nodes.iter().flat_map(|n| (0..members).map(move |to| (*n, to))).collect()
 }
 
-/// Sends invalid datagrams from a separate address for [`FLOOD_DURATION`], at most [`MAX_FLOOD_DATAGRAMS`] to each target.
+/// Sends invalid datagrams from a separate address for [`FLOOD_DURATION`], at most [`MAX_FLOOD_DATAGRAMS`] to each
+/// target.
 fn flood(targets: &[SocketAddr]) {
     let Ok(socket) = UdpSocket::bind("127.0.0.1:0") else { return };
     let deadline = Instant::now() + FLOOD_DURATION;
@@ -248,8 +249,8 @@
     }
 }
 
-/// Makes writes to the state directory fail with a full disk. Each file is first written under a temporary name, which
-/// becomes a link to a device that is always full.
+/// Makes writes to the state directory fail with a full disk. Each file is first written under a temporary name,
+/// which becomes a link to a device that is always full.
 fn fill_disk(dir: &Path) -> std::io::Result<()> {
     for name in ["learned", "good", "probation", "members"] {
         let temporary = dir.join(name).with_extension("new");
--- a/lab/src/fleet/fault_script.rs
+++ b/lab/src/fleet/fault_script.rs
@@ -1,6 +1,6 @@
 //! Fault scripts: one fault a line, with the time in milliseconds since the load began, the fault, the members and
-//! further arguments. Scripts are written by hand or generated from a seed; a scenario that fails prints its script, and
-//! `--script` runs it again.
+//! further arguments. Scripts are written by hand or generated from a seed; a scenario that fails prints its script,
+//! and `--script` runs it again.
 //!
 //! ```text
 //! 6000 kill n0,n1,n2         # SIGKILL and a restart of the machine: the agent loses its runs, the cores are cold
--- a/lab/src/fleet/idle_flood.rs
+++ b/lab/src/fleet/idle_flood.rs
@@ -34,11 +34,11 @@
 }
 
 impl IdleClients {
-    fn start(at: SocketAddr) -> IdleClients {
+    fn start(address: SocketAddr) -> IdleClients {
         let stopped = Arc::new(AtomicBool::new(false));
         let client = |kind: usize| {
             let stopped = stopped.clone();
-            thread::spawn(move || keep_idle_connections(at, kind, &stopped))
+            thread::spawn(move || keep_idle_connections(address, kind, &stopped))
         };
         let threads = (0..CLIENT_THREADS).map(client).collect();
         IdleClients { stopped, threads }
@@ -53,7 +53,7 @@
 
 /// Keeps connections open that send nothing, an incomplete frame or a single health check, by the kind of the client.
 /// Returns how many connections were opened.
-fn keep_idle_connections(at: SocketAddr, kind: usize, stopped: &AtomicBool) -> u64 {
+fn keep_idle_connections(address: SocketAddr, kind: usize, stopped: &AtomicBool) -> u64 {
     let (mut open, mut opened) = (Vec::<TcpStream>::new(), 0);
     let sent: Vec<u8> = match kind % 3 {
         0 => Vec::new(),
@@ -63,7 +63,7 @@
     while !stopped.load(Ordering::Acquire) {
         open.retain(is_open);
         while open.len() < CONNECTIONS_PER_CLIENT && !stopped.load(Ordering::Acquire) {
-            let Ok(mut stream) = TcpStream::connect_timeout(&at, ms(100)) else { break };
+            let Ok(mut stream) = TcpStream::connect_timeout(&address, ms(100)) else { break };
             stream.write_all(&sent).unwrap_or_default();
             open.push(stream);
             opened += 1;
@@ -131,23 +131,23 @@
 /// Sends RPCs and health checks, while the links to the agent and the upstream are reset once each.
 fn call_while_flooded(fleet: &Fleet, rng: &mut StdRng) -> ServiceCounts {
     let member = &fleet.members[0];
-    let at = member.node.at;
+    let address = member.node.at;
     let (start, mut service) = (Instant::now(), ServiceCounts::default());
     while start.elapsed() < FLOOD_DURATION {
-        let turn = Instant::now();
+        let turn_start = Instant::now();
         match service.calls {
             AGENT_RESET_AT_CALL => member.agent_proxy.reset_connections(),
             UPSTREAM_RESET_AT_CALL => member.upstream_proxy.reset_connections(),
             _ => {}
         }
-        let code = call_once(at, 2 + service.calls % 3, rng);
+        let code = call_once(address, 2 + service.calls % 3, rng);
         service.calls += 1;
         service.answered += u64::from(code.is_some());
         service.ok += u64::from(code == Some(OK));
-        service.slowest = service.slowest.max(turn.elapsed());
+        service.slowest = service.slowest.max(turn_start.elapsed());
         service.health_checks += 1;
-        service.healthy += u64::from(is_healthy_by(at, Instant::now() + ANSWER_TIMEOUT));
-        thread::sleep(CALL_INTERVAL.saturating_sub(turn.elapsed()));
+        service.healthy += u64::from(is_healthy_by(address, Instant::now() + ANSWER_TIMEOUT));
+        thread::sleep(CALL_INTERVAL.saturating_sub(turn_start.elapsed()));
     }
     service
 }
@@ -157,7 +157,7 @@
     fleet.members[0].name_service_proxy.set_refusing(false);
     fleet.members[0].name_service_proxy.set_stalled(false);
     let restored_at = Instant::now();
-    while fleet.name_service.last_serving_report("n0").is_none_or(|at| at < restored_at)
+    while fleet.name_service.last_serving_report("n0").is_none_or(|reported_at| reported_at < restored_at)
         && restored_at.elapsed() < REPORT_TIMEOUT
     {
         thread::sleep(ms(10));
--- a/lab/src/fleet/members/cpu.rs
+++ b/lab/src/fleet/members/cpu.rs
@@ -1,5 +1,5 @@
-//! `members-cpu`: CPU time of a framed RPC at one of several processes, with and without `[members]` in alternating rounds;
-//! reports medians of five rounds.
+//! `members-cpu`: CPU time of a framed RPC at one of several processes, with and without `[members]` in alternating
+//! rounds; reports medians of five rounds.
 
 use super::setup::{member_setup, operator_file, FILE_WITHOUT_MEMBERS};
 use crate::fleet::cluster::{Fleet, FleetConfig};
--- a/lab/src/fleet/members/evaluation.rs
+++ b/lab/src/fleet/members/evaluation.rs
@@ -15,8 +15,8 @@
 const USABLE_SHARE: f64 = 0.8;
 /// Factor of the shared capacity above which it counts as exceeded.
 const CAPACITY_TOLERANCE: f64 = 1.05;
-/// Share of the capacity that calls have to use at some time; with less demand the run does not show whether the capacity
-/// is exceeded.
+/// Share of the capacity that calls have to use at some time; with less demand the run does not show whether the
+/// capacity is exceeded.
 const MIN_DEMAND_SHARE: f64 = 0.85;
 /// Interval between observations of a member, and the time that an observation takes.
 const OBSERVATION_SLACK_MS: u64 = 500;
@@ -51,8 +51,8 @@
         self.load_start_ms + FIRST_FAULT_MS
     }
 
-    /// Returns descriptions of the wrong views. A view has to be correct once the reachability has not changed for as long as
-    /// the documented bounds.
+    /// Returns descriptions of the wrong views. A view has to be correct once the reachability has not changed for as
+    /// long as the documented bounds.
     fn wrong_views(&self) -> Vec<String> {
         let min_duration_ms = self.bounds.healing_ms.max(self.bounds.detection_ms);
         let is_wrong = |observation: &&Observation| {
@@ -75,8 +75,8 @@
         after_first_fault.filter(is_wrong).map(line).collect()
     }
 
-    /// Returns the pairs of a member and a peer that it reported as failed although they had been connected for as long as the
-    /// documented bounds.
+    /// Returns the pairs of a member and a peer that it reported as failed although they had been connected for as
+    /// long as the documented bounds.
     fn false_failures(&self) -> BTreeSet<(usize, usize)> {
         let min_duration_ms = self.bounds.healing_ms.max(self.bounds.detection_ms);
         let mut found = BTreeSet::new();
@@ -102,8 +102,8 @@
         detection
     }
 
-    /// Adds the detection times of members that stopped answering: for each other member, the first observation that reports
-    /// the failure.
+    /// Adds the detection times of members that stopped answering: for each other member, the first observation that
+    /// reports the failure.
     fn detect_member_losses(&self, epoch: usize, detection: &mut Vec<u64>) {
         let (before, now) = (&self.epochs[epoch - 1].reachability, &self.epochs[epoch]);
         let reachability = &now.reachability;
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Adds the detection times of newly blocked links: the first observation of the receiver that reports the sender as
-    /// failed. Links between members that still reach each other through others are left out.
+    /// Adds the detection times of newly blocked links: the first observation of the receiver that reports the sender
+    /// as failed. Links between members that still reach each other through others are left out.
     fn detect_link_losses(&self, epoch: usize, detection: &mut Vec<u64>) {
         let (before, now) = (&self.epochs[epoch - 1].reachability, &self.epochs[epoch]);
         let reachability = &now.reachability;
@@ -173,7 +173,8 @@
         (0..nodes).map(share).sum::<f64>() / nodes as f64
     }
 
-    /// Returns the mean number of calls that the upstream held, for each window of one second since the start of the load.
+    /// Returns the mean number of calls that the upstream held, for each window of one second since the start of the
+    /// load.
     fn upstream_occupancy(&self, fleet: &Fleet) -> Vec<f64> {
         let occupancy = fleet.upstream.state().occupancy.clone();
         let second = |buckets: &[f64]| buckets.iter().sum::<f64>();
@@ -272,18 +273,18 @@
     let repeated_effects = fleet.repeated_effects(UPDATE.name);
     let none_panicked = fleet.none_panicked();
     let delivered = fleet.network.as_ref().map_or(0, |network| network.delivered());
-    let left = fleet.end();
+    let remaining_processes = fleet.end();
     report.set("nodes", json!(fleet.members.len()));
     report.set("no_final_answer", json!(unanswered));
     report.set("answered_twice", json!(ledger.answered_twice));
     report.set("effects_twice", json!(repeated_effects));
     report.set("rpcs", json!(ledger.rpcs));
     report.set("datagrams", json!(delivered));
-    report.set("left_processes", json!(left));
+    report.set("left_processes", json!(remaining_processes));
     report.rule("an RPC got no final answer", unanswered == 0);
     report.rule("an RPC was answered twice", ledger.answered_twice == 0);
     report.rule("an RPC got the result of another", ledger.wrong_results == 0);
-    report.rule("an effect was made twice", repeated_effects == 0);
-    report.rule("a process was still running at the end", left == 0);
+    report.rule("an RPC that must not run twice ran twice", repeated_effects == 0);
+    report.rule("a process was still running at the end", remaining_processes == 0);
     report.rule("a process panicked", none_panicked);
 }
--- a/lab/src/fleet/members/faults.rs
+++ b/lab/src/fleet/members/faults.rs
@@ -45,9 +45,9 @@
     }
 }
 
-/// Returns the faults that the seed selects; `transition_ms` is the documented time until the share of a lost member may be
-/// taken over.
-pub(super) fn draw(nodes: usize, seed: u64, transition_ms: u64) -> FaultPlan {
+/// Returns the faults that the seed selects; `transition_ms` is the documented time until the share of a lost member
+/// may be taken over.
+pub(super) fn generate_faults(nodes: usize, seed: u64, transition_ms: u64) -> FaultPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ SEED_MASK);
     let mut all: Vec<usize> = (0..nodes).collect();
     all.shuffle(&mut rng);
--- a/lab/src/fleet/members/mod.rs
+++ b/lab/src/fleet/members/mod.rs
@@ -1,5 +1,6 @@
-//! `fleet-members`: real processes with membership, under partitions, datagram loss, pauses and kills. The scenario asks
-//! each member for its view; the statistics of the upstream show how much of the shared capacity the members used.
+//! `fleet-members`: real processes with membership, under partitions, datagram loss, pauses and kills. The scenario
+//! asks each member for its view; the statistics of the upstream show how much of the shared capacity the members
+//! used.
 
 mod cpu;
 mod evaluation;
--- a/lab/src/fleet/members/run.rs
+++ b/lab/src/fleet/members/run.rs
@@ -1,7 +1,7 @@
 //! Runs the scenario: load, injected faults, and repeated requests for the views of all members.
 
 use super::evaluation::evaluate;
-use super::faults::{draw, FaultPlan, FIRST_FAULT_MS};
+use super::faults::{generate_faults, FaultPlan, FIRST_FAULT_MS};
 use super::observation::{DocumentedBounds, Epoch, Observation, Recording};
 use super::reachability::Reachability;
 use super::setup::{member_setup, UPSTREAM_CALLS_PER_NODE, UPSTREAM_CALL_TIME};
@@ -34,7 +34,7 @@
             let faults = fault_script::parse(&std::fs::read_to_string(path)?, nodes)?;
             FaultPlan { name: "script", faults }
         }
-        None => draw(nodes, options.seed, bounds.transition_ms),
+        None => generate_faults(nodes, options.seed, bounds.transition_ms),
     };
     let mut fleet = start_fleet(options)?;
     let methods = methods();
@@ -84,7 +84,7 @@
     let mut next_fault = 0;
     let mut reachability = Reachability::complete(nodes);
     while fleet.at_ms() < end_ms {
-        let turn = Instant::now();
+        let turn_start = Instant::now();
         while let Some(fault) = recording.plan.faults.get(next_fault) {
             if fault.at_ms + recording.load_start_ms > fleet.at_ms() {
                 break;
@@ -96,7 +96,7 @@
         }
         let responsive = (0..nodes).filter(|n| reachability.is_responsive(*n));
         recording.observations.extend(responsive.filter_map(|n| Observation::read(fleet, n)));
-        std::thread::sleep(interval.saturating_sub(turn.elapsed()));
+        std::thread::sleep(interval.saturating_sub(turn_start.elapsed()));
     }
     Ok(())
 }
--- a/lab/src/fleet/ready.rs
+++ b/lab/src/fleet/ready.rs
@@ -1,5 +1,5 @@
-//! `fleet-ready`: many processes are killed and restarted at once. A quarter of them has intact persisted state, a quarter
-//! none, a quarter a truncated snapshot, and a quarter a full disk. A sixth of the agents starts late.
+//! `fleet-ready`: many processes are killed and restarted at once. A quarter of them has intact persisted state, a
+//! quarter none, a quarter a truncated snapshot, and a quarter a full disk. A sixth of the agents starts late.
 
 use super::cluster::{Fleet, Member};
 use super::fault_script::StateFault;
@@ -66,16 +66,16 @@
     Ok(())
 }
 
-/// Starts all processes, and the late agents after [`AGENT_DELAY`]. Returns the time until each process was ready; none for
-/// one that never was.
+/// Starts all processes, and the late agents after [`AGENT_DELAY`]. Returns the time until each process was ready;
+/// none for one that never was.
 fn restart_all(fleet: &mut Fleet) -> Result<Vec<Option<Duration>>, ScenarioError> {
     let start = Instant::now();
     for member in &mut fleet.members {
         member.node.restart()?;
     }
     let wait = |(n, member): (usize, &Member)| {
-        let (at, name_service) = (member.node.at, fleet.name_service.clone());
-        thread::spawn(move || wait_until_ready(n, at, &name_service, start))
+        let (address, name_service) = (member.node.at, fleet.name_service.clone());
+        thread::spawn(move || wait_until_ready(n, address, &name_service, start))
     };
     let waits: Vec<_> = fleet.members.iter().enumerate().map(wait).collect();
     thread::sleep(AGENT_DELAY.saturating_sub(start.elapsed()));
@@ -85,9 +85,9 @@
 
 /// Returns the time until a process was ready: healthy, and reported to the name service as accepting RPCs.
 fn wait_until_ready(
-    n: usize, at: SocketAddr, name_service: &NameService, start: Instant,
+    n: usize, address: SocketAddr, name_service: &NameService, start: Instant,
 ) -> Option<Duration> {
-    let healthy = is_healthy_by(at, start + READY_TIMEOUT);
+    let healthy = is_healthy_by(address, start + READY_TIMEOUT);
     while healthy && Instant::now() < start + READY_TIMEOUT {
         if name_service.last_serving_report(&format!("n{n}")).is_some_and(|reported| reported > start) {
             return Some(start.elapsed());
@@ -106,10 +106,14 @@
     report.set("processes", nodes.into());
     report.set("ready", all.len().into());
     report.set("ready_within_10_s", ready_in_bound.into());
-    let at = |part: f64| all.get(((all.len() as f64 * part) as usize).min(all.len().saturating_sub(1)));
-    report.set("ready_ms", json!({"median": at(0.5), "nine_in_ten": at(0.9), "most": at(1.0)}));
-    let prompt = ready_after.iter().enumerate().filter(|(n, _)| !has_late_agent(*n));
-    let slowest = prompt.filter_map(|(_, after)| after.as_ref().map(ms_of)).max();
+    let quantile =
+        |share: f64| all.get(((all.len() as f64 * share) as usize).min(all.len().saturating_sub(1)));
+    report.set(
+        "ready_ms",
+        json!({"median": quantile(0.5), "nine_in_ten": quantile(0.9), "most": quantile(1.0)}),
+    );
+    let with_prompt_agent = ready_after.iter().enumerate().filter(|(n, _)| !has_late_agent(*n));
+    let slowest = with_prompt_agent.filter_map(|(_, after)| after.as_ref().map(ms_of)).max();
     report.set("ready_ms_most_with_prompt_agents", json!(slowest));
     report.rule("fewer than 90% of the processes were ready within 10 s", ready_in_bound * 10 >= nodes * 9);
     report.rule("a process was not ready within 30 s", all.len() == nodes);
--- a/lab/src/fleet/restart_recovery/faults.rs
+++ b/lab/src/fleet/restart_recovery/faults.rs
@@ -33,7 +33,7 @@
 }
 
 /// Returns the faults in the order of their times.
-pub(super) fn draw(kind: OutageKind, nodes: usize, seed: u64) -> Vec<ScheduledFault> {
+pub(super) fn generate_faults(kind: OutageKind, nodes: usize, seed: u64) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed ^ SEED_MASK);
     let all: Vec<usize> = (0..nodes).collect();
     let downtime_ms = rng.random_range(300..700);
@@ -121,8 +121,8 @@
     ]
 }
 
-/// Returns the faults of a partial failure: a pause, a crash of the process alone, a stall of one or both directions of the
-/// link to the agent, or an outage of the name service.
+/// Returns the faults of a partial failure: a pause, a crash of the process alone, a stall of one or both directions
+/// of the link to the agent, or an outage of the name service.
 fn partial_failure(mut some: Vec<usize>, seed: u64, rng: &mut StdRng) -> Vec<ScheduledFault> {
     let count = (some.len() / 4).max(1);
     some.shuffle(rng);
--- a/lab/src/fleet/restart_recovery/measurements.rs
+++ b/lab/src/fleet/restart_recovery/measurements.rs
@@ -34,7 +34,7 @@
     pub(super) calls_peak: f64,
     /// Number of decisions that only an outdated value explains.
     pub(super) stale_decisions: u64,
-    pub(super) left: usize,
+    pub(super) remaining_processes: usize,
     pub(super) repeated_effects: u64,
     pub(super) reports_peak: u32,
     pub(super) snapshots_failed: u64,
@@ -56,9 +56,11 @@
     /// Returns the figures that are reported for this build and for another.
     pub(super) fn figures(&self) -> Value {
         json!({"full_service_ms": self.recovery_ms, "floor_ms": self.min_recovery_ms,
-            "in_time_before": self.before, "load_before": self.load, "in_time_after": self.after, "attempts_peak_ratio": self.attempts_peak,
+            "in_time_before": self.before, "load_before": self.load,
+            "in_time_after": self.after, "attempts_peak_ratio": self.attempts_peak,
             "calls_below_peak_ratio": self.calls_peak, "no_final_answer": self.unanswered,
             "answered_twice": self.ledger.answered_twice, "effects_twice": self.repeated_effects,
-            "stale_decisions": self.stale_decisions, "left_processes": self.left, "curve": self.curve()})
+            "stale_decisions": self.stale_decisions, "left_processes": self.remaining_processes,
+            "curve": self.curve()})
     }
 }
--- a/lab/src/fleet/restart_recovery/mod.rs
+++ b/lab/src/fleet/restart_recovery/mod.rs
@@ -1,5 +1,5 @@
-//! `fleet-return`: restarts of most of a fleet at once, loss of persisted state, or an outage of the upstream. Measures the
-//! time until full service, and overload of backends and upstream meanwhile.
+//! `fleet-return`: restarts of most of a fleet at once, loss of persisted state, or an outage of the upstream.
+//! Measures the time until full service, and overload of backends and upstream meanwhile.
 
 mod faults;
 mod measurements;
--- a/lab/src/fleet/restart_recovery/run.rs
+++ b/lab/src/fleet/restart_recovery/run.rs
@@ -31,7 +31,8 @@
 /// Time after which the RPCs of a bucket count as answered.
 const ANSWER_DELAY_MS: u64 = 2_000;
 const FINAL_ANSWERS_WAIT: Duration = ms(3_400);
-/// Time after a start at which persisted values no longer affect decisions, as `MAX_EFFECT_TIME_US` of asterrill-recovery.
+/// Time after a start at which persisted values no longer affect decisions, as `MAX_EFFECT_TIME_US` of
+/// asterrill-recovery.
 const STALE_AFTER: Duration = Duration::from_secs(10);
 /// Time after the last fault from which load reports have to be spread over time.
 const REPORTS_SPREAD_AFTER_MS: u64 = 3_000;
@@ -93,6 +94,10 @@
     (ms / BUCKET_MS) as usize
 }
 
+fn restores_full_speed(fault: &FaultKind) -> bool {
+    matches!(fault, FaultKind::UpstreamRestored(speed) if *speed >= 1.0)
+}
+
 impl Run<'_> {
     fn start<'a>(
         options: &'a FleetOptions, kind: OutageKind, faults: &'a [ScheduledFault], other: Option<&Path>,
@@ -104,7 +109,7 @@
         let calls = rate * f64::from(METHOD_WEIGHTS[1]) / f64::from(weights);
         let upstream_slots =
             ((calls * UPSTREAM_HEADROOM_FACTOR * UPSTREAM_CALL_TIME.as_secs_f64()).ceil() as usize).max(1);
-        let plan = FleetConfig {
+        let config = FleetConfig {
             nodes: options.nodes,
             setup: setup(other),
             cold_start: COLD_START,
@@ -112,12 +117,12 @@
             upstream_call_time: UPSTREAM_CALL_TIME,
             network_seed: None,
         };
-        let fleet = Fleet::start(&plan)?;
+        let fleet = Fleet::start(&config)?;
         fleet.wait_until_listed();
         let load_start_ms = fleet.at_ms();
         let callers = fleet.start_callers(&caller_profile(rate, options.seed));
-        let restores_full_speed = |fault: &&ScheduledFault| matches!(fault.kind, FaultKind::UpstreamRestored(speed) if speed >= 1.0);
-        let last = faults.iter().filter(|fault| !restores_full_speed(fault)).map(|fault| fault.at_ms).max();
+        let last =
+            faults.iter().filter(|fault| !restores_full_speed(&fault.kind)).map(|fault| fault.at_ms).max();
         Ok(Run {
             options,
             kind,
@@ -228,7 +233,7 @@
             ledger,
             faults: self.faults.to_vec(),
             none_panicked: self.fleet.none_panicked(),
-            left: self.fleet.end(),
+            remaining_processes: self.fleet.end(),
         }
     }
 
@@ -248,15 +253,16 @@
         f64::from(busiest_second(&attempts)) / baseline_rate.max(self.rate * 0.5)
     }
 
-    /// Returns the largest number of calls to the upstream in a second since the first fault, relative to its capacity.
+    /// Returns the largest number of calls to the upstream in a second since the first fault, relative to its
+    /// capacity.
     fn calls_peak(&self) -> f64 {
         let upstream = self.fleet.upstream.state();
         let arrivals: Vec<u32> = upstream.arrivals.iter().copied().skip(self.first_fault_bucket()).collect();
         f64::from(busiest_second(&arrivals)) / upstream.capacity()
     }
 
-    /// Returns the number of rejections that only an outdated value explains: the node was not shutting down, cores had been
-    /// free for a while, and more than [`STALE_AFTER`] had passed since its start.
+    /// Returns the number of rejections that only an outdated value explains: the node was not shutting down, cores
+    /// had been free for a while, and more than [`STALE_AFTER`] had passed since its start.
     fn stale_rejections(&self, ledger: &CallerLedger) -> u64 {
         let is_stale = |rejection: &&Rejection| {
             let member = &self.fleet.members[rejection.node];
@@ -266,8 +272,9 @@
         ledger.rejections.iter().filter(is_stale).count() as u64
     }
 
-    /// Returns the number of skipped upstream calls that only an outdated value explains: cores and the upstream had been
-    /// free, and more than [`STALE_AFTER`] had passed since the start of the node and the return of the upstream.
+    /// Returns the number of skipped upstream calls that only an outdated value explains: cores and the upstream had
+    /// been free, and more than [`STALE_AFTER`] had passed since the start of the node and the return of the
+    /// upstream.
     fn stale_skips(&self) -> u64 {
         let restores_upstream =
             |fault: &&ScheduledFault| matches!(fault.kind, FaultKind::UpstreamRestored(_));
--- a/lab/src/fleet/restart_recovery/scenario.rs
+++ b/lab/src/fleet/restart_recovery/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenario and rules.
 
-use super::faults::{draw, load, KINDS};
+use super::faults::{generate_faults, load, KINDS};
 use super::measurements::Measurements;
 use super::run::run;
 use crate::fleet::callers::in_time_share;
@@ -10,8 +10,8 @@
 use crate::report::{Report, ScenarioError};
 use serde_json::json;
 
-/// Smallest fleet for which the time bounds are checked. With fewer processes, the service of one second varies by more than
-/// the bounds allow.
+/// Smallest fleet for which the time bounds are checked. With fewer processes, the service of one second varies by
+/// more than the bounds allow.
 const MIN_NODES_FOR_BOUNDS: usize = 10;
 /// Largest share of the processes that may send load reports within one bucket.
 const MAX_SYNCHRONIZED_SHARE: f64 = 0.75;
@@ -23,7 +23,7 @@
     let kind = options.kind.unwrap_or(KINDS[options.seed as usize % KINDS.len()]);
     let faults = match &options.script {
         Some(path) => fault_script::parse(&std::fs::read_to_string(path)?, options.nodes)?,
-        None => draw(kind, options.nodes, options.seed),
+        None => generate_faults(kind, options.nodes, options.seed),
     };
     let measurements = run(options, kind, &faults, None)?;
     report.set("kind", json!(kind.label()));
@@ -55,9 +55,9 @@
     report.rule("an RPC got no final answer", measurements.unanswered == 0);
     report.rule("an RPC was answered twice", measurements.ledger.answered_twice == 0);
     report.rule("an RPC got the result of another", measurements.ledger.wrong_results == 0);
-    report.rule("an effect was made twice", measurements.repeated_effects == 0);
+    report.rule("an RPC that must not run twice ran twice", measurements.repeated_effects == 0);
     report.rule("a decision was based on an outdated value", measurements.stale_decisions == 0);
-    report.rule("a process was still running at the end", measurements.left == 0);
+    report.rule("a process was still running at the end", measurements.remaining_processes == 0);
     report.rule("a process panicked", measurements.none_panicked);
     report.rule("service before the fault was too low to compare with", measurements.before > 0.9);
     let load_as_expected = (0.8..1.15).contains(&(measurements.load / expected_load));
--- a/lab/src/fleet/restart_recovery/service.rs
+++ b/lab/src/fleet/restart_recovery/service.rs
@@ -12,10 +12,11 @@
 const MIN_FULL_SECONDS: usize = 10;
 /// The cores have to bear the load with 5% headroom for its variation.
 const LOAD_HEADROOM_FACTOR: f64 = 1.05;
-const MAX_SEARCHED_MS: u64 = 20_000;
+/// Lower bound of the recovery time if cold cores do not bear the load earlier.
+const RECOVERY_SEARCH_LIMIT_MS: u64 = 20_000;
 
-/// Returns the start of the first [`MIN_FULL_SECONDS`] consecutive seconds of full service, in milliseconds since the start
-/// of the ledger.
+/// Returns the start of the first [`MIN_FULL_SECONDS`] consecutive seconds of full service, in milliseconds since the
+/// start of the ledger.
 pub(super) fn full_service_start_ms(buckets: &[Bucket], from_ms: u64, before: f64) -> Option<u64> {
     let first = (from_ms / BUCKET_MS) as usize;
     (first..buckets.len()).find_map(|start| {
@@ -37,7 +38,7 @@
         OutageKind::UpstreamLost => 3_000,
         // For up to two seconds, lists contain backends that are down and lack backends that are up again.
         OutageKind::Rolling | OutageKind::PartialFailure => 2_000,
-        _ => (0..MAX_SEARCHED_MS).step_by(50).find(|t| fits(*t)).unwrap_or(MAX_SEARCHED_MS),
+        _ => (0..RECOVERY_SEARCH_LIMIT_MS).step_by(50).find(|t| fits(*t)).unwrap_or(RECOVERY_SEARCH_LIMIT_MS),
     }
 }
 
--- a/lab/src/fleet/tcp_proxy.rs
+++ b/lab/src/fleet/tcp_proxy.rs
@@ -73,9 +73,9 @@
         (state.forward.stalled, state.backward.stalled) = (stalled, stalled);
     }
     /// Sets the delay of both directions.
-    pub fn set_delay(&self, by: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         let mut state = self.state();
-        (state.forward.delay, state.backward.delay) = (by, by);
+        (state.forward.delay, state.backward.delay) = (delay, delay);
     }
     /// Stalls one direction, or ends its stall: from the process to its dependency (`forward`), or back.
     pub fn set_direction_stalled(&self, forward: bool, stalled: bool) {
--- a/lab/src/fleet/tests/tcp_proxy.rs
+++ b/lab/src/fleet/tests/tcp_proxy.rs
@@ -5,7 +5,7 @@
 
 fn start_echo_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             thread::spawn(move || {
@@ -18,7 +18,7 @@
             });
         }
     });
-    at
+    address
 }
 
 #[test]
--- a/lab/src/fleet/upstream.rs
+++ b/lab/src/fleet/upstream.rs
@@ -1,5 +1,5 @@
-//! Stand-in for an upstream that a fleet shares. It processes a fixed number of calls concurrently, each for a fixed time,
-//! and rejects calls when its queue is full.
+//! Stand-in for an upstream that a fleet shares. It processes a fixed number of calls concurrently, each for a fixed
+//! time, and rejects calls when its queue is full.
 
 use crate::sync::lock;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/lab/src/fleet/workload.rs
+++ b/lab/src/fleet/workload.rs
@@ -33,8 +33,8 @@
     CallerProfile { methods, unsafe_to_retry, callers: CALLERS, rate, ignoring_share: 1.0 / 6.0, seed }
 }
 
-/// Returns the mean work of one RPC, weighted by call frequency. A run that calls the upstream does its work once before
-/// the call and once after it, as [`crate::agent::Agent`] implements it.
+/// Returns the mean work of one RPC, weighted by call frequency. A run that calls the upstream does its work once
+/// before the call and once after it, as [`crate::agent::Agent`] implements it.
 pub fn mean_work(methods: &[Method], weights: &[u32]) -> Duration {
     let total_weight: u32 = weights.iter().sum();
     let work = |m: &Method| m.work.as_secs_f64() * if m.calls_upstream { 2.0 } else { 1.0 };
