--- a/lab/src/fleet/members/observation.rs
+++ b/lab/src/fleet/members/observation.rs
@@ -27,7 +27,7 @@
         let detection_ms = PROBE_MS * (2 * nodes as u64 + 2) + SUSPICION_MS;
         let max_announce_ms = GREET_MS * 5 / 4;
         DocumentedBounds {
-            detection_ms: detection_ms,
+            detection_ms,
             transition_ms: detection_ms + detection_ms / 10 + PROBE_MS,
             healing_ms: detection_ms + 4 * max_announce_ms + SETTLE_MS,
         }
