--- a/lab/src/fleet/cluster.rs
+++ b/lab/src/fleet/cluster.rs
@@ -89,11 +89,11 @@
 }
 
 /// Returns the placeholders of the operator's file that differ between members, with their values.
-fn placeholders(n: usize, own: SocketAddr, network: &DatagramNetwork) -> Vec<(String, String)> {
+fn placeholders(n: usize, gossip_address: SocketAddr, network: &DatagramNetwork) -> Vec<(String, String)> {
     let contacts =
         network.addresses.iter().take(CONTACTS_PER_MEMBER).map(|address| format!("contact {address}\n"));
     vec![
-        ("{own}".into(), own.to_string()),
+        ("{own}".into(), gossip_address.to_string()),
         ("{relay}".into(), network.addresses[n].to_string()),
         ("{contacts}".into(), contacts.collect()),
     ]
@@ -105,13 +105,14 @@
         let start = Instant::now();
         let upstream = Upstream::start(start, config.upstream_slots, config.upstream_call_time)?;
         let name_service = NameService::start(start)?;
-        let own: Vec<SocketAddr> = (0..config.nodes).map(gossip_address).collect();
-        let network = config.network_seed.map(|seed| DatagramNetwork::start(&own, seed)).transpose()?;
+        let gossip_addresses: Vec<SocketAddr> = (0..config.nodes).map(gossip_address).collect();
+        let network =
+            config.network_seed.map(|seed| DatagramNetwork::start(&gossip_addresses, seed)).transpose()?;
         let mut members = Vec::new();
-        for (n, own) in own.iter().enumerate() {
+        for (n, gossip_address) in gossip_addresses.iter().enumerate() {
             let mut placement = placement(n);
             if let Some(network) = &network {
-                placement.placeholders = placeholders(n, *own, network);
+                placement.placeholders = placeholders(n, *gossip_address, network);
             }
             members.push(Member::start(config, &placement, upstream.address, name_service.address)?);
         }
@@ -123,8 +124,8 @@
 
     /// Returns the index and address of each process, by name.
     pub fn backend_addresses(&self) -> BackendAddresses {
-        let target = |(n, m): (usize, &Member)| (format!("n{n}"), (n, m.node.at));
-        BackendAddresses { by_name: Arc::new(self.members.iter().enumerate().map(target).collect()) }
+        let entry = |(n, m): (usize, &Member)| (format!("n{n}"), (n, m.node.at));
+        BackendAddresses { by_name: Arc::new(self.members.iter().enumerate().map(entry).collect()) }
     }
 
     /// Waits until the delayed lists of all callers have every member, or a timeout expires.
--- a/lab/src/fleet/members/evaluation.rs
+++ b/lab/src/fleet/members/evaluation.rs
@@ -33,7 +33,7 @@
     false_failures: BTreeSet<(usize, usize)>,
     /// Times until losses were detected, in ascending order.
     detection_ms: Vec<u64>,
-    /// Time from the last fault until the last view was correct.
+    /// Time from the last fault until all views were correct.
     healing_ms: u64,
     /// Mean number of calls that the upstream held, for each window of one second since the start of the load.
     upstream_occupancy: Vec<f64>,
@@ -110,8 +110,8 @@
         let nodes = (0..self.nodes()).collect::<Vec<usize>>();
         for m in nodes.iter().copied().filter(|m| before.is_responsive(*m) && !reachability.is_responsive(*m))
         {
-            let back = self.epochs[epoch + 1..].iter().find(|later| later.reachability.is_responsive(m));
-            let until = back.map_or(u64::MAX, |later| later.since_ms);
+            let next_up = self.epochs[epoch + 1..].iter().find(|later| later.reachability.is_responsive(m));
+            let until = next_up.map_or(u64::MAX, |later| later.since_ms);
             for n in nodes.iter().copied().filter(|n| *n != m && reachability.connected(*n, *n)) {
                 let reports_failure = |observation: &&Observation| {
                     let in_time = observation.at_ms >= now.since_ms && observation.at_ms < until;
@@ -147,7 +147,7 @@
         self.final_reachability().map_or(0, Reachability::nodes)
     }
 
-    /// Returns the time from the last fault until the last view was correct.
+    /// Returns the time from the last fault until all views were correct.
     fn healing_ms(&self) -> u64 {
         let last_fault_at = self.load_start_ms + self.last_fault_ms;
         let is_wrong = |observation: &&Observation| {
@@ -177,8 +177,8 @@
     /// load.
     fn upstream_occupancy(&self, fleet: &Fleet) -> Vec<f64> {
         let occupancy = fleet.upstream.state().occupancy.clone();
-        let second = |buckets: &[f64]| buckets.iter().sum::<f64>();
-        occupancy.get(bucket(self.load_start_ms)..).unwrap_or(&[]).windows(10).map(second).collect()
+        let window_sum = |buckets: &[f64]| buckets.iter().sum::<f64>();
+        occupancy.get(bucket(self.load_start_ms)..).unwrap_or(&[]).windows(10).map(window_sum).collect()
     }
 }
 
@@ -243,24 +243,24 @@
     report.set("looks", json!(recording.observations.len()));
     report.rule("a view was wrong for longer than the documented bound", evaluation.wrong_views.is_empty());
     let late =
-        detection.last().is_some_and(|latest_ms| *latest_ms > bounds.detection_ms + OBSERVATION_SLACK_MS);
+        detection.last().is_some_and(|longest_ms| *longest_ms > bounds.detection_ms + OBSERVATION_SLACK_MS);
     report.rule("a loss was detected later than the documented bound", !late);
     report.rule("a connected member was reported as failed", evaluation.false_failures.is_empty());
 }
 
 fn report_shared(report: &mut Report, nodes: usize, evaluation: &Evaluation) {
     let capacity = UPSTREAM_CALLS_PER_NODE * USABLE_SHARE * nodes as f64;
-    let overloaded_seconds = evaluation
+    let overloaded_windows = evaluation
         .upstream_occupancy
         .iter()
         .filter(|held_calls| **held_calls > capacity * CAPACITY_TOLERANCE)
         .count();
     let peak = evaluation.upstream_occupancy.iter().copied().fold(0.0, f64::max);
-    report.set("share_over_whole_beyond_bound", json!(overloaded_seconds));
+    report.set("share_over_whole_beyond_bound", json!(overloaded_windows));
     report.set("share_peak", json!(peak / capacity));
     report.set("parts_calm", json!(evaluation.shares_before));
     report.set("parts_at_the_end_of_the_fault", json!(evaluation.shares_at_end));
-    report.rule("the members used more than the shared capacity of the upstream", overloaded_seconds == 0);
+    report.rule("the members used more than the shared capacity of the upstream", overloaded_windows == 0);
     let fully_assigned = (0.99..1.01).contains(&evaluation.shares_before);
     report.rule("the shares before the first fault do not add up to the whole capacity", fully_assigned);
     let enough_demand =
--- a/lab/src/fleet/name_service.rs
+++ b/lab/src/fleet/name_service.rs
@@ -23,13 +23,13 @@
 pub struct NameService {
     /// Address at which the name service listens.
     pub address: SocketAddr,
-    shared: Arc<Mutex<Lists>>,
+    shared: Arc<Mutex<State>>,
     stopped: Arc<AtomicBool>,
 }
 
 /// The last load report of a backend.
 #[derive(Clone, Copy)]
-struct Report {
+struct LoadReport {
     at: Instant,
     /// Whether the backend accepts RPCs.
     serving: bool,
@@ -42,27 +42,27 @@
 }
 
 #[derive(Default)]
-struct Lists {
-    last_reports: BTreeMap<String, Report>,
-    history: VecDeque<ListSnapshot>,
+struct State {
+    last_reports: BTreeMap<String, LoadReport>,
+    snapshots: VecDeque<ListSnapshot>,
     /// Number of received reports, by 100 ms buckets since the start.
     reports: Vec<u32>,
 }
 
-impl Lists {
+impl State {
     fn append_snapshot(&mut self) {
         let now = Instant::now();
-        let listed = |report: &Report| report.serving && report.at + REPORT_TTL > now;
+        let listed = |report: &LoadReport| report.serving && report.at + REPORT_TTL > now;
         let names = self.last_reports.iter().filter(|(_, report)| listed(report));
         let names = names.map(|(name, _)| name.clone()).collect();
-        self.history.push_back(ListSnapshot { at: now, names });
-        while self.history.len() > MAX_SNAPSHOTS {
-            self.history.pop_front();
+        self.snapshots.push_back(ListSnapshot { at: now, names });
+        while self.snapshots.len() > MAX_SNAPSHOTS {
+            self.snapshots.pop_front();
         }
     }
 
     fn record_report(&mut self, name: String, serving: bool, start: Instant) {
-        self.last_reports.insert(name, Report { at: Instant::now(), serving });
+        self.last_reports.insert(name, LoadReport { at: Instant::now(), serving });
         let bucket = (start.elapsed().as_millis() / BUCKET_MS) as usize;
         *element_mut(&mut self.reports, bucket) += 1;
     }
@@ -103,8 +103,8 @@
     /// Returns the names of the backends that were listed this long ago, or in the oldest snapshot that is kept.
     pub fn listed_backends(&self, ago: Duration) -> Vec<String> {
         let (then, lists) = (Instant::now() - ago, lock(&self.shared));
-        let snapshot = lists.history.iter().rev().find(|snapshot| snapshot.at <= then);
-        let snapshot = snapshot.or_else(|| lists.history.front());
+        let snapshot = lists.snapshots.iter().rev().find(|snapshot| snapshot.at <= then);
+        let snapshot = snapshot.or_else(|| lists.snapshots.front());
         snapshot.map(|snapshot| snapshot.names.clone()).unwrap_or_default()
     }
 
--- a/lab/src/fleet/tcp_proxy.rs
+++ b/lab/src/fleet/tcp_proxy.rs
@@ -14,7 +14,7 @@
 
 /// Faults of one direction of a proxy.
 #[derive(Clone, Debug, Default)]
-pub struct Direction {
+pub struct DirectionFaults {
     /// Delay of each piece of data.
     pub delay: Duration,
     /// Whether the direction transfers nothing while connections stay open; data is withheld until the stall ends.
@@ -23,8 +23,8 @@
 
 #[derive(Default)]
 struct State {
-    forward: Direction,
-    backward: Direction,
+    forward: DirectionFaults,
+    backward: DirectionFaults,
     /// Whether connections are closed as soon as they are accepted, as if the dependency were down.
     refusing: bool,
     connections: Vec<[TcpStream; 2]>,
