--- a/lab/src/fleet/agree/faults.rs
+++ b/lab/src/fleet/agree/faults.rs
@@ -1,38 +1,38 @@
-//! The faults of a seed.
+//! Faults that a seed selects.
 
-use super::timing::{CHANGE_EVERY_MS, VOTERS};
+use super::timing::{CHANGE_INTERVAL_MS, VOTERS};
 use crate::fleet::fault_script::{FaultKind, ScheduledFault};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 const SEED_MASK: u64 = 0xa9ee;
 
-/// The faults of a seed; times are in ms from the first change on.
+/// Faults that a seed selects; their times count from the first change.
 pub(super) struct FaultPlan {
-    /// What they are called.
+    /// Name in reports.
     pub(super) name: &'static str,
-    /// In their order.
+    /// Faults in the order of their times.
     pub(super) faults: Vec<ScheduledFault>,
 }
 
-/// Draws the faults.
-pub(super) fn draw(nodes: usize, seed: u64) -> FaultPlan {
+/// Returns the faults that the seed selects.
+pub(super) fn generate_faults(nodes: usize, seed: u64) -> FaultPlan {
     let mut rng = StdRng::seed_from_u64(seed ^ SEED_MASK);
-    let (from, to) = (CHANGE_EVERY_MS - 700, CHANGE_EVERY_MS * 5 - 500);
+    let (from, to) = (CHANGE_INTERVAL_MS - 700, CHANGE_INTERVAL_MS * 5 - 500);
     let other = rng.random_range(VOTERS.len()..nodes);
     let voter = rng.random_range(0..VOTERS.len());
-    let cut_off = |group: &[usize]| {
+    let isolate = |group: &[usize]| {
         let rest = (0..nodes).filter(|n| !group.contains(n)).collect();
         vec![
-            ScheduledFault::new(from, FaultKind::GossipSplit(vec![group.to_vec(), rest]), &[]),
+            ScheduledFault::new(from, FaultKind::GossipPartition(vec![group.to_vec(), rest]), &[]),
             ScheduledFault::new(to, FaultKind::GossipHeal, &[]),
         ]
     };
     let (name, faults) = match seed % 7 {
         0 => ("none", vec![]),
-        1 => ("one cut off", cut_off(&[other])),
-        2 => ("a keeper cut off", cut_off(&[voter])),
-        3 => ("keepers cut from the rest", cut_off(&VOTERS)),
+        1 => ("one cut off", isolate(&[other])),
+        2 => ("a keeper cut off", isolate(&[voter])),
+        3 => ("keepers cut from the rest", isolate(&VOTERS)),
         4 => ("keepers killed in turns", restart_voters_in_turns(from)),
         5 => {
             let faults = vec![
--- a/lab/src/fleet/agree/caller.rs
+++ b/lab/src/fleet/agree/probe_caller.rs
@@ -1,4 +1,4 @@
-//! The caller that is admitted and barred, at every node.
+//! Stand-in for the caller that is allowed and denied; it calls every node.
 
 use crate::fleet::callers::UnansweredAttempt;
 use crate::fleet::cluster::Fleet;
@@ -12,17 +12,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The number of the caller.
-pub(super) const CALLER: u64 = 77;
+/// Identifier of the caller.
+pub(super) const PROBE_CALLER_ID: u64 = 77;
 const CONNECT_TIMEOUT: Duration = ms(200);
-const RECONNECT_PAUSE: Duration = ms(30);
+const RECONNECT_DELAY: Duration = ms(30);
 const READ_TIMEOUT: Duration = ms(2_500);
 const UNANSWERED_AFTER: Duration = ms(2_400);
 const PATIENCE: Duration = ms(1_500);
-const CALL_PAUSE: Duration = ms(40);
-const LAST_ANSWERS: Duration = ms(300);
+const CALL_INTERVAL: Duration = ms(40);
+const FINAL_ANSWERS_WAIT: Duration = ms(300);
 
-/// One call: when it was sent, to whom, and whether it was served.
+/// A call with the time at which it was sent, the node, and whether it was served.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Call {
     pub(super) at_ms: u64,
@@ -30,43 +30,45 @@
     pub(super) served: bool,
 }
 
-/// The caller's account.
+/// Statistics of the caller.
 #[derive(Default)]
 pub(super) struct CallLedger {
     pub(super) calls: Vec<Call>,
     pub(super) unanswered: Vec<UnansweredAttempt>,
 }
 
-/// The caller, in a thread for each node.
-pub(super) struct BarredCaller {
+/// The running caller, with a thread for each node.
+pub(super) struct ProbeCaller {
     ledger: Arc<Mutex<CallLedger>>,
     stopped: Arc<AtomicBool>,
 }
 
-impl BarredCaller {
-    pub(super) fn start(fleet: &Fleet) -> BarredCaller {
-        let caller = BarredCaller { ledger: Arc::default(), stopped: Arc::default() };
+impl ProbeCaller {
+    pub(super) fn start(fleet: &Fleet) -> ProbeCaller {
+        let caller = ProbeCaller { ledger: Arc::default(), stopped: Arc::default() };
         for (node, member) in fleet.members.iter().enumerate() {
-            let (at, start) = (member.node.at, fleet.start);
+            let (address, start) = (member.node.at, fleet.start);
             let (ledger, stopped) = (caller.ledger.clone(), caller.stopped.clone());
-            std::thread::spawn(move || call_node(at, node, start, &ledger, &stopped));
+            std::thread::spawn(move || call_node(address, node, start, &ledger, &stopped));
         }
         caller
     }
 
-    /// Calls no more; what was called.
+    /// Stops the caller and returns its statistics.
     pub(super) fn stop(self) -> CallLedger {
         self.stopped.store(true, Ordering::Release);
-        std::thread::sleep(LAST_ANSWERS);
+        std::thread::sleep(FINAL_ANSWERS_WAIT);
         std::mem::take(&mut *lock(&self.ledger))
     }
 }
 
-/// Calls one node again and again, over a connection that is made anew when it breaks.
-fn call_node(at: SocketAddr, node: usize, start: Instant, ledger: &Mutex<CallLedger>, stopped: &AtomicBool) {
+/// Calls a node repeatedly until the caller is stopped, and reconnects when the connection breaks.
+fn call_node(
+    address: SocketAddr, node: usize, start: Instant, ledger: &Mutex<CallLedger>, stopped: &AtomicBool,
+) {
     while !stopped.load(Ordering::Acquire) {
-        let Ok(mut connection) = TcpStream::connect_timeout(&at, CONNECT_TIMEOUT) else {
-            std::thread::sleep(RECONNECT_PAUSE);
+        let Ok(mut connection) = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT) else {
+            std::thread::sleep(RECONNECT_DELAY);
             continue;
         };
         connection.set_nodelay(true).unwrap_or_default();
@@ -76,8 +78,13 @@
                 return;
             }
             let trace = unix_us() ^ (node as u64) << 56;
-            let header =
-                RpcHeader { method: PRICE.name, trace, caller: CALLER, patience: PATIENCE, tenant: None };
+            let header = RpcHeader {
+                method: PRICE.name,
+                trace,
+                caller: PROBE_CALLER_ID,
+                patience: PATIENCE,
+                tenant: None,
+            };
             let (at_ms, sent) = (start.elapsed().as_millis() as u64, Instant::now());
             if connection.write_all(&header.encode(stream, b"price 77")).is_err() {
                 break;
@@ -85,7 +92,7 @@
             let answer = read_answer(&mut connection, stream);
             let mut ledger = lock(ledger);
             match answer.as_ref().and_then(Frame::code) {
-                // What was aborted says nothing of lists.
+                // An aborted run does not show which list the node acts on.
                 Some(ABORTED) => {}
                 Some(code) => ledger.calls.push(Call { at_ms, node, served: code == OK }),
                 None if sent.elapsed() >= UNANSWERED_AFTER => {
@@ -97,7 +104,7 @@
             if answer.is_none() {
                 break;
             }
-            std::thread::sleep(CALL_PAUSE);
+            std::thread::sleep(CALL_INTERVAL);
         }
     }
 }
--- a/lab/src/fleet/callers/spawn.rs
+++ b/lab/src/fleet/callers/spawn.rs
@@ -1,43 +1,46 @@
-//! The callers of a fleet, each in a thread of its own.
+//! Callers of a fleet, each in its own thread.
 
-use super::caller::{Caller, Shared};
+use super::caller::{Caller, SharedState};
 use super::ledger::CallerLedger;
-use super::profile::{CallerProfile, Targets};
-use crate::fleet::naming::Naming;
+use super::profile::{BackendAddresses, CallerProfile};
+use crate::fleet::name_service::NameService;
 use crate::sync::lock;
 use std::sync::MutexGuard;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The callers of a fleet.
+/// The running callers of a fleet.
 #[derive(Clone)]
 pub struct Callers {
-    shared: Shared,
+    shared: SharedState,
 }
 
 impl Callers {
-    /// Starts them; `start` is when their account begins.
-    pub fn start(start: Instant, profile: &CallerProfile, targets: &Targets, naming: &Naming) -> Callers {
-        let callers = Callers { shared: Shared::new(start, profile, targets, naming) };
-        let ignoring = (profile.callers as f64 * profile.ignoring).round() as usize;
+    /// Starts the callers; `start` is the time at which their statistics begin.
+    pub fn start(
+        start: Instant, profile: &CallerProfile, backend_addresses: &BackendAddresses,
+        name_service: &NameService,
+    ) -> Callers {
+        let callers = Callers { shared: SharedState::new(start, profile, backend_addresses, name_service) };
+        let ignoring_count = (profile.callers as f64 * profile.ignoring_share).round() as usize;
         for number in 0..profile.callers {
-            let mut caller = Caller::new(number, number < ignoring, callers.shared.clone());
+            let mut caller = Caller::new(number, number < ignoring_count, callers.shared.clone());
             thread::spawn(move || caller.run());
         }
         callers
     }
 
-    /// Their account so far.
+    /// Returns the locked statistics of the callers so far.
     pub fn ledger(&self) -> MutexGuard<'_, CallerLedger> {
         lock(&self.shared.ledger)
     }
 
-    /// All break off their connections within the next 50 ms and connect anew.
+    /// Makes all callers close their connections within the next 50 ms and reconnect.
     pub fn reconnect(&self) {
         *lock(&self.shared.reconnect_at) = Some(Instant::now());
     }
 
-    /// No more RPCs are sent; those in flight may end.
+    /// Stops sending new RPCs, and waits this long for those in flight.
     pub fn stop(&self, wait: Duration) {
         self.shared.stop();
         thread::sleep(wait);
--- a/lab/src/fleet/cluster.rs
+++ b/lab/src/fleet/cluster.rs
@@ -1,9 +1,9 @@
-//! A fleet of processes with their agents, on loopback addresses of their own, and proxies between them and what they
-//! depend on.
+//! A fleet of processes on separate loopback addresses, with their agents, and proxies between the processes and the
+//! services that they depend on.
 
-use super::callers::{CallerProfile, Callers, Targets};
+use super::callers::{BackendAddresses, CallerProfile, Callers};
 use super::datagram_network::DatagramNetwork;
-use super::naming::Naming;
+use super::name_service::NameService;
 use super::tcp_proxy::TcpProxy;
 use super::upstream::Upstream;
 use crate::agent::{Agent, ColdStart};
@@ -18,122 +18,129 @@
 
 const SIDECAR_PORT: u16 = 7_000;
 const GOSSIP_PORT: u16 = 7_946;
-const CONTACTS: usize = 3;
-const LISTED_WITHIN: Duration = Duration::from_secs(8);
-const LIST_DELAY: Duration = Duration::from_millis(2_100); // lists of all callers are later than this
+const CONTACTS_PER_MEMBER: usize = 3;
+const LISTED_TIMEOUT: Duration = Duration::from_secs(8);
+/// Upper bound of the delay with which callers see the list of the name service.
+const MAX_LIST_DELAY: Duration = Duration::from_millis(2_100);
 
-/// One process with the agent of its machine, and proxies between it and what it depends on.
+/// A process with the agent of its machine, and proxies between the process and its dependencies.
 pub struct Member {
     /// The process.
     pub node: Node,
-    /// Its agent.
+    /// The agent of its machine.
     pub agent: Agent,
-    /// Between the process and its agent.
+    /// Proxy between the process and its agent.
     pub agent_proxy: TcpProxy,
-    /// Between the process and the upstream.
+    /// Proxy between the process and the upstream.
     pub upstream_proxy: TcpProxy,
-    /// Between the process and the name service.
-    pub naming_proxy: TcpProxy,
-    /// When it was started last, or could last answer again.
-    pub since: Instant,
-    /// It was started and not stopped.
+    /// Proxy between the process and the name service.
+    pub name_service_proxy: TcpProxy,
+    /// Time of the last start, or of the last return from a fault that kept it from answering.
+    pub available_since: Instant,
+    /// Whether the process was started and not stopped since.
     pub up: bool,
 }
 
-/// A fleet of processes, each on an address of the loopback range of its own.
+/// A fleet of processes, each on its own loopback address.
 pub struct Fleet {
-    /// The processes.
+    /// The members, by index.
     pub members: Vec<Member>,
-    /// The upstream that all share.
+    /// The upstream that all members share.
     pub upstream: Upstream,
     /// The name service.
-    pub naming: Naming,
-    /// When the fleet was started.
+    pub name_service: NameService,
+    /// Start time of the fleet.
     pub start: Instant,
-    /// Between the processes, where they gossip.
+    /// Network between the processes, if they gossip.
     pub network: Option<DatagramNetwork>,
-    /// How cores are when a machine restarts.
-    pub cold: ColdStart,
+    /// Speed of the cores after a restart of a machine.
+    pub cold_start: ColdStart,
 }
 
-/// What a fleet is made of.
+/// Size and parts of a fleet.
 #[derive(Clone)]
-pub struct Plan {
-    /// Processes.
+pub struct FleetConfig {
+    /// Number of processes.
     pub nodes: usize,
-    /// How each is set up.
+    /// Setup of each process.
     pub setup: Setup,
-    /// How cores are when a machine restarts.
-    pub cold: ColdStart,
-    /// Calls at a time that the upstream can do.
-    pub slots: usize,
-    /// How long each call takes.
-    pub call: Duration,
-    /// Seed of the network between processes that gossip; none if they do not.
-    pub network: Option<u64>,
+    /// Speed of the cores after a restart of a machine.
+    pub cold_start: ColdStart,
+    /// Calls that the upstream processes concurrently.
+    pub upstream_slots: usize,
+    /// Time that the upstream takes for a call.
+    pub upstream_call_time: Duration,
+    /// Seed of the network between processes that gossip; none for a fleet without gossip.
+    pub network_seed: Option<u64>,
 }
 
-/// An address that no connection of the system's choosing ever takes.
+/// Returns the name and address of a member. The system never assigns such an address to a connection of its own
+/// choice.
 fn placement(n: usize) -> Placement {
     let process = std::process::id();
     let (a, b) = (20 + (process / 250 % 200) as u8, (process % 250) as u8 + 1);
-    let at = SocketAddr::from(([127, a, b, n as u8 + 1], SIDECAR_PORT));
-    Placement { name: format!("n{n}"), at, placeholders: Vec::new() }
+    let address = SocketAddr::from(([127, a, b, n as u8 + 1], SIDECAR_PORT));
+    Placement { name: format!("n{n}"), at: address, placeholders: Vec::new() }
 }
 
-/// Where a member takes datagrams.
+/// Returns the address at which a member receives datagrams.
 fn gossip_address(n: usize) -> SocketAddr {
     SocketAddr::from((placement(n).at.ip(), GOSSIP_PORT))
 }
 
-/// The words of the operator's file that differ from member to member.
-fn placeholders(n: usize, own: SocketAddr, network: &DatagramNetwork) -> Vec<(String, String)> {
-    let contacts = network.at.iter().take(CONTACTS).map(|at| format!("contact {at}\n"));
+/// Returns the placeholders of the operator's file that differ between members, with their values.
+fn placeholders(n: usize, gossip_address: SocketAddr, network: &DatagramNetwork) -> Vec<(String, String)> {
+    let contacts =
+        network.addresses.iter().take(CONTACTS_PER_MEMBER).map(|address| format!("contact {address}\n"));
     vec![
-        ("{own}".into(), own.to_string()),
-        ("{relay}".into(), network.at[n].to_string()),
+        ("{own}".into(), gossip_address.to_string()),
+        ("{relay}".into(), network.addresses[n].to_string()),
         ("{contacts}".into(), contacts.collect()),
     ]
 }
 
 impl Fleet {
-    /// Starts all, and waits until each listens.
-    pub fn start(plan: &Plan) -> Result<Fleet, ScenarioError> {
+    /// Starts all processes and waits until each of them listens.
+    pub fn start(config: &FleetConfig) -> Result<Fleet, ScenarioError> {
         let start = Instant::now();
-        let upstream = Upstream::start(start, plan.slots, plan.call)?;
-        let naming = Naming::start(start)?;
-        let own: Vec<SocketAddr> = (0..plan.nodes).map(gossip_address).collect();
-        let network = plan.network.map(|seed| DatagramNetwork::start(&own, seed)).transpose()?;
+        let upstream = Upstream::start(start, config.upstream_slots, config.upstream_call_time)?;
+        let name_service = NameService::start(start)?;
+        let gossip_addresses: Vec<SocketAddr> = (0..config.nodes).map(gossip_address).collect();
+        let network =
+            config.network_seed.map(|seed| DatagramNetwork::start(&gossip_addresses, seed)).transpose()?;
         let mut members = Vec::new();
-        for (n, own) in own.iter().enumerate() {
+        for (n, gossip_address) in gossip_addresses.iter().enumerate() {
             let mut placement = placement(n);
             if let Some(network) = &network {
-                placement.placeholders = placeholders(n, *own, network);
+                placement.placeholders = placeholders(n, *gossip_address, network);
             }
-            members.push(Member::start(plan, &placement, upstream.at, naming.at)?);
+            members.push(Member::start(config, &placement, upstream.address, name_service.address)?);
         }
         for member in &members {
             member.node.wait_until_listening()?;
         }
-        Ok(Fleet { members, upstream, naming, start, network, cold: plan.cold })
+        Ok(Fleet { members, upstream, name_service, start, network, cold_start: config.cold_start })
     }
 
-    /// Where each process is reached.
-    pub fn targets(&self) -> Targets {
-        let target = |(n, m): (usize, &Member)| (format!("n{n}"), (n, m.node.at));
-        Targets { by_name: Arc::new(self.members.iter().enumerate().map(target).collect()) }
+    /// Returns the index and address of each process, by name.
+    pub fn backend_addresses(&self) -> BackendAddresses {
+        let entry = |(n, m): (usize, &Member)| (format!("n{n}"), (n, m.node.at));
+        BackendAddresses { by_name: Arc::new(self.members.iter().enumerate().map(entry).collect()) }
     }
 
-    /// Waits until callers find all of them: lists are late.
+    /// Waits until the delayed lists of all callers have every member, or a timeout expires.
     pub fn wait_until_listed(&self) {
-        let until = Instant::now() + LISTED_WITHIN;
-        while self.naming.listed(Duration::ZERO).len() < self.members.len() && Instant::now() < until {
+        let deadline = Instant::now() + LISTED_TIMEOUT;
+        while self.name_service.listed_backends(Duration::ZERO).len() < self.members.len()
+            && Instant::now() < deadline
+        {
             std::thread::sleep(Duration::from_millis(20));
         }
-        std::thread::sleep(LIST_DELAY);
+        std::thread::sleep(MAX_LIST_DELAY);
     }
 
-    /// Runs beyond the first of bodies that begin so, over all agents.
+    /// Returns how many runs repeated an earlier one with the same body, over all agents, for bodies with this
+    /// prefix.
     pub fn repeated_effects(&self, prefix: &str) -> u64 {
         let mut starts: BTreeMap<Vec<u8>, u64> = BTreeMap::new();
         for member in &self.members {
@@ -147,30 +154,30 @@
 
     /// Starts callers of this fleet.
     pub fn start_callers(&self, profile: &CallerProfile) -> Callers {
-        Callers::start(self.start, profile, &self.targets(), &self.naming)
+        Callers::start(self.start, profile, &self.backend_addresses(), &self.name_service)
     }
 
-    /// A member's state directory.
+    /// Returns the state directory of a member.
     pub fn state_dir(&self, n: usize) -> PathBuf {
         self.members[n].node.dir.join("state")
     }
 
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the start of the fleet.
     pub fn at_ms(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 
-    /// Whether no process has panicked, by their logs.
+    /// Reports whether the logs of all processes are free of panics.
     pub fn none_panicked(&self) -> bool {
         self.members.iter().all(|member| !member.node.read_log().contains("panick"))
     }
 
-    /// Ends every process by its id; how many are still there.
+    /// Kills every process and returns how many of them still exist.
     pub fn end(&mut self) -> usize {
-        // SIGKILL ends one that is stopped as well.
+        // SIGKILL also ends processes that are stopped by SIGSTOP.
         self.members.iter_mut().for_each(|member| member.node.kill());
         self.upstream.stop();
-        self.naming.stop();
+        self.name_service.stop();
         let alive = |m: &&Member| std::path::Path::new(&format!("/proc/{}", m.node.process())).exists();
         self.members.iter().filter(alive).count()
     }
@@ -178,16 +185,19 @@
 
 impl Member {
     fn start(
-        plan: &Plan, placement: &Placement, upstream: SocketAddr, naming: SocketAddr,
+        config: &FleetConfig, placement: &Placement, upstream: SocketAddr, name_service: SocketAddr,
     ) -> Result<Member, ScenarioError> {
-        let agent = Agent::start(plan.setup.cores, &plan.setup.methods)?;
-        let [agent_proxy, upstream_proxy, naming_proxy] =
-            [TcpProxy::start(agent.at)?, TcpProxy::start(upstream)?, TcpProxy::start(naming)?];
-        let services =
-            Services { agent: agent_proxy.at, upstream: upstream_proxy.at, naming: naming_proxy.at };
-        let node = Node::spawn(&plan.setup, placement, &services, "none")?;
-        let since = Instant::now();
-        Ok(Member { node, agent, agent_proxy, upstream_proxy, naming_proxy, since, up: true })
+        let agent = Agent::start(config.setup.cores, &config.setup.methods)?;
+        let [agent_proxy, upstream_proxy, name_service_proxy] =
+            [TcpProxy::start(agent.at)?, TcpProxy::start(upstream)?, TcpProxy::start(name_service)?];
+        let services = Services {
+            agent: agent_proxy.address,
+            upstream: upstream_proxy.address,
+            naming: name_service_proxy.address,
+        };
+        let node = Node::spawn(&config.setup, placement, &services, "none")?;
+        let available_since = Instant::now();
+        Ok(Member { node, agent, agent_proxy, upstream_proxy, name_service_proxy, available_since, up: true })
     }
 }
 
--- a/lab/src/fleet/fault_injection.rs
+++ b/lab/src/fleet/fault_injection.rs
@@ -1,8 +1,8 @@
-//! Injects the faults of a script into a fleet.
+//! Injection of scripted faults into a fleet.
 
 use super::callers::UnansweredAttempt;
 use super::cluster::{Fleet, Member};
-use super::datagram_network::{cuts_between, NetworkConditions};
+use super::datagram_network::{blocked_links_between, NetworkConditions};
 use super::fault_script::{FaultKind, ScheduledFault, StateFault};
 use crate::agent::ColdStart;
 use crate::report::ScenarioError;
@@ -12,67 +12,72 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const LONGEST_PATIENCE: Duration = Duration::from_millis(3_300); // of any caller
-const FLOOD: Duration = Duration::from_secs(1);
-const FLOOD_DATAGRAMS: u32 = 20_000; // at the most
-const FLOOD_PACE: Duration = Duration::from_micros(100);
-const EXITS_WITHIN: Duration = Duration::from_secs(6);
+/// The longest time that any caller waits for an answer.
+const MAX_PATIENCE: Duration = Duration::from_millis(3_300);
+const FLOOD_DURATION: Duration = Duration::from_secs(1);
+const MAX_FLOOD_DATAGRAMS: u32 = 20_000;
+const FLOOD_INTERVAL: Duration = Duration::from_micros(100);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A time in which a member was stopped and could not answer.
+/// A time span in which a member was stopped by SIGSTOP and could not answer.
 struct Pause {
     node: usize,
     from: Instant,
     to: Instant,
 }
 
-/// What the injected faults have done so far.
+/// The injected faults that explain missing answers.
 #[derive(Default)]
 pub struct InjectedFaults {
-    /// Since when members are stopped.
+    /// Members that are stopped now, and since when.
     paused: BTreeMap<usize, Instant>,
     pauses: Vec<Pause>,
 }
 
 impl InjectedFaults {
-    /// The attempts without an answer that count. A member that is stopped answers nothing; it is called all the same, and
-    /// once it runs again its callers are gone.
-    pub fn count_unexcused(&self, unanswered: &[UnansweredAttempt]) -> usize {
+    /// Returns the number of attempts without an answer that no pause explains. A stopped member still receives calls
+    /// but answers none of them, and its callers have given up by the time it runs again.
+    pub fn count_unexplained(&self, unanswered: &[UnansweredAttempt]) -> usize {
         let now = Instant::now();
         let still_paused = self.paused.iter().map(|(node, from)| (*node, *from, now));
-        let over = self.pauses.iter().map(|pause| (pause.node, pause.from, pause.to));
-        let pauses: Vec<(usize, Instant, Instant)> = over.chain(still_paused).collect();
-        let excused = |attempt: &UnansweredAttempt| {
+        let ended = self.pauses.iter().map(|pause| (pause.node, pause.from, pause.to));
+        let pauses: Vec<(usize, Instant, Instant)> = ended.chain(still_paused).collect();
+        let explained = |attempt: &UnansweredAttempt| {
             pauses.iter().any(|(node, from, to)| {
-                *node == attempt.node && *from <= attempt.sent + LONGEST_PATIENCE && attempt.sent <= *to
+                *node == attempt.node && *from <= attempt.sent + MAX_PATIENCE && attempt.sent <= *to
             })
         };
-        unanswered.iter().filter(|attempt| !excused(attempt)).count()
+        unanswered.iter().filter(|attempt| !explained(attempt)).count()
     }
 }
 
 impl Fleet {
-    /// Injects one fault.
+    /// Injects a fault.
     pub fn inject(
         &mut self, fault: &ScheduledFault, injected: &mut InjectedFaults,
     ) -> Result<(), ScenarioError> {
         match &fault.kind {
-            FaultKind::UpstreamGone => self.members.iter().for_each(|m| m.upstream_proxy.refuse(true)),
-            FaultKind::UpstreamBack(speed) => {
+            FaultKind::UpstreamDown => self.members.iter().for_each(|m| m.upstream_proxy.set_refusing(true)),
+            FaultKind::UpstreamRestored(speed) => {
                 self.upstream.state().restart(*speed);
-                self.members.iter().for_each(|m| m.upstream_proxy.refuse(false));
+                self.members.iter().for_each(|m| m.upstream_proxy.set_refusing(false));
             }
-            FaultKind::NamingGone => self.members.iter().for_each(|m| m.naming_proxy.refuse(true)),
-            FaultKind::NamingBack => self.members.iter().for_each(|m| m.naming_proxy.refuse(false)),
-            FaultKind::GossipSplit(_)
-            | FaultKind::GossipDeaf
-            | FaultKind::GossipMute
+            FaultKind::NameServiceDown => {
+                self.members.iter().for_each(|m| m.name_service_proxy.set_refusing(true))
+            }
+            FaultKind::NameServiceRestored => {
+                self.members.iter().for_each(|m| m.name_service_proxy.set_refusing(false))
+            }
+            FaultKind::GossipPartition(_)
+            | FaultKind::GossipInboundBlocked
+            | FaultKind::GossipOutboundBlocked
             | FaultKind::GossipLoss(_)
             | FaultKind::GossipDelay(_)
             | FaultKind::GossipDuplication(_)
             | FaultKind::GossipHeal
             | FaultKind::GossipFlood => self.inject_network(fault)?,
             _ => {
-                // Processes die together, within a few milliseconds, before anything else is done about them.
+                // All processes are killed first, within a few milliseconds, so that they fail together.
                 if matches!(fault.kind, FaultKind::Kill | FaultKind::Crash) {
                     for n in &fault.nodes {
                         self.members[*n].node.child.kill().unwrap_or_default();
@@ -89,21 +94,21 @@
     fn inject_member(
         &mut self, n: usize, kind: &FaultKind, injected: &mut InjectedFaults,
     ) -> Result<(), ScenarioError> {
-        let cold = self.cold;
+        let cold_start = self.cold_start;
         let member = &mut self.members[n];
         match kind {
             FaultKind::Kill => {
                 member.node.kill();
-                member.agent.restart_cold(cold);
+                member.agent.restart_cold(cold_start);
                 member.up = false;
             }
             FaultKind::Crash => {
                 member.node.kill();
                 member.agent.backend_restarted();
                 member.node.restart()?;
-                member.since = Instant::now();
+                member.available_since = Instant::now();
             }
-            FaultKind::Start if !member.up => member.start_again(cold)?,
+            FaultKind::Start if !member.up => member.restart_machine(cold_start)?,
             FaultKind::Pause => {
                 member.node.signal("STOP");
                 injected.paused.insert(n, Instant::now());
@@ -112,9 +117,9 @@
                 member.node.signal("CONT");
                 let from = injected.paused.remove(&n);
                 injected.pauses.extend(from.map(|from| Pause { node: n, from, to: Instant::now() }));
-                member.since = Instant::now();
+                member.available_since = Instant::now();
             }
-            FaultKind::Term => {
+            FaultKind::Terminate => {
                 member.node.signal("TERM");
                 member.up = false;
             }
@@ -124,49 +129,57 @@
         Ok(())
     }
 
-    /// Faults of the network between processes.
+    /// Injects a fault of the network between processes.
     fn inject_network(&self, fault: &ScheduledFault) -> Result<(), ScenarioError> {
-        let Some(network) = &self.network else { return Err("these processes do not gossip".into()) };
+        let Some(network) = &self.network else {
+            return Err("network faults need a fleet with gossip; this fleet has none".into());
+        };
         let members = self.members.len();
         network.change_conditions(|conditions| match &fault.kind {
-            FaultKind::GossipSplit(groups) => conditions.cut = cuts_between(groups, members),
-            FaultKind::GossipDeaf => conditions.cut.extend(cuts_towards(&fault.nodes, members)),
-            FaultKind::GossipMute => conditions.cut.extend(cuts_from(&fault.nodes, members)),
+            FaultKind::GossipPartition(groups) => {
+                conditions.blocked_links = blocked_links_between(groups, members)
+            }
+            FaultKind::GossipInboundBlocked => {
+                conditions.blocked_links.extend(links_to(&fault.nodes, members))
+            }
+            FaultKind::GossipOutboundBlocked => {
+                conditions.blocked_links.extend(links_from(&fault.nodes, members))
+            }
             FaultKind::GossipLoss(n) => conditions.loss = *n as f64 / 100.0,
-            FaultKind::GossipDelay(ms) => conditions.delay = Duration::from_millis(*ms),
+            FaultKind::GossipDelay(ms) => conditions.max_delay = Duration::from_millis(*ms),
             FaultKind::GossipDuplication(n) => conditions.duplication = *n as f64 / 100.0,
             FaultKind::GossipHeal => *conditions = NetworkConditions::default(),
             _ => {}
         });
         if fault.kind == FaultKind::GossipFlood {
-            let to = fault.nodes.iter().filter_map(|n| network.at.get(*n).copied());
-            let to: Vec<SocketAddr> = to.collect();
-            std::thread::spawn(move || flood(&to));
+            let targets = fault.nodes.iter().filter_map(|n| network.addresses.get(*n).copied());
+            let targets: Vec<SocketAddr> = targets.collect();
+            std::thread::spawn(move || flood(&targets));
         }
         Ok(())
     }
 
-    /// Damages the state of a member that is down.
+    /// Damages the state directory of a member that is down.
     pub fn damage_state(&self, n: usize, fault: &StateFault) -> Result<(), ScenarioError> {
         let dir = self.state_dir(n);
         let snapshot = dir.join("learned");
         let text = std::fs::read_to_string(&snapshot).unwrap_or_default();
         match fault {
             StateFault::Lost => std::fs::remove_dir_all(&dir).unwrap_or_default(),
-            StateFault::Torn => std::fs::write(&snapshot, &text[..text.len() / 2])?,
-            StateFault::Old => {
+            StateFault::Truncated => std::fs::write(&snapshot, &text[..text.len() / 2])?,
+            StateFault::Outdated => {
                 let old = edit_snapshot(&text, "moment ", |_| "moment 1 1 0000000000000001".into());
                 std::fs::write(&snapshot, old)?;
             }
-            StateFault::Other => {
+            StateFault::OtherDeployment => {
                 std::fs::write(&snapshot, edit_snapshot(&text, "method ", costlier_method))?;
             }
-            StateFault::ReadOnly => {
-                // Root writes whatever the mode says; a file in the directory's place stops anybody.
+            StateFault::Unwritable => {
+                // Permission bits do not stop root from writing; a file in place of the directory does.
                 std::fs::remove_dir_all(&dir).unwrap_or_default();
                 std::fs::write(&dir, "no directory")?;
             }
-            StateFault::Full => fill_disk(&dir)?,
+            StateFault::DiskFull => fill_disk(&dir)?,
             StateFault::Swap(with) => {
                 let other = self.state_dir(*with).join("learned");
                 let other_text = std::fs::read_to_string(&other).unwrap_or_default();
@@ -179,73 +192,75 @@
 }
 
 impl Member {
-    /// The machine starts, and was up for as long as it takes to start the process.
-    fn start_again(&mut self, cold: ColdStart) -> Result<(), ScenarioError> {
+    /// Restarts the machine: the agent restarts with cold cores, then the process starts.
+    fn restart_machine(&mut self, cold_start: ColdStart) -> Result<(), ScenarioError> {
         if let Ok(None) = self.node.child.try_wait() {
-            self.node.wait_for_exit(EXITS_WITHIN);
+            self.node.wait_for_exit(EXIT_TIMEOUT);
             self.node.kill();
         }
-        self.agent.restart_cold(cold);
+        self.agent.restart_cold(cold_start);
         self.node.restart()?;
-        (self.since, self.up) = (Instant::now(), true);
+        (self.available_since, self.up) = (Instant::now(), true);
         Ok(())
     }
 
-    /// Faults of the link to the agent.
+    /// Injects a fault of the link to the agent.
     fn inject_agent_link(&mut self, kind: &FaultKind) {
         match kind {
-            FaultKind::AgentHang => self.agent_proxy.hang(true),
-            FaultKind::AgentPass => {
-                self.agent_proxy.hang(false);
-                // What it decided meanwhile had reasons of its own.
-                self.since = Instant::now();
+            FaultKind::AgentLinkStalled => self.agent_proxy.set_stalled(true),
+            FaultKind::AgentLinkRestored => {
+                self.agent_proxy.set_stalled(false);
+                // Decisions during the fault were due to the fault and do not count as stale.
+                self.available_since = Instant::now();
             }
-            FaultKind::AgentDeaf => self.agent_proxy.hang_direction(true, true),
-            FaultKind::AgentMute => self.agent_proxy.hang_direction(false, true),
-            FaultKind::AgentDelay(ms) => self.agent_proxy.delay(Duration::from_millis(*ms)),
+            FaultKind::AgentInboundStalled => self.agent_proxy.set_direction_stalled(true, true),
+            FaultKind::AgentOutboundStalled => self.agent_proxy.set_direction_stalled(false, true),
+            FaultKind::AgentLinkDelay(ms) => self.agent_proxy.set_delay(Duration::from_millis(*ms)),
             _ => {}
         }
     }
 }
 
-/// All directions that end at these members.
-pub(super) fn cuts_towards(nodes: &[usize], members: usize) -> Vec<(usize, usize)> {
+/// Returns all links to these members, as pairs of sender and receiver.
+pub(super) fn links_to(nodes: &[usize], members: usize) -> Vec<(usize, usize)> {
     nodes.iter().flat_map(|n| (0..members).map(move |from| (from, *n))).collect()
 }
 
-/// All directions that begin at these members.
-pub(super) fn cuts_from(nodes: &[usize], members: usize) -> Vec<(usize, usize)> {
+/// Returns all links from these members, as pairs of sender and receiver.
+pub(super) fn links_from(nodes: &[usize], members: usize) -> Vec<(usize, usize)> {
     nodes.iter().flat_map(|n| (0..members).map(move |to| (*n, to))).collect()
 }
 
-/// Sends garbage for a second, from an address of its own and bounded in number.
-fn flood(to: &[SocketAddr]) {
+/// Sends invalid datagrams from a separate address for [`FLOOD_DURATION`], at most [`MAX_FLOOD_DATAGRAMS`] to each
+/// target.
+fn flood(targets: &[SocketAddr]) {
     let Ok(socket) = UdpSocket::bind("127.0.0.1:0") else { return };
-    let until = Instant::now() + FLOOD;
-    for n in 0..FLOOD_DATAGRAMS {
-        if Instant::now() > until {
+    let deadline = Instant::now() + FLOOD_DURATION;
+    for n in 0..MAX_FLOOD_DATAGRAMS {
+        if Instant::now() > deadline {
             return;
         }
-        // By turns too short, of another version, and well formed by its looks.
-        let bytes = [vec![1; 8], vec![9; 80], [vec![1], vec![(n % 251) as u8; 200]].concat()];
-        for at in to {
-            socket.send_to(&bytes[n as usize % 3], at).map(drop).unwrap_or_default();
+        // In turn: one that is too short, one of another version, and one with a plausible length and version.
+        let datagrams = [vec![1; 8], vec![9; 80], [vec![1], vec![(n % 251) as u8; 200]].concat()];
+        for target in targets {
+            socket.send_to(&datagrams[n as usize % 3], target).map(drop).unwrap_or_default();
         }
-        std::thread::sleep(FLOOD_PACE);
+        std::thread::sleep(FLOOD_INTERVAL);
     }
 }
 
-/// Each file is written beside its place: there, into a device that is always full.
+/// Makes writes to the state directory fail with a full disk. Each file is first written under a temporary name,
+/// which becomes a link to a device that is always full.
 fn fill_disk(dir: &Path) -> std::io::Result<()> {
     for name in ["learned", "good", "probation", "members"] {
-        let beside = dir.join(name).with_extension("new");
-        std::fs::remove_file(&beside).unwrap_or_default();
-        symlink("/dev/full", &beside)?;
+        let temporary = dir.join(name).with_extension("new");
+        std::fs::remove_file(&temporary).unwrap_or_default();
+        symlink("/dev/full", &temporary)?;
     }
     Ok(())
 }
 
-/// A method's line with the costs of another deployment: a hundred times what it is here.
+/// Returns a method line of a snapshot with a hundred times the mean cost, as another deployment could have it.
 fn costlier_method(line: &str) -> String {
     let words: Vec<&str> = line.splitn(5, ' ').collect();
     match words[..] {
@@ -257,7 +272,7 @@
     }
 }
 
-/// A snapshot with the lines that begin so changed, under a checksum that holds.
+/// Returns a snapshot in which the lines with this prefix are changed, with a matching checksum.
 fn edit_snapshot(text: &str, prefix: &str, change: impl Fn(&str) -> String) -> String {
     let body: String = text
         .lines()
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Several real processes among stand-ins, with faults between them.
+//! Scenarios with several real backend processes, stand-in services and injected faults.
 
 pub mod agree;
 mod callers;
@@ -9,7 +9,7 @@
 mod fault_script;
 mod idle_flood;
 pub mod members;
-mod naming;
+mod name_service;
 mod options;
 mod plot;
 mod ready;
--- a/lab/src/fleet/restart_recovery/mod.rs
+++ b/lab/src/fleet/restart_recovery/mod.rs
@@ -1,9 +1,9 @@
-//! `fleet-return`: most of a fleet restarted at once, persisted state lost, the upstream away; how long until service
-//! is full again, and who was called too much meanwhile.
+//! `fleet-return`: restarts of most of a fleet at once, loss of persisted state, or an outage of the upstream.
+//! Measures the time until full service, and overload of backends and upstream meanwhile.
 
 mod faults;
-mod findings;
-mod play;
+mod measurements;
+mod run;
 mod scenario;
 mod service;
 
