--- a/daemon/src/agent_session.rs
+++ b/daemon/src/agent_session.rs
@@ -9,13 +9,13 @@
 
 /// The longest time, in microseconds, without a byte from the agent after it was asked something: ten samples then go
 /// unanswered.
-const SILENCE_TIMEOUT: Us = 1_000_000;
+const SILENCE_TIMEOUT_US: Us = 1_000_000;
 /// A run of which nothing is heard for this many of the longest latency targets counts as lost.
-const RUN_TIMEOUT_TARGETS: Us = 4;
+const RUN_TIMEOUT_LATENCY_TARGETS: Us = 4;
 /// Microseconds between checks for silence while something is expected from the agent.
-const CHECK_INTERVAL: Us = 250_000;
+const CHECK_INTERVAL_US: Us = 250_000;
 /// The longest backoff, in microseconds, between two reconnects for silence.
-const MAX_RECONNECT_BACKOFF: Us = 60_000_000;
+const MAX_RECONNECT_BACKOFF_US: Us = 60_000_000;
 
 /// What was sent to the agent about a run in progress.
 #[derive(Clone, Copy, Debug, Default)]
@@ -117,7 +117,7 @@
 impl AgentSession {
     /// Sets the longest latency target of all methods, from which the timeout of a silent run follows.
     pub fn set_longest_latency_target(&mut self, target: Us) {
-        self.run_timeout = target.saturating_mul(RUN_TIMEOUT_TARGETS).max(SILENCE_TIMEOUT);
+        self.run_timeout = target.saturating_mul(RUN_TIMEOUT_LATENCY_TARGETS).max(SILENCE_TIMEOUT_US);
     }
 
     /// A new link is connected. Returns the number of the last notice read. An agent that has greeted before owes a
@@ -165,7 +165,7 @@
         if now < self.next_check {
             return None;
         }
-        self.next_check = now + CHECK_INTERVAL;
+        self.next_check = now + CHECK_INTERVAL_US;
         let Some(silence) = self.find_silence(now) else {
             if now >= self.reconnect_allowed_at + self.reconnect_backoff {
                 self.reconnect_backoff = 0;
@@ -176,14 +176,14 @@
             return None;
         }
         self.reconnect_backoff =
-            (self.reconnect_backoff * 2).clamp(2 * SILENCE_TIMEOUT, MAX_RECONNECT_BACKOFF);
+            (self.reconnect_backoff * 2).clamp(2 * SILENCE_TIMEOUT_US, MAX_RECONNECT_BACKOFF_US);
         self.reconnect_allowed_at = now + self.reconnect_backoff;
         self.awaiting_since = None;
         Some(silence)
     }
 
     fn find_silence(&self, now: Us) -> Option<Silence> {
-        if let Some(since) = self.awaiting_since.filter(|since| since + SILENCE_TIMEOUT <= now) {
+        if let Some(since) = self.awaiting_since.filter(|since| since + SILENCE_TIMEOUT_US <= now) {
             return Some(Silence::Link(now - since));
         }
         let mut silent_runs = self.runs.iter().filter(|(_, run)| run.is_silent(now, self.run_timeout));
--- a/daemon/src/change/status.rs
+++ b/daemon/src/change/status.rs
@@ -37,7 +37,7 @@
             ok: stats.ok,
             pushed_back: stats.rejected,
             aborted: stats.aborted,
-            gone: stats.callers_gone,
+            gone: stats.rpcs_cancelled,
             changes: stats.changes,
             changes_refused: stats.changes_refused,
             half_applied: stats.half_applied,
--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// A sidecar closes a connection that was closed here within this many microseconds, or it is reset.
-const LINGER: Us = 500_000;
+const LINGER_TIME_US: Us = 500_000;
 
 /// A connection that a sidecar opened.
 pub struct SidecarConnection {
@@ -24,14 +24,14 @@
     /// The protocol's state machine.
     pub frames: sidecar::Reader,
     /// A complete frame has come on it.
-    pub has_spoken: bool,
+    pub has_received_frame: bool,
 }
 
 impl SidecarConnection {
     fn read_frames(&mut self, bytes: &mut &[u8]) -> Result<(), ProtocolError> {
         let conn = self.conn;
         while let Some(frame) = self.frames.next(bytes)? {
-            self.has_spoken = true;
+            self.has_received_frame = true;
             let accepted = self.dispatcher.with(|core, outbound, now| match frame {
                 sidecar::Frame::Rpc(stream, request, body) => {
                     core.rpc_received(now, SidecarStream { conn, stream }, request, body, outbound)
@@ -60,7 +60,7 @@
     fn on_data(&mut self, mut bytes: &[u8]) -> bool {
         let read = self.read_frames(&mut bytes);
         let has_partial = read.is_ok() && self.frames.has_partial();
-        self.dispatcher.frame_progress(self.conn, self.has_spoken, has_partial);
+        self.dispatcher.frame_progress(self.conn, self.has_received_frame, has_partial);
         if let Err(error) = &read {
             self.dispatcher.close_when_answered(self.conn, Some(error.0));
         }
@@ -71,7 +71,7 @@
     }
     fn linger_us(&self) -> Option<u64> {
         // One that never sent a complete frame has no answer pending, and others may need its slot.
-        Some(if self.has_spoken { LINGER } else { 0 })
+        Some(if self.has_received_frame { LINGER_TIME_US } else { 0 })
     }
 }
 
@@ -89,13 +89,13 @@
     /// Rebuilds the decision module when the agent greets for the first time.
     pub build_server: BuildServer,
     /// A notice has come on this link.
-    pub useful: bool,
+    pub received_notice: bool,
 }
 
 impl AgentConnection {
     fn read_notices(&mut self, bytes: &mut &[u8]) -> Result<(), ProtocolError> {
         while let Some(notice) = self.notices.next(bytes)? {
-            self.useful = true;
+            self.received_notice = true;
             let build = &self.build_server;
             self.dispatcher.with(|core, outbound, now| match notice {
                 Notice::Greeting { empty, ago } => {
@@ -127,7 +127,7 @@
         let read = self.read_notices(&mut bytes);
         if let Err(error) = &read {
             warn!(self.dispatcher.log, "reconnecting to the agent"; "why" => error.0);
-            self.dispatcher.with(|core, _, _| core.stats_mut().bad_agent += 1);
+            self.dispatcher.with(|core, _, _| core.stats_mut().agent_protocol_errors += 1);
             self.out.close_now();
         }
         read.is_ok()
@@ -147,7 +147,7 @@
         self.out.put(&[&bytes]);
     }
     fn on_disconnected(&mut self, _: bool) -> bool {
-        std::mem::take(&mut self.useful)
+        std::mem::take(&mut self.received_notice)
     }
 }
 
@@ -162,7 +162,7 @@
     /// The protocol's state machine.
     pub replies: upstream::Reader,
     /// A reply has come on this link.
-    pub useful: bool,
+    pub received_reply: bool,
 }
 
 impl ConnectionHandler for UpstreamConnection {
@@ -175,11 +175,11 @@
                 }
                 Ok(Some(reply)) => self.dispatcher.with(|core, outbound, now| {
                     core.call_ended(now, self.link, reply.id, reply.end, reply.body, outbound);
-                    self.useful = true;
+                    self.received_reply = true;
                 }),
                 Err(error) => {
                     warn!(self.dispatcher.log, "reconnecting an upstream link"; "why" => error.0);
-                    self.dispatcher.with(|core, _, _| core.stats_mut().bad_upstream += 1);
+                    self.dispatcher.with(|core, _, _| core.stats_mut().upstream_protocol_errors += 1);
                     self.out.close_now();
                     return false;
                 }
@@ -193,7 +193,7 @@
 
 impl LinkHandler for UpstreamConnection {
     fn before_connect(&mut self) {
-        self.dispatcher.with(|core, _, _| core.link_ready(self.link));
+        self.dispatcher.with(|core, _, _| core.link_backoff_ended(self.link));
     }
     fn on_connected(&mut self) {
         self.replies = upstream::Reader::default();
@@ -201,7 +201,7 @@
     fn on_disconnected(&mut self, refused: bool) -> bool {
         self.dispatcher.reply_progress(self.link, false);
         self.dispatcher.with(|core, outbound, now| core.link_ended(now, self.link, refused, outbound));
-        std::mem::take(&mut self.useful)
+        std::mem::take(&mut self.received_reply)
     }
 }
 
--- a/daemon/src/control_loop.rs
+++ b/daemon/src/control_loop.rs
@@ -43,10 +43,10 @@
 impl ControlLoop {
     /// Runs until the program has drained.
     pub fn run(mut self) {
-        self.dispatcher.clock.register();
+        self.dispatcher.timer_wakeup.register();
         self.dispatcher.with(|core, outbound, now| core.start(now, outbound));
         loop {
-            let deadline = self.dispatcher.arm_clock(self.changes.next_deadline());
+            let deadline = self.dispatcher.arm_timer(self.changes.next_deadline());
             // Who rang while a change went in slice by slice was not waited for.
             let waiting = self.queue.lock().is_waiting();
             wait_until(if waiting { 0 } else { deadline.min(now() + MAX_WAIT) });
--- a/daemon/src/core/agent.rs
+++ b/daemon/src/core/agent.rs
@@ -137,7 +137,7 @@
     /// Reconnects to the agent if it, or one of its runs, has been silent for too long.
     pub(super) fn check_agent_silence(&mut self, outbound: &mut dyn Outbound) {
         if let Some(silence) = self.state.agent.check_silence(self.now) {
-            self.state.stats.agent_silent += 1;
+            self.state.stats.agent_silence_resets += 1;
             outbound.log(&format!("reconnecting to the agent: {silence}"));
             outbound.reset_agent_link();
         }
--- a/daemon/src/core/broker.rs
+++ b/daemon/src/core/broker.rs
@@ -12,7 +12,7 @@
 use nanorand::Rng;
 
 /// Ids drawn for a delivery, in case one is in use, before it is treated as rejected.
-const ID_ATTEMPTS: usize = 4;
+const MAX_ID_ATTEMPTS: usize = 4;
 
 impl Core {
     /// Deliveries of queues are consumed from now on.
@@ -57,7 +57,7 @@
         let mut outputs = EngineOutputs { now, state: &mut self.state, outbound };
         outputs.state.service.record_received(rpc.method);
         let mut taken = false;
-        for _ in 0..ID_ATTEMPTS {
+        for _ in 0..MAX_ID_ATTEMPTS {
             taken = taken || self.engine.request_received(now, requester, rpc.clone(), body, &mut outputs);
             rpc.id = RpcId::from_number(self.rng.generate());
         }
--- a/daemon/src/core/health_checks.rs
+++ b/daemon/src/core/health_checks.rs
@@ -6,7 +6,7 @@
 use asterrill::Us;
 
 /// A thorough health check is answered within this many microseconds.
-const EXERCISE_TIMEOUT: Us = 200_000;
+const EXERCISE_TIMEOUT_US: Us = 200_000;
 /// Thorough health checks that wait at a time; more are answered like shallow ones.
 const MAX_WAITING_CHECKS: usize = 64;
 
@@ -25,7 +25,7 @@
         state.stats.thorough_checks += 1;
         if !state.exercise.is_running() {
             state.exercise.tag = state.agent.next_tag(self.now);
-            state.exercise.deadline = self.now + EXERCISE_TIMEOUT;
+            state.exercise.deadline = self.now + EXERCISE_TIMEOUT_US;
             outbound.request_exercise(state.exercise.tag);
         }
         state.exercise.waiting.push(from);
--- a/daemon/src/core/lifecycle.rs
+++ b/daemon/src/core/lifecycle.rs
@@ -7,7 +7,7 @@
 use asterrill::Us;
 
 /// Microseconds reserved before the kill to write out the pending answers.
-const FLUSH_TIME: Us = 100_000;
+const FLUSH_TIME_US: Us = 100_000;
 
 impl Core {
     /// The start: the decision module says what to publish.
@@ -21,7 +21,7 @@
             return;
         }
         outbound.set_serving(false);
-        let answer_time = grace.saturating_sub(FLUSH_TIME);
+        let answer_time = grace.saturating_sub(FLUSH_TIME_US);
         self.with_engine(now, outbound, |engine, now, outputs| {
             if let Some(queues) = &mut outputs.state.queues {
                 queues.drain(now);
--- a/daemon/src/core/sidecar_rpcs.rs
+++ b/daemon/src/core/sidecar_rpcs.rs
@@ -64,7 +64,7 @@
         }
         let method = active.method_id(&request.method)?;
         // RPCs of a sidecar that the agent may never have heard of are coalesced with no other.
-        let coalescible = self.state.sidecars.is_proven(conn);
+        let coalescible = self.state.sidecars.is_verified(conn);
         let keys = self.keys_of(method, request, body, coalescible);
         let now = self.engine.advance_to(now);
         let received_from = request.arrived_at.max(self.state.agent_up_since.unwrap_or(now));
@@ -118,8 +118,8 @@
     /// An RPC of a connection could not be run; one that brings nothing else is closed.
     pub(super) fn count_unrunnable(&mut self, conn: ConnectionId, outbound: &mut dyn Outbound) {
         if self.state.sidecars.count_unrunnable(conn) {
-            self.state.stats.bad_sidecar += 1;
-            outbound.close_untrusted(conn);
+            self.state.stats.sidecar_protocol_errors += 1;
+            outbound.close_unserviceable(conn);
         }
     }
 
@@ -163,8 +163,8 @@
     }
 
     /// Whether a run was ever made for this connection: its RPCs are those of a sidecar that the agent knows.
-    pub fn is_proven(&self, conn: ConnectionId) -> bool {
-        self.state.sidecars.is_proven(conn)
+    pub fn is_verified(&self, conn: ConnectionId) -> bool {
+        self.state.sidecars.is_verified(conn)
     }
 
     /// How many RPCs are not over.
--- a/daemon/src/core/upstream_calls.rs
+++ b/daemon/src/core/upstream_calls.rs
@@ -30,8 +30,8 @@
     }
 
     /// The backoff of a link is over: it may be connected again.
-    pub fn link_ready(&mut self, link: UpstreamLinkId) {
-        self.state.upstream_links.ready(link);
+    pub fn link_backoff_ended(&mut self, link: UpstreamLinkId) {
+        self.state.upstream_links.backoff_ended(link);
     }
 
     /// Takes a link out of use; its calls in flight go on.
@@ -40,7 +40,7 @@
     }
 
     /// The upstream address has changed. Calls in flight may still end where they were sent.
-    pub fn upstream_moved(&mut self, outbound: &mut dyn Outbound) {
+    pub fn upstream_address_changed(&mut self, outbound: &mut dyn Outbound) {
         self.state.upstream_links.retire_all(outbound);
     }
 
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -8,4 +8,4 @@
 mod shared;
 mod sidecar_connection;
 
-pub use shared::{buffers, Dispatcher};
+pub use shared::{buffers_per_pool, Dispatcher};
--- a/daemon/src/dispatcher/connections.rs
+++ b/daemon/src/dispatcher/connections.rs
@@ -1,6 +1,6 @@
 //! The life of connections as their drivers report it.
 
-use super::shared::{Dispatcher, Locked};
+use super::shared::{Dispatcher, DispatcherState};
 use super::sidecar_connection::SidecarConnectionState;
 use crate::ids::ConnectionId;
 use asterrill_engine::UpstreamLinkId;
@@ -12,7 +12,7 @@
         let mut locked = self.lock();
         locked.opened += 1;
         let conn = ConnectionId(locked.opened);
-        let Locked { core, outboxes, .. } = &mut *locked;
+        let DispatcherState { core, outboxes, .. } = &mut *locked;
         core.stats_mut().connections += 1;
         if outboxes.draining {
             outboxes.send_goaway(&out);
@@ -38,11 +38,11 @@
 
     /// Bytes of a connection were read: whether a complete frame has come on it so far, and whether a frame has arrived
     /// in part.
-    pub fn frame_progress(&self, conn: ConnectionId, has_spoken: bool, has_partial: bool) {
+    pub fn frame_progress(&self, conn: ConnectionId, has_received_frame: bool, has_partial: bool) {
         let mut locked = self.lock();
-        let Locked { core, outboxes, .. } = &mut *locked;
+        let DispatcherState { core, outboxes, .. } = &mut *locked;
         let Some(sidecar) = outboxes.sidecars.get_mut(&conn) else { return };
-        sidecar.has_spoken = has_spoken;
+        sidecar.has_received_frame = has_received_frame;
         sidecar.partial_since =
             if has_partial { sidecar.partial_since.or_else(|| Some(now())) } else { None };
         // Something came on one that was about to be closed: that waits until it has been dealt with.
@@ -62,9 +62,11 @@
     /// No more is read from a connection: it is closed once no answer is pending on it. The sidecar is sent the error.
     pub fn close_when_answered(&self, conn: ConnectionId, error: Option<&str>) {
         let mut locked = self.lock();
-        let Locked { core, outboxes, .. } = &mut *locked;
+        let DispatcherState { core, outboxes, .. } = &mut *locked;
         match error {
-            Some(why) => core.stats_mut().bad_sidecar += u64::from(outboxes.close_with_error(conn, why)),
+            Some(why) => {
+                core.stats_mut().sidecar_protocol_errors += u64::from(outboxes.close_with_error(conn, why))
+            }
             None if outboxes.sidecars.contains_key(&conn) => outboxes.close(conn),
             None => {}
         }
@@ -74,7 +76,7 @@
     /// Closes all connections: what had come on them is dealt with, and all that was answered arrives.
     pub fn close_all(&self) {
         let mut locked = self.lock();
-        let Locked { core, outboxes, .. } = &mut *locked;
+        let DispatcherState { core, outboxes, .. } = &mut *locked;
         outboxes.listener.close();
         outboxes.closing_all = true;
         let conns: Vec<ConnectionId> = outboxes.sidecars.keys().copied().collect();
--- a/daemon/src/dispatcher/outbound.rs
+++ b/daemon/src/dispatcher/outbound.rs
@@ -58,7 +58,7 @@
         self.upstream.get(link.0).is_some_and(|link| link.out.finish_if_connected())
     }
 
-    fn close_untrusted(&mut self, conn: ConnectionId) {
+    fn close_unserviceable(&mut self, conn: ConnectionId) {
         self.close_with_error(conn, "nothing that came here could be run");
     }
     fn announce_drain(&mut self) {
--- a/daemon/src/dispatcher/outboxes.rs
+++ b/daemon/src/dispatcher/outboxes.rs
@@ -12,21 +12,21 @@
 /// Log lines about closed sidecar connections in one second; more are counted only.
 const MAX_CLOSE_LINES_PER_SECOND: u32 = 5;
 /// Bytes that most messages fit in.
-const SCRATCH_BYTES: usize = 512;
+const SCRATCH_CAPACITY_BYTES: usize = 512;
 
 /// Log lines written in one second.
 #[derive(Default)]
-struct LineCount {
+struct LogRateLimit {
     second: u64,
     lines: u32,
 }
 
-impl LineCount {
+impl LogRateLimit {
     /// Counts a line. False if too many were written in this second.
     fn count(&mut self, now: Us) -> bool {
         let second = now / 1_000_000;
         if self.second != second {
-            *self = LineCount { second, lines: 0 };
+            *self = LogRateLimit { second, lines: 0 };
         }
         self.lines += 1;
         self.lines <= MAX_CLOSE_LINES_PER_SECOND
@@ -57,7 +57,7 @@
     pub(super) broker: Option<Outbox>,
     /// How many sidecar connections there may be.
     pub(super) max_connections: usize,
-    close_lines: LineCount,
+    close_log_limit: LogRateLimit,
     /// What is reported to the name service; `None` until that is certain.
     pub(super) serving: Option<bool>,
     /// Microseconds after which idle connections are closed.
@@ -89,13 +89,13 @@
             upstream: upstream.into_iter().map(link).collect(),
             broker: None,
             max_connections,
-            close_lines: LineCount::default(),
+            close_log_limit: LogRateLimit::default(),
             serving: None,
             idle_timeout,
             draining: false,
             closing_all: false,
             version: 1,
-            scratch: Vec::with_capacity(SCRATCH_BYTES),
+            scratch: Vec::with_capacity(SCRATCH_CAPACITY_BYTES),
             log,
         }
     }
@@ -130,7 +130,7 @@
             return false;
         }
         sidecar.partial_since = None;
-        if self.close_lines.count(now()) {
+        if self.close_log_limit.count(now()) {
             info!(self.log, "closing a sidecar connection"; "why" => why);
         }
         self.scratch.clear();
--- a/daemon/src/dispatcher/shared.rs
+++ b/daemon/src/dispatcher/shared.rs
@@ -19,12 +19,12 @@
 const MEMORY_DIVISOR: u64 = 6;
 
 /// The buffers of each pool under this memory limit in MB.
-pub fn buffers(memory_mb: u64) -> usize {
+pub fn buffers_per_pool(memory_mb: u64) -> usize {
     (memory_mb * 1024 * 1024 / MEMORY_DIVISOR / BUFFER_SIZE as u64) as usize
 }
 
 /// What is behind the lock.
-pub(super) struct Locked {
+pub(super) struct DispatcherState {
     /// The core.
     pub(super) core: Core,
     /// Where the core's messages go.
@@ -41,21 +41,21 @@
 
 /// Brings inputs to the core, one at a time, and what it sends to the connections.
 pub struct Dispatcher {
-    locked: Mutex<Locked>,
+    locked: Mutex<DispatcherState>,
     /// Buffers for sockets.
     pub pool: BufferPool,
     /// Buffers for the bodies of RPCs.
     body_pool: BufferPool,
     /// How many sidecar connections there may be.
-    pub capacity: ConnectionLimit,
+    pub connection_limit: ConnectionLimit,
     /// Closes the listening socket.
-    pub listener_gate: ListenerHandle,
+    pub listener: ListenerHandle,
     /// The log.
     pub log: Logger,
     /// Notified when the clock task is to wake earlier than it was set to.
-    pub clock: Notify,
+    pub timer_wakeup: Notify,
     /// Notified when there is something new to report to the name service.
-    pub load_report_bell: Notify,
+    pub load_report_wakeup: Notify,
     /// Whether configuration changes are taken: this backend is not cut off from the others.
     pub changes_allowed: AtomicBool,
 }
@@ -71,7 +71,7 @@
         let listener = ListenerHandle::default();
         let outboxes =
             Outboxes::new(agent, upstream, max_connections, idle_timeout, listener.clone(), log.clone());
-        let locked = Locked {
+        let locked = DispatcherState {
             core,
             outboxes,
             armed_for: Us::MAX,
@@ -84,16 +84,16 @@
             locked: Mutex::new(locked),
             pool,
             body_pool,
-            capacity: ConnectionLimit::new(max_connections),
-            listener_gate: listener,
+            connection_limit: ConnectionLimit::new(max_connections),
+            listener: listener,
             log,
-            clock: Notify::default(),
-            load_report_bell: Notify::default(),
+            timer_wakeup: Notify::default(),
+            load_report_wakeup: Notify::default(),
             changes_allowed: AtomicBool::new(true),
         }
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, Locked> {
+    pub(super) fn lock(&self) -> MutexGuard<'_, DispatcherState> {
         self.locked.lock().unwrap_or_else(|e| e.into_inner())
     }
 
@@ -108,25 +108,25 @@
     pub fn with<R>(&self, input: impl FnOnce(&mut Core, &mut dyn Outbound, Us) -> R) -> R {
         let mut locked = self.lock();
         locked.expire_leases();
-        let Locked { core, outboxes, armed_for, .. } = &mut *locked;
+        let DispatcherState { core, outboxes, armed_for, .. } = &mut *locked;
         let serving_before = outboxes.serving;
         let result = input(core, outboxes, now());
         outboxes.version = core.version();
         outboxes.close_answered(core);
         if outboxes.serving != serving_before {
-            self.load_report_bell.notify();
+            self.load_report_wakeup.notify();
         }
         let deadline = core.next_deadline().unwrap_or(Us::MAX);
         if deadline < *armed_for {
             *armed_for = deadline;
-            self.clock.notify();
+            self.timer_wakeup.notify();
         }
         result
     }
 
     /// The quota that the members gave last holds until this moment, by [`monotonic_now`]; and whether configuration
     /// changes are taken.
-    pub fn lease(&self, until: Us, changes_allowed: bool) {
+    pub fn renew_quota_lease(&self, until: Us, changes_allowed: bool) {
         self.lock().quota_until = until;
         self.changes_allowed.store(changes_allowed, Ordering::Release);
     }
@@ -139,7 +139,7 @@
     }
 
     /// Sets the clock to the core's next deadline, or to `latest` if that is earlier. Returns that moment.
-    pub fn arm_clock(&self, latest: Us) -> Us {
+    pub fn arm_timer(&self, latest: Us) -> Us {
         let mut locked = self.lock();
         locked.armed_for = locked.core.next_deadline().unwrap_or(Us::MAX).min(latest);
         locked.armed_for
@@ -155,10 +155,10 @@
     pub fn resize(&self, memory_mb: u64, max_connections: usize) {
         let mut locked = self.lock();
         let outboxes = &mut locked.outboxes;
-        self.capacity.adjust(max_connections as isize - outboxes.max_connections as isize);
+        self.connection_limit.adjust(max_connections as isize - outboxes.max_connections as isize);
         outboxes.max_connections = max_connections;
         drop(locked);
-        let buffers = buffers(memory_mb);
+        let buffers = buffers_per_pool(memory_mb);
         self.pool.resize(buffers);
         self.body_pool.resize(buffers);
     }
@@ -179,7 +179,7 @@
     }
 }
 
-impl Locked {
+impl DispatcherState {
     /// A lease that has run out was not renewed: this process was paused or starved.
     fn expire_leases(&mut self) {
         if self.quota_until != Us::MAX && monotonic_now() > self.quota_until {
--- a/daemon/src/dispatcher/sidecar_connection.rs
+++ b/daemon/src/dispatcher/sidecar_connection.rs
@@ -4,9 +4,9 @@
 use asterrill_net::Outbox;
 
 /// Microseconds in which a new connection may be about to send its first frame.
-const NEW_CONNECTION_TIME: Us = 100_000;
+const NEW_CONNECTION_TIME_US: Us = 100_000;
 /// Microseconds of idleness after which a connection may be closed to free its slot.
-const IDLE_TIME_WHEN_SCARCE: Us = 1_000_000;
+const IDLE_TIME_WHEN_SCARCE_US: Us = 1_000_000;
 
 /// A sidecar's connection.
 pub(super) struct SidecarConnectionState {
@@ -15,7 +15,7 @@
     /// When it was accepted.
     pub(super) opened_at: Us,
     /// A complete frame has come on it.
-    pub(super) has_spoken: bool,
+    pub(super) has_received_frame: bool,
     /// Since when a frame has arrived in part.
     pub(super) partial_since: Option<Us>,
     /// When the sidecar was asked to close it.
@@ -30,11 +30,11 @@
     /// It has sent nothing, though it had time to.
     Silent,
     /// No run was ever made for it.
-    Unproven,
+    Unverified,
     /// It may be about to send its first frame.
     New,
     /// It belongs to a sidecar that the agent knows, whose next RPC may be on its way.
-    Proven,
+    Verified,
 }
 
 impl SidecarConnectionState {
@@ -43,26 +43,26 @@
         SidecarConnectionState {
             out,
             opened_at: now,
-            has_spoken: false,
+            has_received_frame: false,
             partial_since: None,
             goaway_sent_at: None,
             evicted: false,
         }
     }
 
-    /// Of how much use it is. `proven`: a run was made for an RPC of this connection.
-    pub(super) fn idle_class(&self, proven: bool, now: Us) -> IdleClass {
-        match (self.has_spoken, proven) {
-            (false, _) if self.opened_at + NEW_CONNECTION_TIME < now => IdleClass::Silent,
-            (true, false) => IdleClass::Unproven,
+    /// Of how much use it is. `verified`: a run was made for an RPC of this connection.
+    pub(super) fn idle_class(&self, verified: bool, now: Us) -> IdleClass {
+        match (self.has_received_frame, verified) {
+            (false, _) if self.opened_at + NEW_CONNECTION_TIME_US < now => IdleClass::Silent,
+            (true, false) => IdleClass::Unverified,
             (false, _) => IdleClass::New,
-            (true, true) => IdleClass::Proven,
+            (true, true) => IdleClass::Verified,
         }
     }
 
     /// Whether it has been idle for long enough to be closed when connections are scarce.
     pub(super) fn is_idle_when_scarce(&self, now: Us) -> bool {
-        let limit = if self.has_spoken { IDLE_TIME_WHEN_SCARCE } else { NEW_CONNECTION_TIME };
+        let limit = if self.has_received_frame { IDLE_TIME_WHEN_SCARCE_US } else { NEW_CONNECTION_TIME_US };
         self.last_used() + limit < now
     }
 
--- a/daemon/src/load_report.rs
+++ b/daemon/src/load_report.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Microseconds between two reports.
-const REPORT_INTERVAL: Us = 1_000_000;
+const REPORT_INTERVAL_US: Us = 1_000_000;
 /// A report that takes longer is lost.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Reports are sent early by up to this part of the interval, so that many backends do not report in step.
@@ -23,14 +23,14 @@
 pub fn send_load_reports(
     dispatcher: &Dispatcher, name: &str, address: &Address, mut backoff: Backoff, jitter_seed: Option<u64>,
 ) {
-    dispatcher.load_report_bell.register();
+    dispatcher.load_report_wakeup.register();
     let mut target = address.get();
     let mut connection = None;
     let mut reports = 0_u64;
     loop {
         reports += 1;
         let Some(serving) = dispatcher.serving() else {
-            wait_until(now() + REPORT_INTERVAL);
+            wait_until(now() + REPORT_INTERVAL_US);
             continue;
         };
         if target != address.get() {
@@ -57,7 +57,7 @@
             }
             Err(error) => {
                 warn!(dispatcher.log, "load report lost: invalid reply"; "why" => error.0);
-                dispatcher.with(|core, _, _| core.stats_mut().bad_name_service += 1);
+                dispatcher.with(|core, _, _| core.stats_mut().name_service_protocol_errors += 1);
                 ReplyStatus::Close
             }
         };
@@ -69,8 +69,8 @@
             backoff.reset();
             if !outdated() {
                 let early = jitter_seed
-                    .map_or(0, |seed| phase(seed ^ reports, "report", REPORT_INTERVAL / JITTER_DIVISOR));
-                wait_until(started + REPORT_INTERVAL - early);
+                    .map_or(0, |seed| phase(seed ^ reports, "report", REPORT_INTERVAL_US / JITTER_DIVISOR));
+                wait_until(started + REPORT_INTERVAL_US - early);
             }
         } else if is_new_connection && now() < started + REPORT_TIMEOUT.as_micros() as u64 {
             backoff.wait_unless(outdated);
--- a/daemon/src/membership/run.rs
+++ b/daemon/src/membership/run.rs
@@ -73,7 +73,7 @@
             // The core learns of a smaller quota before anybody else learns anything. It is leased: a process that was
             // paused, or does not come to look, has none when it wakes.
             let changes_allowed = turn.role.allowed_changes == AllowedChanges::Any;
-            dispatcher.lease(started.saturating_add(self.quota_lease), changes_allowed);
+            dispatcher.renew_quota_lease(started.saturating_add(self.quota_lease), changes_allowed);
             let quota = turn.role.quota_factor;
             dispatcher.with(|core, outbound, now| core.set_quota_fraction(now, quota, outbound));
             for Transmit { destination, contents } in turn.outgoing {
--- a/daemon/src/operator_requests.rs
+++ b/daemon/src/operator_requests.rs
@@ -160,7 +160,7 @@
             }
             pending.context_requests.push(sender);
         }
-        self.dispatcher.clock.notify();
+        self.dispatcher.timer_wakeup.notify();
         receiver.recv_timeout(REPLY_TIMEOUT).ok()
     }
 
@@ -178,7 +178,7 @@
             }
             pending.commands.push(PendingCommand { command, reply_to });
         }
-        self.dispatcher.clock.notify();
+        self.dispatcher.timer_wakeup.notify();
         let reply = receiver.recv_timeout(REPLY_TIMEOUT);
         reply.unwrap_or_else(|_| rejected("no answer within 5 s: ask for the status"))
     }
--- a/daemon/src/outbound.rs
+++ b/daemon/src/outbound.rs
@@ -36,7 +36,7 @@
     fn close_upstream_link(&mut self, link: UpstreamLinkId) -> bool;
 
     /// Closes a connection whose RPCs could none of them be run.
-    fn close_untrusted(&mut self, conn: ConnectionId);
+    fn close_unserviceable(&mut self, conn: ConnectionId);
     /// Asks all sidecars to send no new RPC.
     fn announce_drain(&mut self);
     /// Sets after how many microseconds idle connections are closed; 0 for never.
--- a/daemon/src/peer_addresses.rs
+++ b/daemon/src/peer_addresses.rs
@@ -35,12 +35,12 @@
         }
         if let (Some(upstream), Some(to)) = (&self.upstream, deployment.upstream) {
             if upstream.set(to) {
-                dispatcher.with(|core, outbound, _| core.upstream_moved(outbound));
+                dispatcher.with(|core, outbound, _| core.upstream_address_changed(outbound));
             }
         }
         self.name_service.set(deployment.name_service);
         self.agent_link.wake_owner();
         self.upstream_links.iter().for_each(Outbox::wake_owner);
-        dispatcher.load_report_bell.notify();
+        dispatcher.load_report_wakeup.notify();
     }
 }
--- a/daemon/src/queues/consumers.rs
+++ b/daemon/src/queues/consumers.rs
@@ -13,7 +13,7 @@
 /// Queues that may ever be consumed by a process: each keeps its channel.
 const MAX_QUEUES: usize = 200;
 /// An [`InFlightId`] has its queue's number, counted from 1, above this many bits.
-const QUEUE_NUMBER_SHIFT: u32 = 48;
+const QUEUE_NUMBER_SHIFT_BITS: u32 = 48;
 
 /// What the queues are made from.
 pub struct QueueConfig {
@@ -112,7 +112,7 @@
 
     /// The queue that a message in flight came from.
     pub(super) fn queue_of(&mut self, id: InFlightId) -> Option<&mut QueueConsumer> {
-        self.queues.get_mut((id.0 >> QUEUE_NUMBER_SHIFT).checked_sub(1)? as usize)
+        self.queues.get_mut((id.0 >> QUEUE_NUMBER_SHIFT_BITS).checked_sub(1)? as usize)
     }
 
     /// The queue that is consumed on a channel.
--- a/daemon/src/recovery.rs
+++ b/daemon/src/recovery.rs
@@ -15,7 +15,7 @@
 };
 
 /// Microseconds between two updates of slow start and stage.
-const UPDATE_INTERVAL: Us = 100_000;
+const UPDATE_INTERVAL_US: Us = 100_000;
 
 /// What a start knows of itself.
 pub struct RecoveryConfig {
@@ -93,7 +93,7 @@
             stages: StageTracker::new(now),
             slow_start: None,
             assessed: false,
-            next_update: now + UPDATE_INTERVAL,
+            next_update: now + UPDATE_INTERVAL_US,
             snapshot_interval,
             previous: EngineStats::default(),
         }
@@ -136,7 +136,7 @@
             let config = SlowStartConfig {
                 max_calls: status.call_limit.max(1.0),
                 initial_calls: self.config.settings.initial_calls as f64,
-                update_interval: UPDATE_INTERVAL,
+                update_interval: UPDATE_INTERVAL_US,
             };
             self.slow_start = Some(SlowStart::new(now, config));
         }
@@ -184,7 +184,7 @@
         if now < self.next_update {
             return RecoveryUpdate::default();
         }
-        self.next_update = now + UPDATE_INTERVAL;
+        self.next_update = now + UPDATE_INTERVAL_US;
         let previous = std::mem::replace(&mut self.previous, stats.clone());
         let sample = CallSample {
             ok: stats.calls_ok - previous.calls_ok,
--- a/daemon/src/service_stats.rs
+++ b/daemon/src/service_stats.rs
@@ -7,7 +7,7 @@
 use asterrill_rollout::{MethodCounts, MethodLoad, ObservedLoad, ServiceSample};
 
 /// Half of the minute, in microseconds, over which the observed load is counted.
-const HALF_WINDOW: Us = 30_000_000;
+const HALF_WINDOW_US: Us = 30_000_000;
 
 /// The counters of one method.
 #[derive(Clone, Copy, Debug, Default)]
@@ -133,7 +133,7 @@
 
     /// Moves the window on to this moment.
     pub fn advance_to(&mut self, now: Us) {
-        if now < self.half_started.saturating_add(HALF_WINDOW) {
+        if now < self.half_started.saturating_add(HALF_WINDOW_US) {
             return;
         }
         self.half_started = now;
@@ -156,7 +156,7 @@
             let load = MethodLoad { requests, mean_work_us: cost(MethodId(*index)) };
             Some((name(MethodId(*index))?, load))
         };
-        let window_started = self.half_started.saturating_sub(HALF_WINDOW).max(self.started);
+        let window_started = self.half_started.saturating_sub(HALF_WINDOW_US).max(self.started);
         let span = now.saturating_sub(window_started);
         let methods = self.windowed.iter().filter_map(load_of).collect();
         ObservedLoad { methods, seconds: span as f64 / 1e6, ..ObservedLoad::default() }
--- a/daemon/src/shutdown.rs
+++ b/daemon/src/shutdown.rs
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 
 /// For all connections to be closed on both sides before the kill, in microseconds.
-const CLOSE_TIMEOUT: Us = 70_000;
+const CLOSE_TIMEOUT_US: Us = 70_000;
 /// Between looks whether they are, in microseconds.
-const CLOSE_POLL_INTERVAL: Us = 5_000;
+const CLOSE_POLL_INTERVAL_US: Us = 5_000;
 
 /// What is done when the notice to shut down comes.
 pub struct Shutdown {
@@ -56,8 +56,8 @@
 /// Closes all connections in order, and waits until they are closed, so long at most.
 pub fn close_connections(dispatcher: &Dispatcher) {
     dispatcher.close_all();
-    let until = now() + CLOSE_TIMEOUT;
+    let until = now() + CLOSE_TIMEOUT_US;
     while !dispatcher.all_closed() && now() < until {
-        wait_until(now() + CLOSE_POLL_INTERVAL);
+        wait_until(now() + CLOSE_POLL_INTERVAL_US);
     }
 }
--- a/daemon/src/sidecar_registry.rs
+++ b/daemon/src/sidecar_registry.rs
@@ -1,4 +1,4 @@
-//! What each sidecar connection has proven: whether the agent knows the sidecar at the other end.
+//! What each sidecar connection has verified: whether the agent knows the sidecar at the other end.
 
 use crate::ids::ConnectionId;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct SidecarState {
     /// A run was made for it: the agent knows its sidecar.
-    proven: bool,
+    verified: bool,
     /// RPCs that could not be run, counted until one was.
     unrunnable_rpcs: u32,
 }
@@ -26,19 +26,19 @@
     }
 
     /// Whether a run was ever made for this connection: its RPCs are then those of a sidecar that the agent knows.
-    pub fn is_proven(&self, conn: ConnectionId) -> bool {
-        self.0.get(&conn).is_some_and(|sidecar| sidecar.proven)
+    pub fn is_verified(&self, conn: ConnectionId) -> bool {
+        self.0.get(&conn).is_some_and(|sidecar| sidecar.verified)
     }
 
     /// A run was made for an RPC of this connection.
     pub fn run_completed(&mut self, conn: ConnectionId) {
-        let proven = SidecarState { proven: true, unrunnable_rpcs: 0 };
-        self.0.entry(conn).and_modify(|sidecar| *sidecar = proven);
+        let verified = SidecarState { verified: true, unrunnable_rpcs: 0 };
+        self.0.entry(conn).and_modify(|sidecar| *sidecar = verified);
     }
 
     /// An RPC could not be run. True when the connection is to be closed for it.
     pub fn count_unrunnable(&mut self, conn: ConnectionId) -> bool {
-        let Some(sidecar) = self.0.get_mut(&conn).filter(|sidecar| !sidecar.proven) else { return false };
+        let Some(sidecar) = self.0.get_mut(&conn).filter(|sidecar| !sidecar.verified) else { return false };
         sidecar.unrunnable_rpcs += 1;
         sidecar.unrunnable_rpcs == MAX_UNRUNNABLE_RPCS
     }
--- a/daemon/src/signals.rs
+++ b/daemon/src/signals.rs
@@ -41,7 +41,7 @@
                     info!(self.log, "counters"; "of" => counters, "members" => members);
                 }
             }
-            self.handler.dispatcher.clock.notify();
+            self.handler.dispatcher.timer_wakeup.notify();
         }
         info!(self.log, "ended"; "counters" => self.handler.dispatcher.stats_line());
     }
--- a/daemon/src/startup.rs
+++ b/daemon/src/startup.rs
@@ -8,7 +8,7 @@
 use crate::control_socket;
 use crate::core::Core;
 use crate::deployment::{choose_start_version, read_deployment};
-use crate::dispatcher::{buffers, Dispatcher};
+use crate::dispatcher::{buffers_per_pool, Dispatcher};
 use crate::membership::{self, MembershipConfig, MembershipService};
 use crate::operator::{self, BrokerSetup, OperatorFile};
 use crate::operator_requests::{RequestHandler, RequestQueue};
@@ -48,7 +48,7 @@
         let operator = start.content.operator_config.clone();
         let configuration = &start.content.configuration;
         let server_parts = asterrill_settings::server_parts(now(), deployment.seed, configuration, None)?;
-        let body_buffers = buffers(deployment.memory_mb) as u64;
+        let body_buffers = buffers_per_pool(deployment.memory_mb) as u64;
         let broker = operator::broker_setup(now(), &operator, configuration, deployment.seed, body_buffers)?;
         if let Some(members) = &operator.members {
             membership::check(&deployment.name, members)?;
@@ -84,7 +84,7 @@
 impl Serving {
     fn new(deployment: &Deployment, server_parts: ServerParts, idle_timeout: Us, log: &Logger) -> Serving {
         // Two pools, so that queued bodies can't keep answers from being written.
-        let [pool, body_pool] = [(); 2].map(|()| BufferPool::new(buffers(deployment.memory_mb)));
+        let [pool, body_pool] = [(); 2].map(|()| BufferPool::new(buffers_per_pool(deployment.memory_mb)));
         let link = || Outbox::new(&pool, MAX_LINK_BACKLOG);
         let link_count = if deployment.upstream.is_some() { upstream_links(deployment.sockets) } else { 0 };
         let agent_link = link();
--- a/daemon/src/stats.rs
+++ b/daemon/src/stats.rs
@@ -35,7 +35,7 @@
     /// Final answers: aborted.
     aborted => "aborted",
     /// RPCs whose caller left before the answer.
-    callers_gone => "gone",
+    rpcs_cancelled => "gone",
     /// RPCs that were answered with the result of another.
     coalesced => "joined",
     /// Results of RPCs with an idempotency key that were evicted while a retry might still come.
@@ -83,15 +83,15 @@
     /// Links on which the agent has greeted.
     agent_greetings => "agent_up",
     /// Reconnects to the agent because it, or one of its runs, had been silent.
-    agent_silent => "agent_silent",
+    agent_silence_resets => "agent_silent",
     /// Protocol errors of sidecars.
-    bad_sidecar => "bad_sidecar",
+    sidecar_protocol_errors => "bad_sidecar",
     /// Protocol errors of the agent.
-    bad_agent => "bad_agent",
+    agent_protocol_errors => "bad_agent",
     /// Protocol errors on upstream links.
-    bad_upstream => "bad_below",
+    upstream_protocol_errors => "bad_below",
     /// Protocol errors of the name service.
-    bad_name_service => "bad_naming",
+    name_service_protocol_errors => "bad_naming",
     /// Sidecar connections accepted.
     connections => "connections",
     /// Sidecar connections that the other side reset, or that read too slowly.
@@ -99,7 +99,7 @@
     /// Sidecar connections closed because they were idle.
     closed_idle => "closed_idle",
     /// Idle sidecar connections closed at once to make room for another.
-    closed_crowded => "closed_crowded",
+    connections_evicted => "closed_crowded",
     /// Times that the configuration file was read again.
     reloads => "reloads",
     /// Reloads that changed nothing because the file could not be used.
@@ -126,7 +126,7 @@
         self.ok += engine.ok;
         self.rejected += engine.rejected;
         self.aborted += engine.aborted;
-        self.callers_gone += engine.cancelled;
+        self.rpcs_cancelled += engine.cancelled;
         self.coalesced += engine.coalesced;
         self.results_evicted += engine.results_evicted;
         self.idempotency_keys_full += engine.idempotency_keys_full;
--- a/daemon/src/tasks.rs
+++ b/daemon/src/tasks.rs
@@ -21,9 +21,9 @@
 use std::time::Duration;
 
 /// Bytes that may wait for a sidecar: more than all its answers at once.
-const MAX_SIDECAR_BACKLOG: usize = 192 * 1024;
+const MAX_SIDECAR_BACKLOG_BYTES: usize = 192 * 1024;
 /// Between looks at idle connections, in microseconds.
-const SWEEP_INTERVAL: Us = 100_000;
+const SWEEP_INTERVAL_US: Us = 100_000;
 
 /// The least and the longest pause before a link is made again.
 struct BackoffRange {
@@ -92,7 +92,7 @@
                 out: outbox.clone(),
                 notices: agent::Reader::default(),
                 build_server: Box::new(build_server),
-                useful: false,
+                received_notice: false,
             };
             run_link(&addresses.agent, &outbox, &pool, true, backoff, &mut connection);
         })
@@ -110,7 +110,7 @@
                     out: outbox.clone(),
                     link: UpstreamLinkId(index),
                     replies: upstream::Reader::default(),
-                    useful: false,
+                    received_reply: false,
                 };
                 run_link(&address, &outbox, &pool, false, backoff, &mut connection);
             })?;
@@ -131,9 +131,9 @@
     pub fn spawn_sweep(&mut self) -> io::Result<()> {
         let (dispatcher, jitter_seed) = (self.dispatcher.clone(), self.jitter_seed);
         spawn("sweep", move || {
-            wait_until(now() + jitter_seed.map_or(0, |seed| phase(seed, "sweep", SWEEP_INTERVAL)));
+            wait_until(now() + jitter_seed.map_or(0, |seed| phase(seed, "sweep", SWEEP_INTERVAL_US)));
             loop {
-                wait_until(now() + SWEEP_INTERVAL);
+                wait_until(now() + SWEEP_INTERVAL_US);
                 dispatcher.sweep_connections();
             }
         })
@@ -146,8 +146,8 @@
         spawn("listener", move || {
             listen(
                 listener,
-                &dispatcher.listener_gate,
-                dispatcher.capacity.clone(),
+                &dispatcher.listener,
+                dispatcher.connection_limit.clone(),
                 log,
                 || dispatcher.evict_idle(),
                 |stream, permit| accept(&dispatcher, stream, permit),
@@ -159,13 +159,13 @@
 /// Starts the coroutine of one sidecar's connection.
 fn accept(dispatcher: &Arc<Dispatcher>, stream: TcpStream, permit: ConnectionPermit) {
     // Registered before the next one may find no capacity.
-    let outbox = Outbox::new(&dispatcher.pool, MAX_SIDECAR_BACKLOG);
+    let outbox = Outbox::new(&dispatcher.pool, MAX_SIDECAR_BACKLOG_BYTES);
     let conn = dispatcher.connection_opened(outbox.clone());
     let driver = dispatcher.clone();
     let spawned = spawn("sidecar", move || {
         let frames = sidecar::Reader::default();
         let mut connection =
-            SidecarConnection { dispatcher: driver.clone(), conn, frames, has_spoken: false };
+            SidecarConnection { dispatcher: driver.clone(), conn, frames, has_received_frame: false };
         let end = run_connection(&stream, &outbox, &driver.pool, &mut connection);
         driver.connection_closed(conn, end == ConnectionEnd::Broken);
         drop(stream);
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -7,13 +7,13 @@
 mod cost;
 mod dispatcher;
 mod drain;
+mod fake_peers;
 mod harness;
 mod properties;
 mod recovery;
 mod service_stats;
 mod settings;
 mod sidecar_rpcs;
-mod stand_in;
 mod upstream_links;
 mod versions;
 
@@ -24,15 +24,15 @@
 use asterrill_entries::Configuration;
 use asterrill_net::BufferPool;
 use asterrill_protocol::sidecar::{RpcRequest, StreamId};
+use fake_peers::FakePeers;
 use harness::CoreHarness;
 use serde_json::{json, Value};
 use settings::{apply_change, configuration, sample_settings, server_parts, version_switch, with_tenants};
-use stand_in::PeerStandIn;
 use std::collections::BTreeSet;
 
 const MS: Us = 1_000;
 const START: Us = 1_000_000 * MS;
 /// How late an answer may be.
-const SLACK: Us = 100 * MS;
+const MAX_ANSWER_DELAY: Us = 100 * MS;
 /// The deadline of both methods.
 const DEADLINE: Us = 900 * MS;
--- a/daemon/src/tests/agent_link.rs
+++ b/daemon/src/tests/agent_link.rs
@@ -40,10 +40,10 @@
     assert_eq!((harness.peers.runs.len(), harness.peers.agent_resets), (0, 0));
     assert_eq!(harness.peers.answers[&lost].0, "aborted", "its caller waits no longer than its deadline");
     harness.advance(280 * MS);
-    assert_eq!((harness.peers.agent_resets, harness.core.stats().agent_silent), (1, 1));
+    assert_eq!((harness.peers.agent_resets, harness.core.stats().agent_silence_resets), (1, 1));
     // Until the lost run is over nothing is taken: all looks as if work had stopped finishing.
     let rejected = harness.send_rpc(1, "look", 900 * MS, None);
-    assert_eq!(harness.peers.answers[&rejected].0, "pushed back");
+    assert_eq!(harness.peers.answers[&rejected].0, "rejected");
     harness.reconnect_agent();
     harness.advance_run(0, false);
     harness.deliver_notices(9);
--- a/daemon/src/tests/agreed_lists.rs
+++ b/daemon/src/tests/agreed_lists.rs
@@ -24,7 +24,7 @@
             let (launched, stream_ref) =
                 (harness.peers.runs.len(), harness.send_rpc(conn, "look", 800 * MS, None));
             let rejected =
-                harness.peers.answers.get(&stream_ref).is_some_and(|(what, _)| *what == "pushed back");
+                harness.peers.answers.get(&stream_ref).is_some_and(|(what, _)| *what == "rejected");
             assert!(!rejected || harness.peers.runs.len() == launched, "it runs and is rejected");
             // What runs ends, so that nobody else is in the way.
             (0..4).for_each(|n| harness.advance_run(n + 1, false));
--- a/daemon/src/tests/change.rs
+++ b/daemon/src/tests/change.rs
@@ -184,7 +184,7 @@
     spawn("clock", move || {
         let queue = RequestQueue::default();
         let mut shutdown = Shutdown::new(None, None, 900 * MS);
-        dispatcher.clock.register();
+        dispatcher.timer_wakeup.register();
         pause_between_slices(&dispatcher, &queue, &mut shutdown, false);
         let before = dispatcher.serving();
         queue.lock().shutdown = true;
--- a/daemon/src/tests/cost.rs
+++ b/daemon/src/tests/cost.rs
@@ -9,7 +9,7 @@
     let mut settings = sample_settings();
     (settings["FamilyInfo"]["RamKb"], settings["FamilyInfo"]["NCores"]) = (json!(1_000_000), json!(1_500));
     let first = server_parts(START, 1, &settings, None);
-    let (mut core, mut out) = (Core::new(START, first, BufferPool::new(4_000), 4), PeerStandIn::default());
+    let (mut core, mut out) = (Core::new(START, first, BufferPool::new(4_000), 4), FakePeers::default());
     core.start(START, &mut out);
     core.agent_connected(START);
     core.agent_up(START, None, &mut out);
--- a/daemon/src/tests/dispatcher.rs
+++ b/daemon/src/tests/dispatcher.rs
@@ -30,7 +30,7 @@
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = listener.local_addr().unwrap();
     let ((come, came), (ends, end)) = (channel(), channel());
-    let (of, door) = (dispatcher.clone(), dispatcher.listener_gate.clone());
+    let (of, door) = (dispatcher.clone(), dispatcher.listener.clone());
     let took = move |stream, place| {
         let (dispatcher, out, ends) = (of.clone(), Outbox::new(&of.pool, 192 * 1024), ends.clone());
         let conn: ConnectionId = dispatcher.connection_opened(out.clone());
@@ -40,7 +40,7 @@
                 dispatcher: dispatcher.clone(),
                 conn,
                 frames: sidecar::Reader::default(),
-                has_spoken: true,
+                has_received_frame: true,
             };
             run_connection(&stream, &out, &dispatcher.pool, &mut peer);
             dispatcher.connection_closed(conn, false);
--- a/daemon/src/tests/drain.rs
+++ b/daemon/src/tests/drain.rs
@@ -25,7 +25,7 @@
     for greets in [50, 250] {
         let made = |at| server_parts(at, 1, &sample_settings(), Some(true));
         let (mut core, mut out) =
-            (Core::new(START, made(START), BufferPool::new(500), 4), PeerStandIn::default());
+            (Core::new(START, made(START), BufferPool::new(500), 4), FakePeers::default());
         core.start(START, &mut out);
         core.drain(START, 1_000 * MS, &mut out);
         let up = START + greets * MS;
@@ -41,7 +41,7 @@
         let late = harness.send_rpc(2, "book", 900 * MS, None);
         assert_eq!(
             (harness.peers.runs.len(), harness.peers.answers[&late].0),
-            (1, "pushed back"),
+            (1, "rejected"),
             "after the grace nothing is run"
         );
         harness.advance(1_000 * MS);
--- a/daemon/src/tests/stand_in.rs
+++ b/daemon/src/tests/fake_peers.rs
@@ -13,14 +13,14 @@
 }
 
 pub(super) struct Run {
-    pub(super) waits: Option<(u64, Vec<u8>)>,
-    pub(super) over: bool,
+    pub(super) pending_call: Option<(u64, Vec<u8>)>,
+    pub(super) ended: bool,
     pub(super) stopped: bool,
 }
 
 /// What has been written, played by a stand-in that takes every command at its word.
 #[derive(Default)]
-pub(super) struct PeerStandIn {
+pub(super) struct FakePeers {
     pub(super) answers: BTreeMap<SidecarStream, (&'static str, Vec<u8>)>,
     pub(super) health: Vec<(SidecarStream, bool)>,
     pub(super) runs: BTreeMap<RpcId, Run>,
@@ -41,7 +41,7 @@
     pub(super) credit: Option<f64>, // as it went with the last answer or check
 }
 
-impl PeerStandIn {
+impl FakePeers {
     pub(super) fn violation(&mut self, what: &str, id: RpcId) {
         self.violations.push(format!("{what} {id:?}"));
     }
@@ -57,12 +57,12 @@
     }
 }
 
-impl Outbound for PeerStandIn {
+impl Outbound for FakePeers {
     fn answer(&mut self, to: SidecarStream, answer: FinalAnswer<'_>, credit: Option<f64>) {
         self.credit = credit;
         let (what, body) = match answer {
             FinalAnswer::Ok(result) => ("ok", result.to_vec()),
-            FinalAnswer::Rejected { .. } => ("pushed back", vec![]),
+            FinalAnswer::Rejected { .. } => ("rejected", vec![]),
             FinalAnswer::Aborted => ("aborted", vec![]),
         };
         if self.answers.insert(to, (what, body)).is_some() {
@@ -80,9 +80,9 @@
             self.violation("launched with another body or method", id);
         }
         match self.runs.get(&id) {
-            Some(run) if run.over || !self.allows_repeats => self.violation("launched twice", id),
+            Some(run) if run.ended || !self.allows_repeats => self.violation("launched twice", id),
             Some(_) => {}
-            None => drop(self.runs.insert(id, Run { waits: None, over: false, stopped: false })),
+            None => drop(self.runs.insert(id, Run { pending_call: None, ended: false, stopped: false })),
         }
     }
     fn stop(&mut self, id: RpcId) {
@@ -94,8 +94,8 @@
         if self.agent_unreachable {
             return;
         }
-        match self.runs.get_mut(&id).and_then(|run| run.waits.take()) {
-            Some((_, body)) if PeerStandIn::reply(&body) == reply => {}
+        match self.runs.get_mut(&id).and_then(|run| run.pending_call.take()) {
+            Some((_, body)) if FakePeers::reply(&body) == reply => {}
             None if self.allows_repeats => {}
             _ => self.violation("delivered what was not waited for", id),
         }
@@ -104,7 +104,7 @@
         if self.agent_unreachable {
             return;
         }
-        match self.runs.get_mut(&id).and_then(|run| run.waits.take()) {
+        match self.runs.get_mut(&id).and_then(|run| run.pending_call.take()) {
             Some((number, _)) if number == asked.0 => {}
             None if self.allows_repeats => {}
             _ => self.violation("skipped what was not waited for", id),
@@ -139,7 +139,7 @@
         self.closed_links.push(link);
         true
     }
-    fn close_untrusted(&mut self, conn: ConnectionId) {
+    fn close_unserviceable(&mut self, conn: ConnectionId) {
         self.closed_connections.push(conn);
     }
     fn reset_agent_link(&mut self) {
--- a/daemon/src/tests/harness.rs
+++ b/daemon/src/tests/harness.rs
@@ -1,8 +1,8 @@
 //! The core together with a stand-in for everything around it, in virtual time.
 
+use super::fake_peers::{FakePeers, Notice, Run};
 use super::settings::{configuration, sample_settings, server_parts, version_switch};
-use super::stand_in::{Notice, PeerStandIn, Run};
-use super::{DEADLINE, MS, SLACK, START};
+use super::{DEADLINE, MAX_ANSWER_DELAY, MS, START};
 use crate::core::Core;
 use crate::ids::{ConnectionId, SidecarStream};
 use asterrill::{CallEnd, CallerId, RpcId, RunEnd, Us};
@@ -16,7 +16,7 @@
 
 pub(super) struct CoreHarness {
     pub(super) core: Core,
-    pub(super) peers: PeerStandIn,
+    pub(super) peers: FakePeers,
     pub(super) now: Us,
     pub(super) rpcs: BTreeMap<SidecarStream, (RpcRequest, bool)>, // and whether its caller is gone
     pub(super) notices_read: usize,                               // notices that were read
@@ -34,13 +34,13 @@
     }
     pub(super) fn with_settings(seed: u64, settings: &Value) -> CoreHarness {
         let mut core = Core::new(START, server_parts(START, seed, settings, None), BufferPool::new(500), 4);
-        let mut out = PeerStandIn::default();
+        let mut out = FakePeers::default();
         core.start(START, &mut out);
         core.agent_connected(START);
         core.agent_up(START, None, &mut out);
         CoreHarness::with_core(core, out, START, settings)
     }
-    pub(super) fn with_core(core: Core, peers: PeerStandIn, now: Us, settings: &Value) -> CoreHarness {
+    pub(super) fn with_core(core: Core, peers: FakePeers, now: Us, settings: &Value) -> CoreHarness {
         let entries = configuration(settings);
         CoreHarness {
             core,
@@ -90,7 +90,7 @@
 
     /// The agent ends a run, or lets it wait for a call; the core hears of it when it reads on.
     pub(super) fn advance_run(&mut self, n: usize, call: bool) {
-        let going = |r: &&mut Run| !r.over && r.waits.is_none();
+        let going = |r: &&mut Run| !r.ended && r.pending_call.is_none();
         let count = self.peers.runs.values_mut().filter(|r| going(r)).count().max(1);
         let Some((id, run)) = self.peers.runs.iter_mut().filter(|(_, r)| going(r)).nth(n % count) else {
             return;
@@ -98,16 +98,16 @@
         let id = *id;
         let notice = if call && !run.stopped {
             let body = format!("call {n}").into_bytes();
-            run.waits = Some((self.peers.notices.len() as u64 + 1, body.clone()));
+            run.pending_call = Some((self.peers.notices.len() as u64 + 1, body.clone()));
             Notice::CallNeeded(id, body)
         } else {
-            run.over = true;
+            run.ended = true;
             let end = match (run.stopped, n % 5) {
                 (true, _) => RunEnd::Stopped,
                 (_, 0) => RunEnd::Aborted,
                 _ => RunEnd::Ok,
             };
-            Notice::Ended(id, end, if end == RunEnd::Ok { PeerStandIn::result(id) } else { vec![] })
+            Notice::Ended(id, end, if end == RunEnd::Ok { FakePeers::result(id) } else { vec![] })
         };
         self.peers.notify(notice);
     }
@@ -123,12 +123,12 @@
             .peers
             .runs
             .iter()
-            .filter(|(id, r)| r.waits.is_some() && answered(id))
+            .filter(|(id, r)| r.pending_call.is_some() && answered(id))
             .map(|(id, _)| *id)
             .collect();
         for id in over {
             if let Some(run) = self.peers.runs.get_mut(&id) {
-                (run.over, run.waits) = (true, None);
+                (run.ended, run.pending_call) = (true, None);
             }
             self.peers.notify(Notice::Ended(id, RunEnd::Stopped, vec![]));
         }
@@ -163,8 +163,9 @@
             return;
         };
         self.peers.calls.remove(&id);
-        let body = self.peers.runs.get(&id).and_then(|r| r.waits.clone()).map_or(vec![], |(_, body)| body);
-        let reply = if end == CallEnd::Ok { PeerStandIn::reply(&body) } else { vec![] };
+        let body =
+            self.peers.runs.get(&id).and_then(|r| r.pending_call.clone()).map_or(vec![], |(_, body)| body);
+        let reply = if end == CallEnd::Ok { FakePeers::reply(&body) } else { vec![] };
         self.core.call_ended(self.now, link, id, end, &reply, &mut self.peers);
     }
 
@@ -298,7 +299,7 @@
                 let link = UpstreamLinkId(n / 8 % 4);
                 self.peers.calls.retain(|_, on| *on != link);
                 self.core.link_ended(self.now, link, n.is_multiple_of(16), &mut self.peers);
-                self.core.link_ready(link);
+                self.core.link_backoff_ended(link);
                 self.peers.refuses_calls = n.is_multiple_of(3);
             }
             14 if n.is_multiple_of(50) && self.killed_at.is_none() => {
@@ -318,13 +319,13 @@
             assert!(
                 answer.is_some()
                     || *gone
-                    || self.now <= ask.deadline.unwrap_or(ask.arrived_at + DEADLINE) + SLACK,
+                    || self.now <= ask.deadline.unwrap_or(ask.arrived_at + DEADLINE) + MAX_ANSWER_DELAY,
                 "lost {ask:?}"
             );
             if let Some(("ok", body)) = answer {
                 // A read that repeats another may carry what the other's run made.
                 let made = |id: RpcId| {
-                    PeerStandIn::result(id) == *body && self.peers.runs.get(&id).is_some_and(|r| r.over)
+                    FakePeers::result(id) == *body && self.peers.runs.get(&id).is_some_and(|r| r.ended)
                 };
                 let same = |other: &RpcRequest| {
                     other.key.is_some() && (&other.method, other.key) == (&ask.method, ask.key)
--- a/daemon/src/tests/recovery.rs
+++ b/daemon/src/tests/recovery.rs
@@ -22,7 +22,7 @@
 fn harness_with(seed: u64, snapshot: Option<Snapshot>) -> CoreHarness {
     let mut core =
         Core::new(START, server_parts(START, seed, &sample_settings(), None), BufferPool::new(500), 4);
-    let mut out = PeerStandIn::default();
+    let mut out = FakePeers::default();
     core.start(START, &mut out);
     core.start_recovery(START, tracker(START, snapshot), &mut out);
     core.agent_connected(START);
--- a/daemon/src/tests/settings.rs
+++ b/daemon/src/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings and configurations of the tests.
 
-use super::stand_in::PeerStandIn;
+use super::fake_peers::FakePeers;
 use crate::core::{Core, VersionSwitch};
 use asterrill::Us;
 use asterrill_entries::{Configuration, EntryKind};
@@ -46,7 +46,7 @@
 }
 /// A change from one version to another, whole.
 pub(super) fn apply_change(
-    core: &mut Core, at: Us, from: &Configuration, to: &Configuration, number: u64, out: &mut PeerStandIn,
+    core: &mut Core, at: Us, from: &Configuration, to: &Configuration, number: u64, out: &mut FakePeers,
 ) {
     let step = from.changes_to(to);
     core.check_capacity_for(&step, &[]).unwrap();
--- a/daemon/src/tests/sidecar_rpcs.rs
+++ b/daemon/src/tests/sidecar_rpcs.rs
@@ -87,7 +87,7 @@
     let request =
         RpcRequest { id, method, tenant, caller, arrived_at: 0, deadline: Some(1), size_kb: 20.0, key: None };
     harness.core.rpc_received(harness.now, stream_ref, request, b"", &mut harness.peers);
-    assert_eq!(harness.peers.answers[&stream_ref].0, "pushed back");
+    assert_eq!(harness.peers.answers[&stream_ref].0, "rejected");
     let fine = harness.send_rpc(2, "look", 900 * MS, None);
     assert!(
         !harness.peers.answers.contains_key(&fine) && harness.peers.credit.unwrap() > 0.1,
--- a/daemon/src/tests/upstream_links.rs
+++ b/daemon/src/tests/upstream_links.rs
@@ -71,7 +71,7 @@
 #[test]
 fn next_call_of_an_rpc_never_takes_the_same_link() {
     use crate::upstream::UpstreamLinks;
-    let (mut links, mut out) = (UpstreamLinks::new(2), PeerStandIn::default());
+    let (mut links, mut out) = (UpstreamLinks::new(2), FakePeers::default());
     let first = links.select(None).unwrap();
     links.call_placed(first);
     links.call_finished(first, false, &mut out); // its reply came; a duplicate may follow
@@ -81,7 +81,7 @@
     links.disconnected(other);
     links.calls_drained(other);
     assert_eq!(links.select(Some(first)), Some(other), "not the link that the reply came by");
-    links.ready(other);
+    links.backoff_ended(other);
     // The other is being closed: there is none for now.
     links.retire(other, &mut out);
     assert_eq!(links.select(Some(first)), None);
@@ -92,7 +92,7 @@
 fn upstream_move_retires_links_after_their_calls() {
     let (mut harness, _) = with_calls_in_flight(23, 2);
     let before: BTreeSet<UpstreamLinkId> = harness.peers.calls.values().copied().collect();
-    harness.core.upstream_moved(&mut harness.peers);
+    harness.core.upstream_address_changed(&mut harness.peers);
     assert!(
         harness.peers.closed_links.iter().all(|link| !before.contains(link))
             && harness.peers.closed_links.len() == 2
--- a/daemon/src/tests/versions.rs
+++ b/daemon/src/tests/versions.rs
@@ -14,7 +14,7 @@
     let late = harness.send_rpc(9, "book", 900 * MS, None);
     assert_eq!(harness.peers.answers[&late].0, "aborted");
     harness.end_call(0, CallEnd::Ok);
-    while harness.peers.runs.values().any(|run| !run.over) {
+    while harness.peers.runs.values().any(|run| !run.ended) {
         harness.advance_run(1, false);
         harness.deliver_notices(usize::MAX);
     }
@@ -35,7 +35,7 @@
 #[test]
 fn switches_versions_without_an_agent_link() {
     let first = server_parts(START, 1, &sample_settings(), None);
-    let (mut core, mut out) = (Core::new(START, first, BufferPool::new(500), 4), PeerStandIn::default());
+    let (mut core, mut out) = (Core::new(START, first, BufferPool::new(500), 4), FakePeers::default());
     core.start(START, &mut out);
     let mut settings = sample_settings();
     settings["Categories"].as_array_mut().unwrap().pop();
@@ -155,7 +155,7 @@
     };
     let (half, whole) = (of(&mut (0..many / 2)), of(&mut (0..many)));
     let first = asterrill_settings::server_parts(START, 1, &half, None).unwrap();
-    let (mut core, mut out) = (Core::new(START, first, BufferPool::new(50), 4), PeerStandIn::default());
+    let (mut core, mut out) = (Core::new(START, first, BufferPool::new(50), 4), FakePeers::default());
     apply_change(&mut core, START, &half, &whole, 2, &mut out);
     // Any figure of those in the table may change, however many.
     apply_change(&mut core, START, &whole, &half, 3, &mut out);
--- a/daemon/src/upstream.rs
+++ b/daemon/src/upstream.rs
@@ -80,7 +80,7 @@
     }
 
     /// The backoff of a link is over.
-    pub fn ready(&mut self, id: UpstreamLinkId) {
+    pub fn backoff_ended(&mut self, id: UpstreamLinkId) {
         if let Some(link) = self.links.get_mut(id.0) {
             link.backing_off = false;
         }
