--- a/daemon/src/clocks.rs
+++ b/daemon/src/clocks.rs
@@ -1,10 +1,10 @@
-//! Readings of all clocks that there are, for snapshots of learned values.
+//! Readings of the wall clock and the uptime, which date snapshots of learned values.
 
 use asterrill::Us;
 use asterrill_net::now;
 use asterrill_recovery::ClockReading;
 
-/// Wall clock, time since boot, and a hash of the boot's id. What can't be read is 0.
+/// Reads the wall clock, the time since boot, and a hash of the boot id. A value that can't be read is 0.
 pub fn read_clocks() -> ClockReading {
     let read = |path: &str| std::fs::read_to_string(path).unwrap_or_default();
     let uptime = read("/proc/uptime");
--- a/daemon/src/core.rs
+++ b/daemon/src/core.rs
@@ -1,6 +1,8 @@
-//! The core of the daemon: joins the engine to sidecars, agent, upstream links, queues and name service. Inputs come
-//! in one at a time, together with the time; what is to be sent goes out through [`crate::outbound::Outbound`]. It has no
-//! socket and no clock, and decides nothing about an RPC: that is the decision module's job.
+//! Core of the daemon, which connects the engine to sidecars, agent, upstream links, queues and name service.
+//!
+//! The core processes one input at a time, each with its timestamp, and sends messages through
+//! [`crate::outbound::Outbound`]. It has no socket and no clock, and leaves all decisions about an RPC to the decision
+//! module.
 //!
 //! [`Core`] is defined in `state`; each of the other modules adds the methods of one concern to it.
 
--- a/daemon/src/core/active_names.rs
+++ b/daemon/src/core/active_names.rs
@@ -1,4 +1,4 @@
-//! The names of methods and tenants that are in force, for those who look RPCs up by name.
+//! Lookup of the methods and tenants in force by their names.
 
 use super::state::RpcEngine;
 use crate::name_table::NameTable;
@@ -8,21 +8,21 @@
 use asterrill_entries::Name;
 use asterrill_recovery::LatencyTargets;
 
-/// The name table, restricted to what the decision module has in force.
+/// View of the name table that contains only the names in force in the decision module.
 pub(super) struct ActiveNames<'a> {
-    /// All names in the table.
+    /// All names, in force or not.
     pub(super) names: &'a NameTable,
-    /// Knows which of them are in force.
+    /// The engine, which reports whether a name is in force.
     pub(super) engine: &'a RpcEngine,
 }
 
 impl ActiveNames<'_> {
-    /// The index of a method that is in force.
+    /// Returns the index of a method, if it is in force.
     pub(super) fn method_id(&self, name: &str) -> Option<MethodId> {
         self.names.method_id(name).filter(|id| self.engine.has_method(*id))
     }
 
-    /// The index of a tenant that is in force.
+    /// Returns the index of a tenant, if it is in force.
     pub(super) fn tenant_index(&self, name: &str) -> Option<usize> {
         self.names.tenant_index(name).filter(|index| self.engine.has_tenant(*index))
     }
--- a/daemon/src/core/agent.rs
+++ b/daemon/src/core/agent.rs
@@ -1,4 +1,4 @@
-//! Messages of the agent: greetings, numbered notices about runs, samples of its gauges, refusals.
+//! Messages from the agent: greetings, numbered notices about runs, gauge samples, refusals.
 
 use super::state::{Core, EngineParts};
 use crate::ids::Requester;
@@ -9,20 +9,22 @@
 use asterrill_settings::ServerParts;
 
 impl Core {
-    /// A new link to the agent is connected. Returns the number of the last notice read.
+    /// Registers a new link to the agent and returns the number of the last notice read.
     pub fn agent_connected(&mut self, now: Us) -> NoticeId {
         self.now = self.engine.advance_to(now);
         self.state.agent.link_connected(self.now)
     }
 
-    /// The agent has greeted. `fresh` is the decision module rebuilt for the moment that the agent started, if this
-    /// is its first greeting. Once all notices are read that were missed without a link, what may have been lost with
-    /// the link before is sent again.
-    pub fn agent_up(&mut self, now: Us, fresh: Option<ServerParts>, outbound: &mut dyn Outbound) {
+    /// Handles a greeting of the agent.
+    ///
+    /// At the first greeting, `rebuilt` is the decision module rebuilt for the time at which the agent started. The
+    /// messages that may have been lost with the previous link are sent again once all notices missed in the meantime
+    /// have been read.
+    pub fn agent_up(&mut self, now: Us, rebuilt: Option<ServerParts>, outbound: &mut dyn Outbound) {
         self.now = self.engine.advance_to(now);
         self.state.stats.agent_greetings += 1;
         let unused = self.engine.stats.requests == 0 && self.state.stats.changes == 0;
-        if let Some(server) = fresh.filter(|_| unused) {
+        if let Some(server) = rebuilt.filter(|_| unused) {
             self.restart_engine(now, server, outbound);
         }
         if self.state.agent_up_since.is_none() {
@@ -34,7 +36,9 @@
         outbound.request_sample(tag);
     }
 
-    /// Its names have the indices that they have already: both servers were made of the same version.
+    /// Replaces the decision module of the engine.
+    ///
+    /// All names keep their indices, because both servers were built from the same configuration version.
     fn restart_engine(&mut self, now: Us, server: ServerParts, outbound: &mut dyn Outbound) {
         let EngineParts { control, config } = EngineParts::new(server, self.result_bytes());
         self.with_engine(now, outbound, |engine, now, outputs| engine.restart(now, control, config, outputs));
@@ -45,12 +49,12 @@
         }
     }
 
-    /// Whether the agent has ever greeted.
+    /// Reports whether the agent has ever sent a greeting.
     pub fn agent_has_greeted(&self) -> bool {
         self.state.agent_up_since.is_some()
     }
 
-    /// The agent has sent a sample of its gauges.
+    /// Handles a sample of the agent's gauges.
     pub fn sample_received(&mut self, now: Us, tag: u64, values: &[f64], outbound: &mut dyn Outbound) {
         self.now = self.engine.advance_to(now);
         self.state.agent.message_received();
@@ -60,7 +64,7 @@
         }
     }
 
-    /// Sends again what may have been lost with an earlier link; it changes nothing where it had arrived.
+    /// Resends the messages that may have been lost with an earlier link. The agent ignores those that it has received.
     fn resend_lost_messages(&mut self, outbound: &mut dyn Outbound) {
         let lost = self.state.agent.take_lost_messages(self.now);
         for id in lost.commands {
@@ -85,7 +89,7 @@
         }
     }
 
-    /// Registers a numbered notice; every one comes by here first. False if it was read before.
+    /// Registers a numbered notice and reports whether it is new. Every notice is registered before it is handled.
     fn is_new_notice(&mut self, number: NoticeId) -> bool {
         self.state.agent.message_received();
         let is_new = self.state.agent.is_new_notice(number);
@@ -93,12 +97,12 @@
         is_new
     }
 
-    /// A notice came that nothing here depends on.
+    /// Registers a notice that needs no handling.
     pub fn notice_ignored(&mut self, number: NoticeId) {
         self.is_new_notice(number);
     }
 
-    /// A run has ended.
+    /// Handles the end of a run.
     pub fn run_ended(
         &mut self, now: Us, number: NoticeId, id: RpcId, end: RunEnd, result: &[u8],
         outbound: &mut dyn Outbound,
@@ -110,7 +114,7 @@
         }
     }
 
-    /// A run waits for an upstream call with this body.
+    /// Handles a run's request for an upstream call with this body.
     pub fn call_needed(
         &mut self, now: Us, number: NoticeId, id: RpcId, body: Option<&[u8]>, outbound: &mut dyn Outbound,
     ) {
@@ -122,7 +126,7 @@
         }
     }
 
-    /// The agent refused a command. A launch that it refuses has not started.
+    /// Handles the agent's refusal of a command. A run whose launch is refused has not started.
     pub fn command_refused(&mut self, now: Us, launch: Option<RpcId>, outbound: &mut dyn Outbound) {
         self.state.stats.commands_refused += 1;
         self.state.agent.message_received();
@@ -134,11 +138,11 @@
         }
     }
 
-    /// Reconnects to the agent if it, or one of its runs, has been silent for too long.
+    /// Reconnects to the agent if nothing was received from it, or about one of its runs, for too long.
     pub(super) fn check_agent_silence(&mut self, outbound: &mut dyn Outbound) {
         if let Some(silence) = self.state.agent.check_silence(self.now) {
             self.state.stats.agent_silence_resets += 1;
-            outbound.log(&format!("reconnecting to the agent: {silence}"));
+            outbound.log(&format!("agent timed out; reconnecting: {silence}"));
             outbound.reset_agent_link();
         }
     }
--- a/daemon/src/core/broker.rs
+++ b/daemon/src/core/broker.rs
@@ -1,4 +1,4 @@
-//! Deliveries of queues: what their state machines request of the engine, and the connection to the broker.
+//! Deliveries of queues: the requests of the queue state machines to the engine, and the connection to the broker.
 
 use super::active_names::ActiveNames;
 use super::engine_outputs::EngineOutputs;
@@ -11,21 +11,21 @@
 use asterrill_engine::{IncomingRpc, Outputs};
 use nanorand::Rng;
 
-/// Ids drawn for a delivery, in case one is in use, before it is treated as rejected.
+/// Maximum number of ids tried for a delivery before it is treated as rejected. A random id may already be in use.
 const MAX_ID_ATTEMPTS: usize = 4;
 
 impl Core {
-    /// Deliveries of queues are consumed from now on.
+    /// Starts consuming deliveries of these queues.
     pub fn attach_queues(&mut self, queues: QueueConsumers) {
         self.state.queues = Some(queues);
     }
 
-    /// The queues that are consumed, if any.
+    /// Returns the consumed queues, if any.
     pub fn queues(&self) -> Option<&QueueConsumers> {
         self.state.queues.as_ref()
     }
 
-    /// Carries out all that the queues request, and sends what is to go to the broker.
+    /// Carries out all pending requests of the queues, and sends pending bytes to the broker.
     pub(super) fn serve_queues(&mut self, outbound: &mut dyn Outbound) {
         let now = self.now;
         while let Some(request) = self.state.queues.as_mut().and_then(|queues| queues.next_request(now)) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Hands a delivery to the engine under an id that no other RPC has.
+    /// Submits a delivery to the engine under an id that no other RPC has.
     fn submit_delivery(
         &mut self, mut rpc: IncomingRpc, delivery: InFlightId, body: &[u8], outbound: &mut dyn Outbound,
     ) {
@@ -56,18 +56,19 @@
         let requester = Requester::Queue(delivery);
         let mut outputs = EngineOutputs { now, state: &mut self.state, outbound };
         outputs.state.service.record_received(rpc.method);
-        let mut taken = false;
+        let mut accepted = false;
         for _ in 0..MAX_ID_ATTEMPTS {
-            taken = taken || self.engine.request_received(now, requester, rpc.clone(), body, &mut outputs);
+            accepted =
+                accepted || self.engine.request_received(now, requester, rpc.clone(), body, &mut outputs);
             rpc.id = RpcId::from_number(self.rng.generate());
         }
-        if !taken {
+        if !accepted {
             let answer = FinalAnswer::Rejected { terminal: false, retry_after: 0 };
             outputs.answer(requester, answer, None, None);
         }
     }
 
-    /// Takes a delivery back that was not launched yet.
+    /// Withdraws a delivery from the engine if it has not been launched yet.
     fn withdraw_delivery(&mut self, delivery: InFlightId, outbound: &mut dyn Outbound) {
         let now = self.now;
         let requester = Requester::Queue(delivery);
@@ -79,7 +80,7 @@
         }
     }
 
-    /// A connection to the broker is up.
+    /// Handles a new connection to the broker.
     pub fn broker_connected(&mut self, now: Us, outbound: &mut dyn Outbound) {
         self.with_engine(now, outbound, |_, now, outputs| {
             if let Some(queues) = &mut outputs.state.queues {
@@ -88,19 +89,20 @@
         });
     }
 
-    /// The connection to the broker has ended, or could not be made. True if it had been of use.
+    /// Handles the end of the connection to the broker, or a failed attempt to connect. Returns whether the connection
+    /// had been usable.
     pub fn broker_disconnected(&mut self, now: Us, outbound: &mut dyn Outbound) -> bool {
         self.with_engine(now, outbound, |_, _, outputs| {
             outputs.state.queues.as_mut().is_some_and(QueueConsumers::disconnected)
         })
     }
 
-    /// Whether no connection to the broker is wanted any more.
+    /// Reports whether no connection to the broker is needed any more.
     pub fn broker_done(&self) -> bool {
         self.state.queues.as_ref().is_some_and(QueueConsumers::is_done)
     }
 
-    /// Bytes came from the broker. False if the connection is of no more use.
+    /// Handles bytes from the broker. Returns false if the connection has failed.
     pub fn broker_read(&mut self, now: Us, bytes: &[u8], outbound: &mut dyn Outbound) -> bool {
         let mut logs = Vec::new();
         let result = self.with_engine(now, outbound, |engine, now, outputs| {
@@ -114,13 +116,13 @@
         self.close_failed_broker(result, false, outbound)
     }
 
-    /// Closes a connection to the broker that has failed: when all is written, or at once if nobody may read that. False
-    /// if it has failed.
+    /// Closes the connection to the broker if `result` is an error: after all pending bytes are written, or at once if
+    /// the broker may no longer read them. Returns false if the connection has failed.
     pub(super) fn close_failed_broker(
         &mut self, result: Result<(), String>, at_once: bool, outbound: &mut dyn Outbound,
     ) -> bool {
-        if let Err(why) = &result {
-            outbound.log(&format!("reconnecting to the broker: {why}"));
+        if let Err(reason) = &result {
+            outbound.log(&format!("connection to the broker failed; reconnecting: {reason}"));
             outbound.close_broker(at_once);
         }
         result.is_ok()
--- a/daemon/src/core/configuration.rs
+++ b/daemon/src/core/configuration.rs
@@ -1,5 +1,6 @@
-//! Configuration versions: entries are staged beside those in force, then one input switches all of them over. Also the
-//! figures that the watch over a change reads, and what the other members decide: quota and deny lists.
+//! Configuration versions, service figures for change monitoring, quota and deny lists.
+//!
+//! The entries of a new version are staged next to those in force, then a single input activates all of them.
 
 use super::state::{Core, CoreState};
 use crate::outbound::Outbound;
@@ -11,13 +12,13 @@
 use asterrill_rollout::{ObservedLoad, ServiceSample};
 use asterrill_settings::GlobalParts;
 
-/// What comes into force together with the entries that were staged.
+/// Parts of a configuration version that are activated together with its staged entries.
 pub struct VersionSwitch {
-    /// The number of the version.
+    /// The version number.
     pub number: u64,
-    /// The parts of the decision module that are not entries, if the global settings or a method change.
+    /// The parts of the decision module that are not entries; present if the global settings or a method change.
     pub global_parts: Option<GlobalParts>,
-    /// The longest latency target in microseconds, in the same case.
+    /// The longest latency target in microseconds; used only if `global_parts` is present.
     pub longest_latency_target: Us,
     /// The queues to consume.
     pub queues: Vec<ConsumerConfig>,
@@ -26,12 +27,12 @@
 }
 
 impl Core {
-    /// The configuration version in force.
+    /// Returns the number of the configuration version in force.
     pub fn version(&self) -> u64 {
         self.state.versions.module
     }
 
-    /// Takes what was served since the last sample, for the watch over a change.
+    /// Takes the service figures since the last sample, from which a change on probation is judged.
     pub fn take_service_sample(&mut self) -> ServiceSample {
         let (engine, names) = (&self.engine, &self.state.names);
         let name = |method| names.name(method).cloned();
@@ -39,7 +40,7 @@
         self.state.service.take_sample(name, |method| engine.mean_cost(method))
     }
 
-    /// The load of the last minute, and the memory in use now.
+    /// Returns the load of the last minute and the memory currently in use.
     pub fn recent_load(&self) -> ObservedLoad {
         let (engine, names) = (&self.engine, &self.state.names);
         let name = |method| names.name(method).cloned();
@@ -48,30 +49,33 @@
         load
     }
 
-    /// The change in force is final: service is judged by its latency targets, and removed tenants are forgotten.
+    /// Makes the change in force final: answers are judged by its latency targets, and the indices of removed tenants
+    /// are released.
     pub fn commit_change(&mut self) {
         let engine = &self.engine;
         self.state.service.commit_targets();
         self.state.names.release_removed_tenants(|tenant| engine.has_tenant(tenant));
     }
 
-    /// Whether there is capacity to stage these changes and consume these queues. The error says what is exhausted.
+    /// Checks that there is capacity to stage these changes and consume these queues. The error names what is exhausted.
     pub fn check_capacity_for(&self, changes: &[Change], queues: &[ConsumerConfig]) -> Result<(), String> {
         if self.state.queues.as_ref().is_some_and(|current| !current.has_capacity_for(queues)) {
-            return Err("there were too many queues since the start: start anew".into());
+            return Err("too many different queues since the process started; restart it".into());
         }
         self.state.names.check_capacity_for(changes)
     }
 
-    /// Stages entries beside those in force: none is visible until [`Core::switch_version`]. A long change is staged
-    /// slice by slice, so that other inputs get their turn.
+    /// Stages entries next to those in force. None of them is visible until [`Core::switch_version`].
+    ///
+    /// A long change is staged in slices, so that other inputs are processed in between.
     pub fn stage(&mut self, changes: &[Change]) {
         let updates = self.state.names.stage(changes);
         self.engine.stage(&updates);
     }
 
-    /// Brings a version into force with all that was staged. All that follows is decided under it; RPCs in flight keep
-    /// the settings under which they were received.
+    /// Activates a version together with all staged entries.
+    ///
+    /// All later decisions use this version; RPCs in flight keep the settings under which they were received.
     pub fn switch_version(&mut self, now: Us, switch: VersionSwitch, outbound: &mut dyn Outbound) {
         let VersionSwitch {
             number,
@@ -107,7 +111,7 @@
         });
     }
 
-    /// Sets this server's quota of what the settings divide among the members, over the even one.
+    /// Sets this server's share of the quotas that the members divide, relative to an equal share.
     pub fn set_quota_fraction(&mut self, now: Us, fraction: f64, outbound: &mut dyn Outbound) {
         if self.state.quota_fraction.replace(fraction) != Some(fraction) {
             self.with_engine(now, outbound, |engine, now, outputs| {
@@ -116,12 +120,12 @@
         }
     }
 
-    /// Sets the agreed deny lists that are in force.
+    /// Sets the agreed deny lists to enforce.
     pub fn set_apply_policy(&mut self, policy: ApplyPolicy) {
         self.state.apply_policy = Some(policy);
     }
 
-    /// The lease of the agreed deny lists has expired.
+    /// Applies the expiry of the lease of the agreed deny lists.
     pub fn expire_policy_lease(&mut self) {
         self.state.apply_policy = self.state.apply_policy.as_ref().map(ApplyPolicy::after_lease_expiry);
     }
--- a/daemon/src/core/engine_access.rs
+++ b/daemon/src/core/engine_access.rs
@@ -1,4 +1,4 @@
-//! The one way by which inputs reach the engine.
+//! Access to the engine: all its inputs pass through [`Core::with_engine`].
 
 use super::engine_outputs::EngineOutputs;
 use super::state::{Core, RpcEngine};
@@ -6,8 +6,8 @@
 use asterrill::Us;
 
 impl Core {
-    /// Brings an input to the engine, together with what carries out its outputs; then serves the queues, which the
-    /// input may have given work.
+    /// Applies an input to the engine and carries out its outputs, then serves the queues, for which the input may have
+    /// produced work.
     pub(super) fn with_engine<R>(
         &mut self, now: Us, outbound: &mut dyn Outbound,
         input: impl FnOnce(&mut RpcEngine, Us, &mut EngineOutputs<'_>) -> R,
--- a/daemon/src/core/engine_outputs.rs
+++ b/daemon/src/core/engine_outputs.rs
@@ -1,4 +1,4 @@
-//! Carries out what the engine hands back: messages to sidecars, agent and upstream, and the records of them.
+//! Outputs of the engine: sends its messages to sidecars, agent and upstream, and records them.
 
 use super::state::CoreState;
 use crate::ids::Requester;
@@ -6,13 +6,13 @@
 use asterrill::{FinalAnswer, MethodId, RpcId, Us};
 use asterrill_engine::{AnsweredRpc, Outputs, UpstreamLinkId};
 
-/// The engine's outputs during one input.
+/// Receiver of the engine's outputs during one input.
 pub(super) struct EngineOutputs<'a> {
-    /// The moment of the input.
+    /// The time of the input.
     pub(super) now: Us,
-    /// What the outputs change.
+    /// The state in which the outputs are recorded.
     pub(super) state: &'a mut CoreState,
-    /// Where messages go.
+    /// The destination of messages.
     pub(super) outbound: &'a mut dyn Outbound,
 }
 
--- a/daemon/src/core/exercise.rs
+++ b/daemon/src/core/exercise.rs
@@ -1,26 +1,26 @@
-//! The exercise of the agent that thorough health checks wait for.
+//! Exercises of the agent, the self-tests for which thorough health checks wait.
 
 use crate::ids::SidecarStream;
 use asterrill::Us;
 
-/// Health checks that wait for the same exercise of the agent.
+/// Health checks that wait for the same exercise of the agent, which may be none.
 #[derive(Default)]
 pub(super) struct Exercise {
-    /// Where the checks came from.
+    /// The streams on which the checks arrived.
     pub(super) waiting: Vec<SidecarStream>,
-    /// The number of the exercise.
+    /// The tag of the exercise.
     pub(super) tag: u64,
-    /// When the checks are answered at the latest.
+    /// The time at which the checks are answered as failed.
     pub(super) deadline: Us,
 }
 
 impl Exercise {
-    /// An exercise is under way.
+    /// Reports whether an exercise is in progress.
     pub(super) fn is_running(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// When it is over at the latest, if one is under way.
+    /// Returns the deadline of the exercise, if one is in progress.
     pub(super) fn next_deadline(&self) -> Option<Us> {
         Some(self.deadline).filter(|_| self.is_running())
     }
--- a/daemon/src/core/health_checks.rs
+++ b/daemon/src/core/health_checks.rs
@@ -1,17 +1,17 @@
-//! Health checks of sidecars: shallow ones are answered at once, thorough ones wait for an exercise of the agent.
+//! Health checks of sidecars. Shallow ones are answered at once, thorough ones wait for an exercise of the agent.
 
 use super::state::Core;
 use crate::ids::SidecarStream;
 use crate::outbound::Outbound;
 use asterrill::Us;
 
-/// A thorough health check is answered within this many microseconds.
+/// Time within which a thorough health check is answered, in microseconds.
 const EXERCISE_TIMEOUT_US: Us = 200_000;
-/// Thorough health checks that wait at a time; more are answered like shallow ones.
+/// Maximum number of thorough health checks that wait at the same time; more are answered like shallow ones.
 const MAX_WAITING_CHECKS: usize = 64;
 
 impl Core {
-    /// A health check was received. A thorough one waits for an exercise of the agent, which all that wait share.
+    /// Handles a health check. Thorough checks wait for an exercise of the agent; all waiting checks share one.
     pub fn health_check(
         &mut self, now: Us, from: SidecarStream, thorough: bool, outbound: &mut dyn Outbound,
     ) {
@@ -31,7 +31,7 @@
         state.exercise.waiting.push(from);
     }
 
-    /// The agent has finished an exercise.
+    /// Handles the result of an exercise of the agent.
     pub fn exercise_finished(&mut self, now: Us, tag: u64, passed: bool, outbound: &mut dyn Outbound) {
         self.now = self.engine.advance_to(now);
         self.state.agent.message_received();
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Answers the checks that have waited too long.
+    /// Answers the waiting checks as failed once the deadline of the exercise has passed.
     pub(super) fn expire_exercise(&mut self, outbound: &mut dyn Outbound) {
         if self.state.exercise.next_deadline().is_some_and(|deadline| deadline <= self.now) {
             self.answer_health_checks(false, outbound);
--- a/daemon/src/core/idempotency_key.rs
+++ b/daemon/src/core/idempotency_key.rs
@@ -1,12 +1,12 @@
-//! The idempotency key of an RPC.
+//! Idempotency keys of RPCs.
 
 use asterrill_engine::IdempotencyKey;
 
-/// The key by which the attempts of one RPC are recognised.
+/// Returns the key that identifies the attempts of one RPC.
 ///
-/// The protocol has no field for it and each attempt has an id of its own; what stays the same is the method, the
-/// tenant and the body. A client that retries may come by another sidecar, so the caller is left out
-/// (`docs/program.md`).
+/// The protocol has no field for such a key, and each attempt has its own id, so the key is a hash of method, tenant
+/// and body, which are the same in all attempts. The caller is not part of it, because a client may retry through
+/// another sidecar (`docs/program.md`).
 pub(super) fn idempotency_key(method: &str, tenant: &str, body: &[u8]) -> IdempotencyKey {
     let mut hash = blake3::Hasher::new();
     for name in [method, tenant] {
@@ -17,7 +17,7 @@
     IdempotencyKey(key)
 }
 
-/// A shorter key for the response cache: the first half of the idempotency key.
+/// Returns the shorter key used by the response cache: the first half of the idempotency key.
 pub(super) fn cache_key(key: IdempotencyKey) -> Option<u64> {
     let IdempotencyKey(bytes) = key;
     bytes.first_chunk().map(|half| u64::from_be_bytes(*half))
--- a/daemon/src/core/lifecycle.rs
+++ b/daemon/src/core/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, timers, and the graceful shutdown.
+//! Start, timers and graceful shutdown.
 
 use super::state::Core;
 use crate::outbound::Outbound;
@@ -6,11 +6,11 @@
 use crate::recovery::RecoveryTracker;
 use asterrill::Us;
 
-/// Microseconds reserved before the kill to write out the pending answers.
+/// Time reserved for writing pending answers before the process is killed, in microseconds.
 const FLUSH_TIME_US: Us = 100_000;
 
 impl Core {
-    /// The start: the decision module says what to publish.
+    /// Starts the engine, whose decision module determines the figures published at first.
     pub fn start(&mut self, now: Us, outbound: &mut dyn Outbound) {
         self.with_engine(now, outbound, |engine, now, outputs| engine.start(now, outputs));
     }
@@ -30,12 +30,12 @@
         });
     }
 
-    /// Whether the graceful shutdown is complete: no answer is pending any more.
+    /// Reports whether the graceful shutdown is complete and no answer is pending.
     pub fn is_drained(&self) -> bool {
         self.engine.is_drained()
     }
 
-    /// When [`Core::tick`] is due next.
+    /// Returns the time at which [`Core::tick`] is due next.
     pub fn next_deadline(&self) -> Option<Us> {
         let deadlines = [
             self.engine.next_timer(),
@@ -47,7 +47,7 @@
         deadlines.into_iter().flatten().min()
     }
 
-    /// Time has passed.
+    /// Processes all timers that are due.
     pub fn tick(&mut self, now: Us, outbound: &mut dyn Outbound) {
         self.now = self.engine.advance_to(now);
         self.expire_exercise(outbound);
--- a/daemon/src/core/recovery.rs
+++ b/daemon/src/core/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery after a start or an outage: the snapshot of learned state, slow start, and the stage that is reached.
+//! Recovery after a start or an outage: snapshots of learned state, slow start and recovery stages.
 
 use super::active_names::ActiveNames;
 use super::state::{Core, CoreState};
@@ -8,7 +8,7 @@
 use asterrill_recovery::{ClockReading, Snapshot, StageTracker};
 
 impl Core {
-    /// Recovery is tracked from now on.
+    /// Starts tracking recovery.
     pub fn start_recovery(&mut self, now: Us, recovery: RecoveryTracker, outbound: &mut dyn Outbound) {
         let limits = recovery.limits();
         self.state.recovery = Some(recovery);
@@ -17,14 +17,15 @@
         });
     }
 
-    /// The agent has greeted: at the first greeting the snapshot is assessed and what holds of it is restored. `empty`:
-    /// the agent started cold.
-    pub fn agent_greeted(&mut self, now: Us, empty: bool, outbound: &mut dyn Outbound) {
+    /// Restores the valid parts of the stored snapshot at the agent's first greeting.
+    ///
+    /// `agent_cold` tells whether the agent started with empty caches.
+    pub fn agent_greeted(&mut self, now: Us, agent_cold: bool, outbound: &mut dyn Outbound) {
         let status = self.engine.status();
         let CoreState { recovery, names, .. } = &mut self.state;
         let Some(recovery) = recovery else { return };
         let active = ActiveNames { names, engine: &self.engine };
-        let restored = recovery.agent_greeted(now, empty, status, &active);
+        let restored = recovery.agent_greeted(now, agent_cold, status, &active);
         let limits = recovery.limits();
         self.with_engine(now, outbound, |engine, now, outputs| {
             engine.set_recovery_limits(now, limits, outputs);
@@ -35,13 +36,13 @@
         });
     }
 
-    /// Follows how far recovery has come.
+    /// Updates slow start and the recovery stage, and logs a stage that was entered.
     pub(super) fn update_recovery(&mut self, now: Us, outbound: &mut dyn Outbound) {
         let Some(recovery) = &mut self.state.recovery else { return };
         let update = recovery.update(now, &self.engine.stats, self.engine.status());
         if let Some(stage) = update.entered_stage {
-            let why = recovery.stages().reason().as_str();
-            outbound.log(&format!("stage {}: {why}", stage.name()));
+            let reason = recovery.stages().reason().as_str();
+            outbound.log(&format!("recovery stage {} entered: {reason}", stage.name()));
         }
         if let Some(limits) = update.limits {
             self.with_engine(now, outbound, |engine, now, outputs| {
@@ -50,19 +51,19 @@
         }
     }
 
-    /// Sets the hash of the settings that have come into force.
+    /// Sets the hash of the settings in force.
     pub fn set_settings_hash(&mut self, hash: u64) {
         if let Some(recovery) = &mut self.state.recovery {
             recovery.set_settings_hash(hash);
         }
     }
 
-    /// The snapshot to persist now, if one is due or the server leaves.
+    /// Returns the snapshot to store now, if one is due or the server is shutting down.
     pub fn take_snapshot(
-        &mut self, now: Us, clocks: impl Fn() -> ClockReading, leaving: bool,
+        &mut self, now: Us, clocks: impl Fn() -> ClockReading, shutting_down: bool,
     ) -> Option<Snapshot> {
         let recovery = self.state.recovery.as_mut()?;
-        if !recovery.is_snapshot_due(now, leaving) {
+        if !recovery.is_snapshot_due(now, shutting_down) {
             return None;
         }
         self.state.stats.snapshots += 1;
@@ -70,7 +71,7 @@
         Some(recovery.snapshot(clocks(), self.engine.learned_state(), &active))
     }
 
-    /// The stages of recovery, and how many outages of the upstream tier were detected; `None` where recovery is not
+    /// Returns the recovery stages and the number of detected outages of the upstream tier, or `None` if recovery is not
     /// tracked.
     pub fn recovery_stages(&self) -> Option<(&StageTracker, u64)> {
         self.state.recovery.as_ref().map(|recovery| (recovery.stages(), recovery.outages()))
--- a/daemon/src/core/sidecar_rpcs.rs
+++ b/daemon/src/core/sidecar_rpcs.rs
@@ -1,4 +1,4 @@
-//! RPCs of sidecars: received, rejected by the agreed lists, aborted, cancelled.
+//! RPCs of sidecars: receipt, rejection by the agreed deny lists, abortion, cancellation.
 
 use super::active_names::ActiveNames;
 use super::idempotency_key::{cache_key, idempotency_key};
@@ -11,8 +11,10 @@
 use asterrill_protocol::sidecar::{RpcRequest, StreamId, MAX_STREAMS};
 
 impl Core {
-    /// A complete RPC was received. False if nothing more is accepted from its connection: too many streams are open,
-    /// or none of its RPCs could be run.
+    /// Handles a complete RPC.
+    ///
+    /// Returns false if nothing more is accepted from its connection, because too many streams are open or none of its
+    /// RPCs could be run.
     pub fn rpc_received(
         &mut self, now: Us, from: SidecarStream, request: RpcRequest, body: &[u8],
         outbound: &mut dyn Outbound,
@@ -32,16 +34,16 @@
             return true;
         };
         self.state.service.record_received(rpc.method);
-        let taken = self.with_engine(now, outbound, |engine, now, outputs| {
+        let accepted = self.with_engine(now, outbound, |engine, now, outputs| {
             engine.request_received(now, requester, rpc, body, outputs)
         });
-        if !taken {
+        if !accepted {
             self.abort_unserviceable(now, from, outbound);
         }
         true
     }
 
-    /// Whether the agreed lists deny the RPC's tenant, caller or method.
+    /// Reports whether the agreed deny lists reject the RPC's tenant, caller or method.
     fn is_denied(&self, request: &RpcRequest) -> bool {
         let Some(policy) = &self.state.apply_policy else { return false };
         let mut digits = [0; 20];
@@ -53,7 +55,7 @@
         keys.iter().any(|(kind, key)| policy.rejects(*kind, key))
     }
 
-    /// The RPC as the engine takes it. `None` if its method or tenant is not in force.
+    /// Converts a request to the form that the engine accepts. Returns `None` if its method or tenant is not in force.
     fn resolve_rpc(
         &mut self, now: Us, conn: ConnectionId, request: &RpcRequest, body: &[u8],
     ) -> Option<IncomingRpc> {
@@ -63,7 +65,7 @@
             return None;
         }
         let method = active.method_id(&request.method)?;
-        // RPCs of a sidecar that the agent may never have heard of are coalesced with no other.
+        // RPCs of a sidecar that the agent may not know are not coalesced with others.
         let coalescible = self.state.sidecars.is_verified(conn);
         let keys = self.keys_of(method, request, body, coalescible);
         let now = self.engine.advance_to(now);
@@ -82,8 +84,10 @@
         })
     }
 
-    /// An answer carries what a run made for this RPC: of reads with one entity key, only attempts of the same RPC are
-    /// coalesced, so both keys are made from method, tenant and body.
+    /// Returns the keys under which the engine recognises other attempts of this RPC.
+    ///
+    /// Different reads with the same entity key have different results, and only attempts of the same RPC may share one.
+    /// Both keys are therefore computed from method, tenant and body.
     fn keys_of(&self, method: MethodId, request: &RpcRequest, body: &[u8], coalescible: bool) -> RpcKeys {
         if self.state.names.idempotency(method) == Some(Idempotency::Keyed) {
             let key = idempotency_key(&request.method, &request.tenant, body);
@@ -96,7 +100,7 @@
         RpcKeys::default()
     }
 
-    /// An RPC with a missing or malformed field. False if nothing more is accepted from its connection.
+    /// Aborts an RPC with a missing or malformed field. Returns false if nothing more is accepted from its connection.
     pub fn malformed_rpc(&mut self, now: Us, from: SidecarStream, outbound: &mut dyn Outbound) -> bool {
         let accepts = self.state.sidecars.accepts_rpc(from.conn);
         if accepts {
@@ -105,7 +109,7 @@
         accepts
     }
 
-    /// Aborts an RPC that could never be run here.
+    /// Aborts an RPC that this server can't run.
     fn abort_unserviceable(&mut self, now: Us, from: SidecarStream, outbound: &mut dyn Outbound) {
         self.state.stats.malformed += 1;
         let requester = Requester::Sidecar(from);
@@ -115,7 +119,7 @@
         self.count_unrunnable(from.conn, outbound);
     }
 
-    /// An RPC of a connection could not be run; one that brings nothing else is closed.
+    /// Counts an RPC that could not be run, and closes its connection after too many of them without a completed run.
     pub(super) fn count_unrunnable(&mut self, conn: ConnectionId, outbound: &mut dyn Outbound) {
         if self.state.sidecars.count_unrunnable(conn) {
             self.state.stats.sidecar_protocol_errors += 1;
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Nobody waits for the answer on this stream any more.
+    /// Cancels the RPC of a stream whose caller no longer waits for the answer.
     pub fn rpc_cancelled(&mut self, now: Us, from: SidecarStream, outbound: &mut dyn Outbound) {
         let requester = Requester::Sidecar(from);
         self.with_engine(now, outbound, |engine, now, outputs| {
@@ -131,7 +135,7 @@
         });
     }
 
-    /// A connection has closed: nobody waits for an answer on it any more.
+    /// Handles the end of a connection and cancels all unanswered RPCs on it.
     pub fn connection_closed(&mut self, now: Us, conn: ConnectionId, outbound: &mut dyn Outbound) {
         self.state.exercise.waiting.retain(|stream| stream.conn != conn);
         let unanswered: Vec<Requester> = self.unanswered_on(conn).copied().collect();
@@ -152,33 +156,33 @@
         self.state.exercise.waiting.iter().filter(move |stream| stream.conn == conn)
     }
 
-    /// How many answers are pending on a connection, those to health checks included.
+    /// Returns the number of pending answers on a connection, including those to health checks.
     pub fn pending_answers_on(&self, conn: ConnectionId) -> usize {
         self.unanswered_on(conn).count() + self.health_checks_on(conn).count()
     }
 
-    /// Whether an answer is pending on a connection.
+    /// Reports whether an answer is pending on a connection.
     pub fn has_pending_answers(&self, conn: ConnectionId) -> bool {
         self.unanswered_on(conn).next().is_some() || self.health_checks_on(conn).next().is_some()
     }
 
-    /// Whether a run was ever made for this connection: its RPCs are those of a sidecar that the agent knows.
+    /// Reports whether a run was ever completed for this connection, which shows that the agent knows its sidecar.
     pub fn is_verified(&self, conn: ConnectionId) -> bool {
         self.state.sidecars.is_verified(conn)
     }
 
-    /// How many RPCs are not over.
+    /// Returns the number of open RPCs.
     pub fn open_rpcs(&self) -> usize {
         self.engine.open_rpcs()
     }
 
-    /// How many RPCs are not answered.
+    /// Returns the number of unanswered RPCs.
     pub fn unanswered_rpcs(&self) -> usize {
         self.engine.unanswered()
     }
 }
 
-/// The keys by which an RPC is recognised as an attempt of another.
+/// Keys that mark RPCs as attempts of the same operation.
 #[derive(Default)]
 struct RpcKeys {
     idempotency: Option<asterrill_engine::IdempotencyKey>,
--- a/daemon/src/core/state.rs
+++ b/daemon/src/core/state.rs
@@ -1,4 +1,4 @@
-//! What the core owns: the engine, and the state of everything that surrounds it.
+//! State of the core: the engine, and the state of its environment.
 
 use super::exercise::Exercise;
 use crate::agent_session::AgentSession;
@@ -17,94 +17,95 @@
 use asterrill_settings::ServerParts;
 use nanorand::WyRand;
 
-/// Of the memory for bodies in flight, the results held for idempotency keys may take one part in so many.
+/// Divisor that gives the share of the body memory available to results held for idempotency keys.
 const RESULT_MEMORY_DIVISOR: usize = 2;
 
-/// The engine as the daemon uses it: answers go to [`Requester`]s, bodies are held in pooled buffers.
+/// Engine type of the daemon, which sends answers to [`Requester`]s and holds bodies in pooled buffers.
 pub(super) type RpcEngine = Engine<Requester, PooledBuffer>;
 
-/// The engine and all that surrounds it.
+/// The engine together with the state of its environment.
 pub struct Core {
-    /// All open RPCs around the decision module.
+    /// The engine, which holds all open RPCs and the decision module.
     pub(super) engine: RpcEngine,
-    /// Holds the bodies of RPCs in flight.
+    /// The buffers for bodies of RPCs in flight.
     pub(super) body_pool: BufferPool,
-    /// All that surrounds the engine.
+    /// All state besides the engine.
     pub(super) state: CoreState,
-    /// The moment of the present input; never goes back.
+    /// The time of the current input; never decreases.
     pub(super) now: Us,
-    /// Draws the ids of RPCs that come from queues.
+    /// The generator of ids for RPCs from queues.
     pub(super) rng: WyRand,
 }
 
-/// All that the core owns besides the engine.
+/// State of the core besides the engine.
 pub(super) struct CoreState {
     /// The indices of method and tenant names.
     pub(super) names: NameTable,
-    /// What was sent to the agent and read from it.
+    /// The session with the agent.
     pub(super) agent: AgentSession,
-    /// The connections that have brought RPCs.
+    /// The sidecar connections on which an RPC was received.
     pub(super) sidecars: SidecarRegistry,
-    /// The links that calls take.
+    /// The links over which upstream calls are sent.
     pub(super) upstream_links: UpstreamLinks,
-    /// The queues that are consumed, if any.
+    /// The consumed queues, if any.
     pub(super) queues: Option<QueueConsumers>,
-    /// The exercise that thorough health checks wait for.
+    /// The exercise for which thorough health checks wait.
     pub(super) exercise: Exercise,
-    /// The decision module's health, as last reported.
+    /// The last reported health of the decision module.
     pub(super) healthy: bool,
-    /// The graceful shutdown has begun.
+    /// Whether the graceful shutdown has begun.
     pub(super) draining: bool,
-    /// When the agent greeted first; nothing was sent here before.
+    /// The time of the agent's first greeting. Before it this server did not report itself as serving.
     pub(super) agent_up_since: Option<Us>,
-    /// What was served of each method.
+    /// The service figures of each method.
     pub(super) service: ServiceStats,
-    /// The configuration version of each part.
+    /// The configuration version that each part has applied.
     pub(super) versions: AppliedVersions,
-    /// How far this server has recovered, where that is tracked.
+    /// The recovery of this server, if it is tracked.
     pub(super) recovery: Option<RecoveryTracker>,
-    /// This server's quota of what the settings divide, over the even one; `None` without members.
+    /// This server's share of the quotas that the members divide, relative to an equal share; `None` without members.
     pub(super) quota_fraction: Option<f64>,
-    /// The agreed deny lists in force; `None` where nothing is agreed on.
+    /// The agreed deny lists to enforce; `None` if there are none.
     pub(super) apply_policy: Option<ApplyPolicy>,
     /// The daemon's counters.
     pub(super) stats: Stats,
 }
 
-/// The configuration version that each part has taken up. They differ only while one is being applied, so never while
-/// an RPC is answered.
+/// Configuration version that each part has applied.
+///
+/// The versions differ only while a new one is being applied, never while an RPC is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct AppliedVersions {
-    /// Of the decision module.
+    /// The version of the decision module.
     pub(super) module: u64,
-    /// Of the name table.
+    /// The version of the name table.
     pub(super) names: u64,
-    /// Of the queues.
+    /// The version of the queues.
     pub(super) queues: u64,
 }
 
 impl AppliedVersions {
-    /// All parts are at this version.
+    /// Returns the state in which all parts are at this version.
     pub(super) fn all(version: u64) -> AppliedVersions {
         AppliedVersions { module: version, names: version, queues: version }
     }
 
-    /// Whether a version is being applied.
+    /// Reports whether the parts are at different versions.
     pub(super) fn differ(&self) -> bool {
         self.module != self.names || self.names != self.queues
     }
 }
 
-/// The parts of a server that the engine is made from.
+/// Parts of a server from which the engine is built.
 pub(super) struct EngineParts {
     /// The decision module.
     pub(super) control: Control,
-    /// What the engine is to observe.
+    /// The configuration of the engine.
     pub(super) config: EngineConfig,
 }
 
 impl EngineParts {
-    /// Takes them from a server; `result_bytes` bounds the results held for idempotency keys.
+    /// Extracts the parts from a server. `result_bytes` bounds the results held for idempotency keys.
     pub(super) fn new(server: ServerParts, result_bytes: usize) -> EngineParts {
         let limits = RetentionLimits {
             result_ttl: server.response_ttl,
@@ -117,7 +118,7 @@
 }
 
 impl Core {
-    /// A core for this server; bodies are held in `body_pool`, and calls go over `links` upstream links.
+    /// Creates the core of this server. Bodies are held in `body_pool`, and calls use `links` upstream links.
     pub fn new(now: Us, mut server: ServerParts, body_pool: BufferPool, links: usize) -> Core {
         let service = ServiceStats::new(now, server.latency_targets.clone());
         let mut agent = AgentSession::default();
@@ -151,17 +152,17 @@
         }
     }
 
-    /// How many bytes the results held for idempotency keys may take.
+    /// Returns the maximum number of bytes of results held for idempotency keys.
     pub(super) fn result_bytes(&self) -> usize {
         result_bytes(&self.body_pool)
     }
 
-    /// The counters that the daemon keeps; those of the engine are added by [`Core::stats`].
+    /// Returns the daemon's own counters; [`Core::stats`] adds those of the engine.
     pub fn stats_mut(&mut self) -> &mut Stats {
         &mut self.state.stats
     }
 
-    /// All counters.
+    /// Returns all counters, including those of the engine.
     pub fn stats(&self) -> Stats {
         let mut stats = self.state.stats.clone();
         stats.add_engine(&self.engine.stats);
--- a/daemon/src/core/upstream_calls.rs
+++ b/daemon/src/core/upstream_calls.rs
@@ -1,4 +1,4 @@
-//! Replies of the upstream tier, and the links that its calls go over.
+//! Replies of the upstream tier, and the links over which calls are sent.
 
 use super::state::Core;
 use crate::outbound::Outbound;
@@ -6,7 +6,7 @@
 use asterrill_engine::UpstreamLinkId;
 
 impl Core {
-    /// A call has ended with a reply.
+    /// Handles the reply to a call.
     pub fn call_ended(
         &mut self, now: Us, link: UpstreamLinkId, id: RpcId, end: CallEnd, reply: &[u8],
         outbound: &mut dyn Outbound,
@@ -16,7 +16,7 @@
         });
     }
 
-    /// A link has ended with all calls on it. `refused` proves that none of them had any effect.
+    /// Handles the end of a link and ends all calls on it. If `refused` is set, none of them had any effect.
     pub fn link_ended(&mut self, now: Us, link: UpstreamLinkId, refused: bool, outbound: &mut dyn Outbound) {
         let end = if refused { CallEnd::Rejected } else { CallEnd::Aborted };
         let had_calls = self.state.upstream_links.has_calls(link);
@@ -29,22 +29,22 @@
         self.state.upstream_links.calls_drained(link);
     }
 
-    /// The backoff of a link is over: it may be connected again.
+    /// Handles the end of a link's backoff, after which it may be connected again.
     pub fn link_backoff_ended(&mut self, link: UpstreamLinkId) {
         self.state.upstream_links.backoff_ended(link);
     }
 
-    /// Takes a link out of use; its calls in flight go on.
+    /// Stops using a link for new calls; its calls in flight continue.
     pub fn retire_link(&mut self, link: UpstreamLinkId, outbound: &mut dyn Outbound) {
         self.state.upstream_links.retire(link, outbound);
     }
 
-    /// The upstream address has changed. Calls in flight may still end where they were sent.
+    /// Retires all links after a change of the upstream address. Calls in flight may still complete at the old address.
     pub fn upstream_address_changed(&mut self, outbound: &mut dyn Outbound) {
         self.state.upstream_links.retire_all(outbound);
     }
 
-    /// Whether calls are in flight on a link.
+    /// Reports whether calls are in flight on a link.
     pub fn link_has_calls(&self, link: UpstreamLinkId) -> bool {
         self.state.upstream_links.has_calls(link)
     }
--- a/daemon/src/ids.rs
+++ b/daemon/src/ids.rs
@@ -1,13 +1,13 @@
-//! Identifiers of what the core serves. This module depends on no other part of the daemon.
+//! Identifiers of connections, streams and requesters. This module depends on no other part of the daemon.
 
 use asterrill_consumer::InFlightId;
 use asterrill_protocol::sidecar::StreamId;
 
-/// A sidecar's connection; never used again while the process lives.
+/// Identifier of a sidecar connection, which is never reused during the life of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// One stream of a sidecar's connection: where an answer goes.
+/// Stream of a sidecar connection, to which an answer is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SidecarStream {
     /// The connection.
@@ -16,11 +16,11 @@
     pub stream: StreamId,
 }
 
-/// Who waits for the answer to an RPC.
+/// Receiver of the answer to an RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Requester {
-    /// A sidecar, by the stream of its RPC.
+    /// A sidecar, identified by the stream of its RPC.
     Sidecar(SidecarStream),
-    /// A queue's state machine, by its delivery.
+    /// The state machine of a queue, identified by its delivery.
     Queue(InFlightId),
 }
