--- a/daemon/src/agent_session.rs
+++ b/daemon/src/agent_session.rs
@@ -1,67 +1,68 @@
-//! The session with the agent across its successive links: numbered notices are read once, and commands that a broken
-//! link may have lost are sent again on the next one. A link that hangs without breaking, and a run of which nothing
-//! is heard, are recognised by their silence: the link is then reconnected and the same recovery follows.
+//! Session with the agent, which spans successive links.
+//!
+//! Numbered notices are handled once, and commands that may have been lost with a link are resent on the next one. A
+//! link that hangs without breaking, and a run about which no notice arrives, are detected by timeouts. The link is
+//! then reconnected, which triggers the same recovery.
 
 use asterrill::{RpcId, Us};
 use asterrill_protocol::agent::NoticeId;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The longest time, in microseconds, without a byte from the agent after it was asked something: ten samples then go
-/// unanswered.
+/// Maximum time without data from the agent after a request to it, in microseconds. Ten samples then remain unanswered.
 const SILENCE_TIMEOUT_US: Us = 1_000_000;
-/// A run of which nothing is heard for this many of the longest latency targets counts as lost.
+/// Time without a notice about a run after which it counts as lost, as a multiple of the longest latency target.
 const RUN_TIMEOUT_LATENCY_TARGETS: Us = 4;
-/// Microseconds between checks for silence while something is expected from the agent.
+/// Interval between checks for silence while a message from the agent is expected, in microseconds.
 const CHECK_INTERVAL_US: Us = 250_000;
-/// The longest backoff, in microseconds, between two reconnects for silence.
+/// Maximum backoff between two reconnects because of silence, in microseconds.
 const MAX_RECONNECT_BACKOFF_US: Us = 60_000_000;
 
-/// What was sent to the agent about a run in progress.
+/// Record of the messages exchanged with the agent about a run in progress.
 #[derive(Clone, Copy, Debug, Default)]
 struct RunRecord {
-    /// The link that the last command was sent on.
+    /// The number of the link on which the last command was sent.
     command_link: u64,
-    /// The link that the stop was sent on.
+    /// The number of the link on which the stop was sent.
     stop_link: Option<u64>,
-    /// The notice that requested the call that the run waits for, or waited for last.
+    /// The notice that requested the upstream call for which the run waits, or waited last.
     call_notice: NoticeId,
-    /// When something was last sent or received about it.
+    /// The time of the last message about the run.
     last_activity: Us,
-    /// It waits for an upstream call, so nothing is expected from the agent.
+    /// Whether the run waits for an upstream call, so that no notice from the agent is expected.
     awaits_call: bool,
 }
 
 impl RunRecord {
-    /// Nothing was sent or received about it for `timeout`, though the agent is expected to speak.
+    /// Reports whether no message about the run was exchanged for `timeout`, although a notice is expected.
     fn is_silent(&self, now: Us, timeout: Us) -> bool {
         !self.awaits_call && self.last_activity + timeout <= now
     }
 }
 
-/// Why the link to the agent is to be reconnected.
+/// Reason to reconnect the link to the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Silence {
-    /// Nothing arrived for this many microseconds after the agent was asked something.
+    /// No data arrived for this many microseconds after a request to the agent.
     Link(Us),
-    /// Nothing was heard of one run or more although the link carries data.
+    /// No notice arrived about one or more runs, although the link carries data.
     Run(SilentRun),
 }
 
-/// The first of the runs of which nothing was heard.
+/// First of the runs about which no notice arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SilentRun {
-    /// The run's RPC.
+    /// The RPC of the run.
     pub id: RpcId,
-    /// Microseconds since something was last sent or received about it.
+    /// The time since the last message about the run, in microseconds.
     pub silent_for: Us,
-    /// How many more runs are silent.
+    /// The number of other silent runs.
     pub others: usize,
-    /// The link that its last command was sent on.
+    /// The number of the link on which its last command was sent.
     pub command_link: u64,
-    /// The present link.
+    /// The number of the current link.
     pub current_link: u64,
-    /// The last notice that was read.
+    /// The last notice read.
     pub last_notice: NoticeId,
 }
 
@@ -71,8 +72,8 @@
             Silence::Link(silent_for) => write!(f, "no data from the agent for {} ms", silent_for / 1000),
             Silence::Run(run) => write!(
                 f,
-                "no notice about run {:?} for {} ms, nor about {} more: last command sent on link {} of {}, last \
-                 notice {}",
+                "no notice about run {:?} for {} ms, and none about {} other runs; last command sent on link {}, \
+                 current link {}, last notice {}",
                 run.id,
                 run.silent_for / 1000,
                 run.others,
@@ -84,59 +85,61 @@
     }
 }
 
-/// Runs whose last message from here may have been lost with an earlier link.
+/// Runs whose last message from this server may have been lost with an earlier link.
 #[derive(Debug, Default)]
 pub struct LostMessages {
-    /// Runs whose last command is to be sent again.
+    /// The runs whose last command has to be resent.
     pub commands: Vec<RpcId>,
-    /// Runs whose stop is to be sent again.
+    /// The runs whose stop has to be resent.
     pub stops: Vec<RpcId>,
 }
 
-/// The links to the agent, one after the other, and what was sent on each.
+/// Successive links to the agent, and the messages sent on them.
 #[derive(Default)]
 pub struct AgentSession {
-    /// Counts the links.
+    /// The number of the current link; links are numbered from 1.
     link: u64,
     last_notice: NoticeId,
     last_tag: u64,
-    /// The tag of the sample after which all notices that were missed have been read.
+    /// The tag of the sample after which all missed notices have been read.
     resync_tag: Option<u64>,
     runs: BTreeMap<RpcId, RunRecord>,
     has_greeted: bool,
-    /// Since when the agent owes a message and nothing has arrived.
+    /// The time since which a message from the agent is overdue.
     awaiting_since: Option<Us>,
     next_check: Us,
-    /// A run of which nothing is heard for so long counts as lost.
+    /// The time without a notice after which a run counts as lost.
     run_timeout: Us,
-    /// The least time between two reconnects for silence.
+    /// The minimum time between two reconnects because of silence.
     reconnect_backoff: Us,
     reconnect_allowed_at: Us,
 }
 
 impl AgentSession {
-    /// Sets the longest latency target of all methods, from which the timeout of a silent run follows.
+    /// Sets the longest latency target of all methods, which determines the timeout of silent runs.
     pub fn set_longest_latency_target(&mut self, target: Us) {
         self.run_timeout = target.saturating_mul(RUN_TIMEOUT_LATENCY_TARGETS).max(SILENCE_TIMEOUT_US);
     }
 
-    /// A new link is connected. Returns the number of the last notice read. An agent that has greeted before owes a
-    /// greeting from now on; one that never has may start late.
+    /// Registers a new link and returns the number of the last notice read.
+    ///
+    /// A greeting is expected on the link if the agent has sent one before. The first greeting may take any time,
+    /// because the agent may start later than this server.
     pub fn link_connected(&mut self, now: Us) -> NoticeId {
         self.link += 1;
         self.awaiting_since = Some(now).filter(|_| self.has_greeted);
         self.last_notice
     }
 
-    /// A number for a sample or an exercise that is requested now.
+    /// Returns the tag for a sample or an exercise that is requested now.
     pub fn next_tag(&mut self, now: Us) -> u64 {
         self.last_tag += 1;
         self.awaiting_since = self.awaiting_since.or(Some(now));
         self.last_tag
     }
 
-    /// The agent has greeted. Returns the tag of the sample to request: once that has come, all missed notices have
-    /// been read.
+    /// Handles a greeting and returns the tag of the sample to request. Once that sample has arrived, all missed notices
+    /// have been read.
     pub fn greeted(&mut self, now: Us) -> u64 {
         self.has_greeted = true;
         self.message_received();
@@ -145,22 +148,23 @@
         tag
     }
 
-    /// A complete message came from the agent.
+    /// Records that a complete message was received from the agent.
     pub fn message_received(&mut self) {
         self.awaiting_since = None;
     }
 
-    /// When [`AgentSession::check_silence`] is due next.
+    /// Returns the time at which [`AgentSession::check_silence`] is due next.
     pub fn next_deadline(&self) -> Option<Us> {
         Some(self.next_check).filter(|_| self.awaiting_since.is_some() || !self.runs.is_empty())
     }
 
-    /// Returns why the link is to be reconnected now, if it is.
+    /// Returns the reason to reconnect the link now, if there is one.
     ///
-    /// This guards against a link that hangs without breaking, and against a command or notice lost on a link that
-    /// stays up: the run would never end here and its place on the cores would never be free again. The agent ignores
-    /// commands that it has seen, so repeating them costs no more than a link. Worst case: one link for each run that
-    /// takes many times its latency target, with a backoff that doubles.
+    /// This guards against a link that hangs without breaking, and against a command or notice that is lost on a link
+    /// that stays up. Without it, such a run would never end on this server, and the core assigned to it would never be
+    /// released. Resending costs only the new link, because the agent ignores commands that it has already received. In
+    /// the worst case there is one reconnect, with a doubling backoff, for each run that takes many times its latency
+    /// target.
     pub fn check_silence(&mut self, now: Us) -> Option<Silence> {
         if now < self.next_check {
             return None;
@@ -198,19 +202,19 @@
         }))
     }
 
-    /// A sample has come. True once, when all notices that were missed have been read.
+    /// Handles a sample. Returns true once after each greeting, when all missed notices have been read.
     pub fn sample_received(&mut self, tag: u64) -> bool {
         self.resync_tag.take_if(|resync| *resync == tag).is_some()
     }
 
-    /// Registers a numbered notice. False if it was read before.
+    /// Registers a numbered notice and reports whether it is new.
     pub fn is_new_notice(&mut self, number: NoticeId) -> bool {
         let is_new = number > self.last_notice;
         self.last_notice = self.last_notice.max(number);
         is_new
     }
 
-    /// A command about a run is sent. Returns the notice that requested the run's call.
+    /// Records a command about a run, and returns the notice that requested the run's call.
     pub fn command_sent(&mut self, now: Us, id: RpcId) -> NoticeId {
         let run = self.runs.entry(id).or_default();
         run.command_link = self.link;
@@ -219,7 +223,7 @@
         run.call_notice
     }
 
-    /// A run requested an upstream call by this notice.
+    /// Records that a run requested an upstream call by this notice.
     pub fn call_requested(&mut self, id: RpcId, number: NoticeId) {
         self.runs.entry(id).and_modify(|run| {
             run.call_notice = number;
@@ -227,7 +231,7 @@
         });
     }
 
-    /// A stop is sent to a run.
+    /// Records that a stop is sent to a run.
     pub fn stop_sent(&mut self, now: Us, id: RpcId) {
         let run = self.runs.entry(id).or_default();
         run.stop_link = Some(self.link);
@@ -235,12 +239,12 @@
         run.awaits_call = false;
     }
 
-    /// The run is over: the one place where its record is dropped.
+    /// Removes the record of a run that has ended. No other function removes records.
     pub fn run_closed(&mut self, id: RpcId) {
         self.runs.remove(&id);
     }
 
-    /// Returns what may have been lost with an earlier link; it then counts as sent again on the present one.
+    /// Returns the messages that may have been lost with an earlier link, and records them as resent on this one.
     pub fn take_lost_messages(&mut self, now: Us) -> LostMessages {
         let mut lost = LostMessages::default();
         for (id, run) in &mut self.runs {
--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -1,5 +1,6 @@
-//! Who is at the other end of each connection: a sidecar, the agent, the upstream tier or the broker. Each type feeds the
-//! bytes it receives to the state machine of its protocol, and the messages to the core.
+//! Connection handlers for sidecars, the agent, the upstream tier and the broker.
+//!
+//! Each handler passes received bytes to the state machine of its protocol, and the resulting messages to the core.
 
 use crate::dispatcher::Dispatcher;
 use crate::ids::{ConnectionId, SidecarStream};
@@ -12,18 +13,19 @@
 use slog::warn;
 use std::sync::Arc;
 
-/// A sidecar closes a connection that was closed here within this many microseconds, or it is reset.
+/// Time within which a sidecar has to close a connection that was closed by this server, before it is reset, in
+/// microseconds.
 const LINGER_TIME_US: Us = 500_000;
 
-/// A connection that a sidecar opened.
+/// Connection opened by a sidecar.
 pub struct SidecarConnection {
-    /// Where its messages go.
+    /// The dispatcher that receives its messages.
     pub dispatcher: Arc<Dispatcher>,
-    /// Its identifier.
+    /// The identifier of the connection.
     pub conn: ConnectionId,
-    /// The protocol's state machine.
+    /// The state machine of the protocol.
     pub frames: sidecar::Reader,
-    /// A complete frame has come on it.
+    /// Whether a complete frame has been received on it.
     pub has_received_frame: bool,
 }
 
@@ -70,25 +72,25 @@
         self.dispatcher.close_when_answered(self.conn, None);
     }
     fn linger_us(&self) -> Option<u64> {
-        // One that never sent a complete frame has no answer pending, and others may need its slot.
+        // Without a complete frame no answer is pending, and another connection may need the slot.
         Some(if self.has_received_frame { LINGER_TIME_US } else { 0 })
     }
 }
 
-/// Builds the decision module for an agent that started at a moment, cold or warm.
+/// Function that builds the decision module for an agent, given its start time and whether it started cold.
 pub type BuildServer = Box<dyn Fn(Us, bool) -> Option<ServerParts> + Send>;
 
-/// The link to the agent that owns the cores.
+/// Link to the agent, which runs RPCs on the cores.
 pub struct AgentConnection {
-    /// Where its notices go.
+    /// The dispatcher that receives its notices.
     pub dispatcher: Arc<Dispatcher>,
-    /// What is to be written to it.
+    /// The bytes to be written to it.
     pub out: Outbox,
-    /// The protocol's state machine.
+    /// The state machine of the protocol.
     pub notices: agent::Reader,
-    /// Rebuilds the decision module when the agent greets for the first time.
+    /// The function that rebuilds the decision module at the agent's first greeting.
     pub build_server: BuildServer,
-    /// A notice has come on this link.
+    /// Whether a notice has been received on this link.
     pub received_notice: bool,
 }
 
@@ -100,10 +102,11 @@
             self.dispatcher.with(|core, outbound, now| match notice {
                 Notice::Greeting { empty, ago } => {
                     let first = !core.agent_has_greeted();
-                    let fresh = if first { build(now.saturating_sub(ago), empty) } else { None };
-                    core.agent_up(now, fresh, outbound);
+                    let rebuilt = if first { build(now.saturating_sub(ago), empty) } else { None };
+                    core.agent_up(now, rebuilt, outbound);
                     core.agent_greeted(now, empty, outbound);
-                    outbound.log(&format!("the agent is up: empty {empty}, started {ago} us ago"));
+                    outbound
+                        .log(&format!("connected to the agent: cold start {empty}, started {ago} us ago"));
                 }
                 Notice::Ended(number, id, end, result) => {
                     core.run_ended(now, number, id, end, result, outbound);
@@ -112,7 +115,7 @@
                 Notice::Sampled(tag, values) => core.sample_received(now, tag, &values, outbound),
                 Notice::Exercised(tag, passed) => core.exercise_finished(now, tag, passed, outbound),
                 Notice::Refused { launch, id } => {
-                    outbound.log(&format!("the agent refused a command about {id:?}"));
+                    outbound.log(&format!("agent refused a command: rpc {id:?}, launch {launch}"));
                     core.command_refused(now, id.filter(|_| launch), outbound);
                 }
                 Notice::Aside(number) => core.notice_ignored(number),
@@ -126,7 +129,7 @@
     fn on_data(&mut self, mut bytes: &[u8]) -> bool {
         let read = self.read_notices(&mut bytes);
         if let Err(error) = &read {
-            warn!(self.dispatcher.log, "reconnecting to the agent"; "why" => error.0);
+            warn!(self.dispatcher.log, "protocol error of the agent; reconnecting"; "why" => error.0);
             self.dispatcher.with(|core, _, _| core.stats_mut().agent_protocol_errors += 1);
             self.out.close_now();
         }
@@ -151,17 +154,17 @@
     }
 }
 
-/// One link to the upstream tier.
+/// Link to the upstream tier.
 pub struct UpstreamConnection {
-    /// Where its replies go.
+    /// The dispatcher that receives its replies.
     pub dispatcher: Arc<Dispatcher>,
-    /// What is to be written to it.
+    /// The bytes to be written to it.
     pub out: Outbox,
-    /// Its identifier.
+    /// The identifier of the link.
     pub link: UpstreamLinkId,
-    /// The protocol's state machine.
+    /// The state machine of the protocol.
     pub replies: upstream::Reader,
-    /// A reply has come on this link.
+    /// Whether a reply has been received on this link.
     pub received_reply: bool,
 }
 
@@ -178,7 +181,7 @@
                     self.received_reply = true;
                 }),
                 Err(error) => {
-                    warn!(self.dispatcher.log, "reconnecting an upstream link"; "why" => error.0);
+                    warn!(self.dispatcher.log, "upstream link failed; reconnecting"; "why" => error.0);
                     self.dispatcher.with(|core, _, _| core.stats_mut().upstream_protocol_errors += 1);
                     self.out.close_now();
                     return false;
@@ -205,9 +208,9 @@
     }
 }
 
-/// The connection to the broker that queues are consumed from.
+/// Connection to the broker from which queues are consumed.
 pub struct BrokerConnection {
-    /// Where its bytes go: the session's state machine belongs to the core.
+    /// The dispatcher that receives its bytes. The state machine of the session is part of the core.
     pub dispatcher: Arc<Dispatcher>,
 }
 
--- a/daemon/src/connection_limits.rs
+++ b/daemon/src/connection_limits.rs
@@ -1,20 +1,20 @@
-//! How many connections and upstream links there is room for with so many file descriptors.
+//! Limits on connections and upstream links for a given number of file descriptors.
 
-/// Descriptors that are not for connections: 13 are in use without a sidecar or an upstream link.
+/// Descriptors reserved for other purposes; 13 are in use without any sidecar connection or upstream link.
 const RESERVED_DESCRIPTORS: u64 = 16;
-/// One in so many descriptors is for an upstream link.
+/// Number of descriptors for each upstream link.
 const DESCRIPTORS_PER_UPSTREAM_LINK: u64 = 8;
-/// Upstream links at the least, so that a call can go by another than the one before.
+/// Minimum number of upstream links, so that the next call of an RPC can use another link than the previous one.
 const MIN_UPSTREAM_LINKS: u64 = 2;
-/// Upstream links at the most; each has its coroutine.
+/// Maximum number of upstream links, each of which has its own coroutine.
 const MAX_UPSTREAM_LINKS: u64 = 1_024;
 
-/// Upstream links for so many descriptors.
+/// Returns the number of upstream links for this number of file descriptors.
 pub fn upstream_links(descriptors: u64) -> u64 {
     (descriptors / DESCRIPTORS_PER_UPSTREAM_LINK).clamp(MIN_UPSTREAM_LINKS, MAX_UPSTREAM_LINKS)
 }
 
-/// Connections of sidecars at the most for so many descriptors.
+/// Returns the maximum number of sidecar connections for this number of file descriptors.
 pub fn max_connections(descriptors: u64) -> usize {
     descriptors.saturating_sub(RESERVED_DESCRIPTORS + upstream_links(descriptors)).max(1) as usize
 }
--- a/daemon/src/core/configuration.rs
+++ b/daemon/src/core/configuration.rs
@@ -57,7 +57,8 @@
         self.state.names.release_removed_tenants(|tenant| engine.has_tenant(tenant));
     }
 
-    /// Checks that there is capacity to stage these changes and consume these queues. The error names what is exhausted.
+    /// Checks that there is capacity to stage these changes and consume these queues. The error names what is
+    /// exhausted.
     pub fn check_capacity_for(&self, changes: &[Change], queues: &[ConsumerConfig]) -> Result<(), String> {
         if self.state.queues.as_ref().is_some_and(|current| !current.has_capacity_for(queues)) {
             return Err("too many different queues since the process started; restart it".into());
--- a/daemon/src/core/recovery.rs
+++ b/daemon/src/core/recovery.rs
@@ -71,8 +71,8 @@
         Some(recovery.snapshot(clocks(), self.engine.learned_state(), &active))
     }
 
-    /// Returns the recovery stages and the number of detected outages of the upstream tier, or `None` if recovery is not
-    /// tracked.
+    /// Returns the recovery stages and the number of detected outages of the upstream tier, or `None` if recovery is
+    /// not tracked.
     pub fn recovery_stages(&self) -> Option<(&StageTracker, u64)> {
         self.state.recovery.as_ref().map(|recovery| (recovery.stages(), recovery.outages()))
     }
--- a/daemon/src/dispatcher.rs
+++ b/daemon/src/dispatcher.rs
@@ -1,5 +1,7 @@
-//! Where the core meets the sockets: inputs are brought to it one at a time, and what it sends goes into the outboxes of the
-//! connections. Nothing here blocks, and nothing is decided about an RPC.
+//! Dispatcher between the core and the sockets.
+//!
+//! It passes inputs to the core one at a time, and puts the core's messages into the outboxes of the connections. It
+//! never blocks, and makes no decision about an RPC.
 
 mod connections;
 mod eviction;
--- a/daemon/src/dispatcher/connections.rs
+++ b/daemon/src/dispatcher/connections.rs
@@ -1,4 +1,4 @@
-//! The life of connections as their drivers report it.
+//! Events in the life cycle of connections, as reported by their drivers.
 
 use super::shared::{Dispatcher, DispatcherState};
 use super::sidecar_connection::SidecarConnectionState;
@@ -7,7 +7,7 @@
 use asterrill_net::{now, Outbox};
 
 impl Dispatcher {
-    /// A sidecar connection was accepted.
+    /// Registers an accepted sidecar connection and returns its identifier.
     pub fn connection_opened(&self, out: Outbox) -> ConnectionId {
         let mut locked = self.lock();
         locked.opened += 1;
@@ -25,7 +25,7 @@
         conn
     }
 
-    /// A sidecar connection has ended; `broken`: the other side broke it off.
+    /// Handles the end of a sidecar connection. `broken` tells that the peer reset it or read too slowly.
     pub fn connection_closed(&self, conn: ConnectionId, broken: bool) {
         self.with(|core, outbound, now| {
             core.stats_mut().connections_broken += u64::from(broken);
@@ -36,8 +36,8 @@
         locked.outboxes.closing.remove(&conn);
     }
 
-    /// Bytes of a connection were read: whether a complete frame has come on it so far, and whether a frame has arrived
-    /// in part.
+    /// Records the state of a connection's input after a read: whether a complete frame has ever been received, and
+    /// whether part of a frame has been.
     pub fn frame_progress(&self, conn: ConnectionId, has_received_frame: bool, has_partial: bool) {
         let mut locked = self.lock();
         let DispatcherState { core, outboxes, .. } = &mut *locked;
@@ -45,27 +45,28 @@
         sidecar.has_received_frame = has_received_frame;
         sidecar.partial_since =
             if has_partial { sidecar.partial_since.or_else(|| Some(now())) } else { None };
-        // Something came on one that was about to be closed: that waits until it has been dealt with.
+        // Closing starts over, because the input may have been an RPC that has to be answered first.
         if let Some(close_started) = outboxes.closing.get_mut(&conn) {
             *close_started = None;
             outboxes.close_answered(core);
         }
     }
 
-    /// Bytes of an upstream link were read: whether a reply has arrived in part.
+    /// Records whether part of a reply has been received on an upstream link.
     pub fn reply_progress(&self, link: UpstreamLinkId, has_partial: bool) {
         if let Some(link) = self.lock().outboxes.upstream.get_mut(link.0) {
             link.partial_since = if has_partial { link.partial_since.or_else(|| Some(now())) } else { None };
         }
     }
 
-    /// No more is read from a connection: it is closed once no answer is pending on it. The sidecar is sent the error.
+    /// Closes a connection from which nothing more is read, once no answer is pending on it. The sidecar is sent the
+    /// error, if there is one.
     pub fn close_when_answered(&self, conn: ConnectionId, error: Option<&str>) {
         let mut locked = self.lock();
         let DispatcherState { core, outboxes, .. } = &mut *locked;
         match error {
-            Some(why) => {
-                core.stats_mut().sidecar_protocol_errors += u64::from(outboxes.close_with_error(conn, why))
+            Some(reason) => {
+                core.stats_mut().sidecar_protocol_errors += u64::from(outboxes.close_with_error(conn, reason))
             }
             None if outboxes.sidecars.contains_key(&conn) => outboxes.close(conn),
             None => {}
@@ -73,7 +74,8 @@
         outboxes.close_answered(core);
     }
 
-    /// Closes all connections: what had come on them is dealt with, and all that was answered arrives.
+    /// Closes the listening socket and all connections. RPCs already received are handled, and pending answers are
+    /// written first.
     pub fn close_all(&self) {
         let mut locked = self.lock();
         let DispatcherState { core, outboxes, .. } = &mut *locked;
@@ -86,7 +88,7 @@
         outboxes.close_answered(core);
     }
 
-    /// Whether no connection is left, and all that is for the broker has been written.
+    /// Reports whether no sidecar connection is left and all bytes for the broker have been written.
     pub fn all_closed(&self) -> bool {
         let outboxes = &self.lock().outboxes;
         outboxes.sidecars.is_empty() && outboxes.broker.iter().all(Outbox::is_empty)
--- a/daemon/src/dispatcher/eviction.rs
+++ b/daemon/src/dispatcher/eviction.rs
@@ -1,4 +1,4 @@
-//! Which connections are closed from here: idle, silent or stalled ones, and the least useful when they get scarce.
+//! Closing of connections that are idle, silent or stalled, and of the least useful ones when free slots are scarce.
 
 use super::outboxes::Outboxes;
 use super::shared::{Dispatcher, DispatcherState};
@@ -10,51 +10,53 @@
 use asterrill_net::now;
 use slog::warn;
 
-/// The rest of a partial frame is awaited for so many microseconds.
+/// Time within which the rest of a partial frame has to arrive, in microseconds.
 const PARTIAL_FRAME_TIMEOUT_US: Us = 1_500_000;
-/// A connection sends a complete frame within so many microseconds, or is of no use.
+/// Time within which a connection has to send its first complete frame, in microseconds.
 const FIRST_FRAME_TIMEOUT_US: Us = 2_000_000;
-/// A sidecar that was asked to close a connection does so within so many microseconds.
+/// Time within which a sidecar that was asked to close a connection has to do so, in microseconds.
 const GOAWAY_TIMEOUT_US: Us = 1_000_000;
-/// Once a connection is being closed, its sidecar reads its pending answers within so many microseconds, or is cut off.
+/// Time within which the sidecar of a closing connection has to read its pending answers, in microseconds.
 const CLOSE_TIMEOUT_US: Us = 10_000_000;
-/// An idle upstream link is closed after so many microseconds, before the other side closes or forgets it.
+/// Idle time after which an upstream link is closed, before the peer closes it or drops its state, in microseconds.
 const UPSTREAM_IDLE_TIMEOUT_US: Us = 500_000;
-/// The rest of a partial upstream reply is awaited for so many microseconds.
+/// Time within which the rest of a partial upstream reply has to arrive, in microseconds.
 const PARTIAL_REPLY_TIMEOUT_US: Us = 200_000;
-/// Of the connections that there may be, one in so many is left free.
+/// Divisor that gives the share of the connection limit kept free for new connections.
 const SPARE_CONNECTIONS_DIVISOR: usize = 8;
 
-/// What a sweep has found of the sidecar connections.
+/// Sidecar connections selected by a sweep.
 #[derive(Default)]
 struct SweepFindings {
-    /// A frame arrived in part and did not go on.
+    /// Connections whose partial frame was not completed in time.
     partial: Vec<ConnectionId>,
-    /// No complete frame has come.
+    /// Connections on which no complete frame was received in time.
     silent: Vec<ConnectionId>,
-    /// Idle for longer than the idle timeout.
+    /// Connections that were idle for longer than the idle timeout.
     idle: Vec<ConnectionId>,
-    /// Connections that were not asked to close.
+    /// Number of connections that remain open and were not asked to close.
     remaining: usize,
 }
 
 impl Dispatcher {
-    /// Closes connections that were idle for too long, those on which a frame stopped halfway or no complete frame came,
-    /// and the least useful before there are too many.
+    /// Closes connections that were idle for too long, those on which a complete frame did not arrive in time, and the
+    /// least useful ones before the connection limit is reached.
     pub fn sweep_connections(&self) {
         self.sweep_at(now());
     }
 
-    /// [`Dispatcher::sweep_connections`] at a moment.
+    /// Performs [`Dispatcher::sweep_connections`] as of the given time.
     pub fn sweep_at(&self, now: Us) {
         let mut locked = self.lock();
         let DispatcherState { core, outboxes, .. } = &mut *locked;
         let found = inspect_connections(core, outboxes, now);
         cut_off_slow_readers(outboxes, now);
-        for (conns, why) in [(found.partial, "a frame stopped halfway"), (found.silent, "nothing whole came")]
+        for (conns, reason) in
+            [(found.partial, "a frame stopped halfway"), (found.silent, "nothing whole came")]
         {
             for conn in conns {
-                core.stats_mut().sidecar_protocol_errors += u64::from(outboxes.close_with_error(conn, why));
+                core.stats_mut().sidecar_protocol_errors +=
+                    u64::from(outboxes.close_with_error(conn, reason));
             }
         }
         outboxes.close_answered(core);
@@ -69,8 +71,10 @@
         sweep_upstream_links(core, outboxes, now);
     }
 
-    /// There is no slot for another connection: some on which no answer is pending are closed at once. Nothing more is read
-    /// from them, so an RPC on its way was never taken. Those that may be of use are closed one at a time only.
+    /// Closes some connections without pending answers at once, because there is no slot for another connection.
+    ///
+    /// Nothing more is read from them, so an RPC still in transit has never been accepted. Connections that may still
+    /// be useful are closed one at a time.
     pub fn evict_idle(&self) {
         let now = now();
         let mut locked = self.lock();
@@ -84,9 +88,9 @@
         };
         let mut idle: Vec<(IdleClass, Us, ConnectionId)> = idle.map(usefulness).collect();
         idle.sort_unstable();
-        let at_most =
+        let max_evictions =
             (outboxes.max_connections / SPARE_CONNECTIONS_DIVISOR / SPARE_CONNECTIONS_DIVISOR).max(1);
-        for (n, (class, _, conn)) in idle.into_iter().take(at_most).enumerate() {
+        for (n, (class, _, conn)) in idle.into_iter().take(max_evictions).enumerate() {
             if n == 0 || class < IdleClass::New {
                 core.stats_mut().connections_evicted += 1;
                 outboxes.request_close(conn, now);
@@ -100,7 +104,7 @@
     }
 }
 
-/// Looks at each sidecar connection. Those that were asked to close and did not are closed from here.
+/// Inspects all sidecar connections, and starts closing those whose sidecar did not comply with the request to close.
 fn inspect_connections(core: &Core, outboxes: &mut Outboxes, now: Us) -> SweepFindings {
     let mut found = SweepFindings::default();
     for (conn, sidecar) in &mut outboxes.sidecars {
@@ -124,7 +128,7 @@
     found
 }
 
-/// A sidecar that reads too slowly for its answers to be written in time holds a slot that others need.
+/// Closes connections whose sidecar reads its answers too slowly, because they hold slots that others need.
 fn cut_off_slow_readers(outboxes: &Outboxes, now: Us) {
     for (conn, close_started) in &outboxes.closing {
         if close_started.is_some_and(|since| since + CLOSE_TIMEOUT_US < now) {
@@ -135,7 +139,7 @@
     }
 }
 
-/// The least useful of the idle connections, as many as there are too many.
+/// Returns the least useful idle connections, `excess` at most.
 fn least_useful(core: &Core, outboxes: &Outboxes, excess: usize, now: Us) -> Vec<ConnectionId> {
     let mut candidates: Vec<_> =
         outboxes.sidecars.iter().filter(|(conn, _)| !core.has_pending_answers(**conn)).collect();
@@ -146,7 +150,7 @@
     candidates.into_iter().take(excess).map(|(conn, _)| *conn).collect()
 }
 
-/// Reconnects upstream links whose reply stopped halfway, and closes idle ones.
+/// Closes upstream links that are idle or whose partial reply was not completed in time.
 fn sweep_upstream_links(core: &mut Core, outboxes: &mut Outboxes, now: Us) {
     for id in (0..outboxes.upstream.len()).map(UpstreamLinkId) {
         let Some(link) = outboxes.upstream.get_mut(id.0) else { continue };
@@ -154,7 +158,7 @@
         if link.partial_since.is_some_and(|since| since + PARTIAL_REPLY_TIMEOUT_US < now) {
             link.partial_since = None;
             core.stats_mut().upstream_protocol_errors += 1;
-            warn!(outboxes.log, "reconnecting an upstream link"; "why" => "a reply stopped halfway");
+            warn!(outboxes.log, "upstream link failed; reconnecting"; "why" => "incomplete reply timed out");
             link.out.close_now();
         } else if last_used > 0 && last_used + UPSTREAM_IDLE_TIMEOUT_US < now && !core.link_has_calls(id) {
             core.retire_link(id, outboxes);
--- a/daemon/src/dispatcher/outbound.rs
+++ b/daemon/src/dispatcher/outbound.rs
@@ -1,4 +1,4 @@
-//! The core's messages, encoded into the outboxes.
+//! Encoding of the core's messages into the outboxes.
 
 use super::outboxes::Outboxes;
 use crate::ids::{ConnectionId, SidecarStream};
@@ -67,7 +67,7 @@
         self.send_goaway_to_all();
     }
     fn set_idle_timeout(&mut self, timeout: Us) {
-        // During the drain sidecars close their connections themselves, so that no RPC on its way is cut off.
+        // During a drain the sidecars close their connections themselves, so that no RPC in transit is lost.
         self.idle_timeout = if timeout > 0 { timeout } else { Us::MAX };
     }
 
--- a/daemon/src/dispatcher/outboxes.rs
+++ b/daemon/src/dispatcher/outboxes.rs
@@ -1,4 +1,4 @@
-//! The outboxes of all connections, and the orderly closing of sidecar connections.
+//! Outboxes of all connections, and the graceful closing of sidecar connections.
 
 use super::sidecar_connection::SidecarConnectionState;
 use crate::core::Core;
@@ -9,12 +9,12 @@
 use slog::{info, Logger};
 use std::collections::BTreeMap;
 
-/// Log lines about closed sidecar connections in one second; more are counted only.
+/// Maximum number of log lines about closed sidecar connections per second; further ones are suppressed.
 const MAX_CLOSE_LINES_PER_SECOND: u32 = 5;
-/// Bytes that most messages fit in.
+/// Initial capacity of the encoding buffer, into which most messages fit.
 const SCRATCH_CAPACITY_BYTES: usize = 512;
 
-/// Log lines written in one second.
+/// Rate limit for log lines about closed connections.
 #[derive(Default)]
 struct LogRateLimit {
     second: u64,
@@ -22,8 +22,8 @@
 }
 
 impl LogRateLimit {
-    /// Counts a line. False if too many were written in this second.
-    fn count(&mut self, now: Us) -> bool {
+    /// Counts a line and reports whether it may be written in this second.
+    fn allows_line(&mut self, now: Us) -> bool {
         let second = now / 1_000_000;
         if self.second != second {
             *self = LogRateLimit { second, lines: 0 };
@@ -33,49 +33,49 @@
     }
 }
 
-/// One link to the upstream tier.
+/// State of a link to the upstream tier.
 pub(super) struct UpstreamLinkState {
-    /// What is to be written to it.
+    /// The bytes to be written to it.
     pub(super) out: Outbox,
-    /// Since when a reply has arrived in part.
+    /// The time since which an incomplete reply has been pending.
     pub(super) partial_since: Option<Us>,
 }
 
-/// What is written to the connections; the core sends through it.
+/// Outboxes of all connections, through which the core sends its messages.
 pub(super) struct Outboxes {
-    /// The sidecar connections that are open.
+    /// The open sidecar connections.
     pub(super) sidecars: BTreeMap<ConnectionId, SidecarConnectionState>,
-    /// Connections that are closed once no answer is pending on them, and since when their drivers are closing them.
+    /// The connections to close once no answer is pending on them, with the time at which closing started.
     pub(super) closing: BTreeMap<ConnectionId, Option<Us>>,
-    /// Closes the listening socket.
+    /// The handle that closes the listening socket.
     pub(super) listener: ListenerHandle,
-    /// What is to be written to the agent.
+    /// The bytes to be written to the agent.
     pub(super) agent: Outbox,
-    /// The upstream links, by their ids.
+    /// The upstream links, indexed by their ids.
     pub(super) upstream: Vec<UpstreamLinkState>,
-    /// What is to be written to the broker, where queues are consumed.
+    /// The bytes to be written to the broker, if queues are consumed.
     pub(super) broker: Option<Outbox>,
-    /// How many sidecar connections there may be.
+    /// The limit on sidecar connections.
     pub(super) max_connections: usize,
     close_log_limit: LogRateLimit,
-    /// What is reported to the name service; `None` until that is certain.
+    /// Whether this backend is reported as serving; `None` until it is known.
     pub(super) serving: Option<bool>,
-    /// Microseconds after which idle connections are closed.
+    /// The time after which idle connections are closed, in microseconds.
     pub(super) idle_timeout: Us,
-    /// Sidecars were asked to send no new RPC.
+    /// Whether sidecars were asked to send no new RPC.
     pub(super) draining: bool,
-    /// All connections are being closed, those that still come in as well.
+    /// Whether all connections are being closed, including newly accepted ones.
     pub(super) closing_all: bool,
-    /// The configuration version in force, for the log.
+    /// The configuration version in force, as written to the log.
     pub(super) version: u64,
-    /// Holds a message while it is encoded.
+    /// The buffer in which messages are encoded.
     pub(super) scratch: Vec<u8>,
     /// The log.
     pub(super) log: Logger,
 }
 
 impl Outboxes {
-    /// No sidecar is connected yet.
+    /// Creates the outboxes, without any sidecar connection.
     pub(super) fn new(
         agent: Outbox, upstream: Vec<Outbox>, max_connections: usize, idle_timeout: Us,
         listener: ListenerHandle, log: Logger,
@@ -100,11 +100,11 @@
         }
     }
 
-    /// Closes those of the closing connections on which no answer is pending any more.
+    /// Starts closing those of the connections marked for closing on which no answer is pending.
     pub(super) fn close_answered(&mut self, core: &Core) {
         for (conn, close_started) in self.closing.iter_mut().filter(|(_, since)| since.is_none()) {
             let Some(sidecar) = self.sidecars.get(conn) else { continue };
-            // The rest of a partial frame is awaited, but not where the slot is needed.
+            // A partial frame may still be completed, unless the slot is needed.
             let may_close = sidecar.evicted || sidecar.partial_since.is_none();
             if !may_close || core.pending_answers_on(*conn) > 0 {
                 continue;
@@ -118,23 +118,23 @@
         }
     }
 
-    /// Closes a connection once no answer is pending on it.
+    /// Marks a connection to be closed once no answer is pending on it.
     pub(super) fn close(&mut self, conn: ConnectionId) {
         self.closing.entry(conn).or_default();
     }
 
-    /// Closes a connection that is of no use, and tells it why. False if it is being closed already.
-    pub(super) fn close_with_error(&mut self, conn: ConnectionId, why: &str) -> bool {
+    /// Closes a connection after sending the sidecar an error. Returns false if it is already being closed.
+    pub(super) fn close_with_error(&mut self, conn: ConnectionId, reason: &str) -> bool {
         let Some(sidecar) = self.sidecars.get_mut(&conn) else { return false };
         if self.closing.insert(conn, None).is_some() {
             return false;
         }
         sidecar.partial_since = None;
-        if self.close_log_limit.count(now()) {
-            info!(self.log, "closing a sidecar connection"; "why" => why);
+        if self.close_log_limit.allows_line(now()) {
+            info!(self.log, "closing a sidecar connection"; "why" => reason);
         }
         self.scratch.clear();
-        sidecar::error(&mut self.scratch, why);
+        sidecar::error(&mut self.scratch, reason);
         sidecar.out.put(&[&self.scratch]);
         true
     }
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Sends a message to a sidecar, if its connection is open.
+    /// Sends a message to a sidecar if its connection is open.
     pub(super) fn send_to_sidecar(&mut self, to: SidecarStream, encode: impl FnOnce(&mut Vec<u8>)) {
         let Some(sidecar) = self.sidecars.get(&to.conn) else { return };
         self.scratch.clear();
--- a/daemon/src/dispatcher/shared.rs
+++ b/daemon/src/dispatcher/shared.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: the core and the outboxes behind one lock, and what the tasks of the daemon share.
+//! The dispatcher: the core and the outboxes behind one lock, and the state shared by the tasks of the daemon.
 
 use super::outboxes::Outboxes;
 use crate::core::Core;
@@ -15,55 +15,56 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// Of the memory limit, the buffers for sockets and those for bodies each take one part in so many.
+/// Divisor that gives the share of the memory limit used by each of the two buffer pools.
 const MEMORY_DIVISOR: u64 = 6;
 
-/// The buffers of each pool under this memory limit in MB.
+/// Returns the number of buffers in each pool under a memory limit in MB.
 pub fn buffers_per_pool(memory_mb: u64) -> usize {
     (memory_mb * 1024 * 1024 / MEMORY_DIVISOR / BUFFER_SIZE as u64) as usize
 }
 
-/// What is behind the lock.
+/// State protected by the dispatcher's lock.
 pub(super) struct DispatcherState {
     /// The core.
     pub(super) core: Core,
-    /// Where the core's messages go.
+    /// The outboxes that receive the core's messages.
     pub(super) outboxes: Outboxes,
-    /// When the clock task wakes.
+    /// The time at which the timer task wakes up.
     armed_for: Us,
-    /// Connections opened so far.
+    /// The number of sidecar connections opened so far.
     pub(super) opened: u64,
-    /// Until when, by [`monotonic_now`], the quota that the members gave holds.
+    /// The expiry of the quota lease, as a [`monotonic_now`] time.
     quota_until: Us,
-    /// The same of the agreed lists.
+    /// The expiry of the lease of the agreed deny lists, as a [`monotonic_now`] time.
     policy_until: Us,
 }
 
-/// Brings inputs to the core, one at a time, and what it sends to the connections.
+/// Passes inputs to the core one at a time, and the core's messages to the connections.
 pub struct Dispatcher {
     locked: Mutex<DispatcherState>,
-    /// Buffers for sockets.
+    /// The buffers for sockets.
     pub pool: BufferPool,
-    /// Buffers for the bodies of RPCs.
+    /// The buffers for bodies of RPCs.
     body_pool: BufferPool,
-    /// How many sidecar connections there may be.
+    /// The limit on sidecar connections.
     pub connection_limit: ConnectionLimit,
-    /// Closes the listening socket.
+    /// The handle that closes the listening socket.
     pub listener: ListenerHandle,
     /// The log.
     pub log: Logger,
-    /// Notified when the clock task is to wake earlier than it was set to.
+    /// The notification for the timer task to wake up earlier than its armed time.
     pub timer_wakeup: Notify,
-    /// Notified when there is something new to report to the name service.
+    /// The notification that there is a change to report to the name service.
     pub load_report_wakeup: Notify,
-    /// Whether configuration changes are taken: this backend is not cut off from the others.
+    /// Whether configuration changes are accepted. They are not while this backend is cut off from the others.
     pub changes_allowed: AtomicBool,
 }
 
 impl Dispatcher {
-    /// Joins a core to the outboxes of the agent and the upstream links. `max_connections` bounds the sidecar
-    /// connections, `idle_timeout` in microseconds is after what time idle ones are closed. The pools are for sockets
-    /// and for bodies.
+    /// Creates a dispatcher for a core and the outboxes of the agent and the upstream links.
+    ///
+    /// `max_connections` bounds the sidecar connections; idle ones are closed after `idle_timeout` microseconds.
+    /// `pools` are the buffers for sockets and for bodies, in this order.
     pub fn new(
         core: Core, agent: Outbox, upstream: Vec<Outbox>, max_connections: usize, idle_timeout: Us,
         pools: [BufferPool; 2], log: Logger,
@@ -97,14 +98,14 @@
         self.locked.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Deliveries of these queues are consumed from now on, over this outbox.
+    /// Starts consuming deliveries of these queues, with the outbox of the connection to their broker.
     pub fn attach_queues(&self, queues: QueueConsumers, out: Outbox) {
         let mut locked = self.lock();
         locked.core.attach_queues(queues);
         locked.outboxes.broker = Some(out);
     }
 
-    /// Brings one input to the core. The lock is held for the time of the input only, and never over a wait.
+    /// Applies one input to the core. The lock is held only for the duration of the input, and never while waiting.
     pub fn with<R>(&self, input: impl FnOnce(&mut Core, &mut dyn Outbound, Us) -> R) -> R {
         let mut locked = self.lock();
         locked.expire_leases();
@@ -124,34 +125,34 @@
         result
     }
 
-    /// The quota that the members gave last holds until this moment, by [`monotonic_now`]; and whether configuration
-    /// changes are taken.
+    /// Renews the lease of the quota assigned by the members until a [`monotonic_now`] time, and sets whether
+    /// configuration changes are accepted.
     pub fn renew_quota_lease(&self, until: Us, changes_allowed: bool) {
         self.lock().quota_until = until;
         self.changes_allowed.store(changes_allowed, Ordering::Release);
     }
 
-    /// Sets the agreed lists in force, and until when they hold.
+    /// Sets the agreed deny lists to enforce, and the expiry of their lease.
     pub fn set_apply_policy(&self, leased: LeasedPolicy) {
         let mut locked = self.lock();
         locked.core.set_apply_policy(leased.policy);
         locked.policy_until = leased.until;
     }
 
-    /// Sets the clock to the core's next deadline, or to `latest` if that is earlier. Returns that moment.
+    /// Arms the timer for the core's next deadline, or for `latest` if that is earlier, and returns that time.
     pub fn arm_timer(&self, latest: Us) -> Us {
         let mut locked = self.lock();
         locked.armed_for = locked.core.next_deadline().unwrap_or(Us::MAX).min(latest);
         locked.armed_for
     }
 
-    /// What is reported to the name service: whether this backend takes work. `None` until that is certain.
+    /// Returns whether this backend is reported to the name service as serving, or `None` until it is known.
     pub fn serving(&self) -> Option<bool> {
         self.lock().outboxes.serving
     }
 
-    /// Adjusts the buffers to a memory limit, and the sidecar connections to a bound. Upstream links stay as many as they
-    /// are.
+    /// Adjusts the buffers to a memory limit, and sets the limit on sidecar connections. The number of upstream links
+    /// does not change.
     pub fn resize(&self, memory_mb: u64, max_connections: usize) {
         let mut locked = self.lock();
         let outboxes = &mut locked.outboxes;
@@ -163,12 +164,12 @@
         self.body_pool.resize(buffers);
     }
 
-    /// All counters.
+    /// Returns all counters.
     pub fn stats(&self) -> Stats {
         self.lock().core.stats()
     }
 
-    /// All counters and the present figures, as one line for the log.
+    /// Returns all counters and the current gauges as one line for the log.
     pub fn stats_line(&self) -> String {
         let core = &self.lock().core;
         let PoolUsage { in_use, peak } = self.pool.usage();
@@ -180,7 +181,7 @@
 }
 
 impl DispatcherState {
-    /// A lease that has run out was not renewed: this process was paused or starved.
+    /// Applies the expiry of leases that were not renewed in time, because this process was paused or starved of CPU.
     fn expire_leases(&mut self) {
         if self.quota_until != Us::MAX && monotonic_now() > self.quota_until {
             self.quota_until = Us::MAX;
--- a/daemon/src/dispatcher/sidecar_connection.rs
+++ b/daemon/src/dispatcher/sidecar_connection.rs
@@ -1,44 +1,44 @@
-//! What is recorded of one sidecar connection.
+//! State of a sidecar connection, and its usefulness while it is idle.
 
 use asterrill::Us;
 use asterrill_net::Outbox;
 
-/// Microseconds in which a new connection may be about to send its first frame.
+/// Time within which a new connection is expected to send its first frame, in microseconds.
 const NEW_CONNECTION_TIME_US: Us = 100_000;
-/// Microseconds of idleness after which a connection may be closed to free its slot.
+/// Idle time after which a connection may be closed when free slots are scarce, in microseconds.
 const IDLE_TIME_WHEN_SCARCE_US: Us = 1_000_000;
 
-/// A sidecar's connection.
+/// State of a sidecar connection.
 pub(super) struct SidecarConnectionState {
-    /// What is to be written to it.
+    /// The bytes to be written to it.
     pub(super) out: Outbox,
-    /// When it was accepted.
+    /// The time at which it was accepted.
     pub(super) opened_at: Us,
-    /// A complete frame has come on it.
+    /// Whether a complete frame has been received on it.
     pub(super) has_received_frame: bool,
-    /// Since when a frame has arrived in part.
+    /// The time since which an incomplete frame has been pending.
     pub(super) partial_since: Option<Us>,
-    /// When the sidecar was asked to close it.
+    /// The time at which the sidecar was asked to close it.
     pub(super) goaway_sent_at: Option<Us>,
-    /// It is closed to free its slot for another.
+    /// Whether it is being closed to free its slot for another connection.
     pub(super) evicted: bool,
 }
 
-/// Of how much use a connection is while it is idle; the least useful are closed first.
+/// Usefulness of an idle connection, in ascending order; the least useful are closed first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum IdleClass {
-    /// It has sent nothing, though it had time to.
+    /// No frame was received, although there was time to send one.
     Silent,
-    /// No run was ever made for it.
+    /// Frames were received, but no run was completed for any of its RPCs.
     Unverified,
-    /// It may be about to send its first frame.
+    /// It was opened recently, and its first frame may be in transit.
     New,
-    /// It belongs to a sidecar that the agent knows, whose next RPC may be on its way.
+    /// It belongs to a sidecar that the agent knows, whose next RPC may be in transit.
     Verified,
 }
 
 impl SidecarConnectionState {
-    /// One that was accepted now.
+    /// Creates the state of a connection accepted at `now`.
     pub(super) fn new(out: Outbox, now: Us) -> SidecarConnectionState {
         SidecarConnectionState {
             out,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Of how much use it is. `verified`: a run was made for an RPC of this connection.
+    /// Returns its usefulness. `verified` tells whether a run was completed for an RPC of this connection.
     pub(super) fn idle_class(&self, verified: bool, now: Us) -> IdleClass {
         match (self.has_received_frame, verified) {
             (false, _) if self.opened_at + NEW_CONNECTION_TIME_US < now => IdleClass::Silent,
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Whether it has been idle for long enough to be closed when connections are scarce.
+    /// Reports whether it has been idle for long enough to be closed when free slots are scarce.
     pub(super) fn is_idle_when_scarce(&self, now: Us) -> bool {
         let limit = if self.has_received_frame { IDLE_TIME_WHEN_SCARCE_US } else { NEW_CONNECTION_TIME_US };
         self.last_used() + limit < now
     }
 
-    /// When it last carried something, or was opened.
+    /// Returns the time at which it last carried data, or was opened.
     pub(super) fn last_used(&self) -> Us {
         self.out.last_used().max(self.opened_at)
     }
--- a/daemon/src/load_report.rs
+++ b/daemon/src/load_report.rs
@@ -1,5 +1,6 @@
-//! Load reports to the name service: whether this backend takes work, once a second and at once when that, or the name
-//! service's address, changes.
+//! Load reports to the name service, which state whether this backend is serving.
+//!
+//! A report is sent once a second, and at once when the state or the address of the name service changes.
 
 use crate::dispatcher::Dispatcher;
 use asterrill::Us;
@@ -9,17 +10,18 @@
 use slog::warn;
 use std::time::Duration;
 
-/// Microseconds between two reports.
+/// Interval between two reports, in microseconds.
 const REPORT_INTERVAL_US: Us = 1_000_000;
-/// A report that takes longer is lost.
+/// Time after which a report without a complete reply counts as lost.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Reports are sent early by up to this part of the interval, so that many backends do not report in step.
+/// Divisor that gives the maximum jitter as a share of the interval. Reports are sent early by a random part of it, so
+/// that the reports of many backends do not coincide.
 const JITTER_DIVISOR: Us = 4;
 
-/// Sends load reports for as long as the process lives.
+/// Sends load reports during the life of the process.
 ///
-/// A report that was sent may count though it was not answered, so only one that could not be sent makes the next one
-/// back off. `jitter_seed` spreads the reports of many backends; `None` sends them without jitter.
+/// A report that was sent may have been counted even without a reply, so the backoff applies only after a report that
+/// could not be sent. `jitter_seed` spreads the reports of many backends; `None` disables the jitter.
 pub fn send_load_reports(
     dispatcher: &Dispatcher, name: &str, address: &Address, mut backoff: Backoff, jitter_seed: Option<u64>,
 ) {
--- a/daemon/src/name_table.rs
+++ b/daemon/src/name_table.rs
@@ -1,13 +1,15 @@
-//! The index of each method and tenant name. Names are shared with all who hold them; an index never moves while its
-//! name is in the table. Which of them are in force is the decision module's to say: a name whose settings are staged is
-//! found here already, and one that was removed still is, until the change that removed it is final.
+//! Table of the indices of method and tenant names.
+//!
+//! The strings are shared with all other holders of a name, and an index never changes while its name is in the table.
+//! The decision module determines which names are in force: the table already contains names whose settings are staged,
+//! and keeps removed names until the change that removed them is final.
 
 use asterrill::{Idempotency, MethodId, SettingsUpdate, Us};
 use asterrill_entries::{Change, Name, MAX_METHODS};
 use asterrill_settings::ServerParts;
 use rustc_hash::FxHashMap;
 
-/// What is recorded of one method, by the version in force.
+/// Settings of a method in the version in force.
 #[derive(Clone, Debug)]
 struct MethodEntry {
     name: Name,
@@ -15,33 +17,34 @@
     latency_target: Us,
 }
 
-/// Settings of a method that come into force with the staged version.
+/// Settings of a method that become active with the staged version.
 struct StagedMethod {
     id: MethodId,
     idempotency: Idempotency,
     latency_target: Us,
 }
 
-/// What the daemon knows of the names in the settings.
+/// Names of methods, tenants and gauges in the settings.
 pub struct NameTable {
-    /// By index. An entry is never removed, so that RPCs in flight of a removed method end at it.
+    /// The methods by index. Entries are never removed, because RPCs of a removed method may still be in flight.
     methods: Vec<MethodEntry>,
     method_ids: FxHashMap<Name, MethodId>,
     tenants: FxHashMap<Name, usize>,
-    /// Tenant indices that were ever given out, and those of them that are free.
+    /// The number of tenant indices ever allocated.
     tenant_indices: usize,
+    /// The allocated tenant indices that are free.
     free_tenant_indices: Vec<usize>,
-    /// Tenants removed by a change that is not final yet.
+    /// The tenants removed by a change that is not final yet.
     removed_tenants: Vec<Name>,
     staged: Vec<StagedMethod>,
-    /// Whether each RPC must name a tenant, by the version in force.
+    /// Whether each RPC must name a tenant in the version in force.
     pub requires_tenant: bool,
-    /// The names of the agent's gauges, in the order in which it sends them.
+    /// The names of the agent's gauges, in the order in which the agent sends them.
     pub gauges: Vec<String>,
 }
 
 impl NameTable {
-    /// Takes the names out of a server.
+    /// Creates a table of the names in `server`, and takes them out of it.
     pub fn new(server: &mut ServerParts) -> NameTable {
         let method_names = std::mem::take(&mut server.methods);
         let tenant_names = std::mem::take(&mut server.tenants);
@@ -65,51 +68,51 @@
         }
     }
 
-    /// The index of a method, whether it is in force or not.
+    /// Returns the index of a method, in force or not.
     pub fn method_id(&self, name: &str) -> Option<MethodId> {
         self.method_ids.get(name).copied()
     }
 
-    /// The index of a tenant, whether it is in force or not.
+    /// Returns the index of a tenant, in force or not.
     pub fn tenant_index(&self, name: &str) -> Option<usize> {
         self.tenants.get(name).copied()
     }
 
-    /// A method's name.
+    /// Returns the name of a method.
     pub fn name(&self, method: MethodId) -> Option<&Name> {
         self.methods.get(method.0).map(|entry| &entry.name)
     }
 
-    /// What a method allows as to running twice.
+    /// Returns whether and how a method may be run more than once.
     pub fn idempotency(&self, method: MethodId) -> Option<Idempotency> {
         self.methods.get(method.0).map(|entry| entry.idempotency)
     }
 
-    /// A method's latency target in microseconds.
+    /// Returns the latency target of a method in microseconds.
     pub fn latency_target(&self, method: MethodId) -> Option<Us> {
         self.methods.get(method.0).map(|entry| entry.latency_target)
     }
 
-    /// All methods that there ever were.
+    /// Returns the indices of all methods, including removed ones.
     pub fn method_ids(&self) -> impl Iterator<Item = MethodId> {
         (0..self.methods.len()).map(MethodId)
     }
 
-    /// All tenants in the table, in force or not.
+    /// Returns all tenants in the table, in force or not.
     pub fn tenants(&self) -> impl Iterator<Item = (&Name, usize)> {
         self.tenants.iter().map(|(name, index)| (name, *index))
     }
 
-    /// Tenant indices that were ever given out.
+    /// Returns the number of tenant indices ever allocated.
     #[cfg(test)]
     pub fn tenant_indices(&self) -> usize {
         self.tenant_indices
     }
 
-    /// Whether there are indices for all methods that a change names. The error says that there are none left.
+    /// Checks that there are enough indices for all methods in a change.
     pub fn check_capacity_for(&self, changes: &[Change]) -> Result<(), String> {
         let put = |change: &&Change| matches!(change, Change::PutMethod(..));
-        // The worst case is that all of them are new: mostly there is capacity even so.
+        // Skips the lookups if there is capacity even in the worst case, in which all methods are new.
         if self.methods.len() + changes.iter().filter(put).count() <= MAX_METHODS {
             return Ok(());
         }
@@ -118,10 +121,11 @@
         if self.methods.len() + changes.iter().filter(is_new).count() <= MAX_METHODS {
             return Ok(());
         }
-        Err(format!("there were more than {MAX_METHODS} methods since the start: start anew"))
+        Err(format!("more than {MAX_METHODS} methods since the start of the process; restart it"))
     }
 
-    /// Gives the names of a change their indices. Returns the settings to stage there; none is in force by that.
+    /// Allocates indices for the names in a change, and returns the settings to stage there. None of them is in force
+    /// yet.
     pub fn stage(&mut self, changes: &[Change]) -> Vec<SettingsUpdate> {
         changes.iter().filter_map(|change| self.stage_change(change)).collect()
     }
@@ -164,7 +168,7 @@
         index
     }
 
-    /// Brings what was staged into force. Returns the latency targets of the methods that it names.
+    /// Activates the staged settings, and returns the latency targets of the methods among them.
     pub fn apply_staged(&mut self, requires_tenant: bool) -> Vec<(MethodId, Us)> {
         self.requires_tenant = requires_tenant;
         let mut targets = Vec::with_capacity(self.staged.len());
@@ -178,8 +182,8 @@
         targets
     }
 
-    /// The change is final, or was undone: the indices of removed tenants are free for others. `in_force` says whether
-    /// the tenant at an index is in force.
+    /// Releases the indices of removed tenants after a change has become final or was rolled back. `in_force` reports
+    /// whether the tenant at an index is in force.
     pub fn release_removed_tenants(&mut self, in_force: impl Fn(usize) -> bool) {
         for name in std::mem::take(&mut self.removed_tenants) {
             let Some(index) = self.tenant_index(&name).filter(|index| !in_force(*index)) else { continue };
--- a/daemon/src/peer_addresses.rs
+++ b/daemon/src/peer_addresses.rs
@@ -1,23 +1,23 @@
-//! Where the agent, the upstream and the name service are, which a reload may change.
+//! Addresses of the agent, the upstream and the name service, which a reload may change.
 
 use crate::dispatcher::Dispatcher;
 use asterrill_net::{Address, Outbox};
 use asterrill_settings::Deployment;
 
-/// Addresses of the other sides, and the links to them.
+/// Addresses of the peers, and the outboxes of the links to them.
 pub struct PeerAddresses {
-    /// The agent that owns the cores.
+    /// The address of the agent.
     pub agent: Address,
-    /// The name service that gets load reports.
+    /// The address of the name service, which receives load reports.
     pub name_service: Address,
-    /// The upstream that calls go to; `None` where there is none.
+    /// The address of the upstream, which receives calls; `None` without an upstream.
     pub upstream: Option<Address>,
     agent_link: Outbox,
     upstream_links: Vec<Outbox>,
 }
 
 impl PeerAddresses {
-    /// As the deployment has them.
+    /// Creates the addresses from a deployment.
     pub fn new(deployment: &Deployment, agent_link: Outbox, upstream_links: Vec<Outbox>) -> PeerAddresses {
         PeerAddresses {
             agent: Address::new(deployment.agent),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Goes over to where the other sides are now.
+    /// Applies the addresses of a reloaded deployment, and closes the links whose address has changed.
     pub fn update(&self, dispatcher: &Dispatcher, deployment: &Deployment) {
         if self.agent.set(deployment.agent) {
             self.agent_link.close_now();
--- a/daemon/src/queues.rs
+++ b/daemon/src/queues.rs
@@ -1,5 +1,6 @@
-//! The queues that are consumed: the session with the broker on one side, each queue's state machine on the other. What
-//! the state machines request of the engine is handed to the core; all else is carried out here.
+//! Consumed queues, which connect the session with the broker to the state machine of each queue.
+//!
+//! Requests of the state machines to the engine are passed to the core; all other actions are carried out here.
 
 mod actions;
 mod broker_events;
--- a/daemon/src/queues/actions.rs
+++ b/daemon/src/queues/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the queues' state machines ask for: on the session here, or as a request to the core.
+//! Actions of the queue state machines, carried out on the session or passed to the core as requests.
 
 use super::consumers::{QueueConsumers, REPLY_CHANNEL};
 use asterrill::{RpcId, Us};
@@ -7,20 +7,20 @@
 use asterrill_protocol::amqp::{Reply, Session, State};
 use nanorand::{Rng, WyRand};
 
-/// The consumer tag; each queue has a channel of its own.
+/// Consumer tag of all queues. It need not be unique, because each queue has its own channel.
 const CONSUMER_TAG: &str = "asterrill";
-/// The AMQP reply code of a close without an error.
+/// AMQP reply code for a close without an error.
 const REPLY_SUCCESS: u16 = 200;
 
-/// What the core is to do for a queue.
+/// Request of a queue to the core.
 pub enum QueueRequest {
     /// Submit a delivery to the engine.
     Submit {
-        /// The delivery as an RPC, under an id drawn for it.
+        /// The delivery as an RPC, under a random id.
         rpc: IncomingRpc,
-        /// Which delivery it is.
+        /// The id of the delivery.
         delivery: InFlightId,
-        /// Its body.
+        /// The body of the delivery.
         body: Vec<u8>,
     },
     /// Withdraw a delivery that has not been launched.
@@ -30,7 +30,7 @@
 }
 
 impl QueueConsumers {
-    /// Carries out what the queues ask for, until one requests something of the core.
+    /// Carries out the actions of the queues up to the next request to the core, and returns that request.
     pub fn next_request(&mut self, now: Us) -> Option<QueueRequest> {
         for (index, queue) in self.queues.iter_mut().enumerate() {
             let channel = QueueConsumers::channel_of(index);
--- a/daemon/src/queues/broker_events.rs
+++ b/daemon/src/queues/broker_events.rs
@@ -1,18 +1,18 @@
-//! What the broker sends: bytes go through the session, and its events to the queues.
+//! Input from the broker: bytes are parsed by the session, and the resulting events are passed to the queues.
 
 use super::consumers::{QueueConsumers, REPLY_CHANNEL};
 use asterrill::Us;
 use asterrill_consumer::{Catalog, InFlightId};
 use asterrill_protocol::amqp::{Channel, Event};
 
-/// The AMQP reply code for frames that are not understood.
+/// AMQP reply code for malformed frames.
 const FRAME_ERROR: u16 = 501;
-/// Characters of a text from the broker that are written to the log.
+/// Maximum number of characters of a text from the broker that are written to the log.
 const MAX_LOGGED_CHARS: usize = 128;
 
 impl QueueConsumers {
-    /// Reads what the broker sent. Deliveries are routed by `catalog`, the names in force. The error says why the
-    /// connection is of no more use.
+    /// Processes bytes from the broker. Deliveries are routed by `catalog`, the names in force. The error says why the
+    /// connection has failed.
     pub fn read(
         &mut self, now: Us, mut bytes: &[u8], logs: &mut Vec<String>, catalog: &dyn Catalog,
     ) -> Result<(), String> {
@@ -64,15 +64,15 @@
             Event::Returned { message_id, code } => self.reply_returned(message_id, code, logs),
             Event::Blocked { reason } => {
                 self.stats.blocked += 1;
-                logs.push(format!("the broker blocked publishing: {}", printable(&reason)));
+                logs.push(format!("broker blocked publishing: {}", printable(&reason)));
             }
-            Event::Unblocked => logs.push("the broker unblocked publishing".into()),
+            Event::Unblocked => logs.push("broker unblocked publishing".into()),
             Event::ChannelClosed { channel, code, text } => {
                 self.channel_closed(now, channel, code, &text, logs);
             }
             Event::Closed { code, text } => {
                 self.stats.closed_by_broker += 1;
-                return Err(format!("the broker closed it: {code} {}", printable(&text)));
+                return Err(format!("closed by the broker: {code} {}", printable(&text)));
             }
             Event::CloseConfirmed => self.close_confirmed = true,
         }
@@ -95,7 +95,7 @@
             }
             return;
         }
-        logs.push(format!("the broker closed the channel for replies: {code} {}", printable(text)));
+        logs.push(format!("broker closed the reply channel; reopening it: {code} {}", printable(text)));
         self.can_publish = false;
         for queue in &mut self.queues {
             queue.reply_channel_lost();
@@ -104,7 +104,7 @@
     }
 
     fn reply_returned(&mut self, message_id: Option<String>, code: u16, logs: &mut Vec<String>) {
-        logs.push(format!("the broker returned a reply: {code}"));
+        logs.push(format!("broker returned a reply: {code}"));
         let id = message_id.and_then(|id| u64::from_str_radix(&id, 16).ok()).map(InFlightId);
         let Some(id) = id else { return };
         if let Some(queue) = self.queue_of(id) {
@@ -113,7 +113,7 @@
     }
 }
 
-/// A text from the broker as it may be logged.
+/// Returns a text from the broker without control characters and truncated, so that it can be logged safely.
 fn printable(text: &str) -> String {
     text.chars().take(MAX_LOGGED_CHARS).filter(|c| !c.is_control()).collect()
 }
--- a/daemon/src/queues/consumers.rs
+++ b/daemon/src/queues/consumers.rs
@@ -1,4 +1,4 @@
-//! The session with the broker and the state machines of the queues: set-up, reconfiguration, connection, timers.
+//! The session with the broker and the state machines of the queues: setup, reconfiguration, connection, timers.
 
 use super::stats::BrokerStats;
 use asterrill::{FinalAnswer, Us};
@@ -7,53 +7,54 @@
 use nanorand::{Rng, WyRand};
 use std::fmt;
 
-/// The channel on which replies are published; those of the queues follow.
+/// Channel on which replies are published.
 pub(super) const REPLY_CHANNEL: Channel = Channel(1);
+/// Channel of the first queue; the other queues use the following channels.
 const FIRST_QUEUE_CHANNEL: u16 = 2;
-/// Queues that may ever be consumed by a process: each keeps its channel.
+/// Maximum number of different queues consumed during the life of the process, because each queue keeps its channel.
 const MAX_QUEUES: usize = 200;
-/// An [`InFlightId`] has its queue's number, counted from 1, above this many bits.
+/// Position of the queue number in an [`InFlightId`]; queues are numbered from 1.
 const QUEUE_NUMBER_SHIFT_BITS: u32 = 48;
 
-/// What the queues are made from.
+/// Configuration of the queues and of the connection to their broker.
 pub struct QueueConfig {
     /// Credentials and limits of the connection.
     pub login: Login,
     /// The queues to consume.
     pub consumers: Vec<ConsumerConfig>,
-    /// Seed of what is drawn at random.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// Cores of this server.
+    /// The number of cores of this server.
     pub cores: f64,
-    /// Deliveries of all queues together for which there is memory.
+    /// The number of deliveries, over all queues, for which there is memory.
     pub delivery_capacity: f64,
-    /// The figure published to callers is a credit: what each may have in flight.
+    /// Whether the figure published to callers is a credit: the number of RPCs that each may have in flight.
     pub publishes_credit: bool,
 }
 
-/// The queues that are consumed, and the session with their broker.
+/// Consumed queues, and the session with their broker.
 pub struct QueueConsumers {
-    /// The connection's state machine.
+    /// The state machine of the connection.
     pub(super) session: Session,
-    /// The queues' state machines, by their channels.
+    /// The state machines of the queues, in the order of their channels.
     pub(super) queues: Vec<QueueConsumer>,
     cores: f64,
     delivery_capacity: f64,
     publishes_credit: bool,
-    /// Draws ids and seeds.
+    /// The generator of ids and seeds.
     pub(super) rng: WyRand,
-    /// The channel for replies is open, and publishes are confirmed.
+    /// Whether the reply channel is open and in confirm mode.
     pub(super) can_publish: bool,
-    /// The graceful shutdown has begun.
+    /// Whether the graceful shutdown has begun.
     pub(super) draining: bool,
-    /// The broker has confirmed that the connection is closed for good.
+    /// Whether the broker has confirmed the final close of the connection.
     pub(super) close_confirmed: bool,
-    /// Counters of the connection.
+    /// The counters of the connection.
     pub(super) stats: BrokerStats,
 }
 
 impl QueueConsumers {
-    /// Queues of this configuration, not connected yet.
+    /// Creates the queues of this configuration, without a connection.
     pub fn new(now: Us, config: QueueConfig) -> QueueConsumers {
         let mut rng = WyRand::new_seed(config.seed);
         let numbered = (1..).zip(config.consumers);
@@ -76,13 +77,13 @@
         }
     }
 
-    /// Whether there are channels for these queues.
+    /// Reports whether there are enough channels to consume these queues.
     pub fn has_capacity_for(&self, configs: &[ConsumerConfig]) -> bool {
         let is_new = |config: &&ConsumerConfig| !self.queues.iter().any(|q| q.config().name == config.name);
         self.queues.len() + configs.iter().filter(is_new).count() <= MAX_QUEUES
     }
 
-    /// Consumes these queues from now on; those that are not named are drained.
+    /// Changes the set of consumed queues to this one, and drains the queues that are no longer in it.
     pub fn reconfigure(&mut self, now: Us, configs: Vec<ConsumerConfig>) {
         if self.draining {
             return;
@@ -110,66 +111,66 @@
         self.queues.push(queue);
     }
 
-    /// The queue that a message in flight came from.
+    /// Returns the queue of a message in flight.
     pub(super) fn queue_of(&mut self, id: InFlightId) -> Option<&mut QueueConsumer> {
         self.queues.get_mut((id.0 >> QUEUE_NUMBER_SHIFT_BITS).checked_sub(1)? as usize)
     }
 
-    /// The queue that is consumed on a channel.
+    /// Returns the queue that is consumed on a channel.
     pub(super) fn queue_on(&mut self, channel: Channel) -> Option<&mut QueueConsumer> {
         self.queues.get_mut(channel.0.checked_sub(FIRST_QUEUE_CHANNEL)? as usize)
     }
 
-    /// The channel of the queue at this index.
+    /// Returns the channel of the queue at this index.
     pub(super) fn channel_of(index: usize) -> Channel {
         Channel(index as u16 + FIRST_QUEUE_CHANNEL)
     }
 
-    /// A connection is up.
+    /// Handles a new connection.
     pub fn connected(&mut self, now: Us) {
         self.session.connected(now);
         self.can_publish = false;
     }
 
-    /// The connection has ended. True if it had been of use.
+    /// Handles the end of the connection. Returns whether it had been usable.
     pub fn disconnected(&mut self) -> bool {
-        let useful = matches!(self.session.state(), State::Open | State::Closing);
-        self.stats.disconnected += u64::from(useful);
+        let was_usable = matches!(self.session.state(), State::Open | State::Closing);
+        self.stats.disconnected += u64::from(was_usable);
         self.session.disconnected();
         self.can_publish = false;
         for queue in &mut self.queues {
             queue.connection_down();
         }
-        useful
+        was_usable
     }
 
-    /// Whether no connection is wanted any more.
+    /// Reports whether no connection is needed any more.
     pub fn is_done(&self) -> bool {
         self.close_confirmed || self.draining && self.session.state() == State::Disconnected
     }
 
-    /// A message was launched.
+    /// Records that the run of a message was launched.
     pub fn launched(&mut self, id: InFlightId) {
         if let Some(queue) = self.queue_of(id) {
             queue.run_started(id);
         }
     }
 
-    /// A message was answered.
+    /// Passes the final answer for a message to its queue.
     pub fn answered(&mut self, now: Us, id: InFlightId, answer: FinalAnswer<'_>) {
         if let Some(queue) = self.queue_of(id) {
             queue.answered(now, id, answer);
         }
     }
 
-    /// A message was withdrawn from the engine before it ran.
+    /// Records that a message was withdrawn from the engine before it ran.
     pub fn withdrawn(&mut self, now: Us, id: InFlightId) {
         if let Some(queue) = self.queue_of(id) {
             queue.withdrawn(now, id);
         }
     }
 
-    /// Begins the graceful shutdown: no new message is taken.
+    /// Begins the graceful shutdown, after which no new message is accepted.
     pub fn drain(&mut self, now: Us) {
         self.draining = true;
         for queue in &mut self.queues {
@@ -177,18 +178,20 @@
         }
     }
 
-    /// When [`QueueConsumers::tick`] is due next.
+    /// Returns the time at which [`QueueConsumers::tick`] is due next.
     pub fn next_deadline(&self) -> Option<Us> {
         self.queues.iter().filter_map(QueueConsumer::next_timer).chain(self.session.next_tick()).min()
     }
 
-    /// Whether a tick is due.
+    /// Reports whether a tick is due.
     pub fn is_due(&self, now: Us) -> bool {
         self.next_deadline().is_some_and(|deadline| deadline <= now)
     }
 
-    /// Time has passed. `credit` is the figure published to callers; nothing is consumed while `can_run` is false. The
-    /// error says why the connection is of no more use.
+    /// Processes timers that are due and updates the prefetch of the queues.
+    ///
+    /// `credit` is the figure published to callers; nothing is consumed while `can_run` is false. The error says why
+    /// the connection has failed.
     pub fn tick(&mut self, now: Us, credit: Option<f64>, can_run: bool) -> Result<(), String> {
         let credit = if can_run { credit.filter(|_| self.publishes_credit) } else { Some(0.0) };
         let capacity = self.delivery_capacity / self.queues.len().max(1) as f64;
@@ -201,7 +204,7 @@
         })
     }
 
-    /// The session, with the bytes that are to be written to the broker.
+    /// Returns the session, which holds the bytes to be written to the broker.
     pub fn session_mut(&mut self) -> &mut Session {
         &mut self.session
     }
--- a/daemon/src/shutdown.rs
+++ b/daemon/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown, and the learned values that are saved before it.
+//! Graceful shutdown, and storage of learned values before it.
 
 use crate::clocks::read_clocks;
 use crate::dispatcher::Dispatcher;
@@ -8,32 +8,32 @@
 use asterrill_net::{now, wait_until};
 use std::sync::Arc;
 
-/// For all connections to be closed on both sides before the kill, in microseconds.
+/// Maximum time to wait for all connections to be closed on both sides before the process is killed, in microseconds.
 const CLOSE_TIMEOUT_US: Us = 70_000;
-/// Between looks whether they are, in microseconds.
+/// Interval between checks whether all connections are closed, in microseconds.
 const CLOSE_POLL_INTERVAL_US: Us = 5_000;
 
-/// What is done when the notice to shut down comes.
+/// Graceful shutdown, started by the shutdown notice.
 pub struct Shutdown {
     membership: Option<Arc<MembershipService>>,
     store: Option<Store>,
-    /// From the notice to the kill, in microseconds; a reload may change it.
+    /// The time from the notice until the process is killed, in microseconds; a reload may change it.
     pub grace: Us,
     begun: bool,
 }
 
 impl Shutdown {
-    /// With `grace` microseconds from the notice to the kill.
+    /// Creates a shutdown with `grace` microseconds from the notice until the process is killed.
     pub fn new(membership: Option<Arc<MembershipService>>, store: Option<Store>, grace: Us) -> Shutdown {
         Shutdown { membership, store, grace, begun: false }
     }
 
-    /// The notice came already.
+    /// Reports whether the shutdown has begun.
     pub fn has_begun(&self) -> bool {
         self.begun
     }
 
-    /// Saves what was learned, if that is due, or at the notice.
+    /// Stores the learned values if that is due, or in any case at the shutdown notice.
     pub fn save_learned(&self, dispatcher: &Dispatcher, at_notice: bool) {
         let learned = dispatcher.with(|core, _, now| core.take_snapshot(now, read_clocks, at_notice));
         if let (Some(learned), Some(store)) = (learned, &self.store) {
@@ -41,8 +41,7 @@
         }
     }
 
-    /// The notice came. Learned values are those of the moment before: what a drain does to the figures is not worth
-    /// learning.
+    /// Begins the shutdown. The learned values are stored before the drain, which distorts the figures.
     pub fn begin(&mut self, dispatcher: &Dispatcher) {
         let first = !std::mem::replace(&mut self.begun, true);
         self.save_learned(dispatcher, first);
@@ -53,7 +52,7 @@
     }
 }
 
-/// Closes all connections in order, and waits until they are closed, so long at most.
+/// Closes all connections gracefully, and waits until they are closed, for a limited time.
 pub fn close_connections(dispatcher: &Dispatcher) {
     dispatcher.close_all();
     let until = now() + CLOSE_TIMEOUT_US;
