--- a/daemon/src/recovery.rs
+++ b/daemon/src/recovery.rs
@@ -1,5 +1,7 @@
-//! Recovery of this server after a start or an upstream outage: what `asterrill-recovery` decides, joined to the figures of
-//! the engine. No I/O: the stored snapshot comes in, the one to store goes out, clock readings are passed in.
+//! Recovery of this server after a start or an upstream outage.
+//!
+//! Connects the decisions of `asterrill-recovery` to the figures of the engine. This module does no I/O: the stored
+//! snapshot and clock readings are passed in, and the snapshot to store is returned.
 
 use asterrill::{
     CallerId, LearnedAllowance, LearnedBalance, LearnedCost, LearnedState, MethodId, RecoveryLimits, Status,
@@ -14,77 +16,77 @@
     TenantAllowance, MAX_METHODS, MAX_TENANTS,
 };
 
-/// Microseconds between two updates of slow start and stage.
+/// Interval between two updates of slow start and recovery stage, in microseconds.
 const UPDATE_INTERVAL_US: Us = 100_000;
 
-/// What a start knows of itself.
+/// Configuration of recovery, as known at the start of the process.
 pub struct RecoveryConfig {
-    /// This server's name.
+    /// The name of this server.
     pub name: String,
     /// The hash of the settings in force.
     pub settings_hash: u64,
-    /// Cores of this server.
+    /// The number of cores of this server.
     pub cores: f64,
-    /// Its memory limit in MB.
+    /// The memory limit of this server in MB.
     pub memory_mb: u64,
-    /// The clocks at the start.
+    /// The clock readings at the start.
     pub clocks: ClockReading,
     /// The operator's settings.
     pub settings: RecoverySettings,
-    /// The stored snapshot of a process before, if there is one.
+    /// The snapshot stored by a previous process, if there is one.
     pub snapshot: Option<Snapshot>,
-    /// Seed of the jitter.
+    /// The seed of the jitter.
     pub seed: u64,
-    /// There is a directory where snapshots are stored.
+    /// Whether there is a directory in which snapshots are stored.
     pub persistent: bool,
 }
 
-/// The names of methods and tenants in force.
+/// Lookup of the methods and tenants in force.
 pub trait ActiveCatalog {
-    /// The latency targets of the methods, by name.
+    /// Returns the latency targets of the methods, by name.
     fn latency_targets(&self) -> &dyn LatencyTargets;
-    /// A method's name and its latency target in microseconds.
+    /// Returns the name of a method and its latency target in microseconds.
     fn method_name(&self, id: MethodId) -> Option<(&Name, Us)>;
-    /// A method's index.
+    /// Returns the index of a method.
     fn method_id(&self, name: &str) -> Option<MethodId>;
-    /// A tenant's index.
+    /// Returns the index of a tenant.
     fn tenant_index(&self, name: &str) -> Option<usize>;
-    /// All tenants with their indices, in any order.
+    /// Returns all tenants with their indices, in any order.
     fn tenants(&self) -> Vec<(&Name, usize)>;
 }
 
-/// What is restored of a snapshot.
+/// Valid parts of a stored snapshot.
 pub struct Restored {
-    /// For the decision module.
+    /// The learned state to restore in the decision module.
     pub learned: LearnedState,
-    /// What became of each value, for the log.
+    /// The outcome for each value, as written to the log.
     pub summary: String,
 }
 
-/// What an update has brought.
+/// Result of an update of the recovery tracker.
 #[derive(Default)]
 pub struct RecoveryUpdate {
-    /// New limits for the decision module, if they have changed.
+    /// The new limits for the decision module, if they have changed.
     pub limits: Option<RecoveryLimits>,
-    /// The stage that was entered, if one was.
+    /// The stage that was entered, if any.
     pub entered_stage: Option<Stage>,
 }
 
-/// Tracks how far this server has recovered.
+/// Tracker of this server's recovery.
 pub struct RecoveryTracker {
     config: RecoveryConfig,
     stages: StageTracker,
     slow_start: Option<SlowStart>,
-    /// The stored snapshot was assessed, or there was none.
+    /// Whether the stored snapshot was assessed, or there was none.
     assessed: bool,
     next_update: Us,
     snapshot_interval: JitteredInterval,
-    /// The engine's counters at the last update.
+    /// The counters of the engine at the last update.
     previous: EngineStats,
 }
 
 impl RecoveryTracker {
-    /// Begins at a start.
+    /// Creates the tracker at the start of the process.
     pub fn new(now: Us, config: RecoveryConfig) -> RecoveryTracker {
         let interval = config.settings.snapshot_interval;
         let snapshot_interval = JitteredInterval::new(now, interval, config.seed, "snapshot");
@@ -99,22 +101,22 @@
         }
     }
 
-    /// When [`RecoveryTracker::update`] is due next.
+    /// Returns the time at which [`RecoveryTracker::update`] is due next.
     pub fn next_update(&self) -> Us {
         self.next_update
     }
 
-    /// Sets the hash of the settings that have come into force.
+    /// Sets the hash of the settings in force.
     pub fn set_settings_hash(&mut self, hash: u64) {
         self.config.settings_hash = hash;
     }
 
-    /// The stages of recovery.
+    /// Returns the tracker of the recovery stages.
     pub fn stages(&self) -> &StageTracker {
         &self.stages
     }
 
-    /// The limits that the decision module is to observe now.
+    /// Returns the limits that currently apply to the decision module.
     pub fn limits(&self) -> RecoveryLimits {
         let RecoverySettings { retry_percent, jitter_percent, .. } = self.config.settings;
         RecoveryLimits {
@@ -124,10 +126,11 @@
         }
     }
 
-    /// The agent has greeted. At the first greeting slow start begins and the stored snapshot is assessed; returns what
-    /// of it is restored. `empty`: the agent started cold.
+    /// Begins slow start and assesses the stored snapshot at the agent's first greeting, and returns its valid parts.
+    ///
+    /// `agent_cold` tells whether the agent started with empty caches.
     pub fn agent_greeted(
-        &mut self, now: Us, empty: bool, status: Status, active: &dyn ActiveCatalog,
+        &mut self, now: Us, agent_cold: bool, status: Status, active: &dyn ActiveCatalog,
     ) -> Option<Restored> {
         if std::mem::replace(&mut self.assessed, true) {
             return None;
@@ -141,7 +144,7 @@
             self.slow_start = Some(SlowStart::new(now, config));
         }
         let snapshot = self.config.snapshot.take()?;
-        Some(self.restore(&snapshot, empty, active))
+        Some(self.restore(&snapshot, agent_cold, active))
     }
 
     fn restore(&self, snapshot: &Snapshot, agent_cold: bool, active: &dyn ActiveCatalog) -> Restored {
@@ -179,7 +182,9 @@
         Restored { learned, summary }
     }
 
-    /// Time has passed. `stats` are the engine's counters, `status` the decision module's state.
+    /// Updates slow start and stage if the interval has passed.
+    ///
+    /// `stats` are the counters of the engine, `status` is the state of the decision module.
     pub fn update(&mut self, now: Us, stats: &EngineStats, status: Status) -> RecoveryUpdate {
         if now < self.next_update {
             return RecoveryUpdate::default();
@@ -214,13 +219,15 @@
         }
     }
 
-    /// Whether a snapshot is to be stored now: at its interval, or because the server leaves.
-    pub fn is_snapshot_due(&mut self, now: Us, leaving: bool) -> bool {
-        self.config.persistent && self.assessed && (self.snapshot_interval.expired(now) || leaving)
+    /// Reports whether a snapshot is to be stored now, at its interval or because the server is shutting down.
+    pub fn is_snapshot_due(&mut self, now: Us, shutting_down: bool) -> bool {
+        self.config.persistent && self.assessed && (self.snapshot_interval.expired(now) || shutting_down)
     }
 
-    /// The snapshot to store. Methods of which nothing was learned, and removed ones, are left out; of the others as many
-    /// as a snapshot holds, in the order of their names.
+    /// Returns the snapshot to store.
+    ///
+    /// Removed methods, and methods about which nothing was learned, are omitted. If there are more names than a
+    /// snapshot can hold, it contains the first ones in the order of names.
     pub fn snapshot(
         &self, clocks: ClockReading, learned: LearnedState, active: &dyn ActiveCatalog,
     ) -> Snapshot {
@@ -241,7 +248,7 @@
         }
     }
 
-    /// How many outages of the upstream tier were detected.
+    /// Returns the number of detected outages of the upstream tier.
     pub fn outages(&self) -> u64 {
         self.slow_start.as_ref().map_or(0, |slow_start| slow_start.outages)
     }
@@ -277,7 +284,8 @@
     tenants.into_iter().filter_map(allowance).collect()
 }
 
-/// Retains the first `limit` by name, sorted. Linear in all, so that a few of many cost no sorting of all.
+/// Retains the first `limit` items by name, sorted. Selects them in linear time before sorting, so that the cost of
+/// sorting depends on `limit` only.
 fn retain_first<T>(all: &mut Vec<T>, limit: usize, name: impl Fn(&T) -> &Name) {
     let order = |a: &T, b: &T| name(a).cmp(name(b));
     if all.len() > limit {
--- a/daemon/src/service_stats.rs
+++ b/daemon/src/service_stats.rs
@@ -1,32 +1,35 @@
-//! What was received and answered of each method, for the watch over a configuration change. Taking a sample costs
-//! time in the number of methods that were used since the last one, whatever the number of methods there are.
+//! Counters of received and answered RPCs by method, from which a configuration change on probation is judged.
+//!
+//! The cost of a sample is proportional to the number of methods used since the last one, and independent of the total
+//! number of methods.
 
 use asterrill::{MethodId, Us};
 use asterrill_engine::AnsweredRpc;
 use asterrill_entries::Name;
 use asterrill_rollout::{MethodCounts, MethodLoad, ObservedLoad, ServiceSample};
 
-/// Half of the minute, in microseconds, over which the observed load is counted.
+/// Half of the window of one minute over which the observed load is counted, in microseconds.
 const HALF_WINDOW_US: Us = 30_000_000;
 
-/// The counters of one method.
+/// Counters of one method.
 #[derive(Clone, Copy, Debug, Default)]
 struct MethodStats {
     /// The latency target in force.
     target: Us,
-    /// The latency target that answers are judged by while a change is watched: that of the version before.
+    /// The latency target by which answers are judged; while a change is on probation, that of the previous version.
     baseline_target: Us,
-    /// Counted since the last sample.
+    /// The RPCs received since the last sample; the next three counters cover the same period.
     received: u64,
     answered: u64,
     in_time: u64,
     upstream_failed: u64,
-    /// RPCs received in the present half of the window and in the one before.
+    /// The RPCs received in the current half of the window.
     received_in_half: u64,
+    /// The RPCs received in the previous half of the window.
     received_in_previous_half: u64,
-    /// It is listed among the methods used since the last sample.
+    /// Whether the method is listed among those used since the last sample.
     in_sample: bool,
-    /// It is listed among the methods received within the window.
+    /// Whether the method is listed among those received within the window.
     in_window: bool,
 }
 
@@ -35,7 +38,8 @@
         MethodStats { target, baseline_target: target, ..MethodStats::default() }
     }
 
-    /// Takes the counters since the last sample; `mean_work_us` is the method's mean cost in microseconds.
+    /// Returns and resets the counters since the last sample. `mean_work_us` is the mean cost of the method in
+    /// microseconds.
     fn take_counts(&mut self, mean_work_us: f64) -> MethodCounts {
         let counts = MethodCounts {
             answered: self.answered as f64,
@@ -52,19 +56,19 @@
     }
 }
 
-/// The counters of all methods, by their index.
+/// Counters of all methods, by index.
 pub struct ServiceStats {
     methods: Vec<MethodStats>,
-    /// Indices of the methods that were used since the last sample.
+    /// The indices of the methods used since the last sample.
     sampled: Vec<usize>,
-    /// Indices of the methods that were received within the window.
+    /// The indices of the methods received within the window.
     windowed: Vec<usize>,
     half_started: Us,
     started: Us,
 }
 
 impl ServiceStats {
-    /// Counters for methods with these latency targets, in the order of their indices.
+    /// Creates counters for methods with these latency targets, in the order of their indices.
     pub fn new(now: Us, targets: Vec<Us>) -> ServiceStats {
         ServiceStats {
             methods: targets.into_iter().map(MethodStats::with_target).collect(),
@@ -75,7 +79,7 @@
         }
     }
 
-    /// Sets the latency target of a method under the version that comes into force.
+    /// Sets the latency target of a method in the version that is being activated.
     pub fn set_target(&mut self, index: usize, target: Us) {
         if index >= self.methods.len() {
             self.methods.resize(index + 1, MethodStats::with_target(target));
@@ -85,14 +89,14 @@
         }
     }
 
-    /// From now on answers are judged by the targets in force.
+    /// Makes the targets in force those by which answers are judged.
     pub fn commit_targets(&mut self) {
         for method in &mut self.methods {
             method.baseline_target = method.target;
         }
     }
 
-    /// An RPC of this method was received.
+    /// Counts a received RPC of this method.
     pub fn record_received(&mut self, id: MethodId) {
         let Some(method) = self.methods.get_mut(id.0) else { return };
         method.received += 1;
@@ -105,7 +109,7 @@
         }
     }
 
-    /// An RPC was answered.
+    /// Counts an answered RPC.
     pub fn record_answered(&mut self, served: AnsweredRpc, ok: bool) {
         let Some(method) = self.methods.get_mut(served.method.0) else { return };
         let in_time = ok && served.latency <= method.baseline_target;
@@ -117,8 +121,8 @@
         }
     }
 
-    /// Takes what was counted since the last sample. `name` is a method's name and `cost` its mean cost in
-    /// microseconds.
+    /// Returns and resets the counters since the last sample. `name` returns the name of a method, and `cost` its mean
+    /// cost in microseconds.
     pub fn take_sample(
         &mut self, name: impl Fn(MethodId) -> Option<Name>, cost: impl Fn(MethodId) -> f64,
     ) -> ServiceSample {
@@ -131,7 +135,7 @@
         sample
     }
 
-    /// Moves the window on to this moment.
+    /// Advances the window to this time.
     pub fn advance_to(&mut self, now: Us) {
         if now < self.half_started.saturating_add(HALF_WINDOW_US) {
             return;
@@ -146,7 +150,7 @@
         });
     }
 
-    /// The load of the last minute, by method. `name` and `cost` as for [`ServiceStats::take_sample`].
+    /// Returns the load of the last minute by method. `name` and `cost` are as in [`ServiceStats::take_sample`].
     pub fn observed_load(
         &self, now: Us, name: impl Fn(MethodId) -> Option<Name>, cost: impl Fn(MethodId) -> f64,
     ) -> ObservedLoad {
--- a/daemon/src/sidecar_registry.rs
+++ b/daemon/src/sidecar_registry.rs
@@ -1,49 +1,49 @@
-//! What each sidecar connection has verified: whether the agent knows the sidecar at the other end.
+//! Registry of sidecar connections, which records whether the agent is known to accept RPCs of each sidecar.
 
 use crate::ids::ConnectionId;
 use std::collections::BTreeMap;
 
-/// RPCs that could not be run after which a connection that brought nothing else is closed.
+/// Number of RPCs that could not be run after which a connection without any completed run is closed.
 const MAX_UNRUNNABLE_RPCS: u32 = 4;
 
-/// What is recorded of a connection that has brought an RPC.
+/// State of a connection on which an RPC was received.
 #[derive(Clone, Copy, Debug, Default)]
 struct SidecarState {
-    /// A run was made for it: the agent knows its sidecar.
+    /// Whether a run was completed for it, which shows that the agent knows its sidecar.
     verified: bool,
-    /// RPCs that could not be run, counted until one was.
+    /// The number of RPCs that could not be run, counted until the first completed run.
     unrunnable_rpcs: u32,
 }
 
-/// The connections that have brought an RPC, each until it closes.
+/// Connections on which an RPC was received, each until it is closed.
 #[derive(Default)]
 pub struct SidecarRegistry(BTreeMap<ConnectionId, SidecarState>);
 
 impl SidecarRegistry {
-    /// Registers that an RPC came on a connection. False if nothing more is accepted from it.
+    /// Registers an RPC on a connection. Returns false if nothing more is accepted from it.
     pub fn accepts_rpc(&mut self, conn: ConnectionId) -> bool {
         self.0.entry(conn).or_default().unrunnable_rpcs < MAX_UNRUNNABLE_RPCS
     }
 
-    /// Whether a run was ever made for this connection: its RPCs are then those of a sidecar that the agent knows.
+    /// Reports whether a run was ever completed for this connection, which shows that the agent knows its sidecar.
     pub fn is_verified(&self, conn: ConnectionId) -> bool {
         self.0.get(&conn).is_some_and(|sidecar| sidecar.verified)
     }
 
-    /// A run was made for an RPC of this connection.
+    /// Records that a run was completed for an RPC of this connection.
     pub fn run_completed(&mut self, conn: ConnectionId) {
         let verified = SidecarState { verified: true, unrunnable_rpcs: 0 };
         self.0.entry(conn).and_modify(|sidecar| *sidecar = verified);
     }
 
-    /// An RPC could not be run. True when the connection is to be closed for it.
+    /// Counts an RPC that could not be run. Returns true if the connection is to be closed because of it.
     pub fn count_unrunnable(&mut self, conn: ConnectionId) -> bool {
         let Some(sidecar) = self.0.get_mut(&conn).filter(|sidecar| !sidecar.verified) else { return false };
         sidecar.unrunnable_rpcs += 1;
         sidecar.unrunnable_rpcs == MAX_UNRUNNABLE_RPCS
     }
 
-    /// The connection was closed.
+    /// Removes a closed connection.
     pub fn remove(&mut self, conn: ConnectionId) {
         self.0.remove(&conn);
     }
--- a/daemon/src/stats.rs
+++ b/daemon/src/stats.rs
@@ -1,12 +1,12 @@
-//! Counters since the start: what was read, sent and answered.
+//! Counters since the start of the process.
 
 use asterrill_engine::EngineStats;
 use std::fmt;
 
-/// Defines [`Stats`] from lines `field => "printed name"`. The printed names are read by operators and stay as they are.
+/// Defines [`Stats`] from lines `field => "printed name"`. Operators and their tools rely on the printed names.
 macro_rules! stats {
     ($($(#[doc = $doc:literal])* $field:ident => $printed:literal,)*) => {
-        /// The daemon's counters.
+        /// Counters of the daemon.
         #[derive(Clone, Debug, Default, PartialEq)]
         pub struct Stats {
             $($(#[doc = $doc])* pub $field: u64,)*
@@ -24,25 +24,25 @@
 stats! {
     /// RPCs read from sidecars.
     rpcs => "rpcs",
-    /// RPCs that could only be aborted: a field missing or malformed, an unknown method or tenant, an id in use.
+    /// RPCs aborted for a missing or malformed field, an unknown method or tenant, or an id in use.
     malformed => "odd",
     /// RPCs aborted because there was no buffer for them.
     no_buffer => "no_buffer",
-    /// Final answers: ok.
+    /// Final answers with the outcome ok.
     ok => "ok",
-    /// Final answers: rejected before the RPC had any effect.
+    /// Final answers that rejected the RPC before it had any effect.
     rejected => "pushed_back",
-    /// Final answers: aborted.
+    /// Final answers that aborted the RPC.
     aborted => "aborted",
-    /// RPCs whose caller left before the answer.
+    /// RPCs whose caller stopped waiting before the answer.
     rpcs_cancelled => "gone",
     /// RPCs that were answered with the result of another.
     coalesced => "joined",
-    /// Results of RPCs with an idempotency key that were evicted while a retry might still come.
+    /// Results of RPCs with an idempotency key that were evicted while a retry was still possible.
     results_evicted => "results_dropped",
     /// New RPCs with an idempotency key that were rejected because the table of keys was full.
     idempotency_keys_full => "tokens_full",
-    /// Health checks answered, thorough ones included.
+    /// Health checks, including thorough ones.
     health_checks => "checks",
     /// Thorough health checks.
     thorough_checks => "thorough",
@@ -64,25 +64,25 @@
     calls_rejected => "calls_pushed_back",
     /// Upstream calls that were aborted.
     calls_aborted => "calls_aborted",
-    /// Upstream calls whose reply did not come in time.
+    /// Upstream calls whose reply did not arrive in time.
     calls_timed_out => "calls_timed_out",
-    /// Upstream calls that were left out.
+    /// Upstream calls that were skipped.
     calls_skipped => "skips",
     /// Timer wakeups of the decision module.
     wakeups => "wakes",
-    /// Timer wakeups for which no sample of the gauges had come.
+    /// Timer wakeups for which no sample of the gauges had arrived.
     wakeups_without_gauges => "wakes_blind",
-    /// Notices of the agent that were read before, or that concern RPCs that are over.
+    /// Notices of the agent that were read before, or that concern RPCs that are closed.
     stale_notices => "stale",
     /// Commands that the agent refused.
     commands_refused => "refusals",
-    /// Upstream replies that no call waited for.
+    /// Upstream replies for which no call was waiting.
     late_replies => "late_replies",
-    /// RPCs that the agreed deny lists rejected.
+    /// RPCs rejected by the agreed deny lists.
     denied_by_policy => "barred",
-    /// Links on which the agent has greeted.
+    /// Links on which the agent sent a greeting.
     agent_greetings => "agent_up",
-    /// Reconnects to the agent because it, or one of its runs, had been silent.
+    /// Reconnects to the agent because nothing was received from it, or about one of its runs, for too long.
     agent_silence_resets => "agent_silent",
     /// Protocol errors of sidecars.
     sidecar_protocol_errors => "bad_sidecar",
@@ -94,32 +94,32 @@
     name_service_protocol_errors => "bad_naming",
     /// Sidecar connections accepted.
     connections => "connections",
-    /// Sidecar connections that the other side reset, or that read too slowly.
+    /// Sidecar connections that the peer reset, or whose peer read too slowly.
     connections_broken => "broken",
     /// Sidecar connections closed because they were idle.
     closed_idle => "closed_idle",
-    /// Idle sidecar connections closed at once to make room for another.
+    /// Idle sidecar connections closed at once to free their slot for another.
     connections_evicted => "closed_crowded",
-    /// Times that the configuration file was read again.
+    /// Reloads of the configuration file.
     reloads => "reloads",
-    /// Reloads that changed nothing because the file could not be used.
+    /// Reloads that changed nothing because the file was unusable.
     reloads_failed => "reloads_failed",
-    /// Configuration versions that came into force.
+    /// Configuration versions that were activated.
     changes => "changes",
     /// Configuration changes that were requested and refused.
     changes_refused => "changes_refused",
-    /// Final answers given while parts of the core were at different configuration versions: a defect.
+    /// Final answers given while parts of the core were at different configuration versions, which is a defect.
     half_applied => "half_applied",
-    /// Snapshots of the learned state that were handed out to be written.
+    /// Snapshots of the learned state that were passed on for storage.
     snapshots => "snapshots",
     /// Load reports that the name service counted.
     reports => "reports",
-    /// Load reports that it did not count.
+    /// Load reports that the name service did not count.
     reports_lost => "reports_lost",
 }
 
 impl Stats {
-    /// Adds the engine's counters.
+    /// Adds the counters of the engine.
     pub fn add_engine(&mut self, engine: &EngineStats) {
         self.rpcs += engine.requests;
         self.no_buffer += engine.no_buffer;
--- a/daemon/src/tasks.rs
+++ b/daemon/src/tasks.rs
@@ -1,4 +1,4 @@
-//! The coroutines of the daemon: one function to start each.
+//! Coroutines of the daemon, with one function to start each.
 
 use crate::change::RunningContent;
 use crate::connection::{AgentConnection, BrokerConnection, SidecarConnection, UpstreamConnection};
@@ -20,12 +20,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes that may wait for a sidecar: more than all its answers at once.
+/// Maximum number of bytes waiting to be written to a sidecar; more than all its pending answers together.
 const MAX_SIDECAR_BACKLOG_BYTES: usize = 192 * 1024;
-/// Between looks at idle connections, in microseconds.
+/// Interval between two sweeps of idle connections, in microseconds.
 const SWEEP_INTERVAL_US: Us = 100_000;
 
-/// The least and the longest pause before a link is made again.
+/// Minimum and maximum backoff before a link is connected again.
 struct BackoffRange {
     min: Duration,
     max: Duration,
@@ -38,17 +38,17 @@
 const REPORT_BACKOFF: BackoffRange =
     BackoffRange { min: Duration::from_millis(50), max: Duration::from_secs(1) };
 
-/// Starts coroutines.
+/// Starter of coroutines, with the resources that they share.
 pub struct Tasks {
     dispatcher: Arc<Dispatcher>,
     pool: BufferPool,
     rng: WyRand,
-    /// Spreads periodic work over processes that started together.
+    /// The seed that spreads the periodic work of processes started at the same time; `None` disables the jitter.
     jitter_seed: Option<u64>,
 }
 
 impl Tasks {
-    /// For a dispatcher. `seed`: of the jitter in pauses between links.
+    /// Creates the starter for a dispatcher. `seed` determines the jitter of backoffs.
     pub fn new(dispatcher: Arc<Dispatcher>, pool: BufferPool, seed: u64, jitter_seed: Option<u64>) -> Tasks {
         Tasks { dispatcher, pool, rng: WyRand::new_seed(seed), jitter_seed }
     }
@@ -57,7 +57,7 @@
         Backoff::new(range.min, range.max, self.rng.generate())
     }
 
-    /// The link to the broker that queues are consumed from.
+    /// Starts the link to the broker from which queues are consumed.
     pub fn spawn_broker(&mut self, broker: BrokerSetup, max_backlog: usize) -> io::Result<()> {
         let BrokerSetup { queues, addresses, reconnect_backoff } = broker;
         let outbox = Outbox::new(&self.pool, max_backlog);
@@ -71,12 +71,12 @@
         })
     }
 
-    /// The control loop; ends the program once it has drained.
+    /// Starts the control loop, which ends the program after the drain.
     pub fn spawn_control_loop(&mut self, control_loop: ControlLoop) -> io::Result<()> {
         spawn("clock", move || control_loop.run())
     }
 
-    /// The link to the agent that owns the cores.
+    /// Starts the link to the agent.
     pub fn spawn_agent(
         &mut self, outbox: Outbox, addresses: Arc<PeerAddresses>, running: Arc<RunningContent>, seed: u64,
     ) -> io::Result<()> {
@@ -98,7 +98,7 @@
         })
     }
 
-    /// The links to the upstream, if there is one.
+    /// Starts the links to the upstream, if there is one.
     pub fn spawn_upstream(&mut self, outboxes: Vec<Outbox>, addresses: &PeerAddresses) -> io::Result<()> {
         let Some(address) = &addresses.upstream else { return Ok(()) };
         for (index, outbox) in outboxes.into_iter().enumerate() {
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// Load reports to the name service.
+    /// Starts the load reports to the name service.
     pub fn spawn_load_reports(&mut self, name: String, addresses: Arc<PeerAddresses>) -> io::Result<()> {
         let backoff = self.backoff(&REPORT_BACKOFF);
         let (dispatcher, jitter_seed) = (self.dispatcher.clone(), self.jitter_seed);
@@ -127,7 +127,7 @@
         })
     }
 
-    /// Regular looks at idle connections.
+    /// Starts the periodic sweep of idle connections.
     pub fn spawn_sweep(&mut self) -> io::Result<()> {
         let (dispatcher, jitter_seed) = (self.dispatcher.clone(), self.jitter_seed);
         spawn("sweep", move || {
@@ -139,7 +139,7 @@
         })
     }
 
-    /// Connections of sidecars.
+    /// Starts the listener that accepts connections of sidecars.
     pub fn spawn_listener(&mut self, listener: TcpListener) -> io::Result<()> {
         let dispatcher = self.dispatcher.clone();
         let log = dispatcher.log.clone();
@@ -156,9 +156,9 @@
     }
 }
 
-/// Starts the coroutine of one sidecar's connection.
+/// Starts the coroutine of a sidecar connection.
 fn accept(dispatcher: &Arc<Dispatcher>, stream: TcpStream, permit: ConnectionPermit) {
-    // Registered before the next one may find no capacity.
+    // The connection is registered here, so that it can be evicted as soon as the next one finds no free slot.
     let outbox = Outbox::new(&dispatcher.pool, MAX_SIDECAR_BACKLOG_BYTES);
     let conn = dispatcher.connection_opened(outbox.clone());
     let driver = dispatcher.clone();
