--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -1,4 +1,4 @@
-//! The core against a stand-in for sidecars, agent and upstream, in virtual time; and the dispatcher on real sockets.
+//! Unit tests of the core with fake peers in virtual time, and of the dispatcher on real sockets.
 
 mod agent_link;
 mod agreed_lists;
@@ -32,7 +32,7 @@
 
 const MS: Us = 1_000;
 const START: Us = 1_000_000 * MS;
-/// How late an answer may be.
+/// Maximum delay of an answer after its deadline.
 const MAX_ANSWER_DELAY: Us = 100 * MS;
 /// The deadline of both methods.
 const DEADLINE: Us = 900 * MS;
--- a/daemon/src/tests/core_access.rs
+++ b/daemon/src/tests/core_access.rs
@@ -1,19 +1,19 @@
-//! What tests read of the core's inner state.
+//! Access of tests to the internal state of the core.
 
 use super::active_names::ActiveNames;
 use super::state::Core;
 
 impl Core {
-    /// What the decision module has learned.
+    /// Returns the learned state of the decision module.
     pub fn learned(&self) -> asterrill::LearnedState {
         self.engine.learned_state()
     }
-    /// Whether a tenant is in force.
+    /// Reports whether a tenant is in force.
     pub fn has_tenant(&self, name: &str) -> bool {
         let active = ActiveNames { names: &self.state.names, engine: &self.engine };
         active.tenant_index(name).is_some()
     }
-    /// Indices of tenants that were ever given out.
+    /// Returns the number of tenant indices ever allocated.
     pub fn tenant_indices(&self) -> usize {
         self.state.names.tenant_indices()
     }
--- a/daemon/src/tests/dispatcher.rs
+++ b/daemon/src/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher with a sidecar's connection on a real socket.
+//! Tests of the dispatcher with sidecar connections on real sockets.
 
 use super::{sample_settings, server_parts, START};
 use crate::connection::SidecarConnection;
@@ -28,54 +28,56 @@
     let pools = [pool.clone(), BufferPool::new(500)];
     let dispatcher = Arc::new(Dispatcher::new(core, agent, Vec::new(), 8, u64::MAX, pools, log.clone()));
     let listener = bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let at = listener.local_addr().unwrap();
-    let ((come, came), (ends, end)) = (channel(), channel());
-    let (of, door) = (dispatcher.clone(), dispatcher.listener.clone());
-    let took = move |stream, place| {
-        let (dispatcher, out, ends) = (of.clone(), Outbox::new(&of.pool, 192 * 1024), ends.clone());
+    let address = listener.local_addr().unwrap();
+    let ((opened_sender, opened), (closed_sender, closed)) = (channel(), channel());
+    let (accepting, listener_handle) = (dispatcher.clone(), dispatcher.listener.clone());
+    let accept = move |stream, permit| {
+        let dispatcher = accepting.clone();
+        let (out, closed_sender) = (Outbox::new(&accepting.pool, 192 * 1024), closed_sender.clone());
         let conn: ConnectionId = dispatcher.connection_opened(out.clone());
-        come.send((conn, out.clone())).unwrap();
+        opened_sender.send((conn, out.clone())).unwrap();
         spawn("sidecar", move || {
-            let mut peer = SidecarConnection {
+            let mut connection = SidecarConnection {
                 dispatcher: dispatcher.clone(),
                 conn,
                 frames: sidecar::Reader::default(),
                 has_received_frame: true,
             };
-            run_connection(&stream, &out, &dispatcher.pool, &mut peer);
+            run_connection(&stream, &out, &dispatcher.pool, &mut connection);
             dispatcher.connection_closed(conn, false);
-            drop((stream, place));
-            ends.send(conn).unwrap_or_default();
+            drop((stream, permit));
+            closed_sender.send(conn).unwrap_or_default();
         })
         .unwrap();
     };
-    spawn("listen", move || listen(listener, &door, ConnectionLimit::new(8), log, || {}, took)).unwrap();
-    // One takes nothing: what it is owed fills the system's buffers, then its outbox. The other takes all.
-    // Its buffer is as small as can be, so that it fills for good.
-    let small = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    small.set_recv_buffer_size(2_048).unwrap();
-    small.connect(&at.into()).unwrap();
-    let slow: TcpStream = small.into();
-    let mut quick = TcpStream::connect(at).unwrap();
-    let [(slow_conn, out), (quick_conn, other)] = [(); 2].map(|()| came.recv_timeout(WAIT).unwrap());
-    // Each piece is tried at once: the system tells of room only once there is much of it.
-    let mut waiting = 0;
-    while waiting < 15 {
-        waiting = if out.is_empty() { 0 } else { waiting + 1 };
-        assert!(out.put(&[&[7; 10_000]]));
+    spawn("listen", move || listen(listener, &listener_handle, ConnectionLimit::new(8), log, || {}, accept))
+        .unwrap();
+    // The slow sidecar reads nothing, so its answers fill the kernel's buffers and then its outbox. Its receive buffer
+    // has the minimum size, so that it stays full. The fast sidecar reads everything.
+    let slow_socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    slow_socket.set_recv_buffer_size(2_048).unwrap();
+    slow_socket.connect(&address.into()).unwrap();
+    let slow: TcpStream = slow_socket.into();
+    let mut fast = TcpStream::connect(address).unwrap();
+    let [(slow_conn, slow_out), (fast_conn, fast_out)] = [(); 2].map(|()| opened.recv_timeout(WAIT).unwrap());
+    // Each put tries to write at once, because the kernel reports free space only after much of it is available.
+    let mut blocked_puts = 0;
+    while blocked_puts < 15 {
+        blocked_puts = if slow_out.is_empty() { 0 } else { blocked_puts + 1 };
+        assert!(slow_out.put(&[&[7; 10_000]]));
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(other.put(&[&[7; 50_000]]));
-    quick.set_read_timeout(Some(WAIT)).unwrap();
-    quick.read_exact(&mut [0; 50_000]).unwrap();
-    [slow_conn, quick_conn].into_iter().for_each(|conn| dispatcher.close_when_answered(conn, None));
-    assert_eq!(quick.read(&mut [0]).unwrap(), 0, "it ends in order");
-    drop(quick);
-    assert_eq!(end.recv_timeout(WAIT), Ok(quick_conn));
+    assert!(fast_out.put(&[&[7; 50_000]]));
+    fast.set_read_timeout(Some(WAIT)).unwrap();
+    fast.read_exact(&mut [0; 50_000]).unwrap();
+    [slow_conn, fast_conn].into_iter().for_each(|conn| dispatcher.close_when_answered(conn, None));
+    assert_eq!(fast.read(&mut [0]).unwrap(), 0, "closed gracefully");
+    drop(fast);
+    assert_eq!(closed.recv_timeout(WAIT), Ok(fast_conn));
     dispatcher.sweep_at(now() + 9_000_000);
-    assert!(end.recv_timeout(Duration::from_millis(100)).is_err(), "it still has time");
-    assert!(!out.is_empty(), "it takes nothing");
+    assert!(closed.recv_timeout(Duration::from_millis(100)).is_err(), "closed before the timeout");
+    assert!(!slow_out.is_empty(), "the slow sidecar reads nothing");
     dispatcher.sweep_at(now() + 11_000_000);
-    assert_eq!(end.recv_timeout(Duration::from_millis(300)), Ok(slow_conn));
+    assert_eq!(closed.recv_timeout(Duration::from_millis(300)), Ok(slow_conn));
     drop(slow);
 }
--- a/daemon/src/tests/fake_peers.rs
+++ b/daemon/src/tests/fake_peers.rs
@@ -1,4 +1,4 @@
-//! What the core sends, played by a stand-in that takes every command at its word.
+//! Fake sidecars, agent and upstream, which record and check the core's messages.
 
 use crate::ids::{ConnectionId, SidecarStream};
 use crate::outbound::Outbound;
@@ -7,18 +7,21 @@
 use asterrill_protocol::agent::NoticeId;
 use std::collections::{BTreeMap, VecDeque};
 
+/// Notice of the fake agent.
 pub(super) enum Notice {
     Ended(RpcId, RunEnd, Vec<u8>),
     CallNeeded(RpcId, Vec<u8>),
 }
 
+/// Run of an RPC on the fake agent.
 pub(super) struct Run {
+    /// The upstream call for which it waits: the number of its notice, and its body.
     pub(super) pending_call: Option<(u64, Vec<u8>)>,
     pub(super) ended: bool,
     pub(super) stopped: bool,
 }
 
-/// What has been written, played by a stand-in that takes every command at its word.
+/// Fake peers of the core. They carry out every command, and record unexpected ones as violations.
 #[derive(Default)]
 pub(super) struct FakePeers {
     pub(super) answers: BTreeMap<SidecarStream, (&'static str, Vec<u8>)>,
@@ -26,9 +29,12 @@
     pub(super) runs: BTreeMap<RpcId, Run>,
     pub(super) bodies: BTreeMap<RpcId, Vec<u8>>,
     pub(super) calls: BTreeMap<RpcId, UpstreamLinkId>,
-    pub(super) refuses_calls: bool,
-    pub(super) agent_unreachable: bool, // commands to the agent are lost
-    pub(super) allows_repeats: bool,    // what the agent knows already may be said again
+    /// Whether calls can't be sent to the upstream.
+    pub(super) fails_to_send_calls: bool,
+    /// Whether messages to the agent are lost.
+    pub(super) agent_unreachable: bool,
+    /// Whether the core may resend messages that the agent has already received.
+    pub(super) allows_resends: bool,
     pub(super) samples: VecDeque<u64>,
     pub(super) exercises: VecDeque<u64>,
     pub(super) notices: Vec<Notice>,
@@ -38,20 +44,24 @@
     pub(super) drain_announced: bool,
     pub(super) agent_resets: u32,
     pub(super) violations: Vec<String>,
-    pub(super) credit: Option<f64>, // as it went with the last answer or check
+    /// The credit published with the last answer.
+    pub(super) credit: Option<f64>,
 }
 
 impl FakePeers {
-    pub(super) fn violation(&mut self, what: &str, id: RpcId) {
-        self.violations.push(format!("{what} {id:?}"));
+    /// Records a violation in the messages about an RPC.
+    pub(super) fn record_violation(&mut self, message: &str, id: RpcId) {
+        self.violations.push(format!("{message}: {id:?}"));
     }
-    pub(super) fn notify(&mut self, notice: Notice) {
+    /// Queues a notice of the agent.
+    pub(super) fn push_notice(&mut self, notice: Notice) {
         self.notices.push(notice);
     }
-    /// The reply to the call with this body, and the result of the run of this RPC.
+    /// Returns the reply to the call with this body.
     pub(super) fn reply(body: &[u8]) -> Vec<u8> {
         [b"re:\r\n", body].concat()
     }
+    /// Returns the result of the run of this RPC.
     pub(super) fn result(id: RpcId) -> Vec<u8> {
         format!("{}\r\n\0made", id.as_str()).into_bytes()
     }
@@ -60,27 +70,27 @@
 impl Outbound for FakePeers {
     fn answer(&mut self, to: SidecarStream, answer: FinalAnswer<'_>, credit: Option<f64>) {
         self.credit = credit;
-        let (what, body) = match answer {
+        let (outcome, body) = match answer {
             FinalAnswer::Ok(result) => ("ok", result.to_vec()),
             FinalAnswer::Rejected { .. } => ("rejected", vec![]),
             FinalAnswer::Aborted => ("aborted", vec![]),
         };
-        if self.answers.insert(to, (what, body)).is_some() {
-            self.violations.push(format!("answered twice {to:?}"));
+        if self.answers.insert(to, (outcome, body)).is_some() {
+            self.violations.push(format!("answered twice: {to:?}"));
         }
     }
-    fn answer_health_check(&mut self, to: SidecarStream, good: bool, _: Option<f64>) {
-        self.health.push((to, good));
+    fn answer_health_check(&mut self, to: SidecarStream, healthy: bool, _: Option<f64>) {
+        self.health.push((to, healthy));
     }
     fn launch(&mut self, id: RpcId, method: &str, body: &[u8]) {
         if self.agent_unreachable {
             return;
         }
         if self.bodies.get(&id).is_none_or(|b| b != body) || (method != "look" && method != "book") {
-            self.violation("launched with another body or method", id);
+            self.record_violation("launched with a wrong body or method", id);
         }
         match self.runs.get(&id) {
-            Some(run) if run.ended || !self.allows_repeats => self.violation("launched twice", id),
+            Some(run) if run.ended || !self.allows_resends => self.record_violation("launched twice", id),
             Some(_) => {}
             None => drop(self.runs.insert(id, Run { pending_call: None, ended: false, stopped: false })),
         }
@@ -96,18 +106,18 @@
         }
         match self.runs.get_mut(&id).and_then(|run| run.pending_call.take()) {
             Some((_, body)) if FakePeers::reply(&body) == reply => {}
-            None if self.allows_repeats => {}
-            _ => self.violation("delivered what was not waited for", id),
+            None if self.allows_resends => {}
+            _ => self.record_violation("delivered an unexpected reply", id),
         }
     }
-    fn skip_call(&mut self, id: RpcId, asked: NoticeId) {
+    fn skip_call(&mut self, id: RpcId, notice: NoticeId) {
         if self.agent_unreachable {
             return;
         }
         match self.runs.get_mut(&id).and_then(|run| run.pending_call.take()) {
-            Some((number, _)) if number == asked.0 => {}
-            None if self.allows_repeats => {}
-            _ => self.violation("skipped what was not waited for", id),
+            Some((number, _)) if number == notice.0 => {}
+            None if self.allows_resends => {}
+            _ => self.record_violation("skipped a call that was not requested", id),
         }
     }
     fn request_sample(&mut self, tag: u64) {
@@ -121,20 +131,20 @@
         }
     }
     fn send_call(&mut self, link: UpstreamLinkId, id: RpcId, _: Us, _: &[u8]) -> bool {
-        if !self.refuses_calls && self.calls.insert(id, link).is_some() {
-            self.violation("called twice", id);
+        if !self.fails_to_send_calls && self.calls.insert(id, link).is_some() {
+            self.record_violation("called twice", id);
         }
-        !self.refuses_calls
+        !self.fails_to_send_calls
     }
     fn cancel_call(&mut self, link: UpstreamLinkId, id: RpcId) {
         if self.calls.remove(&id) != Some(link) {
-            self.violation("gave up what was not called", id);
+            self.record_violation("cancelled a call that was not sent", id);
         }
     }
     fn close_upstream_link(&mut self, link: UpstreamLinkId) -> bool {
-        let busy = self.calls.values().any(|on| *on == link);
-        if busy {
-            self.violations.push(format!("closed {link:?} with a call on it"));
+        let has_calls = self.calls.values().any(|call_link| *call_link == link);
+        if has_calls {
+            self.violations.push(format!("closed a link with a call in flight: {link:?}"));
         }
         self.closed_links.push(link);
         true
@@ -145,8 +155,8 @@
     fn reset_agent_link(&mut self) {
         self.agent_resets += 1;
     }
-    fn set_serving(&mut self, yes: bool) {
-        self.serving.push(yes);
+    fn set_serving(&mut self, serving: bool) {
+        self.serving.push(serving);
     }
     fn announce_drain(&mut self) {
         self.drain_announced = true;
--- a/daemon/src/tests/harness.rs
+++ b/daemon/src/tests/harness.rs
@@ -1,4 +1,4 @@
-//! The core together with a stand-in for everything around it, in virtual time.
+//! Test harness with the core and its fake peers, in virtual time.
 
 use super::fake_peers::{FakePeers, Notice, Run};
 use super::settings::{configuration, sample_settings, server_parts, version_switch};
@@ -14,17 +14,20 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 
+/// Core with fake peers and the requests sent to it.
 pub(super) struct CoreHarness {
     pub(super) core: Core,
     pub(super) peers: FakePeers,
     pub(super) now: Us,
-    pub(super) rpcs: BTreeMap<SidecarStream, (RpcRequest, bool)>, // and whether its caller is gone
-    pub(super) notices_read: usize,                               // notices that were read
+    /// The requests that the core accepted, and whether each was cancelled before its answer.
+    pub(super) rpcs: BTreeMap<SidecarStream, (RpcRequest, bool)>,
+    /// The number of notices delivered to the core.
+    pub(super) notices_read: usize,
     pub(super) next_id: u64,
     pub(super) killed_at: Option<Us>,
     pub(super) version: u64,
     pub(super) entries: Configuration,
-    /// A version that is going in, and what of it is still to be staged.
+    /// The version that is being staged, and its changes that are not staged yet.
     pub(super) staging: Option<(Configuration, VecDeque<Change>)>,
 }
 
@@ -34,11 +37,11 @@
     }
     pub(super) fn with_settings(seed: u64, settings: &Value) -> CoreHarness {
         let mut core = Core::new(START, server_parts(START, seed, settings, None), BufferPool::new(500), 4);
-        let mut out = FakePeers::default();
-        core.start(START, &mut out);
+        let mut peers = FakePeers::default();
+        core.start(START, &mut peers);
         core.agent_connected(START);
-        core.agent_up(START, None, &mut out);
-        CoreHarness::with_core(core, out, START, settings)
+        core.agent_up(START, None, &mut peers);
+        CoreHarness::with_core(core, peers, START, settings)
     }
     pub(super) fn with_core(core: Core, peers: FakePeers, now: Us, settings: &Value) -> CoreHarness {
         let entries = configuration(settings);
@@ -56,22 +59,22 @@
         }
     }
 
-    /// Tries of one read have one key and one body.
+    /// Sends an RPC. Attempts of the same read have the same key and body.
     pub(super) fn send_rpc(
-        &mut self, conn: u64, method: &str, patience: Us, key: Option<u64>,
+        &mut self, conn: u64, method: &str, timeout: Us, key: Option<u64>,
     ) -> SidecarStream {
-        let of = key.map_or_else(|| format!("own {}", self.next_id), |key| format!("of {key}"));
-        self.send_rpc_with_body(conn, method, patience, key, format!("body\r\n{of}").into_bytes())
+        let subject = key.map_or_else(|| format!("own {}", self.next_id), |key| format!("of {key}"));
+        self.send_rpc_with_body(conn, method, timeout, key, format!("body\r\n{subject}").into_bytes())
     }
     pub(super) fn send_rpc_with_body(
-        &mut self, conn: u64, method: &str, patience: Us, key: Option<u64>, body: Vec<u8>,
+        &mut self, conn: u64, method: &str, timeout: Us, key: Option<u64>, body: Vec<u8>,
     ) -> SidecarStream {
         self.next_id += 1;
         let id = RpcId::new(&format!("{:016x}", self.next_id)).unwrap();
-        let stream_ref = SidecarStream { conn: ConnectionId(conn), stream: StreamId(self.next_id as u32) };
-        let (caller, deadline) = (CallerId(conn), Some(self.now + patience));
+        let stream = SidecarStream { conn: ConnectionId(conn), stream: StreamId(self.next_id as u32) };
+        let (caller, deadline) = (CallerId(conn), Some(self.now + timeout));
         let (method, tenant) = (method.to_string(), "acme".to_string());
-        let ask = RpcRequest {
+        let request = RpcRequest {
             id,
             method,
             tenant,
@@ -82,17 +85,19 @@
             key,
         };
         self.peers.bodies.insert(id, body.clone());
-        if self.core.rpc_received(self.now, stream_ref, ask.clone(), &body, &mut self.peers) {
-            self.rpcs.insert(stream_ref, (ask, false));
+        if self.core.rpc_received(self.now, stream, request.clone(), &body, &mut self.peers) {
+            self.rpcs.insert(stream, (request, false));
         }
-        stream_ref
+        stream
     }
 
-    /// The agent ends a run, or lets it wait for a call; the core hears of it when it reads on.
+    /// Ends a run on the agent, or lets it wait for a call. The notice is delivered by
+    /// [`CoreHarness::deliver_notices`].
     pub(super) fn advance_run(&mut self, n: usize, call: bool) {
-        let going = |r: &&mut Run| !r.ended && r.pending_call.is_none();
-        let count = self.peers.runs.values_mut().filter(|r| going(r)).count().max(1);
-        let Some((id, run)) = self.peers.runs.iter_mut().filter(|(_, r)| going(r)).nth(n % count) else {
+        let is_active = |run: &&mut Run| !run.ended && run.pending_call.is_none();
+        let count = self.peers.runs.values_mut().filter(|run| is_active(run)).count().max(1);
+        let Some((id, run)) = self.peers.runs.iter_mut().filter(|(_, run)| is_active(run)).nth(n % count)
+        else {
             return;
         };
         let id = *id;
@@ -109,33 +114,34 @@
             };
             Notice::Ended(id, end, if end == RunEnd::Ok { FakePeers::result(id) } else { vec![] })
         };
-        self.peers.notify(notice);
+        self.peers.push_notice(notice);
     }
 
-    /// Runs that wait for a call end once their RPC is over.
+    /// Ends the runs that wait for a call although their RPC is answered or cancelled.
     pub(super) fn end_abandoned_runs(&mut self) {
         let answered = |id: &RpcId| {
-            self.rpcs.iter().any(|(stream_ref, (ask, gone))| {
-                ask.id == *id && (*gone || self.peers.answers.contains_key(stream_ref))
+            self.rpcs.iter().any(|(stream, (request, cancelled))| {
+                request.id == *id && (*cancelled || self.peers.answers.contains_key(stream))
             })
         };
-        let over: Vec<RpcId> = self
+        let abandoned: Vec<RpcId> = self
             .peers
             .runs
             .iter()
             .filter(|(id, r)| r.pending_call.is_some() && answered(id))
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in abandoned {
             if let Some(run) = self.peers.runs.get_mut(&id) {
                 (run.ended, run.pending_call) = (true, None);
             }
-            self.peers.notify(Notice::Ended(id, RunEnd::Stopped, vec![]));
+            self.peers.push_notice(Notice::Ended(id, RunEnd::Stopped, vec![]));
         }
     }
 
-    pub(super) fn deliver_notices(&mut self, most: usize) {
-        for _ in 0..most {
+    /// Delivers up to `limit` pending notices to the core.
+    pub(super) fn deliver_notices(&mut self, limit: usize) {
+        for _ in 0..limit {
             if self.peers.agent_unreachable || self.notices_read >= self.peers.notices.len() {
                 return;
             }
@@ -157,6 +163,7 @@
         }
     }
 
+    /// Ends the upstream call at index `n`, modulo the number of calls in flight.
     pub(super) fn end_call(&mut self, n: usize, end: CallEnd) {
         let count = self.peers.calls.len().max(1);
         let Some((id, link)) = self.peers.calls.iter().nth(n % count).map(|(id, link)| (*id, *link)) else {
@@ -169,7 +176,7 @@
         self.core.call_ended(self.now, link, id, end, &reply, &mut self.peers);
     }
 
-    /// The link to the agent stands again: what was not read comes again.
+    /// Reconnects the agent, which then resends the unread notices.
     pub(super) fn reconnect_agent(&mut self) {
         self.peers.agent_unreachable = false;
         self.peers.samples.clear();
@@ -177,19 +184,21 @@
         self.notices_read = last.0 as usize;
         self.core.agent_up(self.now, None, &mut self.peers);
         self.deliver_notices(usize::MAX);
-        self.peers.allows_repeats = true;
+        self.peers.allows_resends = true;
         self.deliver_samples();
-        self.peers.allows_repeats = false;
+        self.peers.allows_resends = false;
     }
 
+    /// Delivers all requested samples to the core.
     pub(super) fn deliver_samples(&mut self) {
         while let Some(tag) = self.peers.samples.pop_front() {
             self.core.sample_received(self.now, tag, &[1.0, 1.0], &mut self.peers);
         }
     }
 
-    pub(super) fn advance(&mut self, span: Us) {
-        let until = self.now + span;
+    /// Advances the virtual time and processes the timers that become due.
+    pub(super) fn advance(&mut self, duration: Us) {
+        let until = self.now + duration;
         while let Some(at) = self.core.next_deadline().filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.core.tick(self.now, &mut self.peers);
@@ -198,21 +207,22 @@
         self.now = until;
     }
 
-    pub(super) fn cancel(&mut self, stream_ref: SidecarStream) {
-        if let Some((_, gone)) = self.rpcs.get_mut(&stream_ref) {
-            *gone |= !self.peers.answers.contains_key(&stream_ref);
+    /// Cancels an RPC.
+    pub(super) fn cancel(&mut self, stream: SidecarStream) {
+        if let Some((_, cancelled)) = self.rpcs.get_mut(&stream) {
+            *cancelled |= !self.peers.answers.contains_key(&stream);
         }
-        self.core.rpc_cancelled(self.now, stream_ref, &mut self.peers);
+        self.core.rpc_cancelled(self.now, stream, &mut self.peers);
     }
 
-    /// Another version comes into force: methods in another order, one less, other memory and cores. What was coming
-    /// in comes into force first.
+    /// Switches to another version, with methods in another order or one fewer, and with other memory and cores. A
+    /// version that is being staged is activated first.
     pub(super) fn switch_version(&mut self, n: usize) {
         self.begin_staging(n);
         self.continue_staging(usize::MAX);
     }
 
-    /// Another version begins to come in; one that was coming in is in force before that.
+    /// Begins to stage another version, after activating the one that is being staged.
     pub(super) fn begin_staging(&mut self, n: usize) {
         self.continue_staging(usize::MAX);
         let mut settings = sample_settings();
@@ -231,25 +241,25 @@
         settings["FamilyInfo"]["RunFactor"] = json!(2 + n % 4);
         settings["FamilyInfo"]["ClassSkipWorth"] = json!([]);
         if n % 5 == 4 {
-            // The tenant of all that is in hand is at another index, or nowhere.
+            // The tenant of all RPCs in flight gets another index, or is removed.
             let other = json!({"Name": "other", "QuotaRps": 5});
             let acme = json!({"Name": "acme", "QuotaRps": 1_000_000});
             settings["Tenants"] = if n % 10 == 4 { json!([other, acme]) } else { json!([other]) };
         }
         let to = configuration(&settings);
-        let step = self.entries.changes_to(&to);
-        self.core.check_capacity_for(&step, &[]).unwrap();
-        self.staging = Some((to, step.into()));
+        let changes = self.entries.changes_to(&to);
+        self.core.check_capacity_for(&changes, &[]).unwrap();
+        self.staging = Some((to, changes.into()));
     }
 
-    /// So many entries of the version that is coming in go in beside what is in force; with the last of them it turns
-    /// over, whole.
+    /// Stages up to `entries` more entries of the version that is being staged. The version is activated after its last
+    /// entry.
     pub(super) fn continue_staging(&mut self, entries: usize) {
-        let Some((to, mut step)) = self.staging.take() else { return };
-        let slice: Vec<Change> = step.drain(..entries.min(step.len())).collect();
+        let Some((to, mut changes)) = self.staging.take() else { return };
+        let slice: Vec<Change> = changes.drain(..entries.min(changes.len())).collect();
         self.core.stage(&slice);
-        if !step.is_empty() {
-            self.staging = Some((to, step));
+        if !changes.is_empty() {
+            self.staging = Some((to, changes));
             return;
         }
         self.version += 1;
@@ -261,8 +271,9 @@
         let _ = self.core.take_service_sample();
     }
 
-    pub(super) fn random_step(&mut self, what: u8, n: usize) {
-        match what % 16 {
+    /// Performs the action selected by `kind`, with parameters derived from `n`, and checks the invariants.
+    pub(super) fn random_step(&mut self, kind: u8, n: usize) {
+        match kind % 16 {
             0..=3 => {
                 let method = ["look", "look", "book"][n % 3];
                 let key = Some((n % 4) as u64).filter(|_| n.is_multiple_of(2));
@@ -274,18 +285,17 @@
             9 => self.end_call(n, [CallEnd::Ok, CallEnd::Ok, CallEnd::TimedOut, CallEnd::Rejected][n % 4]),
             10 => {
                 let count = self.rpcs.len().max(1);
-                if let Some(stream_ref) =
-                    self.rpcs.keys().nth(n % count).copied().filter(|_| n.is_multiple_of(3))
+                if let Some(stream) = self.rpcs.keys().nth(n % count).copied().filter(|_| n.is_multiple_of(3))
                 {
-                    self.cancel(stream_ref);
+                    self.cancel(stream);
                 }
             }
             11 if n.is_multiple_of(4) => {
-                let on: Vec<SidecarStream> =
-                    self.rpcs.keys().filter(|p| p.conn.0 == n as u64 % 3).copied().collect();
-                for stream_ref in on {
-                    if let Some((_, gone)) = self.rpcs.get_mut(&stream_ref) {
-                        *gone |= !self.peers.answers.contains_key(&stream_ref);
+                let streams: Vec<SidecarStream> =
+                    self.rpcs.keys().filter(|stream| stream.conn.0 == n as u64 % 3).copied().collect();
+                for stream in streams {
+                    if let Some((_, cancelled)) = self.rpcs.get_mut(&stream) {
+                        *cancelled |= !self.peers.answers.contains_key(&stream);
                     }
                 }
                 self.core.connection_closed(self.now, ConnectionId(n as u64 % 3), &mut self.peers);
@@ -297,10 +307,10 @@
             11 => self.continue_staging(1 + n % 2),
             13 if n.is_multiple_of(8) => {
                 let link = UpstreamLinkId(n / 8 % 4);
-                self.peers.calls.retain(|_, on| *on != link);
+                self.peers.calls.retain(|_, call_link| *call_link != link);
                 self.core.link_ended(self.now, link, n.is_multiple_of(16), &mut self.peers);
                 self.core.link_backoff_ended(link);
-                self.peers.refuses_calls = n.is_multiple_of(3);
+                self.peers.fails_to_send_calls = n.is_multiple_of(3);
             }
             14 if n.is_multiple_of(50) && self.killed_at.is_none() => {
                 self.killed_at = Some(self.now + 1_500 * MS);
@@ -312,31 +322,34 @@
         self.check_invariants();
     }
 
+    /// Checks that there are no violations, that no answer is overdue, and that each result is that of a completed run.
     pub(super) fn check_invariants(&self) {
         assert_eq!(self.peers.violations, Vec::<String>::new());
-        for (stream_ref, (ask, gone)) in &self.rpcs {
-            let answer = self.peers.answers.get(stream_ref);
+        for (stream, (request, cancelled)) in &self.rpcs {
+            let answer = self.peers.answers.get(stream);
             assert!(
                 answer.is_some()
-                    || *gone
-                    || self.now <= ask.deadline.unwrap_or(ask.arrived_at + DEADLINE) + MAX_ANSWER_DELAY,
-                "lost {ask:?}"
+                    || *cancelled
+                    || self.now
+                        <= request.deadline.unwrap_or(request.arrived_at + DEADLINE) + MAX_ANSWER_DELAY,
+                "no answer to {request:?}"
             );
             if let Some(("ok", body)) = answer {
-                // A read that repeats another may carry what the other's run made.
-                let made = |id: RpcId| {
-                    FakePeers::result(id) == *body && self.peers.runs.get(&id).is_some_and(|r| r.ended)
+                // A read may be answered with the result of the run of another attempt.
+                let is_result_of = |id: RpcId| {
+                    FakePeers::result(id) == *body && self.peers.runs.get(&id).is_some_and(|run| run.ended)
                 };
-                let same = |other: &RpcRequest| {
-                    other.key.is_some() && (&other.method, other.key) == (&ask.method, ask.key)
+                let is_attempt = |other: &RpcRequest| {
+                    other.key.is_some() && (&other.method, other.key) == (&request.method, request.key)
                 };
-                let joined = self.rpcs.values().any(|(other, _)| same(other) && made(other.id));
-                assert!(made(ask.id) || joined, "ok without its result {ask:?}");
+                let coalesced =
+                    self.rpcs.values().any(|(other, _)| is_attempt(other) && is_result_of(other.id));
+                assert!(is_result_of(request.id) || coalesced, "ok without the result of a run: {request:?}");
             }
         }
     }
 
-    /// Everything comes to its end: all is answered and nothing is left in the tables.
+    /// Runs until all RPCs are answered, and checks that none is left in the tables.
     pub(super) fn run_to_completion(&mut self) {
         self.reconnect_agent();
         for _ in 0..400 {
@@ -351,6 +364,7 @@
     }
 }
 
+/// Returns a placeholder id.
 pub(super) fn empty_id() -> RpcId {
     RpcId::new("").unwrap()
 }
--- a/daemon/src/tests/properties.rs
+++ b/daemon/src/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Seeded random runs of the core with the invariants checked after every step.
+//! Property test of the core: random steps from a seed, with the invariants checked after each step.
 
 use super::harness::CoreHarness;
 use quickcheck::{Gen, QuickCheck};
@@ -7,8 +7,8 @@
 fn each_rpc_gets_one_answer_and_runs_at_most_once_in_any_order() {
     fn holds(seed: u64, steps: Vec<(u8, u16)>) -> bool {
         let mut harness = CoreHarness::new(seed);
-        for (what, n) in steps {
-            harness.random_step(what, n as usize);
+        for (kind, n) in steps {
+            harness.random_step(kind, n as usize);
         }
         harness.run_to_completion();
         true
--- a/daemon/src/tests/recovery.rs
+++ b/daemon/src/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: the snapshot, the stages, slow start.
+//! Tests of recovery: snapshots, stages and slow start.
 
 use super::*;
 use crate::recovery::{RecoveryConfig, RecoveryTracker};
@@ -22,13 +22,13 @@
 fn harness_with(seed: u64, snapshot: Option<Snapshot>) -> CoreHarness {
     let mut core =
         Core::new(START, server_parts(START, seed, &sample_settings(), None), BufferPool::new(500), 4);
-    let mut out = FakePeers::default();
-    core.start(START, &mut out);
-    core.start_recovery(START, tracker(START, snapshot), &mut out);
+    let mut peers = FakePeers::default();
+    core.start(START, &mut peers);
+    core.start_recovery(START, tracker(START, snapshot), &mut peers);
     core.agent_connected(START);
-    core.agent_up(START, None, &mut out);
-    core.agent_greeted(START, false, &mut out);
-    CoreHarness::with_core(core, out, START, &sample_settings())
+    core.agent_up(START, None, &mut peers);
+    core.agent_greeted(START, false, &mut peers);
+    CoreHarness::with_core(core, peers, START, &sample_settings())
 }
 fn serve(harness: &mut CoreHarness, rpcs: u64) {
     for _ in 0..rpcs {
@@ -50,39 +50,39 @@
     harness.advance(200 * MS);
     assert_eq!(stage(&harness), Stage::Cold);
     serve(&mut harness, 40);
-    let then = ClockReading { wall: START, uptime: START / 2, boot_id: 9 };
-    let snapshot = harness.core.take_snapshot(harness.now, || then, false).unwrap();
-    assert!(harness.core.take_snapshot(harness.now, || then, false).is_none(), "its beat is over");
+    let clocks = ClockReading { wall: START, uptime: START / 2, boot_id: 9 };
+    let snapshot = harness.core.take_snapshot(harness.now, || clocks, false).unwrap();
+    assert!(harness.core.take_snapshot(harness.now, || clocks, false).is_none(), "not due again yet");
     assert!(
-        harness.core.take_snapshot(harness.now, || then, true).is_some(),
-        "but at the notice to leave there is another"
+        harness.core.take_snapshot(harness.now, || clocks, true).is_some(),
+        "due at the shutdown notice in any case"
     );
     assert_eq!(harness.core.stats().snapshots, 2);
     let look = snapshot.methods.iter().find(|m| m.name == "look").unwrap();
     assert!((look.mean - 30_000.0).abs() < 15_000.0 && look.runs > 20.0, "{look:?}");
-    assert!(snapshot.methods.iter().all(|m| m.name != "book"), "of that nothing was learned");
-    let again = Snapshot::from_text(&snapshot.to_text()).unwrap();
-    let harness = harness_with(2, Some(again));
-    // Places are in the order of names: "book" stands before it.
-    let recalled = harness.core.learned().costs[1];
-    assert!((recalled.mean - look.mean).abs() < 1.0 && recalled.runs <= 8.0, "{recalled:?} of {look:?}");
+    assert!(snapshot.methods.iter().all(|m| m.name != "book"), "nothing was learned about it");
+    let decoded = Snapshot::from_text(&snapshot.to_text()).unwrap();
+    let harness = harness_with(2, Some(decoded));
+    // Methods are in the order of their names, so "book" is the first one.
+    let restored = harness.core.learned().costs[1];
+    assert!((restored.mean - look.mean).abs() < 1.0 && restored.runs <= 8.0, "{restored:?} of {look:?}");
 }
 
 #[test]
 fn snapshot_of_another_backend_changes_nothing() {
-    let fresh = harness_with(3, None).core.learned();
+    let initial = harness_with(3, None).core.learned();
     let mut harness = harness_with(3, None);
     serve(&mut harness, 30);
     let mut snapshot = harness.core.take_snapshot(harness.now, ClockReading::default, true).unwrap();
     snapshot.name = "n2".into();
-    assert_eq!(harness_with(3, Some(snapshot)).core.learned(), fresh);
+    assert_eq!(harness_with(3, Some(snapshot)).core.learned(), initial);
 }
 
 #[test]
 fn full_stage_needs_evidence() {
     let mut harness = harness_with(4, None);
     harness.advance(60_000 * MS);
-    assert_eq!(stage(&harness), Stage::Cold, "a minute without an RPC proves nothing");
+    assert_eq!(stage(&harness), Stage::Cold, "without RPCs there is no evidence");
     serve(&mut harness, 15);
     assert_eq!(stage(&harness), Stage::Warming);
     serve(&mut harness, 60);
@@ -91,9 +91,9 @@
 }
 
 #[test]
-fn calls_are_limited_after_a_start_and_opened_by_replies() {
+fn call_limit_after_a_start_is_raised_by_replies() {
     let mut harness = harness_with(5, None);
-    let call = |harness: &mut CoreHarness, rpcs: u64| {
+    let send_calls = |harness: &mut CoreHarness, rpcs: u64| {
         for _ in 0..rpcs {
             harness.send_rpc(1, "look", 900 * MS, None);
             harness.advance_run(0, true);
@@ -101,7 +101,7 @@
         }
         harness.peers.calls.len()
     };
-    assert_eq!(call(&mut harness, 3), 1, "one call to begin with, whatever waits");
+    assert_eq!(send_calls(&mut harness, 3), 1, "one call at first");
     for _ in 0..30 {
         while !harness.peers.calls.is_empty() {
             harness.end_call(0, CallEnd::Ok);
@@ -109,7 +109,7 @@
         harness.advance_run(0, false);
         harness.deliver_notices(9);
         harness.advance(50 * MS);
-        call(&mut harness, 2);
+        send_calls(&mut harness, 2);
     }
-    assert!(harness.peers.calls.len() > 1, "what is answered opens it");
+    assert!(harness.peers.calls.len() > 1, "replies raise the limit");
 }
--- a/daemon/src/tests/settings.rs
+++ b/daemon/src/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and configurations of the tests.
+//! Sample settings and configurations.
 
 use super::fake_peers::FakePeers;
 use crate::core::{Core, VersionSwitch};
@@ -7,6 +7,7 @@
 use asterrill_settings::ServerParts;
 use serde_json::{json, Value};
 
+/// Returns settings with two methods and one tenant.
 pub(super) fn sample_settings() -> Value {
     json!({
         "Categories": [
@@ -21,17 +22,20 @@
         "StepMs": 4})
 }
 
-/// The entries of such settings.
+/// Returns the entries of these settings.
 pub(super) fn configuration(settings: &Value) -> Configuration {
-    let nowhere = "127.0.0.1:1";
-    let whole = json!({"name": "n1", "listen": nowhere, "agent": nowhere, "naming": nowhere, "seed": "1",
+    let unused = "127.0.0.1:1";
+    let deployment = json!({"name": "n1", "listen": unused, "agent": unused, "naming": unused, "seed": "1",
         "stop_ms": 900, "limits": {"memory_mb": 64, "sockets": 64}, "settings": settings});
-    asterrill_settings::Deployment::from_json(&whole.to_string()).unwrap().configuration
+    asterrill_settings::Deployment::from_json(&deployment.to_string()).unwrap().configuration
 }
+
+/// Builds a server with these settings.
 pub(super) fn server_parts(at: Us, seed: u64, settings: &Value, cold: Option<bool>) -> ServerParts {
     asterrill_settings::server_parts(at, seed, &configuration(settings), cold).unwrap()
 }
-/// What turns over to a version once its entries are in.
+
+/// Returns the parts of a version that are activated after its entries are staged.
 pub(super) fn version_switch(at: Us, number: u64, to: &Configuration) -> VersionSwitch {
     let global_parts = asterrill_settings::global_parts(at, 1, to).unwrap();
     let longest_latency_target = to.methods().map(|(_, method)| method.latency_target).max().unwrap_or(0);
@@ -44,17 +48,18 @@
         requires_tenant,
     }
 }
-/// A change from one version to another, whole.
+
+/// Applies a complete change from one version to another.
 pub(super) fn apply_change(
-    core: &mut Core, at: Us, from: &Configuration, to: &Configuration, number: u64, out: &mut FakePeers,
+    core: &mut Core, at: Us, from: &Configuration, to: &Configuration, number: u64, peers: &mut FakePeers,
 ) {
-    let step = from.changes_to(to);
-    core.check_capacity_for(&step, &[]).unwrap();
-    core.stage(&step);
-    core.switch_version(at, version_switch(at, number, to), out);
+    let changes = from.changes_to(to);
+    core.check_capacity_for(&changes, &[]).unwrap();
+    core.stage(&changes);
+    core.switch_version(at, version_switch(at, number, to), peers);
 }
 
-/// A version with these tenants, beside what `server` says.
+/// Returns the configuration of [`sample_settings`], but with these tenants.
 pub(super) fn with_tenants(names: &[String]) -> Configuration {
     let mut settings = sample_settings();
     settings["Tenants"] = names.iter().map(|name| json!({"Name": name, "QuotaRps": 1_000_000})).collect();
--- a/daemon/src/tests/sidecar_rpcs.rs
+++ b/daemon/src/tests/sidecar_rpcs.rs
@@ -1,24 +1,26 @@
-//! RPCs and health checks of sidecars.
+//! Tests of RPCs and health checks of sidecars.
 
 use super::*;
 
 #[test]
 fn thorough_health_checks_share_an_exercise() {
     let mut harness = CoreHarness::new(6);
-    let stream_ref = |n| SidecarStream { conn: ConnectionId(9), stream: StreamId(n) };
-    harness.core.health_check(harness.now, stream_ref(1), false, &mut harness.peers);
-    assert_eq!(harness.peers.health, [(stream_ref(1), true)]);
+    let stream = |n| SidecarStream { conn: ConnectionId(9), stream: StreamId(n) };
+    harness.core.health_check(harness.now, stream(1), false, &mut harness.peers);
+    assert_eq!(harness.peers.health, [(stream(1), true)]);
     for n in 2..5 {
-        harness.core.health_check(harness.now, stream_ref(n), true, &mut harness.peers);
+        harness.core.health_check(harness.now, stream(n), true, &mut harness.peers);
     }
     assert_eq!((harness.peers.exercises.len(), harness.peers.health.len()), (1, 1));
     let tag = harness.peers.exercises[0];
     harness.core.exercise_finished(harness.now, tag, true, &mut harness.peers);
-    assert!(harness.peers.health.len() == 4 && harness.peers.health.iter().all(|(_, good)| *good));
-    harness.core.health_check(harness.now, stream_ref(5), true, &mut harness.peers);
-    harness.advance(300 * MS); // the agent says nothing
-    assert_eq!(harness.peers.health.last(), Some(&(stream_ref(5), false)));
-    harness.core.exercise_finished(harness.now, tag, true, &mut harness.peers); // late, and of the one before
+    assert!(harness.peers.health.len() == 4 && harness.peers.health.iter().all(|(_, healthy)| *healthy));
+    harness.core.health_check(harness.now, stream(5), true, &mut harness.peers);
+    // The agent does not respond.
+    harness.advance(300 * MS);
+    assert_eq!(harness.peers.health.last(), Some(&(stream(5), false)));
+    // A late result of the previous exercise is ignored.
+    harness.core.exercise_finished(harness.now, tag, true, &mut harness.peers);
     assert_eq!(harness.peers.health.len(), 5);
 }
 
@@ -36,18 +38,18 @@
 fn aborts_unknown_methods_tenants_and_ids_in_use() {
     let mut harness = CoreHarness::new(8);
     let first = harness.send_rpc(1, "look", 900 * MS, None);
-    let odd = harness.send_rpc(1, "riddle", 900 * MS, None);
-    assert_eq!(harness.peers.answers[&odd].0, "aborted");
-    let stream_ref = SidecarStream { conn: ConnectionId(2), stream: StreamId(1) };
-    let again = harness.rpcs[&first].0.clone();
-    assert!(harness.core.rpc_received(harness.now, stream_ref, again, b"x", &mut harness.peers));
-    assert_eq!(harness.peers.answers[&stream_ref].0, "aborted");
+    let unknown_method = harness.send_rpc(1, "riddle", 900 * MS, None);
+    assert_eq!(harness.peers.answers[&unknown_method].0, "aborted");
+    let stream = SidecarStream { conn: ConnectionId(2), stream: StreamId(1) };
+    let same_id = harness.rpcs[&first].0.clone();
+    assert!(harness.core.rpc_received(harness.now, stream, same_id, b"x", &mut harness.peers));
+    assert_eq!(harness.peers.answers[&stream].0, "aborted");
     assert!(!harness.peers.answers.contains_key(&first));
-    let mut stranger = harness.rpcs[&first].0.clone();
-    (stranger.id, stranger.tenant) = (RpcId::new("00000000000000fe").unwrap(), "nobody".into());
-    let stream_ref = SidecarStream { conn: ConnectionId(2), stream: StreamId(2) };
-    assert!(harness.core.rpc_received(harness.now, stream_ref, stranger, b"x", &mut harness.peers));
-    assert_eq!((harness.peers.answers[&stream_ref].0, harness.peers.runs.len()), ("aborted", 1));
+    let mut unknown_tenant = harness.rpcs[&first].0.clone();
+    (unknown_tenant.id, unknown_tenant.tenant) = (RpcId::new("00000000000000fe").unwrap(), "nobody".into());
+    let stream = SidecarStream { conn: ConnectionId(2), stream: StreamId(2) };
+    assert!(harness.core.rpc_received(harness.now, stream, unknown_tenant, b"x", &mut harness.peers));
+    assert_eq!((harness.peers.answers[&stream].0, harness.peers.runs.len()), ("aborted", 1));
 }
 
 #[test]
@@ -56,63 +58,63 @@
     for n in 0..8 {
         harness.send_rpc(2, "riddle", 900 * MS, None);
         if n == 2 {
-            let fine = harness.send_rpc(2, "look", 900 * MS, None);
+            let runnable = harness.send_rpc(2, "look", 900 * MS, None);
             harness.advance_run(1, false);
             harness.deliver_notices(1);
-            assert_eq!(harness.peers.answers[&fine].0, "ok");
+            assert_eq!(harness.peers.answers[&runnable].0, "ok");
         }
     }
     assert!(harness.peers.closed_connections.is_empty());
     for n in 0..4 {
-        let unknown = harness.send_rpc(3, "look", 900 * MS, None); // the agent refuses_calls it
-        let id = harness.rpcs[&unknown].0.id;
+        // The agent refuses to launch it.
+        let refused = harness.send_rpc(3, "look", 900 * MS, None);
+        let id = harness.rpcs[&refused].0.id;
         assert_eq!(harness.peers.closed_connections.len(), 0, "after {n}");
         harness.core.command_refused(harness.now, Some(id), &mut harness.peers);
-        assert_eq!(harness.peers.answers[&unknown].0, "aborted");
+        assert_eq!(harness.peers.answers[&refused].0, "aborted");
     }
     assert_eq!(harness.peers.closed_connections, [ConnectionId(3)]);
     let after = harness.send_rpc(3, "look", 900 * MS, None);
-    assert!(!harness.rpcs.contains_key(&after), "nothing more is taken from it");
+    assert!(!harness.rpcs.contains_key(&after), "nothing more is accepted from it");
 }
 
 #[test]
-fn time_unread_begins_with_the_agent_at_the_earliest() {
+fn read_delay_starts_no_earlier_than_the_agent() {
     let mut harness = CoreHarness::new(11);
     harness.advance(500 * MS);
-    let (id, stream_ref) = (
+    let (id, stream) = (
         RpcId::new("00000000000000ff").unwrap(),
         SidecarStream { conn: ConnectionId(1), stream: StreamId(1) },
     );
     let (method, tenant, caller) = ("look".to_string(), "acme".to_string(), CallerId(1));
     let request =
         RpcRequest { id, method, tenant, caller, arrived_at: 0, deadline: Some(1), size_kb: 20.0, key: None };
-    harness.core.rpc_received(harness.now, stream_ref, request, b"", &mut harness.peers);
-    assert_eq!(harness.peers.answers[&stream_ref].0, "rejected");
-    let fine = harness.send_rpc(2, "look", 900 * MS, None);
+    harness.core.rpc_received(harness.now, stream, request, b"", &mut harness.peers);
+    assert_eq!(harness.peers.answers[&stream].0, "rejected");
+    let accepted = harness.send_rpc(2, "look", 900 * MS, None);
     assert!(
-        !harness.peers.answers.contains_key(&fine) && harness.peers.credit.unwrap() > 0.1,
+        !harness.peers.answers.contains_key(&accepted) && harness.peers.credit.unwrap() > 0.1,
         "{:?}",
         harness.peers.credit
     );
 }
 
 #[test]
-fn rpc_without_patience_has_the_deadline_of_its_method() {
+fn rpc_without_a_deadline_gets_the_deadline_of_its_method() {
     let mut harness = CoreHarness::new(11);
     harness.advance(500 * MS);
     let (method, tenant, caller) = ("look".to_string(), "acme".to_string(), CallerId(1));
-    let (id, stream_ref) =
-        (RpcId::from_number(9), SidecarStream { conn: ConnectionId(1), stream: StreamId(1) });
+    let (id, stream) = (RpcId::from_number(9), SidecarStream { conn: ConnectionId(1), stream: StreamId(1) });
     let arrived_at = harness.now - 20 * MS;
     let request =
         RpcRequest { id, method, tenant, caller, arrived_at, deadline: None, size_kb: 20.0, key: None };
-    harness.core.rpc_received(harness.now, stream_ref, request, b"", &mut harness.peers);
-    assert!(harness.peers.runs.contains_key(&id), "it is run like any other");
-    let mut late = 0;
-    while !harness.peers.answers.contains_key(&stream_ref) {
-        (harness.now, late) = (harness.now + MS, late + 1);
+    harness.core.rpc_received(harness.now, stream, request, b"", &mut harness.peers);
+    assert!(harness.peers.runs.contains_key(&id), "launched like any other RPC");
+    let mut waited_ms = 0;
+    while !harness.peers.answers.contains_key(&stream) {
+        (harness.now, waited_ms) = (harness.now + MS, waited_ms + 1);
         harness.core.tick(harness.now, &mut harness.peers);
         assert!(harness.now <= arrived_at + DEADLINE, "no answer by its deadline");
     }
-    assert!(harness.now + 50 * MS > arrived_at + DEADLINE && late > 100, "not before either: {late} ms");
+    assert!(harness.now + 50 * MS > arrived_at + DEADLINE && waited_ms > 100, "too early: {waited_ms} ms");
 }
