--- a/daemon/src/agent_session.rs
+++ b/daemon/src/agent_session.rs
@@ -123,7 +123,7 @@
 
     /// Registers a new link and returns the number of the last notice read.
     ///
-    /// A greeting is expected on the link if the agent has sent one before. The first greeting may take any time,
+    /// A greeting is expected on the link if the agent has sent one before. The first greeting may arrive at any time,
     /// because the agent may start later than this server.
     pub fn link_connected(&mut self, now: Us) -> NoticeId {
         self.link += 1;
@@ -138,8 +138,9 @@
         self.last_tag
     }
 
-    /// Handles a greeting and returns the tag of the sample to request. Once that sample has arrived, all missed notices
-    /// have been read.
+    /// Handles a greeting and returns the tag of the sample to request.
+    ///
+    /// Once that sample has arrived, all missed notices have been read.
     pub fn greeted(&mut self, now: Us) -> u64 {
         self.has_greeted = true;
         self.message_received();
--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -103,8 +103,8 @@
                 Notice::Greeting { empty, ago } => {
                     let first = !core.agent_has_greeted();
                     let rebuilt = if first { build(now.saturating_sub(ago), empty) } else { None };
-                    core.agent_up(now, rebuilt, outbound);
-                    core.agent_greeted(now, empty, outbound);
+                    core.agent_greeted(now, rebuilt, outbound);
+                    core.restore_snapshot(now, empty, outbound);
                     outbound
                         .log(&format!("connected to the agent: cold start {empty}, started {ago} us ago"));
                 }
--- a/daemon/src/core/agent.rs
+++ b/daemon/src/core/agent.rs
@@ -20,15 +20,15 @@
     /// At the first greeting, `rebuilt` is the decision module rebuilt for the time at which the agent started. The
     /// messages that may have been lost with the previous link are sent again once all notices missed in the meantime
     /// have been read.
-    pub fn agent_up(&mut self, now: Us, rebuilt: Option<ServerParts>, outbound: &mut dyn Outbound) {
+    pub fn agent_greeted(&mut self, now: Us, rebuilt: Option<ServerParts>, outbound: &mut dyn Outbound) {
         self.now = self.engine.advance_to(now);
         self.state.stats.agent_greetings += 1;
         let unused = self.engine.stats.requests == 0 && self.state.stats.changes == 0;
         if let Some(server) = rebuilt.filter(|_| unused) {
             self.restart_engine(now, server, outbound);
         }
-        if self.state.agent_up_since.is_none() {
-            self.state.agent_up_since = Some(self.now);
+        if self.state.first_greeting_at.is_none() {
+            self.state.first_greeting_at = Some(self.now);
             self.engine.enable_gauges();
             outbound.set_serving(self.state.healthy && !self.state.draining);
         }
@@ -51,7 +51,7 @@
 
     /// Reports whether the agent has ever sent a greeting.
     pub fn agent_has_greeted(&self) -> bool {
-        self.state.agent_up_since.is_some()
+        self.state.first_greeting_at.is_some()
     }
 
     /// Handles a sample of the agent's gauges.
--- a/daemon/src/core/engine_outputs.rs
+++ b/daemon/src/core/engine_outputs.rs
@@ -95,7 +95,7 @@
 
     fn set_health(&mut self, healthy: bool) {
         self.state.healthy = healthy;
-        if self.state.agent_up_since.is_some() {
+        if self.state.first_greeting_at.is_some() {
             self.outbound.set_serving(healthy && !self.state.draining);
         }
     }
--- a/daemon/src/core/health_checks.rs
+++ b/daemon/src/core/health_checks.rs
@@ -18,7 +18,7 @@
         self.now = self.engine.advance_to(now);
         let state = &mut self.state;
         state.stats.health_checks += 1;
-        let can_exercise = state.healthy && state.agent_up_since.is_some();
+        let can_exercise = state.healthy && state.first_greeting_at.is_some();
         if !thorough || !can_exercise || state.exercise.waiting.len() >= MAX_WAITING_CHECKS {
             return outbound.answer_health_check(from, state.healthy, self.engine.credit());
         }
--- a/daemon/src/core/lifecycle.rs
+++ b/daemon/src/core/lifecycle.rs
@@ -55,7 +55,7 @@
         let broker = self.with_engine(now, outbound, |engine, now, outputs| {
             engine.tick(now, outputs);
             let credit = engine.credit();
-            let can_run = outputs.state.agent_up_since.is_some();
+            let can_run = outputs.state.first_greeting_at.is_some();
             match outputs.state.queues.as_mut().filter(|queues| queues.is_due(now)) {
                 Some(queues) => queues.tick(now, credit, can_run),
                 None => Ok(()),
--- a/daemon/src/core/recovery.rs
+++ b/daemon/src/core/recovery.rs
@@ -17,10 +17,10 @@
         });
     }
 
-    /// Restores the valid parts of the stored snapshot at the agent's first greeting.
+    /// Restores the valid parts of the stored snapshot at the agent's first greeting. Later calls restore nothing.
     ///
     /// `agent_cold` tells whether the agent started with empty caches.
-    pub fn agent_greeted(&mut self, now: Us, agent_cold: bool, outbound: &mut dyn Outbound) {
+    pub fn restore_snapshot(&mut self, now: Us, agent_cold: bool, outbound: &mut dyn Outbound) {
         let status = self.engine.status();
         let CoreState { recovery, names, .. } = &mut self.state;
         let Some(recovery) = recovery else { return };
--- a/daemon/src/core/sidecar_rpcs.rs
+++ b/daemon/src/core/sidecar_rpcs.rs
@@ -69,7 +69,7 @@
         let coalescible = self.state.sidecars.is_verified(conn);
         let keys = self.keys_of(method, request, body, coalescible);
         let now = self.engine.advance_to(now);
-        let received_from = request.arrived_at.max(self.state.agent_up_since.unwrap_or(now));
+        let received_from = request.arrived_at.max(self.state.first_greeting_at.unwrap_or(now));
         Some(IncomingRpc {
             id: request.id,
             method,
--- a/daemon/src/core/state.rs
+++ b/daemon/src/core/state.rs
@@ -56,7 +56,7 @@
     /// Whether the graceful shutdown has begun.
     pub(super) draining: bool,
     /// The time of the agent's first greeting. Before it this server did not report itself as serving.
-    pub(super) agent_up_since: Option<Us>,
+    pub(super) first_greeting_at: Option<Us>,
     /// The service figures of each method.
     pub(super) service: ServiceStats,
     /// The configuration version that each part has applied.
@@ -139,7 +139,7 @@
                 exercise: Exercise::default(),
                 healthy: true,
                 draining: false,
-                agent_up_since: None,
+                first_greeting_at: None,
                 service,
                 versions: AppliedVersions::all(1),
                 recovery: None,
--- a/daemon/src/dispatcher/connections.rs
+++ b/daemon/src/dispatcher/connections.rs
@@ -10,8 +10,8 @@
     /// Registers an accepted sidecar connection and returns its identifier.
     pub fn connection_opened(&self, out: Outbox) -> ConnectionId {
         let mut locked = self.lock();
-        locked.opened += 1;
-        let conn = ConnectionId(locked.opened);
+        locked.connections_opened += 1;
+        let conn = ConnectionId(locked.connections_opened);
         let DispatcherState { core, outboxes, .. } = &mut *locked;
         core.stats_mut().connections += 1;
         if outboxes.draining {
--- a/daemon/src/dispatcher/eviction.rs
+++ b/daemon/src/dispatcher/eviction.rs
@@ -50,7 +50,7 @@
         let mut locked = self.lock();
         let DispatcherState { core, outboxes, .. } = &mut *locked;
         let found = inspect_connections(core, outboxes, now);
-        cut_off_slow_readers(outboxes, now);
+        close_slow_readers(outboxes, now);
         for (conns, reason) in
             [(found.partial, "a frame stopped halfway"), (found.silent, "nothing whole came")]
         {
@@ -129,7 +129,7 @@
 }
 
 /// Closes connections whose sidecar reads its answers too slowly, because they hold slots that others need.
-fn cut_off_slow_readers(outboxes: &Outboxes, now: Us) {
+fn close_slow_readers(outboxes: &Outboxes, now: Us) {
     for (conn, close_started) in &outboxes.closing {
         if close_started.is_some_and(|since| since + CLOSE_TIMEOUT_US < now) {
             if let Some(sidecar) = outboxes.sidecars.get(conn) {
--- a/daemon/src/dispatcher/shared.rs
+++ b/daemon/src/dispatcher/shared.rs
@@ -32,7 +32,7 @@
     /// The time at which the timer task wakes up.
     armed_for: Us,
     /// The number of sidecar connections opened so far.
-    pub(super) opened: u64,
+    pub(super) connections_opened: u64,
     /// The expiry of the quota lease, as a [`monotonic_now`] time.
     quota_until: Us,
     /// The expiry of the lease of the agreed deny lists, as a [`monotonic_now`] time.
@@ -76,7 +76,7 @@
             core,
             outboxes,
             armed_for: Us::MAX,
-            opened: 0,
+            connections_opened: 0,
             quota_until: Us::MAX,
             policy_until: Us::MAX,
         };
@@ -86,7 +86,7 @@
             pool,
             body_pool,
             connection_limit: ConnectionLimit::new(max_connections),
-            listener: listener,
+            listener,
             log,
             timer_wakeup: Notify::default(),
             load_report_wakeup: Notify::default(),
--- a/daemon/src/tests/dispatcher.rs
+++ b/daemon/src/tests/dispatcher.rs
@@ -19,7 +19,7 @@
 const WAIT: Duration = Duration::from_secs(10);
 
 #[test]
-fn cuts_off_sidecars_that_never_read() {
+fn closes_connections_of_sidecars_that_never_read() {
     start_worker().unwrap();
     let pool = BufferPool::new(500);
     let core = Core::new(START, server_parts(START, 1, &sample_settings(), None), BufferPool::new(500), 4);
--- a/daemon/src/tests/drain.rs
+++ b/daemon/src/tests/drain.rs
@@ -33,7 +33,7 @@
         let greeted_at = START + greeting_ms * MS;
         core.agent_connected(greeted_at);
         // The agent started 50 ms before the shutdown notice, or 150 ms after it.
-        core.agent_up(greeted_at, Some(server_at(greeted_at - 100 * MS)), &mut peers);
+        core.agent_greeted(greeted_at, Some(server_at(greeted_at - 100 * MS)), &mut peers);
         assert!(!peers.serving.contains(&true), "reported as serving: {:?}", peers.serving);
         let mut harness = CoreHarness::with_core(core, peers, greeted_at, &sample_settings());
         harness.send_rpc(1, "book", 900 * MS, None);
--- a/daemon/src/tests/harness.rs
+++ b/daemon/src/tests/harness.rs
@@ -40,7 +40,7 @@
         let mut peers = FakePeers::default();
         core.start(START, &mut peers);
         core.agent_connected(START);
-        core.agent_up(START, None, &mut peers);
+        core.agent_greeted(START, None, &mut peers);
         CoreHarness::with_core(core, peers, START, settings)
     }
     pub(super) fn with_core(core: Core, peers: FakePeers, now: Us, settings: &Value) -> CoreHarness {
@@ -182,7 +182,7 @@
         self.peers.samples.clear();
         let last = self.core.agent_connected(self.now);
         self.notices_read = last.0 as usize;
-        self.core.agent_up(self.now, None, &mut self.peers);
+        self.core.agent_greeted(self.now, None, &mut self.peers);
         self.deliver_notices(usize::MAX);
         self.peers.allows_resends = true;
         self.deliver_samples();
--- a/daemon/src/tests/recovery.rs
+++ b/daemon/src/tests/recovery.rs
@@ -26,8 +26,8 @@
     core.start(START, &mut peers);
     core.start_recovery(START, tracker(START, snapshot), &mut peers);
     core.agent_connected(START);
-    core.agent_up(START, None, &mut peers);
-    core.agent_greeted(START, false, &mut peers);
+    core.agent_greeted(START, None, &mut peers);
+    core.restore_snapshot(START, false, &mut peers);
     CoreHarness::with_core(core, peers, START, &sample_settings())
 }
 fn serve(harness: &mut CoreHarness, rpcs: u64) {
