--- a/daemon/src/core/exercise.rs
+++ b/daemon/src/core/exercise.rs
@@ -3,7 +3,7 @@
 use crate::ids::SidecarStream;
 use asterrill::Us;
 
-/// Health checks that wait for the same exercise of the agent, which may be none.
+/// Exercise of the agent, with the health checks that wait for it.
 #[derive(Default)]
 pub(super) struct Exercise {
     /// The streams on which the checks arrived.
--- a/daemon/src/core/sidecar_rpcs.rs
+++ b/daemon/src/core/sidecar_rpcs.rs
@@ -1,4 +1,4 @@
-//! RPCs of sidecars: receipt, rejection by the agreed deny lists, abortion, cancellation.
+//! RPCs of sidecars: receipt, rejection by the agreed deny lists, aborting and cancellation.
 
 use super::active_names::ActiveNames;
 use super::idempotency_key::{cache_key, idempotency_key};
--- a/daemon/src/dispatcher/shared.rs
+++ b/daemon/src/dispatcher/shared.rs
@@ -29,7 +29,7 @@
     pub(super) core: Core,
     /// The outboxes that receive the core's messages.
     pub(super) outboxes: Outboxes,
-    /// The time at which the timer task wakes up.
+    /// The time at which the control loop wakes up.
     armed_for: Us,
     /// The number of sidecar connections opened so far.
     pub(super) connections_opened: u64,
@@ -52,7 +52,7 @@
     pub listener: ListenerHandle,
     /// The log.
     pub log: Logger,
-    /// The notification for the timer task to wake up earlier than its armed time.
+    /// The notification for the control loop to wake up earlier than its armed time.
     pub timer_wakeup: Notify,
     /// The notification that there is a change to report to the name service.
     pub load_report_wakeup: Notify,
