--- a/daemon/src/control_loop.rs
+++ b/daemon/src/control_loop.rs
@@ -43,10 +43,10 @@
 impl ControlLoop {
     /// Runs until the backend has drained.
     pub fn run(mut self) {
-        self.dispatcher.clock.register();
+        self.dispatcher.timer_wakeup.register();
         self.dispatcher.with(|core, outbound, now| core.start(now, outbound));
         loop {
-            let deadline = self.dispatcher.arm_clock(self.changes.next_deadline());
+            let deadline = self.dispatcher.arm_timer(self.changes.next_deadline());
             // A notification that arrived while a change was installed in slices does not end the next wait, so the
             // queue is checked first.
             let has_requests = !self.queue.lock().is_empty();
--- a/daemon/src/load_report.rs
+++ b/daemon/src/load_report.rs
@@ -1,5 +1,6 @@
-//! Load reports to the name service: whether this backend takes work, once a second and at once when that, or the name
-//! service's address, changes.
+//! Load reports to the name service, which state whether this backend is serving.
+//!
+//! A report is sent once a second, and at once when the state or the address of the name service changes.
 
 use crate::dispatcher::Dispatcher;
 use asterrill::Us;
@@ -9,28 +10,29 @@
 use slog::warn;
 use std::time::Duration;
 
-/// Microseconds between two reports.
-const REPORT_INTERVAL: Us = 1_000_000;
-/// A report that takes longer is lost.
+/// Interval between two reports, in microseconds.
+const REPORT_INTERVAL_US: Us = 1_000_000;
+/// Time after which a report without a complete reply counts as lost.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Reports are sent early by up to this part of the interval, so that many backends do not report in step.
+/// Divisor that gives the maximum jitter as a share of the interval. Reports are sent early by a random part of it, so
+/// that the reports of many backends do not coincide.
 const JITTER_DIVISOR: Us = 4;
 
-/// Sends load reports for as long as the process lives.
+/// Sends load reports during the life of the process.
 ///
-/// A report that was sent may count though it was not answered, so only one that could not be sent makes the next one
-/// back off. `jitter_seed` spreads the reports of many backends; `None` sends them without jitter.
+/// A report that was sent may have been counted even without a reply, so the backoff applies only after a report that
+/// could not be sent. `jitter_seed` spreads the reports of many backends; `None` disables the jitter.
 pub fn send_load_reports(
     dispatcher: &Dispatcher, name: &str, address: &Address, mut backoff: Backoff, jitter_seed: Option<u64>,
 ) {
-    dispatcher.load_report_bell.register();
+    dispatcher.load_report_wakeup.register();
     let mut target = address.get();
     let mut connection = None;
     let mut reports = 0_u64;
     loop {
         reports += 1;
         let Some(serving) = dispatcher.serving() else {
-            wait_until(now() + REPORT_INTERVAL);
+            wait_until(now() + REPORT_INTERVAL_US);
             continue;
         };
         if target != address.get() {
@@ -57,7 +59,7 @@
             }
             Err(error) => {
                 warn!(dispatcher.log, "load report lost: invalid reply"; "why" => error.0);
-                dispatcher.with(|core, _, _| core.stats_mut().bad_name_service += 1);
+                dispatcher.with(|core, _, _| core.stats_mut().name_service_protocol_errors += 1);
                 ReplyStatus::Close
             }
         };
@@ -69,8 +71,8 @@
             backoff.reset();
             if !outdated() {
                 let early = jitter_seed
-                    .map_or(0, |seed| phase(seed ^ reports, "report", REPORT_INTERVAL / JITTER_DIVISOR));
-                wait_until(started + REPORT_INTERVAL - early);
+                    .map_or(0, |seed| phase(seed ^ reports, "report", REPORT_INTERVAL_US / JITTER_DIVISOR));
+                wait_until(started + REPORT_INTERVAL_US - early);
             }
         } else if is_new_connection && now() < started + REPORT_TIMEOUT.as_micros() as u64 {
             backoff.wait_unless(outdated);
--- a/daemon/src/membership/run.rs
+++ b/daemon/src/membership/run.rs
@@ -76,7 +76,7 @@
             // A smaller quota is set in the core before any datagram that announces it is sent. The quota is leased,
             // so that it has expired when a process resumes after a pause or is late.
             let changes_allowed = output.role.allowed_changes == AllowedChanges::Any;
-            dispatcher.lease(started.saturating_add(self.quota_lease), changes_allowed);
+            dispatcher.renew_quota_lease(started.saturating_add(self.quota_lease), changes_allowed);
             let quota = output.role.quota_factor;
             dispatcher.with(|core, outbound, now| core.set_quota_fraction(now, quota, outbound));
             for Transmit { destination, contents } in output.outgoing {
--- a/daemon/src/operator_requests.rs
+++ b/daemon/src/operator_requests.rs
@@ -161,7 +161,7 @@
             }
             pending.context_requests.push(sender);
         }
-        self.dispatcher.clock.notify();
+        self.dispatcher.timer_wakeup.notify();
         receiver.recv_timeout(REPLY_TIMEOUT).ok()
     }
 
@@ -181,7 +181,7 @@
             }
             pending.commands.push(PendingCommand { command, reply_to });
         }
-        self.dispatcher.clock.notify();
+        self.dispatcher.timer_wakeup.notify();
         let reply = receiver.recv_timeout(REPLY_TIMEOUT);
         reply.unwrap_or_else(|_| {
             rejected("no answer within 5 s: the command may still be executed, check the status".into())
