--- a/lab/src/arguments.rs
+++ b/lab/src/arguments.rs
@@ -1,8 +1,8 @@
 //! The command line.
 
-use crate::scale::capacity::PageOptions;
+use crate::scale::capacity::CapacityOptions;
 use crate::scale::forms::FormOptions;
-use crate::scale::sizes::Sizes;
+use crate::scale::options::ScaleOptions;
 use clap::{Parser, Subcommand, ValueEnum};
 
 /// The command line.
@@ -52,10 +52,10 @@
     pub real: Option<usize>,
     /// What the scale scenarios are played at
     #[command(flatten)]
-    pub scale: Sizes,
+    pub scale: ScaleOptions,
     /// What the page of capacity is worked out of
     #[command(flatten)]
-    pub capacity: PageOptions,
+    pub capacity: CapacityOptions,
     /// Which form a process measures
     #[command(flatten)]
     pub forms: FormOptions,
--- a/lab/src/scale/capacity/mod.rs
+++ b/lab/src/scale/capacity/mod.rs
@@ -21,5 +21,5 @@
 #[path = "tests/docs_copy.rs"]
 mod docs_copy;
 
-pub use options::PageOptions;
+pub use options::CapacityOptions;
 pub use scenario::scenario;
--- a/lab/src/scale/capacity/options.rs
+++ b/lab/src/scale/capacity/options.rs
@@ -5,7 +5,7 @@
 
 /// What `asterrill-lab capacity` does.
 #[derive(Args, Clone, Debug)]
-pub struct PageOptions {
+pub struct CapacityOptions {
     /// For capacity: say whether page and plots agree with the measured slopes, and write nothing
     #[arg(long, global = true)]
     pub check: bool,
--- a/lab/src/scale/capacity/scenario.rs
+++ b/lab/src/scale/capacity/scenario.rs
@@ -2,14 +2,14 @@
 
 use super::error::CapacityError;
 use super::files::read;
-use super::options::PageOptions;
+use super::options::CapacityOptions;
 use super::over_budget::count_over_budget;
 use super::pages::{differing, work_out};
 use super::{outputs, take};
 use crate::report::{Report, ScenarioError};
 
 /// Does what the options say.
-pub fn scenario(report: &mut Report, options: &PageOptions) -> Result<(), ScenarioError> {
+pub fn scenario(report: &mut Report, options: &CapacityOptions) -> Result<(), ScenarioError> {
     if let Some(build) = options.as_build.filter(|_| !options.take.is_empty()) {
         let path = options.docs.join("capacity/slopes.json");
         let text = read(&path)?;
--- a/lab/src/scale/config/scenario.rs
+++ b/lab/src/scale/config/scenario.rs
@@ -7,8 +7,8 @@
 use super::undo::Supported;
 use crate::process::load_average;
 use crate::report::{Report, ScenarioError};
-use crate::scale::sizes::Sizes;
-use crate::scale::statistics::{medians, rounded};
+use crate::scale::options::ScaleOptions;
+use crate::scale::statistics::{merge_turns, rounded};
 use crate::scale::test_bed::{BackgroundLoad, LoadProfile, SiteSettings, TestBed, Violations};
 use crate::time::ms;
 use rand::rngs::StdRng;
@@ -43,12 +43,14 @@
 }
 
 /// Plays one build.
-fn play(seed: u64, sizes: &Sizes, rate: f64, program: Option<&Path>) -> Result<Played, ScenarioError> {
+fn play(
+    seed: u64, options: &ScaleOptions, rate: f64, program: Option<&Path>,
+) -> Result<Played, ScenarioError> {
     let mut report = Report::default();
     FIELDS.iter().for_each(|name| report.set(name, Value::Null));
     let small = small_site_kb(program, &mut report)?;
     report.set("rss_kb_small", small);
-    let site = SiteSettings::new(sizes.methods.max(1), sizes.tenants, CALLERS);
+    let site = SiteSettings::new(options.methods.max(1), options.tenants, CALLERS);
     let work = ms(if rate > HIGH_RATE { 1 } else { 2 });
     let mut bed = TestBed::start(&site, program, work)?;
     report.set("start_ms", rounded(bed.start_ms));
@@ -56,7 +58,7 @@
     thread::sleep(AT_REST);
     report.set("rss_kb", json!(bed.status_kb("VmRSS")));
     report.set("peak_kb_start", json!(bed.status_kb("VmHWM")));
-    let load = start_load(&bed, sizes, rate, seed)?;
+    let load = start_load(&bed, options, rate, seed)?;
     let control = bed.control_client();
     let mut session = Session {
         bed,
@@ -64,14 +66,14 @@
         control,
         report: &mut report,
         rng: StdRng::seed_from_u64(seed),
-        quick: sizes.quick,
+        quick: options.quick,
         other_build: program.is_some(),
         change_count: 0,
         rejected: 0,
         reasons: Vec::new(),
     };
     thread::sleep(AT_REST);
-    measure(&mut session, &load, sizes)?;
+    measure(&mut session, &load, options)?;
     let (phases, violations) = load.finish()?;
     end(session);
     report_violations(&mut report, &violations);
@@ -79,15 +81,17 @@
     report.set("load", json!(load_average()));
     let (mut figures, mut broken) = report.into_parts();
     let over = over_budget(&figures);
-    if sizes.budgets {
+    if options.budgets {
         broken.extend(over.iter().map(|line| format!("over budget: {line}")));
     }
     figures.insert("over".into(), json!(over));
     Ok(Played { figures, broken })
 }
 
-fn start_load(bed: &TestBed, sizes: &Sizes, rate: f64, seed: u64) -> Result<BackgroundLoad, ScenarioError> {
-    let (methods, tenants) = (sizes.methods.max(1), sizes.tenants);
+fn start_load(
+    bed: &TestBed, options: &ScaleOptions, rate: f64, seed: u64,
+) -> Result<BackgroundLoad, ScenarioError> {
+    let (methods, tenants) = (options.methods.max(1), options.tenants);
     let profile = LoadProfile { methods, tenants, callers: CALLERS, rate, seed };
     let mut load = BackgroundLoad::start(bed.node.at, &bed.agent, profile)?;
     load.check_health(bed.node.at)?;
@@ -98,13 +102,15 @@
 }
 
 /// All kinds of changes, one after the other.
-fn measure(session: &mut Session, load: &BackgroundLoad, sizes: &Sizes) -> Result<(), ScenarioError> {
+fn measure(
+    session: &mut Session, load: &BackgroundLoad, options: &ScaleOptions,
+) -> Result<(), ScenarioError> {
     let first = session.measure_quiet(load);
-    let steps = session.measure_entry_changes(load, sizes.changes, first)?;
+    let steps = session.measure_entry_changes(load, options.changes, first)?;
     let second = session.measure_quiet(load);
     let idle_cpu_ms_per_s = (first + second) / 2.0;
     session.report.set("quiet_cpu_ms_per_s", rounded(idle_cpu_ms_per_s));
-    let reloads = if sizes.quick { sizes.reloads.min(QUICK_RELOADS) } else { sizes.reloads };
+    let reloads = if options.quick { options.reloads.min(QUICK_RELOADS) } else { options.reloads };
     let files = session.measure_reloads(load, reloads, idle_cpu_ms_per_s)?;
     session.measure_full_changes(load, idle_cpu_ms_per_s, steps)?;
     session.measure_undo(load, idle_cpu_ms_per_s, Supported { steps, files })?;
@@ -149,29 +155,29 @@
 
 /// Plays this build, and another in turns; medians of the turns.
 pub fn scenario(
-    report: &mut Report, seed: u64, sizes: &Sizes, rate: Option<f64>, other: Option<&Path>,
+    report: &mut Report, seed: u64, options: &ScaleOptions, rate: Option<f64>, other: Option<&Path>,
 ) -> Result<(), ScenarioError> {
     let rate = rate.unwrap_or(RATE);
     let (mut this_build, mut other_build) = (Vec::new(), Vec::new());
-    for turn in 0..sizes.turns.unwrap_or(1).max(1) as u64 {
-        let played = play(seed + turn, sizes, rate, None)?;
+    for turn in 0..options.turns.unwrap_or(1).max(1) as u64 {
+        let played = play(seed + turn, options, rate, None)?;
         this_build.push(played.figures);
         played.broken.iter().for_each(|rule| report.rule(rule, false));
         if let Some(program) = other {
-            let mut played = play(seed + turn, sizes, rate, Some(program))?;
+            let mut played = play(seed + turn, options, rate, Some(program))?;
             played.figures.insert("broken".into(), json!(played.broken));
             other_build.push(played.figures);
         }
     }
-    for (name, value) in medians(this_build) {
+    for (name, value) in merge_turns(this_build) {
         report.set(&name, value);
     }
     if other.is_some() {
-        report.set("other", Value::Object(medians(other_build)));
+        report.set("other", Value::Object(merge_turns(other_build)));
     }
-    report.set("methods", json!(sizes.methods));
-    report.set("tenants", json!(sizes.tenants));
+    report.set("methods", json!(options.methods));
+    report.set("tenants", json!(options.tenants));
     report.set("rate", json!(rate));
-    report.set("turns", json!(sizes.turns.unwrap_or(1)));
+    report.set("turns", json!(options.turns.unwrap_or(1)));
     Ok(())
 }
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -1,4 +1,5 @@
-//! What the parts cost at the fleet's size: `asterrill-lab scale-*`. Figures, with the budget beside what is over it.
+//! Resource use of single components at the size of the fleet: the `asterrill-lab scale-*` scenarios. Reports name the
+//! figures that exceed their budget.
 
 pub mod agree;
 pub mod callers;
@@ -6,8 +7,8 @@
 pub mod config;
 pub mod forms;
 pub mod members;
+pub mod options;
 pub mod rpc;
-pub mod sizes;
 mod statistics;
 mod test_bed;
 pub mod tool;
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -2,7 +2,7 @@
 //! All processes stand from the start, and are called in turns; a figure is the median of the rounds, a ratio that of the
 //! ratios within a round. Background work is reported apart: it is what the process takes with nothing going on.
 
-use super::sizes::Sizes;
+use super::options::ScaleOptions;
 use super::statistics::{median, rounded};
 use super::test_bed::{tenant_name, BackgroundLoad, LoadProfile, SiteSettings, TestBed};
 use crate::process::load_average;
@@ -68,11 +68,11 @@
 }
 
 impl Plan {
-    fn new(sizes: &Sizes, rate: Option<f64>, seconds: Option<u64>) -> Plan {
-        let quick = sizes.quick;
+    fn new(options: &ScaleOptions, rate: Option<f64>, seconds: Option<u64>) -> Plan {
+        let quick = options.quick;
         Plan {
             rate: rate.unwrap_or(if quick { QUICK_RATE } else { RATE }),
-            rounds: sizes.turns.unwrap_or(if quick { 1 } else { ROUNDS }).max(1),
+            rounds: options.turns.unwrap_or(if quick { 1 } else { ROUNDS }).max(1),
             span: if quick { QUICK_SPAN } else { Duration::from_secs(seconds.unwrap_or(2)) },
             idle: if quick { QUICK_SPAN } else { IDLE },
             sizes: if quick { &QUICK_SIZES } else { &SIZES },
@@ -287,10 +287,10 @@
 
 /// Plays this build, and another in turns.
 pub fn scenario(
-    report: &mut Report, seed: u64, sizes: &Sizes, rate: Option<f64>, seconds: Option<u64>,
+    report: &mut Report, seed: u64, options: &ScaleOptions, rate: Option<f64>, seconds: Option<u64>,
     other: Option<&Path>,
 ) -> Result<(), ScenarioError> {
-    let plan = Plan::new(sizes, rate, seconds);
+    let plan = Plan::new(options, rate, seconds);
     let mut points = start_points(&plan, other)?;
     measure(report, &mut points, &plan, seed)?;
     shut_down(report, &mut points);
@@ -310,7 +310,7 @@
         report.set("other", BuildFigures::new(&points, true, &to_other).output());
     }
     let over = this.over_budget();
-    if sizes.budgets {
+    if options.budgets {
         over.iter().for_each(|line| report.rule(&format!("over budget: {line}"), false));
     }
     report.set("over", json!(over));
--- a/lab/src/scale/statistics.rs
+++ b/lab/src/scale/statistics.rs
@@ -1,26 +1,27 @@
-//! Medians, rounding, and figures of several turns in one.
+//! Medians, rounding, and the summary of repeated measurements.
 
 use serde_json::{json, Map, Value};
 
-/// The median; of an even number the mean of the two in the middle. Sorts what it is given.
-pub fn median(all: &mut [f64]) -> Option<f64> {
-    all.sort_by(f64::total_cmp);
-    let (low, high) = (all.get(all.len().checked_sub(1)? / 2)?, all.get(all.len() / 2)?);
+/// Returns the median, which for an even number of values is the mean of the middle two. Sorts the values.
+pub fn median(values: &mut [f64]) -> Option<f64> {
+    values.sort_by(f64::total_cmp);
+    let (low, high) = (values.get(values.len().checked_sub(1)? / 2)?, values.get(values.len() / 2)?);
     Some((low + high) / 2.0)
 }
 
-/// A figure with three places.
+/// Rounds a figure to three decimal places.
 pub fn round(figure: f64) -> f64 {
     (figure * 1_000.0).round() / 1_000.0
 }
 
-/// A figure with three places, for a report.
+/// Rounds a figure to three decimal places and returns it as a JSON value for a report.
 pub fn rounded(figure: f64) -> Value {
     json!(round(figure))
 }
 
-/// Of figures the medians over turns, with `spread`; of all else what the last turn said.
-pub fn medians(mut turns: Vec<Map<String, Value>>) -> Map<String, Value> {
+/// Merges the figures of repeated measurements: numbers become medians, with the minimum and maximum of each under
+/// `spread`. Other values are those of the last measurement.
+pub fn merge_turns(mut turns: Vec<Map<String, Value>>) -> Map<String, Value> {
     let Some(mut last) = turns.pop() else { return Map::new() };
     if turns.is_empty() {
         return last;
@@ -28,10 +29,10 @@
     let mut spread = Map::new();
     for (name, value) in &mut last {
         let all = turns.iter().filter_map(|turn| turn.get(name)).chain([&*value]);
-        let mut all: Vec<f64> = all.filter_map(Value::as_f64).collect();
-        if let Some(median) = median(&mut all).filter(|_| all.len() > 1) {
-            if let [first, .., end] = all[..] {
-                spread.insert(name.clone(), json!([first, end]));
+        let mut numbers: Vec<f64> = all.filter_map(Value::as_f64).collect();
+        if let Some(median) = median(&mut numbers).filter(|_| numbers.len() > 1) {
+            if let [min, .., max] = numbers[..] {
+                spread.insert(name.clone(), json!([min, max]));
             }
             *value = json!(median);
         }
