--- a/lab/src/scale/callers.rs
+++ b/lab/src/scale/callers.rs
@@ -1,4 +1,5 @@
-//! `scale-callers`: what connections cost that callers keep open at one real process. Each sends one RPC and then rests.
+//! `scale-callers`: memory, descriptors and CPU time that idle caller connections cost one real process. Each caller
+//! sends one RPC and then keeps its connection open.
 
 use crate::agent::Agent;
 use crate::method::{Method, LOOK};
@@ -15,40 +16,42 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Connections, growing; what all callers would be at one backend is the last.
-const SIZES: [usize; 5] = [42, 510, 1_275, 2_550, 5_100];
+/// Numbers of open connections, in ascending order. The last is that of all callers at a single backend.
+const CONNECTIONS: [usize; 5] = [42, 510, 1_275, 2_550, 5_100];
 const CORES: usize = 8;
-const SOCKETS: u64 = 8_192;
-const REST: Duration = Duration::from_secs(4);
-const STARTED: Duration = Duration::from_millis(500); // until memory is what it stays at
-const OPENED: Duration = Duration::from_millis(300);
+const MAX_SOCKETS: u64 = 8_192;
+const MEASUREMENT_TIME: Duration = Duration::from_secs(4);
+/// Delay after the start of the process, until its memory is stable.
+const STARTUP_SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Delay after connections are opened, before the measurement.
+const OPEN_SETTLE_TIME: Duration = Duration::from_millis(300);
+const RPC_TIMEOUT: Duration = Duration::from_millis(1_500);
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-const EXITS_WITHIN: Duration = Duration::from_secs(6);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A connection that a caller keeps open.
-struct Held {
+/// Connection that a caller keeps open.
+struct OpenConnection {
     stream: TcpStream,
-    /// Its RPC was answered ok.
+    /// Whether the RPC was answered ok.
     ok: bool,
 }
 
-/// Opens a connection and sends one RPC on it.
-fn open(at: SocketAddr, caller: u64) -> Option<Held> {
-    let mut stream = TcpStream::connect_timeout(&at, ANSWER_TIMEOUT).ok()?;
+/// Opens a connection, sends one RPC on it and waits for the answer.
+fn open_connection(address: SocketAddr, caller: u64) -> Option<OpenConnection> {
+    let mut stream = TcpStream::connect_timeout(&address, ANSWER_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
-    let patience = Duration::from_millis(1_500);
-    let header = RpcHeader { method: LOOK.name, trace: caller, caller, patience, tenant: None };
+    let header = RpcHeader { method: LOOK.name, trace: caller, caller, patience: RPC_TIMEOUT, tenant: None };
     stream.write_all(&header.encode(1, format!("look {caller}").as_bytes())).ok()?;
     loop {
         let frame = read_frame(&mut stream)?;
         if frame.answers(1) {
             let ok = frame.code() == Some(OK);
-            return Some(Held { stream, ok });
+            return Some(OpenConnection { stream, ok });
         }
     }
 }
 
-/// Whether it is open still, once all that came on it is read.
+/// Reports whether the server has not closed the connection. Reads and discards the data received so far.
 fn is_open(stream: &mut TcpStream) -> bool {
     if stream.set_nonblocking(true).is_err() {
         return false;
@@ -62,12 +65,12 @@
     }
 }
 
-/// CPU in ms that all threads of it have used, to the nanosecond.
+/// Returns the CPU time used by all threads of the process, in ms with nanosecond precision.
 fn cpu_ms(node: &Node) -> f64 {
     thread_cpu_ns(&node.process()).map(|(_, ns)| ns as f64).sum::<f64>() / 1e6
 }
 
-fn descriptors(node: &Node) -> usize {
+fn descriptor_count(node: &Node) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", node.process())).map_or(0, Iterator::count)
 }
 
@@ -76,12 +79,12 @@
     let agent = Agent::start(CORES, &methods)?;
     let setup = Setup {
         memory_mb: 192,
-        sockets: SOCKETS,
+        sockets: MAX_SOCKETS,
         stop_ms: 4_000,
         program: program.map(Into::into),
         warm_up: Duration::from_millis(100),
         skip_value: 0.5,
-        callers: SIZES[SIZES.len() - 1],
+        callers: CONNECTIONS[CONNECTIONS.len() - 1],
         ..Setup::new(&methods, CORES)
     };
     let (upstream, naming) = (start_echo_upstream()?, start_naming()?);
@@ -89,44 +92,51 @@
     Ok(Node::start(&setup, &services, "")?)
 }
 
-/// What a process without callers takes.
+/// Resource use of the process before any caller connects.
 struct Baseline {
     resident_kb: f64,
     descriptors: usize,
 }
 
-/// What so many callers cost that rest.
-fn measure(report: &mut Report, node: &Node, held: &mut [Held], baseline: &Baseline) -> Value {
-    thread::sleep(OPENED);
-    let (cpu, since) = (cpu_ms(node), Instant::now());
-    thread::sleep(REST);
-    let cpu_ms_per_s = (cpu_ms(node) - cpu) / since.elapsed().as_secs_f64();
-    let size = held.len();
-    let standing = held.iter_mut().filter_map(|one| is_open(&mut one.stream).then_some(())).count();
+/// Measures what the open idle connections cost the process.
+fn measure(
+    report: &mut Report, node: &Node, connections: &mut [OpenConnection], baseline: &Baseline,
+) -> Value {
+    thread::sleep(OPEN_SETTLE_TIME);
+    let (cpu_ms_before, start) = (cpu_ms(node), Instant::now());
+    thread::sleep(MEASUREMENT_TIME);
+    let cpu_ms_per_s = (cpu_ms(node) - cpu_ms_before) / start.elapsed().as_secs_f64();
+    let count = connections.len();
+    let open =
+        connections.iter_mut().filter_map(|connection| is_open(&mut connection.stream).then_some(())).count();
     let memory_mb = (resident_kb(&node.process()) - baseline.resident_kb) / 1_024.0;
-    report.rule("a connection was closed on a caller that keeps it", standing == size);
-    json!({"connections": size, "standing": standing, "memory_mb": memory_mb,
-        "descriptors": descriptors(node) - baseline.descriptors, "cpu_ms_per_s": cpu_ms_per_s})
+    report.rule("an idle connection of a caller was closed", open == count);
+    json!({"connections": count, "standing": open, "memory_mb": memory_mb,
+        "descriptors": descriptor_count(node) - baseline.descriptors, "cpu_ms_per_s": cpu_ms_per_s})
 }
 
-/// Plays it with this build, or another.
+/// Measures this build, or the build at the path `program`.
 pub fn scenario(report: &mut Report, program: Option<&Path>) -> Result<(), ScenarioError> {
     let mut node = start_node(program)?;
-    thread::sleep(STARTED);
-    let baseline = Baseline { resident_kb: resident_kb(&node.process()), descriptors: descriptors(&node) };
-    let (mut held, mut runs) = (Vec::new(), Vec::new());
-    for size in SIZES {
-        while held.len() < size {
-            held.push(open(node.at, held.len() as u64).ok_or("an RPC was not answered")?);
+    thread::sleep(STARTUP_SETTLE_TIME);
+    let baseline =
+        Baseline { resident_kb: resident_kb(&node.process()), descriptors: descriptor_count(&node) };
+    let (mut connections, mut runs) = (Vec::new(), Vec::new());
+    for count in CONNECTIONS {
+        while connections.len() < count {
+            let caller = connections.len() as u64;
+            let connection = open_connection(node.at, caller);
+            connections
+                .push(connection.ok_or_else(|| format!("the RPC of caller {caller} was not answered"))?);
         }
-        runs.push(measure(report, &node, &mut held, &baseline));
+        runs.push(measure(report, &node, &mut connections, &baseline));
     }
-    report.set("ok", held.iter().filter(|one| one.ok).count().into());
+    report.set("ok", connections.iter().filter(|connection| connection.ok).count().into());
     report.set("runs", json!(runs));
     report.set("descriptors_without", baseline.descriptors.into());
-    drop(held);
+    drop(connections);
     node.signal("TERM");
-    let code = node.wait_for_exit(EXITS_WITHIN);
-    report.rule("it did not leave in order", code == Some(0));
+    let code = node.wait_for_exit(EXIT_TIMEOUT);
+    report.rule("the process did not shut down with exit code 0", code == Some(0));
     Ok(())
 }
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -1,6 +1,8 @@
-//! `scale-rpc`: what an RPC costs the process in CPU, by methods and tenants, by callers, and by entries of agreed lists.
-//! All processes stand from the start, and are called in turns; a figure is the median of the rounds, a ratio that of the
-//! ratios within a round. Background work is reported apart: it is what the process takes with nothing going on.
+//! `scale-rpc`: CPU time of an RPC against the number of methods and tenants, of callers, and of entries in replicated
+//! lists.
+//!
+//! All processes run from the start and receive load in turns. A figure is the median over the rounds, and a ratio the
+//! median of the ratios within each round. The CPU time of an idle process is reported separately.
 
 use super::options::ScaleOptions;
 use super::statistics::{median, rounded};
@@ -13,103 +15,116 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const RATE: f64 = 3_000.0; // RPCs a second: enough that an RPC's work stands out from all else
-const QUICK_RATE: f64 = 500.0;
+/// High enough that the CPU time of RPCs dominates that of all other work.
+const RATE_PER_S: f64 = 3_000.0;
+const QUICK_RATE_PER_S: f64 = 500.0;
 const ROUNDS: usize = 5;
 const WARM_UP: Duration = Duration::from_millis(400);
-const AT_REST: Duration = Duration::from_millis(500); // after the start
-const IDLE: Duration = Duration::from_secs(2);
-const QUICK_SPAN: Duration = Duration::from_millis(500); // of rest and of load
-const MEASURED: usize = 1; // the phase whose RPCs count
-const COOL_DOWN: usize = 2; // the phase of those behind
-const SIZES: [(usize, usize); 3] = [(5, 0), (470, 4_900), (4_700, 49_000)]; // methods and tenants
-const QUICK_SIZES: [(usize, usize); 2] = [(5, 0), (40, 400)];
+/// Delay after the start of the processes, before the first measurement.
+const STARTUP_SETTLE_TIME: Duration = Duration::from_millis(500);
+const IDLE_TIME: Duration = Duration::from_secs(2);
+/// Duration of the idle measurement and of each load measurement in the quick form.
+const QUICK_MEASUREMENT_TIME: Duration = Duration::from_millis(500);
+/// Phase of the load whose RPCs are measured.
+const MEASURED_PHASE: usize = 1;
+/// Phase of the RPCs that are sent after the measurement.
+const COOL_DOWN_PHASE: usize = 2;
+const METHODS_AND_TENANTS: [(usize, usize); 3] = [(5, 0), (470, 4_900), (4_700, 49_000)];
+const QUICK_METHODS_AND_TENANTS: [(usize, usize); 2] = [(5, 0), (40, 400)];
 const CALLERS: [usize; 2] = [42, 5_100];
-const LISTS: [usize; 3] = [0, 10_000, 100_000];
-const QUICK_LISTS: [usize; 2] = [0, 1_000];
-const STEP: usize = 1_000; // entries of one change of a list
-const RATIO: f64 = 1.10; // of the smallest, at most
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(60); // for lists
+const LIST_ENTRIES: [usize; 3] = [0, 10_000, 100_000];
+const QUICK_LIST_ENTRIES: [usize; 2] = [0, 1_000];
+/// Maximum number of list entries changed by one request.
+const MAX_ENTRIES_PER_CHANGE: usize = 1_000;
+/// Maximum CPU time of an RPC relative to that at the smallest point.
+const MAX_RATIO: f64 = 1.10;
+/// Timeout until all lists are active.
+const LISTS_ACTIVE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Rows that change one list.
+/// Change of one list.
 #[derive(Debug)]
 pub struct ListChange {
-    /// The list's name.
+    /// Name of the list.
     pub list: &'static str,
-    /// What is put on it.
-    pub rows: Vec<Value>,
+    /// Entries that are added to the list.
+    pub entries: Vec<Value>,
 }
 
-/// One kind of process, and what was found of it.
+/// Process with one combination of sizes, and what was measured of it.
 struct Point {
     other_build: bool,
     methods: usize,
     tenants: usize,
     callers: usize,
-    /// Entries of agreed lists; none where nothing is agreed on.
-    entries: Option<usize>,
+    /// Number of entries in replicated lists; `None` without replication.
+    list_entries: Option<usize>,
     bed: TestBed,
     idle_ms_per_s: f64,
-    /// CPU of an RPC in each round, in microseconds.
+    /// CPU time of an RPC in each round, in microseconds.
     cpu_us: Vec<f64>,
     sent: u64,
     ok: u64,
     peak_kb: u64,
 }
 
-/// How the points are measured.
+/// Parameters of the measurement.
 struct Plan {
-    rate: f64,
+    rate_per_s: f64,
     rounds: usize,
-    span: Duration,
-    idle: Duration,
-    sizes: &'static [(usize, usize)],
-    lists: &'static [usize],
+    load_time: Duration,
+    idle_time: Duration,
+    methods_and_tenants: &'static [(usize, usize)],
+    list_entries: &'static [usize],
 }
 
 impl Plan {
     fn new(options: &ScaleOptions, rate: Option<f64>, seconds: Option<u64>) -> Plan {
         let quick = options.quick;
         Plan {
-            rate: rate.unwrap_or(if quick { QUICK_RATE } else { RATE }),
+            rate_per_s: rate.unwrap_or(if quick { QUICK_RATE_PER_S } else { RATE_PER_S }),
             rounds: options.turns.unwrap_or(if quick { 1 } else { ROUNDS }).max(1),
-            span: if quick { QUICK_SPAN } else { Duration::from_secs(seconds.unwrap_or(2)) },
-            idle: if quick { QUICK_SPAN } else { IDLE },
-            sizes: if quick { &QUICK_SIZES } else { &SIZES },
-            lists: if quick { &QUICK_LISTS } else { &LISTS },
+            load_time: if quick { QUICK_MEASUREMENT_TIME } else { Duration::from_secs(seconds.unwrap_or(2)) },
+            idle_time: if quick { QUICK_MEASUREMENT_TIME } else { IDLE_TIME },
+            methods_and_tenants: if quick { &QUICK_METHODS_AND_TENANTS } else { &METHODS_AND_TENANTS },
+            list_entries: if quick { &QUICK_LIST_ENTRIES } else { &LIST_ENTRIES },
         }
     }
 }
 
-/// The changes that put entries with these numbers on lists: tenants first, then callers, all admitted, so that service
-/// is the same with them.
+/// Returns the changes that add the entries numbered `from..to` to the lists, tenants before callers. Every entry admits
+/// its key, so the lists do not alter which RPCs are served.
 pub fn list_changes(from: usize, to: usize, tenants: usize) -> Vec<ListChange> {
-    let row = |n: usize| match n < tenants {
-        true => ("tenants", json!({"key": tenant_name(n), "standing": "in"})),
-        false => ("callers", json!({"key": (n - tenants + 1).to_string(), "standing": "in"})),
+    let entry = |index: usize| match index < tenants {
+        true => ("tenants", json!({"key": tenant_name(index), "standing": "in"})),
+        false => ("callers", json!({"key": (index - tenants + 1).to_string(), "standing": "in"})),
     };
     let mut changes: Vec<ListChange> = Vec::new();
-    for (list, row) in (from..to).map(row) {
+    for (list, entry) in (from..to).map(entry) {
         match changes.last_mut() {
-            Some(last) if last.list == list => last.rows.push(row),
-            _ => changes.push(ListChange { list, rows: vec![row] }),
+            Some(last) if last.list == list => last.entries.push(entry),
+            _ => changes.push(ListChange { list, entries: vec![entry] }),
         }
     }
     changes
 }
 
-/// Lists of so many entries come into force at a process that agrees with nobody but itself.
-fn agree_on_lists(bed: &TestBed, count: usize, tenants: usize) -> Result<(), ScenarioError> {
-    let (mut control, until) = (bed.control_client(), Instant::now() + IN_FORCE_WITHIN);
-    for from in (0..count).step_by(STEP) {
-        for ListChange { list, rows } in list_changes(from, (from + STEP).min(count), tenants) {
+/// Adds entries to the lists of a process that is the only member and voter, and waits until the lists are active.
+fn create_lists(bed: &TestBed, entries: usize, tenants: usize) -> Result<(), ScenarioError> {
+    let (mut control, deadline) = (bed.control_client(), Instant::now() + LISTS_ACTIVE_TIMEOUT);
+    for from in (0..entries).step_by(MAX_ENTRIES_PER_CHANGE) {
+        let to = (from + MAX_ENTRIES_PER_CHANGE).min(entries);
+        for ListChange { list, entries } in list_changes(from, to, tenants) {
             loop {
-                let answer = control.request(json!({"do": "list-change", "list": list, "entries": rows}))?;
+                let answer =
+                    control.request(json!({"do": "list-change", "list": list, "entries": entries}))?;
                 if answer["ok"] == json!(true) {
                     break;
                 }
-                if Instant::now() > until {
-                    return Err(format!("a list was not changed: {answer}").into());
+                if Instant::now() > deadline {
+                    return Err(format!(
+                        "the change of the list {list} was not accepted; last answer: {answer}"
+                    )
+                    .into());
                 }
                 thread::sleep(Duration::from_millis(20));
             }
@@ -120,8 +135,8 @@
         if answer["form"] == json!("full") && answer["version"] == answer["newest"] {
             return Ok(());
         }
-        if Instant::now() > until {
-            return Err(format!("lists are not in force: {answer}").into());
+        if Instant::now() > deadline {
+            return Err(format!("the lists did not become active in time; last status: {answer}").into());
         }
         thread::sleep(Duration::from_millis(50));
     }
@@ -129,26 +144,27 @@
 
 impl Point {
     fn start(
-        (methods, tenants): (usize, usize), callers: usize, entries: Option<usize>, program: Option<&Path>,
+        (methods, tenants): (usize, usize), callers: usize, list_entries: Option<usize>,
+        program: Option<&Path>,
     ) -> Result<Point, ScenarioError> {
         let site = SiteSettings::new(methods, tenants, callers);
-        let sections = match entries {
+        let sections = match list_entries {
             Some(_) => {
-                let own = UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
-                format!("[members]\ncluster lab\nlisten {own}\nkey-file {{password}}\nexpect 1\n[fleet]\nkeeper n1\n")
+                let address = UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
+                format!("[members]\ncluster lab\nlisten {address}\nkey-file {{password}}\nexpect 1\n[fleet]\nkeeper n1\n")
             }
             None => String::new(),
         };
         let bed = TestBed::start_with(&site, program, Duration::ZERO, &sections)?;
-        if let Some(entries) = entries {
-            agree_on_lists(&bed, entries, tenants)?;
+        if let Some(entries) = list_entries {
+            create_lists(&bed, entries, tenants)?;
         }
         Ok(Point {
             other_build: program.is_some(),
             methods,
             tenants,
             callers,
-            entries,
+            list_entries,
             bed,
             idle_ms_per_s: 0.0,
             cpu_us: Vec::new(),
@@ -158,23 +174,23 @@
         })
     }
 
-    /// RPCs for a while: CPU of each.
+    /// Sends RPCs for the load time and records the CPU time of each.
     fn measure_round(&mut self, report: &mut Report, plan: &Plan, seed: u64) -> Result<(), ScenarioError> {
         let (methods, tenants, callers) = (self.methods, self.tenants, self.callers);
-        let profile = LoadProfile { methods, tenants, callers, rate: plan.rate, seed };
+        let profile = LoadProfile { methods, tenants, callers, rate: plan.rate_per_s, seed };
         let load = BackgroundLoad::start(self.bed.node.at, &self.bed.agent, profile)?;
         thread::sleep(WARM_UP);
-        load.set_phase(MEASURED);
+        load.set_phase(MEASURED_PHASE);
         let before = self.bed.meter.read();
-        thread::sleep(plan.span);
+        thread::sleep(plan.load_time);
         let after = self.bed.meter.read();
-        load.set_phase(COOL_DOWN);
+        load.set_phase(COOL_DOWN_PHASE);
         let (phases, violations) = load.finish()?;
         report.rule("an RPC got no final answer", violations.unanswered == 0);
         report.rule("an RPC was answered twice", violations.answered_twice == 0);
         report.rule("an RPC got the result of another", violations.wrong_results == 0);
-        let stats = &phases[MEASURED];
-        report.rule("hardly anything was answered ok", stats.ok * 10 >= stats.sent * 9);
+        let stats = &phases[MEASURED_PHASE];
+        report.rule("fewer than 9 of 10 RPCs were answered ok", stats.ok * 10 >= stats.sent * 9);
         self.cpu_us.push(after.cpu_ms(&before) * 1e3 / stats.sent.max(1) as f64);
         self.sent += stats.sent;
         self.ok += stats.ok;
@@ -182,36 +198,36 @@
         Ok(())
     }
 
-    /// Ratios of this point's CPU to another's, round by round.
-    fn ratios(&self, to: &Point) -> Vec<f64> {
-        self.cpu_us.iter().zip(&to.cpu_us).map(|(this, other)| this / other).collect()
+    /// Returns the ratio of this point's CPU time to another's for each round.
+    fn ratios(&self, reference: &Point) -> Vec<f64> {
+        self.cpu_us.iter().zip(&reference.cpu_us).map(|(this, other)| this / other).collect()
     }
 
-    /// What was found, with the ratios to the smallest point and that to the other build.
+    /// Returns the figures of the point, with its ratios to the smallest point and to the other build.
     fn figures(&self, smallest: &Point, to_other: Option<f64>) -> Value {
         let (mut cpu_us, mut ratios) = (self.cpu_us.clone(), self.ratios(smallest));
         let (cpu_us_median, ratio) = (median(&mut cpu_us), median(&mut ratios));
-        let ends = |sorted: &[f64]| {
+        let range = |sorted: &[f64]| {
             json!([sorted.first().copied().map(rounded), sorted.last().copied().map(rounded)])
         };
-        json!({"methods": self.methods, "tenants": self.tenants, "callers": self.callers, "entries": self.entries,
-            "cpu_us": cpu_us_median.map(rounded), "spread": ends(&cpu_us), "ratio": ratio.map(rounded),
-            "ratio_spread": ends(&ratios), "idle_ms_per_s": rounded(self.idle_ms_per_s), "asked": self.sent,
+        json!({"methods": self.methods, "tenants": self.tenants, "callers": self.callers, "entries": self.list_entries,
+            "cpu_us": cpu_us_median.map(rounded), "spread": range(&cpu_us), "ratio": ratio.map(rounded),
+            "ratio_spread": range(&ratios), "idle_ms_per_s": rounded(self.idle_ms_per_s), "asked": self.sent,
             "ok": self.ok, "peak_kb": self.peak_kb, "ratio_to_other": to_other.map(rounded)})
     }
 }
 
-/// All points of this build, then those of another.
+/// Starts the processes of all points of this build, followed by those of the other build.
 fn start_points(plan: &Plan, other: Option<&Path>) -> Result<Vec<Point>, ScenarioError> {
-    let largest = plan.sizes.last().copied().unwrap_or((5, 0));
+    let largest = plan.methods_and_tenants.last().copied().unwrap_or((5, 0));
     let mut points = Vec::new();
     for program in std::iter::once(None).chain(other.map(Some)) {
-        for size in plan.sizes {
+        for size in plan.methods_and_tenants {
             for callers in CALLERS {
                 points.push(Point::start(*size, callers, None, program)?);
             }
         }
-        for entries in plan.lists {
+        for entries in plan.list_entries {
             points.push(Point::start(largest, CALLERS[1], Some(*entries), program)?);
         }
     }
@@ -219,9 +235,9 @@
 }
 
 fn measure(report: &mut Report, points: &mut [Point], plan: &Plan, seed: u64) -> Result<(), ScenarioError> {
-    thread::sleep(AT_REST);
+    thread::sleep(STARTUP_SETTLE_TIME);
     let before: Vec<_> = points.iter_mut().map(|point| point.bed.meter.read()).collect();
-    thread::sleep(plan.idle);
+    thread::sleep(plan.idle_time);
     for (point, before) in points.iter_mut().zip(before) {
         let after = point.bed.meter.read();
         point.idle_ms_per_s = after.cpu_ms(&before) / after.ms(&before) * 1e3;
@@ -235,57 +251,63 @@
 }
 
 fn shut_down(report: &mut Report, points: &mut [Point]) {
-    let mut left = 0;
+    let mut left_processes = 0;
     points.iter().for_each(|point| point.bed.node.signal("TERM"));
     for point in points {
         let exit = point.bed.shut_down();
-        left += exit.left;
-        report.rule("the process did not end well", exit.code == Some(0));
+        left_processes += exit.left;
+        report.rule("the process did not exit with code 0", exit.code == Some(0));
     }
-    report.set("left_processes", json!(left));
-    report.rule("a process was left over", left == 0);
+    report.set("left_processes", json!(left_processes));
+    report.rule("a process was still running after the shutdown", left_processes == 0);
 }
 
-/// What was found of one build.
+/// Figures of one build.
 struct BuildFigures {
     points: Vec<Value>,
     lists: Vec<Value>,
 }
 
 impl BuildFigures {
-    /// `to_other`: this build's CPU over another's, for each point in order; shorter where there is no other.
+    /// Collects the figures of one build. `to_other` holds the ratio of this build's CPU time to the other's for each
+    /// point, in order. Points beyond its end have no such ratio.
     fn new(points: &[Point], other_build: bool, to_other: &[Option<f64>]) -> BuildFigures {
-        let figures = |lists: bool| -> Vec<Value> {
-            let fits = |point: &Point| point.other_build == other_build && point.entries.is_some() == lists;
-            let Some(smallest) = points.iter().find(|point| fits(point)) else { return Vec::new() };
-            let chosen = points.iter().enumerate().filter(|(_, point)| fits(point));
-            chosen.map(|(n, point)| point.figures(smallest, to_other.get(n).copied().flatten())).collect()
+        let figures = |with_lists: bool| -> Vec<Value> {
+            let belongs = |point: &Point| {
+                point.other_build == other_build && point.list_entries.is_some() == with_lists
+            };
+            let Some(smallest) = points.iter().find(|point| belongs(point)) else { return Vec::new() };
+            let chosen = points.iter().enumerate().filter(|(_, point)| belongs(point));
+            chosen
+                .map(|(index, point)| point.figures(smallest, to_other.get(index).copied().flatten()))
+                .collect()
         };
         BuildFigures { points: figures(false), lists: figures(true) }
     }
 
-    fn output(&self) -> Value {
-        let worst = |all: &[Value]| all.iter().filter_map(|point| point["ratio"].as_f64()).reduce(f64::max);
-        let lists =
+    fn to_json(&self) -> Value {
+        let max_ratio =
+            |points: &[Value]| points.iter().filter_map(|point| point["ratio"].as_f64()).reduce(f64::max);
+        let lists_ratio_note =
             "of the smallest with lists of no entries, which stands for all lists with members and keeper";
-        json!({"points": self.points, "lists": self.lists, "lists_ratio": lists,
-            "cpu_us": self.points[0]["cpu_us"], "ratio": worst(&self.points), "ratio_lists": worst(&self.lists)})
+        json!({"points": self.points, "lists": self.lists, "lists_ratio": lists_ratio_note,
+            "cpu_us": self.points[0]["cpu_us"], "ratio": max_ratio(&self.points), "ratio_lists": max_ratio(&self.lists)})
     }
 
-    /// The points that are over budget, in words.
+    /// Returns a description of each point that is over budget.
     fn over_budget(&self) -> Vec<String> {
         let all = self.points.iter().chain(&self.lists);
-        let over = all.filter(|point| point["ratio"].as_f64().is_some_and(|ratio| ratio > RATIO));
-        let line = |point: &Value| {
+        let over_budget = all.filter(|point| point["ratio"].as_f64().is_some_and(|ratio| ratio > MAX_RATIO));
+        let describe = |point: &Value| {
             let (methods, tenants, callers) = (&point["methods"], &point["tenants"], &point["callers"]);
-            let at = format!("{methods} methods, {tenants} tenants, {callers} callers");
-            format!("ratio: {} at {at}, {} entries; {RATIO} at most", point["ratio"], point["entries"])
+            let sizes = format!("{methods} methods, {tenants} tenants, {callers} callers");
+            format!("ratio: {} at {sizes}, {} entries; {MAX_RATIO} at most", point["ratio"], point["entries"])
         };
-        over.map(line).collect()
+        over_budget.map(describe).collect()
     }
 }
 
-/// Plays this build, and another in turns.
+/// Measures this build, alternating with the other build if there is one.
 pub fn scenario(
     report: &mut Report, seed: u64, options: &ScaleOptions, rate: Option<f64>, seconds: Option<u64>,
     other: Option<&Path>,
@@ -294,27 +316,28 @@
     let mut points = start_points(&plan, other)?;
     measure(report, &mut points, &plan, seed)?;
     shut_down(report, &mut points);
-    // Where another build is played, this one's CPU over the other's at the same point, round by round.
-    let half = if other.is_some() { points.len() / 2 } else { points.len() };
-    let (this_build, other_build) = points.split_at(half);
-    let to_other = this_build.iter().enumerate().map(|(n, point)| {
-        let mut ratios = point.ratios(other_build.get(n)?);
+    // The first half of the points is of this build, and the second of the other build, if there is one. The CPU times
+    // of the two builds are compared point by point and round by round.
+    let points_per_build = if other.is_some() { points.len() / 2 } else { points.len() };
+    let (this_build, other_build) = points.split_at(points_per_build);
+    let to_other = this_build.iter().enumerate().map(|(index, point)| {
+        let mut ratios = point.ratios(other_build.get(index)?);
         median(&mut ratios)
     });
     let to_other: Vec<Option<f64>> = to_other.collect();
     let this = BuildFigures::new(&points, false, &to_other);
-    for (name, value) in this.output().as_object().into_iter().flatten() {
+    for (name, value) in this.to_json().as_object().into_iter().flatten() {
         report.set(name, value.clone());
     }
     if other.is_some() {
-        report.set("other", BuildFigures::new(&points, true, &to_other).output());
+        report.set("other", BuildFigures::new(&points, true, &to_other).to_json());
     }
-    let over = this.over_budget();
+    let over_budget = this.over_budget();
     if options.budgets {
-        over.iter().for_each(|line| report.rule(&format!("over budget: {line}"), false));
+        over_budget.iter().for_each(|line| report.rule(&format!("over budget: {line}"), false));
     }
-    report.set("over", json!(over));
-    report.set("rate", json!(plan.rate));
+    report.set("over", json!(over_budget));
+    report.set("rate", json!(plan.rate_per_s));
     report.set("turns", json!(plan.rounds));
     report.set("load", json!(load_average()));
     Ok(())
