--- a/lab/src/scale/config/fields.rs
+++ b/lab/src/scale/config/fields.rs
@@ -1,6 +1,7 @@
-//! The fields of an output, and the phases under which RPCs are counted.
+//! Fields of the report, and phases by which RPCs are counted.
 
-/// Every field of an output, null where the build can't or nothing was measured.
+/// Fields of the report of one build. A field is null if the build does not support what it measures, or nothing was
+/// measured.
 #[rustfmt::skip]
 pub const FIELDS: &[&str] = &[
     "start_ms", "rss_kb", "rss_kb_small", "rss_kb_after", "rss_kb_after_reloads", "rss_kb_end", "peak_kb",
@@ -19,21 +20,21 @@
     "aborted", "quiet_cpu_ms_per_s", "load",
 ];
 
-/// The phases under which RPCs and gaps are counted.
+/// Phases by which RPCs and gaps between answers are counted.
 pub mod phase {
-    /// Between the others.
+    /// Start of the load, and the time between the other phases.
     pub const WARM_UP: usize = 0;
-    /// Nothing changes.
+    /// Load without configuration changes.
     pub const QUIET: usize = 1;
-    /// Changes of one entry at the control socket.
+    /// Changes of single entries through the control socket.
     pub const CHANGES: usize = 2;
-    /// Files that are read again.
+    /// Reloads of the configuration file.
     pub const RELOADS: usize = 3;
-    /// A change of every entry as one step.
+    /// Change of every entry in one step.
     pub const ALL_BY_STEP: usize = 4;
-    /// A change of every entry as one file.
+    /// Change of every entry by one reload of the file.
     pub const ALL_BY_FILE: usize = 5;
-    /// Changes that are undone.
+    /// Changes that are undone during probation.
     pub const UNDO: usize = 6;
 }
 
--- a/lab/src/scale/config/mod.rs
+++ b/lab/src/scale/config/mod.rs
@@ -1,5 +1,7 @@
-//! `scale-config`: one process with many methods and tenants. RPCs go on while its configuration is changed by single
-//! entries, by files that are read again, and as a whole; some of it is undone, and what is wrong is rejected.
+//! `scale-config`: configuration changes at one process with many methods and tenants, under a constant load of RPCs.
+//!
+//! The configuration is changed one entry at a time, by reloading the file, and in full. Changes of each kind are
+//! undone, and invalid ones have to be rejected.
 
 mod budgets;
 mod entry_changes;
--- a/lab/src/scale/config/session.rs
+++ b/lab/src/scale/config/session.rs
@@ -1,4 +1,4 @@
-//! One site with one build, and the ways in which its configuration is changed.
+//! Session with one process of one build, and the ways in which its configuration is changed.
 
 use super::fields::phase;
 use crate::control::ControlClient;
@@ -10,81 +10,87 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const RELOADED_WITHIN: Duration = Duration::from_secs(30); // a file that is read again is in force, or rejected, by then
-const LOG_POLL: Duration = Duration::from_millis(4);
-const WRITE_BEHIND: Duration = Duration::from_millis(40); // what goes on behind a change, as writing to disk
-const SENTINELS_FIRST: Duration = Duration::from_millis(20); // sentinels are called before the change that adds them
-const REASONS: usize = 5; // that are reported of rejections
+/// Timeout until a reloaded file is applied or rejected.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(30);
+const LOG_POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// Delay after a change until its background work, such as writing to disk, is done.
+const BACKGROUND_WORK_DELAY: Duration = Duration::from_millis(40);
+/// Delay from the first calls of a sentinel pair to the change that adds it.
+const SENTINEL_LEAD_TIME: Duration = Duration::from_millis(20);
+/// Maximum number of reasons for rejections that are reported.
+const MAX_REASONS: usize = 5;
 
-/// Changes that are rejected in a row until no more are tried.
-pub(super) const GIVE_UP: usize = 3;
+/// Number of consecutive rejections after which no more changes are tried.
+pub(super) const MAX_CONSECUTIVE_REJECTIONS: usize = 3;
 
-/// One site with one build, from its start to its end.
+/// Session with one process of one build, from its start to its shutdown.
 pub(super) struct Session<'a> {
     pub(super) bed: TestBed,
     pub(super) site: SiteSettings,
     pub(super) control: ControlClient,
     pub(super) report: &'a mut Report,
     pub(super) rng: StdRng,
-    /// The small form for CI.
+    /// Whether this is the short form for CI.
     pub(super) quick: bool,
-    /// It is another build that is played, which may know no steps.
+    /// Whether the process is of the other build, which may not support steps.
     pub(super) other_build: bool,
-    /// Changes so far: makes each version another.
+    /// Number of changes so far, from which each change derives new values.
     pub(super) change_count: u64,
-    /// Changes that were rejected, and the first reasons.
+    /// Number of rejected changes.
     pub(super) rejected: u64,
+    /// Distinct reasons of the first rejections.
     pub(super) reasons: Vec<String>,
 }
 
-/// What became of a change.
+/// Outcome of a change.
 pub(super) enum Outcome {
-    /// It is in force, on probation.
+    /// The change is active and on probation.
     Applied,
+    /// The change was rejected, or its connection failed.
     Rejected,
-    /// This build has no such thing.
+    /// The build does not support changes of this kind.
     Unsupported,
 }
 
-/// A version that runs, as the process says.
+/// Version of the configuration that the process reports as running.
 #[derive(PartialEq)]
 pub(super) struct RunningVersion {
     number: Value,
     pub(super) hash: Value,
 }
 
-/// Whether an answer of the control socket agrees.
+/// Reports whether an answer of the control socket is a success.
 pub(super) fn accepted(answer: &Value) -> bool {
     answer["ok"] == json!(true)
 }
 
-/// Why an answer of the control socket does not agree, with the first problem.
+/// Returns the error of an answer of the control socket, with the first of its problems.
 pub(super) fn rejection_reason(answer: &Value) -> String {
-    let text = |v: &Value| v.as_str().map_or_else(|| v.to_string(), str::to_string);
+    let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_string);
     let problems =
         answer["problems"].as_array().and_then(|all| all.first()).map(|first| format!(": {}", text(first)));
     format!("{}{}", text(&answer["error"]), problems.unwrap_or_default())
 }
 
-/// CPU of the process between two readings beyond what the load alone takes in that time, in ms.
+/// Returns the CPU time of the process between two readings that exceeds what the load alone takes in that time, in ms.
 pub(super) fn cpu_beyond_load_ms(now: &CpuReading, since: &CpuReading, idle_cpu_ms_per_s: f64) -> f64 {
     (now.cpu_ms(since) - idle_cpu_ms_per_s * now.ms(since) / 1e3).max(0.0)
 }
 
 impl Session<'_> {
-    fn note_rejection(&mut self, reason: String) {
+    fn record_rejection(&mut self, reason: String) {
         self.rejected += 1;
-        if self.reasons.len() < REASONS && !self.reasons.contains(&reason) {
+        if self.reasons.len() < MAX_REASONS && !self.reasons.contains(&reason) {
             self.reasons.push(reason);
         }
     }
 
-    /// Stages a change and applies it; it is on probation then.
+    /// Stages a change and applies it, which starts its probation.
     pub(super) fn apply(&mut self, stage: Value) -> Result<Outcome, ScenarioError> {
         let staged = match self.control.request(stage) {
             Ok(staged) => staged,
-            Err(fault) => {
-                self.note_rejection(fault.to_string());
+            Err(error) => {
+                self.record_rejection(error.to_string());
                 return Ok(Outcome::Rejected);
             }
         };
@@ -93,25 +99,26 @@
             if ["stage wants text", "a request is a line"].iter().any(|start| reason.starts_with(start)) {
                 return Ok(Outcome::Unsupported);
             }
-            self.note_rejection(reason);
+            self.record_rejection(reason);
             return Ok(Outcome::Rejected);
         }
         let applied = self.control.request(json!({"do": "apply"}))?;
         if !accepted(&applied) {
-            self.note_rejection(rejection_reason(&applied));
+            self.record_rejection(rejection_reason(&applied));
             return Ok(Outcome::Rejected);
         }
         Ok(Outcome::Applied)
     }
 
-    /// Ends a probation: `settle` or `undo`.
+    /// Ends the probation of a change with the command `settle` or `undo`.
     pub(super) fn end_probation(&mut self, command: &str) -> Result<(), ScenarioError> {
         let answer = self.control.request(json!({"do": command}))?;
-        let broken = format!("a change could not be ended by {command}");
+        let broken = format!("the probation of a change could not be ended with {command}");
         self.report.rule(&broken, accepted(&answer));
         Ok(())
     }
 
+    /// Returns the step that puts the entry of a method.
     fn put_method(&self, n: usize) -> Value {
         let mut entry = self.site.method(n);
         entry["SkipWorth"] = json!(0);
@@ -119,15 +126,16 @@
         entry
     }
 
+    /// Returns the step that puts the entry of a tenant.
     fn put_tenant(&self, n: usize) -> Value {
         let mut entry = self.site.tenant(n);
         entry["put"] = json!("tenant");
         entry
     }
 
-    /// One entry becomes another: the quota of a tenant, or the latency target of a method where there are no tenants. The
-    /// step that says so.
-    pub(super) fn change_one(&mut self) -> String {
+    /// Changes one entry of the site: the quota of a random tenant, or the latency target of a random method if there
+    /// are no tenants. Returns the step that makes the change.
+    pub(super) fn change_one_entry(&mut self) -> String {
         self.change_count += 1;
         if self.site.quotas_rps.is_empty() {
             let n = self.rng.random_range(0..self.site.latency_targets_ms.len());
@@ -139,9 +147,9 @@
         self.put_tenant(n).to_string()
     }
 
-    /// Every quota becomes another, and a sentinel pair of tenants is added. Where there are no tenants, every latency
-    /// target becomes another. The step that says so.
-    pub(super) fn change_all(&mut self, load: &BackgroundLoad) -> String {
+    /// Changes every quota of the site and adds a sentinel pair of tenants, or changes every latency target if there are
+    /// no tenants. Returns the step that makes the change.
+    pub(super) fn change_all_entries(&mut self, load: &BackgroundLoad) -> String {
         self.change_count += 1;
         let factor = 1.0 + self.change_count as f64 / 1_000.0;
         let mut lines = Vec::new();
@@ -164,53 +172,53 @@
             }
             self.site.sentinel_pairs.push(self.change_count);
             load.set_sentinel_pair(self.change_count);
-            thread::sleep(SENTINELS_FIRST);
+            thread::sleep(SENTINEL_LEAD_TIME);
         }
         lines.join("\n")
     }
 
-    /// Writes the file as the site is now and sends a signal; waits until it is in force or rejected.
+    /// Writes the configuration file of the site and signals a reload. Waits until the file is applied or rejected.
     pub(super) fn reload(&mut self) -> Result<Outcome, ScenarioError> {
         let text = self.bed.config_text(&self.site);
         self.reload_text(&text)
     }
 
-    /// The same with a text.
+    /// Writes a text as the configuration file and signals a reload. Waits until the file is applied or rejected.
     pub(super) fn reload_text(&mut self, text: &str) -> Result<Outcome, ScenarioError> {
         let before = self.control.status()?["version"].clone();
         let log_length = self.bed.node.read_log().len();
         std::fs::write(self.bed.config_path(), text)?;
         self.bed.node.signal("HUP");
-        let until = Instant::now() + RELOADED_WITHIN;
-        while Instant::now() < until {
-            thread::sleep(LOG_POLL);
+        let deadline = Instant::now() + RELOAD_TIMEOUT;
+        while Instant::now() < deadline {
+            thread::sleep(LOG_POLL_INTERVAL);
             let log = self.bed.node.read_log();
-            let new = log.get(log_length..).unwrap_or_default();
-            if let Some(reason) = reload_rejection(new) {
-                self.note_rejection(reason);
+            let new_lines = log.get(log_length..).unwrap_or_default();
+            if let Some(reason) = reload_rejection(new_lines) {
+                self.record_rejection(reason);
                 return Ok(Outcome::Rejected);
             }
-            if log_line(new, "\"applied\"").is_some() && self.control.status()?["version"] != before {
+            if log_line(new_lines, "\"applied\"").is_some() && self.control.status()?["version"] != before {
                 return Ok(Outcome::Applied);
             }
         }
-        self.note_rejection(format!("a reload was not heard of within {} s", RELOADED_WITHIN.as_secs()));
+        self.record_rejection(format!("a reload was not heard of within {} s", RELOAD_TIMEOUT.as_secs()));
         Ok(Outcome::Rejected)
     }
 
-    /// The version that runs.
-    pub(super) fn running(&mut self) -> Result<RunningVersion, ScenarioError> {
+    /// Returns the running version.
+    pub(super) fn running_version(&mut self) -> Result<RunningVersion, ScenarioError> {
         let status = self.control.status()?;
         Ok(RunningVersion { number: status["version"].clone(), hash: status["hash"].clone() })
     }
 
-    /// Reads the meter once what goes on behind a change is done.
+    /// Waits for the background work of a change and reads the CPU meter.
     pub(super) fn read_meter(&mut self) -> CpuReading {
-        thread::sleep(WRITE_BEHIND);
+        thread::sleep(BACKGROUND_WORK_DELAY);
         self.bed.meter.read()
     }
 
-    /// Nothing changes for a while: CPU of the process in ms a second.
+    /// Measures a period without changes. Returns the CPU time of the process in ms per second.
     pub(super) fn measure_quiet(&mut self, load: &BackgroundLoad) -> f64 {
         load.set_phase(phase::QUIET);
         let before = self.bed.meter.read();
@@ -221,12 +229,12 @@
     }
 }
 
-/// The first whole line of a log that contains a text.
+/// Returns the first complete line of a log that contains a text.
 fn log_line<'a>(log: &'a str, text: &str) -> Option<&'a str> {
     log.lines().find(|line| line.contains(text) && line.ends_with('}'))
 }
 
-/// Why a reload was rejected, if the log says that it was.
+/// Returns the reason of a rejected reload, or `None` if the log does not report one.
 fn reload_rejection(log: &str) -> Option<String> {
     let messages = ["settings unchanged", "configuration unchanged"];
     let line = messages.iter().find_map(|message| log_line(log, message))?;
--- a/lab/src/scale/config/tests/session.rs
+++ b/lab/src/scale/config/tests/session.rs
@@ -4,7 +4,7 @@
 use crate::scale::test_bed::meter::CpuMeter;
 
 #[test]
-fn cpu_beyond_load_is_what_a_change_took() {
+fn cpu_beyond_load_excludes_the_idle_share() {
     let mut meter = CpuMeter::new(std::process::id());
     let before = meter.read();
     thread::sleep(Duration::from_millis(50));
--- a/lab/src/scale/config/undo.rs
+++ b/lab/src/scale/config/undo.rs
@@ -1,4 +1,4 @@
-//! Undo of each kind of change: what runs afterwards is what ran before, by its hash.
+//! Undo of each kind of change: the hash of the running version has to be the one from before the change.
 
 use super::fields::phase;
 use super::session::{cpu_beyond_load_ms, Outcome, Session};
@@ -9,23 +9,24 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const ON_PROBATION: Duration = Duration::from_millis(50); // from a change to its undo
+/// Time from a change to its undo.
+const UNDO_DELAY: Duration = Duration::from_millis(50);
 
-/// A kind of change that is undone.
+/// Kind of change that is undone.
 #[derive(Clone, Copy)]
-enum Undone {
-    OneEntry,
-    File,
-    All,
+enum ChangeKind {
+    SingleEntry,
+    Reload,
+    AllEntries,
 }
 
-/// What the build supports.
+/// Ways of changing the configuration that the build supports.
 #[derive(Clone, Copy)]
 pub(super) struct Supported {
-    /// Steps at the control socket.
+    /// Steps through the control socket.
     pub(super) steps: bool,
-    /// Files that are read again.
-    pub(super) files: bool,
+    /// Reloads of the configuration file.
+    pub(super) reloads: bool,
 }
 
 impl Session<'_> {
@@ -34,16 +35,16 @@
         &mut self, load: &BackgroundLoad, idle_cpu_ms_per_s: f64, supported: Supported,
     ) -> Result<(), ScenarioError> {
         load.set_phase(phase::UNDO);
-        for kind in [Undone::OneEntry, Undone::File, Undone::All] {
-            let running_before = self.running()?;
+        for kind in [ChangeKind::SingleEntry, ChangeKind::Reload, ChangeKind::AllEntries] {
+            let running_before = self.running_version()?;
             let site_before = self.site.clone();
-            let outcome = self.change_to_undo(kind, load, supported)?;
+            let outcome = self.apply_change(kind, load, supported)?;
             self.site = site_before;
             if !matches!(outcome, Outcome::Applied) {
                 load.set_sentinel_pair(0);
                 continue;
             }
-            thread::sleep(ON_PROBATION);
+            thread::sleep(UNDO_DELAY);
             let before = self.bed.meter.read();
             let start = Instant::now();
             self.end_probation("undo")?;
@@ -51,10 +52,11 @@
             let after = self.read_meter();
             let cpu_ms = cpu_beyond_load_ms(&after, &before, idle_cpu_ms_per_s);
             load.set_sentinel_pair(0);
-            let running = self.running()?;
-            self.report.rule("an undo did not bring back what was", running.hash == running_before.hash);
+            let running = self.running_version()?;
+            self.report
+                .rule("an undo did not restore the previous version", running.hash == running_before.hash);
             self.report_undo(kind, took_ms, cpu_ms);
-            // The file says what runs, again.
+            // Brings the configuration file in line with the running version again.
             let text = self.bed.config_text(&self.site);
             std::fs::write(self.bed.config_path(), text)?;
         }
@@ -62,27 +64,28 @@
         Ok(())
     }
 
-    fn change_to_undo(
-        &mut self, kind: Undone, load: &BackgroundLoad, supported: Supported,
+    /// Makes a change of a kind, if the build supports it.
+    fn apply_change(
+        &mut self, kind: ChangeKind, load: &BackgroundLoad, supported: Supported,
     ) -> Result<Outcome, ScenarioError> {
         match kind {
-            Undone::OneEntry if supported.steps => {
-                let step = self.change_one();
+            ChangeKind::SingleEntry if supported.steps => {
+                let step = self.change_one_entry();
                 self.apply(json!({"do": "stage", "step": step}))
             }
-            Undone::File if supported.files => {
-                self.change_one();
+            ChangeKind::Reload if supported.reloads => {
+                self.change_one_entry();
                 self.reload()
             }
-            Undone::All if supported.steps || supported.files => {
-                let step = self.change_all(load);
+            ChangeKind::AllEntries if supported.steps || supported.reloads => {
+                let step = self.change_all_entries(load);
                 let by_step = match supported.steps {
                     true => self.apply(json!({"do": "stage", "step": step}))?,
                     false => Outcome::Unsupported,
                 };
                 match by_step {
                     Outcome::Applied => Ok(Outcome::Applied),
-                    _ if supported.files => self.reload(),
+                    _ if supported.reloads => self.reload(),
                     other => Ok(other),
                 }
             }
@@ -90,14 +93,15 @@
         }
     }
 
-    fn report_undo(&mut self, kind: Undone, took_ms: f64, cpu_ms: f64) {
+    /// Reports the time and the CPU time of an undo.
+    fn report_undo(&mut self, kind: ChangeKind, took_ms: f64, cpu_ms: f64) {
         match kind {
-            Undone::OneEntry => {
+            ChangeKind::SingleEntry => {
                 self.report.set("undo_ms", rounded(took_ms));
                 self.report.set("cpu_ms_undo", rounded(cpu_ms));
             }
-            Undone::File => self.report.set("undo_file_ms", rounded(took_ms)),
-            Undone::All => {
+            ChangeKind::Reload => self.report.set("undo_file_ms", rounded(took_ms)),
+            ChangeKind::AllEntries => {
                 self.report.set("undo_all_ms", rounded(took_ms));
                 self.report.set("cpu_ms_undo_all", rounded(cpu_ms));
             }
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// Returns the changes that add the entries numbered `from..to` to the lists, tenants before callers. Every entry admits
-/// its key, so the lists do not alter which RPCs are served.
+/// Returns the changes that add the entries numbered `from..to` to the lists, tenants before callers. Every entry
+/// admits its key, so the lists do not alter which RPCs are served.
 pub fn list_changes(from: usize, to: usize, tenants: usize) -> Vec<ListChange> {
     let entry = |index: usize| match index < tenants {
         true => ("tenants", json!({"key": tenant_name(index), "standing": "in"})),
