--- a/lab/src/scale/forms/scenario.rs
+++ b/lab/src/scale/forms/scenario.rs
@@ -1,40 +1,42 @@
-//! The scenario: each form and size in a process of its own.
+//! Scenario: measures each form and size in a process of its own.
 
 use super::measure::measure;
-use super::versions::{Journal, Maps, Texts, Trees, Vectors};
+use super::versions::{JsonDocuments, PersistentMaps, SortedVectors, Texts, UndoLog};
 use crate::report::{Report, ScenarioError};
 use clap::ValueEnum;
 use serde_json::Value;
 use std::process::Command;
 
-const SIZES: [usize; 4] = [5, 5_370, 17_500, 53_700]; // entries
+/// Numbers of entries.
+const SIZES: [usize; 4] = [5, 5_370, 17_500, 53_700];
 
-/// What a version could be stored as.
+/// Data structure in which versions can be stored.
 #[derive(ValueEnum, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Form {
-    /// A persistent ordered map; versions share nodes
+    /// Persistent ordered map for each version; versions share nodes
     Map,
-    /// A sorted vector; versions share names, each is a copy
+    /// Sorted vector for each version; versions share the names of entries
     Vector,
-    /// One hash map, and for each version what it changed
+    /// Hash map of the newest version, with a log of the entries that each version changed
     Journal,
-    /// A tree of JSON for each version
+    /// JSON document for each version
     Tree,
-    /// A text for each version
+    /// Text for each version
     Text,
 }
 
 fn measure_form(form: Form, size: usize) -> Result<Value, ScenarioError> {
     match form {
-        Form::Map => measure::<Maps>(size),
-        Form::Vector => measure::<Vectors>(size),
-        Form::Journal => measure::<Journal>(size),
-        Form::Tree => measure::<Trees>(size),
+        Form::Map => measure::<PersistentMaps>(size),
+        Form::Vector => measure::<SortedVectors>(size),
+        Form::Journal => measure::<UndoLog>(size),
+        Form::Tree => measure::<JsonDocuments>(size),
         Form::Text => measure::<Texts>(size),
     }
 }
 
-/// Which form, and how many entries, a process measures; without, one is started for each.
+/// Form and number of entries that this process measures. Without a form, the scenario starts a process for each
+/// combination.
 #[derive(clap::Args, Clone, Copy, Debug)]
 pub struct FormOptions {
     #[arg(long, global = true, value_enum, hide = true)]
@@ -43,7 +45,8 @@
     entries: usize,
 }
 
-/// Plays it.
+/// Measures one form if the options name one. Otherwise starts a process for each form and size, and collects their
+/// figures.
 pub fn scenario(report: &mut Report, options: FormOptions) -> Result<(), ScenarioError> {
     if let Some(form) = options.form {
         report.set("figures", measure_form(form, options.entries.max(1))?);
@@ -57,7 +60,10 @@
             command.args(["scale-forms", "--json", "--form", &name, "--of", &size.to_string()]);
             let output = command.output()?;
             let output: Value = serde_json::from_slice(&output.stdout)?;
-            report.rule("a change of one entry is not one difference", output["figures"]["differing"] == 1);
+            report.rule(
+                "versions that differ in one entry do not have exactly one difference",
+                output["figures"]["differing"] == 1,
+            );
             rows.push(output["figures"].clone());
         }
         report.set(&name, rows.into());
--- a/lab/src/scale/forms/versions.rs
+++ b/lab/src/scale/forms/versions.rs
@@ -1,4 +1,4 @@
-//! Versions of a list, in several forms.
+//! Versions of a list of tenants, stored in several forms.
 
 use imbl::ordmap::DiffItem;
 use imbl::OrdMap;
@@ -8,156 +8,158 @@
 
 type Name = Arc<str>;
 
-/// The names of entries.
-fn names(size: usize) -> impl Iterator<Item = Name> {
+/// Returns the names of the entries in ascending order.
+fn entry_names(size: usize) -> impl Iterator<Item = Name> {
     (0..size).map(|n| format!("tenant-{n:05}").into())
 }
 
-/// The entry that version `n` changes, and its value.
-fn change(n: usize, size: usize) -> (usize, f64) {
-    (n * 7_919 % size, 1_000.0 + n as f64)
+/// Returns the index of the entry that version `version` changes, and its new value.
+fn changed_entry(version: usize, size: usize) -> (usize, f64) {
+    (version * 7_919 % size, 1_000.0 + version as f64)
 }
 
-/// An entry as JSON.
-fn row(name: &str, value: f64) -> Value {
+/// Returns an entry as JSON.
+fn entry_json(name: &str, value: f64) -> Value {
     json!({"Name": name, "QuotaRps": value})
 }
 
-/// Versions of one form, the newest last.
+/// Sequence of versions in one form.
 pub(super) trait Versions: Sized {
+    /// Creates the first version, with `size` entries.
     fn new(size: usize) -> Self;
-    /// One more, that differs from the newest in one entry.
-    fn next(&mut self, n: usize);
-    /// How many entries differ between the newest two.
-    fn differing(&self) -> usize;
-    /// Back to the version before the newest.
-    fn back(&mut self);
+    /// Adds a version that differs from the newest in one entry. `version` determines the entry and its value.
+    fn push_change(&mut self, version: usize);
+    /// Returns the number of entries that differ between the newest two versions.
+    fn count_differences(&self) -> usize;
+    /// Removes the newest version.
+    fn revert(&mut self);
 }
 
-/// Persistent ordered maps, which share nodes.
-pub(super) struct Maps(Vec<OrdMap<Name, f64>>);
+/// Persistent ordered maps, which share nodes between versions.
+pub(super) struct PersistentMaps(Vec<OrdMap<Name, f64>>);
 
-impl Versions for Maps {
-    fn new(size: usize) -> Maps {
-        Maps(vec![names(size).map(|name| (name, 100.0)).collect()])
+impl Versions for PersistentMaps {
+    fn new(size: usize) -> PersistentMaps {
+        PersistentMaps(vec![entry_names(size).map(|name| (name, 100.0)).collect()])
     }
-    fn next(&mut self, n: usize) {
+    fn push_change(&mut self, version: usize) {
         let Some(last) = self.0.last() else { return };
-        let (at, value) = change(n, last.len());
-        let name = format!("tenant-{at:05}");
+        let (index, value) = changed_entry(version, last.len());
+        let name = format!("tenant-{index:05}");
         let name =
             last.get_key_value(name.as_str()).map_or_else(|| name.as_str().into(), |(name, _)| name.clone());
         let next = last.update(name, value);
         self.0.push(next);
     }
-    fn differing(&self) -> usize {
-        let [.., before, now] = &self.0[..] else { return 0 };
-        before.diff(now).filter(|item| matches!(item, DiffItem::Update { .. })).count()
+    fn count_differences(&self) -> usize {
+        let [.., previous, newest] = &self.0[..] else { return 0 };
+        previous.diff(newest).filter(|item| matches!(item, DiffItem::Update { .. })).count()
     }
-    fn back(&mut self) {
+    fn revert(&mut self) {
         self.0.pop();
     }
 }
 
-/// Sorted vectors, which share names.
-pub(super) struct Vectors(Vec<Arc<Vec<(Name, f64)>>>);
+/// Sorted vectors, which share the names of entries between versions.
+pub(super) struct SortedVectors(Vec<Arc<Vec<(Name, f64)>>>);
 
-impl Versions for Vectors {
-    fn new(size: usize) -> Vectors {
-        Vectors(vec![Arc::new(names(size).map(|name| (name, 100.0)).collect())])
+impl Versions for SortedVectors {
+    fn new(size: usize) -> SortedVectors {
+        SortedVectors(vec![Arc::new(entry_names(size).map(|name| (name, 100.0)).collect())])
     }
-    fn next(&mut self, n: usize) {
+    fn push_change(&mut self, version: usize) {
         let Some(last) = self.0.last() else { return };
         let mut next = Vec::clone(last);
-        let (at, value) = change(n, next.len());
-        let name = format!("tenant-{at:05}");
-        if let Ok(at) = next.binary_search_by(|(name_there, _)| (**name_there).cmp(&name)) {
-            next[at].1 = value;
+        let (index, value) = changed_entry(version, next.len());
+        let name = format!("tenant-{index:05}");
+        if let Ok(position) = next.binary_search_by(|(existing, _)| (**existing).cmp(&name)) {
+            next[position].1 = value;
         }
         self.0.push(Arc::new(next));
     }
-    fn differing(&self) -> usize {
-        let [.., before, now] = &self.0[..] else { return 0 };
-        before.iter().zip(now.iter()).filter(|(one, other)| one != other).count()
+    fn count_differences(&self) -> usize {
+        let [.., previous, newest] = &self.0[..] else { return 0 };
+        previous.iter().zip(newest.iter()).filter(|(one, other)| one != other).count()
     }
-    fn back(&mut self) {
+    fn revert(&mut self) {
         self.0.pop();
     }
 }
 
-/// One hash map, and what each version changed.
-pub(super) struct Journal {
-    now: HashMap<Name, f64>,
-    changed: Vec<(Name, f64)>,
+/// Hash map of the newest version, and a log of the previous values that each version replaced.
+pub(super) struct UndoLog {
+    newest: HashMap<Name, f64>,
+    replaced: Vec<(Name, f64)>,
 }
 
-impl Versions for Journal {
-    fn new(size: usize) -> Journal {
-        Journal { now: names(size).map(|name| (name, 100.0)).collect(), changed: Vec::new() }
-    }
-    fn next(&mut self, n: usize) {
-        let (at, value) = change(n, self.now.len());
-        let name = format!("tenant-{at:05}");
-        let entry = self.now.get_key_value(name.as_str()).map(|(name, before)| (name.clone(), *before));
-        if let Some((name, before)) = entry {
-            self.now.insert(name.clone(), value);
-            self.changed.push((name, before));
+impl Versions for UndoLog {
+    fn new(size: usize) -> UndoLog {
+        UndoLog { newest: entry_names(size).map(|name| (name, 100.0)).collect(), replaced: Vec::new() }
+    }
+    fn push_change(&mut self, version: usize) {
+        let (index, value) = changed_entry(version, self.newest.len());
+        let name = format!("tenant-{index:05}");
+        let entry =
+            self.newest.get_key_value(name.as_str()).map(|(name, previous)| (name.clone(), *previous));
+        if let Some((name, previous)) = entry {
+            self.newest.insert(name.clone(), value);
+            self.replaced.push((name, previous));
         }
     }
-    fn differing(&self) -> usize {
-        self.changed.last().map_or(0, |_| 1)
+    fn count_differences(&self) -> usize {
+        self.replaced.last().map_or(0, |_| 1)
     }
-    fn back(&mut self) {
-        if let Some((name, before)) = self.changed.pop() {
-            self.now.insert(name, before);
+    fn revert(&mut self) {
+        if let Some((name, previous)) = self.replaced.pop() {
+            self.newest.insert(name, previous);
         }
     }
 }
 
-/// Trees of JSON.
-pub(super) struct Trees(Vec<Value>);
+/// JSON documents.
+pub(super) struct JsonDocuments(Vec<Value>);
 
-impl Versions for Trees {
-    fn new(size: usize) -> Trees {
-        Trees(vec![names(size).map(|name| row(&name, 100.0)).collect()])
+impl Versions for JsonDocuments {
+    fn new(size: usize) -> JsonDocuments {
+        JsonDocuments(vec![entry_names(size).map(|name| entry_json(&name, 100.0)).collect()])
     }
-    fn next(&mut self, n: usize) {
+    fn push_change(&mut self, version: usize) {
         let Some(mut next) = self.0.last().cloned() else { return };
-        let (at, value) = change(n, next.as_array().map_or(1, Vec::len));
-        next[at]["QuotaRps"] = json!(value);
+        let (index, value) = changed_entry(version, next.as_array().map_or(1, Vec::len));
+        next[index]["QuotaRps"] = json!(value);
         self.0.push(next);
     }
-    fn differing(&self) -> usize {
-        let [.., Value::Array(before), Value::Array(now)] = &self.0[..] else { return 0 };
-        before.iter().zip(now).filter(|(one, other)| one != other).count()
+    fn count_differences(&self) -> usize {
+        let [.., Value::Array(previous), Value::Array(newest)] = &self.0[..] else { return 0 };
+        previous.iter().zip(newest).filter(|(one, other)| one != other).count()
     }
-    fn back(&mut self) {
+    fn revert(&mut self) {
         self.0.pop();
     }
 }
 
-/// Texts, an entry a line.
+/// Texts with one entry per line.
 pub(super) struct Texts(Vec<String>);
 
 impl Versions for Texts {
     fn new(size: usize) -> Texts {
-        Texts(vec![names(size).map(|name| format!("{}\n", row(&name, 100.0))).collect()])
+        Texts(vec![entry_names(size).map(|name| format!("{}\n", entry_json(&name, 100.0))).collect()])
     }
-    fn next(&mut self, n: usize) {
+    fn push_change(&mut self, version: usize) {
         let Some(last) = self.0.last() else { return };
-        let (at, value) = change(n, last.lines().count().max(1));
-        let one = |(line, text): (usize, &str)| match line == at {
-            true => format!("{}\n", row(&format!("tenant-{at:05}"), value)),
+        let (index, value) = changed_entry(version, last.lines().count().max(1));
+        let edit = |(line, text): (usize, &str)| match line == index {
+            true => format!("{}\n", entry_json(&format!("tenant-{index:05}"), value)),
             false => format!("{text}\n"),
         };
-        let next = last.lines().enumerate().map(one).collect();
+        let next = last.lines().enumerate().map(edit).collect();
         self.0.push(next);
     }
-    fn differing(&self) -> usize {
-        let [.., before, now] = &self.0[..] else { return 0 };
-        before.lines().zip(now.lines()).filter(|(one, other)| one != other).count()
+    fn count_differences(&self) -> usize {
+        let [.., previous, newest] = &self.0[..] else { return 0 };
+        previous.lines().zip(newest.lines()).filter(|(one, other)| one != other).count()
     }
-    fn back(&mut self) {
+    fn revert(&mut self) {
         self.0.pop();
     }
 }
