--- a/lab/src/scale/capacity/budgets.rs
+++ b/lab/src/scale/capacity/budgets.rs
@@ -1,291 +1,314 @@
-//! `docs/capacity/budgets.json`: the fleet's sizes, how often things happen, what may be spent, and the page's lines.
+//! Sizes of the fleet, event rates, resource budgets and the lines of the page (`docs/capacity/budgets.json`).
 
 use super::error::CapacityError;
 use super::files::parse;
-use super::slopes::{value_at, Basis, Line, Role, Slope, Slopes};
+use super::slopes::{value_at, Basis, Extrapolation, Role, Slope, Slopes};
 use serde::Deserialize;
 use std::path::Path;
 
-/// The format of the file.
+/// Format version of the file.
 pub const FORMAT: u64 = 1;
 
-/// One of the fleet's sizes, which slopes are measured against.
+/// Size of the fleet against which slopes are measured.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
-    /// By which slopes name it.
+    /// Id by which slopes refer to the size.
     pub id: String,
-    /// What it counts, in words.
-    pub what: String,
-    /// The fleet's.
+    /// Description of what is counted.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// Value for the fleet.
     pub value: f64,
 }
 
-/// How often something happens: `value` times in `over` seconds.
+/// Frequency of an event.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Rate {
-    /// By which terms name it.
+    /// Id by which terms refer to the rate.
     pub id: String,
-    /// What happens, in words.
-    pub what: String,
-    /// How often it happens in the time.
-    pub value: f64,
-    /// The time, in seconds.
-    pub over: f64,
+    /// Description of the event.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// Number of events in the period.
+    #[serde(rename = "value")]
+    pub count: f64,
+    /// Period in seconds.
+    #[serde(rename = "over")]
+    pub period_s: f64,
 }
 
-/// A limit.
+/// Budget of a resource.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// By which lines name it.
+    /// Id by which lines refer to the budget.
     pub id: String,
-    /// What is limited, in words.
-    pub what: String,
-    /// The limit.
-    pub most: f64,
-    /// Its unit.
+    /// Description of the resource.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// Maximum value.
+    #[serde(rename = "most")]
+    pub limit: f64,
+    /// Unit of the maximum value.
     pub unit: String,
-    /// Who says so.
-    pub from: String,
+    /// Source of the budget.
+    #[serde(rename = "from")]
+    pub source: String,
 }
 
-/// On what day.
+/// Situation that a line of the page covers.
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Day {
-    /// An ordinary day.
+pub enum LoadCase {
+    /// Ordinary operation.
     #[serde(rename = "ordinary")]
     Ordinary,
-    /// The worst minute.
+    /// Minute with the highest load.
     #[serde(rename = "worst")]
     Worst,
-    /// A region is cut off.
+    /// Loss of the network connection to a region.
     #[serde(rename = "cut")]
     Cut,
 }
 
-/// A figure at the fleet's size, as often as the rates say.
+/// Figure of a slope at the size of the fleet, multiplied by rates.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Term {
-    /// The slope's id.
+    /// Id of the slope.
     pub slope: String,
-    /// Rates that it is multiplied by.
-    #[serde(default)]
-    pub times: Vec<String>,
-    /// At another of the sizes than that of the slope's axis.
-    #[serde(default)]
-    pub at: Option<String>,
+    /// Ids of the rates by which the figure is multiplied.
+    #[serde(rename = "times", default)]
+    pub rates: Vec<String>,
+    /// Id of the size, if it is not the axis of the slope.
+    #[serde(rename = "at", default)]
+    pub size: Option<String>,
 }
 
-/// One line of the page.
+/// Line of the page.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
-pub struct Entry {
-    /// Who spends it.
+pub struct BudgetLine {
+    /// Role whose resources are counted.
     pub role: Role,
-    /// On what day.
-    pub day: Day,
-    /// Which worst minute: a zone back, a change of everything, ...
-    #[serde(default)]
-    pub when: String,
-    /// state, messages, CPU, memory, descriptors, disk, time
+    /// Situation that the line covers.
+    #[serde(rename = "day")]
+    pub load_case: LoadCase,
+    /// Event that causes the situation, such as the return of a zone or a change of every entry.
+    #[serde(rename = "when", default)]
+    pub event: String,
+    /// Kind of resource: state, messages, CPU, memory, descriptors, disk or time.
     pub part: String,
-    /// What is spent, in words.
-    pub what: String,
-    /// The figure's unit, where no budget has it.
+    /// Description of the resource.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// Unit of the figure, if the line has no budget.
     #[serde(default)]
     pub unit: String,
-    /// What it is the sum of; empty where nothing was measured.
+    /// Terms whose sum is the figure. Empty if nothing was measured.
     #[serde(default)]
     pub terms: Vec<Term>,
-    /// The same of the build before, where its way is another.
-    #[serde(default)]
-    pub before: Vec<Term>,
-    /// The id of its budget.
+    /// Terms for the previous build, if they differ.
+    #[serde(rename = "before", default)]
+    pub previous_terms: Vec<Term>,
+    /// Id of the budget.
     #[serde(default)]
     pub budget: Option<String>,
-    /// In place of terms, where none is measured; what it is taken from has to be said.
+    /// Assumed value in place of terms, if none is measured. Requires `assumed`.
     #[serde(default)]
     pub value: Option<f64>,
-    /// What is taken for granted in it.
-    #[serde(default)]
-    pub assumed: Option<String>,
-    /// What carries it, or that nothing does yet.
-    pub carried: String,
+    /// Assumption that the figure depends on.
+    #[serde(rename = "assumed", default)]
+    pub assumption: Option<String>,
+    /// Mechanism that keeps the figure within the budget, or a statement that there is none yet.
+    #[serde(rename = "carried")]
+    pub carried_by: String,
 }
 
-/// A bound of our own that this size meets.
+/// Bound in the program that limits the size of the fleet.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
-    /// What is bounded, in words.
-    pub what: String,
-    /// The file and the constant.
-    pub place: String,
-    /// The bound in the build before.
-    pub before: f64,
-    /// The bound now.
+    /// Description of what is bounded.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// File and constant that define the bound.
+    #[serde(rename = "place")]
+    pub location: String,
+    /// Bound in the previous build.
+    #[serde(rename = "before")]
+    pub previous_bound: f64,
+    /// Bound in the current build.
     pub bound: f64,
-    /// Its unit.
+    /// Unit of the bound.
     pub unit: String,
-    /// At the fleet's size: a number, or that of a slope.
+    /// Value that is needed at the size of the fleet. Excludes `slope`.
     #[serde(default)]
     pub needed: Option<f64>,
-    /// Or the slope that says so.
+    /// Id of the slope that gives the needed value. Excludes `needed`.
     #[serde(default)]
     pub slope: Option<String>,
-    /// What carries it, or that nothing does yet.
-    pub carried: String,
+    /// Mechanism that handles the needed value, or a statement that there is none yet.
+    #[serde(rename = "carried")]
+    pub carried_by: String,
 }
 
-/// What `budgets.json` says.
+/// Contents of `budgets.json`.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Budgets {
     format: u64,
-    /// The fleet's sizes.
+    /// Sizes of the fleet.
     pub sizes: Vec<Size>,
-    /// How often things happen.
+    /// Event rates.
     pub rates: Vec<Rate>,
-    /// What may be spent.
+    /// Resource budgets.
     pub budgets: Vec<Budget>,
     /// Bounds of the program.
     pub bounds: Vec<Bound>,
-    /// The lines of the page.
-    pub lines: Vec<Entry>,
+    /// Lines of the page.
+    pub lines: Vec<BudgetLine>,
 }
 
-/// What a line of the page says.
+/// Figure of a line of the page.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Figure {
-    /// In the line's unit.
+    /// Value in the unit of the line.
     pub value: f64,
-    /// Where it comes from.
+    /// Origin of the value.
     pub basis: Basis,
-    /// Slopes without points: the value is that of the rest.
-    pub missing: Vec<String>,
+    /// Ids of the slopes without points, which the value does not include.
+    pub missing_slopes: Vec<String>,
 }
 
-/// Which build a figure is of.
+/// Build with which a figure was measured.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Build {
-    /// This build.
-    Now,
-    /// The build before.
-    Before,
+    /// Current build.
+    Current,
+    /// Previous build, for comparison.
+    Previous,
 }
 
 impl Budgets {
-    /// Reads the text of `path`; an error names the line whose names lead nowhere.
+    /// Parses the text of the file `path`.
+    ///
+    /// # Errors
+    /// The text is invalid, or a line refers to an id that does not exist. The error names the line.
     pub fn parse(path: &Path, text: &str, slopes: &Slopes) -> Result<Budgets, CapacityError> {
-        let all: Budgets = parse(path, text, FORMAT, |all: &Budgets| all.format)?;
+        let budgets: Budgets = parse(path, text, FORMAT, |budgets: &Budgets| budgets.format)?;
         for slope in &slopes.slopes {
             let Some(axis) = &slope.axis else { continue };
-            let wrong =
+            let row_error =
                 |reason| CapacityError::Row { path: "slopes.json".into(), row: slope.id.clone(), reason };
-            let named = || wrong(format!("no size in {} is called {axis:?}", path.display()));
-            slope.check_sizes(all.size(axis).ok_or_else(named)?).map_err(wrong)?;
+            let unknown_axis = || row_error(format!("axis {axis:?} is not a size in {}", path.display()));
+            slope.check_sizes(budgets.size(axis).ok_or_else(unknown_axis)?).map_err(row_error)?;
         }
-        for line in &all.lines {
-            let wrong = |reason| CapacityError::Row { path: path.into(), row: line.what.clone(), reason };
-            for term in line.terms.iter().chain(&line.before) {
+        for line in &budgets.lines {
+            let row_error =
+                |reason| CapacityError::Row { path: path.into(), row: line.description.clone(), reason };
+            for term in line.terms.iter().chain(&line.previous_terms) {
                 if slopes.get(&term.slope).is_none() {
-                    return Err(wrong(format!("no slope is called {:?}", term.slope)));
+                    return Err(row_error(format!("unknown slope {:?}", term.slope)));
                 }
-                if let Some(rate) = term.times.iter().find(|rate| all.rate(rate).is_none()) {
-                    return Err(wrong(format!("no rate is called {rate:?}")));
+                if let Some(rate) = term.rates.iter().find(|rate| budgets.rate(rate).is_none()) {
+                    return Err(row_error(format!("unknown rate {rate:?}")));
                 }
             }
-            let sizes = line.terms.iter().chain(&line.before).filter_map(|term| term.at.as_ref());
-            if let Some(size) = sizes.into_iter().find(|size| all.size(size).is_none()) {
-                return Err(wrong(format!("no size is called {size:?}")));
+            let sizes = line.terms.iter().chain(&line.previous_terms).filter_map(|term| term.size.as_ref());
+            if let Some(size) = sizes.into_iter().find(|size| budgets.size(size).is_none()) {
+                return Err(row_error(format!("unknown size {size:?}")));
             }
-            if let Some(budget) = line.budget.as_ref().filter(|budget| all.budget(budget).is_none()) {
-                return Err(wrong(format!("no budget is called {budget:?}")));
+            if let Some(budget) = line.budget.as_ref().filter(|budget| budgets.budget(budget).is_none()) {
+                return Err(row_error(format!("unknown budget {budget:?}")));
             }
-            if line.value.is_some() && (line.assumed.is_none() || !line.terms.is_empty()) {
-                return Err(wrong("a value stands in place of terms, and says what is assumed".into()));
+            if line.value.is_some() && (line.assumption.is_none() || !line.terms.is_empty()) {
+                return Err(row_error("a value requires assumed, and excludes terms".into()));
             }
-            if line.carried.is_empty() {
-                return Err(wrong("what carries it, or \"none: missing\"".into()));
+            if line.carried_by.is_empty() {
+                return Err(row_error("empty carried, expected the mechanism or \"none: missing\"".into()));
             }
         }
-        for bound in &all.bounds {
-            let wrong = |reason| CapacityError::Row { path: path.into(), row: bound.what.clone(), reason };
+        for bound in &budgets.bounds {
+            let row_error =
+                |reason| CapacityError::Row { path: path.into(), row: bound.description.clone(), reason };
             if let Some(slope) = bound.slope.as_ref().filter(|slope| slopes.get(slope).is_none()) {
-                return Err(wrong(format!("no slope is called {slope:?}")));
+                return Err(row_error(format!("unknown slope {slope:?}")));
             }
             if bound.needed.is_some() == bound.slope.is_some() {
-                return Err(wrong("either a number that is needed, or a slope that says it".into()));
+                return Err(row_error("expected exactly one of needed and slope".into()));
             }
         }
-        Ok(all)
+        Ok(budgets)
     }
 
-    /// What is needed of a bound at the fleet's size.
+    /// Returns the value that a bound needs at the size of the fleet.
     pub fn needed(&self, bound: &Bound, slopes: &Slopes) -> Option<f64> {
-        let of = |slope: &String| Some(self.at(slopes.get(slope)?, Build::Now)?.0);
-        bound.needed.or_else(|| bound.slope.as_ref().and_then(of))
+        let value_of = |slope: &String| Some(self.at(slopes.get(slope)?, Build::Current)?.0);
+        bound.needed.or_else(|| bound.slope.as_ref().and_then(value_of))
     }
-    /// One of the fleet's sizes.
+    /// Returns a size of the fleet.
     pub fn size(&self, id: &str) -> Option<f64> {
         self.sizes.iter().find(|size| size.id == id).map(|size| size.value)
     }
+    /// Returns a rate in events per second.
     fn rate(&self, id: &str) -> Option<f64> {
-        self.rates.iter().find(|rate| rate.id == id).map(|rate| rate.value / rate.over)
+        self.rates.iter().find(|rate| rate.id == id).map(|rate| rate.count / rate.period_s)
     }
-    /// A budget.
+    /// Returns a budget.
     pub fn budget(&self, id: &str) -> Option<&Budget> {
         self.budgets.iter().find(|budget| budget.id == id)
     }
-    /// The slope at the fleet's size, of either build; none where that has no points.
-    pub fn at(&self, slope: &Slope, build: Build) -> Option<(f64, Line)> {
+    /// Returns the value of a slope at the size of the fleet, or `None` if it has no points of that build.
+    pub fn at(&self, slope: &Slope, build: Build) -> Option<(f64, Extrapolation)> {
         let size = slope.axis.as_ref().and_then(|axis| self.size(axis));
         self.at_size(slope, size, build)
     }
-    /// Of the build before only what was measured at the very size, unless the row says that its line may be used: it
-    /// may not do at all what that would say.
-    fn at_size(&self, slope: &Slope, size: Option<f64>, build: Build) -> Option<(f64, Line)> {
-        let points = match (build, &slope.before) {
-            (Build::Before, Some(before)) => &before.points,
+    /// Returns the value of a slope at a size. For the previous build, only a value measured at this size is used
+    /// unless its points may be extrapolated, because that build may not work at all at a size that was not measured.
+    fn at_size(&self, slope: &Slope, size: Option<f64>, build: Build) -> Option<(f64, Extrapolation)> {
+        let points = match (build, &slope.previous) {
+            (Build::Previous, Some(previous)) => &previous.points,
             _ => &slope.points,
         };
-        let own = build == Build::Now || slope.before.as_ref().is_none_or(|before| before.line);
+        let may_extrapolate =
+            build == Build::Current || slope.previous.as_ref().is_none_or(|previous| previous.extrapolate);
         match (size, points.last()) {
-            (Some(size), _) => value_at(points, size).filter(|(_, line)| own || *line == Line::ReadOff),
-            (None, Some((_, value))) => Some((*value, Line::ReadOff)),
+            (Some(size), _) => {
+                value_at(points, size).filter(|(_, how)| may_extrapolate || *how == Extrapolation::Exact)
+            }
+            (None, Some((_, value))) => Some((*value, Extrapolation::Exact)),
             (None, None) => None,
         }
     }
-    /// What a line says of either build; none where nothing was measured. A line that names nothing of the build before
-    /// is the same there, if one of its slopes was measured with that build or none was touched.
-    pub fn figure(&self, entry: &Entry, build: Build, slopes: &Slopes) -> Option<Figure> {
-        if let Some(value) = entry.value {
-            return Some(Figure { value, basis: Basis::Assumed, missing: Vec::new() });
+    /// Returns the figure of a line, or `None` if nothing was measured. For the previous build, a line without
+    /// terms of its own uses those of the current build, and so does a slope without points of its own.
+    pub fn figure(&self, line: &BudgetLine, build: Build, slopes: &Slopes) -> Option<Figure> {
+        if let Some(value) = line.value {
+            return Some(Figure { value, basis: Basis::Assumed, missing_slopes: Vec::new() });
         }
         let terms = match build {
-            Build::Before if !entry.before.is_empty() => &entry.before,
-            _ => &entry.terms,
+            Build::Previous if !line.previous_terms.is_empty() => &line.previous_terms,
+            _ => &line.terms,
         };
-        let mut sum = Figure { value: 0.0, basis: Basis::Measured, missing: Vec::new() };
+        let mut sum = Figure { value: 0.0, basis: Basis::Measured, missing_slopes: Vec::new() };
         for term in terms {
             let slope = slopes.get(&term.slope)?;
-            let size = term.at.as_ref().or(slope.axis.as_ref()).and_then(|id| self.size(id));
-            let Some((value, line)) = self.at_size(slope, size, build) else {
-                sum.missing.push(term.slope.clone());
+            let size = term.size.as_ref().or(slope.axis.as_ref()).and_then(|id| self.size(id));
+            let Some((value, how)) = self.at_size(slope, size, build) else {
+                sum.missing_slopes.push(term.slope.clone());
                 continue;
             };
-            let times: f64 = term.times.iter().filter_map(|rate| self.rate(rate)).product();
-            sum.value += value * times;
-            let plain = terms.len() == 1 && term.times.is_empty() && line == Line::ReadOff;
-            let basis = if plain { slope.basis } else { slope.basis.max(Basis::WorkedOut) };
+            let rate: f64 = term.rates.iter().filter_map(|rate| self.rate(rate)).product();
+            sum.value += value * rate;
+            let unchanged = terms.len() == 1 && term.rates.is_empty() && how == Extrapolation::Exact;
+            let basis = if unchanged { slope.basis } else { slope.basis.max(Basis::Derived) };
             sum.basis = sum.basis.max(basis);
         }
-        if entry.assumed.is_some() {
+        if line.assumption.is_some() {
             sum.basis = Basis::Assumed;
         }
-        (sum.missing.len() < terms.len()).then_some(sum)
+        (sum.missing_slopes.len() < terms.len()).then_some(sum)
     }
 }
--- a/lab/src/scale/capacity/error.rs
+++ b/lab/src/scale/capacity/error.rs
@@ -1,30 +1,30 @@
-//! Why the page can't be worked out.
+//! Errors of the capacity page.
 
 use crate::report::ScenarioError;
 use std::path::PathBuf;
 
-/// Why the page can't be worked out.
+/// Error that prevents the generation of the page.
 #[derive(thiserror::Error, Debug)]
 pub enum CapacityError {
-    /// A file can't be read or written.
+    /// A file could not be read or written.
     #[error("{path}: {error}")]
     File { path: PathBuf, error: std::io::Error },
-    /// A file is not the JSON that it has to be.
+    /// A file is not valid JSON, or has unexpected contents.
     #[error("{path}: {error}")]
     Json { path: PathBuf, error: serde_json::Error },
-    /// A file is in a format of another build.
-    #[error("{path}: format {found}, not {expected}")]
+    /// A file has an unsupported format version.
+    #[error("{path}: format {found}, expected {expected}")]
     Format { path: PathBuf, found: u64, expected: u64 },
-    /// A row of a file is wrong.
+    /// A row of a file is invalid.
     #[error("{path}: row {row}: {reason}")]
     Row { path: PathBuf, row: String, reason: String },
-    /// The page's markers are wrong.
+    /// The markers of the tables on the page are invalid.
     #[error("{path}: {reason}")]
     Page { path: PathBuf, reason: String },
-    /// What a scenario printed can't be taken up.
+    /// The output of a scenario could not be imported.
     #[error("{path}: {reason}")]
     Output { path: PathBuf, reason: String },
-    /// A plot can't be drawn.
+    /// A plot could not be drawn.
     #[error("{path}: {reason}")]
     Plot { path: PathBuf, reason: String },
 }
--- a/lab/src/scale/capacity/files.rs
+++ b/lab/src/scale/capacity/files.rs
@@ -1,15 +1,16 @@
-//! Reads the files of the capacity page.
+//! Input of the files of the capacity page.
 
 use super::error::CapacityError;
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// Reads a file.
+/// Reads a file as text.
 pub fn read(path: &Path) -> Result<String, CapacityError> {
     std::fs::read_to_string(path).map_err(|error| CapacityError::File { path: path.into(), error })
 }
 
-/// Parses the text of `path`, which has to be of the expected format; `format` reads that off the value.
+/// Parses the text of the file `path`, whose format version has to be `expected`. `format` returns the format version
+/// of the parsed value.
 pub fn parse<T: DeserializeOwned>(
     path: &Path, text: &str, expected: u64, format: fn(&T) -> u64,
 ) -> Result<T, CapacityError> {
--- a/lab/src/scale/capacity/format.rs
+++ b/lab/src/scale/capacity/format.rs
@@ -1,24 +1,25 @@
-//! How figures, days and roles are written on the page.
+//! Formatting of figures, load cases and roles on the page.
 
-use super::budgets::{Day, Entry, Figure};
-use super::slopes::{Line, Role};
+use super::budgets::{BudgetLine, Figure, LoadCase};
+use super::slopes::{Extrapolation, Role};
 
-/// A figure with as many places as say something.
+/// Formats a number with commas between groups of three digits. Numbers from 100 on have no decimals, and smaller ones
+/// have up to three significant digits.
 pub fn number(value: f64) -> String {
-    let places = match value.abs() {
-        size if size >= 100.0 || size == 0.0 => 0,
-        size if size >= 10.0 => 1,
-        size if size >= 1.0 => 2,
-        size => (1 - size.log10().floor() as i32).clamp(2, 6) as usize,
+    let decimals = match value.abs() {
+        magnitude if magnitude >= 100.0 || magnitude == 0.0 => 0,
+        magnitude if magnitude >= 10.0 => 1,
+        magnitude if magnitude >= 1.0 => 2,
+        magnitude => (1 - magnitude.log10().floor() as i32).clamp(2, 6) as usize,
     };
-    let text = format!("{value:.places$}");
-    let text = if places > 0 { text.trim_end_matches('0').trim_end_matches('.') } else { &text };
+    let text = format!("{value:.decimals$}");
+    let text = if decimals > 0 { text.trim_end_matches('0').trim_end_matches('.') } else { &text };
     let (integer, fraction) =
         text.split_once('.').map_or((text, None), |(integer, fraction)| (integer, Some(fraction)));
     let (sign, digits) = integer.strip_prefix('-').map_or(("", integer), |digits| ("-", digits));
     let mut grouped = String::from(sign);
-    for (n, digit) in digits.chars().enumerate() {
-        if n > 0 && (digits.len() - n) % 3 == 0 {
+    for (index, digit) in digits.chars().enumerate() {
+        if index > 0 && (digits.len() - index) % 3 == 0 {
             grouped.push(',');
         }
         grouped.push(digit);
@@ -26,71 +27,75 @@
     fraction.map_or(grouped.clone(), |fraction| format!("{grouped}.{fraction}"))
 }
 
-/// How many times the most a value is.
-pub fn times(value: f64, most: f64) -> String {
-    format!("{} times", number(value / most))
+/// Formats a value as a multiple of its limit.
+pub fn times(value: f64, limit: f64) -> String {
+    format!("{} times", number(value / limit))
 }
 
-/// A figure in a cell of the page, with what it lacks.
+/// Formats a figure for a table cell, with the ids of the slopes that it lacks.
 pub fn figure_cell(figure: Option<&Figure>, unit: &str) -> String {
     match figure {
         None => "not measured".into(),
-        Some(it) if it.missing.is_empty() => format!("{} {unit}", number(it.value)),
-        Some(it) => format!("{} {unit} and more (not measured: {})", number(it.value), it.missing.join(", ")),
+        Some(figure) if figure.missing_slopes.is_empty() => format!("{} {unit}", number(figure.value)),
+        Some(figure) => {
+            let missing = figure.missing_slopes.join(", ");
+            format!("{} {unit} and more (not measured: {missing})", number(figure.value))
+        }
     }
 }
 
-/// Points in a cell of the page.
+/// Formats points for a table cell.
 pub fn points(points: &[(f64, f64)]) -> String {
-    let all: Vec<_> =
+    let texts: Vec<_> =
         points.iter().map(|(size, value)| format!("{}: {}", number(*size), number(*value))).collect();
-    if all.is_empty() {
+    if texts.is_empty() {
         "not measured".into()
     } else {
-        all.join("; ")
+        texts.join("; ")
     }
 }
 
-/// In words how a value was come by.
-pub fn line_in_words(line: Line) -> String {
-    let off = |off: f64| format!("{:.0} in 100", 100.0 * off);
-    match line {
-        Line::ReadOff => "read off".into(),
-        Line::Fit { a, b, off: it } => {
-            format!("{} + {} each, off by {} at most", number(a), number(b), off(it))
+/// Describes how a value was obtained.
+pub fn describe_extrapolation(how: Extrapolation) -> String {
+    let percent = |deviation: f64| format!("{:.0} in 100", 100.0 * deviation);
+    match how {
+        Extrapolation::Exact => "read off".into(),
+        Extrapolation::Linear { intercept, slope, deviation } => {
+            let deviation = percent(deviation);
+            format!("{} + {} each, off by {deviation} at most", number(intercept), number(slope))
         }
-        Line::Pair { from, to, b, off: it } => format!(
+        Extrapolation::WorstPair { from, to, slope, deviation } => format!(
             "not on a line (off by {}): the worst pair, {} and {}, {} each",
-            off(it),
+            percent(deviation),
             number(from),
             number(to),
-            number(b)
+            number(slope)
         ),
-        Line::Only => "one point".into(),
+        Extrapolation::SinglePoint => "one point".into(),
     }
 }
 
-/// What a role is called.
+/// Returns the name of a role on the page.
 pub fn role_name(role: Role) -> &'static str {
     match role {
         Role::Backend => "backend",
-        Role::Keeper => "keeper",
+        Role::Voter => "keeper",
         Role::Tool => "tool",
         Role::Caller => "caller",
     }
 }
 
-/// On what day a line is.
-pub fn day_in_words(entry: &Entry) -> String {
-    let day = match entry.day {
-        Day::Ordinary => "an ordinary day",
-        Day::Worst => "the worst minute",
-        Day::Cut => "a region cut",
+/// Describes the load case of a line.
+pub fn describe_load_case(line: &BudgetLine) -> String {
+    let load_case = match line.load_case {
+        LoadCase::Ordinary => "an ordinary day",
+        LoadCase::Worst => "the worst minute",
+        LoadCase::Cut => "a region cut",
     };
-    if entry.when.is_empty() {
-        day.into()
+    if line.event.is_empty() {
+        load_case.into()
     } else {
-        format!("{day}: {}", entry.when)
+        format!("{load_case}: {}", line.event)
     }
 }
 
--- a/lab/src/scale/capacity/import.rs
+++ b/lab/src/scale/capacity/import.rs
@@ -1,5 +1,5 @@
-//! Takes up what scenarios printed with `--json` as points of the rows; sizes are methods and tenants together, members,
-//! callers.
+//! Import of the output of scenarios (`--json`) as points of slopes. The size of a point is the number of methods and
+//! tenants together, of members, of callers or of list entries.
 
 use super::error::CapacityError;
 use super::format::number;
@@ -12,55 +12,59 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The note of a row whose figures are to come.
+/// Note of a row without figures, which an import clears.
 const NOT_MEASURED_YET: &str = "not measured yet";
 
-/// What one output says of a row.
+/// Value of a row in one output.
 struct Measurement {
     value: f64,
-    least: f64,
-    most: f64,
-    /// It is of the field that is taken instead.
+    min: f64,
+    max: f64,
+    /// Whether the value is of the fallback field.
     is_fallback: bool,
-    /// A rule that the run broke.
-    broken: Option<String>,
+    /// First rule that the run broke.
+    broken_rule: Option<String>,
 }
 
 impl SourceGroup {
+    /// Reports whether an output belongs to the group.
     fn covers(&self, output: &Value) -> bool {
-        let is = |(field, value): &(&str, &str)| match &output[*field] {
+        let matches = |(field, value): &(&str, &str)| match &output[*field] {
             Value::String(text) => text == value,
             Value::Null => true,
             other => other.as_f64() == value.parse().ok(),
         };
-        output["scenario"] == self.scenario && self.only.iter().all(is)
+        output["scenario"] == self.scenario && self.required_fields.iter().all(matches)
     }
 }
 
+/// Extracts the value of a row from an output, or returns `None` if the output has none.
 fn measurement(
     output: &Value, group: &SourceGroup, source: &RowSource, build: MeasuredBuild,
 ) -> Option<Measurement> {
     if !group.covers(output) {
         return None;
     }
-    // A run beside the build before holds its figures as `other`.
-    let of_other = build == MeasuredBuild::Before && output["other"].is_object();
-    let figures = if of_other { &output["other"] } else { output };
-    let less = match source.less {
-        Some(less) => figures[less].as_f64()?,
+    // The output of a run that alternates with the previous build has the figures of that build under `other`.
+    let in_other = build == MeasuredBuild::Before && output["other"].is_object();
+    let figures = if in_other { &output["other"] } else { output };
+    let subtrahend = match source.subtract {
+        Some(field) => figures[field].as_f64()?,
         None => 0.0,
     };
     let is_fallback = figures[source.field].is_null();
     let field = if is_fallback { source.fallback? } else { source.field };
-    let unit = if source.over_other { output["other"][field].as_f64()? } else { source.unit };
-    let in_units = |value: f64| (value - less) / unit;
+    let unit = if source.relative_to_other { output["other"][field].as_f64()? } else { source.unit };
+    let in_units = |value: f64| (value - subtrahend) / unit;
     let value = in_units(figures[field].as_f64()?);
     let spreads = [&figures["spread"][field], &figures[format!("{field}_spread")], &figures["spread"]];
-    let end = |n: usize| spreads.iter().find_map(|spread| spread[n].as_f64()).map_or(value, in_units);
-    let broken = figures["broken"][0].as_str().map(str::to_string);
-    Some(Measurement { value, least: end(0), most: end(1), is_fallback, broken })
+    let bound =
+        |index: usize| spreads.iter().find_map(|spread| spread[index].as_f64()).map_or(value, in_units);
+    let broken_rule = figures["broken"][0].as_str().map(str::to_string);
+    Some(Measurement { value, min: bound(0), max: bound(1), is_fallback, broken_rule })
 }
 
+/// Returns the median of at least one value.
 fn median(values: &mut [f64]) -> f64 {
     values.sort_by(f64::total_cmp);
     let middle = values.len() / 2;
@@ -71,23 +75,25 @@
     }
 }
 
-/// Measurements by size.
-type BySize = BTreeMap<u64, Vec<Measurement>>;
+/// Measurements of one row by size.
+type MeasurementsBySize = BTreeMap<u64, Vec<Measurement>>;
 
-/// Least and most at each size, where they differ.
-fn spread(sizes: &BySize, source: &RowSource) -> String {
+/// Describes the minimum and maximum at each size where they differ, fallback fields and broken rules.
+fn spread_text(sizes: &MeasurementsBySize, source: &RowSource) -> String {
     let mut parts = Vec::new();
-    for (size, all) in sizes {
-        let least = all.iter().map(|one| one.least).fold(f64::INFINITY, f64::min);
-        let most = all.iter().map(|one| one.most).fold(f64::NEG_INFINITY, f64::max);
+    for (size, measurements) in sizes {
+        let min = measurements.iter().map(|measurement| measurement.min).fold(f64::INFINITY, f64::min);
+        let max = measurements.iter().map(|measurement| measurement.max).fold(f64::NEG_INFINITY, f64::max);
         let size = number(*size as f64);
-        if least < most {
-            parts.push(format!("at {size} {} to {}", number(least), number(most)));
+        if min < max {
+            parts.push(format!("at {size} {} to {}", number(min), number(max)));
         }
-        if let Some(fallback) = source.fallback.filter(|_| all.iter().any(|one| one.is_fallback)) {
+        if let Some(fallback) =
+            source.fallback.filter(|_| measurements.iter().any(|measurement| measurement.is_fallback))
+        {
             parts.push(format!("at {size} `{fallback}`"));
         }
-        if let Some(rule) = all.iter().find_map(|one| one.broken.as_ref()) {
+        if let Some(rule) = measurements.iter().find_map(|measurement| measurement.broken_rule.as_ref()) {
             parts.push(format!("at {size} a rule broke: {rule}"));
         }
     }
@@ -98,27 +104,27 @@
     }
 }
 
-/// The slopes with outputs taken up.
+/// Result of an import.
 #[derive(Debug)]
-pub(super) struct Taken {
-    /// The file's text.
+pub(super) struct Imported {
+    /// New text of `slopes.json`.
     pub(super) text: String,
-    /// The rows that got points.
+    /// Ids of the rows that have new points.
     pub(super) rows: Vec<String>,
 }
 
-/// Takes outputs up as points of the slopes whose text this is. Points of other sizes stay.
+/// Adds the values of outputs as points to the slopes in `text`. Replaces points of the same size and keeps all others.
 ///
 /// # Errors
-/// The text is no slopes, or no row takes anything of the outputs.
-pub(super) fn take(
+/// The text is not valid, or the outputs have no value for any row.
+pub(super) fn import_outputs(
     path: &Path, text: &str, outputs: &[Value], build: MeasuredBuild, commit: Option<&str>,
-) -> Result<Taken, CapacityError> {
+) -> Result<Imported, CapacityError> {
     let mut slopes = Slopes::parse(path, text)?;
     let mut rows = Vec::new();
     let sources = SOURCES.iter().flat_map(|group| group.rows.iter().map(move |source| (group, source)));
     for (group, source) in sources {
-        let mut sizes = BySize::new();
+        let mut sizes = MeasurementsBySize::new();
         for output in outputs {
             let measurement = measurement(output, group, source, build);
             if let (Some(size), Some(measurement)) = (size(output), measurement) {
@@ -131,24 +137,30 @@
     }
     let output_error = |reason: String| CapacityError::Output { path: path.into(), reason };
     if rows.is_empty() {
-        return Err(output_error("no row takes anything of these outputs".into()));
+        return Err(output_error("the outputs contain no field that a row is made of".into()));
     }
     if let Some(commit) = commit {
-        let provenance = if build == MeasuredBuild::After { &mut slopes.taken } else { &mut slopes.before };
+        let provenance = if build == MeasuredBuild::After {
+            &mut slopes.provenance
+        } else {
+            &mut slopes.previous_provenance
+        };
         provenance.commit = commit.into();
     }
     let text = write_slopes(&slopes).map_err(|error| output_error(error.to_string()))?;
     Slopes::parse(path, &text)?;
-    Ok(Taken { text, rows })
+    Ok(Imported { text, rows })
 }
 
-/// Sets the points of a row; whether there is such a row.
-fn set_points(slopes: &mut Slopes, source: &RowSource, sizes: BySize, build: MeasuredBuild) -> bool {
+/// Sets the points of a row. Returns whether the row exists.
+fn set_points(
+    slopes: &mut Slopes, source: &RowSource, sizes: MeasurementsBySize, build: MeasuredBuild,
+) -> bool {
     let Some(slope) = slopes.slopes.iter_mut().find(|slope| slope.id == source.row) else { return false };
-    let new_spread = spread(&sizes, source);
-    let (points, old_spread) = match (build, &mut slope.before) {
-        (MeasuredBuild::Before, Some(before)) => (&mut before.points, &mut before.spread),
-        // A row without a build before is the same in both.
+    let new_spread = spread_text(&sizes, source);
+    let (points, old_spread) = match (build, &mut slope.previous) {
+        (MeasuredBuild::Before, Some(previous)) => (&mut previous.points, &mut previous.spread),
+        // A row without points of the previous build is the same in both builds.
         _ => {
             if slope.note == NOT_MEASURED_YET {
                 slope.note.clear();
@@ -156,10 +168,10 @@
             (&mut slope.points, &mut slope.spread)
         }
     };
-    for (size, all) in sizes {
+    for (size, measurements) in sizes {
         let size = size as f64;
-        let mut values: Vec<f64> = all.iter().map(|one| one.value).collect();
-        points.retain(|(other, _)| *other != size);
+        let mut values: Vec<f64> = measurements.iter().map(|measurement| measurement.value).collect();
+        points.retain(|(existing, _)| *existing != size);
         points.push((size, (median(&mut values) * 1e4).round() / 1e4));
     }
     points.sort_by(|one, other| one.0.total_cmp(&other.0));
@@ -168,5 +180,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/take.rs"]
+#[path = "tests/import.rs"]
 mod tests;
--- a/lab/src/scale/capacity/mod.rs
+++ b/lab/src/scale/capacity/mod.rs
@@ -1,10 +1,14 @@
-//! `asterrill-lab capacity`: works the page `docs/CAPACITY.md` out from `docs/capacity/slopes.json` and `budgets.json`,
-//! with its plots. `--check` only says whether they agree; `--take` takes up what `scale-config --json` printed.
+//! `asterrill-lab capacity`: generates the tables and plots of the page `docs/CAPACITY.md` from
+//! `docs/capacity/slopes.json` and `budgets.json`.
+//!
+//! With `--check` it only compares the page with the files. With `--take` it first imports the reports that scenarios
+//! such as `scale-config` print with `--json`.
 
 mod budgets;
 mod error;
 mod files;
 mod format;
+mod import;
 mod options;
 mod outputs;
 mod over_budget;
@@ -15,7 +19,6 @@
 mod slopes;
 mod slopes_text;
 mod sources;
-mod take;
 
 #[cfg(test)]
 #[path = "tests/docs_copy.rs"]
--- a/lab/src/scale/capacity/options.rs
+++ b/lab/src/scale/capacity/options.rs
@@ -1,35 +1,35 @@
-//! What the command line says of the capacity page.
+//! Command-line options of the capacity page.
 
 use clap::{Args, ValueEnum};
 use std::path::PathBuf;
 
-/// What `asterrill-lab capacity` does.
+/// Options of `asterrill-lab capacity`.
 #[derive(Args, Clone, Debug)]
 pub struct CapacityOptions {
-    /// For capacity: say whether page and plots agree with the measured slopes, and write nothing
+    /// For capacity: check that the page and its plots match the measured slopes, without writing them
     #[arg(long, global = true)]
     pub check: bool,
-    /// For capacity: take up what scale-config printed with --json; may be given several times, medians are taken
+    /// For capacity: import the output of scale-* --json; may be given several times, in which case medians are used
     #[arg(long, global = true, value_name = "FILE", requires = "as_build")]
     pub take: Vec<PathBuf>,
-    /// Of which build the figures of --take are
+    /// Build that the figures of --take were measured with
     #[arg(long = "as", global = true, value_enum, value_name = "BUILD")]
     pub as_build: Option<MeasuredBuild>,
-    /// The commit of the build whose figures --take takes up, for the page
+    /// Commit of the build that the figures of --take were measured with, for the page
     #[arg(long, global = true, value_name = "HASH", requires = "take")]
     pub commit: Option<String>,
-    /// For capacity: where the pages are
+    /// For capacity: directory of the documentation
     #[arg(long, global = true, default_value = "docs", value_name = "DIRECTORY")]
     pub docs: PathBuf,
 }
 
-/// The build whose figures are taken up.
+/// Build with which imported figures were measured.
 #[derive(ValueEnum, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MeasuredBuild {
-    /// The build before.
+    /// Previous build.
     #[value(help = None)]
     Before,
-    /// This build.
+    /// Current build.
     #[value(help = None)]
     After,
 }
--- a/lab/src/scale/capacity/over_budget.rs
+++ b/lab/src/scale/capacity/over_budget.rs
@@ -1,54 +1,58 @@
-//! Lines that are over their budget.
+//! Table of the lines that are over their budget.
 
-use super::budgets::{Budgets, Build, Entry, Figure};
-use super::format::{day_in_words, figure_cell, number, role_name, times};
+use super::budgets::{BudgetLine, Budgets, Build, Figure};
+use super::format::{describe_load_case, figure_cell, number, role_name, times};
 use super::slopes::Slopes;
 use std::fmt::Write;
 
-/// A line that is over its budget, in the build before or now.
-struct Over<'a> {
-    entry: &'a Entry,
+/// Line of the page with its budget and its figures for both builds.
+struct Row<'a> {
+    line: &'a BudgetLine,
     budget: String,
     unit: &'a str,
-    most: f64,
-    before: Option<Figure>,
-    now: Option<Figure>,
+    limit: f64,
+    previous: Option<Figure>,
+    current: Option<Figure>,
 }
 
-impl Over<'_> {
-    fn factor(&self, of: &Option<Figure>) -> f64 {
-        of.as_ref().map_or(0.0, |figure| figure.value / self.most)
+impl Row<'_> {
+    /// Returns a figure as a multiple of the budget, or 0 if it was not measured.
+    fn factor(&self, figure: &Option<Figure>) -> f64 {
+        figure.as_ref().map_or(0.0, |figure| figure.value / self.limit)
     }
-    fn furthest(&self) -> f64 {
-        self.factor(&self.before).max(self.factor(&self.now))
+
+    /// Returns the greater of the factors of both builds.
+    fn max_factor(&self) -> f64 {
+        self.factor(&self.previous).max(self.factor(&self.current))
     }
 }
 
-/// Lines over their budget, in the build before or now, the furthest first.
-fn over<'a>(slopes: &Slopes, budgets: &'a Budgets) -> Vec<Over<'a>> {
-    let rows = budgets.lines.iter().filter_map(|entry| {
-        let budget = budgets.budget(entry.budget.as_ref()?)?;
-        let [before, now] = [Build::Before, Build::Now].map(|build| budgets.figure(entry, build, slopes));
-        let most = format!("{} {}", number(budget.most), budget.unit);
-        Some(Over { entry, budget: most, unit: &budget.unit, most: budget.most, before, now })
+/// Returns the lines that are over their budget in either build, by descending factor.
+fn rows_over_budget<'a>(slopes: &Slopes, budgets: &'a Budgets) -> Vec<Row<'a>> {
+    let rows = budgets.lines.iter().filter_map(|line| {
+        let budget = budgets.budget(line.budget.as_ref()?)?;
+        let [previous, current] =
+            [Build::Previous, Build::Current].map(|build| budgets.figure(line, build, slopes));
+        let text = format!("{} {}", number(budget.limit), budget.unit);
+        Some(Row { line, budget: text, unit: &budget.unit, limit: budget.limit, previous, current })
     });
-    let mut rows: Vec<_> = rows.filter(|row| row.furthest() > 1.0).collect();
-    rows.sort_by(|one, other| other.furthest().total_cmp(&one.furthest()));
+    let mut rows: Vec<_> = rows.filter(|row| row.max_factor() > 1.0).collect();
+    rows.sort_by(|one, other| other.max_factor().total_cmp(&one.max_factor()));
     rows
 }
 
-/// How many lines are over their budget as things are.
+/// Returns the number of lines that are over their budget in the current build.
 pub fn count_over_budget(slopes: &Slopes, budgets: &Budgets) -> usize {
-    over(slopes, budgets).iter().filter(|row| row.factor(&row.now) > 1.0).count()
+    rows_over_budget(slopes, budgets).iter().filter(|row| row.factor(&row.current) > 1.0).count()
 }
 
-/// The table of lines over their budget.
-pub fn over_table(slopes: &Slopes, budgets: &Budgets) -> String {
-    let rows = over(slopes, budgets);
-    let still = rows.iter().filter(|row| row.factor(&row.now) > 1.0).count();
-    let unknown = rows.iter().filter(|row| row.now.is_none()).count();
+/// Formats the table of the lines that are over their budget in either build.
+pub fn over_budget_table(slopes: &Slopes, budgets: &Budgets) -> String {
+    let rows = rows_over_budget(slopes, budgets);
+    let over_now = rows.iter().filter(|row| row.factor(&row.current) > 1.0).count();
+    let not_measured = rows.iter().filter(|row| row.current.is_none()).count();
     let mut text = format!(
-        "Over budget now: {still} lines; {unknown} more were over it before and are not measured now. "
+        "Over budget now: {over_now} lines; {not_measured} more were over it before and are not measured now. "
     );
     text += "The order is by the greater of the two factors.\n\n";
     text += "| what | on | budget | before | now | carried by |\n| --- | --- | --- | --- | --- | --- |\n";
@@ -62,14 +66,14 @@
                 Some(_) => format!("{text}, {}", times(factor, 1.0)),
             }
         };
-        let (before, now) = (cell(&row.before), cell(&row.now));
-        let (entry, on, budget) = (row.entry, day_in_words(row.entry), &row.budget);
+        let (previous, current) = (cell(&row.previous), cell(&row.current));
+        let (line, load_case, budget) = (row.line, describe_load_case(row.line), &row.budget);
         let _ = writeln!(
             text,
-            "| {}: {} | {on} | {budget} | {before} | {now} | {} |",
-            role_name(entry.role),
-            entry.what,
-            entry.carried
+            "| {}: {} | {load_case} | {budget} | {previous} | {current} | {} |",
+            role_name(line.role),
+            line.description,
+            line.carried_by
         );
     }
     text
--- a/lab/src/scale/capacity/page.rs
+++ b/lab/src/scale/capacity/page.rs
@@ -1,52 +1,56 @@
-//! The tables of `docs/CAPACITY.md`, between `<!-- capacity: NAME -->` and `<!-- end -->`.
+//! Tables of `docs/CAPACITY.md`, between the markers `<!-- capacity: NAME -->` and `<!-- end -->`.
 
 use super::budgets::{Bound, Budgets, Build};
-use super::format::{day_in_words, figure_cell, line_in_words, number, points, times};
-use super::over_budget::over_table;
+use super::format::{describe_extrapolation, describe_load_case, figure_cell, number, points, times};
+use super::over_budget::over_budget_table;
 use super::slopes::{Provenance, Role, Slope, Slopes};
 use std::fmt::Write;
 
-const END: &str = "<!-- end -->";
+const END_MARKER: &str = "<!-- end -->";
 
-/// The page with its tables filled in anew; why not, if a marker is not understood.
-pub fn fill(page: &str, slopes: &Slopes, budgets: &Budgets) -> Result<String, String> {
+/// Returns the page with newly generated tables.
+///
+/// # Errors
+/// A marker is malformed or unknown, or the page has no marker for a table. The error says which.
+pub fn fill_tables(page: &str, slopes: &Slopes, budgets: &Budgets) -> Result<String, String> {
     let mut filled = String::new();
     let mut rest = page;
-    let mut seen = Vec::new();
+    let mut found = Vec::new();
     while let Some((text, after)) = rest.split_once("<!-- capacity: ") {
-        let (name, after) = after.split_once(" -->\n").ok_or("a marker that does not end on its line")?;
-        let (_, after) = after.split_once(END).ok_or(format!("nothing ends {name:?}"))?;
-        let table = table(name, slopes, budgets).ok_or(format!("no table is called {name:?}"))?;
-        let _ = write!(filled, "{text}<!-- capacity: {name} -->\n{table}{END}");
-        seen.push(name);
+        let (name, after) =
+            after.split_once(" -->\n").ok_or("found a capacity marker that does not end on its line")?;
+        let (_, after) = after.split_once(END_MARKER).ok_or(format!("table {name:?} has no end marker"))?;
+        let table = table(name, slopes, budgets).ok_or(format!("unknown table {name:?}"))?;
+        let _ = write!(filled, "{text}<!-- capacity: {name} -->\n{table}{END_MARKER}");
+        found.push(name);
         rest = after;
     }
-    match NAMES.iter().find(|name| !seen.contains(name)) {
-        Some(name) => Err(format!("no place for the table {name:?}")),
+    match TABLE_NAMES.iter().find(|name| !found.contains(name)) {
+        Some(name) => Err(format!("found no marker for the table {name:?}")),
         None => Ok(filled + rest),
     }
 }
 
-const NAMES: [&str; 10] =
+const TABLE_NAMES: [&str; 10] =
     ["over", "bounds", "taken", "sizes", "budgets", "backend", "keeper", "tool", "caller", "slopes"];
 
 fn table(name: &str, slopes: &Slopes, budgets: &Budgets) -> Option<String> {
     Some(match name {
-        "over" => over_table(slopes, budgets),
-        "bounds" => bounds(slopes, budgets),
-        "taken" => taken(slopes),
-        "sizes" => sizes(budgets),
-        "budgets" => list(budgets),
-        "backend" => role(Role::Backend, slopes, budgets),
-        "keeper" => role(Role::Keeper, slopes, budgets),
-        "tool" => role(Role::Tool, slopes, budgets),
-        "caller" => role(Role::Caller, slopes, budgets),
-        "slopes" => lines(slopes, budgets),
+        "over" => over_budget_table(slopes, budgets),
+        "bounds" => bounds_table(slopes, budgets),
+        "taken" => provenance_text(slopes),
+        "sizes" => sizes_table(budgets),
+        "budgets" => budgets_table(budgets),
+        "backend" => role_table(Role::Backend, slopes, budgets),
+        "keeper" => role_table(Role::Voter, slopes, budgets),
+        "tool" => role_table(Role::Tool, slopes, budgets),
+        "caller" => role_table(Role::Caller, slopes, budgets),
+        "slopes" => slopes_table(slopes, budgets),
         _ => return None,
     })
 }
 
-fn bounds(slopes: &Slopes, budgets: &Budgets) -> String {
+fn bounds_table(slopes: &Slopes, budgets: &Budgets) -> String {
     let mut rows: Vec<_> =
         budgets.bounds.iter().map(|bound| (budgets.needed(bound, slopes), bound)).collect();
     let factor = |(needed, bound): &(Option<f64>, &Bound)| needed.map_or(0.0, |needed| needed / bound.bound);
@@ -54,138 +58,147 @@
     let mut text =
         String::from("| bound | in | before | now | needed at this size | of the bound now | carried by |\n");
     text += "| --- | --- | --- | --- | --- | --- | --- |\n";
-    for (needed, row) in rows {
-        let unit = &row.unit;
-        let of = match needed {
-            Some(needed) if needed > row.bound => format!("**{}**", times(needed, row.bound)),
-            Some(needed) => times(needed, row.bound),
+    for (needed, bound) in rows {
+        let unit = &bound.unit;
+        let of_bound = match needed {
+            Some(needed) if needed > bound.bound => format!("**{}**", times(needed, bound.bound)),
+            Some(needed) => times(needed, bound.bound),
             None => String::new(),
         };
         let needed = needed.map_or("not measured".into(), |needed| format!("{} {unit}", number(needed)));
-        let [before, now] = [row.before, row.bound].map(number);
-        let (what, place, carried) = (&row.what, &row.place, &row.carried);
+        let [previous, current] = [bound.previous_bound, bound.bound].map(number);
+        let (description, location, carried_by) = (&bound.description, &bound.location, &bound.carried_by);
         let _ = writeln!(
             text,
-            "| {what} | `{place}` | {before} {unit} | {now} {unit} | {needed} | {of} | {carried} |"
+            "| {description} | `{location}` | {previous} {unit} | {current} {unit} | {needed} | {of_bound} | {carried_by} |"
         );
     }
     text
 }
 
-fn provenance(taken: &Provenance) -> String {
-    format!("{}, {}, {} cores, commit {}", taken.date, taken.machine, taken.cores, taken.commit)
+fn describe_provenance(provenance: &Provenance) -> String {
+    let Provenance { date, machine, cores, commit } = provenance;
+    format!("{date}, {machine}, {cores} cores, commit {commit}")
 }
 
-fn taken(slopes: &Slopes) -> String {
-    let [now, before] = [&slopes.taken, &slopes.before].map(provenance);
-    format!("Taken {now}; the build before {before}; unless a row says otherwise.\n")
+fn provenance_text(slopes: &Slopes) -> String {
+    let [current, previous] = [&slopes.provenance, &slopes.previous_provenance].map(describe_provenance);
+    format!("Taken {current}; the build before {previous}; unless a row says otherwise.\n")
 }
 
-fn sizes(budgets: &Budgets) -> String {
+fn sizes_table(budgets: &Budgets) -> String {
     let mut text = String::from("| size | figure |\n| --- | --- |\n");
     for size in &budgets.sizes {
-        let _ = writeln!(text, "| {} | {} |", size.what, number(size.value));
+        let _ = writeln!(text, "| {} | {} |", size.description, number(size.value));
     }
     for rate in &budgets.rates {
-        let _ = match rate.over {
-            1.0 => writeln!(text, "| {} | {} a second |", rate.what, number(rate.value)),
-            over => writeln!(text, "| {} | {} in {} s |", rate.what, number(rate.value), number(over)),
+        let _ = match rate.period_s {
+            1.0 => writeln!(text, "| {} | {} a second |", rate.description, number(rate.count)),
+            period_s => {
+                writeln!(text, "| {} | {} in {} s |", rate.description, number(rate.count), number(period_s))
+            }
         };
     }
     text
 }
 
-fn list(budgets: &Budgets) -> String {
+fn budgets_table(budgets: &Budgets) -> String {
     let mut text = String::from("| budget | at most | from |\n| --- | --- | --- |\n");
     for budget in &budgets.budgets {
-        let _ =
-            writeln!(text, "| {} | {} {} | {} |", budget.what, number(budget.most), budget.unit, budget.from);
+        let _ = writeln!(
+            text,
+            "| {} | {} {} | {} |",
+            budget.description,
+            number(budget.limit),
+            budget.unit,
+            budget.source
+        );
     }
     text
 }
 
-fn role(role: Role, slopes: &Slopes, budgets: &Budgets) -> String {
+fn role_table(role: Role, slopes: &Slopes, budgets: &Budgets) -> String {
     let mut text = String::from("| part | what | figure | known how | budget | of it | carried by |\n");
     text += "| --- | --- | --- | --- | --- | --- | --- |\n";
-    let mut rows: Vec<_> = budgets.lines.iter().filter(|line| line.role == role).collect();
-    rows.sort_by_key(|line| line.day);
-    let mut last = String::new();
-    for row in rows {
-        let on = day_in_words(row);
-        if on != last {
-            let _ = writeln!(text, "| **on {on}** | | | | | | |");
-            last = on;
+    let mut lines: Vec<_> = budgets.lines.iter().filter(|line| line.role == role).collect();
+    lines.sort_by_key(|line| line.load_case);
+    let mut last_load_case = String::new();
+    for line in lines {
+        let load_case = describe_load_case(line);
+        if load_case != last_load_case {
+            let _ = writeln!(text, "| **on {load_case}** | | | | | | |");
+            last_load_case = load_case;
         }
-        let figure = budgets.figure(row, Build::Now, slopes);
-        let budget = row.budget.as_ref().and_then(|id| budgets.budget(id));
-        let unit = budget.map_or(&row.unit, |budget| &budget.unit);
-        let basis = match (&figure, &row.assumed) {
-            (Some(_), Some(why)) => format!("assumed: {why}"),
+        let figure = budgets.figure(line, Build::Current, slopes);
+        let budget = line.budget.as_ref().and_then(|id| budgets.budget(id));
+        let unit = budget.map_or(&line.unit, |budget| &budget.unit);
+        let basis = match (&figure, &line.assumption) {
+            (Some(_), Some(assumption)) => format!("assumed: {assumption}"),
             (Some(figure), None) => figure.basis.name().to_string(),
             (None, _) => String::new(),
         };
-        let (most, of) = match (budget, &figure) {
-            (Some(budget), Some(figure)) if figure.value > budget.most => {
-                (number(budget.most), format!("**{}**", times(figure.value, budget.most)))
+        let (limit, of_budget) = match (budget, &figure) {
+            (Some(budget), Some(figure)) if figure.value > budget.limit => {
+                (number(budget.limit), format!("**{}**", times(figure.value, budget.limit)))
             }
-            (Some(budget), Some(figure)) => (number(budget.most), times(figure.value, budget.most)),
-            (Some(budget), None) => (number(budget.most), String::new()),
+            (Some(budget), Some(figure)) => (number(budget.limit), times(figure.value, budget.limit)),
+            (Some(budget), None) => (number(budget.limit), String::new()),
             (None, _) => ("none stated".into(), String::new()),
         };
         let cell = figure_cell(figure.as_ref(), unit);
         let _ = writeln!(
             text,
-            "| {} | {} | {cell} | {basis} | {most} | {of} | {} |",
-            row.part, row.what, row.carried
+            "| {} | {} | {cell} | {basis} | {limit} | {of_budget} | {} |",
+            line.part, line.description, line.carried_by
         );
     }
     text
 }
 
-fn lines(slopes: &Slopes, budgets: &Budgets) -> String {
+fn slopes_table(slopes: &Slopes, budgets: &Budgets) -> String {
     let mut text = String::from(
         "| id | what, unit | size: value | at the fleet's size | known how; spread | command; note |\n",
     );
     text += "| --- | --- | --- | --- | --- | --- |\n";
     for slope in &slopes.slopes {
-        row(&mut text, slope, budgets);
+        write_slope(&mut text, slope, budgets);
     }
     text
 }
 
-fn row(text: &mut String, slope: &Slope, budgets: &Budgets) {
-    let at = |build| match budgets.at(slope, build) {
-        Some((value, line)) => format!("{}, {}", number(value), line_in_words(line)),
+fn write_slope(text: &mut String, slope: &Slope, budgets: &Budgets) {
+    let at_fleet_size = |build| match budgets.at(slope, build) {
+        Some((value, how)) => format!("{}, {}", number(value), describe_extrapolation(how)),
         None => String::new(),
     };
-    let taken = |taken: &Option<Provenance>| match taken {
-        Some(taken) => format!("; taken {}", provenance(taken)),
+    let taken = |provenance: &Option<Provenance>| match provenance {
+        Some(provenance) => format!("; taken {}", describe_provenance(provenance)),
         None => String::new(),
     };
-    let (id, what, unit) = (&slope.id, &slope.what, &slope.unit);
+    let (id, description, unit) = (&slope.id, &slope.description, &slope.unit);
     let basis = if slope.points.is_empty() { "" } else { slope.basis.name() };
     let command = if slope.command.is_empty() { String::new() } else { format!("`{}`", slope.command) };
     let parts = [command, slope.note.clone()];
     let notes: Vec<_> = parts.iter().filter(|part| !part.is_empty()).map(String::as_str).collect();
     let source: Vec<_> = [basis, &slope.spread].into_iter().filter(|part| !part.is_empty()).collect();
-    let over = slope.axis.as_ref().map_or(String::new(), |axis| format!("; over {axis}"));
+    let axis = slope.axis.as_ref().map_or(String::new(), |axis| format!("; over {axis}"));
     let _ = writeln!(
         text,
-        "| `{id}` | {what}, {unit}{over} | {} | {} | {}{} | {} |",
+        "| `{id}` | {description}, {unit}{axis} | {} | {} | {}{} | {} |",
         points(&slope.points),
-        at(Build::Now),
+        at_fleet_size(Build::Current),
         source.join("; "),
-        taken(&slope.taken),
+        taken(&slope.provenance),
         notes.join("; ")
     );
-    if let Some(before) = &slope.before {
+    if let Some(previous) = &slope.previous {
         let _ = writeln!(
             text,
             "| the same, build before | | {} | {} | {}{} | |",
-            points(&before.points),
-            at(Build::Before),
-            before.spread,
-            taken(&before.taken)
+            points(&previous.points),
+            at_fleet_size(Build::Previous),
+            previous.spread,
+            taken(&previous.provenance)
         );
     }
 }
--- a/lab/src/scale/capacity/pages.rs
+++ b/lab/src/scale/capacity/pages.rs
@@ -1,4 +1,4 @@
-//! The page and its plots, worked out of the slopes and the budgets.
+//! Generation of the page and its plots from the slopes and the budgets.
 
 use super::budgets::Budgets;
 use super::error::CapacityError;
@@ -7,27 +7,27 @@
 use super::{page, plot};
 use std::path::{Path, PathBuf};
 
-/// What the files say, and what the pages made of them have to be.
+/// Contents of the input files, and the generated files.
 pub struct Pages {
-    /// What was measured.
+    /// Measured slopes.
     pub slopes: Slopes,
-    /// What may be spent.
+    /// Resource budgets.
     pub budgets: Budgets,
-    /// Each file's path and text.
+    /// Path and text of each generated file.
     pub files: Vec<(PathBuf, String)>,
 }
 
-/// Works the page and its plots out.
-pub fn work_out(docs: &Path) -> Result<Pages, CapacityError> {
+/// Generates the page and its plots.
+pub fn generate(docs: &Path) -> Result<Pages, CapacityError> {
     let path = docs.join("capacity/slopes.json");
     let slopes = Slopes::parse(&path, &read(&path)?)?;
     let path = docs.join("capacity/budgets.json");
     let budgets = Budgets::parse(&path, &read(&path)?, &slopes)?;
     let path = docs.join("CAPACITY.md");
-    let filled = page::fill(&read(&path)?, &slopes, &budgets);
-    let filled = filled.map_err(|reason| CapacityError::Page { path: path.clone(), reason })?;
-    let mut files = vec![(path, filled)];
-    for (name, text) in plot::all(&slopes, &budgets)
+    let page = page::fill_tables(&read(&path)?, &slopes, &budgets);
+    let page = page.map_err(|reason| CapacityError::Page { path: path.clone(), reason })?;
+    let mut files = vec![(path, page)];
+    for (name, text) in plot::draw_plots(&slopes, &budgets)
         .map_err(|(name, reason)| CapacityError::Plot { path: docs.join("capacity").join(name), reason })?
     {
         files.push((docs.join("capacity").join(name), text));
@@ -35,10 +35,12 @@
     Ok(Pages { slopes, budgets, files })
 }
 
-/// The files that are not what they have to be.
-pub fn differing(pages: &Pages) -> Vec<&Path> {
-    let same = |(path, text): &&(PathBuf, String)| std::fs::read_to_string(path).is_ok_and(|it| it == *text);
-    pages.files.iter().filter(|file| !same(file)).map(|(path, _)| path.as_path()).collect()
+/// Returns the generated files that differ from those on disk.
+pub fn outdated_files(pages: &Pages) -> Vec<&Path> {
+    let up_to_date = |(path, text): &&(PathBuf, String)| {
+        std::fs::read_to_string(path).is_ok_and(|on_disk| on_disk == *text)
+    };
+    pages.files.iter().filter(|file| !up_to_date(file)).map(|(path, _)| path.as_path()).collect()
 }
 
 #[cfg(test)]
--- a/lab/src/scale/capacity/plot.rs
+++ b/lab/src/scale/capacity/plot.rs
@@ -1,27 +1,28 @@
-//! Memory and CPU of the configuration against size, before and after, with the budget as a line.
+//! Plots of the memory and CPU time of the configuration against its size, for both builds and with the budgets.
 
 use super::budgets::Budgets;
 use super::slopes::Slopes;
 use plotters::prelude::*;
 
-/// A picture: its file, its title, the axis, slopes with their names, and budgets.
-struct Picture {
+/// Plot of several slopes and budgets.
+struct Plot {
     file: &'static str,
     title: &'static str,
     unit: &'static str,
+    /// Id and label of each slope.
     slopes: &'static [(&'static str, &'static str)],
     budgets: &'static [&'static str],
 }
 
-const PICTURES: [Picture; 2] = [
-    Picture {
+const PLOTS: [Plot; 2] = [
+    Plot {
         file: "memory.svg",
         title: "Memory for control of one backend, against methods and tenants",
         unit: "MB",
         slopes: &[("config-memory", "at the start"), ("config-memory-reloads", "after 20 reloads")],
         budgets: &["memory"],
     },
-    Picture {
+    Plot {
         file: "cpu.svg",
         title: "CPU of one change in one backend, against methods and tenants",
         unit: "ms",
@@ -31,31 +32,36 @@
 ];
 
 const COLOURS: [RGBColor; 2] = [BLUE, RGBColor(200, 120, 0)];
-const LEAST: f64 = 0.01; // what is less is drawn here: the axes are logarithmic
+/// Least value on the logarithmic axis. Smaller values are drawn at this one.
+const MIN_VALUE: f64 = 0.01;
+/// Least size on the logarithmic axis. Smaller sizes are drawn at this one.
+const MIN_SIZE: f64 = 4.0;
 
-/// Names and texts of all pictures.
-pub fn all(slopes: &Slopes, budgets: &Budgets) -> Result<Vec<(String, String)>, (String, String)> {
-    let one = |picture: &Picture| {
-        let text =
-            draw(picture, slopes, budgets).map_err(|error| (picture.file.into(), error.to_string()))?;
-        Ok((picture.file.into(), text))
+/// Draws all plots. Returns the file name and the SVG text of each.
+///
+/// # Errors
+/// A plot could not be drawn. The error is its file name and the reason.
+pub fn draw_plots(slopes: &Slopes, budgets: &Budgets) -> Result<Vec<(String, String)>, (String, String)> {
+    let draw_plot = |plot: &Plot| {
+        let text = draw(plot, slopes, budgets).map_err(|error| (plot.file.into(), error.to_string()))?;
+        Ok((plot.file.into(), text))
     };
-    PICTURES.iter().map(one).collect()
+    PLOTS.iter().map(draw_plot).collect()
 }
 
-fn draw(picture: &Picture, slopes: &Slopes, budgets: &Budgets) -> Result<String, Box<dyn std::error::Error>> {
+fn draw(plot: &Plot, slopes: &Slopes, budgets: &Budgets) -> Result<String, Box<dyn std::error::Error>> {
     let mut curves = Vec::new();
-    for ((id, name), colour) in picture.slopes.iter().zip(COLOURS) {
+    for ((id, name), colour) in plot.slopes.iter().zip(COLOURS) {
         let Some(slope) = slopes.get(id) else { continue };
-        if let Some(before) = &slope.before {
-            curves.push((format!("{name}, build before"), &before.points, colour, 1));
+        if let Some(previous) = &slope.previous {
+            curves.push((format!("{name}, build before"), &previous.points, colour, 1));
         }
         curves.push((format!("{name}, now"), &slope.points, colour, 3));
     }
     curves.retain(|(_, points, ..)| !points.is_empty());
-    let lines: Vec<_> = picture.budgets.iter().filter_map(|id| budgets.budget(id)).collect();
+    let budget_lines: Vec<_> = plot.budgets.iter().filter_map(|id| budgets.budget(id)).collect();
     let values = curves.iter().flat_map(|(_, points, ..)| points.iter().map(|point| point.1));
-    let top = values.chain(lines.iter().map(|budget| budget.most)).fold(1.0, f64::max) * 3.0;
+    let top = values.chain(budget_lines.iter().map(|budget| budget.limit)).fold(1.0, f64::max) * 3.0;
     let sizes = curves.iter().flat_map(|(_, points, ..)| points.iter().map(|point| point.0));
     let end = sizes.fold(60_000.0, f64::max) * 1.1;
     let mut text = String::new();
@@ -63,22 +69,24 @@
         let root = SVGBackend::with_string(&mut text, (900, 420)).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
-            .caption(picture.title, ("sans-serif", 16))
+            .caption(plot.title, ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(36)
             .y_label_area_size(56)
-            .build_cartesian_2d((4.0..end).log_scale(), (LEAST..top).log_scale())?;
-        chart.configure_mesh().x_desc("methods and tenants").y_desc(picture.unit).draw()?;
-        for budget in lines {
-            let line = LineSeries::new([(4.0, budget.most), (end, budget.most)], RED.stroke_width(2));
-            let name = format!("budget: {} {}", budget.most, budget.unit);
-            chart.draw_series(line)?.label(name).legend(key(RED, 2));
+            .build_cartesian_2d((MIN_SIZE..end).log_scale(), (MIN_VALUE..top).log_scale())?;
+        chart.configure_mesh().x_desc("methods and tenants").y_desc(plot.unit).draw()?;
+        for budget in budget_lines {
+            let line = LineSeries::new([(MIN_SIZE, budget.limit), (end, budget.limit)], RED.stroke_width(2));
+            let name = format!("budget: {} {}", budget.limit, budget.unit);
+            chart.draw_series(line)?.label(name).legend(legend_line(RED, 2));
         }
         for (name, points, colour, width) in curves {
-            let points: Vec<_> = points.iter().map(|(x, y)| (x.max(4.0), y.max(LEAST))).collect();
+            let points: Vec<_> = points.iter().map(|(x, y)| (x.max(MIN_SIZE), y.max(MIN_VALUE))).collect();
             let line = LineSeries::new(points.iter().copied(), colour.stroke_width(width));
-            chart.draw_series(line)?.label(name).legend(key(colour, width));
-            chart.draw_series(points.iter().map(|at| Circle::new(*at, 1 + width as i32, colour.filled())))?;
+            chart.draw_series(line)?.label(name).legend(legend_line(colour, width));
+            chart.draw_series(
+                points.iter().map(|point| Circle::new(*point, 1 + width as i32, colour.filled())),
+            )?;
         }
         let mut labels = chart.configure_series_labels();
         labels.position(SeriesLabelPosition::UpperLeft);
@@ -88,6 +96,6 @@
     Ok(text)
 }
 
-fn key(colour: RGBColor, width: u32) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> {
+fn legend_line(colour: RGBColor, width: u32) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> {
     move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour.stroke_width(width))
 }
--- a/lab/src/scale/capacity/slopes.rs
+++ b/lab/src/scale/capacity/slopes.rs
@@ -1,4 +1,4 @@
-//! `docs/capacity/slopes.json`: figures measured at several sizes, and the line through them.
+//! Figures measured at several sizes (`docs/capacity/slopes.json`), and their extrapolation to the size of the fleet.
 
 use super::error::CapacityError;
 use super::files::parse;
@@ -7,190 +7,207 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The format of the file.
+/// Format version of the file.
 pub const FORMAT: u64 = 1;
-/// Points lie on a line if none is off it by more than this share of the greatest.
-pub const WITHIN: f64 = 0.1;
-/// Sizes that a measured slope has at least.
-pub const SIZES: usize = 4;
+/// Maximum deviation of any point from the line fitted through all points, relative to the greatest value. Beyond it,
+/// the points do not count as linear.
+pub const MAX_LINE_DEVIATION: f64 = 0.1;
+/// Minimum number of sizes of a measured slope that has no point at the size of the fleet.
+pub const MIN_SIZES: usize = 4;
 
-/// Who spends it.
+/// Role whose resources a figure counts.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// A backend.
+    /// Backend.
     Backend,
-    /// A voter, where it is more than a backend.
-    Keeper,
-    /// The operators' tool.
+    /// Voter, where it uses more than a backend.
+    #[serde(rename = "keeper")]
+    Voter,
+    /// Command-line tool of the operators.
     Tool,
-    /// A caller.
+    /// Caller.
     Caller,
 }
 
-/// Where a figure comes from, the surest first.
+/// Origin of a figure, the most reliable first.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Basis {
-    /// Measured.
+    /// The figure was measured.
     #[serde(rename = "measured")]
     Measured,
-    /// Worked out of figures that were measured.
+    /// The figure was derived from measured figures.
     #[serde(rename = "worked out")]
-    WorkedOut,
-    /// Assumed.
+    Derived,
+    /// The figure is an assumption.
     #[serde(rename = "assumed")]
     Assumed,
 }
 
 impl Basis {
-    /// What it is called on the page.
+    /// Returns the name on the page.
     pub fn name(self) -> &'static str {
         match self {
             Basis::Measured => "measured",
-            Basis::WorkedOut => "worked out",
+            Basis::Derived => "worked out",
             Basis::Assumed => "assumed",
         }
     }
 }
 
-/// When, on what machine and with what build figures were measured.
+/// Date, machine and build with which figures were measured.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Provenance {
-    /// The date.
+    /// Date of the measurement.
     pub date: String,
-    /// The machine, in words.
+    /// Description of the machine.
     pub machine: String,
-    /// Its cores.
+    /// Number of cores of the machine.
     pub cores: u64,
-    /// The commit of the build.
+    /// Commit of the build.
     pub commit: String,
 }
 
-/// The same figure of the build before.
+/// Figure of a slope, measured with the previous build.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(deny_unknown_fields)]
-pub struct Before {
-    /// Size and value.
+pub struct PreviousFigure {
+    /// Pairs of size and value.
     pub points: Vec<(f64, f64)>,
-    /// Least and most, in words.
+    /// Description of the minima and maxima.
     pub spread: String,
-    /// Whether a line may be drawn through them: it does at all sizes what it does at these.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub line: bool,
-    /// Where it differs from the file's.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub taken: Option<Provenance>,
+    /// Whether the points may be extrapolated, because the build behaves the same at all sizes.
+    #[serde(rename = "line", default, skip_serializing_if = "std::ops::Not::not")]
+    pub extrapolate: bool,
+    /// Provenance of the points, if it is not that of the file.
+    #[serde(rename = "taken", default, skip_serializing_if = "Option::is_none")]
+    pub provenance: Option<Provenance>,
 }
 
-/// One row: a figure against a size.
+/// Row of the file: a figure measured against a size.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
-    /// By which terms name it.
+    /// Id by which terms refer to the slope.
     pub id: String,
-    /// Who spends it.
+    /// Role whose resources are counted.
     pub role: Role,
-    /// The part of the program: configuration, members, lists, ...
+    /// Part of the program, such as configuration, members or lists.
     pub part: String,
-    /// What is spent, in words.
-    pub what: String,
-    /// The values' unit.
+    /// Description of the resource.
+    #[serde(rename = "what")]
+    pub description: String,
+    /// Unit of the values.
     pub unit: String,
-    /// Which of the sizes in `budgets.json` the points are over; none for what grows with nothing that was tried.
+    /// Id of the size in `budgets.json` against which the points were measured. `None` if the figure did not grow with
+    /// any size that was tried.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub axis: Option<String>,
-    /// Where the values come from.
+    /// Origin of the values.
     pub basis: Basis,
-    /// What measures them.
+    /// Command that measures the values.
     pub command: String,
-    /// Size and value; empty while it is not measured.
+    /// Pairs of size and value. Empty until the figure is measured.
     pub points: Vec<(f64, f64)>,
-    /// Least and most, in words.
+    /// Description of the minima and maxima.
     pub spread: String,
-    /// What else is to be said.
+    /// Remarks.
     pub note: String,
-    /// Where it differs from the file's.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub taken: Option<Provenance>,
-    /// The same of the build before.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub before: Option<Before>,
+    /// Provenance of the points, if it is not that of the file.
+    #[serde(rename = "taken", default, skip_serializing_if = "Option::is_none")]
+    pub provenance: Option<Provenance>,
+    /// Figure of the previous build.
+    #[serde(rename = "before", default, skip_serializing_if = "Option::is_none")]
+    pub previous: Option<PreviousFigure>,
 }
 
-/// What `slopes.json` says.
+/// Contents of `slopes.json`.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Slopes {
-    /// When and where figures were measured, unless a row says otherwise.
-    pub taken: Provenance,
-    /// Of the figures of the build before.
-    pub before: Provenance,
-    /// The rows.
+    /// Provenance of the figures, unless a row has its own.
+    pub provenance: Provenance,
+    /// Provenance of the figures of the previous build, unless a row has its own.
+    pub previous_provenance: Provenance,
+    /// Rows of the file.
     pub slopes: Vec<Slope>,
 }
 
+/// File before the validation of its rows.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Raw {
+struct RawSlopes {
     format: u64,
-    taken: Provenance,
-    before: Provenance,
+    #[serde(rename = "taken")]
+    provenance: Provenance,
+    #[serde(rename = "before")]
+    previous_provenance: Provenance,
     slopes: Vec<Value>,
 }
 
 impl Slopes {
-    /// Reads the text of `path`; an error names the row at fault.
+    /// Parses the text of the file `path`.
+    ///
+    /// # Errors
+    /// The text is invalid. The error names the row.
     pub fn parse(path: &Path, text: &str) -> Result<Slopes, CapacityError> {
-        let raw: Raw = parse(path, text, FORMAT, |raw: &Raw| raw.format)?;
+        let raw: RawSlopes = parse(path, text, FORMAT, |raw: &RawSlopes| raw.format)?;
         let mut ids = BTreeSet::new();
         let mut slopes = Vec::new();
-        for (n, value) in raw.slopes.into_iter().enumerate() {
+        for (index, value) in raw.slopes.into_iter().enumerate() {
             let row = match value["id"].as_str() {
                 Some(id) => id.to_string(),
-                None => format!("number {}", n + 1),
+                None => format!("number {}", index + 1),
             };
-            let wrong = |reason: String| CapacityError::Row { path: path.into(), row: row.clone(), reason };
-            let slope: Slope = serde_json::from_value(value).map_err(|error| wrong(error.to_string()))?;
-            slope.check().map_err(wrong)?;
+            let row_error =
+                |reason: String| CapacityError::Row { path: path.into(), row: row.clone(), reason };
+            let slope: Slope = serde_json::from_value(value).map_err(|error| row_error(error.to_string()))?;
+            slope.check().map_err(row_error)?;
             if !ids.insert(slope.id.clone()) {
-                return Err(wrong("there is another with this id".into()));
+                return Err(row_error(format!("duplicate id {:?}", slope.id)));
             }
             slopes.push(slope);
         }
-        Ok(Slopes { taken: raw.taken, before: raw.before, slopes })
+        Ok(Slopes { provenance: raw.provenance, previous_provenance: raw.previous_provenance, slopes })
     }
 
-    /// A row.
+    /// Returns the slope with an id.
     pub fn get(&self, id: &str) -> Option<&Slope> {
         self.slopes.iter().find(|slope| slope.id == id)
     }
 }
 
 impl Slope {
-    /// A line wants sizes enough; a figure that is read off wants the one.
+    /// Checks that a measured slope has a point at the size of the fleet, or enough sizes to extrapolate to it.
     ///
     /// # Errors
-    /// Says how many there are.
-    pub fn check_sizes(&self, full: f64) -> Result<(), String> {
-        let (sizes, there) = (self.points.len(), self.points.iter().any(|(size, _)| *size == full));
-        if self.basis == Basis::Measured && (1..SIZES).contains(&sizes) && !there {
-            return Err(format!("points: {sizes} sizes, {SIZES} at least, or one of {full}"));
+    /// The slope has too few sizes. The error says how many.
+    pub fn check_sizes(&self, fleet_size: f64) -> Result<(), String> {
+        let (sizes, at_fleet_size) =
+            (self.points.len(), self.points.iter().any(|(size, _)| *size == fleet_size));
+        if self.basis == Basis::Measured && (1..MIN_SIZES).contains(&sizes) && !at_fleet_size {
+            return Err(format!(
+                "points: found {sizes} sizes, expected at least {MIN_SIZES}, or one of {fleet_size}"
+            ));
         }
         Ok(())
     }
     fn check(&self) -> Result<(), String> {
         check_points("points", &self.points)?;
-        if let Some(before) = &self.before {
-            check_points("before.points", &before.points)?;
-            if before.line && before.points.len() < SIZES {
-                return Err(format!("before.points: a line wants {SIZES} sizes"));
+        if let Some(previous) = &self.previous {
+            check_points("before.points", &previous.points)?;
+            let sizes = previous.points.len();
+            if previous.extrapolate && sizes < MIN_SIZES {
+                return Err(format!(
+                    "before.points: found {sizes} sizes, expected at least {MIN_SIZES} with before.line"
+                ));
             }
         }
         if self.basis == Basis::Measured && !self.points.is_empty() && self.command.is_empty() {
-            return Err("measured, but by what command is not said".into());
+            return Err("measured points without the command that measures them".into());
         }
         if (self.basis == Basis::Assumed || self.points.is_empty()) && self.note.is_empty() {
-            return Err("the note has to say why it is not measured".into());
+            return Err("empty note, expected the reason why the figure is not measured".into());
         }
         Ok(())
     }
@@ -198,50 +215,55 @@
 
 fn check_points(name: &str, points: &[(f64, f64)]) -> Result<(), String> {
     if points.iter().any(|(size, value)| !(size.is_finite() && value.is_finite() && *size >= 0.0)) {
-        return Err(format!("{name}: a size under zero, or what is no number"));
+        return Err(format!("{name}: found a negative size or a value that is not finite"));
     }
-    if points.windows(2).any(|two| two[0].0 >= two[1].0) {
-        return Err(format!("{name}: sizes have to grow"));
+    if points.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
+        return Err(format!("{name}: sizes are not in ascending order"));
     }
     Ok(())
 }
 
-/// What carries a figure from the sizes that were measured to that of the fleet.
+/// Method by which a figure at one size was obtained from those at the measured sizes.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Line {
-    /// Measured at this very size.
-    ReadOff,
-    /// `a + b size` by least squares; no point is off it by more than `off` of the greatest.
-    Fit { a: f64, b: f64, off: f64 },
-    /// The points do not lie on a line (`off` of the greatest): the two whose line says the most.
-    Pair { from: f64, to: f64, b: f64, off: f64 },
-    /// There is one point.
-    Only,
+pub enum Extrapolation {
+    /// Measured at this size, without extrapolation.
+    Exact,
+    /// Least-squares line `intercept + slope * size`. No point deviates from it by more than `deviation`, relative to
+    /// the greatest value.
+    Linear { intercept: f64, slope: f64, deviation: f64 },
+    /// Line through the pair of points that yields the greatest value, because the points deviate from the
+    /// least-squares line by up to `deviation`, relative to the greatest value.
+    WorstPair { from: f64, to: f64, slope: f64, deviation: f64 },
+    /// Value of the only point.
+    SinglePoint,
 }
 
-/// The value at `size`, and how it was come by; none without points.
-pub fn value_at(points: &[(f64, f64)], size: f64) -> Option<(f64, Line)> {
+/// Returns the value at `size` and how it was obtained, or `None` without points.
+pub fn value_at(points: &[(f64, f64)], size: f64) -> Option<(f64, Extrapolation)> {
     if let Some((_, value)) = points.iter().find(|(measured, _)| *measured == size) {
-        return Some((*value, Line::ReadOff));
+        return Some((*value, Extrapolation::Exact));
     }
     if points.len() < 2 {
-        return points.first().map(|(_, value)| (*value, Line::Only));
+        return points.first().map(|(_, value)| (*value, Extrapolation::SinglePoint));
     }
-    let n = points.len() as f64;
-    let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
-    let (x, y) = (mean(|point| point.0), mean(|point| point.1));
-    let over: f64 = points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum();
-    let b = over / points.iter().map(|point| (point.0 - x) * (point.0 - x)).sum::<f64>();
-    let a = y - b * x;
+    let count = points.len() as f64;
+    let mean = |coordinate: fn(&(f64, f64)) -> f64| points.iter().map(coordinate).sum::<f64>() / count;
+    let (mean_x, mean_y) = (mean(|point| point.0), mean(|point| point.1));
+    let sum_xy: f64 = points.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y)).sum();
+    let slope = sum_xy / points.iter().map(|point| (point.0 - mean_x) * (point.0 - mean_x)).sum::<f64>();
+    let intercept = mean_y - slope * mean_x;
     let greatest = points.iter().map(|point| point.1.abs()).fold(f64::MIN_POSITIVE, f64::max);
-    let off = points.iter().map(|point| (point.1 - a - b * point.0).abs() / greatest).fold(0.0, f64::max);
-    if off <= WITHIN {
-        return Some((a + b * size, Line::Fit { a, b, off }));
+    let deviations = points.iter().map(|point| (point.1 - intercept - slope * point.0).abs() / greatest);
+    let deviation = deviations.fold(0.0, f64::max);
+    if deviation <= MAX_LINE_DEVIATION {
+        return Some((intercept + slope * size, Extrapolation::Linear { intercept, slope, deviation }));
     }
-    let pairs = points.iter().enumerate().flat_map(|(n, p)| points[n + 1..].iter().map(move |q| (p, q)));
-    let said = pairs.map(|(p, q)| {
-        let b = (q.1 - p.1) / (q.0 - p.0);
-        (p.1 + b * (size - p.0), Line::Pair { from: p.0, to: q.0, b, off })
+    let pairs =
+        points.iter().enumerate().flat_map(|(index, p)| points[index + 1..].iter().map(move |q| (p, q)));
+    let estimates = pairs.map(|(p, q)| {
+        let slope = (q.1 - p.1) / (q.0 - p.0);
+        let how = Extrapolation::WorstPair { from: p.0, to: q.0, slope, deviation };
+        (p.1 + slope * (size - p.0), how)
     });
-    said.max_by(|one, other| one.0.total_cmp(&other.0))
+    estimates.max_by(|one, other| one.0.total_cmp(&other.0))
 }
--- a/lab/src/scale/capacity/tests/format.rs
+++ b/lab/src/scale/capacity/tests/format.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn numbers_have_significant_places() {
+fn numbers_are_rounded_to_significant_digits() {
     for (value, text) in [
         (0.0, "0"),
         (53_700.4, "53,700"),
--- a/lab/src/scale/config/session.rs
+++ b/lab/src/scale/config/session.rs
@@ -72,7 +72,7 @@
     format!("{}{}", text(&answer["error"]), problems.unwrap_or_default())
 }
 
-/// Returns the CPU time of the process between two readings that exceeds what the load alone takes in that time, in ms.
+/// Returns the CPU time of the process between two readings beyond what the load alone takes in that time, in ms.
 pub(super) fn cpu_beyond_load_ms(now: &CpuReading, since: &CpuReading, idle_cpu_ms_per_s: f64) -> f64 {
     (now.cpu_ms(since) - idle_cpu_ms_per_s * now.ms(since) / 1e3).max(0.0)
 }
@@ -147,8 +147,8 @@
         self.put_tenant(n).to_string()
     }
 
-    /// Changes every quota of the site and adds a sentinel pair of tenants, or changes every latency target if there are
-    /// no tenants. Returns the step that makes the change.
+    /// Changes every quota of the site and adds a sentinel pair of tenants. If there are no tenants, changes every latency
+    /// target instead. Returns the step that makes the change.
     pub(super) fn change_all_entries(&mut self, load: &BackgroundLoad) -> String {
         self.change_count += 1;
         let factor = 1.0 + self.change_count as f64 / 1_000.0;
