--- a/lab/src/scale/capacity/budgets.rs
+++ b/lab/src/scale/capacity/budgets.rs
@@ -245,7 +245,7 @@
 
     /// Returns the value that a bound needs at the size of the fleet.
     pub fn needed(&self, bound: &Bound, slopes: &Slopes) -> Option<f64> {
-        let value_of = |slope: &String| Some(self.at(slopes.get(slope)?, Build::Current)?.0);
+        let value_of = |slope: &String| Some(self.value_at_fleet_size(slopes.get(slope)?, Build::Current)?.0);
         bound.needed.or_else(|| bound.slope.as_ref().and_then(value_of))
     }
     /// Returns a size of the fleet.
@@ -261,13 +261,13 @@
         self.budgets.iter().find(|budget| budget.id == id)
     }
     /// Returns the value of a slope at the size of the fleet, or `None` if it has no points of that build.
-    pub fn at(&self, slope: &Slope, build: Build) -> Option<(f64, Extrapolation)> {
+    pub fn value_at_fleet_size(&self, slope: &Slope, build: Build) -> Option<(f64, Extrapolation)> {
         let size = slope.axis.as_ref().and_then(|axis| self.size(axis));
-        self.at_size(slope, size, build)
+        self.value_at_size(slope, size, build)
     }
     /// Returns the value of a slope at a size. For the previous build, only a value measured at this size is used
     /// unless its points may be extrapolated, because that build may not work at all at a size that was not measured.
-    fn at_size(&self, slope: &Slope, size: Option<f64>, build: Build) -> Option<(f64, Extrapolation)> {
+    fn value_at_size(&self, slope: &Slope, size: Option<f64>, build: Build) -> Option<(f64, Extrapolation)> {
         let points = match (build, &slope.previous) {
             (Build::Previous, Some(previous)) => &previous.points,
             _ => &slope.points,
@@ -296,7 +296,7 @@
         for term in terms {
             let slope = slopes.get(&term.slope)?;
             let size = term.size.as_ref().or(slope.axis.as_ref()).and_then(|id| self.size(id));
-            let Some((value, how)) = self.at_size(slope, size, build) else {
+            let Some((value, how)) = self.value_at_size(slope, size, build) else {
                 sum.missing_slopes.push(term.slope.clone());
                 continue;
             };
--- a/lab/src/scale/capacity/page.rs
+++ b/lab/src/scale/capacity/page.rs
@@ -31,9 +31,11 @@
     }
 }
 
+/// Names of the tables in their markers.
 const TABLE_NAMES: [&str; 10] =
     ["over", "bounds", "taken", "sizes", "budgets", "backend", "keeper", "tool", "caller", "slopes"];
 
+/// Generates the table with a name, or returns `None` if there is no such table.
 fn table(name: &str, slopes: &Slopes, budgets: &Budgets) -> Option<String> {
     Some(match name {
         "over" => over_budget_table(slopes, budgets),
@@ -166,8 +168,9 @@
     text
 }
 
+/// Writes the rows of a slope for the current build and, if it was measured, for the previous build.
 fn write_slope(text: &mut String, slope: &Slope, budgets: &Budgets) {
-    let at_fleet_size = |build| match budgets.at(slope, build) {
+    let at_fleet_size = |build| match budgets.value_at_fleet_size(slope, build) {
         Some((value, how)) => format!("{}, {}", number(value), describe_extrapolation(how)),
         None => String::new(),
     };
--- a/lab/src/scale/capacity/sources.rs
+++ b/lab/src/scale/capacity/sources.rs
@@ -23,7 +23,8 @@
     pub(super) rows: &'static [RowSource],
 }
 
-const KB_PER_MB: f64 = 1_024.0;
+/// Factor between bytes and KiB, and between KiB and MiB.
+const KIBI: f64 = 1_024.0;
 const MS_PER_S: f64 = 1e3;
 const BYTES_PER_KB: f64 = 1e3;
 
@@ -108,10 +109,10 @@
 ];
 
 const CONFIG: &[RowSource] = &[
-    row("config-memory", "rss_kb").minus("rss_kb_small").in_unit(KB_PER_MB),
-    row("config-memory-changes", "rss_kb_after").minus("rss_kb_small").in_unit(KB_PER_MB),
-    row("config-memory-reloads", "rss_kb_after_reloads").minus("rss_kb_small").in_unit(KB_PER_MB),
-    row("config-memory-peak", "peak_kb").minus("rss_kb_small").in_unit(KB_PER_MB),
+    row("config-memory", "rss_kb").minus("rss_kb_small").in_unit(KIBI),
+    row("config-memory-changes", "rss_kb_after").minus("rss_kb_small").in_unit(KIBI),
+    row("config-memory-reloads", "rss_kb_after_reloads").minus("rss_kb_small").in_unit(KIBI),
+    row("config-memory-peak", "peak_kb").minus("rss_kb_small").in_unit(KIBI),
     row("config-cpu-step", "cpu_ms_per_change"),
     row("config-cpu-reload", "cpu_ms_per_reload").or_field("cpu_ms_per_refused_reload"),
     row("config-cpu-all", "cpu_ms_all"),
@@ -123,9 +124,9 @@
     row("config-all-time", "all_ms_file"),
     row("config-bytes-step", "bytes_per_change").minus("entry_bytes"),
     row("config-bytes-disk", "bytes_per_change_disk").minus("entry_bytes"),
-    row("config-file", "file_bytes").in_unit(KB_PER_MB),
+    row("config-file", "file_bytes").in_unit(KIBI),
     row("config-start", "start_ms"),
-    row("config-memory-peak-reloads", "peak_kb_after_reloads").minus("rss_kb_small").in_unit(KB_PER_MB),
+    row("config-memory-peak-reloads", "peak_kb_after_reloads").minus("rss_kb_small").in_unit(KIBI),
     row("config-gap-floor", "gap_ms_floor"),
     row("config-small-memory", "rss_kb_small").relative_to_other(),
 ];
@@ -134,7 +135,7 @@
     row("members-cpu", "cpu_ms_per_s"),
     row("members-bytes", "bytes_per_s").in_unit(BYTES_PER_KB),
     row("members-datagrams", "datagrams_per_s"),
-    row("members-memory", "memory_kb").in_unit(KB_PER_MB),
+    row("members-memory", "memory_kb").in_unit(KIBI),
     row("members-found", "found_ms").in_unit(MS_PER_S),
     row("members-detect", "detect_ms_max").in_unit(MS_PER_S),
     row("members-transition", "transition_all_ms").in_unit(MS_PER_S),
@@ -171,13 +172,13 @@
 const AGREE: &[RowSource] = &[
     row("holder-cpu", "holder_cpu_ms_per_s_changing"),
     row("holder-bytes", "holder_bytes_per_s_changing").in_unit(BYTES_PER_KB),
-    row("holder-memory", "holder_kb_after").in_unit(KB_PER_MB),
+    row("holder-memory", "holder_kb_after").in_unit(KIBI),
     row("keeper-cpu", "leader_cpu_ms_per_s_changing"),
     row("keeper-bytes", "leader_bytes_per_s_changing").in_unit(BYTES_PER_KB),
     row("keeper-messages", "leader_messages_per_s_changing"),
-    row("keeper-memory", "keeper_kb").in_unit(KB_PER_MB),
+    row("keeper-memory", "keeper_kb").in_unit(KIBI),
     row("keeper-disk-change", "disk_bytes_per_change"),
-    row("keeper-disk", "disk_bytes_whole").in_unit(KB_PER_MB),
+    row("keeper-disk", "disk_bytes_whole").in_unit(KIBI),
     row("keeper-catch-up", "catch_up_ms").in_unit(MS_PER_S),
     row("keeper-catch-up-cpu", "catch_up_keepers_cpu_ms"),
     row("keeper-catch-up-region", "catch_up_ms_255").in_unit(MS_PER_S),
--- a/lab/src/scale/capacity/tests/import.rs
+++ b/lab/src/scale/capacity/tests/import.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn imports_medians_and_a_repeated_import_changes_nothing() {
-    let copy = DocsCopy::new("take");
+    let copy = DocsCopy::new("import");
     let path = copy.0.join("capacity/slopes.json");
     let sizes = [(5, 0), (470, 4_900), (1_500, 16_000), (4_700, 49_000)];
     let output = |(methods, tenants): (u64, u64), added_kb: u64| json!({"scenario": "scale-config", "methods": methods, "tenants": tenants, "rss_kb": 20_480 + added_kb, "rss_kb_small": 10_240});
@@ -52,7 +52,7 @@
     let twice = import_outputs(&path, &once, &outputs, MeasuredBuild::After, None).unwrap().text;
     assert_eq!(once, twice);
     let lines = outputs.iter().map(|output| format!("{output}\n")).collect::<String>();
-    std::fs::write(copy.0.join("out.txt"), format!("playing\n{lines}")).unwrap();
+    std::fs::write(copy.0.join("out.txt"), format!("not json\n{lines}")).unwrap();
     assert_eq!(read_outputs(&copy.0.join("out.txt")).unwrap(), outputs);
     let nested = json!({"command": "x", "result": {"scenario": "scale-tool", "runs": outputs}});
     std::fs::write(copy.0.join("out.txt"), nested.to_string()).unwrap();
--- a/lab/src/scale/capacity/tests/pages.rs
+++ b/lab/src/scale/capacity/tests/pages.rs
@@ -30,9 +30,9 @@
     let output = json!({"scenario": "scale-config", "methods": 4_700, "tenants": 49_000, "cpu_ms_per_reload": 12_345.0});
     let (path, before) = (copy.0.join("capacity/slopes.json"), MeasuredBuild::Before);
     copy.change("capacity/slopes.json", |text| {
-        let four =
+        let three_sizes =
             [1.0, 2.0, 3.0].map(|n| json!({"scenario": "scale-config", "methods": n as u64, "tenants": 0, "cpu_ms_per_reload": n}));
-        let all = [&four[..], &[output]].concat();
+        let all = [&three_sizes[..], &[output]].concat();
         import::import_outputs(&path, &text, &all, before, None).unwrap().text
     });
     assert_eq!(copy.outdated_files(), ["CAPACITY.md", "cpu.svg"]);
@@ -123,10 +123,10 @@
     let pages = generate(&copy.0).unwrap();
     let (_, table) = pages.files[0].1.split_once("<!-- capacity: over -->").unwrap();
     let (table, _) = table.split_once("<!-- end -->").unwrap();
-    let place = |what: &str| table.find(what).unwrap();
-    let changes = place("configuration, after 200 changes of one entry");
-    let start = place("configuration, at the start");
-    let gap = place("longest time without an answer");
+    let position = |description: &str| table.find(description).unwrap();
+    let changes = position("configuration, after 200 changes of one entry");
+    let start = position("configuration, at the start");
+    let gap = position("longest time without an answer");
     assert!(changes < start && start < gap, "{table}");
     assert!(table.contains("| **1,152 MB, 36 times** | **288 MB, 9 times** |"), "{table}");
     assert!(table.contains("| **128 MB, 4 times** | 32 MB, 1 times |"), "{table}");
--- a/lab/src/scale/config/budgets.rs
+++ b/lab/src/scale/config/budgets.rs
@@ -14,7 +14,7 @@
 /// Memory fields, which are limited by [`MAX_ADDED_MEMORY_KB`]. The last two include the changes of every entry.
 pub(super) const MEMORY_FIELDS: [&str; 6] =
     ["rss_kb", "rss_kb_after", "rss_kb_after_reloads", "peak_kb_after_reloads", "rss_kb_end", "peak_kb"];
-/// Maximum memory in addition to that of the small site.
+/// Maximum memory in addition to that of the same build with a few methods and no tenants.
 const MAX_ADDED_MEMORY_KB: f64 = 32.0 * 1024.0;
 
 /// Returns a description of each field that is over its budget, with its value and the budget.
--- a/lab/src/scale/config/scenario.rs
+++ b/lab/src/scale/config/scenario.rs
@@ -4,7 +4,7 @@
 use super::fields::{phase, FIELDS};
 use super::phase_report::report_phases;
 use super::session::Session;
-use super::undo::Supported;
+use super::undo::SupportedChanges;
 use crate::process::load_average;
 use crate::report::{Report, ScenarioError};
 use crate::scale::options::ScaleOptions;
@@ -114,7 +114,7 @@
     let reload_count = if options.quick { options.reloads.min(QUICK_RELOADS) } else { options.reloads };
     let reloads = session.measure_reloads(load, reload_count, idle_cpu_ms_per_s)?;
     session.measure_full_changes(load, idle_cpu_ms_per_s, steps)?;
-    session.measure_undo(load, idle_cpu_ms_per_s, Supported { steps, reloads })?;
+    session.measure_undo(load, idle_cpu_ms_per_s, SupportedChanges { steps, reloads })?;
     session.check_rejections()?;
     load.set_phase(phase::WARM_UP);
     let status = session.control.status()?;
--- a/lab/src/scale/config/undo.rs
+++ b/lab/src/scale/config/undo.rs
@@ -22,7 +22,7 @@
 
 /// Ways of changing the configuration that the build supports.
 #[derive(Clone, Copy)]
-pub(super) struct Supported {
+pub(super) struct SupportedChanges {
     /// Steps through the control socket.
     pub(super) steps: bool,
     /// Reloads of the configuration file.
@@ -32,7 +32,7 @@
 impl Session<'_> {
     /// Makes a change of each kind and undoes it.
     pub(super) fn measure_undo(
-        &mut self, load: &BackgroundLoad, idle_cpu_ms_per_s: f64, supported: Supported,
+        &mut self, load: &BackgroundLoad, idle_cpu_ms_per_s: f64, supported: SupportedChanges,
     ) -> Result<(), ScenarioError> {
         load.set_phase(phase::UNDO);
         for kind in [ChangeKind::SingleEntry, ChangeKind::Reload, ChangeKind::AllEntries] {
@@ -66,7 +66,7 @@
 
     /// Makes a change of a kind, if the build supports it.
     fn apply_change(
-        &mut self, kind: ChangeKind, load: &BackgroundLoad, supported: Supported,
+        &mut self, kind: ChangeKind, load: &BackgroundLoad, supported: SupportedChanges,
     ) -> Result<Outcome, ScenarioError> {
         match kind {
             ChangeKind::SingleEntry if supported.steps => {
--- a/lab/src/scale/forms/measure.rs
+++ b/lab/src/scale/forms/measure.rs
@@ -11,7 +11,7 @@
 /// Number of versions that are created after the first.
 const ADDED_VERSIONS: usize = 20;
 const TURNS: usize = 5;
-/// Product of the number of entries and of runs in a turn, within the limits for the number of runs.
+/// Target for the total number of entries over all runs of a turn, which determines the number of runs.
 const ENTRIES_PER_TURN: usize = 2_000_000;
 
 /// Returns the CPU time of one run in microseconds, as the median over several turns of `runs` runs each.
