--- a/lab/src/scale/callers.rs
+++ b/lab/src/scale/callers.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Reports whether the server has not closed the connection. Reads and discards the data received so far.
+/// Reports whether the connection is still open. Reads and discards the data received so far.
 fn is_open(stream: &mut TcpStream) -> bool {
     if stream.set_nonblocking(true).is_err() {
         return false;
@@ -70,10 +70,12 @@
     thread_cpu_ns(&node.process()).map(|(_, ns)| ns as f64).sum::<f64>() / 1e6
 }
 
+/// Returns the number of open file descriptors of the process.
 fn descriptor_count(node: &Node) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", node.process())).map_or(0, Iterator::count)
 }
 
+/// Starts the process with an agent, an upstream and a name service, and settings for all callers.
 fn start_node(program: Option<&Path>) -> Result<Node, ScenarioError> {
     let methods = [Method { work: Duration::from_micros(200), ..LOOK }];
     let agent = Agent::start(CORES, &methods)?;
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -234,6 +234,7 @@
     Ok(points)
 }
 
+/// Measures the idle CPU time of all points, then their RPCs in rounds.
 fn measure(report: &mut Report, points: &mut [Point], plan: &Plan, seed: u64) -> Result<(), ScenarioError> {
     thread::sleep(STARTUP_SETTLE_TIME);
     let before: Vec<_> = points.iter_mut().map(|point| point.bed.meter.read()).collect();
@@ -250,6 +251,7 @@
     Ok(())
 }
 
+/// Shuts all processes down and checks their exits.
 fn shut_down(report: &mut Report, points: &mut [Point]) {
     let mut left_processes = 0;
     points.iter().for_each(|point| point.bed.node.signal("TERM"));
--- a/lab/src/scale/tool.rs
+++ b/lab/src/scale/tool.rs
@@ -94,6 +94,7 @@
     Ok(Usage { cpu_ms: after.cpu_ms - before.cpu_ms, peak_mb: after.peak_mb })
 }
 
+/// Measures all commands. CPU times are medians over the runs, and peak memory is that of all runs so far.
 fn measure(program: &Path, files: [&Path; 2]) -> Result<Value, ScenarioError> {
     let mut figures = json!({});
     for command in COMMANDS {
