--- a/lab/src/agent.rs
+++ b/lab/src/agent.rs
@@ -47,7 +47,7 @@
     /// Launches of runs that are there already, which do not begin again.
     pub repeated_launches: u64,
     /// Work that was given to cores.
-    pub worked: Duration,
+    pub total_work: Duration,
     /// When a run was notified to go on without its call.
     pub skipped_calls: Vec<Instant>,
     created: Instant,
@@ -79,7 +79,7 @@
 #[derive(Clone)]
 pub struct Agent {
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     cores: usize,
     methods: Arc<Vec<Method>>,
     shared: Arc<(Mutex<AgentState>, Condvar)>,
@@ -89,9 +89,9 @@
     /// Listens on a port that the system chooses.
     pub fn start(cores: usize, methods: &[Method]) -> std::io::Result<Agent> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let at = listener.local_addr()?;
+        let address = listener.local_addr()?;
         let shared = Arc::new((Mutex::new(AgentState::new()), Condvar::new()));
-        let agent = Agent { at, cores, methods: Arc::new(methods.to_vec()), shared };
+        let agent = Agent { address, cores, methods: Arc::new(methods.to_vec()), shared };
         let (acceptor, worker) = (agent.clone(), agent.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -119,7 +119,7 @@
     }
 
     /// The backend restarts beside an agent that goes on: notices are numbered from 1 again.
-    pub fn backend_restarted(&self) {
+    pub fn handle_backend_restart(&self) {
         self.state().forget_backend();
     }
 
@@ -203,7 +203,7 @@
             thrashes: false,
             lost_launch: None,
             repeated_launches: 0,
-            worked: Duration::ZERO,
+            total_work: Duration::ZERO,
             skipped_calls: Vec::new(),
             created: Instant::now(),
             launches: 0,
@@ -337,7 +337,7 @@
             let slowdown = if self.thrashes { crowding.clamp(1.0, WORST_THRASHING) } else { 1.0 };
             let slowdown = slowdown / self.speed();
             let key = (now + run.method.work.mul_f64(slowdown), self.next_number);
-            self.worked += run.method.work;
+            self.total_work += run.method.work;
             self.on_cores.insert(key, run);
         }
     }
--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::report::ScenarioError;
 use crate::setup::{Services, Setup};
-use crate::stand_ins::{start_echo_upstream, start_naming};
+use crate::stubs::{start_echo_upstream, start_name_service};
 use std::time::{Duration, Instant};
 
 /// A backend among its stand-ins.
@@ -20,8 +20,8 @@
     pub fn start(setup: &Setup, password: &str) -> Result<Backend, ScenarioError> {
         let agent = Agent::start(setup.cores, &setup.methods)?;
         agent.state().lost_launch = setup.lost_launch;
-        let (upstream, naming) = (start_echo_upstream()?, start_naming()?);
-        let services = Services { agent: agent.at, upstream, naming };
+        let (upstream, naming) = (start_echo_upstream()?, start_name_service()?);
+        let services = Services { agent: agent.address, upstream, naming };
         let node = Node::start(setup, &services, password)?;
         Ok(Backend { agent, node })
     }
--- a/lab/src/broker/channel.rs
+++ b/lab/src/broker/channel.rs
@@ -12,7 +12,7 @@
 }
 
 /// A message that the client publishes, as far as it has come.
-pub(super) struct Publishing {
+pub(super) struct PendingPublish {
     pub(super) publish: Publish,
     pub(super) properties: Option<AMQPProperties>,
     pub(super) body: Vec<u8>,
@@ -20,9 +20,9 @@
     pub(super) body_size: Option<u64>,
 }
 
-impl Publishing {
-    pub(super) fn new(publish: Publish) -> Publishing {
-        Publishing { publish, properties: None, body: Vec::new(), body_size: None }
+impl PendingPublish {
+    pub(super) fn new(publish: Publish) -> PendingPublish {
+        PendingPublish { publish, properties: None, body: Vec::new(), body_size: None }
     }
 
     fn is_complete(&self) -> bool {
@@ -43,7 +43,7 @@
     pub(super) settled_messages: Vec<(String, Message)>,
     /// Publisher confirms so far, if they were selected.
     pub(super) confirms: Option<u64>,
-    pub(super) publishing: Option<Publishing>,
+    pub(super) pending_publish: Option<PendingPublish>,
 }
 
 impl Channel {
@@ -60,8 +60,8 @@
     }
 
     /// What is published, once it is complete.
-    pub(super) fn take_published(&mut self) -> Option<Publishing> {
-        self.publishing.take_if(|publishing| publishing.is_complete())
+    pub(super) fn take_published(&mut self) -> Option<PendingPublish> {
+        self.pending_publish.take_if(|pending_publish| pending_publish.is_complete())
     }
 
     /// The delivery tag of the next publisher confirm, if those were selected.
--- a/lab/src/broker/connection.rs
+++ b/lab/src/broker/connection.rs
@@ -34,7 +34,7 @@
     /// It sends nothing more, and reads nothing.
     pub(super) silent: bool,
     /// The client has closed it with code 200.
-    pub(super) closed_in_order: bool,
+    pub(super) closed_cleanly: bool,
     pub(super) heartbeat_s: u16,
     last_write: Instant,
     pub(super) unblock_at: Option<Instant>,
@@ -43,7 +43,7 @@
 /// Whether the connection goes on.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Next {
-    GoOn,
+    Continue,
     Close,
 }
 
@@ -63,7 +63,7 @@
             out: Vec::new(),
             open: false,
             silent: false,
-            closed_in_order: false,
+            closed_cleanly: false,
             heartbeat_s: 0,
             last_write: Instant::now(),
             unblock_at: None,
@@ -109,7 +109,7 @@
         self.flush()?;
         let mut frames = FrameReader::new(Origin::Client, MAX_FRAME);
         loop {
-            let next = if self.silent { self.stay_silent() } else { self.turn(&mut frames)? };
+            let next = if self.silent { self.stay_silent() } else { self.poll(&mut frames)? };
             if next == Next::Close {
                 return Some(());
             }
@@ -133,7 +133,7 @@
     }
 
     /// Reads what has come, delivers, and keeps the heartbeat. None if the connection breaks or is cut.
-    fn turn(&mut self, frames: &mut FrameReader) -> Option<Next> {
+    fn poll(&mut self, frames: &mut FrameReader) -> Option<Next> {
         let mut bytes = [0; 16 * 1024];
         match self.stream.read(&mut bytes) {
             Ok(0) => return Some(Next::Close),
@@ -159,7 +159,7 @@
             write_frame(&mut self.out, &AMQPFrame::Heartbeat(0));
         }
         self.flush()?;
-        Some(Next::GoOn)
+        Some(Next::Continue)
     }
 
     /// Reads nothing, until the client closes the connection or it has been silent for long.
@@ -167,8 +167,8 @@
         std::thread::sleep(SILENT_POLL);
         match self.stream.peek(&mut [0]) {
             // The end may lie behind what is not read.
-            Ok(n) if n > 0 && self.last_write.elapsed() < SILENT_FOR => Next::GoOn,
-            Err(error) if is_timeout(&error) => Next::GoOn,
+            Ok(n) if n > 0 && self.last_write.elapsed() < SILENT_FOR => Next::Continue,
+            Err(error) if is_timeout(&error) => Next::Continue,
             _ => Next::Close,
         }
     }
@@ -185,7 +185,7 @@
         let channels = std::mem::take(&mut self.channels);
         let mut state = lock(&self.state);
         for channel in channels.into_values() {
-            let unsettled = if self.closed_in_order { channel.unsettled.len() as u64 } else { 0 };
+            let unsettled = if self.closed_cleanly { channel.unsettled.len() as u64 } else { 0 };
             state.requeue(channel, cut);
             state.ledger.lost -= unsettled;
             state.ledger.unsettled += unsettled;
--- a/lab/src/broker/delivery.rs
+++ b/lab/src/broker/delivery.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// Bytes of a body that go into one frame.
-pub(super) const CONTENT_FRAME: usize = 4096;
+pub(super) const MAX_CONTENT_FRAME_BYTES: usize = 4096;
 const OUT_MAX: usize = 1 << 18; // bytes that wait to be written, beyond which nothing more is delivered
 const UNREAD_BEFORE_CUT: Duration = Duration::from_millis(20);
 const BLOCKED_FOR: Duration = Duration::from_millis(300);
@@ -27,7 +27,7 @@
 /// What the script wants after a delivery.
 enum Interruption {
     Cut,
-    ScenarioError(BrokerFault),
+    Fault(BrokerFault),
     /// Enough waits to be written.
     Flush,
 }
@@ -46,7 +46,7 @@
                 std::thread::sleep(UNREAD_BEFORE_CUT);
                 None
             }
-            Some(Interruption::ScenarioError(fault)) => self.play_fault(fault),
+            Some(Interruption::Fault(fault)) => self.inject_fault(fault),
         }
     }
 
@@ -79,7 +79,7 @@
         None
     }
 
-    fn play_fault(&mut self, fault: BrokerFault) -> Option<()> {
+    fn inject_fault(&mut self, fault: BrokerFault) -> Option<()> {
         let id = self.channels.iter().find(|(_, channel)| channel.consumer.is_some()).map(|(id, _)| *id)?;
         match fault {
             BrokerFault::CancelConsumer => {
@@ -119,16 +119,16 @@
                 let byte = |n: u32| (n.wrapping_mul(2_654_435_761) >> 13) as u8;
                 self.out.extend((0..GARBAGE_BYTES).map(byte));
             }
-            BrokerFault::HalfContent => {
+            BrokerFault::SplitContent => {
                 self.flush()?;
-                self.deliver_in_halves(id)?;
+                self.deliver_in_two_parts(id)?;
             }
         }
         Some(())
     }
 
     /// A delivery whose body comes in two halves, half a second apart.
-    fn deliver_in_halves(&mut self, id: u16) -> Option<()> {
+    fn deliver_in_two_parts(&mut self, id: u16) -> Option<()> {
         let body = b"half and half".to_vec();
         let bytes = self.extra_delivery(id, body.clone(), &body)?;
         // All but the body's frame first.
@@ -146,7 +146,7 @@
         let queue = channel.consumer.as_ref()?.queue.clone();
         let mut state = lock(&self.state);
         state.ledger.deliveries += 1;
-        let number = state.number();
+        let number = state.next_number();
         drop(state);
         let delivery_tag =
             channel.assign_tag(queue, Message { number, body: returned, ..Message::default() });
@@ -159,7 +159,7 @@
         };
         let mut bytes = Vec::new();
         let method = AMQPClass::Basic(BasicMethod::Deliver(deliver));
-        write_content(&mut bytes, id, method, AMQPProperties::default(), body, CONTENT_FRAME);
+        write_content(&mut bytes, id, method, AMQPProperties::default(), body, MAX_CONTENT_FRAME_BYTES);
         Some(bytes)
     }
 }
@@ -175,7 +175,7 @@
     if state.script.faults.front().is_some_and(|(after, _)| deliveries >= *after) {
         let (_, fault) = state.script.faults.pop_front()?;
         state.ledger.faults += 1;
-        return Some(Interruption::ScenarioError(fault));
+        return Some(Interruption::Fault(fault));
     }
     None
 }
@@ -191,7 +191,7 @@
         routing_key: queue.as_str().into(),
     };
     let method = AMQPClass::Basic(BasicMethod::Deliver(deliver));
-    write_content(out, id, method, properties(&message, counts), &message.body, CONTENT_FRAME);
+    write_content(out, id, method, properties(&message, counts), &message.body, MAX_CONTENT_FRAME_BYTES);
     let queue = queue.clone();
     channel.assign_tag(queue, message);
 }
--- a/lab/src/broker/faults.rs
+++ b/lab/src/broker/faults.rs
@@ -8,7 +8,7 @@
     /// After so many deliveries the connection is cut; each is used once, in order.
     pub cuts: VecDeque<u64>,
     /// On a cut, what was settled on the connection counts as never read: all of it is delivered again.
-    pub forgets_settlements: bool,
+    pub loses_settlements: bool,
     /// Every so many-th redelivery is sent twice, with two tags; 0 for none.
     pub duplicate_every: u64,
     /// After so many deliveries: a fault, once each.
@@ -41,5 +41,5 @@
     /// Bytes that are no frame.
     Garbage,
     /// A frame's header and half of its content, then nothing for half a second.
-    HalfContent,
+    SplitContent,
 }
--- a/lab/src/broker/ledger.rs
+++ b/lab/src/broker/ledger.rs
@@ -47,7 +47,7 @@
     /// Connections that were accepted.
     pub connections: u64,
     /// Connections that the client closed with code 200.
-    pub closed_in_order: u64,
+    pub closed_cleanly: u64,
     /// When the client closed the last one.
     pub closed_at: Option<Instant>,
     /// Answers that reached a queue.
--- a/lab/src/broker/message.rs
+++ b/lab/src/broker/message.rs
@@ -19,9 +19,9 @@
 
 /// A queue that never empties.
 #[derive(Clone)]
-pub struct Endless {
+pub struct EndlessQueue {
     /// Its name.
     pub queue: String,
     /// Makes the message of a number.
-    pub make: fn(u64) -> Message,
+    pub make_message: fn(u64) -> Message,
 }
--- a/lab/src/broker/methods.rs
+++ b/lab/src/broker/methods.rs
@@ -1,8 +1,8 @@
 //! What the broker does with each frame of a client.
 
-use super::channel::{Channel, Consumer, Publishing};
+use super::channel::{Channel, Consumer, PendingPublish};
 use super::connection::{Connection, Next};
-use super::delivery::CONTENT_FRAME;
+use super::delivery::MAX_CONTENT_FRAME_BYTES;
 use super::ledger::{Reply, Settlement};
 use crate::sync::lock;
 use amq_protocol::frame::AMQPFrame;
@@ -40,18 +40,18 @@
             }
             AMQPFrame::Method(id, AMQPClass::Basic(method)) => self.handle_basic(id, method),
             AMQPFrame::Header(id, _, header) => {
-                let publishing = self.channels.get_mut(&id)?.publishing.as_mut()?;
-                publishing.properties = Some(header.properties);
-                publishing.body_size = Some(header.body_size);
-                self.finish_publishing(id)?;
+                let pending_publish = self.channels.get_mut(&id)?.pending_publish.as_mut()?;
+                pending_publish.properties = Some(header.properties);
+                pending_publish.body_size = Some(header.body_size);
+                self.finish_publish(id)?;
             }
             AMQPFrame::Body(id, bytes) => {
-                self.channels.get_mut(&id)?.publishing.as_mut()?.body.extend_from_slice(&bytes);
-                self.finish_publishing(id)?;
+                self.channels.get_mut(&id)?.pending_publish.as_mut()?.body.extend_from_slice(&bytes);
+                self.finish_publish(id)?;
             }
             _ => {}
         }
-        Some(Next::GoOn)
+        Some(Next::Continue)
     }
 
     fn handle_connection(&mut self, method: ConnectionMethod) -> Option<Next> {
@@ -66,16 +66,16 @@
             ConnectionMethod::Close(close) => {
                 let close_ok = ConnectionMethod::CloseOk(connection::CloseOk {});
                 self.send(0, AMQPClass::Connection(close_ok));
-                self.closed_in_order = close.reply_code == REPLY_SUCCESS;
+                self.closed_cleanly = close.reply_code == REPLY_SUCCESS;
                 let mut state = lock(&self.state);
-                state.ledger.closed_in_order += u64::from(self.closed_in_order);
+                state.ledger.closed_cleanly += u64::from(self.closed_cleanly);
                 state.ledger.closed_at = Some(Instant::now());
                 return Some(Next::Close);
             }
             ConnectionMethod::CloseOk(_) => return Some(Next::Close),
             _ => {}
         }
-        Some(Next::GoOn)
+        Some(Next::Continue)
     }
 
     /// Checks the password of SASL PLAIN, and tunes the connection. None if the response is no such.
@@ -119,7 +119,7 @@
                 let settlement = if reject.requeue { Settlement::Requeued } else { Settlement::Rejected };
                 self.settle(id, reject.delivery_tag, settlement);
             }
-            BasicMethod::Publish(publish) => channel.publishing = Some(Publishing::new(publish)),
+            BasicMethod::Publish(publish) => channel.pending_publish = Some(PendingPublish::new(publish)),
             _ => {}
         }
     }
@@ -155,17 +155,17 @@
         if settlement == Settlement::Requeued {
             message.delivered += 1;
             state.queues.entry(queue).or_default().push_front(message);
-        } else if state.script.forgets_settlements {
+        } else if state.script.loses_settlements {
             channel.settled_messages.push((queue, message));
         }
     }
 
     /// Routes what the client published, once it is complete: an answer.
-    fn finish_publishing(&mut self, id: u16) -> Option<()> {
+    fn finish_publish(&mut self, id: u16) -> Option<()> {
         let channel = self.channels.get_mut(&id)?;
         let Some(published) = channel.take_published() else { return Some(()) };
         let confirm = channel.next_confirm();
-        let Publishing { publish, properties, body, .. } = published;
+        let PendingPublish { publish, properties, body, .. } = published;
         let properties = properties.unwrap_or_default();
         let mut state = lock(&self.state);
         if state.reply_queues.contains(publish.routing_key.as_str()) {
@@ -179,7 +179,14 @@
                 exchange: publish.exchange,
                 routing_key: publish.routing_key,
             });
-            write_content(&mut self.out, id, AMQPClass::Basic(returned), properties, &body, CONTENT_FRAME);
+            write_content(
+                &mut self.out,
+                id,
+                AMQPClass::Basic(returned),
+                properties,
+                &body,
+                MAX_CONTENT_FRAME_BYTES,
+            );
         }
         drop(state);
         if let Some(delivery_tag) = confirm {
--- a/lab/src/broker/mod.rs
+++ b/lab/src/broker/mod.rs
@@ -13,5 +13,5 @@
 
 pub use faults::{BrokerFault, FaultScript};
 pub use ledger::{BrokerLedger, Settlement};
-pub use message::{Endless, Message};
+pub use message::{EndlessQueue, Message};
 pub use server::Broker;
--- a/lab/src/broker/server.rs
+++ b/lab/src/broker/server.rs
@@ -14,7 +14,7 @@
 #[derive(Clone)]
 pub struct Broker {
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     state: Arc<Mutex<BrokerState>>,
 }
 
@@ -22,9 +22,9 @@
     /// Listens on a port that the system chooses.
     pub fn start(script: FaultScript) -> std::io::Result<Broker> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let at = listener.local_addr()?;
+        let address = listener.local_addr()?;
         let state = Arc::new(Mutex::new(BrokerState::new(script)));
-        let broker = Broker { at, state: state.clone() };
+        let broker = Broker { address, state: state.clone() };
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let state = state.clone();
@@ -36,8 +36,8 @@
 
     /// The same broker by an address at which nobody listens.
     pub fn unreachable(&self) -> std::io::Result<Broker> {
-        let at = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        Ok(Broker { at, state: self.state.clone() })
+        let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
+        Ok(Broker { address, state: self.state.clone() })
     }
 
     /// What its connections share.
@@ -58,12 +58,12 @@
     /// Puts a message into a queue.
     pub fn publish(&self, queue: &str, mut message: Message) {
         let mut state = self.state();
-        message.number = state.number();
+        message.number = state.next_number();
         state.queues.entry(queue.into()).or_default().push_back(message);
     }
 
     /// Messages that are ready in a queue.
-    pub fn ready(&self, queue: &str) -> usize {
+    pub fn ready_messages(&self, queue: &str) -> usize {
         self.state().queues.get(queue).map_or(0, VecDeque::len)
     }
 }
--- a/lab/src/broker/state.rs
+++ b/lab/src/broker/state.rs
@@ -3,7 +3,7 @@
 use super::channel::Channel;
 use super::faults::FaultScript;
 use super::ledger::BrokerLedger;
-use super::message::{Endless, Message};
+use super::message::{EndlessQueue, Message};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What all connections of the broker share.
@@ -11,7 +11,7 @@
     /// Messages that are ready, by queue.
     pub queues: BTreeMap<String, VecDeque<Message>>,
     /// A queue that never empties.
-    pub endless: Option<Endless>,
+    pub endless_queue: Option<EndlessQueue>,
     /// Queues that take answers.
     pub reply_queues: BTreeSet<String>,
     /// What goes wrong.
@@ -20,31 +20,32 @@
     pub ledger: BrokerLedger,
     /// The password of each user.
     pub password: String,
-    pub(super) next_number: u64,
+    pub(super) last_number: u64,
 }
 
 impl BrokerState {
     pub(super) fn new(script: FaultScript) -> BrokerState {
         BrokerState {
             queues: BTreeMap::new(),
-            endless: None,
+            endless_queue: None,
             reply_queues: BTreeSet::new(),
             script,
             ledger: BrokerLedger::default(),
             password: "secret of the stand-in".into(),
-            next_number: 0,
+            last_number: 0,
         }
     }
 
     /// The number of a message that is made now.
-    pub(super) fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    pub(super) fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
     /// Whether a queue can be consumed from.
     pub(super) fn has_queue(&self, queue: &str) -> bool {
-        self.queues.contains_key(queue) || self.endless.as_ref().is_some_and(|endless| endless.queue == queue)
+        self.queues.contains_key(queue)
+            || self.endless_queue.as_ref().is_some_and(|endless| endless.queue == queue)
     }
 
     /// The next message of a queue; none while it is empty.
@@ -52,9 +53,9 @@
         if let Some(message) = self.queues.get_mut(queue).and_then(VecDeque::pop_front) {
             return Some(message);
         }
-        let make = self.endless.as_ref().filter(|endless| endless.queue == queue)?.make;
-        let number = self.number();
-        Some(Message { number, ..make(number) })
+        let make_message = self.endless_queue.as_ref().filter(|endless| endless.queue == queue)?.make_message;
+        let number = self.next_number();
+        Some(Message { number, ..make_message(number) })
     }
 
     /// What a channel did not settle goes back to the front of its queue, in its order; after a cut by a broker that
--- a/lab/src/dispatch.rs
+++ b/lab/src/dispatch.rs
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 /// It could not be played.
-pub fn play(scenario: Scenario, report: &mut Report, arguments: &Arguments) -> Result<(), ScenarioError> {
+pub fn run(scenario: Scenario, report: &mut Report, arguments: &Arguments) -> Result<(), ScenarioError> {
     let seed = arguments.seed;
     let rate = arguments.rate.unwrap_or(RATE);
     let nodes = arguments.nodes.clamp(*NODES.start(), *NODES.end());
--- a/lab/src/fleet/agree/caller.rs
+++ b/lab/src/fleet/agree/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::callers::UnansweredAttempt;
 use crate::fleet::cluster::Fleet;
-use crate::method::PRICE;
+use crate::method::TILL_PRICE;
 use crate::sidecar::{read_frame, unix_us, Frame, RpcHeader, ABORTED, OK};
 use crate::sync::lock;
 use crate::time::ms;
@@ -47,7 +47,7 @@
     pub(super) fn start(fleet: &Fleet) -> BarredCaller {
         let caller = BarredCaller { ledger: Arc::default(), stopped: Arc::default() };
         for (node, member) in fleet.members.iter().enumerate() {
-            let (at, start) = (member.node.at, fleet.start);
+            let (at, start) = (member.node.address, fleet.start);
             let (ledger, stopped) = (caller.ledger.clone(), caller.stopped.clone());
             std::thread::spawn(move || call_node(at, node, start, &ledger, &stopped));
         }
@@ -77,7 +77,7 @@
             }
             let trace = unix_us() ^ (node as u64) << 56;
             let header =
-                RpcHeader { method: PRICE.name, trace, caller: CALLER, patience: PATIENCE, tenant: None };
+                RpcHeader { method: TILL_PRICE.name, trace, caller: CALLER, timeout: PATIENCE, tenant: None };
             let (at_ms, sent) = (start.elapsed().as_millis() as u64, Instant::now());
             if connection.write_all(&header.encode(stream, b"price 77")).is_err() {
                 break;
--- a/lab/src/fleet/agree/play.rs
+++ b/lab/src/fleet/agree/play.rs
@@ -10,7 +10,7 @@
 use crate::fleet::members::setup::{member_setup, operator_file, request};
 use crate::fleet::options::FleetOptions;
 use crate::fleet::workload::COLD;
-use crate::method::PRICE;
+use crate::method::TILL_PRICE;
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use crate::time::ms;
@@ -65,7 +65,7 @@
         operator_file: Some(format!("{}{VOTERS_AND_LEASE}", operator_file(nodes))),
         program: options.other.clone(),
         shared_upstream: None,
-        ..member_setup(&[PRICE.without_work()], nodes)
+        ..member_setup(&[TILL_PRICE.without_work()], nodes)
     };
     let (slots, call, network) = (SLOTS, ms(1), Some(options.seed));
     Fleet::start(&Plan { nodes, setup, cold: COLD, slots, call, network })
--- a/lab/src/fleet/callers/attempts.rs
+++ b/lab/src/fleet/callers/attempts.rs
@@ -22,7 +22,7 @@
         self.rpcs.insert(rpc, Rpc { method, first_sent: at, body, attempts: 0 });
         self.account_tenth(at, |tenth| tenth.called += method.criticality);
         self.account(|ledger| ledger.rpcs += 1);
-        self.set_timer(at + method.patience, Timer::PatienceOver(rpc));
+        self.set_timer(at + method.timeout, Timer::PatienceOver(rpc));
         self.attempt(rpc);
     }
 
@@ -37,7 +37,7 @@
         let now = Instant::now();
         let Some(rpc) = self.rpcs.get(&id) else { return };
         let (method, attempts) = (rpc.method, rpc.attempts);
-        let patience = (rpc.first_sent + method.patience).saturating_duration_since(now);
+        let patience = (rpc.first_sent + method.timeout).saturating_duration_since(now);
         if attempts >= MAX_ATTEMPTS || patience < MIN_PATIENCE {
             return self.finish_rpc(id, false);
         }
@@ -49,7 +49,7 @@
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         rpc.attempts += 1;
         let (trace, caller) = (self.rng.random(), self.number as u64);
-        let header = RpcHeader { method: method.method, trace, caller, patience, tenant: None };
+        let header = RpcHeader { method: method.method, trace, caller, timeout: patience, tenant: None };
         let Some(connection) = self.connections.get_mut(&node) else { return };
         connection.last_stream += 1;
         let (connection_id, stream) = (connection.id, connection.last_stream);
--- a/lab/src/fleet/cluster.rs
+++ b/lab/src/fleet/cluster.rs
@@ -78,12 +78,12 @@
     let process = std::process::id();
     let (a, b) = (20 + (process / 250 % 200) as u8, (process % 250) as u8 + 1);
     let at = SocketAddr::from(([127, a, b, n as u8 + 1], SIDECAR_PORT));
-    Placement { name: format!("n{n}"), at, placeholders: Vec::new() }
+    Placement { name: format!("n{n}"), address: at, placeholders: Vec::new() }
 }
 
 /// Where a member takes datagrams.
 fn gossip_address(n: usize) -> SocketAddr {
-    SocketAddr::from((placement(n).at.ip(), GOSSIP_PORT))
+    SocketAddr::from((placement(n).address.ip(), GOSSIP_PORT))
 }
 
 /// The words of the operator's file that differ from member to member.
@@ -120,7 +120,7 @@
 
     /// Where each process is reached.
     pub fn targets(&self) -> Targets {
-        let target = |(n, m): (usize, &Member)| (format!("n{n}"), (n, m.node.at));
+        let target = |(n, m): (usize, &Member)| (format!("n{n}"), (n, m.node.address));
         Targets { by_name: Arc::new(self.members.iter().enumerate().map(target).collect()) }
     }
 
@@ -182,7 +182,7 @@
     ) -> Result<Member, ScenarioError> {
         let agent = Agent::start(plan.setup.cores, &plan.setup.methods)?;
         let [agent_proxy, upstream_proxy, naming_proxy] =
-            [TcpProxy::start(agent.at)?, TcpProxy::start(upstream)?, TcpProxy::start(naming)?];
+            [TcpProxy::start(agent.address)?, TcpProxy::start(upstream)?, TcpProxy::start(naming)?];
         let services =
             Services { agent: agent_proxy.at, upstream: upstream_proxy.at, naming: naming_proxy.at };
         let node = Node::spawn(&plan.setup, placement, &services, "none")?;
--- a/lab/src/fleet/cold_start.rs
+++ b/lab/src/fleet/cold_start.rs
@@ -4,7 +4,7 @@
 use super::single_call::look_up;
 use super::small_fleet::{member_setup, start_fleet};
 use super::workload::{COLD, WARM_UP};
-use crate::method::{Method, LOOK};
+use crate::method::{Method, LOOK_UP};
 use crate::report::{Report, ScenarioError};
 use crate::sidecar::{Answer, ANSWER, MAX_STREAMS};
 use crate::sync::lock;
@@ -207,14 +207,14 @@
 /// Plays it.
 pub fn cold_start(report: &mut Report, seed: u64, nodes: usize) -> Result<(), ScenarioError> {
     let callers = nodes;
-    let methods = [Method { work: ms(30), calls_upstream: false, ..LOOK }];
+    let methods = [Method { work: ms(30), calls_upstream: false, ..LOOK_UP }];
     let mut fleet = start_fleet(nodes, member_setup(&methods, SOCKETS, callers))?;
     fleet.wait_until_listed();
     let start = restart_cold(&mut fleet)?;
     let stopped = Arc::new(AtomicBool::new(false));
     let server = |_| (0..callers).map(|_| Mutex::default()).collect();
     let holdings: Arc<Holdings> = Arc::new((0..nodes).map(server).collect());
-    let servers: Arc<Vec<SocketAddr>> = Arc::new(fleet.members.iter().map(|m| m.node.at).collect());
+    let servers: Arc<Vec<SocketAddr>> = Arc::new(fleet.members.iter().map(|m| m.node.address).collect());
     let spawn = |caller: usize| {
         let (servers, stopped, holdings) = (servers.clone(), stopped.clone(), holdings.clone());
         thread::spawn(move || run_caller(caller, &servers, seed, &holdings, &stopped))
--- a/lab/src/fleet/fault_injection.rs
+++ b/lab/src/fleet/fault_injection.rs
@@ -99,7 +99,7 @@
             }
             FaultKind::Crash => {
                 member.node.kill();
-                member.agent.backend_restarted();
+                member.agent.handle_backend_restart();
                 member.node.restart()?;
                 member.since = Instant::now();
             }
--- a/lab/src/fleet/idle_flood.rs
+++ b/lab/src/fleet/idle_flood.rs
@@ -3,7 +3,7 @@
 use super::cluster::Fleet;
 use super::single_call::{call_once, is_healthy_by, ANSWERED_WITHIN};
 use super::small_fleet::{member_setup, start_fleet};
-use crate::method::{Method, LOOK};
+use crate::method::{Method, LOOK_UP};
 use crate::report::{Report, ScenarioError};
 use crate::sidecar::{encode_health_check, OK, REQUEST};
 use crate::time::ms;
@@ -91,18 +91,18 @@
 /// Plays it.
 pub fn idle_flood(report: &mut Report, seed: u64) -> Result<(), ScenarioError> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let methods = [Method { work: ms(4), ..LOOK }];
+    let methods = [Method { work: ms(4), ..LOOK_UP }];
     let mut fleet = start_fleet(1, member_setup(&methods, SOCKETS, CALLERS))?;
     fleet.wait_until_listed();
     let member = &fleet.members[0];
-    report.rule("nothing was served before", call_once(member.node.at, 1, &mut rng) == Some(OK));
+    report.rule("nothing was served before", call_once(member.node.address, 1, &mut rng) == Some(OK));
     // Away, or there without a word.
     if seed.is_multiple_of(2) {
         member.naming_proxy.refuse(true);
     } else {
         member.naming_proxy.hang(true);
     }
-    let clients = IdleClients::start(member.node.at);
+    let clients = IdleClients::start(member.node.address);
     thread::sleep(ms(500));
     let service = call_while_flooded(&fleet, &mut rng);
     let reported_after = wait_for_report(&fleet);
@@ -130,7 +130,7 @@
 /// Calls and checks health, while links to the agent and the upstream break once each.
 fn call_while_flooded(fleet: &Fleet, rng: &mut StdRng) -> Service {
     let member = &fleet.members[0];
-    let at = member.node.at;
+    let at = member.node.address;
     let (begin, mut service) = (Instant::now(), Service::default());
     while begin.elapsed() < FLOODED_FOR {
         let turn = Instant::now();
--- a/lab/src/fleet/members/cpu.rs
+++ b/lab/src/fleet/members/cpu.rs
@@ -5,7 +5,7 @@
 use crate::fleet::cluster::{Fleet, Plan};
 use crate::fleet::workload::COLD;
 use crate::load::{run_load, sum, RateSpan};
-use crate::method::{FRAMED, LOOK, PRICE};
+use crate::method::{FRAMED_METHODS, LOOK_UP, TILL_PRICE};
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use crate::time::ms;
@@ -20,7 +20,7 @@
 
 /// A fleet whose runs cost nothing, with this operator's file, on a network with this seed.
 pub fn start_idle_fleet(nodes: usize, file: String, seed: u64) -> Result<Fleet, ScenarioError> {
-    let methods = [PRICE, LOOK].map(|method| method.without_work());
+    let methods = [TILL_PRICE, LOOK_UP].map(|method| method.without_work());
     let setup = Setup { operator_file: Some(file), shared_upstream: None, ..member_setup(&methods, nodes) };
     Fleet::start(&Plan { nodes, setup, cold: COLD, slots: SLOTS, call: ms(0), network: Some(seed) })
 }
@@ -40,9 +40,9 @@
     std::thread::sleep(ALL_KNOWN);
     let node = &fleet.members[0].node;
     let others = || fleet.members[1..].iter().map(|m| m.node.cpu_us()).sum::<u64>();
-    run_load(node.at, &FRAMED, &[RateSpan::new(WARM_UP, load.rate)], seed + 50 + round, &never)?;
+    run_load(node.address, &FRAMED_METHODS, &[RateSpan::new(WARM_UP, load.rate)], seed + 50 + round, &never)?;
     let (before, others_before, start) = (node.cpu_us(), others(), Instant::now());
-    let stats = run_load(node.at, &FRAMED, &[load], seed + round, &never)?;
+    let stats = run_load(node.address, &FRAMED_METHODS, &[load], seed + round, &never)?;
     let rpcs = sum(&stats, |s| s.sent).max(1);
     let cpu_us_per_rpc = (node.cpu_us() - before) as f64 / rpcs as f64;
     let each = (others() - others_before) as f64 / (nodes - 1) as f64;
--- a/lab/src/fleet/members/judge.rs
+++ b/lab/src/fleet/members/judge.rs
@@ -6,7 +6,7 @@
 use super::setup::CALLS_EACH;
 use crate::fleet::callers::{in_time, CallerLedger, Callers, TENTH_MS};
 use crate::fleet::cluster::Fleet;
-use crate::method::UPDATE;
+use crate::method::STOCK_UPDATE;
 use crate::report::Report;
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -231,7 +231,7 @@
 
 fn report_service(report: &mut Report, fleet: &mut Fleet, recording: &Recording, ledger: &CallerLedger) {
     let unanswered = recording.injected.count_unexcused(&ledger.unanswered);
-    let repeated_effects = fleet.repeated_effects(UPDATE.name);
+    let repeated_effects = fleet.repeated_effects(STOCK_UPDATE.name);
     let none_panicked = fleet.none_panicked();
     let carried = fleet.network.as_ref().map_or(0, |network| network.carried());
     let left = fleet.end();
--- a/lab/src/fleet/members/setup.rs
+++ b/lab/src/fleet/members/setup.rs
@@ -3,7 +3,7 @@
 use crate::control::request_once;
 use crate::fleet::workload::WARM_UP;
 use crate::method::Method;
-use crate::setup::{Setup, UpstreamPart};
+use crate::setup::{Setup, UpstreamShare};
 use crate::time::ms;
 use serde_json::Value;
 use std::path::Path;
@@ -43,7 +43,7 @@
         operator_file: Some(operator_file(nodes)),
         warm_up: WARM_UP,
         skip_value: 0.5,
-        shared_upstream: Some(UpstreamPart { calls: CALLS_EACH, replicas: nodes, linger: CALL }),
+        shared_upstream: Some(UpstreamShare { calls: CALLS_EACH, replicas: nodes, linger: CALL }),
         ..Setup::new(methods, CORES)
     }
 }
--- a/lab/src/fleet/naming.rs
+++ b/lab/src/fleet/naming.rs
@@ -1,7 +1,7 @@
 //! A name service: backends report, callers see lists that are late.
 
 use super::upstream::slot;
-use crate::stand_ins::{HttpRequest, NO_CONTENT};
+use crate::stubs::{HttpRequest, NO_CONTENT};
 use crate::sync::lock;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufReader, Write};
--- a/lab/src/fleet/ready.rs
+++ b/lab/src/fleet/ready.rs
@@ -70,7 +70,7 @@
         member.node.restart()?;
     }
     let wait = |(n, member): (usize, &Member)| {
-        let (at, naming) = (member.node.at, fleet.naming.clone());
+        let (at, naming) = (member.node.address, fleet.naming.clone());
         thread::spawn(move || wait_until_ready(n, at, &naming, start))
     };
     let waits: Vec<_> = fleet.members.iter().enumerate().map(wait).collect();
--- a/lab/src/fleet/restart_recovery/play.rs
+++ b/lab/src/fleet/restart_recovery/play.rs
@@ -9,7 +9,7 @@
 use crate::fleet::fault_script::{FaultKind, ScheduledFault};
 use crate::fleet::options::{FleetOptions, Kind};
 use crate::fleet::workload::{caller_profile, mean_work, methods, COLD, WARM_UP, WEIGHTS};
-use crate::method::UPDATE;
+use crate::method::STOCK_UPDATE;
 use crate::report::ScenarioError;
 use crate::setup::Setup;
 use crate::time::ms;
@@ -149,7 +149,7 @@
     }
 
     fn work_done(&self) -> Duration {
-        self.fleet.members.iter().map(|member| member.agent.state().worked).sum()
+        self.fleet.members.iter().map(|member| member.agent.state().total_work).sum()
     }
 
     /// Service and load up to the first fault.
@@ -206,7 +206,7 @@
             attempts_peak: self.attempts_peak(&ledger),
             calls_peak: self.calls_peak(),
             stale,
-            repeated_effects: self.fleet.repeated_effects(UPDATE.name),
+            repeated_effects: self.fleet.repeated_effects(STOCK_UPDATE.name),
             reports_peak: self.fleet.naming.most_reports(reports_from),
             snapshots_failed: logs.iter().map(failed).sum(),
             tenths: ledger.tenths[tenth(self.offset_ms)..].to_vec(),
--- a/lab/src/fleet/single_call.rs
+++ b/lab/src/fleet/single_call.rs
@@ -1,6 +1,6 @@
 //! Health checks and RPCs on connections of their own.
 
-use crate::method::LOOK;
+use crate::method::LOOK_UP;
 use crate::sidecar::{encode_health_check, read_frame, RpcHeader, HEALTH, OK};
 use crate::time::ms;
 use rand::rngs::StdRng;
@@ -14,9 +14,9 @@
 pub(super) const ANSWERED_WITHIN: Duration = Duration::from_secs(2);
 const CONNECT_TIMEOUT: Duration = ms(500);
 
-/// What a sidecar says of an RPC of [`LOOK`].
+/// What a sidecar says of an RPC of [`LOOK_UP`].
 pub(super) fn look_up(caller: u64, rng: &mut StdRng) -> RpcHeader<'static> {
-    RpcHeader { method: LOOK.name, trace: rng.random(), caller, patience: ms(1_500), tenant: None }
+    RpcHeader { method: LOOK_UP.name, trace: rng.random(), caller, timeout: ms(1_500), tenant: None }
 }
 
 /// Whether a health check on a connection of its own is answered good by then; it is tried again and again.
--- a/lab/src/fleet/workload.rs
+++ b/lab/src/fleet/workload.rs
@@ -3,7 +3,7 @@
 use super::callers::CallerProfile;
 use crate::agent::ColdStart;
 use crate::load::MethodLoad;
-use crate::method::{Method, LOOK, PRICE, UPDATE};
+use crate::method::{Method, LOOK_UP, STOCK_UPDATE, TILL_PRICE};
 use crate::time::ms;
 use std::time::Duration;
 
@@ -18,9 +18,9 @@
 /// The methods of a fleet: one that calls the upstream, and one that must not run twice.
 pub fn methods() -> [Method; 3] {
     [
-        Method { work: ms(16), target_ms: 200, deadline_ms: 800, ..PRICE },
-        Method { work: ms(24), target_ms: 400, deadline_ms: 1_600, calls_upstream: true, ..LOOK },
-        Method { work: ms(20), target_ms: 1_000, deadline_ms: 3_000, effect: "single_shot", ..UPDATE },
+        Method { work: ms(16), target_ms: 200, deadline_ms: 800, ..TILL_PRICE },
+        Method { work: ms(24), target_ms: 400, deadline_ms: 1_600, calls_upstream: true, ..LOOK_UP },
+        Method { work: ms(20), target_ms: 1_000, deadline_ms: 3_000, effect: "single_shot", ..STOCK_UPDATE },
     ]
 }
 
@@ -28,7 +28,7 @@
 pub fn caller_profile(rate: f64, seed: u64) -> CallerProfile {
     let methods: Vec<MethodLoad> =
         methods().iter().zip(WEIGHTS).map(|(method, weight)| method.load(weight)).collect();
-    let unsafe_to_retry = vec![UPDATE.name];
+    let unsafe_to_retry = vec![STOCK_UPDATE.name];
     CallerProfile { methods, unsafe_to_retry, callers: CALLERS, rate, ignoring: 1.0 / 6.0, seed }
 }
 
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -28,7 +28,7 @@
     /// Its latency target.
     pub target: Duration,
     /// How long callers wait for its answer.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// What became of the RPCs of one method.
@@ -78,15 +78,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RateSpan {
     /// How long.
-    pub span: Duration,
+    pub duration: Duration,
     /// RPCs a second.
     pub rate: f64,
 }
 
 impl RateSpan {
-    /// `rate` RPCs a second for `span`.
-    pub const fn new(span: Duration, rate: f64) -> RateSpan {
-        RateSpan { span, rate }
+    /// Returns a span of `rate` RPCs a second for `duration`.
+    pub const fn new(duration: Duration, rate: f64) -> RateSpan {
+        RateSpan { duration, rate }
     }
 }
 
@@ -224,8 +224,8 @@
 ) {
     let mut rng = StdRng::seed_from_u64(seed);
     let (mut at, mut number) = (Instant::now(), 0_u64);
-    for RateSpan { span, rate } in rates {
-        let until = at + *span;
+    for RateSpan { duration, rate } in rates {
+        let until = at + *duration;
         while at < until {
             // Exponential gaps: the arrivals of many callers that are independent of each other.
             at += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / rate);
@@ -246,7 +246,7 @@
                 method: method.method,
                 trace: rng.random(),
                 caller: (index % CALLERS) as u64,
-                patience: method.patience,
+                timeout: method.timeout,
                 tenant: None,
             };
             let bytes = header.encode(connection.next_stream, &body);
@@ -263,7 +263,7 @@
 
 /// Each RPC has its answer by its patience; what has none then counts as unanswered.
 fn wait_for_answers(connections: &[Connection], methods: &[MethodLoad]) {
-    let longest = methods.iter().map(|method| method.patience).max().unwrap_or_default();
+    let longest = methods.iter().map(|method| method.timeout).max().unwrap_or_default();
     let until = Instant::now() + longest + LATE_ANSWERS;
     let in_flight = |connection: &Connection| lock(&connection.in_flight).len();
     while connections.iter().map(in_flight).sum::<usize>() > 0 && Instant::now() < until {
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -19,7 +19,7 @@
 mod scale;
 mod setup;
 mod sidecar;
-mod stand_ins;
+mod stubs;
 mod sync;
 mod time;
 
@@ -34,7 +34,7 @@
     let arguments = Arguments::parse();
     let mut report = Report::default();
     let scenario = arguments.scenario;
-    if let Err(fault) = dispatch::play(scenario, &mut report, &arguments) {
+    if let Err(fault) = dispatch::run(scenario, &mut report, &arguments) {
         eprintln!("asterrill-lab: {}: {fault}", scenario.name());
         return ExitCode::from(NOT_PLAYED);
     }
--- a/lab/src/method.rs
+++ b/lab/src/method.rs
@@ -26,7 +26,7 @@
 }
 
 /// Critical and quick.
-pub const PRICE: Method = Method {
+pub const TILL_PRICE: Method = Method {
     name: "till-price",
     effect: "free",
     criticality: 5.0,
@@ -38,18 +38,18 @@
 };
 
 /// Frequent and of middling criticality.
-pub const LOOK: Method =
-    Method { name: "look-up", criticality: 1.0, target_ms: 200, deadline_ms: 800, work: ms(3), ..PRICE };
+pub const LOOK_UP: Method =
+    Method { name: "look-up", criticality: 1.0, target_ms: 200, deadline_ms: 800, work: ms(3), ..TILL_PRICE };
 
 /// What the queue's messages call: it must not run twice.
-pub const UPDATE: Method = Method {
+pub const STOCK_UPDATE: Method = Method {
     name: "stock-update",
     effect: "guarded",
     criticality: 0.2,
     target_ms: 1_000,
     deadline_ms: 5_000,
     work: ms(4),
-    ..PRICE
+    ..TILL_PRICE
 };
 
 impl Method {
@@ -60,7 +60,7 @@
             weight,
             criticality: self.criticality,
             target: ms(self.target_ms),
-            patience: ms(self.deadline_ms),
+            timeout: ms(self.deadline_ms),
         }
     }
 
@@ -71,4 +71,4 @@
 }
 
 /// The framed RPCs of most scenarios.
-pub const FRAMED: [MethodLoad; 2] = [PRICE.load(1), LOOK.load(3)];
+pub const FRAMED_METHODS: [MethodLoad; 2] = [TILL_PRICE.load(1), LOOK_UP.load(3)];
--- a/lab/src/node.rs
+++ b/lab/src/node.rs
@@ -18,7 +18,7 @@
     /// Its process.
     pub child: Child,
     /// Where it listens for sidecars.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Where its files are.
     pub dir: PathBuf,
     log: PathBuf,
@@ -35,8 +35,8 @@
 impl Node {
     /// Starts one on a port that was free, and waits until it listens.
     pub fn start(setup: &Setup, services: &Services, password: &str) -> std::io::Result<Node> {
-        let at = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        let placement = Placement { name: "n1".into(), at, placeholders: Vec::new() };
+        let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
+        let placement = Placement { name: "n1".into(), address, placeholders: Vec::new() };
         let node = Node::spawn(setup, &placement, services, password)?;
         node.wait_until_listening()?;
         Ok(node)
@@ -48,13 +48,13 @@
     ) -> std::io::Result<Node> {
         let config = setup.platform_file(placement, services).to_string();
         let file = setup.operator_file(placement);
-        Node::with_files(placement.at, &config, file.as_deref(), setup.program.clone(), password)
+        Node::spawn_with_files(placement.address, &config, file.as_deref(), setup.program.clone(), password)
     }
 
     /// The same with files as they are given; in the operator's file `{password}` stands for the path of the password
     /// file, and `{dir}` for the directory of the node.
-    pub fn with_files(
-        at: SocketAddr, config: &str, file: Option<&str>, program: Option<PathBuf>, password: &str,
+    pub fn spawn_with_files(
+        address: SocketAddr, config: &str, file: Option<&str>, program: Option<PathBuf>, password: &str,
     ) -> std::io::Result<Node> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -73,7 +73,7 @@
         }
         std::fs::File::create(&log)?;
         let child = spawn_process(&program, &dir, &log)?;
-        Ok(Node { child, at, dir, log, program })
+        Ok(Node { child, address, dir, log, program })
     }
 
     /// Kills the process where it stands, starts it again with the files as they are, and waits until it listens.
@@ -101,7 +101,7 @@
     /// It does not within five seconds; the error has its log.
     pub fn wait_until_listening(&self) -> std::io::Result<()> {
         let until = Instant::now() + LISTENS_WITHIN;
-        while TcpStream::connect(self.at).is_err() {
+        while TcpStream::connect(self.address).is_err() {
             if Instant::now() > until {
                 return Err(Error::other(format!("it does not listen: {}", self.read_log())));
             }
--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -1,7 +1,7 @@
 //! What the system accounts to a process, read from `/proc`.
 
 /// The directory of this process in `/proc`.
-pub const OWN: &str = "self";
+pub const OWN_PROCESS: &str = "self";
 
 /// A line of `/proc/PROCESS/status` in kB, such as `VmRSS` or `VmHWM`; none where the process or the line is missing.
 pub fn status_kb(process: &str, name: &str) -> Option<u64> {
--- a/lab/src/queue/broker_faults.rs
+++ b/lab/src/queue/broker_faults.rs
@@ -5,7 +5,7 @@
 use crate::backend::{wait_until, Backend};
 use crate::broker::{Broker, BrokerFault, BrokerLedger, FaultScript, Message};
 use crate::load::{run_load, RateSpan};
-use crate::method::{Method, FRAMED, LOOK, PRICE, UPDATE};
+use crate::method::{Method, FRAMED_METHODS, LOOK_UP, STOCK_UPDATE, TILL_PRICE};
 use crate::report::{Report, ScenarioError};
 use serde_json::json;
 use std::sync::atomic::AtomicBool;
@@ -19,7 +19,7 @@
     BrokerFault::UnknownMethod,
     BrokerFault::CloseConnection,
     BrokerFault::Garbage,
-    BrokerFault::HalfContent,
+    BrokerFault::SplitContent,
     BrokerFault::Silence,
 ];
 const DELIVERIES_APART: u64 = 30; // from one fault to the next
@@ -43,21 +43,21 @@
         let reply_to = Some(to.to_string()).filter(|_| n % 3 == 0);
         broker.publish(QUEUE, Message { reply_to, ..message(n) });
     }
-    let update = Method { work: Duration::from_millis(1), ..UPDATE };
+    let update = Method { work: Duration::from_millis(1), ..STOCK_UPDATE };
     // Where the first broker should be nobody listens.
     let brokers = [&broker.unreachable()?, &broker];
-    let file = operator_file(&brokers, UPDATE.name, "prefetch 32\nbound 60s\n");
-    let setup = backend_setup(&[PRICE, LOOK, update], Some(file));
+    let file = operator_file(&brokers, STOCK_UPDATE.name, "prefetch 32\nbound 60s\n");
+    let setup = backend_setup(&[TILL_PRICE, LOOK_UP, update], Some(file));
     let mut backend = Backend::start(&setup, &broker.password())?;
     let never = AtomicBool::new(false);
     let rates = [RateSpan::new(Duration::from_secs(4), 100.0)];
-    let stats = run_load(backend.node.at, &FRAMED, &rates, seed, &never)?;
+    let stats = run_load(backend.node.address, &FRAMED_METHODS, &rates, seed, &never)?;
     check_framed(report, &stats);
     // Two messages more than were published: those of the huge body and of the halves.
     let complete = wait_until(Duration::from_secs(40), || {
         let ledger = broker.ledger();
         ledger.faults == FAULTS.len() as u64
-            && broker.ready(QUEUE) == 0
+            && broker.ready_messages(QUEUE) == 0
             && ledger.settlements.len() as u64 >= messages + 2
     });
     report.rule("not every message was settled", complete);
--- a/lab/src/queue/cpu.rs
+++ b/lab/src/queue/cpu.rs
@@ -4,7 +4,7 @@
 use super::setup::backend_setup;
 use crate::backend::Backend;
 use crate::load::{p99_ms, run_load, sum, LoadStats, RateSpan};
-use crate::method::{FRAMED, LOOK, PRICE};
+use crate::method::{FRAMED_METHODS, LOOK_UP, TILL_PRICE};
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use serde_json::json;
@@ -26,7 +26,7 @@
 }
 
 fn quick_setup(operator_file: Option<String>) -> Setup {
-    backend_setup(&[PRICE, LOOK].map(|method| method.without_work()), operator_file)
+    backend_setup(&[TILL_PRICE, LOOK_UP].map(|method| method.without_work()), operator_file)
 }
 
 fn run(report: &mut Report, setup: &Setup, load: RateSpan, seed: u64) -> Result<Run, ScenarioError> {
@@ -34,10 +34,10 @@
     let start = Instant::now();
     let backend = Backend::start(setup, "")?;
     let start_ms = start.elapsed().as_secs_f64() * MS_PER_S;
-    let at = backend.node.at;
-    run_load(at, &FRAMED, &[RateSpan::new(WARM_UP, load.rate)], seed + 50, &never)?;
+    let at = backend.node.address;
+    run_load(at, &FRAMED_METHODS, &[RateSpan::new(WARM_UP, load.rate)], seed + 50, &never)?;
     let before = backend.node.cpu_us();
-    let stats = run_load(at, &FRAMED, &[load], seed, &never)?;
+    let stats = run_load(at, &FRAMED_METHODS, &[load], seed, &never)?;
     let cpu_us = (backend.node.cpu_us() - before) as f64;
     check_framed(report, &stats);
     Ok(Run { cpu_us_per_rpc: cpu_us / sum(&stats, |s| s.sent).max(1) as f64, stats, start_ms })
--- a/lab/src/queue/demo.rs
+++ b/lab/src/queue/demo.rs
@@ -1,11 +1,11 @@
 //! `demo`: the main job, to be looked at: load that jumps, a queue, progress on a terminal and a table at the end.
 
 use super::rules::{check_framed, report_broker_ledger, shut_down};
-use super::setup::{backend_setup, endless_stock, operator_file, QUEUE};
+use super::setup::{backend_setup, endless_stock_queue, operator_file, QUEUE};
 use crate::backend::Backend;
 use crate::broker::{Broker, BrokerLedger, FaultScript};
 use crate::load::{run_load, LoadStats, RateSpan};
-use crate::method::{FRAMED, LOOK, PRICE, UPDATE};
+use crate::method::{FRAMED_METHODS, LOOK_UP, STOCK_UPDATE, TILL_PRICE};
 use crate::report::{Report, ScenarioError};
 use serde_json::json;
 use std::sync::atomic::AtomicBool;
@@ -18,16 +18,17 @@
 /// Plays it for `span`, a third of it with a jump in load.
 pub fn demo(report: &mut Report, seed: u64, span: Duration) -> Result<(), ScenarioError> {
     let broker = Broker::start(FaultScript::default())?;
-    broker.state().endless = Some(endless_stock());
-    let file = operator_file(&[&broker], UPDATE.name, "caller 900\nprefetch 32\n");
-    let setup = backend_setup(&[PRICE, LOOK, UPDATE], Some(file));
+    broker.state().endless_queue = Some(endless_stock_queue());
+    let file = operator_file(&[&broker], STOCK_UPDATE.name, "caller 900\nprefetch 32\n");
+    let setup = backend_setup(&[TILL_PRICE, LOOK_UP, STOCK_UPDATE], Some(file));
     let mut backend = Backend::start(&setup, &broker.password())?;
-    println!("asterrilld takes RPCs at {} and deliveries of the queue {QUEUE}.", backend.node.at);
+    println!("asterrilld takes RPCs at {} and deliveries of the queue {QUEUE}.", backend.node.address);
     let third = span / 3;
     let rates = [STEADY, JUMP, STEADY].map(|rate| RateSpan::new(third, rate));
-    let (at, never) = (backend.node.at, AtomicBool::new(false));
-    let load =
-        std::thread::spawn(move || run_load(at, &FRAMED, &rates, seed, &never).map_err(|e| e.to_string()));
+    let (at, never) = (backend.node.address, AtomicBool::new(false));
+    let load = std::thread::spawn(move || {
+        run_load(at, &FRAMED_METHODS, &rates, seed, &never).map_err(|e| e.to_string())
+    });
     let start = Instant::now();
     let mut runs_before = 0;
     while !load.is_finished() {
@@ -63,6 +64,6 @@
     }
     println!(
         "{:14} {:7} {:7} {:>7} {:11} {:8}   delivered, acknowledged, requeued, rejected\n",
-        UPDATE.name, ledger.deliveries, ledger.acked, "", ledger.requeued, ledger.rejected
+        STOCK_UPDATE.name, ledger.deliveries, ledger.acked, "", ledger.requeued, ledger.rejected
     );
 }
--- a/lab/src/queue/flood.rs
+++ b/lab/src/queue/flood.rs
@@ -1,11 +1,11 @@
 //! `amqp-flood`: framed RPCs alone, then beside a queue that never empties.
 
 use super::rules::{check_framed, report_broker_ledger, shut_down};
-use super::setup::{backend_setup, endless_stock, operator_file};
+use super::setup::{backend_setup, endless_stock_queue, operator_file};
 use crate::backend::Backend;
 use crate::broker::{Broker, FaultScript};
 use crate::load::{in_time, p99_ms, run_load, sum, RateSpan};
-use crate::method::{FRAMED, LOOK, PRICE, UPDATE};
+use crate::method::{FRAMED_METHODS, LOOK_UP, STOCK_UPDATE, TILL_PRICE};
 use crate::report::{Report, ScenarioError};
 use serde_json::json;
 use std::sync::atomic::AtomicBool;
@@ -19,10 +19,10 @@
     p99_ms: f64,
 }
 
-/// Plays it: framed RPCs for `span` at `rate` a second.
-pub fn flood(report: &mut Report, seed: u64, span: Duration, rate: f64) -> Result<(), ScenarioError> {
-    let alone = play(report, seed, RateSpan::new(span, rate), false)?;
-    let flooded = play(report, seed, RateSpan::new(span, rate), true)?;
+/// Plays it: framed RPCs for `duration` at `rate` a second.
+pub fn flood(report: &mut Report, seed: u64, duration: Duration, rate: f64) -> Result<(), ScenarioError> {
+    let alone = play(report, seed, RateSpan::new(duration, rate), false)?;
+    let flooded = play(report, seed, RateSpan::new(duration, rate), true)?;
     report.set("framed_in_time_alone", json!(alone.in_time));
     report.set("framed_in_time_flooded", json!(flooded.in_time));
     report.set("p99_ms_alone", json!(alone.p99_ms));
@@ -36,21 +36,21 @@
 fn play(report: &mut Report, seed: u64, load: RateSpan, flooded: bool) -> Result<Service, ScenarioError> {
     let never = AtomicBool::new(false);
     let broker = Broker::start(FaultScript::default())?;
-    broker.state().endless = Some(endless_stock());
-    let file = flooded.then(|| operator_file(&[&broker], UPDATE.name, "caller 900\nprefetch 64\n"));
-    let setup = backend_setup(&[PRICE, LOOK, UPDATE], file);
+    broker.state().endless_queue = Some(endless_stock_queue());
+    let file = flooded.then(|| operator_file(&[&broker], STOCK_UPDATE.name, "caller 900\nprefetch 64\n"));
+    let setup = backend_setup(&[TILL_PRICE, LOOK_UP, STOCK_UPDATE], file);
     let mut backend = Backend::start(&setup, &broker.password())?;
-    let at = backend.node.at;
-    let warm = run_load(at, &FRAMED, &[RateSpan::new(WARM_UP, load.rate)], seed + 100, &never)?;
+    let at = backend.node.address;
+    let warm = run_load(at, &FRAMED_METHODS, &[RateSpan::new(WARM_UP, load.rate)], seed + 100, &never)?;
     report.rule("nothing is answered", sum(&warm, |s| s.ok) > 0);
     let (cpu, before) = (backend.node.cpu_us(), broker.ledger());
-    let stats = run_load(at, &FRAMED, &[load], seed, &never)?;
+    let stats = run_load(at, &FRAMED_METHODS, &[load], seed, &never)?;
     let after = broker.ledger();
     let cpu = backend.node.cpu_us() - cpu;
     check_framed(report, &stats);
     if flooded {
         let deliveries = after.acked - before.acked;
-        report.set("deliveries_per_s", json!(deliveries as f64 / load.span.as_secs_f64()));
+        report.set("deliveries_per_s", json!(deliveries as f64 / load.duration.as_secs_f64()));
         report.set("most_out", json!(after.most_unsettled));
         report.set("subscriptions", json!(after.subscriptions));
         report.set("memory_mb", json!(backend.node.memory_mb()));
@@ -63,5 +63,5 @@
         report.set("drain_ms", json!(took_ms));
         report_broker_ledger(report, &broker.ledger());
     }
-    Ok(Service { in_time: in_time(&stats, &FRAMED), p99_ms: p99_ms(&stats) })
+    Ok(Service { in_time: in_time(&stats, &FRAMED_METHODS), p99_ms: p99_ms(&stats) })
 }
--- a/lab/src/queue/mod.rs
+++ b/lab/src/queue/mod.rs
@@ -16,6 +16,6 @@
 pub use flood::flood;
 pub use redelivery::redelivery;
 pub use rules::report_broker_ledger;
-pub use setup::endless_stock;
+pub use setup::endless_stock_queue;
 pub use shutdown::shutdown;
 pub use throughput::{throughput, ThroughputOptions};
--- a/lab/src/queue/redelivery.rs
+++ b/lab/src/queue/redelivery.rs
@@ -4,7 +4,7 @@
 use super::setup::{backend_setup, message, operator_file, QUEUE};
 use crate::backend::{wait_until, Backend};
 use crate::broker::{Broker, FaultScript};
-use crate::method::{LOOK, PRICE, UPDATE};
+use crate::method::{LOOK_UP, STOCK_UPDATE, TILL_PRICE};
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use rand::rngs::StdRng;
@@ -21,20 +21,20 @@
     let first = messages / 4 + rng.random_range(0..messages / 8);
     let script = FaultScript {
         cuts: [first, messages + first / 2].into(),
-        forgets_settlements: true,
+        loses_settlements: true,
         duplicate_every: rng.random_range(5..15),
         ..FaultScript::default()
     };
     let broker = Broker::start(script)?;
     (0..messages).for_each(|n| broker.publish(QUEUE, message(n)));
     let more = "prefetch 256\nbound 60s\nremember 10m 20000\n";
-    let methods = [PRICE, LOOK, UPDATE.without_work()];
-    let setup = backend_setup(&methods, Some(operator_file(&[&broker], UPDATE.name, more)));
+    let methods = [TILL_PRICE, LOOK_UP, STOCK_UPDATE.without_work()];
+    let setup = backend_setup(&methods, Some(operator_file(&[&broker], STOCK_UPDATE.name, more)));
     let setup = Setup { advertise: "off", cores: CORES, ..setup };
     let mut backend = Backend::start(&setup, &broker.password())?;
     let complete = wait_until(SETTLED_WITHIN, || {
         let ledger = broker.ledger();
-        ledger.cuts == 2 && ledger.settlements.len() as u64 == messages && broker.ready(QUEUE) == 0
+        ledger.cuts == 2 && ledger.settlements.len() as u64 == messages && broker.ready_messages(QUEUE) == 0
     });
     report.rule("not every message was settled", complete);
     let took_ms = shut_down(report, &mut backend, Some(&broker));
--- a/lab/src/queue/setup.rs
+++ b/lab/src/queue/setup.rs
@@ -1,6 +1,6 @@
 //! Backends with a queue, and the queue's messages.
 
-use crate::broker::{Broker, Endless, Message};
+use crate::broker::{Broker, EndlessQueue, Message};
 use crate::method::Method;
 use crate::setup::Setup;
 
@@ -10,7 +10,7 @@
 /// The operator's file of a backend that consumes the queue: `method` is called for each message, `more` are further
 /// lines of the queue's section.
 pub(super) fn operator_file(brokers: &[&Broker], method: &str, more: &str) -> String {
-    let addresses: String = brokers.iter().map(|broker| format!("address {}\n", broker.at)).collect();
+    let addresses: String = brokers.iter().map(|broker| format!("address {}\n", broker.address)).collect();
     format!(
         "[broker]\n{addresses}user lookup\npassword-file {{password}}\nheartbeat 2s\nreconnect 20ms 200ms\n\
          [queue {QUEUE}]\nmethod {method}\n{more}"
@@ -28,6 +28,6 @@
 }
 
 /// The queue, without an end.
-pub fn endless_stock() -> Endless {
-    Endless { queue: QUEUE.into(), make: message }
+pub fn endless_stock_queue() -> EndlessQueue {
+    EndlessQueue { queue: QUEUE.into(), make_message: message }
 }
--- a/lab/src/queue/shutdown.rs
+++ b/lab/src/queue/shutdown.rs
@@ -1,11 +1,11 @@
 //! `amqp-drain`: a graceful shutdown in the middle of deliveries, framed RPCs and a half-sent delivery.
 
 use super::rules::{check_framed, check_runs_once, report_broker_ledger, shut_down};
-use super::setup::{backend_setup, endless_stock, operator_file};
+use super::setup::{backend_setup, endless_stock_queue, operator_file};
 use crate::backend::{wait_until, Backend};
 use crate::broker::{Broker, BrokerFault, FaultScript};
 use crate::load::{run_load, sum, RateSpan};
-use crate::method::{Method, FRAMED, LOOK, PRICE, UPDATE};
+use crate::method::{Method, FRAMED_METHODS, LOOK_UP, STOCK_UPDATE, TILL_PRICE};
 use crate::report::{Report, ScenarioError};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -22,19 +22,19 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let half_at = 150 + rng.random_range(0..50);
     let script =
-        FaultScript { faults: [(half_at, BrokerFault::HalfContent)].into(), ..FaultScript::default() };
+        FaultScript { faults: [(half_at, BrokerFault::SplitContent)].into(), ..FaultScript::default() };
     let broker = Broker::start(script)?;
-    broker.state().endless = Some(endless_stock());
-    let file = operator_file(&[&broker], UPDATE.name, "prefetch 32\n");
-    let slow = Method { work: SLOW, ..UPDATE };
-    let setup = backend_setup(&[PRICE, LOOK, slow], Some(file));
+    broker.state().endless_queue = Some(endless_stock_queue());
+    let file = operator_file(&[&broker], STOCK_UPDATE.name, "prefetch 32\n");
+    let slow = Method { work: SLOW, ..STOCK_UPDATE };
+    let setup = backend_setup(&[TILL_PRICE, LOOK_UP, slow], Some(file));
     let mut backend = Backend::start(&setup, &broker.password())?;
-    let (at, stop) = (backend.node.at, Arc::new(AtomicBool::new(false)));
+    let (at, stop) = (backend.node.address, Arc::new(AtomicBool::new(false)));
     let load = {
         let stop = stop.clone();
         std::thread::spawn(move || {
             let rates = [RateSpan::new(Duration::from_secs(30), 100.0)];
-            run_load(at, &FRAMED, &rates, seed, &stop).map_err(|e| e.to_string())
+            run_load(at, &FRAMED_METHODS, &rates, seed, &stop).map_err(|e| e.to_string())
         })
     };
     let half = wait_until(Duration::from_secs(20), || broker.ledger().faults == 1);
@@ -46,7 +46,7 @@
     report.set("drain_ms", json!(took_ms));
     report.rule("the broker was not left within the grace", took_ms < GRACE_MS);
     let ledger = broker.ledger();
-    report.rule("the connection was not closed well", ledger.closed_in_order == 1);
+    report.rule("the connection was not closed well", ledger.closed_cleanly == 1);
     check_runs_once(report, &backend);
     report.set("framed_ok", json!(sum(&stats, |s| s.ok)));
     report_broker_ledger(report, &ledger);
--- a/lab/src/queue/throughput.rs
+++ b/lab/src/queue/throughput.rs
@@ -5,7 +5,7 @@
 use super::setup::{backend_setup, message, operator_file, QUEUE};
 use crate::backend::{wait_until, Backend};
 use crate::broker::{Broker, FaultScript, Message, Settlement};
-use crate::method::{Method, LOOK, PRICE, UPDATE};
+use crate::method::{Method, LOOK_UP, STOCK_UPDATE, TILL_PRICE};
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use serde_json::json;
@@ -37,20 +37,20 @@
     let broker = Broker::start(FaultScript { counts_deliveries: true, ..FaultScript::default() })?;
     let all = (0..messages).map(|n| Message { number: n + 1, ..message(n) });
     broker.state().queues.entry(QUEUE.into()).or_default().extend(all);
-    let update = Method { effect: "free", fails_every: FAILS_EVERY, ..UPDATE.without_work() };
+    let update = Method { effect: "free", fails_every: FAILS_EVERY, ..STOCK_UPDATE.without_work() };
     let more = format!("prefetch {PREFETCH}\nbound 10m\nattempts 2\npause 1ms 5ms\n");
-    let file = operator_file(&[&broker], UPDATE.name, &more);
+    let file = operator_file(&[&broker], STOCK_UPDATE.name, &more);
     let setup = Setup {
         advertise: "off",
         cores: CORES,
         program: options.other.map(Path::to_path_buf),
         lost_launch: Some(2 + options.seed * 17 % 100).filter(|_| options.lost_launch),
-        ..backend_setup(&[PRICE, LOOK, update], Some(file))
+        ..backend_setup(&[TILL_PRICE, LOOK_UP, update], Some(file))
     };
     let mut backend = Backend::start(&setup, &broker.password())?;
     // The window opens by doublings; what is measured begins once it is wide, or with half of it all.
     wait_until(WIDE_WITHIN, || {
-        broker.ledger().most_unsettled >= PREFETCH || broker.ready(QUEUE) as u64 * 2 < messages
+        broker.ledger().most_unsettled >= PREFETCH || broker.ready_messages(QUEUE) as u64 * 2 < messages
     });
     let start = Instant::now();
     let within = Duration::from_secs(if options.lost_launch { 20 } else { 120 });
@@ -77,7 +77,7 @@
 /// Deliveries, CPU and memory until the queue is empty.
 fn measure(report: &mut Report, broker: &Broker, backend: &Backend, within: Duration) {
     let (start, before, cpu) = (Instant::now(), broker.ledger(), backend.node.cpu_us());
-    let empty = wait_until(within, || broker.ready(QUEUE) == 0);
+    let empty = wait_until(within, || broker.ready_messages(QUEUE) == 0);
     let (took, after) = (start.elapsed().as_secs_f64(), broker.ledger());
     report.rule("the queue was not worked off", empty);
     let settled = (after.acked + after.rejected - before.acked - before.rejected).max(1) as f64;
--- a/lab/src/rollout/bad_change.rs
+++ b/lab/src/rollout/bad_change.rs
@@ -2,7 +2,7 @@
 
 use super::stage::{accepted, check_framed, Stage};
 use crate::load::{in_time, run_load, RateSpan};
-use crate::method::FRAMED;
+use crate::method::FRAMED_METHODS;
 use crate::report::{Report, ScenarioError};
 use crate::time::ms;
 use serde_json::{json, Value};
@@ -88,9 +88,9 @@
     report.set("kind", json!(kind.name()));
     let stage = Stage::start(seed, kind == BadChange::ConcurrencyTooHigh)?;
     let never = AtomicBool::new(false);
-    let at = stage.node().at;
+    let at = stage.node().address;
     let rate = rate * kind.rate_factor();
-    let load = |span, seed| run_load(at, &FRAMED, &[RateSpan::new(span, rate)], seed, &never);
+    let load = |span, seed| run_load(at, &FRAMED_METHODS, &[RateSpan::new(span, rate)], seed, &never);
     load(ms(1_500), seed + 9)?;
     let before = load(ms(8_000), seed)?;
     let mut settings = stage.setup.settings();
@@ -99,7 +99,7 @@
     stage_forced(report, &stage, &text)?;
     let during = std::thread::spawn(move || {
         let rates = [RateSpan::new(ms(7_000), rate)];
-        run_load(at, &FRAMED, &rates, seed + 1, &AtomicBool::new(false)).map_err(|e| e.to_string())
+        run_load(at, &FRAMED_METHODS, &rates, seed + 1, &AtomicBool::new(false)).map_err(|e| e.to_string())
     });
     std::thread::sleep(ms(300));
     let start = Instant::now();
@@ -115,7 +115,7 @@
     report.rule("it was not undone within 5 s", in_due_time);
     load(ms(2_000), seed + 8)?;
     let after = load(ms(8_000), seed)?;
-    let [was, meanwhile, is] = [&before, &during, &after].map(|stats| in_time(stats, &FRAMED));
+    let [was, meanwhile, is] = [&before, &during, &after].map(|stats| in_time(stats, &FRAMED_METHODS));
     report.set("in_time_before", json!(was));
     report.set("in_time_during", json!(meanwhile));
     report.set("in_time_after", json!(is));
--- a/lab/src/rollout/crash.rs
+++ b/lab/src/rollout/crash.rs
@@ -4,7 +4,7 @@
 use super::stage::{check_framed, Stage};
 use crate::backend::wait_until;
 use crate::load::{run_load, RateSpan};
-use crate::method::FRAMED;
+use crate::method::FRAMED_METHODS;
 use crate::report::{Report, ScenarioError};
 use serde_json::{json, Value};
 use std::path::Path;
@@ -43,7 +43,7 @@
     let logged = stage.node().read_log().contains("a state file is not used");
     report.rule("a damaged state was not logged", logged);
     let rates = [RateSpan::new(Duration::from_secs(1), 100.0)];
-    let stats = run_load(stage.node().at, &FRAMED, &rates, seed, &AtomicBool::new(false))?;
+    let stats = run_load(stage.node().address, &FRAMED_METHODS, &rates, seed, &AtomicBool::new(false))?;
     check_framed(report, &[&stats]);
     stage.check_versions(report)?;
     stage.end(report);
--- a/lab/src/rollout/good_change.rs
+++ b/lab/src/rollout/good_change.rs
@@ -2,7 +2,7 @@
 
 use super::stage::{accepted, check_framed, Stage};
 use crate::load::{in_time, run_load, RateSpan};
-use crate::method::FRAMED;
+use crate::method::FRAMED_METHODS;
 use crate::report::{Report, ScenarioError};
 use crate::time::ms;
 use rand::rngs::StdRng;
@@ -25,8 +25,8 @@
 pub fn good_change(report: &mut Report, seed: u64, rate: f64) -> Result<(), ScenarioError> {
     let stage = Stage::start(seed + 1_000, false)?;
     let never = AtomicBool::new(false);
-    let at = stage.node().at;
-    let before = run_load(at, &FRAMED, &[RateSpan::new(ms(4_000), rate)], seed, &never)?;
+    let at = stage.node().address;
+    let before = run_load(at, &FRAMED_METHODS, &[RateSpan::new(ms(4_000), rate)], seed, &never)?;
     let jump = seed % 2 == 1;
     report.set("jump", json!(jump));
     let text = stage.platform_file(changed_settings(&stage, seed));
@@ -38,7 +38,7 @@
     };
     let rates: Vec<RateSpan> = rates.into_iter().map(|(span, rate)| RateSpan::new(span, rate)).collect();
     let load = std::thread::spawn(move || {
-        run_load(at, &FRAMED, &rates, seed + 1, &AtomicBool::new(false)).map_err(|e| e.to_string())
+        run_load(at, &FRAMED_METHODS, &rates, seed + 1, &AtomicBool::new(false)).map_err(|e| e.to_string())
     });
     std::thread::sleep(ms(300));
     let start = Instant::now();
@@ -56,8 +56,8 @@
     report.set("undone", json!(!stays));
     report.set("settled_after_ms", json!(settled.map(|settled| settled.after_ms)));
     report.rule("a good change was undone", stays);
-    report.set("in_time_before", json!(in_time(&before, &FRAMED)));
-    report.set("in_time_during", json!(in_time(&during, &FRAMED)));
+    report.set("in_time_before", json!(in_time(&before, &FRAMED_METHODS)));
+    report.set("in_time_during", json!(in_time(&during, &FRAMED_METHODS)));
     check_framed(report, &[&before, &during]);
     stage.check_versions(report)?;
     stage.end(report);
--- a/lab/src/rollout/stage.rs
+++ b/lab/src/rollout/stage.rs
@@ -4,7 +4,7 @@
 use crate::broker::Broker;
 use crate::control::{request_once, ANSWER_TIMEOUT};
 use crate::load::{sum, LoadStats, MethodStats};
-use crate::method::{Method, LOOK, PRICE, UPDATE};
+use crate::method::{Method, LOOK_UP, STOCK_UPDATE, TILL_PRICE};
 use crate::node::Node;
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
@@ -30,7 +30,7 @@
     let (socket, dir) = (socket.display(), dir.display());
     let changes = format!("[changes]\ncontrol {socket}\nstate {dir}\n[log]\nformat json\n");
     let queue = broker.map_or(String::new(), |(broker, prefetch)| {
-        let at = broker.at;
+        let at = broker.address;
         format!(
             "[broker]\naddress {at}\nuser u\npassword-file {{password}}\n[queue stock]\nmethod stock-update\n\
              prefetch {prefetch}\n"
@@ -55,9 +55,9 @@
         std::fs::remove_file(&socket).unwrap_or_default();
         let file = operator_file(&socket, &dir, broker.map(|broker| (broker, PREFETCH)));
         let methods = [
-            Method { work: ms(8), calls_upstream: false, ..PRICE },
-            Method { work: ms(10), calls_upstream: true, ..LOOK },
-            Method { work: ms(4), ..UPDATE },
+            Method { work: ms(8), calls_upstream: false, ..TILL_PRICE },
+            Method { work: ms(10), calls_upstream: true, ..LOOK_UP },
+            Method { work: ms(4), ..STOCK_UPDATE },
         ];
         let setup = Setup { operator_file: Some(file), ..Setup::new(&methods, CORES) };
         let password = broker.map_or(String::new(), Broker::password);
--- a/lab/src/rollout/storm.rs
+++ b/lab/src/rollout/storm.rs
@@ -5,8 +5,8 @@
 use crate::broker::{Broker, FaultScript};
 use crate::control::connect_when_ready;
 use crate::load::{in_time, run_load, sum, RateSpan};
-use crate::method::FRAMED;
-use crate::queue::{endless_stock, report_broker_ledger};
+use crate::method::FRAMED_METHODS;
+use crate::queue::{endless_stock_queue, report_broker_ledger};
 use crate::report::{Report, ScenarioError};
 use serde_json::{json, Value};
 use std::io::Write;
@@ -30,12 +30,12 @@
 /// Plays it with so many changes.
 pub fn storm(report: &mut Report, seed: u64, changes: u64, rate: f64) -> Result<(), ScenarioError> {
     let broker = Broker::start(FaultScript::default())?;
-    broker.state().endless = Some(endless_stock());
+    broker.state().endless_queue = Some(endless_stock_queue());
     let stage = Stage::start_with(seed + 2_000, false, Some(&broker))?;
-    let at = stage.node().at;
+    let at = stage.node().address;
     let load = std::thread::spawn(move || {
         let rates = [RateSpan::new(LOAD, rate)];
-        run_load(at, &FRAMED, &rates, seed, &AtomicBool::new(false)).map_err(|e| e.to_string())
+        run_load(at, &FRAMED_METHODS, &rates, seed, &AtomicBool::new(false)).map_err(|e| e.to_string())
     });
     let mut half_line = connect_when_ready(&stage.socket)?;
     half_line.write_all(b"{\"v\": 1, \"do\": \"sta")?;
@@ -45,7 +45,7 @@
     let stats = load.join().map_err(|_| "the load ended badly")??;
     check_framed(report, &[&stats]);
     report.rule("nothing was answered ok", sum(&stats, |s| s.ok) > 0);
-    report.set("in_time", json!(in_time(&stats, &FRAMED)));
+    report.set("in_time", json!(in_time(&stats, &FRAMED_METHODS)));
     stage.check_versions(report)?;
     drop(half_line);
     stage.end(report);
--- a/lab/src/scale/agree/build.rs
+++ b/lab/src/scale/agree/build.rs
@@ -4,7 +4,7 @@
 use super::options::AgreeOptions;
 use super::run::{entry_name, put, Baseline, Run, PATIENCE, VOTERS};
 use super::units::{ms, MS, S};
-use crate::process::{resident_kb, OWN};
+use crate::process::{resident_kb, OWN_PROCESS};
 use crate::report::{Report, ScenarioError};
 use asterrill::Us;
 use asterrill_consensus::{Access, Change, Config, VersionLog, MAX_STEP_CHANGES};
@@ -28,7 +28,7 @@
         tick_interval: TICK,
     };
     let mut cluster = Cluster::new(VOTERS, config, seed, options.charges_cpu());
-    let before_kb = resident_kb(OWN);
+    let before_kb = resident_kb(OWN_PROCESS);
     for n in 0..VOTERS {
         cluster.add();
         cluster.start(n, &[]);
@@ -37,7 +37,7 @@
     build_list(report, &mut run)?;
     let disks: usize = (0..VOTERS).map(|n| run.cluster.nodes[n].disk.capacity()).sum();
     if !options.quick {
-        let kb = (resident_kb(OWN) - before_kb - disks as f64 / 1024.0) / VOTERS as f64;
+        let kb = (resident_kb(OWN_PROCESS) - before_kb - disks as f64 / 1024.0) / VOTERS as f64;
         report.set("keeper_kb", json!(kb.round()));
     }
     add_replicas(report, &mut run, options.replicas)?;
@@ -80,7 +80,7 @@
     persisted.reset_to(log.newest());
     let snapshot = persisted.snapshot();
     report.set("version_bytes", json!(snapshot.len()));
-    run.resident_kb = resident_kb(OWN);
+    run.resident_kb = resident_kb(OWN_PROCESS);
     let step = S / replicas.max(1) as u64;
     for _ in 0..replicas {
         let n = run.cluster.add();
--- a/lab/src/scale/agree/run.rs
+++ b/lab/src/scale/agree/run.rs
@@ -3,7 +3,7 @@
 use super::cluster::{BoundLosses, Cluster};
 use super::node::Usage;
 use super::units::{ms, MS, S};
-use crate::process::{resident_kb, OWN};
+use crate::process::{resident_kb, OWN_PROCESS};
 use crate::report::Report;
 use asterrill::Us;
 use asterrill_consensus::{Access, Change, Counters, ListEntry, ListKind};
@@ -224,7 +224,7 @@
 
     /// Resident memory since there are replicas, of each, in kB.
     pub(super) fn replica_kb(&self) -> f64 {
-        let kb = (resident_kb(OWN) - self.resident_kb) / self.replicas.len().max(1) as f64;
+        let kb = (resident_kb(OWN_PROCESS) - self.resident_kb) / self.replicas.len().max(1) as f64;
         kb.round()
     }
 
--- a/lab/src/scale/agree/scenario.rs
+++ b/lab/src/scale/agree/scenario.rs
@@ -6,7 +6,7 @@
 use super::options::{AgreeOptions, Kind};
 use super::run::Run;
 use super::units::{ms, S};
-use crate::process::{resident_kb, OWN};
+use crate::process::{resident_kb, OWN_PROCESS};
 use crate::report::{Report, ScenarioError};
 use asterrill::Us;
 use clap::ValueEnum;
@@ -122,7 +122,7 @@
         report.set(name, value);
     }
     if !options.quick {
-        report.set("rss_kb", json!(resident_kb(OWN)));
+        report.set("rss_kb", json!(resident_kb(OWN_PROCESS)));
         let over = over_budget(report);
         report.set("over", json!(over));
     }
--- a/lab/src/scale/callers.rs
+++ b/lab/src/scale/callers.rs
@@ -1,13 +1,13 @@
 //! `scale-callers`: what connections cost that callers keep open at one real process. Each sends one RPC and then rests.
 
 use crate::agent::Agent;
-use crate::method::{Method, LOOK};
+use crate::method::{Method, LOOK_UP};
 use crate::node::Node;
 use crate::process::{resident_kb, thread_cpu_ns};
 use crate::report::{Report, ScenarioError};
 use crate::setup::{Services, Setup};
 use crate::sidecar::{read_frame, RpcHeader, OK};
-use crate::stand_ins::{start_echo_upstream, start_naming};
+use crate::stubs::{start_echo_upstream, start_name_service};
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -37,7 +37,7 @@
     let mut stream = TcpStream::connect_timeout(&at, ANSWER_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
     let patience = Duration::from_millis(1_500);
-    let header = RpcHeader { method: LOOK.name, trace: caller, caller, patience, tenant: None };
+    let header = RpcHeader { method: LOOK_UP.name, trace: caller, caller, timeout: patience, tenant: None };
     stream.write_all(&header.encode(1, format!("look {caller}").as_bytes())).ok()?;
     loop {
         let frame = read_frame(&mut stream)?;
@@ -72,7 +72,7 @@
 }
 
 fn start_node(program: Option<&Path>) -> Result<Node, ScenarioError> {
-    let methods = [Method { work: Duration::from_micros(200), ..LOOK }];
+    let methods = [Method { work: Duration::from_micros(200), ..LOOK_UP }];
     let agent = Agent::start(CORES, &methods)?;
     let setup = Setup {
         memory_mb: 192,
@@ -84,8 +84,8 @@
         callers: SIZES[SIZES.len() - 1],
         ..Setup::new(&methods, CORES)
     };
-    let (upstream, naming) = (start_echo_upstream()?, start_naming()?);
-    let services = Services { agent: agent.at, upstream, naming };
+    let (upstream, naming) = (start_echo_upstream()?, start_name_service()?);
+    let services = Services { agent: agent.address, upstream, naming };
     Ok(Node::start(&setup, &services, "")?)
 }
 
@@ -117,7 +117,7 @@
     let (mut held, mut runs) = (Vec::new(), Vec::new());
     for size in SIZES {
         while held.len() < size {
-            held.push(open(node.at, held.len() as u64).ok_or("an RPC was not answered")?);
+            held.push(open(node.address, held.len() as u64).ok_or("an RPC was not answered")?);
         }
         runs.push(measure(report, &node, &mut held, &baseline));
     }
--- a/lab/src/scale/config/scenario.rs
+++ b/lab/src/scale/config/scenario.rs
@@ -89,10 +89,10 @@
 fn start_load(bed: &TestBed, sizes: &Sizes, rate: f64, seed: u64) -> Result<BackgroundLoad, ScenarioError> {
     let (methods, tenants) = (sizes.methods.max(1), sizes.tenants);
     let profile = LoadProfile { methods, tenants, callers: CALLERS, rate, seed };
-    let mut load = BackgroundLoad::start(bed.node.at, &bed.agent, profile)?;
-    load.check_health(bed.node.at)?;
+    let mut load = BackgroundLoad::start(bed.node.address, &bed.agent, profile)?;
+    load.check_health(bed.node.address)?;
     if tenants > 0 {
-        load.check_version_order(bed.node.at, seed)?;
+        load.check_version_order(bed.node.address, seed)?;
     }
     Ok(load)
 }
--- a/lab/src/scale/forms/measure.rs
+++ b/lab/src/scale/forms/measure.rs
@@ -1,7 +1,7 @@
 //! Memory of versions, and CPU of a change, of a comparison and of going back.
 
 use super::versions::Versions;
-use crate::process::{resident_kb, OWN};
+use crate::process::{resident_kb, OWN_PROCESS};
 use crate::report::ScenarioError;
 use nix::sys::resource::{getrusage, UsageWho};
 use nix::sys::time::TimeValLike;
@@ -29,11 +29,11 @@
 
 /// Memory and CPU of a form with so many entries.
 pub(super) fn measure<V: Versions>(size: usize) -> Result<Value, ScenarioError> {
-    let empty = resident_kb(OWN);
+    let empty = resident_kb(OWN_PROCESS);
     let mut versions = V::new(size);
-    let first = resident_kb(OWN);
+    let first = resident_kb(OWN_PROCESS);
     (0..VERSIONS).for_each(|n| versions.next(n));
-    let all = resident_kb(OWN);
+    let all = resident_kb(OWN_PROCESS);
     let differing = versions.differing();
     let times = (2_000_000 / size).clamp(5, 2_000);
     let differ = cpu_us(times, |_| {
--- a/lab/src/scale/members/run.rs
+++ b/lab/src/scale/members/run.rs
@@ -2,7 +2,7 @@
 
 use super::options::MembersOptions;
 use super::simulation::{Failure, PersistedMembers, Simulation, MS, S};
-use crate::process::{thread_cpu_ns, OWN};
+use crate::process::{thread_cpu_ns, OWN_PROCESS};
 use crate::report::Report;
 use asterrill::Us;
 use asterrill_membership::{LeaseTiming, MembershipConfig};
@@ -20,7 +20,7 @@
 /// CPU time of this process so far, in ms. All is done by its first thread.
 pub(super) fn own_cpu_ms() -> f64 {
     let first = std::process::id().to_string();
-    thread_cpu_ns(OWN).find(|(thread, _)| *thread == first).map_or(0.0, |(_, ns)| ns as f64 / 1e6)
+    thread_cpu_ns(OWN_PROCESS).find(|(thread, _)| *thread == first).map_or(0.0, |(_, ns)| ns as f64 / 1e6)
 }
 
 /// A virtual time in ms, for a report.
--- a/lab/src/scale/members/scenario.rs
+++ b/lab/src/scale/members/scenario.rs
@@ -3,7 +3,7 @@
 use super::options::{default_intervals, Kind, MembersOptions};
 use super::run::{own_cpu_ms, to_ms, Cost, Run, ALL_MET_WITHIN};
 use super::simulation::{Simulation, MS, S, START};
-use crate::process::{resident_kb, OWN};
+use crate::process::{resident_kb, OWN_PROCESS};
 use crate::report::Report;
 use crate::scale::statistics::rounded;
 use asterrill::Us;
@@ -37,7 +37,7 @@
 
 /// The same with other intervals.
 pub(super) fn play(report: &mut Report, options: &MembersOptions, intervals: MembershipConfig) {
-    let (empty_kb, cpu_before_ms) = (resident_kb(OWN), own_cpu_ms());
+    let (empty_kb, cpu_before_ms) = (resident_kb(OWN_PROCESS), own_cpu_ms());
     let nodes = options.nodes;
     let simulation = Simulation::new(nodes, options.seed, intervals, options.loss);
     let mut run = Run { simulation, options, intervals, report, worst: Cost::default() };
@@ -50,7 +50,7 @@
     run.set("found_bytes", json!(bytes.round()));
     run.track_worst(REST);
     run.set("found_cpu_ms", rounded((own_cpu_ms() - cpu_before_ms) / nodes as f64));
-    run.set("memory_kb", rounded((resident_kb(OWN) - empty_kb) / nodes as f64));
+    run.set("memory_kb", rounded((resident_kb(OWN_PROCESS) - empty_kb) / nodes as f64));
     let calm = run.cost_of(CALM);
     run.set("cpu_ms_per_s", rounded(calm.cpu_ms));
     run.set("datagrams_per_s", rounded(calm.datagrams));
@@ -81,7 +81,7 @@
         self.set("datagrams", json!(self.simulation.sent));
         self.set("virtual_s", json!((self.simulation.now - START) / S));
         self.set("trace", json!(format!("{:016x}", self.simulation.trace)));
-        self.set("memory_kb_of_the_process", json!(resident_kb(OWN)));
+        self.set("memory_kb_of_the_process", json!(resident_kb(OWN_PROCESS)));
         let exceeded = self.simulation.exceeded_whole();
         self.report.rule("more than the whole was taken of what is shared", !exceeded);
         let healed = self.options.kind == Kind::Cut;
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -162,7 +162,7 @@
     fn measure_round(&mut self, report: &mut Report, plan: &Plan, seed: u64) -> Result<(), ScenarioError> {
         let (methods, tenants, callers) = (self.methods, self.tenants, self.callers);
         let profile = LoadProfile { methods, tenants, callers, rate: plan.rate, seed };
-        let load = BackgroundLoad::start(self.bed.node.at, &self.bed.agent, profile)?;
+        let load = BackgroundLoad::start(self.bed.node.address, &self.bed.agent, profile)?;
         thread::sleep(WARM_UP);
         load.set_phase(MEASURED);
         let before = self.bed.meter.read();
--- a/lab/src/scale/test_bed/bed.rs
+++ b/lab/src/scale/test_bed/bed.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::process::status_kb;
 use crate::report::ScenarioError;
-use crate::stand_ins::start_naming;
+use crate::stubs::start_name_service;
 use serde_json::{json, Value};
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -53,7 +53,7 @@
     ) -> Result<TestBed, ScenarioError> {
         let agent = TimedAgent::start(work)?;
         let at = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        let naming = start_naming()?;
+        let naming = start_name_service()?;
         let mut config = json!({"name": "n1", "listen": at.to_string(), "agent": agent.at.to_string(),
             "naming": naming.to_string(), "seed": "00000000000000a7", "stop_ms": 2_000,
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1_024}});
@@ -62,7 +62,7 @@
         );
         let text = config_text(&mut config, site);
         let start = Instant::now();
-        let node = Node::with_files(at, &text, Some(&file), program.map(Path::to_path_buf), "none")?;
+        let node = Node::spawn_with_files(at, &text, Some(&file), program.map(Path::to_path_buf), "none")?;
         while TcpStream::connect(at).is_err() {
             if start.elapsed() > LISTENS_WITHIN {
                 return Err(format!("it does not listen: {}", node.read_log()).into());
--- a/lab/src/scale/test_bed/rpc.rs
+++ b/lab/src/scale/test_bed/rpc.rs
@@ -10,5 +10,5 @@
 pub(super) fn encode_rpc(
     stream: u32, method: &str, tenant: Option<&str>, caller: u64, trace: u64, body: &[u8],
 ) -> Vec<u8> {
-    RpcHeader { method, trace, caller, patience: PATIENCE, tenant }.encode(stream, body)
+    RpcHeader { method, trace, caller, timeout: PATIENCE, tenant }.encode(stream, body)
 }
--- a/lab/src/scale/test_bed/tests/meter.rs
+++ b/lab/src/scale/test_bed/tests/meter.rs
@@ -1,7 +1,7 @@
 //! Tests of `meter.rs`.
 
 use super::*;
-use crate::process::{status_kb, OWN};
+use crate::process::{status_kb, OWN_PROCESS};
 use std::time::Duration;
 
 #[test]
@@ -16,5 +16,5 @@
         burnt = meter.read().cpu_ms(&before);
     }
     assert!(burnt >= 5.0);
-    assert!(status_kb(OWN, "VmRSS").unwrap() > 500);
+    assert!(status_kb(OWN_PROCESS, "VmRSS").unwrap() > 500);
 }
--- a/lab/src/setup.rs
+++ b/lab/src/setup.rs
@@ -32,14 +32,14 @@
     /// Of a method's criticality, the part that an answer without its call earns.
     pub skip_value: f64,
     /// The part in a shared upstream, if it is shared.
-    pub shared_upstream: Option<UpstreamPart>,
+    pub shared_upstream: Option<UpstreamShare>,
     /// Callers that the settings name.
     pub callers: usize,
 }
 
 /// A backend's part in an upstream that several share.
 #[derive(Clone, Copy, Debug)]
-pub struct UpstreamPart {
+pub struct UpstreamShare {
     /// Calls at a time, for each backend.
     pub calls: f64,
     /// Backends.
@@ -54,7 +54,7 @@
     /// Its name.
     pub name: String,
     /// Where it listens for sidecars.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Words in braces of the operator's file and what stands for them, besides the common ones.
     pub placeholders: Vec<(String, String)>,
 }
@@ -102,7 +102,7 @@
             None if self.methods.iter().any(|m| m.calls_upstream) => "tier",
             None => "off",
         };
-        let alone = UpstreamPart { calls: 1.0, replicas: 1, linger: Duration::ZERO };
+        let alone = UpstreamShare { calls: 1.0, replicas: 1, linger: Duration::ZERO };
         let part = self.shared_upstream.unwrap_or(alone);
         json!({"Categories": self.methods.iter().map(method).collect::<Vec<_>>(),
             "FamilyInfo": {"NCores": self.cores, "RamKb": 200_000, "RunFactor": 2, "Say": self.advertise,
@@ -117,7 +117,7 @@
 
     /// The platform's file of a backend that is placed there.
     pub fn platform_file(&self, placement: &Placement, services: &Services) -> Value {
-        json!({"name": placement.name, "listen": placement.at.to_string(), "agent": services.agent.to_string(),
+        json!({"name": placement.name, "listen": placement.address.to_string(), "agent": services.agent.to_string(),
             "naming": services.naming.to_string(), "records": services.upstream.to_string(),
             "seed": "00000000000000a7", "stop_ms": self.stop_ms, "settings": self.settings(),
             "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.sockets}})
--- a/lab/src/sidecar.rs
+++ b/lab/src/sidecar.rs
@@ -84,7 +84,7 @@
     /// The caller's number.
     pub caller: u64,
     /// How long the caller waits for the answer.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// The tenant on whose behalf it is called.
     pub tenant: Option<&'a str>,
 }
@@ -97,7 +97,7 @@
             ("trace", format!("{:016x}", self.trace)),
             ("born", (unix_us() / 1_000).to_string()),
             ("client", self.caller.to_string()),
-            ("patience", self.patience.as_millis().to_string()),
+            ("patience", self.timeout.as_millis().to_string()),
             ("size", "4".to_string()),
         ];
         fields.extend(self.tenant.map(|tenant| ("customer", tenant.to_string())));
--- a/lab/src/stand_ins.rs
+++ b/lab/src/stubs.rs
@@ -10,7 +10,7 @@
 }
 
 /// Starts a name service that takes every load report.
-pub fn start_naming() -> std::io::Result<SocketAddr> {
+pub fn start_name_service() -> std::io::Result<SocketAddr> {
     accept_forever(take_reports)
 }
 
