--- a/lab/src/arguments.rs
+++ b/lab/src/arguments.rs
@@ -1,140 +1,140 @@
-//! The command line.
+//! Command-line arguments.
 
 use crate::scale::capacity::PageOptions;
 use crate::scale::forms::FormOptions;
 use crate::scale::sizes::Sizes;
 use clap::{Parser, Subcommand, ValueEnum};
 
-/// The command line.
+/// Command-line arguments.
 #[derive(Parser)]
-#[command(version, about = "Scenarios with asterrilld among stand-ins, on loopback")]
+#[command(version, about = "Runs scenarios with asterrilld and stubs of its dependencies on loopback")]
 pub struct Arguments {
-    /// What is played
+    /// Scenario to run
     #[command(subcommand)]
     pub scenario: Scenario,
-    /// Seed of all random draws
+    /// Seed of the random number generators
     #[arg(long, global = true, default_value_t = 1)]
     pub seed: u64,
-    /// One JSON object on the last line
+    /// Print the report as one JSON object on the last line
     #[arg(long, global = true)]
     pub json: bool,
-    /// Seconds of load, in scenarios that have one
+    /// Duration of the load in seconds, in scenarios with a load
     #[arg(long, global = true)]
     pub seconds: Option<u64>,
-    /// Framed RPCs a second: 200, unless the scenario says another
+    /// Framed RPCs per second; the default is 200 unless the scenario has its own
     #[arg(long, global = true)]
     pub rate: Option<f64>,
-    /// Another build of asterrilld, for framed-cpu and scale-*
+    /// Another build of asterrilld to measure, for framed-cpu and scale-*
     #[arg(long, global = true)]
     pub other: Option<std::path::PathBuf>,
-    /// Processes, in scenarios of a fleet
+    /// Number of processes, in scenarios of a fleet
     #[arg(long, global = true, default_value_t = 12)]
     pub nodes: usize,
-    /// What happens, by its name in the scenario: of fleet-return, instead of what the seed draws, all, most, rolling,
-    /// state-lost, below-lost or odd; of scale-members calm, quiet, restarts, zone or cut; of scale-agree quiet, dead, cut,
-    /// loss, keeper, disk or crowd
+    /// Variant of the scenario: for fleet-return all, most, rolling, state-lost, below-lost or odd, in place of the one that
+    /// the seed selects; for scale-members calm, quiet, restarts, zone or cut; for scale-agree quiet, dead, cut, loss,
+    /// keeper, disk or crowd
     #[arg(long, global = true)]
     pub kind: Option<String>,
-    /// Faults written by hand, one a line (lab/src/fleet/fault_script.rs)
+    /// File with a fault script, one fault per line (format in lab/src/fleet/fault_script.rs)
     #[arg(long, global = true)]
     pub script: Option<std::path::PathBuf>,
-    /// Where the curve of service is drawn, as SVG
+    /// File to which the service level over time is plotted, as SVG
     #[arg(long, global = true)]
     pub plot: Option<std::path::PathBuf>,
-    /// Messages, in scenarios that count them
+    /// Number of messages or changes, in scenarios that send a fixed number
     #[arg(long, global = true)]
     pub messages: Option<u64>,
-    /// Of 1, the datagrams that get lost, in scale-members
+    /// Fraction of datagrams that are lost (0 to 1), in scale-members
     #[arg(long, global = true, default_value_t = 0.0)]
     pub loss: f64,
-    /// So many real processes beside as many in memory, in scale-members
+    /// Number of real processes to compare with as many simulated ones, in scale-members
     #[arg(long, global = true)]
     pub real: Option<usize>,
-    /// What the scale scenarios are played at
+    /// Sizes of the scale scenarios
     #[command(flatten)]
     pub scale: Sizes,
-    /// What the page of capacity is worked out of
+    /// Inputs of the capacity page
     #[command(flatten)]
     pub capacity: PageOptions,
-    /// Which form a process measures
+    /// Storage form that a process measures
     #[command(flatten)]
     pub forms: FormOptions,
 }
 
 impl Arguments {
-    /// What happens, by one of the names of a scenario.
+    /// Parses `--kind` as a variant of the scenario.
     ///
     /// # Errors
-    /// The scenario has no such name.
+    /// The scenario has no variant of this name.
     pub fn kind<K: ValueEnum>(&self) -> Result<Option<K>, String> {
         let kind = self.kind.as_deref().map(|kind| K::from_str(kind, false));
         kind.transpose().map_err(|why| format!("--kind: {why}"))
     }
 }
 
-/// What is played.
+/// Scenarios that can be run.
 #[derive(Subcommand, Clone, Copy, Debug)]
 pub enum Scenario {
-    /// The main job, to be looked at
+    /// Demonstration: framed RPCs with a jump in load, beside a queue
     Demo,
     /// Framed RPCs alone, then beside a queue that never empties
     AmqpFlood,
-    /// Thousands of redeliveries after cuts, some twice
+    /// Thousands of redeliveries after lost connections, some of them duplicated
     AmqpRedeliver,
-    /// The notice to leave in the middle of deliveries
+    /// Graceful shutdown during deliveries
     AmqpDrain,
-    /// Everything a broker may do wrong
+    /// Each fault that a broker may cause, one after the other
     AmqpOdd,
-    /// 100,000 messages ready, with work that costs nothing
+    /// Throughput with 100,000 messages ready and runs without work
     AmqpRate,
-    /// The same with a launch that the agent never gets, on a link that stands
+    /// Throughput with a launch that is lost while the connection to the agent stays up
     AmqpLost,
-    /// A bad change of the configuration under load, of a kind drawn from the seed
+    /// Bad configuration change under load, of a kind that the seed selects
     ConfigRollback,
-    /// A good change, across a jump in load for odd seeds
+    /// Good configuration change, with a jump in load for odd seeds
     ConfigGood,
-    /// Killed in the middle of a probation
+    /// Process killed during the probation of a configuration change
     ConfigCrash,
-    /// A thousand changes in a row
+    /// A thousand configuration changes in a row
     ConfigStorm,
-    /// CPU, p99 and start of a backend that writes snapshots, and of one that does not, in turns
+    /// CPU time, p99 latency and start time with and without snapshots, measured alternately
     RecoveryCpu,
-    /// Most of a fleet restarted at once, its state lost, or the upstream away
+    /// Most of a fleet restarted at once, its state lost, or its upstream unavailable
     FleetReturn,
-    /// Processes that know each other, with cuts, losses, pauses and deaths between them
+    /// Membership between processes under partitions, packet loss, pauses and crashes
     FleetMembers,
-    /// Processes that agree on lists, with cuts, pauses and deaths between them
+    /// Agreement on lists between processes under partitions, pauses and crashes
     FleetAgree,
-    /// Processes that are killed and start again at once, with what they had persisted, without it, torn, or with a full disk
+    /// Processes killed and restarted at once: with their state, without it, with a torn state, or on a full disk
     FleetReady,
-    /// Cold servers under the sum of what as many callers send
+    /// Cold servers under the combined load of as many callers
     FleetCold,
-    /// Idle clients fill the descriptors while the name service is down
+    /// Idle clients that use up the file descriptors while the name service is down
     IdleFlood,
-    /// CPU of a framed RPC at one of twenty processes, with members and without, in turns
+    /// CPU time per framed RPC at one of twenty processes, with and without membership, measured alternately
     MembersCpu,
-    /// CPU of a framed RPC, this build and another in turns
+    /// CPU time per framed RPC, this build and another measured alternately
     FramedCpu,
-    /// Members in memory on virtual time, at the fleet's size
+    /// Membership simulated in memory on virtual time, at the size of the fleet
     ScaleMembers,
-    /// Simulated replicas of agreed versions and three voters, at the fleet's size
+    /// Simulated replicas of agreed versions and three voters, at the size of the fleet
     ScaleAgree(crate::scale::agree::AgreeOptions),
-    /// One process with many methods and tenants, whose configuration changes by entries, by files and as a whole
+    /// One process with many methods and tenants, with configuration changes by entry, by file and as a whole
     ScaleConfig,
-    /// CPU of an RPC by methods, tenants, callers and entries of lists
+    /// CPU time per RPC by number of methods, tenants, callers and list entries
     ScaleRpc,
-    /// Works docs/CAPACITY.md out from what was measured
+    /// Generates docs/CAPACITY.md from the measured figures
     Capacity,
-    /// What the operators' tool costs, by methods and tenants; --other measures another asterrill
+    /// Cost of the asterrill command-line tool by number of methods and tenants; --other measures another build of it
     ScaleTool,
-    /// What connections cost that callers keep open; --other measures another asterrilld
+    /// Cost of connections that callers keep open; --other measures another build of asterrilld
     ScaleCallers,
-    /// Forms in which a version of the configuration could be stored, side by side
+    /// Comparison of storage forms for a version of the configuration
     ScaleForms,
 }
 
 impl Scenario {
-    /// Its name on the command line.
+    /// Returns the name of the scenario on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Scenario::Demo => "demo",
--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -1,4 +1,4 @@
-//! A backend with the smallest stand-ins around it.
+//! A backend with minimal stubs of its dependencies.
 
 use crate::agent::Agent;
 use crate::node::Node;
@@ -7,16 +7,16 @@
 use crate::stubs::{start_echo_upstream, start_name_service};
 use std::time::{Duration, Instant};
 
-/// A backend among its stand-ins.
+/// A backend with stubs of its dependencies.
 pub struct Backend {
-    /// The agent of its machine.
+    /// Stub agent of its machine.
     pub agent: Agent,
-    /// Its process.
+    /// Process of the backend.
     pub node: Node,
 }
 
 impl Backend {
-    /// Starts both, and waits until the backend listens.
+    /// Starts the agent and the backend, and waits until the backend listens.
     pub fn start(setup: &Setup, password: &str) -> Result<Backend, ScenarioError> {
         let agent = Agent::start(setup.cores, &setup.methods)?;
         agent.state().lost_launch = setup.lost_launch;
@@ -27,16 +27,16 @@
     }
 }
 
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Waits until it holds, so long at most; whether it does.
-pub fn wait_until(within: Duration, holds: impl Fn() -> bool) -> bool {
-    let end = Instant::now() + within;
-    while Instant::now() < end {
+/// Waits until the condition holds, for `timeout` at most, and reports whether it holds.
+pub fn wait_until(timeout: Duration, holds: impl Fn() -> bool) -> bool {
+    let deadline = Instant::now() + timeout;
+    while Instant::now() < deadline {
         if holds() {
             return true;
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
     holds()
 }
--- a/lab/src/dispatch.rs
+++ b/lab/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Plays the scenario that the command line names.
+//! Dispatch of the scenario that the command line names.
 
 use crate::arguments::{Arguments, Scenario};
 use crate::fleet::{self, FleetOptions};
@@ -10,23 +10,23 @@
 use crate::{rollout, scale};
 use std::time::Duration;
 
-const RATE: f64 = 200.0; // framed RPCs a second
-const NODES: std::ops::RangeInclusive<usize> = 3..=40;
+const DEFAULT_RPCS_PER_S: f64 = 200.0;
+const FLEET_NODES: std::ops::RangeInclusive<usize> = 3..=40;
 
-/// Plays a scenario; what it found goes into the report.
+/// Runs a scenario and adds its figures and broken rules to the report.
 ///
 /// # Errors
-/// It could not be played.
+/// The scenario could not be run.
 pub fn run(scenario: Scenario, report: &mut Report, arguments: &Arguments) -> Result<(), ScenarioError> {
     let seed = arguments.seed;
-    let rate = arguments.rate.unwrap_or(RATE);
-    let nodes = arguments.nodes.clamp(*NODES.start(), *NODES.end());
+    let rate = arguments.rate.unwrap_or(DEFAULT_RPCS_PER_S);
+    let nodes = arguments.nodes.clamp(*FLEET_NODES.start(), *FLEET_NODES.end());
     let other = arguments.other.as_deref();
-    let span = |seconds| Duration::from_secs(arguments.seconds.unwrap_or(seconds));
-    let load = |seconds| RateSpan::new(span(seconds), rate);
+    let duration = |seconds| Duration::from_secs(arguments.seconds.unwrap_or(seconds));
+    let load = |seconds| RateSpan::new(duration(seconds), rate);
     match scenario {
-        Scenario::Demo => queue::demo(report, seed, span(15)),
-        Scenario::AmqpFlood => queue::flood(report, seed, span(10), rate),
+        Scenario::Demo => queue::demo(report, seed, duration(15)),
+        Scenario::AmqpFlood => queue::flood(report, seed, duration(10), rate),
         Scenario::AmqpRedeliver => queue::redelivery(report, seed, arguments.messages.unwrap_or(5_000)),
         Scenario::AmqpDrain => queue::shutdown(report, seed),
         Scenario::AmqpOdd => queue::broker_faults(report, seed),
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,6 +1,7 @@
-//! `asterrill-lab SCENARIO --seed N [--json]`: plays a scenario with `asterrilld` among stand-ins on loopback, and
-//! prints what was found, as one JSON object on the last line with `--json`. The exit code is 1 if a rule broke,
-//! and 2 if the scenario could not be played.
+//! Command line of the laboratory: `asterrill-lab SCENARIO --seed N [--json]`.
+//!
+//! Runs a scenario with `asterrilld` and stubs of its dependencies on loopback, and prints the report; with `--json`, as
+//! one JSON object on the last line. The exit code is 1 if a rule was broken, and 2 if the scenario could not be run.
 
 mod agent;
 mod arguments;
@@ -28,22 +29,22 @@
 use report::Report;
 use std::process::ExitCode;
 
-const NOT_PLAYED: u8 = 2;
+const EXIT_NOT_RUN: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let mut report = Report::default();
     let scenario = arguments.scenario;
-    if let Err(fault) = dispatch::run(scenario, &mut report, &arguments) {
-        eprintln!("asterrill-lab: {}: {fault}", scenario.name());
-        return ExitCode::from(NOT_PLAYED);
+    if let Err(error) = dispatch::run(scenario, &mut report, &arguments) {
+        eprintln!("asterrill-lab: {}: {error}", scenario.name());
+        return ExitCode::from(EXIT_NOT_RUN);
     }
     let broken = report.broken().to_vec();
     let value = report.json(scenario.name(), arguments.seed);
     if arguments.json {
         println!("{value}");
-    } else if let Some(all) = value.as_object() {
-        all.iter().for_each(|(name, value)| println!("{name:24} {value}"));
+    } else if let Some(figures) = value.as_object() {
+        figures.iter().for_each(|(name, value)| println!("{name:24} {value}"));
     }
     for rule in &broken {
         eprintln!("broken: {rule}");
--- a/lab/src/tests/arguments.rs
+++ b/lab/src/tests/arguments.rs
@@ -4,6 +4,6 @@
 use clap::CommandFactory;
 
 #[test]
-fn arguments_of_all_scenarios_go_together() {
+fn arguments_of_all_scenarios_are_consistent() {
     Arguments::command().debug_assert();
 }
