--- a/lab/src/agent.rs
+++ b/lab/src/agent.rs
@@ -1,4 +1,4 @@
-//! A stand-in agent: the machine's cores, with an account of what it ran.
+//! A stub agent that simulates the machine's cores and records what it ran.
 
 use crate::method::Method;
 use crate::sync::lock;
@@ -8,63 +8,68 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-const FREE_US: u64 = 100_000; // microseconds without a moment at which all cores were busy: one was free
-const LATE_LAUNCH_US: u64 = 20_000; // by which a launch may come behind rejections of the same wave of RPCs
+/// Time in which a core counts as free if all cores were never busy at the same moment.
+const FREE_CORE_WINDOW_US: u64 = 100_000;
+/// Delay with which a launch may arrive after rejections of the same burst of RPCs.
+const MAX_LAUNCH_DELAY_US: u64 = 20_000;
 const IDLE_WAIT: Duration = Duration::from_millis(50);
-const OPEN_SPAN: u64 = u64::MAX; // the end of a span that has not ended
-const RUNS_PER_CORE: usize = 3; // beyond which cores thrash
-const WORST_THRASHING: f64 = 6.0; // times that a run takes longer, at most
+/// End of a busy span that has not ended.
+const OPEN_SPAN_END_US: u64 = u64::MAX;
+/// Runs per core beyond which the cores thrash.
+const MAX_RUNS_PER_CORE: usize = 3;
+const MAX_THRASHING_FACTOR: f64 = 6.0;
 
-/// Cores that begin at a part of their speed and are warm after a time.
+/// Cores that start at a fraction of their speed and warm up.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdStart {
-    /// The speed at the start, of 1.
+    /// Speed at the start (0 to 1).
     pub initial_speed: f64,
-    /// The time until they are at full speed; the speed grows evenly.
+    /// Time until the cores run at full speed; the speed grows linearly.
     pub warm_up: Duration,
 }
 
 impl ColdStart {
-    /// The speed (0 to 1) so long after the start.
-    pub fn speed(&self, up: Duration) -> f64 {
-        let warmed = (up.as_secs_f64() / self.warm_up.as_secs_f64()).min(1.0);
+    /// Returns the speed (0 to 1) at `uptime` after the start.
+    pub fn speed(&self, uptime: Duration) -> f64 {
+        let warmed = (uptime.as_secs_f64() / self.warm_up.as_secs_f64()).min(1.0);
         self.initial_speed + (1.0 - self.initial_speed) * warmed
     }
 }
 
-/// The agent's own account of what it ran, and its state.
+/// State of the agent, and its record of what it ran.
 pub struct AgentState {
-    /// Runs that began, by the body that they were started with.
+    /// Number of runs that began, by the body that they were launched with.
     pub starts: BTreeMap<Vec<u8>, u64>,
-    /// Runs that began.
+    /// Number of runs that began.
     pub started: u64,
-    /// Runs that ended.
+    /// Number of runs that ended.
     pub ended: u64,
-    /// With more than three runs to a core each takes longer, as on cores that thrash.
+    /// Whether the cores thrash: with more than three runs per core each run takes longer.
     pub thrashes: bool,
-    /// The launch of this number, counted from 1, is read and lost.
+    /// Number, counted from 1, of the launch that is read and dropped.
     pub lost_launch: Option<u64>,
-    /// Launches of runs that are there already, which do not begin again.
+    /// Number of launches of runs that exist already; these do not begin again.
     pub repeated_launches: u64,
-    /// Work that was given to cores.
+    /// Total work of the runs that were started on cores.
     pub total_work: Duration,
-    /// When a run was notified to go on without its call.
+    /// Times at which a run was told to continue without its call.
     pub skipped_calls: Vec<Instant>,
     created: Instant,
     launches: u64,
-    /// Cores that are slow after a start, and since when this agent runs.
+    /// Warm-up of cores that are slow after a start, and the time of the start.
     cold: Option<(ColdStart, Instant)>,
-    /// Spans in which all cores were busy, in microseconds since the agent began; the last may be open.
+    /// Spans in which all cores were busy, by start and end in microseconds since the agent was created. The last may be
+    /// open.
     busy: BTreeMap<u64, u64>,
     waiting: VecDeque<Run>,
-    /// Runs on cores, by when they end, and a number that keeps those of one moment apart.
+    /// Runs on cores, by their end time and a number that distinguishes runs with the same end time.
     on_cores: BTreeMap<(Instant, u64), Run>,
-    /// Runs that wait for the answer to their call.
+    /// Runs that wait for the answer to their upstream call.
     awaiting_call: Vec<Run>,
-    /// Notices so far, for a backend that subscribes again.
+    /// Notices sent so far, for a backend that subscribes again.
     notices: Vec<Vec<u8>>,
     subscriber: Option<TcpStream>,
-    next_number: u64,
+    last_run_number: u64,
 }
 
 #[derive(Clone)]
@@ -75,10 +80,10 @@
     called: bool,
 }
 
-/// An agent with so many cores.
+/// A stub agent with a fixed number of cores.
 #[derive(Clone)]
 pub struct Agent {
-    /// Where it listens.
+    /// Address on which the agent listens.
     pub address: SocketAddr,
     cores: usize,
     methods: Arc<Vec<Method>>,
@@ -86,51 +91,51 @@
 }
 
 impl Agent {
-    /// Listens on a port that the system chooses.
+    /// Starts an agent that listens on a port chosen by the system.
     pub fn start(cores: usize, methods: &[Method]) -> std::io::Result<Agent> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let shared = Arc::new((Mutex::new(AgentState::new()), Condvar::new()));
         let agent = Agent { address, cores, methods: Arc::new(methods.to_vec()), shared };
-        let (acceptor, worker) = (agent.clone(), agent.clone());
+        let (acceptor, scheduler) = (agent.clone(), agent.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let agent = acceptor.clone();
                 std::thread::spawn(move || agent.serve(stream));
             }
         });
-        std::thread::spawn(move || worker.work());
+        std::thread::spawn(move || scheduler.schedule_runs());
         Ok(agent)
     }
 
-    /// Its account and state.
+    /// Locks and returns the state of the agent.
     pub fn state(&self) -> MutexGuard<'_, AgentState> {
         lock(&self.shared.0)
     }
 
-    /// The machine restarts: runs and notices are gone, the cores are cold. Its account stays.
+    /// Simulates a restart of the machine: runs and notices are lost and the cores are cold. The record of what ran stays.
     pub fn restart_cold(&self, cold: ColdStart) {
         let mut state = self.state();
         state.waiting.clear();
         state.on_cores.clear();
         state.awaiting_call.clear();
         state.cold = Some((cold, Instant::now()));
-        state.forget_backend();
+        state.reset_backend_session();
     }
 
-    /// The backend restarts beside an agent that goes on: notices are numbered from 1 again.
+    /// Simulates a restart of the backend while the agent keeps running: notices are numbered from 1 again.
     pub fn handle_backend_restart(&self) {
-        self.state().forget_backend();
+        self.state().reset_backend_session();
     }
 
-    /// Runs of one body beyond the first, over all bodies that begin so.
+    /// Counts the repeated runs of the same body, over all bodies that begin with `prefix`.
     pub fn repeated_runs(&self, prefix: &str) -> u64 {
         let state = self.state();
         let bodies = state.starts.iter().filter(|(body, _)| body.starts_with(prefix.as_bytes()));
         bodies.map(|(_, starts)| starts - 1).sum()
     }
 
-    /// Reads a backend's connection to its end.
+    /// Serves the connection of a backend until it ends.
     fn serve(&self, stream: TcpStream) -> Option<()> {
         stream.set_nodelay(true).ok()?;
         let mut from = BufReader::new(stream.try_clone().ok()?);
@@ -156,7 +161,7 @@
         match words {
             ["subscribe", last, ..] => state.subscribe(stream.try_clone().ok()?, last.parse().ok()?)?,
             ["launch", id, method, ..] => {
-                let method = self.methods.iter().find(|one| one.name == *method).copied();
+                let method = self.methods.iter().find(|candidate| candidate.name == *method).copied();
                 state.launch(id, method, body);
             }
             ["deliver", id, ..] => state.resume(id),
@@ -175,14 +180,14 @@
         Some(())
     }
 
-    /// Runs wait for a core, in their order, and take it for as long as their work is.
-    fn work(&self) {
+    /// Runs launches on the cores: each waits for a core in order of arrival and occupies it for the time of its work.
+    fn schedule_runs(&self) {
         let mut state = self.state();
         loop {
             let now = Instant::now();
             state.finish_runs(now);
             state.start_runs(now, self.cores);
-            state.account_busy(now, self.cores);
+            state.record_busy_span(now, self.cores);
             let first = state.on_cores.first_key_value().map(|((at, _), _)| *at);
             if first.is_some_and(|at| at <= Instant::now()) {
                 continue;
@@ -214,16 +219,16 @@
             awaiting_call: Vec::new(),
             notices: Vec::new(),
             subscriber: None,
-            next_number: 0,
+            last_run_number: 0,
         }
     }
 
-    /// Whether a core was free all through the 100 ms before a moment, and just after it: what was launched with a wave of
-    /// RPCs comes here a little later than rejections of the same wave go out.
+    /// Reports whether a core was free during the 100 ms before `at` and for 20 ms after it: a launch from a burst of RPCs
+    /// arrives at the agent a little later than the rejections of the same burst are sent.
     pub fn had_free_core(&self, at: Instant) -> bool {
         let at = self.micros(at);
-        let last_busy = self.busy.range(..=at + LATE_LAUNCH_US).next_back();
-        last_busy.is_none_or(|(_, end)| *end < at.saturating_sub(FREE_US))
+        let last_busy = self.busy.range(..=at + MAX_LAUNCH_DELAY_US).next_back();
+        last_busy.is_none_or(|(_, end)| *end < at.saturating_sub(FREE_CORE_WINDOW_US))
     }
 
     fn micros(&self, at: Instant) -> u64 {
@@ -234,15 +239,15 @@
         self.cold.map_or(1.0, |(cold, since)| cold.speed(since.elapsed()))
     }
 
-    /// Forgets what a backend before was notified of.
-    fn forget_backend(&mut self) {
+    /// Discards the notices and the connection of an earlier backend process.
+    fn reset_backend_session(&mut self) {
         self.notices.clear();
         if let Some(subscriber) = self.subscriber.take() {
             subscriber.shutdown(Shutdown::Both).unwrap_or_default();
         }
     }
 
-    /// Greets a backend that has read so many notices, and sends it the others.
+    /// Greets a backend that has read `read` notices, and sends it the later ones.
     fn subscribe(&mut self, mut subscriber: TcpStream, read: usize) -> Option<()> {
         let greeting = match self.cold {
             Some((_, since)) => format!("greeting EMPTY {}\r\n", since.elapsed().as_millis()),
@@ -272,7 +277,7 @@
         }
     }
 
-    /// A run goes on behind its call.
+    /// Continues a run after its upstream call.
     fn resume(&mut self, id: &str) {
         if let Some(index) = self.awaiting_call.iter().position(|run| run.id == id) {
             let run = self.awaiting_call.swap_remove(index);
@@ -286,8 +291,8 @@
         }
     }
 
-    /// Sends a numbered notice and keeps it for a backend that subscribes again. `rest`: its kind, and what follows its
-    /// number.
+    /// Sends a numbered notice and keeps it for a backend that subscribes again. `rest` holds its kind, and what follows
+    /// the number.
     fn notice(&mut self, rest: &str, body: &[u8]) {
         let (kind, rest) = rest.split_once(' ').unwrap_or((rest, ""));
         let mut bytes = format!("{kind} {} {rest}\r\n", self.notices.len() + 1).into_bytes();
@@ -331,25 +336,25 @@
     fn start_runs(&mut self, now: Instant, cores: usize) {
         while self.on_cores.len() < cores {
             let Some(run) = self.waiting.pop_front() else { break };
-            self.next_number += 1;
+            self.last_run_number += 1;
             let runs = self.waiting.len() + self.on_cores.len() + 1;
-            let crowding = runs as f64 / (RUNS_PER_CORE * cores) as f64;
-            let slowdown = if self.thrashes { crowding.clamp(1.0, WORST_THRASHING) } else { 1.0 };
+            let load_ratio = runs as f64 / (MAX_RUNS_PER_CORE * cores) as f64;
+            let slowdown = if self.thrashes { load_ratio.clamp(1.0, MAX_THRASHING_FACTOR) } else { 1.0 };
             let slowdown = slowdown / self.speed();
-            let key = (now + run.method.work.mul_f64(slowdown), self.next_number);
+            let key = (now + run.method.work.mul_f64(slowdown), self.last_run_number);
             self.total_work += run.method.work;
             self.on_cores.insert(key, run);
         }
     }
 
-    /// Opens or ends the span in which all cores are busy.
-    fn account_busy(&mut self, now: Instant, cores: usize) {
+    /// Starts or ends the span in which all cores are busy.
+    fn record_busy_span(&mut self, now: Instant, cores: usize) {
         let (at, all_busy) = (self.micros(now), self.on_cores.len() >= cores);
         match self.busy.last_entry() {
-            Some(mut last) if *last.get() == OPEN_SPAN && !all_busy => {
+            Some(mut last) if *last.get() == OPEN_SPAN_END_US && !all_busy => {
                 last.insert(at);
             }
-            _ if all_busy => drop(self.busy.insert(at, OPEN_SPAN)),
+            _ if all_busy => drop(self.busy.insert(at, OPEN_SPAN_END_US)),
             _ => {}
         }
     }
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -1,4 +1,4 @@
-//! Stand-in sidecars: framed RPCs at a steady rate over a few connections, with an account of each.
+//! Simulated sidecars: framed RPCs at given rates over a few connections, with the outcome of each.
 
 use crate::sidecar::{read_frame, RpcHeader, ANSWER, DRAINING, MAX_STREAMS, OK, REJECTED};
 use crate::sync::lock;
@@ -13,42 +13,44 @@
 use std::time::{Duration, Instant};
 
 const CONNECTIONS: usize = 8;
-const CALLERS: usize = 4; // whose numbers the connections bear in turns
-const LATE_ANSWERS: Duration = Duration::from_millis(200); // beyond the longest patience
+/// Number of callers, which the connections are assigned to in turn.
+const CALLERS: usize = 4;
+/// Time beyond the longest timeout in which answers are still accepted.
+const LATE_ANSWER_GRACE: Duration = Duration::from_millis(200);
 
-/// A method that is called.
+/// Load of one method.
 #[derive(Clone, Copy, Debug)]
 pub struct MethodLoad {
-    /// Its name.
+    /// Name of the method.
     pub method: &'static str,
-    /// How often it is called in relation to the others.
+    /// Frequency of its calls in relation to the other methods.
     pub weight: u32,
-    /// Its criticality.
+    /// Criticality of the method.
     pub criticality: f64,
-    /// Its latency target.
+    /// Latency target.
     pub target: Duration,
-    /// How long callers wait for its answer.
+    /// Time that callers wait for an answer.
     pub timeout: Duration,
 }
 
-/// What became of the RPCs of one method.
+/// Outcomes of the RPCs of one method.
 #[derive(Clone, Debug)]
 pub struct MethodStats {
     /// RPCs that were sent.
     pub sent: u64,
     /// Answers with a result.
     pub ok: u64,
-    /// Of those, the ones within the latency target.
+    /// Answers with a result within the latency target.
     pub in_time: u64,
     /// Rejections before the RPC ran.
     pub rejected: u64,
     /// All other answers.
     pub aborted: u64,
-    /// Without an answer though their time was over.
+    /// RPCs without an answer after their timeout.
     pub unanswered: u64,
-    /// Answers to RPCs that had been answered.
+    /// Answers to RPCs that had been answered before.
     pub answered_twice: u64,
-    /// Results that no run made for their RPC.
+    /// Results that do not belong to their RPC.
     pub wrong_results: u64,
     /// Latency of answers with a result, in microseconds.
     pub latency_us: Histogram<u64>,
@@ -71,26 +73,27 @@
     }
 }
 
-/// What became of RPCs, by method.
+/// Outcomes of RPCs by method.
 pub type LoadStats = BTreeMap<&'static str, MethodStats>;
 
-/// A rate that holds for some time.
+/// A rate of RPCs for a limited time.
 #[derive(Clone, Copy, Debug)]
 pub struct RateSpan {
-    /// How long.
+    /// Time for which the rate holds.
     pub duration: Duration,
-    /// RPCs a second.
+    /// RPCs per second.
     pub rate: f64,
 }
 
 impl RateSpan {
-    /// Returns a span of `rate` RPCs a second for `duration`.
+    /// Returns a span of `rate` RPCs per second for `duration`.
     pub const fn new(duration: Duration, rate: f64) -> RateSpan {
         RateSpan { duration, rate }
     }
 }
 
-/// Of the criticality that was sent, the part (0 to 1) that was answered ok within its latency target.
+/// Returns the fraction (0 to 1) of RPCs, weighted by criticality, that were answered with a result within the latency
+/// target.
 pub fn in_time(stats: &LoadStats, methods: &[MethodLoad]) -> f64 {
     let weighted = |count: fn(&MethodStats) -> u64| -> f64 {
         let of = |method: &MethodLoad| {
@@ -101,19 +104,19 @@
     weighted(|stats| stats.in_time) / weighted(|stats| stats.sent).max(1e-9)
 }
 
-/// The 99th percentile of latency over all methods, in ms.
+/// Returns the 99th percentile of the latency over all methods, in ms.
 pub fn p99_ms(stats: &LoadStats) -> f64 {
     let mut all = MethodStats::new().latency_us;
     stats.values().for_each(|stats| all.add(&stats.latency_us).unwrap_or_default());
     all.value_at_quantile(0.99) as f64 / 1000.0
 }
 
-/// A count over all methods.
+/// Returns the sum of a count over all methods.
 pub fn sum(stats: &LoadStats, count: fn(&MethodStats) -> u64) -> u64 {
     stats.values().map(count).sum()
 }
 
-/// Picks one of several by its weight.
+/// Picks a method at random in proportion to the weights.
 pub fn pick_weighted<'a>(methods: &'a [MethodLoad], rng: &mut StdRng) -> Option<&'a MethodLoad> {
     let total: u32 = methods.iter().map(|method| method.weight).sum();
     let mut pick = rng.random_range(0..total);
@@ -140,11 +143,11 @@
     in_flight: InFlightTable,
 }
 
-/// What the threads of a load share.
+/// State that the threads of a load share.
 #[derive(Clone)]
 struct Shared {
     stats: Arc<Mutex<LoadStats>>,
-    /// The backend drains, or a connection broke: nothing more is sent.
+    /// Set when the backend drains or a connection broke; no further RPC is sent.
     draining: Arc<AtomicBool>,
 }
 
@@ -164,8 +167,8 @@
         let stream = TcpStream::connect(at)?;
         stream.set_nodelay(true)?;
         let in_flight = InFlightTable::default();
-        let (from, table, shared) = (stream.try_clone()?, in_flight.clone(), shared.clone());
-        std::thread::spawn(move || read_answers(from, &table, &shared));
+        let (reader, table, shared) = (stream.try_clone()?, in_flight.clone(), shared.clone());
+        std::thread::spawn(move || read_answers(reader, &table, &shared));
         Ok(Connection { stream, next_stream: 0, in_flight })
     }
 }
@@ -198,8 +201,8 @@
     }
 }
 
-/// Sends RPCs at the rates, one after the other, until those are over, `stop` is set or the backend drains; then waits
-/// for what is in flight.
+/// Sends RPCs at the given rates, one rate after the other, until all have ended, `stop` is set or the backend drains.
+/// Then waits for the answers in flight.
 pub fn run_load(
     at: SocketAddr, methods: &[MethodLoad], rates: &[RateSpan], seed: u64, stop: &AtomicBool,
 ) -> std::io::Result<LoadStats> {
@@ -227,7 +230,7 @@
     for RateSpan { duration, rate } in rates {
         let until = at + *duration;
         while at < until {
-            // Exponential gaps: the arrivals of many callers that are independent of each other.
+            // Exponential gaps produce Poisson arrivals, as from many independent callers.
             at += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / rate);
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
             if stop.load(Ordering::Acquire) || shared.draining.load(Ordering::Acquire) {
@@ -261,12 +264,12 @@
     }
 }
 
-/// Each RPC has its answer by its patience; what has none then counts as unanswered.
+/// Waits until each RPC has been answered or has timed out. RPCs without an answer then count as unanswered.
 fn wait_for_answers(connections: &[Connection], methods: &[MethodLoad]) {
     let longest = methods.iter().map(|method| method.timeout).max().unwrap_or_default();
-    let until = Instant::now() + longest + LATE_ANSWERS;
+    let deadline = Instant::now() + longest + LATE_ANSWER_GRACE;
     let in_flight = |connection: &Connection| lock(&connection.in_flight).len();
-    while connections.iter().map(in_flight).sum::<usize>() > 0 && Instant::now() < until {
+    while connections.iter().map(in_flight).sum::<usize>() > 0 && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/lab/src/method.rs
+++ b/lab/src/method.rs
@@ -1,31 +1,31 @@
-//! The methods of the stand-in deployment.
+//! Methods of the simulated deployment.
 
 use crate::load::MethodLoad;
 use crate::time::ms;
 use std::time::Duration;
 
-/// A method of the stand-in deployment.
+/// A method of the simulated deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Method {
-    /// Its name.
+    /// Name of the method.
     pub name: &'static str,
-    /// `free`, `guarded` or `single_shot`, as the settings have it.
+    /// Value of the setting `Effect`: `free`, `guarded` or `single_shot`.
     pub effect: &'static str,
-    /// Its criticality.
+    /// Criticality of the method.
     pub criticality: f64,
-    /// Its latency target.
+    /// Latency target.
     pub target_ms: u64,
-    /// Its deadline.
+    /// Deadline.
     pub deadline_ms: u64,
-    /// Work of one run on a core.
+    /// Time that one run occupies a core.
     pub work: Duration,
-    /// Of so many runs one fails; 0 for none.
+    /// Interval of failing runs: every so many-th run fails, or none for 0.
     pub fails_every: u64,
     /// Whether a run calls the upstream.
     pub calls_upstream: bool,
 }
 
-/// Critical and quick.
+/// Critical method with short runs.
 pub const TILL_PRICE: Method = Method {
     name: "till-price",
     effect: "free",
@@ -37,11 +37,11 @@
     calls_upstream: false,
 };
 
-/// Frequent and of middling criticality.
+/// Frequent method of medium criticality.
 pub const LOOK_UP: Method =
     Method { name: "look-up", criticality: 1.0, target_ms: 200, deadline_ms: 800, work: ms(3), ..TILL_PRICE };
 
-/// What the queue's messages call: it must not run twice.
+/// Method that the queue's messages call; a message must not run twice.
 pub const STOCK_UPDATE: Method = Method {
     name: "stock-update",
     effect: "guarded",
@@ -53,7 +53,7 @@
 };
 
 impl Method {
-    /// How it is called: as often as its weight says, by callers that wait until its deadline.
+    /// Returns the load of this method with a relative frequency, from callers that wait until its deadline.
     pub const fn load(&self, weight: u32) -> MethodLoad {
         MethodLoad {
             method: self.name,
@@ -64,11 +64,11 @@
         }
     }
 
-    /// The same without work: what is measured is the backend alone.
+    /// Returns the method without work, so that only the cost of the backend is measured.
     pub const fn without_work(self) -> Method {
         Method { work: Duration::ZERO, ..self }
     }
 }
 
-/// The framed RPCs of most scenarios.
+/// Methods called by framed RPCs in most scenarios.
 pub const FRAMED_METHODS: [MethodLoad; 2] = [TILL_PRICE.load(1), LOOK_UP.load(3)];
--- a/lab/src/node.rs
+++ b/lab/src/node.rs
@@ -1,4 +1,4 @@
-//! One backend: the program as it is built, in a process of its own.
+//! A backend process: the daemon as it is built, started with its own files.
 
 use crate::process::{cpu_ticks, status_kb_or_zero};
 use crate::setup::{Placement, Services, Setup};
@@ -10,22 +10,22 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-const LISTENS_WITHIN: Duration = Duration::from_secs(5);
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(5);
 const TICK_US: u64 = 10_000;
 
-/// One backend, which ends and whose directory goes when this is dropped.
+/// A backend process. When it is dropped, the process is killed and its directory is removed.
 pub struct Node {
-    /// Its process.
+    /// Process of the backend.
     pub child: Child,
-    /// Where it listens for sidecars.
+    /// Address on which it listens for sidecars.
     pub address: SocketAddr,
-    /// Where its files are.
+    /// Directory of its files.
     pub dir: PathBuf,
     log: PathBuf,
     program: PathBuf,
 }
 
-/// The program beside this one, or one directory above, where tests run.
+/// Finds the daemon in the directory of this program or, as for tests, in its parent directory.
 pub fn daemon_program() -> Option<PathBuf> {
     let own = std::env::current_exe().ok()?;
     let dirs = [own.parent()?.to_path_buf(), own.parent()?.parent()?.to_path_buf()];
@@ -33,7 +33,7 @@
 }
 
 impl Node {
-    /// Starts one on a port that was free, and waits until it listens.
+    /// Starts a backend on a free port, and waits until it listens.
     pub fn start(setup: &Setup, services: &Services, password: &str) -> std::io::Result<Node> {
         let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
         let placement = Placement { name: "n1".into(), address, placeholders: Vec::new() };
@@ -42,7 +42,7 @@
         Ok(node)
     }
 
-    /// The same for one of several, without waiting until it listens.
+    /// Starts a backend at a given placement without waiting until it listens.
     pub fn spawn(
         setup: &Setup, placement: &Placement, services: &Services, password: &str,
     ) -> std::io::Result<Node> {
@@ -51,13 +51,13 @@
         Node::spawn_with_files(placement.address, &config, file.as_deref(), setup.program.clone(), password)
     }
 
-    /// The same with files as they are given; in the operator's file `{password}` stands for the path of the password
-    /// file, and `{dir}` for the directory of the node.
+    /// Starts a backend with the given files without waiting until it listens. In the operator's file `{password}` stands
+    /// for the path of the password file, and `{dir}` for the directory of the node.
     pub fn spawn_with_files(
         address: SocketAddr, config: &str, file: Option<&str>, program: Option<PathBuf>, password: &str,
     ) -> std::io::Result<Node> {
-        static NEXT: AtomicU64 = AtomicU64::new(0);
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        static NEXT_NODE: AtomicU64 = AtomicU64::new(0);
+        let number = NEXT_NODE.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir().join(format!("asterrill-lab-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
         std::fs::write(dir.join("config.json"), config)?;
@@ -65,8 +65,9 @@
         std::fs::write(&secret, password)?;
         std::fs::set_permissions(&secret, PermissionsExt::from_mode(0o600))?;
         let log = dir.join("log");
-        let missing = || Error::other("asterrilld is not built beside this program");
-        let program = program.or_else(daemon_program).ok_or_else(missing)?;
+        let not_built =
+            || Error::other("asterrilld is missing in the directory of asterrill-lab: build it first");
+        let program = program.or_else(daemon_program).ok_or_else(not_built)?;
         if let Some(file) = file {
             let text = file.replace("{password}", &secret.display().to_string());
             std::fs::write(dir.join("asterrill.conf"), text.replace("{dir}", &dir.display().to_string()))?;
@@ -76,72 +77,75 @@
         Ok(Node { child, address, dir, log, program })
     }
 
-    /// Kills the process where it stands, starts it again with the files as they are, and waits until it listens.
+    /// Kills the process, restarts it with its current files, and waits until it listens.
     pub fn kill_and_restart(&mut self) -> std::io::Result<()> {
         self.kill();
         self.restart()?;
         self.wait_until_listening()
     }
 
-    /// Kills the process where it stands, by its id.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         self.child.kill().unwrap_or_default();
         self.child.wait().map(drop).unwrap_or_default();
     }
 
-    /// Starts it again with the files as they are.
+    /// Restarts the process with its current files.
     pub fn restart(&mut self) -> std::io::Result<()> {
         self.child = spawn_process(&self.program, &self.dir, &self.log)?;
         Ok(())
     }
 
-    /// Waits until it listens.
+    /// Waits until the process listens.
     ///
     /// # Errors
-    /// It does not within five seconds; the error has its log.
+    /// The process does not listen within five seconds; the error contains its log.
     pub fn wait_until_listening(&self) -> std::io::Result<()> {
-        let until = Instant::now() + LISTENS_WITHIN;
+        let deadline = Instant::now() + LISTEN_TIMEOUT;
         while TcpStream::connect(self.address).is_err() {
-            if Instant::now() > until {
-                return Err(Error::other(format!("it does not listen: {}", self.read_log())));
+            if Instant::now() > deadline {
+                return Err(Error::other(format!(
+                    "asterrilld does not listen within 5 s; its log: {}",
+                    self.read_log()
+                )));
             }
             std::thread::sleep(Duration::from_millis(5));
         }
         Ok(())
     }
 
-    /// Sends a signal by its name without `SIG`.
+    /// Sends a signal, named without `SIG`.
     pub fn signal(&self, name: &str) {
         Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status().ok();
     }
 
-    /// CPU time so far, in microseconds, to the tick.
+    /// Returns the CPU time used so far in microseconds, at the resolution of a clock tick.
     pub fn cpu_us(&self) -> u64 {
         cpu_ticks(&self.process()).unwrap_or(0) * TICK_US
     }
 
-    /// The most memory that was resident, in MB.
+    /// Returns the peak resident memory in MB.
     pub fn memory_mb(&self) -> f64 {
         status_kb_or_zero(&self.process(), "VmHWM") / 1024.0
     }
 
-    /// Its name in `/proc`.
+    /// Returns the name of its directory in `/proc`: the process id.
     pub fn process(&self) -> String {
         self.child.id().to_string()
     }
 
-    /// Its log so far.
+    /// Reads the log written so far.
     pub fn read_log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Waits for its end; its exit code, none if it was killed or does not end.
-    pub fn wait_for_exit(&mut self, within: Duration) -> Option<i32> {
-        let until = Instant::now() + within;
+    /// Waits for the process to exit and returns its exit code, or `None` if it was killed or does not exit in time.
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<i32> {
+        let deadline = Instant::now() + timeout;
         loop {
             match self.child.try_wait() {
                 Ok(Some(status)) => return status.code(),
-                _ if Instant::now() > until => return None,
+                _ if Instant::now() > deadline => return None,
                 _ => std::thread::sleep(Duration::from_millis(2)),
             }
         }
--- a/lab/src/setup.rs
+++ b/lab/src/setup.rs
@@ -1,4 +1,4 @@
-//! How a backend is set up, and the platform's file that says so.
+//! Setup of a backend, and the platform's file with its settings.
 
 use crate::method::Method;
 use serde_json::{json, Value};
@@ -6,72 +6,73 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How a backend is set up.
+/// Setup of a backend.
 #[derive(Clone)]
 pub struct Setup {
-    /// The methods that it serves.
+    /// Methods that the backend serves.
     pub methods: Vec<Method>,
-    /// Cores of its machine.
+    /// Number of cores of its machine.
     pub cores: usize,
-    /// Its limit of memory.
+    /// Memory limit.
     pub memory_mb: u64,
-    /// Its limit of descriptors.
+    /// Limit of file descriptors.
     pub sockets: u64,
-    /// How long a graceful shutdown may take.
+    /// Time limit of a graceful shutdown.
     pub stop_ms: u64,
-    /// The operator's file, if any; `{password}` stands for the path of the password file.
+    /// Operator's file, if any; `{password}` stands for the path of the password file.
     pub operator_file: Option<String>,
-    /// `window` where credit is advertised to callers, else `off`.
+    /// Value of the setting `Say`: `window` to advertise credit to callers, or `off`.
     pub advertise: &'static str,
-    /// Another build than the one beside the laboratory.
+    /// Program to start in place of the daemon in the directory of the laboratory.
     pub program: Option<PathBuf>,
-    /// The launch of this number is lost by the agent.
+    /// Number of the launch that the agent drops.
     pub lost_launch: Option<u64>,
-    /// How long the settings say that a cold start takes.
+    /// Duration of a cold start according to the settings.
     pub warm_up: Duration,
-    /// Of a method's criticality, the part that an answer without its call earns.
+    /// Fraction of a method's criticality that an answer without its call is worth.
     pub skip_value: f64,
-    /// The part in a shared upstream, if it is shared.
+    /// Share of the upstream, if several backends use it.
     pub shared_upstream: Option<UpstreamShare>,
-    /// Callers that the settings name.
+    /// Number of callers in the settings.
     pub callers: usize,
 }
 
-/// A backend's part in an upstream that several share.
+/// Share of one backend in an upstream that several backends use.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamShare {
-    /// Calls at a time, for each backend.
+    /// Concurrent calls of each backend.
     pub calls: f64,
-    /// Backends.
+    /// Number of backends.
     pub replicas: usize,
-    /// How long a call that was given up may stay in the upstream.
+    /// Time for which an abandoned call may still occupy the upstream.
     pub linger: Duration,
 }
 
-/// Where one backend of several is placed.
+/// Name and address of one backend of several.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// Its name.
+    /// Name of the backend.
     pub name: String,
-    /// Where it listens for sidecars.
+    /// Address on which it listens for sidecars.
     pub address: SocketAddr,
-    /// Words in braces of the operator's file and what stands for them, besides the common ones.
+    /// Placeholders in the operator's file and their values, besides the common ones.
     pub placeholders: Vec<(String, String)>,
 }
 
-/// The services that a backend depends on.
+/// Services that a backend depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Services {
-    /// The agent of its machine.
+    /// Address of the agent of its machine.
     pub agent: SocketAddr,
-    /// The upstream.
+    /// Address of the upstream.
     pub upstream: SocketAddr,
-    /// The name service.
+    /// Address of the name service.
     pub naming: SocketAddr,
 }
 
 impl Setup {
-    /// A small backend of this build, with four callers that are advertised credit, and without an operator's file.
+    /// Returns the setup of a small backend of this build, without an operator's file, that advertises credit to four
+    /// callers.
     pub fn new(methods: &[Method], cores: usize) -> Setup {
         Setup {
             methods: methods.to_vec(),
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The settings in the platform's file.
+    /// Returns the settings for the platform's file.
     pub fn settings(&self) -> Value {
         let method = |m: &Method| {
             json!({"Name": m.name, "AimMs": m.target_ms, "DeadlineMs": m.deadline_ms, "Effect": m.effect,
@@ -102,20 +103,20 @@
             None if self.methods.iter().any(|m| m.calls_upstream) => "tier",
             None => "off",
         };
-        let alone = UpstreamShare { calls: 1.0, replicas: 1, linger: Duration::ZERO };
-        let part = self.shared_upstream.unwrap_or(alone);
+        let unshared = UpstreamShare { calls: 1.0, replicas: 1, linger: Duration::ZERO };
+        let share = self.shared_upstream.unwrap_or(unshared);
         json!({"Categories": self.methods.iter().map(method).collect::<Vec<_>>(),
             "FamilyInfo": {"NCores": self.cores, "RamKb": 200_000, "RunFactor": 2, "Say": self.advertise,
-                "Below": upstream, "CallShare": part.calls, "DepWindowMs": 1_000,
-                "LingerMs": part.linger.as_millis() as u64,
+                "Below": upstream, "CallShare": share.calls, "DepWindowMs": 1_000,
+                "LingerMs": share.linger.as_millis() as u64,
                 "ClassSkipWorth": self.methods.iter().map(skip_value).collect::<Vec<_>>(),
                 "StopMode": "abort", "Gauges": ["on_cores", "links"], "IdleMs": 30_000, "Callers": self.callers},
-            "Limits": {"RetryAfter": true, "MaxRetryAfterMs": 500}, "StepMs": 2, "ReplicasOfMe": part.replicas,
+            "Limits": {"RetryAfter": true, "MaxRetryAfterMs": 500}, "StepMs": 2, "ReplicasOfMe": share.replicas,
             "Safety": {"TipMultiple": 8, "ColdFrom": 0.5, "RampTimeMs": self.warm_up.as_millis() as u64,
                 "StopSendingWithinMs": 400}})
     }
 
-    /// The platform's file of a backend that is placed there.
+    /// Returns the platform's file of a backend at a placement.
     pub fn platform_file(&self, placement: &Placement, services: &Services) -> Value {
         json!({"name": placement.name, "listen": placement.address.to_string(), "agent": services.agent.to_string(),
             "naming": services.naming.to_string(), "records": services.upstream.to_string(),
@@ -123,9 +124,14 @@
             "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.sockets}})
     }
 
-    /// The operator's file with the placement's words put in.
+    /// Returns the operator's file with the placeholders of the placement replaced.
     pub fn operator_file(&self, placement: &Placement) -> Option<String> {
         let file = self.operator_file.clone()?;
-        Some(placement.placeholders.iter().fold(file, |text, (word, means)| text.replace(word, means)))
+        Some(
+            placement
+                .placeholders
+                .iter()
+                .fold(file, |text, (placeholder, value)| text.replace(placeholder, value)),
+        )
     }
 }
--- a/lab/src/sidecar.rs
+++ b/lab/src/sidecar.rs
@@ -1,71 +1,73 @@
-//! Frames of the sidecar protocol as a caller writes and reads them. Written apart from `asterrill-protocol`, so that a
-//! mistake there shows.
+//! Frames of the sidecar protocol as a caller writes and reads them.
+//!
+//! The codec is independent of `asterrill-protocol`, so that a fault there is not repeated here and is found.
 
 use asterrill::Us;
 use std::io::Read;
 use std::net::TcpStream;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The type of a frame that carries an RPC.
+/// Type of a frame that carries an RPC.
 pub const REQUEST: u8 = 1;
-/// The type of a frame that carries the answer to an RPC.
+/// Type of a frame that carries the answer to an RPC.
 pub const ANSWER: u8 = 2;
-/// The type of a frame that asks whether the backend is healthy.
+/// Type of a frame that requests a health check.
 pub const HEALTH_CHECK: u8 = 4;
-/// The type of a frame that answers a health check.
+/// Type of a frame that answers a health check.
 pub const HEALTH: u8 = 5;
-/// The type of a frame by which a backend says that it drains.
+/// Type of a frame with which a backend announces that it drains.
 pub const DRAINING: u8 = 6;
 
-/// The code of an answer with a result.
+/// Code of an answer with a result.
 pub const OK: u8 = 0;
-/// The code of an answer that is final and without a result: the RPC may have run.
+/// Code of a final answer without a result; the RPC may have run.
 pub const ABORTED: u8 = 5;
-/// The code of an answer that rejects an RPC which has not run.
+/// Code of an answer that rejects an RPC that has not run.
 pub const REJECTED: u8 = 11;
 
-/// RPCs that a sidecar opens on one connection at the most.
+/// Maximum number of RPCs that a sidecar has open on one connection.
 pub const MAX_STREAMS: usize = 32;
 
-const HEAD: usize = 5; // bytes that the length counts before the payload: the type and the stream
+/// Bytes that the length field counts before the payload: the type and the stream.
+const HEADER_BYTES: usize = 5;
 
-/// One frame.
+/// A frame of the protocol.
 #[derive(Clone, Debug)]
 pub struct Frame {
-    /// One of the types above.
+    /// Frame type, one of the constants of this module.
     pub kind: u8,
-    /// The stream, 0 for the connection as a whole.
+    /// Stream id; 0 stands for the connection as a whole.
     pub stream: u32,
-    /// What follows the head.
+    /// Bytes after the header.
     pub payload: Vec<u8>,
 }
 
 impl Frame {
-    /// The code of an answer, or of an answer to a health check.
+    /// Returns the code of an answer, or of the answer to a health check.
     pub fn code(&self) -> Option<u8> {
         self.payload.first().copied()
     }
 
-    /// Whether it answers the RPC of a stream.
+    /// Reports whether the frame answers the RPC on a stream.
     pub fn answers(&self, stream: u32) -> bool {
         self.kind == ANSWER && self.stream == stream
     }
 }
 
-/// Reads the next frame; none at the end of the connection or at a frame that is too short.
+/// Reads the next frame. Returns `None` at the end of the connection or for a frame whose length is too small.
 pub fn read_frame(from: &mut TcpStream) -> Option<Frame> {
-    let mut head = [0; 4 + HEAD];
-    from.read_exact(&mut head).ok()?;
-    let length = u32::from_be_bytes(head[..4].try_into().ok()?) as usize;
-    let mut payload = vec![0; length.checked_sub(HEAD)?];
+    let mut header = [0; 4 + HEADER_BYTES];
+    from.read_exact(&mut header).ok()?;
+    let length = u32::from_be_bytes(header[..4].try_into().ok()?) as usize;
+    let mut payload = vec![0; length.checked_sub(HEADER_BYTES)?];
     from.read_exact(&mut payload).ok()?;
-    let stream = u32::from_be_bytes(head[5..].try_into().ok()?);
-    Some(Frame { kind: head[4], stream, payload })
+    let stream = u32::from_be_bytes(header[5..].try_into().ok()?);
+    Some(Frame { kind: header[4], stream, payload })
 }
 
 /// Encodes a frame.
 pub fn encode_frame(kind: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
-    let length = (payload.len() + HEAD) as u32;
+    let length = (payload.len() + HEADER_BYTES) as u32;
     [&length.to_be_bytes()[..], &[kind], &stream.to_be_bytes(), payload].concat()
 }
 
@@ -74,23 +76,23 @@
     encode_frame(HEALTH_CHECK, stream, &[0])
 }
 
-/// What a sidecar says of one RPC.
+/// Header of an RPC.
 #[derive(Clone, Copy, Debug)]
 pub struct RpcHeader<'a> {
-    /// The method's name.
+    /// Name of the method.
     pub method: &'a str,
-    /// Identifies the RPC in traces.
+    /// Trace id of the RPC.
     pub trace: u64,
-    /// The caller's number.
+    /// Number of the caller.
     pub caller: u64,
-    /// How long the caller waits for the answer.
+    /// Time that the caller waits for the answer.
     pub timeout: Duration,
-    /// The tenant on whose behalf it is called.
+    /// Tenant on whose behalf the method is called.
     pub tenant: Option<&'a str>,
 }
 
 impl RpcHeader<'_> {
-    /// Encodes the frame of an RPC that is made now.
+    /// Encodes the frame of an RPC that is issued at the current time.
     pub fn encode(&self, stream: u32, body: &[u8]) -> Vec<u8> {
         let mut fields = vec![
             ("route", self.method.to_string()),
@@ -105,7 +107,7 @@
     }
 }
 
-/// Encodes an RPC's frame: the count of fields, each field with its lengths, the body.
+/// Encodes the frame of an RPC: the number of fields, each field with its lengths, and the body.
 fn encode_request(stream: u32, fields: &[(&str, String)], body: &[u8]) -> Vec<u8> {
     let mut payload = vec![fields.len() as u8];
     for (name, value) in fields {
@@ -119,19 +121,19 @@
     encode_frame(REQUEST, stream, &payload)
 }
 
-/// The payload of an answer.
+/// Payload of an answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// One of the codes above.
+    /// Answer code, one of the constants of this module.
     pub code: u8,
-    /// Names and values.
+    /// Names and values of the fields.
     pub fields: Vec<(String, String)>,
-    /// The result of the run.
+    /// Result of the run.
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// Parses an answer's payload; none if a length leads beyond its end.
+    /// Parses the payload of an answer. Returns `None` if a length exceeds the payload.
     pub fn parse(payload: &[u8]) -> Option<Answer> {
         let (code, count) = (*payload.first()?, *payload.get(1)?);
         let (mut rest, mut fields) = (payload.get(2..)?, Vec::new());
@@ -147,13 +149,13 @@
         Some(Answer { code, fields, body: rest.to_vec() })
     }
 
-    /// The value of a field.
+    /// Returns the value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(field, _)| field == name).map(|(_, value)| value.as_str())
     }
 }
 
-/// Microseconds since the Unix epoch.
+/// Returns the current time in microseconds since the Unix epoch.
 pub fn unix_us() -> Us {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as Us)
 }
--- a/lab/src/stubs.rs
+++ b/lab/src/stubs.rs
@@ -1,17 +1,19 @@
-//! The smallest stand-ins of what a backend depends on: an upstream that answers each call at once, and a name service
-//! that takes every load report. Both listen on a port that the system chooses, until the process ends.
+//! Minimal stubs of the services that a backend depends on: an upstream that answers each call at once, and a name
+//! service that accepts every load report.
+//!
+//! Both listen on a port chosen by the system until the process ends.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Starts an upstream that answers each call at once with what it was called with.
+/// Starts an upstream that answers each call at once with the body of the call.
 pub fn start_echo_upstream() -> std::io::Result<SocketAddr> {
     accept_forever(echo_calls)
 }
 
-/// Starts a name service that takes every load report.
+/// Starts a name service that accepts every load report.
 pub fn start_name_service() -> std::io::Result<SocketAddr> {
-    accept_forever(take_reports)
+    accept_forever(accept_reports)
 }
 
 fn accept_forever(serve: fn(TcpStream) -> Option<()>) -> std::io::Result<SocketAddr> {
@@ -43,7 +45,7 @@
     }
 }
 
-fn take_reports(stream: TcpStream) -> Option<()> {
+fn accept_reports(stream: TcpStream) -> Option<()> {
     let (mut to, mut from) = (stream.try_clone().ok()?, BufReader::new(stream));
     loop {
         HttpRequest::read(&mut from).ok()??;
@@ -51,20 +53,20 @@
     }
 }
 
-/// The answer to a load report.
+/// HTTP response to a load report.
 pub const NO_CONTENT: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 
-/// A request of the name service's HTTP, as far as load reports use it.
+/// HTTP request to the name service, as far as load reports need it.
 #[derive(Clone, Debug)]
 pub struct HttpRequest {
-    /// The line with method and path.
+    /// Request line with method and path.
     pub start: String,
-    /// What `Content-Length` counts.
+    /// Body with the length from `Content-Length`.
     pub body: Vec<u8>,
 }
 
 impl HttpRequest {
-    /// Reads one request; none at the end of the connection, or without a body.
+    /// Reads one request. Returns `None` at the end of the connection, or for a request without a body.
     ///
     /// # Errors
     /// The connection breaks.
--- a/lab/src/time.rs
+++ b/lab/src/time.rs
@@ -1,8 +1,8 @@
-//! Spans of real time.
+//! Shorthand for durations.
 
 use std::time::Duration;
 
-/// So many milliseconds.
+/// Returns a duration of `n` milliseconds.
 pub const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
