--- a/lab/src/broker/connection.rs
+++ b/lab/src/broker/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the broker: its socket, its heartbeat and the loop that reads and writes.
+//! A connection of the broker: its socket, its heartbeat, and the loop that reads and writes.
 
 use super::channel::Channel;
 use super::state::BrokerState;
@@ -15,32 +15,33 @@
 use std::time::{Duration, Instant};
 
 const PROTOCOL_HEADER: &[u8; 8] = b"AMQP\x00\x00\x09\x01";
-const HEADER_WITHIN: Duration = Duration::from_secs(5);
-const READ_TIMEOUT: Duration = Duration::from_millis(1); // deliveries go out between two reads
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit of a read, kept short because deliveries are sent between two reads.
+const READ_TIMEOUT: Duration = Duration::from_millis(1);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-const SILENT_POLL: Duration = Duration::from_millis(20);
-const SILENT_FOR: Duration = Duration::from_secs(4); // at the most
-const MAX_FRAME: usize = 1 << 17; // bytes
+const SILENCE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_SILENCE: Duration = Duration::from_secs(4);
+const MAX_FRAME_BYTES: usize = 1 << 17;
 
-/// One connection.
+/// A connection of a client.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) state: Arc<Mutex<BrokerState>>,
     pub(super) channels: BTreeMap<u16, Channel>,
-    /// Bytes to be written.
+    /// Bytes that wait to be written.
     pub(super) out: Vec<u8>,
-    /// The client has opened it.
+    /// Whether the client has opened the connection.
     pub(super) open: bool,
-    /// It sends nothing more, and reads nothing.
+    /// Whether the broker has stopped reading and writing.
     pub(super) silent: bool,
-    /// The client has closed it with code 200.
+    /// Whether the client has closed the connection with code 200.
     pub(super) closed_cleanly: bool,
     pub(super) heartbeat_s: u16,
     last_write: Instant,
     pub(super) unblock_at: Option<Instant>,
 }
 
-/// Whether the connection goes on.
+/// Decision whether to keep the connection after a frame.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Next {
     Continue,
@@ -52,7 +53,7 @@
 }
 
 impl Connection {
-    /// Serves a connection to its end.
+    /// Serves a connection until it ends.
     pub(super) fn serve(stream: TcpStream, state: Arc<Mutex<BrokerState>>) {
         stream.set_nodelay(true).unwrap_or_default();
         stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap_or_default();
@@ -91,7 +92,7 @@
         Some(())
     }
 
-    /// Until the end of the connection; none if it was cut.
+    /// Reads and writes until the connection ends. Returns `None` if it was cut.
     fn run(&mut self) -> Option<()> {
         let Some(header) = self.read_header() else { return Some(()) };
         if &header != PROTOCOL_HEADER {
@@ -107,7 +108,7 @@
         };
         self.send(0, AMQPClass::Connection(ConnectionMethod::Start(start)));
         self.flush()?;
-        let mut frames = FrameReader::new(Origin::Client, MAX_FRAME);
+        let mut frames = FrameReader::new(Origin::Client, MAX_FRAME_BYTES);
         loop {
             let next = if self.silent { self.stay_silent() } else { self.poll(&mut frames)? };
             if next == Next::Close {
@@ -116,12 +117,13 @@
         }
     }
 
-    /// The first bytes of the client; what is there where they do not come in time, none at the end of the connection.
+    /// Reads the protocol header of the client. Returns the bytes read so far if it does not arrive in time, or `None` at the
+    /// end of the connection.
     fn read_header(&mut self) -> Option<[u8; 8]> {
         let mut header = [0; 8];
-        let until = Instant::now() + HEADER_WITHIN;
+        let deadline = Instant::now() + HEADER_TIMEOUT;
         let mut read = 0;
-        while read < header.len() && Instant::now() < until {
+        while read < header.len() && Instant::now() < deadline {
             match self.stream.read(&mut header[read..]) {
                 Ok(0) => return None,
                 Ok(n) => read += n,
@@ -132,7 +134,7 @@
         Some(header)
     }
 
-    /// Reads what has come, delivers, and keeps the heartbeat. None if the connection breaks or is cut.
+    /// Reads frames, delivers messages and sends heartbeats. Returns `None` if the connection breaks or is cut.
     fn poll(&mut self, frames: &mut FrameReader) -> Option<Next> {
         let mut bytes = [0; 16 * 1024];
         match self.stream.read(&mut bytes) {
@@ -162,25 +164,25 @@
         Some(Next::Continue)
     }
 
-    /// Reads nothing, until the client closes the connection or it has been silent for long.
+    /// Reads nothing until the client closes the connection or the time limit of the silence has passed.
     fn stay_silent(&mut self) -> Next {
-        std::thread::sleep(SILENT_POLL);
+        std::thread::sleep(SILENCE_POLL_INTERVAL);
         match self.stream.peek(&mut [0]) {
-            // The end may lie behind what is not read.
-            Ok(n) if n > 0 && self.last_write.elapsed() < SILENT_FOR => Next::Continue,
+            // The end of the stream may follow the bytes that are not read.
+            Ok(n) if n > 0 && self.last_write.elapsed() < MAX_SILENCE => Next::Continue,
             Err(error) if is_timeout(&error) => Next::Continue,
             _ => Next::Close,
         }
     }
 
-    /// A channel is over: what was not settled comes again.
+    /// Closes a channel and requeues its unsettled deliveries.
     pub(super) fn close_channel(&mut self, id: u16) {
         if let Some(channel) = self.channels.remove(&id) {
             self.lock_state().requeue(channel, false);
         }
     }
 
-    /// The connection is over.
+    /// Requeues the unsettled deliveries of all channels at the end of the connection.
     fn end(&mut self, cut: bool) {
         let channels = std::mem::take(&mut self.channels);
         let mut state = lock(&self.state);
--- a/lab/src/broker/delivery.rs
+++ b/lab/src/broker/delivery.rs
@@ -1,4 +1,4 @@
-//! Deliveries to consumers, and the faults that come with them.
+//! Deliveries to consumers, and the faults that the script injects.
 
 use super::channel::{Channel, Consumer};
 use super::connection::Connection;
@@ -13,27 +13,30 @@
 use asterrill_protocol::amqp::write_content;
 use std::time::{Duration, Instant};
 
-/// Bytes of a body that go into one frame.
+/// Maximum bytes of a message body in one frame.
 pub(super) const MAX_CONTENT_FRAME_BYTES: usize = 4096;
-const OUT_MAX: usize = 1 << 18; // bytes that wait to be written, beyond which nothing more is delivered
+/// Bytes that wait to be written, beyond which nothing more is delivered.
+const MAX_OUT_BYTES: usize = 1 << 18;
 const UNREAD_BEFORE_CUT: Duration = Duration::from_millis(20);
-const BLOCKED_FOR: Duration = Duration::from_millis(300);
-const HALF_TIME: Duration = Duration::from_millis(500); // between the halves of a delivery
-const HUGE_BODY: usize = 60_000_000; // bytes
+const BLOCKED_TIME: Duration = Duration::from_millis(300);
+/// Pause between the two parts of a split delivery.
+const SPLIT_PAUSE: Duration = Duration::from_millis(500);
+const HUGE_BODY_BYTES: usize = 60_000_000;
 const GARBAGE_BYTES: u32 = 999;
 const PRECONDITION_FAILED: u16 = 406;
 const CONNECTION_FORCED: u16 = 320;
 
-/// What the script wants after a delivery.
+/// Reason to stop delivering for the moment.
 enum Interruption {
     Cut,
     Fault(BrokerFault),
-    /// Enough waits to be written.
+    /// Enough bytes wait to be written.
     Flush,
 }
 
 impl Connection {
-    /// Sends what the consumers have capacity for, and does what the script wants; none if the connection is cut.
+    /// Sends as many deliveries as the consumers have capacity for, and injects the scripted faults. Returns `None` if the
+    /// connection is cut.
     pub(super) fn deliver(&mut self) -> Option<()> {
         if !self.open {
             return Some(());
@@ -42,7 +45,7 @@
             None | Some(Interruption::Flush) => Some(()),
             Some(Interruption::Cut) => {
                 self.flush()?;
-                // What is written to the broker now is never read.
+                // Bytes that the client writes during this pause are never read.
                 std::thread::sleep(UNREAD_BEFORE_CUT);
                 None
             }
@@ -71,7 +74,7 @@
                 if let Some(interruption) = next_interruption(&mut state) {
                     return Some(interruption);
                 }
-                if self.out.len() > OUT_MAX {
+                if self.out.len() > MAX_OUT_BYTES {
                     return Some(Interruption::Flush);
                 }
             }
@@ -90,7 +93,7 @@
             BrokerFault::Block => {
                 let blocked = connection::Blocked { reason: "low on memory".into() };
                 self.send(0, AMQPClass::Connection(ConnectionMethod::Blocked(blocked)));
-                self.unblock_at = Some(Instant::now() + BLOCKED_FOR);
+                self.unblock_at = Some(Instant::now() + BLOCKED_TIME);
             }
             BrokerFault::CloseChannel => {
                 self.close_channel_with(
@@ -109,7 +112,7 @@
                 self.silent = true;
             }
             BrokerFault::HugeBody => {
-                let bytes = self.extra_delivery(id, Vec::new(), &vec![b'x'; HUGE_BODY])?;
+                let bytes = self.extra_delivery(id, Vec::new(), &vec![b'x'; HUGE_BODY_BYTES])?;
                 self.out.extend(bytes);
             }
             BrokerFault::UnknownMethod => {
@@ -127,20 +130,21 @@
         Some(())
     }
 
-    /// A delivery whose body comes in two halves, half a second apart.
+    /// Sends a delivery whose body follows its header after half a second.
     fn deliver_in_two_parts(&mut self, id: u16) -> Option<()> {
         let body = b"half and half".to_vec();
         let bytes = self.extra_delivery(id, body.clone(), &body)?;
-        // All but the body's frame first.
+        // The first part is everything before the body frame.
         let (first, rest) = bytes.split_at(bytes.len() - body.len() - 8);
         self.out = first.to_vec();
         self.flush()?;
-        std::thread::sleep(HALF_TIME);
+        std::thread::sleep(SPLIT_PAUSE);
         self.out = rest.to_vec();
         self.flush()
     }
 
-    /// Encodes the delivery of a message of no queue; what comes back to the queue if it is not settled is `returned`.
+    /// Encodes the delivery of a message that was never in a queue. If it is not settled, a message with the body `returned`
+    /// is put into the queue.
     fn extra_delivery(&mut self, id: u16, returned: Vec<u8>, body: &[u8]) -> Option<Vec<u8>> {
         let channel = self.channels.get_mut(&id)?;
         let queue = channel.consumer.as_ref()?.queue.clone();
@@ -164,7 +168,7 @@
     }
 }
 
-/// What the script wants after so many deliveries, once each.
+/// Takes the next cut or fault of the script that is due after the deliveries so far.
 fn next_interruption(state: &mut BrokerState) -> Option<Interruption> {
     let deliveries = state.ledger.deliveries;
     if state.script.cuts.front().is_some_and(|after| deliveries >= *after) {
@@ -181,7 +185,7 @@
 }
 
 /// Writes the delivery of a message to the consumer of a channel.
-fn write_delivery(out: &mut Vec<u8>, id: u16, channel: &mut Channel, message: Message, counts: bool) {
+fn write_delivery(out: &mut Vec<u8>, id: u16, channel: &mut Channel, message: Message, with_count: bool) {
     let Some(Consumer { queue, tag, .. }) = &channel.consumer else { return };
     let deliver = basic::Deliver {
         consumer_tag: tag.as_str().into(),
@@ -191,13 +195,13 @@
         routing_key: queue.as_str().into(),
     };
     let method = AMQPClass::Basic(BasicMethod::Deliver(deliver));
-    write_content(out, id, method, properties(&message, counts), &message.body, MAX_CONTENT_FRAME_BYTES);
+    write_content(out, id, method, properties(&message, with_count), &message.body, MAX_CONTENT_FRAME_BYTES);
     let queue = queue.clone();
     channel.assign_tag(queue, message);
 }
 
-/// `counts`: with the count of deliveries.
-fn properties(message: &Message, counts: bool) -> AMQPProperties {
+/// Returns the properties of a delivery; `with_count` adds the `x-delivery-count` header.
+fn properties(message: &Message, with_count: bool) -> AMQPProperties {
     let mut properties = AMQPProperties::default();
     if let Some(id) = &message.id {
         properties = properties.with_message_id(id.as_str().into());
@@ -209,7 +213,7 @@
     if let Some(expiration) = &message.expiration {
         properties = properties.with_expiration(expiration.as_str().into());
     }
-    if counts {
+    if with_count {
         let mut headers = FieldTable::default();
         let count = AMQPValue::LongLongInt(message.delivered as i64);
         headers.insert("x-delivery-count".into(), count);
--- a/lab/src/broker/faults.rs
+++ b/lab/src/broker/faults.rs
@@ -1,45 +1,45 @@
-//! What the broker does wrong, and when.
+//! Script of the faults that the broker injects.
 
 use std::collections::VecDeque;
 
-/// What the broker does wrong, and when. Counted over all its connections.
+/// Script of the faults that the broker injects, with counts over all connections.
 #[derive(Clone, Debug, Default)]
 pub struct FaultScript {
-    /// After so many deliveries the connection is cut; each is used once, in order.
+    /// Numbers of deliveries after which the connection is cut; each is used once, in order.
     pub cuts: VecDeque<u64>,
-    /// On a cut, what was settled on the connection counts as never read: all of it is delivered again.
+    /// Whether a cut loses the settlements made on the connection: all of its messages are delivered again.
     pub loses_settlements: bool,
-    /// Every so many-th redelivery is sent twice, with two tags; 0 for none.
+    /// Interval of redeliveries that are sent twice, with two delivery tags; 0 for none.
     pub duplicate_every: u64,
-    /// After so many deliveries: a fault, once each.
+    /// Faults with the number of deliveries after which each is injected once.
     pub faults: VecDeque<(u64, BrokerFault)>,
-    /// The frame size that is offered, in bytes.
+    /// Frame size in bytes that the broker proposes.
     pub frame_max: Option<u32>,
-    /// The heartbeat that is offered, in seconds; 0 for none.
+    /// Heartbeat in seconds that the broker proposes; 0 for none.
     pub heartbeat_s: u16,
-    /// Counts deliveries in `x-delivery-count`.
+    /// Whether deliveries have the `x-delivery-count` header.
     pub counts_deliveries: bool,
 }
 
-/// One thing that a broker may do wrong.
+/// Fault that a broker may cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokerFault {
-    /// Cancels the consumer.
+    /// Cancellation of the consumer.
     CancelConsumer,
-    /// Wants nothing published, for 300 ms.
+    /// `connection.blocked` for 300 ms.
     Block,
-    /// Closes the channel with 406, as for a tag that is unknown.
+    /// Close of the channel with 406, as for an unknown delivery tag.
     CloseChannel,
-    /// Closes the connection with 320.
+    /// Close of the connection with 320.
     CloseConnection,
-    /// Sends nothing more, and reads nothing.
+    /// Connection on which the broker stops reading and writing.
     Silence,
-    /// A body of 60 MB.
+    /// Message with a body of 60 MB.
     HugeBody,
-    /// A method that AMQP does not have.
+    /// Frame with a method that AMQP 0-9-1 does not define.
     UnknownMethod,
-    /// Bytes that are no frame.
+    /// Bytes that do not form a frame.
     Garbage,
-    /// A frame's header and half of its content, then nothing for half a second.
+    /// Delivery whose body arrives half a second after its header.
     SplitContent,
 }
--- a/lab/src/broker/ledger.rs
+++ b/lab/src/broker/ledger.rs
@@ -1,34 +1,34 @@
-//! The broker's own account of each delivery.
+//! Ledger of all deliveries and settlements of the broker.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-/// How a delivery was settled.
+/// Way in which a delivery was settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Settlement {
-    /// `basic.ack`
+    /// `basic.ack`.
     Acked,
-    /// `basic.reject` without requeue
+    /// `basic.reject` without requeue.
     Rejected,
-    /// `basic.reject` with requeue
+    /// `basic.reject` with requeue.
     Requeued,
 }
 
-/// An answer that the client published.
+/// A reply that the client published.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Its `correlation-id`.
+    /// `correlation-id` of the reply.
     pub correlation: Option<String>,
-    /// Its body.
+    /// Body of the reply.
     pub body: Vec<u8>,
 }
 
-/// The broker's own account: of each delivery, by connection, channel and tag.
+/// Ledger of all deliveries and settlements of the broker.
 #[derive(Clone, Debug, Default)]
 pub struct BrokerLedger {
     /// Deliveries that were sent.
     pub deliveries: u64,
-    /// Of those, the ones of messages that had been delivered before.
+    /// Deliveries of messages that had been delivered before.
     pub redeliveries: u64,
     /// Deliveries that were acknowledged.
     pub acked: u64,
@@ -36,40 +36,40 @@
     pub rejected: u64,
     /// Deliveries that were rejected with requeue.
     pub requeued: u64,
-    /// Settlements of a tag that had been settled.
+    /// Settlements of a delivery tag that had been settled before.
     pub settled_twice: u64,
-    /// Settlements of a tag that was never given out on its channel.
+    /// Settlements of a delivery tag that was never assigned on its channel.
     pub unknown_tags: u64,
-    /// Deliveries that were never settled, on channels that stood until the connection was closed in order.
+    /// Deliveries that were never settled, on channels that were open when the client closed the connection cleanly.
     pub unsettled: u64,
-    /// Deliveries lost with their connection or channel: they come again.
+    /// Deliveries lost with their connection or channel; these are requeued.
     pub lost: u64,
     /// Connections that were accepted.
     pub connections: u64,
     /// Connections that the client closed with code 200.
     pub closed_cleanly: u64,
-    /// When the client closed the last one.
+    /// Time at which the client last closed a connection.
     pub closed_at: Option<Instant>,
-    /// Answers that reached a queue.
+    /// Replies that reached a queue.
     pub replies: Vec<Reply>,
-    /// Answers that were returned, as no queue took them.
+    /// Replies that were returned because no queue accepts them.
     pub returned: u64,
-    /// Connections that were cut by script.
+    /// Connections that the script cut.
     pub cuts: u64,
-    /// Faults that were played by script.
+    /// Faults that the script injected.
     pub faults: u64,
-    /// Subscriptions.
+    /// Number of `basic.consume` requests that were accepted.
     pub subscriptions: u64,
-    /// The most deliveries that were unsettled on one channel.
+    /// Maximum number of unsettled deliveries on one channel.
     pub most_unsettled: usize,
-    /// Final settlements of messages, by number; a requeue is none.
+    /// Final settlements by message number; a requeue is not final.
     pub settlements: BTreeMap<u64, Vec<Settlement>>,
-    /// Users that logged in.
+    /// Users that sent credentials.
     pub logins: BTreeSet<String>,
 }
 
 impl BrokerLedger {
-    /// Counts a settlement of a message.
+    /// Records the settlement of a message.
     pub(super) fn settle(&mut self, message: u64, settlement: Settlement) {
         match settlement {
             Settlement::Acked => self.acked += 1,
--- a/lab/src/broker/message.rs
+++ b/lab/src/broker/message.rs
@@ -1,27 +1,27 @@
-//! Messages, and queues that make them.
+//! Messages, and queues that generate them.
 
-/// One message in the broker.
+/// A message in the broker.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// Its number, from 1.
+    /// Number of the message, from 1.
     pub number: u64,
-    /// Its `message-id`.
+    /// `message-id` property.
     pub id: Option<String>,
-    /// Its `reply-to`.
+    /// `reply-to` property.
     pub reply_to: Option<String>,
-    /// Its `expiration`.
+    /// `expiration` property.
     pub expiration: Option<String>,
-    /// Its body.
+    /// Message body.
     pub body: Vec<u8>,
-    /// How often it was delivered and came back.
+    /// Number of deliveries after which the message was requeued.
     pub delivered: u64,
 }
 
 /// A queue that never empties.
 #[derive(Clone)]
 pub struct EndlessQueue {
-    /// Its name.
+    /// Name of the queue.
     pub queue: String,
-    /// Makes the message of a number.
+    /// Returns the message of a number.
     pub make_message: fn(u64) -> Message,
 }
--- a/lab/src/broker/methods.rs
+++ b/lab/src/broker/methods.rs
@@ -1,4 +1,4 @@
-//! What the broker does with each frame of a client.
+//! Handlers for the frames of a client.
 
 use super::channel::{Channel, Consumer, PendingPublish};
 use super::connection::{Connection, Next};
@@ -14,7 +14,7 @@
 use asterrill_protocol::amqp::write_content;
 use std::time::Instant;
 
-const FRAME_MAX: u32 = 131_072;
+const DEFAULT_FRAME_MAX_BYTES: u32 = 131_072;
 const CHANNEL_MAX: u16 = 2047;
 const REPLY_SUCCESS: u16 = 200;
 const ACCESS_REFUSED: u16 = 403;
@@ -22,7 +22,7 @@
 const NO_ROUTE: u16 = 312;
 
 impl Connection {
-    /// None if the connection breaks.
+    /// Handles a frame. Returns `None` if it is not valid in the state of the connection, which then ends.
     pub(super) fn handle_frame(&mut self, frame: AMQPFrame) -> Option<Next> {
         match frame {
             AMQPFrame::Method(0, AMQPClass::Connection(method)) => return self.handle_connection(method),
@@ -78,16 +78,17 @@
         Some(Next::Continue)
     }
 
-    /// Checks the password of SASL PLAIN, and tunes the connection. None if the response is no such.
+    /// Checks the password of a SASL PLAIN response, and tunes the connection. Returns `None` for a malformed response.
     fn log_in(&mut self, response: &[u8]) -> Option<()> {
         let response = String::from_utf8_lossy(response).into_owned();
         let (user, password) = response.strip_prefix('\0')?.split_once('\0')?;
         let mut state = self.lock_state();
         state.ledger.logins.insert(user.to_string());
-        let admitted = password == state.password;
-        let (frame_max, heartbeat) = (state.script.frame_max.unwrap_or(FRAME_MAX), state.script.heartbeat_s);
+        let accepted = password == state.password;
+        let (frame_max, heartbeat) =
+            (state.script.frame_max.unwrap_or(DEFAULT_FRAME_MAX_BYTES), state.script.heartbeat_s);
         drop(state);
-        let answer = if admitted {
+        let answer = if accepted {
             ConnectionMethod::Tune(connection::Tune { channel_max: CHANNEL_MAX, frame_max, heartbeat })
         } else {
             ConnectionMethod::Close(connection::Close {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Routes what the client published, once it is complete: an answer.
+    /// Routes a reply that the client published, once it is complete.
     fn finish_publish(&mut self, id: u16) -> Option<()> {
         let channel = self.channels.get_mut(&id)?;
         let Some(published) = channel.take_published() else { return Some(()) };
@@ -196,7 +197,7 @@
         Some(())
     }
 
-    /// Closes a channel with a reason.
+    /// Closes a channel with a reply code and a reason.
     pub(super) fn close_channel_with(&mut self, id: u16, reply_code: u16, reason: &str) {
         self.close_channel(id);
         let close = channel::Close { reply_code, reply_text: reason.into(), class_id: 60, method_id: 80 };
--- a/lab/src/broker/mod.rs
+++ b/lab/src/broker/mod.rs
@@ -1,5 +1,6 @@
-//! A stand-in broker: the server's side of AMQP 0-9-1 as far as a consumer needs it, with faults by script and
-//! its own ledger of every delivery.
+//! A stub broker that implements the server side of AMQP 0-9-1 as far as a consumer needs it.
+//!
+//! It injects faults from a script and keeps a ledger of every delivery.
 
 mod channel;
 mod connection;
--- a/lab/src/broker/server.rs
+++ b/lab/src/broker/server.rs
@@ -1,4 +1,4 @@
-//! The broker, and the threads that serve its connections.
+//! Listener of the broker, and the threads that serve its connections.
 
 use super::connection::Connection;
 use super::faults::FaultScript;
@@ -10,16 +10,16 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// A broker.
+/// A stub broker.
 #[derive(Clone)]
 pub struct Broker {
-    /// Where it listens.
+    /// Address on which the broker listens.
     pub address: SocketAddr,
     state: Arc<Mutex<BrokerState>>,
 }
 
 impl Broker {
-    /// Listens on a port that the system chooses.
+    /// Starts a broker that listens on a port chosen by the system.
     pub fn start(script: FaultScript) -> std::io::Result<Broker> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -34,23 +34,23 @@
         Ok(broker)
     }
 
-    /// The same broker by an address at which nobody listens.
+    /// Returns this broker with an address on which nothing listens.
     pub fn unreachable(&self) -> std::io::Result<Broker> {
         let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
         Ok(Broker { address, state: self.state.clone() })
     }
 
-    /// What its connections share.
+    /// Locks and returns the state that its connections share.
     pub fn state(&self) -> MutexGuard<'_, BrokerState> {
         lock(&self.state)
     }
 
-    /// Its account so far.
+    /// Returns a copy of the ledger.
     pub fn ledger(&self) -> BrokerLedger {
         self.state().ledger.clone()
     }
 
-    /// The password of each user.
+    /// Returns the password of each user.
     pub fn password(&self) -> String {
         self.state().password.clone()
     }
@@ -62,7 +62,7 @@
         state.queues.entry(queue.into()).or_default().push_back(message);
     }
 
-    /// Messages that are ready in a queue.
+    /// Returns the number of messages that are ready in a queue.
     pub fn ready_messages(&self, queue: &str) -> usize {
         self.state().queues.get(queue).map_or(0, VecDeque::len)
     }
--- a/lab/src/broker/state.rs
+++ b/lab/src/broker/state.rs
@@ -1,4 +1,4 @@
-//! Queues, and what all connections of the broker share.
+//! Queues and the other state that all connections of the broker share.
 
 use super::channel::Channel;
 use super::faults::FaultScript;
@@ -6,19 +6,19 @@
 use super::message::{EndlessQueue, Message};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What all connections of the broker share.
+/// State that all connections of the broker share.
 pub struct BrokerState {
     /// Messages that are ready, by queue.
     pub queues: BTreeMap<String, VecDeque<Message>>,
     /// A queue that never empties.
     pub endless_queue: Option<EndlessQueue>,
-    /// Queues that take answers.
+    /// Queues that accept replies.
     pub reply_queues: BTreeSet<String>,
-    /// What goes wrong.
+    /// Script of the faults.
     pub script: FaultScript,
-    /// The broker's account.
+    /// Ledger of deliveries and settlements.
     pub ledger: BrokerLedger,
-    /// The password of each user.
+    /// Password of each user.
     pub password: String,
     pub(super) last_number: u64,
 }
@@ -36,19 +36,19 @@
         }
     }
 
-    /// The number of a message that is made now.
+    /// Returns the number for a new message.
     pub(super) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// Whether a queue can be consumed from.
+    /// Reports whether a queue exists.
     pub(super) fn has_queue(&self, queue: &str) -> bool {
         self.queues.contains_key(queue)
             || self.endless_queue.as_ref().is_some_and(|endless| endless.queue == queue)
     }
 
-    /// The next message of a queue; none while it is empty.
+    /// Takes the next message of a queue, or returns `None` if it is empty.
     pub(super) fn next_message(&mut self, queue: &str) -> Option<Message> {
         if let Some(message) = self.queues.get_mut(queue).and_then(VecDeque::pop_front) {
             return Some(message);
@@ -58,8 +58,8 @@
         Some(Message { number, ..make_message(number) })
     }
 
-    /// What a channel did not settle goes back to the front of its queue, in its order; after a cut by a broker that
-    /// forgets, what was settled as well.
+    /// Requeues the unsettled deliveries of a channel at the front of their queues, in their order. After a cut by a broker
+    /// that loses settlements, the settled messages are requeued as well.
     pub(super) fn requeue(&mut self, channel: Channel, cut: bool) {
         self.ledger.lost += channel.unsettled.len() as u64;
         let settled = channel.settled_messages.into_iter().filter(|_| cut);
