--- a/lab/src/agent.rs
+++ b/lab/src/agent.rs
@@ -58,8 +58,8 @@
     launches: u64,
     /// Warm-up of cores that are slow after a start, and the time of the start.
     cold: Option<(ColdStart, Instant)>,
-    /// Spans in which all cores were busy, by start and end in microseconds since the agent was created. The last may be
-    /// open.
+    /// Spans in which all cores were busy, by start and end in microseconds since the agent was created. The last may
+    /// be open.
     busy: BTreeMap<u64, u64>,
     waiting: VecDeque<Run>,
     /// Runs on cores, by their end time and a number that distinguishes runs with the same end time.
@@ -113,7 +113,8 @@
         lock(&self.shared.0)
     }
 
-    /// Simulates a restart of the machine: runs and notices are lost and the cores are cold. The record of what ran stays.
+    /// Simulates a restart of the machine: runs and notices are lost and the cores are cold. The record of what ran
+    /// stays.
     pub fn restart_cold(&self, cold: ColdStart) {
         let mut state = self.state();
         state.waiting.clear();
@@ -188,11 +189,11 @@
             state.finish_runs(now);
             state.start_runs(now, self.cores);
             state.record_busy_span(now, self.cores);
-            let first = state.on_cores.first_key_value().map(|((at, _), _)| *at);
-            if first.is_some_and(|at| at <= Instant::now()) {
+            let next_end = state.on_cores.first_key_value().map(|((end, _), _)| *end);
+            if next_end.is_some_and(|end| end <= Instant::now()) {
                 continue;
             }
-            let wait = first.map_or(IDLE_WAIT, |at| at.saturating_duration_since(Instant::now()));
+            let wait = next_end.map_or(IDLE_WAIT, |end| end.saturating_duration_since(Instant::now()));
             let woken = self.shared.1.wait_timeout(state, wait);
             state = woken.unwrap_or_else(|e| e.into_inner()).0;
         }
@@ -223,12 +224,12 @@
         }
     }
 
-    /// Reports whether a core was free during the 100 ms before `at` and for 20 ms after it: a launch from a burst of RPCs
-    /// arrives at the agent a little later than the rejections of the same burst are sent.
+    /// Reports whether a core was free during the 100 ms before `at` and for 20 ms after it: a launch from a burst of
+    /// RPCs arrives at the agent a little later than the rejections of the same burst are sent.
     pub fn had_free_core(&self, at: Instant) -> bool {
-        let at = self.micros(at);
-        let last_busy = self.busy.range(..=at + MAX_LAUNCH_DELAY_US).next_back();
-        last_busy.is_none_or(|(_, end)| *end < at.saturating_sub(FREE_CORE_WINDOW_US))
+        let at_us = self.micros(at);
+        let last_busy = self.busy.range(..=at_us + MAX_LAUNCH_DELAY_US).next_back();
+        last_busy.is_none_or(|(_, end)| *end < at_us.saturating_sub(FREE_CORE_WINDOW_US))
     }
 
     fn micros(&self, at: Instant) -> u64 {
@@ -291,8 +292,8 @@
         }
     }
 
-    /// Sends a numbered notice and keeps it for a backend that subscribes again. `rest` holds its kind, and what follows
-    /// the number.
+    /// Sends a numbered notice and keeps it for a backend that subscribes again. `rest` holds its kind, and what
+    /// follows the number.
     fn notice(&mut self, rest: &str, body: &[u8]) {
         let (kind, rest) = rest.split_once(' ').unwrap_or((rest, ""));
         let mut bytes = format!("{kind} {} {rest}\r\n", self.notices.len() + 1).into_bytes();
@@ -349,12 +350,12 @@
 
     /// Starts or ends the span in which all cores are busy.
     fn record_busy_span(&mut self, now: Instant, cores: usize) {
-        let (at, all_busy) = (self.micros(now), self.on_cores.len() >= cores);
+        let (now_us, all_busy) = (self.micros(now), self.on_cores.len() >= cores);
         match self.busy.last_entry() {
             Some(mut last) if *last.get() == OPEN_SPAN_END_US && !all_busy => {
-                last.insert(at);
+                last.insert(now_us);
             }
-            _ if all_busy => drop(self.busy.insert(at, OPEN_SPAN_END_US)),
+            _ if all_busy => drop(self.busy.insert(now_us, OPEN_SPAN_END_US)),
             _ => {}
         }
     }
--- a/lab/src/arguments.rs
+++ b/lab/src/arguments.rs
@@ -30,9 +30,9 @@
     /// Number of processes, in scenarios of a fleet
     #[arg(long, global = true, default_value_t = 12)]
     pub nodes: usize,
-    /// Variant of the scenario: for fleet-return all, most, rolling, state-lost, below-lost or odd, in place of the one that
-    /// the seed selects; for scale-members calm, quiet, restarts, zone or cut; for scale-agree quiet, dead, cut, loss,
-    /// keeper, disk or crowd
+    /// Variant of the scenario: for fleet-return all, most, rolling, state-lost, below-lost or odd, in place of the
+    /// one that the seed selects; for scale-members calm, quiet, restarts, zone or cut; for scale-agree quiet, dead,
+    /// cut, loss, keeper, disk or crowd
     #[arg(long, global = true)]
     pub kind: Option<String>,
     /// File with a fault script, one fault per line (format in lab/src/fleet/fault_script.rs)
--- a/lab/src/broker/connection.rs
+++ b/lab/src/broker/connection.rs
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Reads the protocol header of the client. Returns the bytes read so far if it does not arrive in time, or `None` at the
-    /// end of the connection.
+    /// Reads the protocol header of the client. Returns the bytes read so far if it does not arrive in time, or
+    /// `None` at the end of the connection.
     fn read_header(&mut self) -> Option<[u8; 8]> {
         let mut header = [0; 8];
         let deadline = Instant::now() + HEADER_TIMEOUT;
--- a/lab/src/broker/delivery.rs
+++ b/lab/src/broker/delivery.rs
@@ -35,8 +35,8 @@
 }
 
 impl Connection {
-    /// Sends as many deliveries as the consumers have capacity for, and injects the scripted faults. Returns `None` if the
-    /// connection is cut.
+    /// Sends as many deliveries as the consumers have capacity for, and injects the scripted faults. Returns `None`
+    /// if the connection is cut.
     pub(super) fn deliver(&mut self) -> Option<()> {
         if !self.open {
             return Some(());
@@ -143,8 +143,8 @@
         self.flush()
     }
 
-    /// Encodes the delivery of a message that was never in a queue. If it is not settled, a message with the body `returned`
-    /// is put into the queue.
+    /// Encodes the delivery of a message that was never in a queue. If it is not settled, a message with the body
+    /// `returned` is put into the queue.
     fn extra_delivery(&mut self, id: u16, returned: Vec<u8>, body: &[u8]) -> Option<Vec<u8>> {
         let channel = self.channels.get_mut(&id)?;
         let queue = channel.consumer.as_ref()?.queue.clone();
--- a/lab/src/broker/state.rs
+++ b/lab/src/broker/state.rs
@@ -58,8 +58,8 @@
         Some(Message { number, ..make_message(number) })
     }
 
-    /// Requeues the unsettled deliveries of a channel at the front of their queues, in their order. After a cut by a broker
-    /// that loses settlements, the settled messages are requeued as well.
+    /// Requeues the unsettled deliveries of a channel at the front of their queues, in their order. After a cut by a
+    /// broker that loses settlements, the settled messages are requeued as well.
     pub(super) fn requeue(&mut self, channel: Channel, cut: bool) {
         self.ledger.lost += channel.unsettled.len() as u64;
         let settled = channel.settled_messages.into_iter().filter(|_| cut);
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -163,8 +163,8 @@
 }
 
 impl Connection {
-    fn open(at: SocketAddr, shared: &Shared) -> std::io::Result<Connection> {
-        let stream = TcpStream::connect(at)?;
+    fn open(address: SocketAddr, shared: &Shared) -> std::io::Result<Connection> {
+        let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
         let in_flight = InFlightTable::default();
         let (reader, table, shared) = (stream.try_clone()?, in_flight.clone(), shared.clone());
@@ -204,10 +204,10 @@
 /// Sends RPCs at the given rates, one rate after the other, until all have ended, `stop` is set or the backend drains.
 /// Then waits for the answers in flight.
 pub fn run_load(
-    at: SocketAddr, methods: &[MethodLoad], rates: &[RateSpan], seed: u64, stop: &AtomicBool,
+    address: SocketAddr, methods: &[MethodLoad], rates: &[RateSpan], seed: u64, stop: &AtomicBool,
 ) -> std::io::Result<LoadStats> {
     let shared = Shared::new(methods);
-    let connections = (0..CONNECTIONS).map(|_| Connection::open(at, &shared));
+    let connections = (0..CONNECTIONS).map(|_| Connection::open(address, &shared));
     let mut connections = connections.collect::<std::io::Result<Vec<Connection>>>()?;
     send(&mut connections, methods, rates, seed, stop, &shared);
     wait_for_answers(&connections, methods);
@@ -226,13 +226,13 @@
     shared: &Shared,
 ) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let (mut at, mut number) = (Instant::now(), 0_u64);
+    let (mut send_at, mut number) = (Instant::now(), 0_u64);
     for RateSpan { duration, rate } in rates {
-        let until = at + *duration;
-        while at < until {
+        let until = send_at + *duration;
+        while send_at < until {
             // Exponential gaps produce Poisson arrivals, as from many independent callers.
-            at += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / rate);
-            std::thread::sleep(at.saturating_duration_since(Instant::now()));
+            send_at += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / rate);
+            std::thread::sleep(send_at.saturating_duration_since(Instant::now()));
             if stop.load(Ordering::Acquire) || shared.draining.load(Ordering::Acquire) {
                 return;
             }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,7 +1,8 @@
 //! Command line of the laboratory: `asterrill-lab SCENARIO --seed N [--json]`.
 //!
-//! Runs a scenario with `asterrilld` and stubs of its dependencies on loopback, and prints the report; with `--json`, as
-//! one JSON object on the last line. The exit code is 1 if a rule was broken, and 2 if the scenario could not be run.
+//! Runs a scenario with `asterrilld` and stubs of its dependencies on loopback, and prints the report; with `--json`,
+//! as one JSON object on the last line. The exit code is 1 if a rule was broken, and 2 if the scenario could not be
+//! run.
 
 mod agent;
 mod arguments;
--- a/lab/src/node.rs
+++ b/lab/src/node.rs
@@ -51,8 +51,8 @@
         Node::spawn_with_files(placement.address, &config, file.as_deref(), setup.program.clone(), password)
     }
 
-    /// Starts a backend with the given files without waiting until it listens. In the operator's file `{password}` stands
-    /// for the path of the password file, and `{dir}` for the directory of the node.
+    /// Starts a backend with the given files without waiting until it listens. In the operator's file `{password}`
+    /// stands for the path of the password file, and `{dir}` for the directory of the node.
     pub fn spawn_with_files(
         address: SocketAddr, config: &str, file: Option<&str>, program: Option<PathBuf>, password: &str,
     ) -> std::io::Result<Node> {
--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -3,8 +3,8 @@
 /// Name of the directory of this process in `/proc`.
 pub const OWN_PROCESS: &str = "self";
 
-/// Reads a line of `/proc/PROCESS/status` in kB, such as `VmRSS` or `VmHWM`. Returns `None` if the process or the line is
-/// missing.
+/// Reads a line of `/proc/PROCESS/status` in kB, such as `VmRSS` or `VmHWM`. Returns `None` if the process or the
+/// line is missing.
 pub fn status_kb(process: &str, name: &str) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
--- a/lab/src/queue/broker_faults.rs
+++ b/lab/src/queue/broker_faults.rs
@@ -1,4 +1,4 @@
-//! `amqp-odd`: everything a broker may do wrong, one after the other, with answers wanted and messages that fail.
+//! Scenario `amqp-odd`: each fault that a broker may cause, one after the other, with messages that request replies.
 
 use super::rules::{check_framed, check_runs_once, report_broker_ledger, shut_down};
 use super::setup::{backend_setup, message, operator_file, QUEUE};
@@ -22,14 +22,14 @@
     BrokerFault::SplitContent,
     BrokerFault::Silence,
 ];
-const DELIVERIES_APART: u64 = 30; // from one fault to the next
+const DELIVERIES_BETWEEN_FAULTS: u64 = 30;
 const REPLY_QUEUE: &str = "answers";
-const NO_QUEUE: &str = "gone";
-const MEMORY_MB: f64 = 32.0;
+const MISSING_QUEUE: &str = "gone";
+const MAX_MEMORY_MB: f64 = 32.0;
 
-/// Plays it.
+/// Runs `amqp-odd`.
 pub fn broker_faults(report: &mut Report, seed: u64) -> Result<(), ScenarioError> {
-    let faults = FAULTS.iter().zip(1..).map(|(fault, n)| (DELIVERIES_APART * n, *fault));
+    let faults = FAULTS.iter().zip(1..).map(|(fault, n)| (DELIVERIES_BETWEEN_FAULTS * n, *fault));
     let broker = Broker::start(FaultScript {
         faults: faults.collect(),
         frame_max: Some(4096),
@@ -39,12 +39,12 @@
     broker.state().reply_queues.insert(REPLY_QUEUE.into());
     let messages = 400 + seed % 50;
     for n in 0..messages {
-        let to = [REPLY_QUEUE, NO_QUEUE][n as usize % 2];
+        let to = [REPLY_QUEUE, MISSING_QUEUE][n as usize % 2];
         let reply_to = Some(to.to_string()).filter(|_| n % 3 == 0);
         broker.publish(QUEUE, Message { reply_to, ..message(n) });
     }
     let update = Method { work: Duration::from_millis(1), ..STOCK_UPDATE };
-    // Where the first broker should be nobody listens.
+    // Nothing listens at the address of the first broker.
     let brokers = [&broker.unreachable()?, &broker];
     let file = operator_file(&brokers, STOCK_UPDATE.name, "prefetch 32\nbound 60s\n");
     let setup = backend_setup(&[TILL_PRICE, LOOK_UP, update], Some(file));
@@ -53,20 +53,20 @@
     let rates = [RateSpan::new(Duration::from_secs(4), 100.0)];
     let stats = run_load(backend.node.address, &FRAMED_METHODS, &rates, seed, &never)?;
     check_framed(report, &stats);
-    // Two messages more than were published: those of the huge body and of the halves.
+    // The huge body and the split delivery add two messages to the published ones.
     let complete = wait_until(Duration::from_secs(40), || {
         let ledger = broker.ledger();
         ledger.faults == FAULTS.len() as u64
             && broker.ready_messages(QUEUE) == 0
             && ledger.settlements.len() as u64 >= messages + 2
     });
-    report.rule("not every message was settled", complete);
+    report.rule("not every message was settled within 40 s", complete);
     std::thread::sleep(Duration::from_millis(300));
     let memory_mb = backend.node.memory_mb();
     let took_ms = shut_down(report, &mut backend, Some(&broker));
     report.set("drain_ms", json!(took_ms));
     report.set("memory_mb", json!(memory_mb));
-    report.rule("memory grew beyond 32 MB", memory_mb > 1.0 && memory_mb < MEMORY_MB);
+    report.rule("peak memory is not between 1 and 32 MB", memory_mb > 1.0 && memory_mb < MAX_MEMORY_MB);
     check_runs_once(report, &backend);
     let ledger = broker.ledger();
     check_replies(report, &ledger);
@@ -79,9 +79,12 @@
     report.set("connections", json!(ledger.connections));
     report.set("replies", json!(ledger.replies.len()));
     report.set("returned", json!(ledger.returned));
-    report.rule("no answer arrived", !ledger.replies.is_empty() && ledger.returned > 0);
-    let own = ledger.replies.iter().all(|reply| {
+    report.rule(
+        "no reply reached its queue, or none was returned",
+        !ledger.replies.is_empty() && ledger.returned > 0,
+    );
+    let matching = ledger.replies.iter().all(|reply| {
         reply.correlation.is_some() && (reply.body.is_empty() || reply.body.starts_with(b"did job "))
     });
-    report.rule("an answer is not that of its message", own);
+    report.rule("a reply does not belong to its message", matching);
 }
--- a/lab/src/queue/cpu.rs
+++ b/lab/src/queue/cpu.rs
@@ -1,4 +1,5 @@
-//! `framed-cpu` and `recovery-cpu`: what a framed RPC costs the process, in turns with another build or another file.
+//! Scenarios `framed-cpu` and `recovery-cpu`: CPU time per framed RPC, measured alternately with another build or
+//! another file.
 
 use super::rules::check_framed;
 use super::setup::backend_setup;
@@ -18,14 +19,14 @@
 
 type Figure = fn(&Run) -> f64;
 
-/// One run of a backend without work.
+/// Measurements of one run of a backend whose methods do no work.
 struct Run {
     cpu_us_per_rpc: f64,
     stats: LoadStats,
     start_ms: f64,
 }
 
-fn quick_setup(operator_file: Option<String>) -> Setup {
+fn setup_without_work(operator_file: Option<String>) -> Setup {
     backend_setup(&[TILL_PRICE, LOOK_UP].map(|method| method.without_work()), operator_file)
 }
 
@@ -34,50 +35,52 @@
     let start = Instant::now();
     let backend = Backend::start(setup, "")?;
     let start_ms = start.elapsed().as_secs_f64() * MS_PER_S;
-    let at = backend.node.address;
-    run_load(at, &FRAMED_METHODS, &[RateSpan::new(WARM_UP, load.rate)], seed + 50, &never)?;
+    let address = backend.node.address;
+    run_load(address, &FRAMED_METHODS, &[RateSpan::new(WARM_UP, load.rate)], seed + 50, &never)?;
     let before = backend.node.cpu_us();
-    let stats = run_load(at, &FRAMED_METHODS, &[load], seed, &never)?;
+    let stats = run_load(address, &FRAMED_METHODS, &[load], seed, &never)?;
     let cpu_us = (backend.node.cpu_us() - before) as f64;
     check_framed(report, &stats);
     Ok(Run { cpu_us_per_rpc: cpu_us / sum(&stats, |s| s.sent).max(1) as f64, stats, start_ms })
 }
 
-/// Sorts what it is given; of an even number the upper of the two in the middle.
-fn median(all: &mut [f64]) -> Option<f64> {
-    all.sort_by(f64::total_cmp);
-    all.get(all.len() / 2).copied()
+/// Sorts the values and returns the median: for an even number of values the upper of the two in the middle.
+fn median(values: &mut [f64]) -> Option<f64> {
+    values.sort_by(f64::total_cmp);
+    values.get(values.len() / 2).copied()
 }
 
-/// CPU of a framed RPC with this build, and with another in turns if one is named: medians of five.
+/// Measures the CPU time per framed RPC with this build and, if given, alternately with another; reports medians of
+/// five rounds.
 pub fn framed_cpu(
     report: &mut Report, seed: u64, load: RateSpan, other: Option<&Path>,
 ) -> Result<(), ScenarioError> {
-    let (mut this, mut that) = (Vec::new(), Vec::new());
+    let (mut this_build, mut other_build) = (Vec::new(), Vec::new());
     for round in 0..ROUNDS {
-        this.push(run(report, &quick_setup(None), load, seed + round)?.cpu_us_per_rpc);
+        this_build.push(run(report, &setup_without_work(None), load, seed + round)?.cpu_us_per_rpc);
         if let Some(program) = other {
-            let setup = Setup { program: Some(program.to_path_buf()), ..quick_setup(None) };
-            that.push(run(report, &setup, load, seed + round)?.cpu_us_per_rpc);
+            let setup = Setup { program: Some(program.to_path_buf()), ..setup_without_work(None) };
+            other_build.push(run(report, &setup, load, seed + round)?.cpu_us_per_rpc);
         }
     }
-    report.set("all_this", json!(this));
-    report.set("all_other", json!(that));
-    let (this, that) = (median(&mut this), median(&mut that));
+    report.set("all_this", json!(this_build));
+    report.set("all_other", json!(other_build));
+    let (this, other) = (median(&mut this_build), median(&mut other_build));
     report.set("cpu_us_per_rpc", json!(this));
-    report.set("cpu_us_per_rpc_other", json!(that));
-    report.set("ratio", json!(this.zip(that).map(|(this, that)| this / that)));
+    report.set("cpu_us_per_rpc_other", json!(other));
+    report.set("ratio", json!(this.zip(other).map(|(this, other)| this / other)));
     Ok(())
 }
 
-/// CPU and p99 of framed RPCs with snapshots each second and without `[recovery]`, in turns: medians of five.
+/// Measures CPU time, p99 latency and start time with a snapshot each second and without `[recovery]`, alternately;
+/// reports medians of five rounds.
 pub fn recovery_cpu(report: &mut Report, seed: u64, load: RateSpan) -> Result<(), ScenarioError> {
     let state = "[changes]\nstate {dir}/state\n";
     let files = [("off", state.to_string()), ("on", format!("{state}[recovery]\nsnapshot 1s\n"))];
     let mut runs = [Vec::new(), Vec::new()];
     for round in 0..ROUNDS {
         for ((_, file), runs) in files.iter().zip(&mut runs) {
-            runs.push(run(report, &quick_setup(Some(file.clone())), load, seed + round)?);
+            runs.push(run(report, &setup_without_work(Some(file.clone())), load, seed + round)?);
         }
     }
     let figures: [(&str, Figure); 3] = [
--- a/lab/src/queue/demo.rs
+++ b/lab/src/queue/demo.rs
@@ -1,4 +1,5 @@
-//! `demo`: the main job, to be looked at: load that jumps, a queue, progress on a terminal and a table at the end.
+//! Scenario `demo`: framed RPCs with a jump in load beside a queue, with progress on the terminal and a table at the
+//! end.
 
 use super::rules::{check_framed, report_broker_ledger, shut_down};
 use super::setup::{backend_setup, endless_stock_queue, operator_file, QUEUE};
@@ -11,32 +12,33 @@
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
 
-const STEADY: f64 = 150.0; // RPCs a second
-const JUMP: f64 = 900.0;
-const LINE_EVERY: Duration = Duration::from_secs(1);
+const STEADY_RPCS_PER_S: f64 = 150.0;
+const JUMP_RPCS_PER_S: f64 = 900.0;
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Plays it for `span`, a third of it with a jump in load.
-pub fn demo(report: &mut Report, seed: u64, span: Duration) -> Result<(), ScenarioError> {
+/// Runs `demo` for `duration`, with a jump in load during the second third.
+pub fn demo(report: &mut Report, seed: u64, duration: Duration) -> Result<(), ScenarioError> {
     let broker = Broker::start(FaultScript::default())?;
     broker.state().endless_queue = Some(endless_stock_queue());
     let file = operator_file(&[&broker], STOCK_UPDATE.name, "caller 900\nprefetch 32\n");
     let setup = backend_setup(&[TILL_PRICE, LOOK_UP, STOCK_UPDATE], Some(file));
     let mut backend = Backend::start(&setup, &broker.password())?;
-    println!("asterrilld takes RPCs at {} and deliveries of the queue {QUEUE}.", backend.node.address);
-    let third = span / 3;
-    let rates = [STEADY, JUMP, STEADY].map(|rate| RateSpan::new(third, rate));
-    let (at, never) = (backend.node.address, AtomicBool::new(false));
+    println!("asterrilld serves framed RPCs at {} and consumes the queue {QUEUE}", backend.node.address);
+    let third = duration / 3;
+    let rates =
+        [STEADY_RPCS_PER_S, JUMP_RPCS_PER_S, STEADY_RPCS_PER_S].map(|rate| RateSpan::new(third, rate));
+    let (address, never) = (backend.node.address, AtomicBool::new(false));
     let load = std::thread::spawn(move || {
-        run_load(at, &FRAMED_METHODS, &rates, seed, &never).map_err(|e| e.to_string())
+        run_load(address, &FRAMED_METHODS, &rates, seed, &never).map_err(|e| e.to_string())
     });
     let start = Instant::now();
     let mut runs_before = 0;
     while !load.is_finished() {
-        std::thread::sleep(LINE_EVERY);
+        std::thread::sleep(PROGRESS_INTERVAL);
         let (ledger, runs) = (broker.ledger(), backend.agent.state().started);
         let steady = start.elapsed() < third || start.elapsed() > third * 2;
         println!(
-            "{:3} s  {:6}  runs {:5} a second  deliveries settled {:6}",
+            "{:3} s  {:6}  runs per second {:5}  deliveries settled {:6}",
             start.elapsed().as_secs(),
             if steady { "steady" } else { "jump" },
             runs - runs_before,
@@ -44,7 +46,7 @@
         );
         runs_before = runs;
     }
-    let stats = load.join().map_err(|_| "the load ended badly")??;
+    let stats = load.join().map_err(|_| "the load thread panicked")??;
     let took_ms = shut_down(report, &mut backend, Some(&broker));
     let ledger = broker.ledger();
     print_table(&stats, &ledger);
--- a/lab/src/queue/flood.rs
+++ b/lab/src/queue/flood.rs
@@ -1,4 +1,4 @@
-//! `amqp-flood`: framed RPCs alone, then beside a queue that never empties.
+//! Scenario `amqp-flood`: framed RPCs alone, then beside a queue that never empties.
 
 use super::rules::{check_framed, report_broker_ledger, shut_down};
 use super::setup::{backend_setup, endless_stock_queue, operator_file};
@@ -13,40 +13,43 @@
 
 const WARM_UP: Duration = Duration::from_millis(1_000);
 
-/// Service of framed RPCs in one run.
+/// Service level of framed RPCs in one run.
 struct Service {
     in_time: f64,
     p99_ms: f64,
 }
 
-/// Plays it: framed RPCs for `duration` at `rate` a second.
+/// Runs `amqp-flood` with framed RPCs for `duration` at `rate` per second.
 pub fn flood(report: &mut Report, seed: u64, duration: Duration, rate: f64) -> Result<(), ScenarioError> {
-    let alone = play(report, seed, RateSpan::new(duration, rate), false)?;
-    let flooded = play(report, seed, RateSpan::new(duration, rate), true)?;
+    let alone = measure_service(report, seed, RateSpan::new(duration, rate), false)?;
+    let flooded = measure_service(report, seed, RateSpan::new(duration, rate), true)?;
     report.set("framed_in_time_alone", json!(alone.in_time));
     report.set("framed_in_time_flooded", json!(flooded.in_time));
     report.set("p99_ms_alone", json!(alone.p99_ms));
     report.set("p99_ms_flooded", json!(flooded.p99_ms));
-    report.rule("framed RPCs alone are not in time", alone.in_time > 0.9);
+    report.rule("at most 90 % of framed RPCs were in time without the queue", alone.in_time > 0.9);
     let difference = (alone.in_time - flooded.in_time).abs();
-    report.rule("the queue took time from framed RPCs", difference < 0.02);
+    report.rule("the queue changed the in-time fraction of framed RPCs by 0.02 or more", difference < 0.02);
     Ok(())
 }
 
-fn play(report: &mut Report, seed: u64, load: RateSpan, flooded: bool) -> Result<Service, ScenarioError> {
+fn measure_service(
+    report: &mut Report, seed: u64, load: RateSpan, flooded: bool,
+) -> Result<Service, ScenarioError> {
     let never = AtomicBool::new(false);
     let broker = Broker::start(FaultScript::default())?;
     broker.state().endless_queue = Some(endless_stock_queue());
     let file = flooded.then(|| operator_file(&[&broker], STOCK_UPDATE.name, "caller 900\nprefetch 64\n"));
     let setup = backend_setup(&[TILL_PRICE, LOOK_UP, STOCK_UPDATE], file);
     let mut backend = Backend::start(&setup, &broker.password())?;
-    let at = backend.node.address;
-    let warm = run_load(at, &FRAMED_METHODS, &[RateSpan::new(WARM_UP, load.rate)], seed + 100, &never)?;
-    report.rule("nothing is answered", sum(&warm, |s| s.ok) > 0);
-    let (cpu, before) = (backend.node.cpu_us(), broker.ledger());
-    let stats = run_load(at, &FRAMED_METHODS, &[load], seed, &never)?;
+    let address = backend.node.address;
+    let warm_up =
+        run_load(address, &FRAMED_METHODS, &[RateSpan::new(WARM_UP, load.rate)], seed + 100, &never)?;
+    report.rule("no framed RPC was answered during the warm-up", sum(&warm_up, |s| s.ok) > 0);
+    let (cpu_us_before, before) = (backend.node.cpu_us(), broker.ledger());
+    let stats = run_load(address, &FRAMED_METHODS, &[load], seed, &never)?;
     let after = broker.ledger();
-    let cpu = backend.node.cpu_us() - cpu;
+    let cpu_us = backend.node.cpu_us() - cpu_us_before;
     check_framed(report, &stats);
     if flooded {
         let deliveries = after.acked - before.acked;
@@ -54,9 +57,9 @@
         report.set("most_out", json!(after.most_unsettled));
         report.set("subscriptions", json!(after.subscriptions));
         report.set("memory_mb", json!(backend.node.memory_mb()));
-        report.rule("no delivery was taken", deliveries > 0);
+        report.rule("no delivery was acknowledged", deliveries > 0);
     } else {
-        report.set("cpu_us_per_rpc", json!(cpu / sum(&stats, |s| s.sent).max(1)));
+        report.set("cpu_us_per_rpc", json!(cpu_us / sum(&stats, |s| s.sent).max(1)));
     }
     let took_ms = shut_down(report, &mut backend, Some(&broker).filter(|_| flooded));
     if flooded {
--- a/lab/src/queue/mod.rs
+++ b/lab/src/queue/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios of the queues, and of the CPU of framed RPCs beside them.
+//! Scenarios of the queues, and of the CPU time of framed RPCs.
 
 mod broker_faults;
 mod cpu;
--- a/lab/src/queue/redelivery.rs
+++ b/lab/src/queue/redelivery.rs
@@ -1,4 +1,5 @@
-//! `amqp-redeliver`: thousands of redeliveries after cuts, some of them twice, by a broker that forgets settlements.
+//! Scenario `amqp-redeliver`: thousands of redeliveries after cut connections, some of them duplicated, by a broker
+//! that loses settlements.
 
 use super::rules::{check_runs_once, report_broker_ledger, shut_down};
 use super::setup::{backend_setup, message, operator_file, QUEUE};
@@ -12,10 +13,11 @@
 use serde_json::json;
 use std::time::Duration;
 
-const CORES: usize = 32; // without credit the window opens to so many to a core
-const SETTLED_WITHIN: Duration = Duration::from_secs(60);
+/// Number of cores. Without advertised credit the window of deliveries is limited per core.
+const CORES: usize = 32;
+const SETTLEMENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Plays it with so many messages.
+/// Runs `amqp-redeliver` with a number of messages.
 pub fn redelivery(report: &mut Report, seed: u64, messages: u64) -> Result<(), ScenarioError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let first = messages / 4 + rng.random_range(0..messages / 8);
@@ -32,21 +34,21 @@
     let setup = backend_setup(&methods, Some(operator_file(&[&broker], STOCK_UPDATE.name, more)));
     let setup = Setup { advertise: "off", cores: CORES, ..setup };
     let mut backend = Backend::start(&setup, &broker.password())?;
-    let complete = wait_until(SETTLED_WITHIN, || {
+    let complete = wait_until(SETTLEMENT_TIMEOUT, || {
         let ledger = broker.ledger();
         ledger.cuts == 2 && ledger.settlements.len() as u64 == messages && broker.ready_messages(QUEUE) == 0
     });
-    report.rule("not every message was settled", complete);
+    report.rule("not every message was settled within 60 s", complete);
     let took_ms = shut_down(report, &mut backend, Some(&broker));
     report.set("drain_ms", json!(took_ms));
     let ledger = broker.ledger();
     report.set("redeliveries", json!(ledger.redeliveries));
     report.set("runs", json!(backend.agent.state().started));
     check_runs_once(report, &backend);
-    report.rule("no message was redelivered", ledger.redeliveries > messages / 4);
-    // A message may be settled several times by this broker, but always in the same way.
+    report.rule("at most a quarter as many redeliveries as messages", ledger.redeliveries > messages / 4);
+    // The broker may record several settlements of a message, but all of the same kind.
     let same = ledger.settlements.values().all(|all| all.iter().all(|one| *one == all[0]));
-    report.rule("a message was settled in two ways", same);
+    report.rule("a message was settled in two different ways", same);
     report_broker_ledger(report, &ledger);
     Ok(())
 }
--- a/lab/src/queue/rules.rs
+++ b/lab/src/queue/rules.rs
@@ -1,4 +1,4 @@
-//! What every scenario reports of the broker's ledger and of framed RPCs, and the rules that it checks.
+//! Figures and rules of the broker's ledger and of framed RPCs that all queue scenarios share.
 
 use crate::backend::Backend;
 use crate::broker::{Broker, BrokerLedger};
@@ -7,10 +7,11 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-const EXITS_WITHIN: Duration = Duration::from_secs(6);
-const LEDGER_CLOSES: Duration = Duration::from_millis(50); // until the broker has seen the end of its connection
+const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time until the broker has seen the end of its connection.
+const LEDGER_CLOSE_DELAY: Duration = Duration::from_millis(50);
 
-/// Reports the broker's ledger, and checks that each delivery was settled once.
+/// Reports the ledger of the broker, and checks that each delivery was settled once.
 pub fn report_broker_ledger(report: &mut Report, ledger: &BrokerLedger) {
     report.set("deliveries_read", json!(ledger.deliveries));
     report.set("acked", json!(ledger.acked));
@@ -21,7 +22,7 @@
     report.set("unknown_tags", json!(ledger.unknown_tags));
     report.set("unsettled", json!(ledger.unsettled));
     report.rule("a delivery was settled twice", ledger.settled_twice == 0);
-    report.rule("a tag was used that was not given out", ledger.unknown_tags == 0);
+    report.rule("a delivery tag was settled that was never assigned", ledger.unknown_tags == 0);
     report.rule("a delivery was never settled", ledger.unsettled == 0);
     let settled = ledger.acked + ledger.rejected + ledger.requeued;
     report.rule(
@@ -34,19 +35,19 @@
 pub(super) fn check_framed(report: &mut Report, stats: &LoadStats) {
     report.rule("a framed RPC got no final answer", sum(stats, |s| s.unanswered) == 0);
     report.rule("a framed RPC was answered twice", sum(stats, |s| s.answered_twice) == 0);
-    report.rule("a framed RPC got the result of another", sum(stats, |s| s.wrong_results) == 0);
+    report.rule("a framed RPC got the result of another RPC", sum(stats, |s| s.wrong_results) == 0);
 }
 
-/// Shuts the backend down and checks that it exits in order; how long that took in ms, up to the close of the broker's
-/// connection if there is a broker.
+/// Shuts the backend down and checks that it exits with code 0. Returns the time that this took in ms, or the time
+/// until the broker's connection was closed if there is a broker.
 pub(super) fn shut_down(report: &mut Report, backend: &mut Backend, broker: Option<&Broker>) -> f64 {
     let start = Instant::now();
     backend.node.signal("TERM");
-    let code = backend.node.wait_for_exit(EXITS_WITHIN);
+    let code = backend.node.wait_for_exit(EXIT_TIMEOUT);
     let closed = broker.and_then(|broker| broker.ledger().closed_at);
     let took = closed.map_or(start.elapsed(), |at| at.saturating_duration_since(start));
-    std::thread::sleep(LEDGER_CLOSES);
-    report.rule("the node did not end well", code == Some(0));
+    std::thread::sleep(LEDGER_CLOSE_DELAY);
+    report.rule("asterrilld did not exit with code 0 within 6 s", code == Some(0));
     took.as_secs_f64() * 1000.0
 }
 
--- a/lab/src/queue/setup.rs
+++ b/lab/src/queue/setup.rs
@@ -1,14 +1,14 @@
-//! Backends with a queue, and the queue's messages.
+//! Setup of backends with a queue, and of its messages.
 
 use crate::broker::{Broker, EndlessQueue, Message};
 use crate::method::Method;
 use crate::setup::Setup;
 
-/// The queue of all scenarios.
+/// Name of the queue in all scenarios.
 pub(super) const QUEUE: &str = "stock";
 
-/// The operator's file of a backend that consumes the queue: `method` is called for each message, `more` are further
-/// lines of the queue's section.
+/// Returns the operator's file of a backend that consumes the queue and calls `method` for each message; `more` holds
+/// further lines of the queue's section.
 pub(super) fn operator_file(brokers: &[&Broker], method: &str, more: &str) -> String {
     let addresses: String = brokers.iter().map(|broker| format!("address {}\n", broker.address)).collect();
     format!(
@@ -17,17 +17,17 @@
     )
 }
 
-/// A backend with two cores.
+/// Returns the setup of a backend with two cores.
 pub(super) fn backend_setup(methods: &[Method], operator_file: Option<String>) -> Setup {
     Setup { operator_file, ..Setup::new(methods, 2) }
 }
 
-/// The message of a number, with an idempotency key.
+/// Returns the message of a number, with an idempotency key.
 pub(super) fn message(n: u64) -> Message {
     Message { id: Some(format!("id-{n}")), body: format!("job {n}").into_bytes(), ..Message::default() }
 }
 
-/// The queue, without an end.
+/// Returns a queue that never empties.
 pub fn endless_stock_queue() -> EndlessQueue {
     EndlessQueue { queue: QUEUE.into(), make_message: message }
 }
--- a/lab/src/queue/throughput.rs
+++ b/lab/src/queue/throughput.rs
@@ -1,5 +1,5 @@
-//! `amqp-rate` and `amqp-lost`: a queue that is full at the start and work that costs nothing, so that what is measured
-//! is the program itself. Messages that always fail are among them.
+//! Scenarios `amqp-rate` and `amqp-lost`: a queue that is full at the start and runs without work, so that only the
+//! cost of the daemon is measured. Some messages always fail.
 
 use super::rules::{report_broker_ledger, shut_down};
 use super::setup::{backend_setup, message, operator_file, QUEUE};
@@ -15,23 +15,24 @@
 const CORES: usize = 32;
 const PREFETCH: usize = 128;
 const FAILS_EVERY: u64 = 1_000;
-const MEMORY_MB: f64 = 32.0;
-const WIDE_WITHIN: Duration = Duration::from_secs(10);
+const MAX_MEMORY_MB: f64 = 32.0;
+const WINDOW_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How it is played.
+/// Options of the throughput scenarios.
 #[derive(Clone, Copy, Debug)]
 pub struct ThroughputOptions<'a> {
-    /// Seed of the launch that is lost.
+    /// Seed that selects the launch to be lost.
     pub seed: u64,
-    /// Messages that are ready at the start.
+    /// Number of messages that are ready at the start.
     pub messages: u64,
-    /// A launch drawn from the seed is lost on its way, on a link that stands; service has to go on.
+    /// Whether a launch selected by the seed is lost while the connection to the agent stays up; service has to
+    /// continue.
     pub lost_launch: bool,
-    /// Another build.
+    /// Another build to measure.
     pub other: Option<&'a Path>,
 }
 
-/// Plays it.
+/// Runs `amqp-rate`, or `amqp-lost` if a launch is to be lost.
 pub fn throughput(report: &mut Report, options: ThroughputOptions) -> Result<(), ScenarioError> {
     let messages = options.messages;
     let broker = Broker::start(FaultScript { counts_deliveries: true, ..FaultScript::default() })?;
@@ -48,19 +49,19 @@
         ..backend_setup(&[TILL_PRICE, LOOK_UP, update], Some(file))
     };
     let mut backend = Backend::start(&setup, &broker.password())?;
-    // The window opens by doublings; what is measured begins once it is wide, or with half of it all.
-    wait_until(WIDE_WITHIN, || {
+    // The window doubles step by step: measure once it is fully open, or once half of the messages are delivered.
+    wait_until(WINDOW_TIMEOUT, || {
         broker.ledger().most_unsettled >= PREFETCH || broker.ready_messages(QUEUE) as u64 * 2 < messages
     });
     let start = Instant::now();
-    let within = Duration::from_secs(if options.lost_launch { 20 } else { 120 });
-    measure(report, &broker, &backend, within);
-    // What is out is settled too, the run that was lost last of all.
-    let settled = wait_until(within, || {
+    let timeout = Duration::from_secs(if options.lost_launch { 20 } else { 120 });
+    measure(report, &broker, &backend, timeout);
+    // Deliveries in flight are settled as well; the lost run is the last of them.
+    let settled = wait_until(timeout, || {
         let ledger = broker.ledger();
         ledger.acked + ledger.rejected >= messages
     });
-    report.rule("a delivery was not settled", settled);
+    report.rule("not every message was settled in time", settled);
     report.set("settled_ms", json!(start.elapsed().as_millis() as u64));
     report.set("agent_relaunches_known", json!(backend.agent.state().repeated_launches));
     std::thread::sleep(Duration::from_millis(200));
@@ -74,18 +75,18 @@
     Ok(())
 }
 
-/// Deliveries, CPU and memory until the queue is empty.
-fn measure(report: &mut Report, broker: &Broker, backend: &Backend, within: Duration) {
-    let (start, before, cpu) = (Instant::now(), broker.ledger(), backend.node.cpu_us());
-    let empty = wait_until(within, || broker.ready_messages(QUEUE) == 0);
+/// Measures deliveries, CPU time and memory until the queue is empty.
+fn measure(report: &mut Report, broker: &Broker, backend: &Backend, timeout: Duration) {
+    let (start, before, cpu_us_before) = (Instant::now(), broker.ledger(), backend.node.cpu_us());
+    let empty = wait_until(timeout, || broker.ready_messages(QUEUE) == 0);
     let (took, after) = (start.elapsed().as_secs_f64(), broker.ledger());
-    report.rule("the queue was not worked off", empty);
+    report.rule("the queue was not empty in time", empty);
     let settled = (after.acked + after.rejected - before.acked - before.rejected).max(1) as f64;
-    let cpu_us = (backend.node.cpu_us() - cpu) as f64;
+    let cpu_us = (backend.node.cpu_us() - cpu_us_before) as f64;
     let memory_mb = backend.node.memory_mb();
     report.set("deliveries_per_s", json!(settled / took));
     report.set("cpu_us_per_delivery", json!(cpu_us / settled));
     report.set("memory_mb", json!(memory_mb));
-    report.rule("memory grew beyond 32 MB", memory_mb < MEMORY_MB);
+    report.rule("peak memory reached 32 MB", memory_mb < MAX_MEMORY_MB);
     report.set("cores_used", json!(cpu_us / 1e6 / took));
 }
--- a/lab/src/rollout/bad_change.rs
+++ b/lab/src/rollout/bad_change.rs
@@ -1,6 +1,6 @@
-//! `config-rollback`: a bad change, of a kind drawn from the seed, under steady load.
+//! Scenario `config-rollback`: a bad change, of a kind that the seed selects, under steady load.
 
-use super::stage::{accepted, check_framed, Stage};
+use super::managed_backend::{accepted, check_framed, ManagedBackend};
 use crate::load::{in_time, run_load, RateSpan};
 use crate::method::FRAMED_METHODS;
 use crate::report::{Report, ScenarioError};
@@ -9,11 +9,11 @@
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
 
-const UNDONE_WITHIN_MS: u64 = 5_000;
-const WATCHED: Duration = Duration::from_secs(12); // for an undo
-const POLL: Duration = Duration::from_millis(20);
+const MAX_UNDO_MS: u64 = 5_000;
+const UNDO_TIMEOUT: Duration = Duration::from_secs(12);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What is bad about a change.
+/// Kind of a bad change.
 #[derive(Clone, Copy, PartialEq)]
 enum BadChange {
     MemoryTooSmall,
@@ -24,7 +24,7 @@
     NoCalls,
 }
 
-/// The kinds in the order in which seeds draw them.
+/// Kinds in the order in which seeds select them.
 const KINDS: [BadChange; 6] = [
     BadChange::MemoryTooSmall,
     BadChange::OneCore,
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Where only the order among the waiting is wrong, or only a crowd harms, it must be crowded to show.
+    /// Returns the factor on the request rate. A wrong order of waiting RPCs, or too much concurrency, has an effect
+    /// only under overload.
     fn rate_factor(self) -> f64 {
         match self {
             BadChange::CriticalitySwapped => 2.4,
@@ -82,71 +83,76 @@
     }
 }
 
-/// Plays it.
+/// Runs `config-rollback`.
 pub fn bad_change(report: &mut Report, seed: u64, rate: f64) -> Result<(), ScenarioError> {
     let kind = KINDS[(seed % KINDS.len() as u64) as usize];
     report.set("kind", json!(kind.name()));
-    let stage = Stage::start(seed, kind == BadChange::ConcurrencyTooHigh)?;
+    let managed = ManagedBackend::start(seed, kind == BadChange::ConcurrencyTooHigh)?;
     let never = AtomicBool::new(false);
-    let at = stage.node().address;
+    let address = managed.node().address;
     let rate = rate * kind.rate_factor();
-    let load = |span, seed| run_load(at, &FRAMED_METHODS, &[RateSpan::new(span, rate)], seed, &never);
+    let load = |span, seed| run_load(address, &FRAMED_METHODS, &[RateSpan::new(span, rate)], seed, &never);
     load(ms(1_500), seed + 9)?;
     let before = load(ms(8_000), seed)?;
-    let mut settings = stage.setup.settings();
+    let mut settings = managed.setup.settings();
     kind.apply(&mut settings);
-    let text = stage.platform_file(settings);
-    stage_forced(report, &stage, &text)?;
+    let text = managed.platform_file(settings);
+    stage_forced(report, &managed, &text)?;
     let during = std::thread::spawn(move || {
         let rates = [RateSpan::new(ms(7_000), rate)];
-        run_load(at, &FRAMED_METHODS, &rates, seed + 1, &AtomicBool::new(false)).map_err(|e| e.to_string())
+        run_load(address, &FRAMED_METHODS, &rates, seed + 1, &AtomicBool::new(false))
+            .map_err(|e| e.to_string())
     });
     std::thread::sleep(ms(300));
     let start = Instant::now();
-    let applied = stage.request(json!({"do": "apply", "if_base": 1}))?;
-    report.rule("it was not applied", accepted(&applied));
+    let applied = managed.request(json!({"do": "apply", "if_base": 1}))?;
+    report.rule("the change was not applied", accepted(&applied));
     report.set("apply_us", applied["took_us"].clone());
-    let undone_after_ms = wait_for_undo(&stage, start)?;
-    let during = during.join().map_err(|_| "the load ended badly")??;
-    report.set("why", json!(stage.last_reason()?));
+    let undone_after_ms = wait_for_undo(&managed, start)?;
+    let during = during.join().map_err(|_| "the load thread panicked")??;
+    report.set("why", json!(managed.last_reason()?));
     report.set("undone", json!(undone_after_ms.is_some()));
     report.set("undo_after_ms", json!(undone_after_ms));
-    let in_due_time = undone_after_ms.is_some_and(|after| after < UNDONE_WITHIN_MS);
-    report.rule("it was not undone within 5 s", in_due_time);
+    let undone_in_time = undone_after_ms.is_some_and(|after| after < MAX_UNDO_MS);
+    report.rule("the change was not undone within 5 s", undone_in_time);
     load(ms(2_000), seed + 8)?;
     let after = load(ms(8_000), seed)?;
-    let [was, meanwhile, is] = [&before, &during, &after].map(|stats| in_time(stats, &FRAMED_METHODS));
-    report.set("in_time_before", json!(was));
-    report.set("in_time_during", json!(meanwhile));
-    report.set("in_time_after", json!(is));
-    report.rule("service is not what it was", (was - is).abs() < 0.02 || is > was);
+    let [in_time_before, in_time_during, in_time_after] =
+        [&before, &during, &after].map(|stats| in_time(stats, &FRAMED_METHODS));
+    report.set("in_time_before", json!(in_time_before));
+    report.set("in_time_during", json!(in_time_during));
+    report.set("in_time_after", json!(in_time_after));
+    report.rule(
+        "the in-time fraction after the undo is lower than before the change by 0.02 or more",
+        (in_time_before - in_time_after).abs() < 0.02 || in_time_after > in_time_before,
+    );
     check_framed(report, &[&before, &during, &after]);
-    stage.check_versions(report)?;
-    let again = stage.request(json!({"do": "stage", "text": text}))?;
-    report.rule("what was undone was taken again", !accepted(&again));
-    stage.end(report);
+    managed.check_versions(report)?;
+    let again = managed.request(json!({"do": "stage", "text": text}))?;
+    report.rule("the undone change was staged again", !accepted(&again));
+    managed.end(report);
     Ok(())
 }
 
-/// Stages the change, by force if it is rejected.
-fn stage_forced(report: &mut Report, stage: &Stage, text: &str) -> Result<(), ScenarioError> {
-    let unforced = stage.request(json!({"do": "stage", "text": text}))?;
+/// Stages the change, with force if it is rejected without.
+fn stage_forced(report: &mut Report, managed: &ManagedBackend, text: &str) -> Result<(), ScenarioError> {
+    let unforced = managed.request(json!({"do": "stage", "text": text}))?;
     report.set("refused_unforced", json!(!accepted(&unforced)));
     let staged = match accepted(&unforced) {
         true => unforced,
-        false => stage.request(json!({"do": "stage", "text": text, "force": true}))?,
+        false => managed.request(json!({"do": "stage", "text": text, "force": true}))?,
     };
     if !accepted(&staged) {
-        return Err(format!("it was not staged: {staged}").into());
+        return Err(format!("the change was not staged: {staged}").into());
     }
     Ok(())
 }
 
-/// How long after `start` the first version ran again, in ms.
-fn wait_for_undo(stage: &Stage, start: Instant) -> Result<Option<u64>, ScenarioError> {
-    while start.elapsed() < WATCHED {
-        std::thread::sleep(POLL);
-        if stage.status()?["version"] == json!(1) {
+/// Returns the time in ms from `start` until the first version was in force again, or `None` if it was not in time.
+fn wait_for_undo(managed: &ManagedBackend, start: Instant) -> Result<Option<u64>, ScenarioError> {
+    while start.elapsed() < UNDO_TIMEOUT {
+        std::thread::sleep(POLL_INTERVAL);
+        if managed.status()?["version"] == json!(1) {
             return Ok(Some(start.elapsed().as_millis() as u64));
         }
     }
--- a/lab/src/rollout/crash.rs
+++ b/lab/src/rollout/crash.rs
@@ -1,7 +1,8 @@
-//! `config-crash`: killed in the middle of a probation that a signal began. The last good version starts, though the file
-//! says the other, and what was on probation is not taken again.
+//! Scenario `config-crash`: the process is killed during a probation that a signal started.
+//!
+//! It restarts on the last good version although the file holds the other one, and does not apply that one again.
 
-use super::stage::{check_framed, Stage};
+use super::managed_backend::{check_framed, ManagedBackend};
 use crate::backend::wait_until;
 use crate::load::{run_load, RateSpan};
 use crate::method::FRAMED_METHODS;
@@ -11,62 +12,63 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-const REACHED_WITHIN: Duration = Duration::from_secs(5);
+const VERSION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Plays it.
+/// Runs `config-crash`.
 pub fn crash(report: &mut Report, seed: u64) -> Result<(), ScenarioError> {
-    let mut stage = Stage::start(seed + 3_000, false)?;
-    let config = stage.node().dir.join("config.json");
+    let mut managed = ManagedBackend::start(seed + 3_000, false)?;
+    let config = managed.node().dir.join("config.json");
     let good = std::fs::read_to_string(&config)?;
-    report.rule("it does not start with version 1", reaches(&stage, 1, false));
-    // Half a file changes nothing.
-    reload(&stage, &config, &good[..good.len() / 2])?;
+    report.rule("the process does not start with version 1", reaches(&managed, 1, false));
+    // A truncated file changes nothing.
+    reload(&managed, &config, &good[..good.len() / 2])?;
     std::thread::sleep(Duration::from_millis(200));
-    report.rule("half a file was taken", reaches(&stage, 1, false));
-    reload(&stage, &config, &bad_config(&good)?)?;
-    report.rule("the signal did not begin a probation", reaches(&stage, 2, true));
-    let versions = stage.socket.with_file_name("versions");
-    let written = || std::fs::read_to_string(&versions).is_ok_and(|text| text.contains("\nstep probation "));
-    report.rule("the probation was not written down", wait_until(Duration::from_secs(2), written));
-    stage.backend.node.kill_and_restart()?;
-    report.rule("it does not start on the last good version", reaches(&stage, 1, false));
-    let logged = stage.node().read_log().contains("started on the last good version");
-    report.rule("that was not said", logged);
-    stage.node().signal("HUP");
+    report.rule("a truncated file was applied", reaches(&managed, 1, false));
+    reload(&managed, &config, &bad_config(&good)?)?;
+    report.rule("SIGHUP did not start a probation", reaches(&managed, 2, true));
+    let versions = managed.socket.with_file_name("versions");
+    let persisted =
+        || std::fs::read_to_string(&versions).is_ok_and(|text| text.contains("\nstep probation "));
+    report.rule("the probation was not persisted", wait_until(Duration::from_secs(2), persisted));
+    managed.backend.node.kill_and_restart()?;
+    report.rule("the process does not restart on the last good version", reaches(&managed, 1, false));
+    let logged = managed.node().read_log().contains("started on the last good version");
+    report.rule("the start on the last good version was not logged", logged);
+    managed.node().signal("HUP");
     std::thread::sleep(Duration::from_millis(300));
-    report.rule("what was on probation was taken again", reaches(&stage, 1, false));
-    // A state that is damaged is logged, and the process serves what its file says.
+    report.rule("the change on probation was applied again", reaches(&managed, 1, false));
+    // A damaged state file is logged, and the process starts with the configuration in its file.
     std::fs::write(&versions, "asterrill state 1\nsum 12\n")?;
     std::fs::write(&config, &good)?;
-    stage.backend.node.kill_and_restart()?;
-    report.rule("a damaged state stops it", reaches(&stage, 1, false));
-    let logged = stage.node().read_log().contains("a state file is not used");
-    report.rule("a damaged state was not logged", logged);
+    managed.backend.node.kill_and_restart()?;
+    report.rule("the process does not start with a damaged state file", reaches(&managed, 1, false));
+    let logged = managed.node().read_log().contains("a state file is not used");
+    report.rule("the damaged state file was not logged", logged);
     let rates = [RateSpan::new(Duration::from_secs(1), 100.0)];
-    let stats = run_load(stage.node().address, &FRAMED_METHODS, &rates, seed, &AtomicBool::new(false))?;
+    let stats = run_load(managed.node().address, &FRAMED_METHODS, &rates, seed, &AtomicBool::new(false))?;
     check_framed(report, &[&stats]);
-    stage.check_versions(report)?;
-    stage.end(report);
+    managed.check_versions(report)?;
+    managed.end(report);
     Ok(())
 }
 
-/// Whether the process comes to run a version, on probation or not.
-fn reaches(stage: &Stage, version: u64, probation: bool) -> bool {
-    wait_until(REACHED_WITHIN, || {
+/// Waits until a version is in force, on probation or not as given, and reports whether it is.
+fn reaches(managed: &ManagedBackend, version: u64, probation: bool) -> bool {
+    wait_until(VERSION_TIMEOUT, || {
         let holds = |status: Value| {
             status["version"] == json!(version) && status["probation"].is_object() == probation
         };
-        stage.status().is_ok_and(holds)
+        managed.status().is_ok_and(holds)
     })
 }
 
-fn reload(stage: &Stage, config: &Path, text: &str) -> Result<(), ScenarioError> {
+fn reload(managed: &ManagedBackend, config: &Path, text: &str) -> Result<(), ScenarioError> {
     std::fs::write(config, text)?;
-    stage.node().signal("HUP");
+    managed.node().signal("HUP");
     Ok(())
 }
 
-/// The platform's file with a deadline that is too short, and fewer cores.
+/// Returns the platform's file with a deadline that is too short, and with fewer cores.
 fn bad_config(good: &str) -> Result<String, ScenarioError> {
     let mut bad: Value = serde_json::from_str(good)?;
     bad["settings"]["Categories"][0]["DeadlineMs"] = json!(150);
--- a/lab/src/rollout/stage.rs
+++ b/lab/src/rollout/managed_backend.rs
@@ -1,4 +1,4 @@
-//! A backend that listens to operators, and what each scenario reports of it.
+//! A backend with a control socket, and the checks that all its scenarios share.
 
 use crate::backend::Backend;
 use crate::broker::Broker;
@@ -15,40 +15,41 @@
 
 const CORES: usize = 4;
 const PREFETCH: u64 = 32;
-const EXITS_WITHIN: Duration = Duration::from_secs(6);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A backend that listens to operators.
-pub(super) struct Stage {
+/// A backend with a control socket.
+pub(super) struct ManagedBackend {
     pub(super) backend: Backend,
     pub(super) setup: Setup,
-    /// Its control socket, in its state directory.
+    /// Path of its control socket, in its state directory.
     pub(super) socket: PathBuf,
 }
 
-/// The operator's file: where operators are listened to, and a queue if there is a broker, with its prefetch.
+/// Returns the operator's file with the control socket, and with a queue of the given prefetch if there is a broker.
 pub(super) fn operator_file(socket: &Path, dir: &Path, broker: Option<(&Broker, u64)>) -> String {
     let (socket, dir) = (socket.display(), dir.display());
     let changes = format!("[changes]\ncontrol {socket}\nstate {dir}\n[log]\nformat json\n");
     let queue = broker.map_or(String::new(), |(broker, prefetch)| {
-        let at = broker.address;
+        let address = broker.address;
         format!(
-            "[broker]\naddress {at}\nuser u\npassword-file {{password}}\n[queue stock]\nmethod stock-update\n\
+            "[broker]\naddress {address}\nuser u\npassword-file {{password}}\n[queue stock]\nmethod stock-update\n\
              prefetch {prefetch}\n"
         )
     });
     changes + &queue
 }
 
-impl Stage {
-    /// A backend that a rate of 250 RPCs a second keeps busy to seven tenths. `thrashes`: its cores thrash when crowded.
-    pub(super) fn start(seed: u64, thrashes: bool) -> Result<Stage, ScenarioError> {
-        Stage::start_with(seed, thrashes, None)
+impl ManagedBackend {
+    /// Starts a backend whose cores are 70 % busy at 250 RPCs per second; with `thrashes` its cores thrash under
+    /// overload.
+    pub(super) fn start(seed: u64, thrashes: bool) -> Result<ManagedBackend, ScenarioError> {
+        ManagedBackend::start_with(seed, thrashes, None)
     }
 
-    /// The same with a queue.
+    /// Starts such a backend with a queue if there is a broker.
     pub(super) fn start_with(
         seed: u64, thrashes: bool, broker: Option<&Broker>,
-    ) -> Result<Stage, ScenarioError> {
+    ) -> Result<ManagedBackend, ScenarioError> {
         let dir = std::env::temp_dir().join(format!("asterrill-lab-{}-c{seed}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
         let socket = dir.join("control");
@@ -63,7 +64,7 @@
         let password = broker.map_or(String::new(), Broker::password);
         let backend = Backend::start(&setup, &password)?;
         backend.agent.state().thrashes = thrashes;
-        Ok(Stage { backend, setup, socket })
+        Ok(ManagedBackend { backend, setup, socket })
     }
 
     pub(super) fn node(&self) -> &Node {
@@ -75,19 +76,19 @@
         request_once(&self.socket, request, ANSWER_TIMEOUT)
     }
 
-    /// What the process says of its configuration and counters.
+    /// Requests the status of the configuration, and the counters.
     pub(super) fn status(&self) -> Result<Value, ScenarioError> {
         self.request(json!({"do": "status"}))
     }
 
-    /// Why the last event of the configuration's history happened.
+    /// Returns the reason of the last event in the configuration history.
     pub(super) fn last_reason(&self) -> Result<Option<Value>, ScenarioError> {
         let history = self.request(json!({"do": "history"}))?;
         let last = history["history"].as_array().and_then(|all| all.last());
         Ok(last.map(|event| event["why"].clone()))
     }
 
-    /// The platform's file with these settings.
+    /// Returns the platform's file with the given settings.
     pub(super) fn platform_file(&self, settings: Value) -> String {
         let setup = &self.setup;
         let limits = json!({"cores": 1.0, "memory_mb": setup.memory_mb, "sockets": setup.sockets});
@@ -96,19 +97,19 @@
         .to_string()
     }
 
-    /// Checks that no answer was decided under parts of two versions.
+    /// Checks that no answer was decided under a mix of two versions.
     pub(super) fn check_versions(&self, report: &mut Report) -> Result<(), ScenarioError> {
-        let half = self.status()?["counters"]["half_applied"].as_u64();
-        report.set("half_applied_seen", json!(half));
-        report.rule("an answer was decided under parts of two versions", half == Some(0));
+        let half_applied = self.status()?["counters"]["half_applied"].as_u64();
+        report.set("half_applied_seen", json!(half_applied));
+        report.rule("an answer was decided under a mix of two versions", half_applied == Some(0));
         Ok(())
     }
 
-    /// Shuts the backend down, and checks that it exits in order and that changes were logged.
+    /// Shuts the backend down, and checks that it exits with code 0 and that changes were logged.
     pub(super) fn end(mut self, report: &mut Report) {
         self.backend.node.signal("TERM");
-        let code = self.backend.node.wait_for_exit(EXITS_WITHIN);
-        report.rule("the node did not end well", code == Some(0));
+        let code = self.backend.node.wait_for_exit(EXIT_TIMEOUT);
+        report.rule("asterrilld did not exit with code 0 within 6 s", code == Some(0));
         let log = self.node().read_log();
         let is_change = |event: &Value| {
             event["msg"] == json!("configuration") && event["hash"].is_string() && event["why"].is_string()
@@ -116,14 +117,14 @@
         let events = log.lines().filter_map(|line| serde_json::from_str(line).ok()).filter(is_change);
         let events = events.count();
         report.set("events_logged", json!(events));
-        report.rule("no change was logged with its figures", events > 1);
+        report.rule("fewer than two changes were logged with hash and reason", events > 1);
         if let Some(dir) = self.socket.parent() {
             std::fs::remove_dir_all(dir).unwrap_or_default();
         }
     }
 }
 
-/// Whether an answer of the control socket agrees.
+/// Reports whether an answer of the control socket accepts the request.
 pub(super) fn accepted(answer: &Value) -> bool {
     answer["ok"] == json!(true)
 }
@@ -136,5 +137,5 @@
     report.set("answered_twice", json!(twice));
     report.rule("a framed RPC got no final answer", unanswered == 0);
     report.rule("a framed RPC was answered twice", twice == 0);
-    report.rule("a framed RPC got the result of another", count(|s| s.wrong_results) == 0);
+    report.rule("a framed RPC got the result of another RPC", count(|s| s.wrong_results) == 0);
 }
--- a/lab/src/rollout/mod.rs
+++ b/lab/src/rollout/mod.rs
@@ -1,9 +1,9 @@
-//! Scenarios of changes of the configuration: bad ones under load, that have to be undone, and good ones that stay.
+//! Scenarios of configuration changes: bad ones under load, which have to be undone, and good ones, which become final.
 
 mod bad_change;
 mod crash;
 mod good_change;
-mod stage;
+mod managed_backend;
 mod storm;
 
 pub use bad_change::bad_change;
--- a/lab/src/stubs.rs
+++ b/lab/src/stubs.rs
@@ -18,13 +18,13 @@
 
 fn accept_forever(serve: fn(TcpStream) -> Option<()>) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    let at = listener.local_addr()?;
+    let address = listener.local_addr()?;
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || serve(stream));
         }
     });
-    Ok(at)
+    Ok(address)
 }
 
 fn echo_calls(stream: TcpStream) -> Option<()> {
