--- a/lab/src/agent.rs
+++ b/lab/src/agent.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Time in which a core counts as free if all cores were never busy at the same moment.
+/// Time before a moment during which at least one core has to have been free throughout.
 const FREE_CORE_WINDOW_US: u64 = 100_000;
 /// Delay with which a launch may arrive after rejections of the same burst of RPCs.
 const MAX_LAUNCH_DELAY_US: u64 = 20_000;
@@ -16,7 +16,7 @@
 /// End of a busy span that has not ended.
 const OPEN_SPAN_END_US: u64 = u64::MAX;
 /// Runs per core beyond which the cores thrash.
-const MAX_RUNS_PER_CORE: usize = 3;
+const THRASHING_RUNS_PER_CORE: usize = 3;
 const MAX_THRASHING_FACTOR: f64 = 6.0;
 
 /// Cores that start at a fraction of their speed and warm up.
@@ -339,7 +339,7 @@
             let Some(run) = self.waiting.pop_front() else { break };
             self.last_run_number += 1;
             let runs = self.waiting.len() + self.on_cores.len() + 1;
-            let load_ratio = runs as f64 / (MAX_RUNS_PER_CORE * cores) as f64;
+            let load_ratio = runs as f64 / (THRASHING_RUNS_PER_CORE * cores) as f64;
             let slowdown = if self.thrashes { load_ratio.clamp(1.0, MAX_THRASHING_FACTOR) } else { 1.0 };
             let slowdown = slowdown / self.speed();
             let key = (now + run.method.work.mul_f64(slowdown), self.last_run_number);
--- a/lab/src/broker/connection.rs
+++ b/lab/src/broker/connection.rs
@@ -43,7 +43,7 @@
 
 /// Decision whether to keep the connection after a frame.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Next {
+pub(super) enum ConnectionAction {
     Continue,
     Close,
 }
@@ -111,7 +111,7 @@
         let mut frames = FrameReader::new(Origin::Client, MAX_FRAME_BYTES);
         loop {
             let next = if self.silent { self.stay_silent() } else { self.poll(&mut frames)? };
-            if next == Next::Close {
+            if next == ConnectionAction::Close {
                 return Some(());
             }
         }
@@ -135,21 +135,21 @@
     }
 
     /// Reads frames, delivers messages and sends heartbeats. Returns `None` if the connection breaks or is cut.
-    fn poll(&mut self, frames: &mut FrameReader) -> Option<Next> {
+    fn poll(&mut self, frames: &mut FrameReader) -> Option<ConnectionAction> {
         let mut bytes = [0; 16 * 1024];
         match self.stream.read(&mut bytes) {
-            Ok(0) => return Some(Next::Close),
+            Ok(0) => return Some(ConnectionAction::Close),
             Ok(n) => {
                 let mut input = &bytes[..n];
                 while let Some(frame) = frames.next(&mut input).ok()? {
-                    if self.handle_frame(frame)? == Next::Close {
+                    if self.handle_frame(frame)? == ConnectionAction::Close {
                         self.flush()?;
-                        return Some(Next::Close);
+                        return Some(ConnectionAction::Close);
                     }
                 }
             }
             Err(error) if is_timeout(&error) => {}
-            Err(_) => return Some(Next::Close),
+            Err(_) => return Some(ConnectionAction::Close),
         }
         self.deliver()?;
         if self.unblock_at.take_if(|at| *at <= Instant::now()).is_some() {
@@ -161,17 +161,17 @@
             write_frame(&mut self.out, &AMQPFrame::Heartbeat(0));
         }
         self.flush()?;
-        Some(Next::Continue)
+        Some(ConnectionAction::Continue)
     }
 
     /// Reads nothing until the client closes the connection or the time limit of the silence has passed.
-    fn stay_silent(&mut self) -> Next {
+    fn stay_silent(&mut self) -> ConnectionAction {
         std::thread::sleep(SILENCE_POLL_INTERVAL);
         match self.stream.peek(&mut [0]) {
             // The end of the stream may follow the bytes that are not read.
-            Ok(n) if n > 0 && self.last_write.elapsed() < MAX_SILENCE => Next::Continue,
-            Err(error) if is_timeout(&error) => Next::Continue,
-            _ => Next::Close,
+            Ok(n) if n > 0 && self.last_write.elapsed() < MAX_SILENCE => ConnectionAction::Continue,
+            Err(error) if is_timeout(&error) => ConnectionAction::Continue,
+            _ => ConnectionAction::Close,
         }
     }
 
--- a/lab/src/broker/methods.rs
+++ b/lab/src/broker/methods.rs
@@ -1,7 +1,7 @@
 //! Handlers for the frames of a client.
 
 use super::channel::{Channel, Consumer, PendingPublish};
-use super::connection::{Connection, Next};
+use super::connection::{Connection, ConnectionAction};
 use super::delivery::MAX_CONTENT_FRAME_BYTES;
 use super::ledger::{Reply, Settlement};
 use crate::sync::lock;
@@ -23,7 +23,7 @@
 
 impl Connection {
     /// Handles a frame. Returns `None` if it is not valid in the state of the connection, which then ends.
-    pub(super) fn handle_frame(&mut self, frame: AMQPFrame) -> Option<Next> {
+    pub(super) fn handle_frame(&mut self, frame: AMQPFrame) -> Option<ConnectionAction> {
         match frame {
             AMQPFrame::Method(0, AMQPClass::Connection(method)) => return self.handle_connection(method),
             AMQPFrame::Method(id, AMQPClass::Channel(ChannelMethod::Open(_))) => {
@@ -51,10 +51,10 @@
             }
             _ => {}
         }
-        Some(Next::Continue)
+        Some(ConnectionAction::Continue)
     }
 
-    fn handle_connection(&mut self, method: ConnectionMethod) -> Option<Next> {
+    fn handle_connection(&mut self, method: ConnectionMethod) -> Option<ConnectionAction> {
         match method {
             ConnectionMethod::StartOk(ok) => self.log_in(ok.response.as_bytes())?,
             ConnectionMethod::TuneOk(ok) => self.heartbeat_s = ok.heartbeat,
@@ -70,12 +70,12 @@
                 let mut state = lock(&self.state);
                 state.ledger.closed_cleanly += u64::from(self.closed_cleanly);
                 state.ledger.closed_at = Some(Instant::now());
-                return Some(Next::Close);
+                return Some(ConnectionAction::Close);
             }
-            ConnectionMethod::CloseOk(_) => return Some(Next::Close),
+            ConnectionMethod::CloseOk(_) => return Some(ConnectionAction::Close),
             _ => {}
         }
-        Some(Next::Continue)
+        Some(ConnectionAction::Continue)
     }
 
     /// Checks the password of a SASL PLAIN response, and tunes the connection. Returns `None` for a malformed response.
--- a/lab/src/method.rs
+++ b/lab/src/method.rs
@@ -19,7 +19,7 @@
     pub deadline_ms: u64,
     /// Time that one run occupies a core.
     pub work: Duration,
-    /// Interval of failing runs: every so many-th run fails, or none for 0.
+    /// Interval of failing runs: one in this many runs fails; 0 for none.
     pub fails_every: u64,
     /// Whether a run calls the upstream.
     pub calls_upstream: bool,
--- a/lab/src/queue/broker_faults.rs
+++ b/lab/src/queue/broker_faults.rs
@@ -60,7 +60,7 @@
             && broker.ready_messages(QUEUE) == 0
             && ledger.settlements.len() as u64 >= messages + 2
     });
-    report.rule("not every message was settled within 40 s", complete);
+    report.rule("not every fault was injected and every message settled within 40 s", complete);
     std::thread::sleep(Duration::from_millis(300));
     let memory_mb = backend.node.memory_mb();
     let took_ms = shut_down(report, &mut backend, Some(&broker));
--- a/lab/src/queue/redelivery.rs
+++ b/lab/src/queue/redelivery.rs
@@ -38,7 +38,7 @@
         let ledger = broker.ledger();
         ledger.cuts == 2 && ledger.settlements.len() as u64 == messages && broker.ready_messages(QUEUE) == 0
     });
-    report.rule("not every message was settled within 60 s", complete);
+    report.rule("not both cuts were made and every message settled within 60 s", complete);
     let took_ms = shut_down(report, &mut backend, Some(&broker));
     report.set("drain_ms", json!(took_ms));
     let ledger = broker.ledger();
--- a/lab/src/rollout/bad_change.rs
+++ b/lab/src/rollout/bad_change.rs
@@ -18,20 +18,20 @@
 enum BadChange {
     MemoryTooSmall,
     OneCore,
-    DeadlineUnderTheWork,
+    DeadlineBelowWorkTime,
     CriticalitySwapped,
     ConcurrencyTooHigh,
-    NoCalls,
+    NoCallShare,
 }
 
 /// Kinds in the order in which seeds select them.
 const KINDS: [BadChange; 6] = [
     BadChange::MemoryTooSmall,
     BadChange::OneCore,
-    BadChange::DeadlineUnderTheWork,
+    BadChange::DeadlineBelowWorkTime,
     BadChange::CriticalitySwapped,
     BadChange::ConcurrencyTooHigh,
-    BadChange::NoCalls,
+    BadChange::NoCallShare,
 ];
 
 impl BadChange {
@@ -39,10 +39,10 @@
         match self {
             BadChange::MemoryTooSmall => "memory too small",
             BadChange::OneCore => "one core",
-            BadChange::DeadlineUnderTheWork => "deadline under the work",
+            BadChange::DeadlineBelowWorkTime => "deadline under the work",
             BadChange::CriticalitySwapped => "criticality swapped",
             BadChange::ConcurrencyTooHigh => "crowd too high",
-            BadChange::NoCalls => "no calls",
+            BadChange::NoCallShare => "no calls",
         }
     }
 
@@ -60,7 +60,7 @@
         match self {
             BadChange::MemoryTooSmall => settings["FamilyInfo"]["RamKb"] = json!(14),
             BadChange::OneCore => settings["FamilyInfo"]["NCores"] = json!(1),
-            BadChange::DeadlineUnderTheWork => {
+            BadChange::DeadlineBelowWorkTime => {
                 for method in settings["Categories"].as_array_mut().into_iter().flatten() {
                     method["AimMs"] = json!(5);
                     method["DeadlineMs"] = json!(6);
@@ -74,7 +74,7 @@
                 settings["Safety"]["TipMultiple"] = json!(400);
                 settings["FamilyInfo"]["NCores"] = json!(40);
             }
-            BadChange::NoCalls => {
+            BadChange::NoCallShare => {
                 settings["FamilyInfo"]["Below"] = json!("shared");
                 settings["FamilyInfo"]["CallShare"] = json!(0.0001);
                 settings["FamilyInfo"]["DepWindowMs"] = json!(1000);
