--- a/lab/src/agent.rs
+++ b/lab/src/agent.rs
@@ -152,12 +152,12 @@
                 from.read_exact(&mut body).ok()?;
                 body.truncate(body.len() - 2);
             }
-            self.handle(&stream, &words, body)?;
+            self.handle_command(&stream, &words, body)?;
             self.shared.1.notify_one();
         }
     }
 
-    fn handle(&self, stream: &TcpStream, words: &[&str], body: Vec<u8>) -> Option<()> {
+    fn handle_command(&self, stream: &TcpStream, words: &[&str], body: Vec<u8>) -> Option<()> {
         let mut state = self.state();
         match words {
             ["subscribe", last, ..] => state.subscribe(stream.try_clone().ok()?, last.parse().ok()?)?,
@@ -175,7 +175,7 @@
                 state.send(format!("sampled {id} {runs} {links}\r\n").as_bytes());
             }
             ["exercise", id, ..] => state.send(format!("exercised {id} PASS\r\n").as_bytes()),
-            ["freeze", id, ..] => state.stop(id),
+            ["freeze", id, ..] => state.stop_run(id),
             _ => {}
         }
         Some(())
@@ -227,12 +227,12 @@
     /// Reports whether a core was free during the 100 ms before `at` and for 20 ms after it: a launch from a burst of
     /// RPCs arrives at the agent a little later than the rejections of the same burst are sent.
     pub fn had_free_core(&self, at: Instant) -> bool {
-        let at_us = self.micros(at);
+        let at_us = self.micros_since_creation(at);
         let last_busy = self.busy.range(..=at_us + MAX_LAUNCH_DELAY_US).next_back();
         last_busy.is_none_or(|(_, end)| *end < at_us.saturating_sub(FREE_CORE_WINDOW_US))
     }
 
-    fn micros(&self, at: Instant) -> u64 {
+    fn micros_since_creation(&self, at: Instant) -> u64 {
         at.saturating_duration_since(self.created).as_micros() as u64
     }
 
@@ -294,7 +294,7 @@
 
     /// Sends a numbered notice and keeps it for a backend that subscribes again. `rest` holds its kind, and what
     /// follows the number.
-    fn notice(&mut self, rest: &str, body: &[u8]) {
+    fn send_notice(&mut self, rest: &str, body: &[u8]) {
         let (kind, rest) = rest.split_once(' ').unwrap_or((rest, ""));
         let mut bytes = format!("{kind} {} {rest}\r\n", self.notices.len() + 1).into_bytes();
         if !body.is_empty() || rest.ends_with(" 0") {
@@ -310,7 +310,7 @@
         all.into_iter().any(|run| run.id == id)
     }
 
-    fn stop(&mut self, id: &str) {
+    fn stop_run(&mut self, id: &str) {
         let waiting = self.waiting.iter().position(|run| run.id == id);
         let awaiting_call = self.awaiting_call.iter().position(|run| run.id == id);
         let on_core = self.on_cores.iter().find(|(_, run)| run.id == id).map(|(key, _)| *key);
@@ -324,13 +324,13 @@
             return;
         }
         self.ended += 1;
-        self.notice(&format!("outcome {id} KILLED 1 0"), &[]);
+        self.send_notice(&format!("outcome {id} KILLED 1 0"), &[]);
     }
 
     fn finish_runs(&mut self, now: Instant) {
         while let Some(entry) = self.on_cores.first_entry().filter(|entry| entry.key().0 <= now) {
             let run = entry.remove();
-            self.finish(run);
+            self.finish_run(run);
         }
     }
 
@@ -350,7 +350,7 @@
 
     /// Starts or ends the span in which all cores are busy.
     fn record_busy_span(&mut self, now: Instant, cores: usize) {
-        let (now_us, all_busy) = (self.micros(now), self.on_cores.len() >= cores);
+        let (now_us, all_busy) = (self.micros_since_creation(now), self.on_cores.len() >= cores);
         match self.busy.last_entry() {
             Some(mut last) if *last.get() == OPEN_SPAN_END_US && !all_busy => {
                 last.insert(now_us);
@@ -360,18 +360,18 @@
         }
     }
 
-    fn finish(&mut self, run: Run) {
+    fn finish_run(&mut self, run: Run) {
         if run.method.calls_upstream && !run.called {
-            self.notice(&format!("request {} {}", run.id, run.body.len()), &run.body);
+            self.send_notice(&format!("request {} {}", run.id, run.body.len()), &run.body);
             self.awaiting_call.push(run);
             return;
         }
         self.ended += 1;
         let ms = run.method.work.as_millis();
         if run.method.fails_every > 0 && self.ended.is_multiple_of(run.method.fails_every) {
-            return self.notice(&format!("outcome {} FAIL {ms} 0", run.id), &[]);
+            return self.send_notice(&format!("outcome {} FAIL {ms} 0", run.id), &[]);
         }
         let result = [b"did ", &run.body[..]].concat();
-        self.notice(&format!("outcome {} PASS {ms} {}", run.id, result.len()), &result);
+        self.send_notice(&format!("outcome {} PASS {ms} {}", run.id, result.len()), &result);
     }
 }
--- a/lab/src/rollout/crash.rs
+++ b/lab/src/rollout/crash.rs
@@ -19,29 +19,30 @@
     let mut managed = ManagedBackend::start(seed + 3_000, false)?;
     let config = managed.node().dir.join("config.json");
     let good = std::fs::read_to_string(&config)?;
-    report.rule("the process does not start with version 1", reaches(&managed, 1, false));
+    report.rule("the process does not start with version 1", wait_for_version(&managed, 1, false));
     // A truncated file changes nothing.
     reload(&managed, &config, &good[..good.len() / 2])?;
     std::thread::sleep(Duration::from_millis(200));
-    report.rule("a truncated file was applied", reaches(&managed, 1, false));
+    report.rule("a truncated file was applied", wait_for_version(&managed, 1, false));
     reload(&managed, &config, &bad_config(&good)?)?;
-    report.rule("SIGHUP did not start a probation", reaches(&managed, 2, true));
+    report.rule("SIGHUP did not start a probation", wait_for_version(&managed, 2, true));
     let versions = managed.socket.with_file_name("versions");
     let persisted =
         || std::fs::read_to_string(&versions).is_ok_and(|text| text.contains("\nstep probation "));
     report.rule("the probation was not persisted", wait_until(Duration::from_secs(2), persisted));
     managed.backend.node.kill_and_restart()?;
-    report.rule("the process does not restart on the last good version", reaches(&managed, 1, false));
+    report
+        .rule("the process does not restart on the last good version", wait_for_version(&managed, 1, false));
     let logged = managed.node().read_log().contains("started on the last good version");
     report.rule("the start on the last good version was not logged", logged);
     managed.node().signal("HUP");
     std::thread::sleep(Duration::from_millis(300));
-    report.rule("the change on probation was applied again", reaches(&managed, 1, false));
+    report.rule("the change on probation was applied again", wait_for_version(&managed, 1, false));
     // A damaged state file is logged, and the process starts with the configuration in its file.
     std::fs::write(&versions, "asterrill state 1\nsum 12\n")?;
     std::fs::write(&config, &good)?;
     managed.backend.node.kill_and_restart()?;
-    report.rule("the process does not start with a damaged state file", reaches(&managed, 1, false));
+    report.rule("the process does not start with a damaged state file", wait_for_version(&managed, 1, false));
     let logged = managed.node().read_log().contains("a state file is not used");
     report.rule("the damaged state file was not logged", logged);
     let rates = [RateSpan::new(Duration::from_secs(1), 100.0)];
@@ -53,7 +54,7 @@
 }
 
 /// Waits until a version is in force, on probation or not as given, and reports whether it is.
-fn reaches(managed: &ManagedBackend, version: u64, probation: bool) -> bool {
+fn wait_for_version(managed: &ManagedBackend, version: u64, probation: bool) -> bool {
     wait_until(VERSION_TIMEOUT, || {
         let holds = |status: Value| {
             status["version"] == json!(version) && status["probation"].is_object() == probation
