--- a/lab/src/broker/methods.rs
+++ b/lab/src/broker/methods.rs
@@ -1,8 +1,8 @@
-//! What the broker does with each frame of a client.
+//! Handlers for the frames of a client.
 
-use super::channel::{Channel, Consumer, Publishing};
-use super::connection::{Connection, Next};
-use super::delivery::CONTENT_FRAME;
+use super::channel::{Channel, Consumer, PendingPublish};
+use super::connection::{Connection, ConnectionAction};
+use super::delivery::MAX_CONTENT_FRAME_BYTES;
 use super::ledger::{Reply, Settlement};
 use crate::sync::lock;
 use amq_protocol::frame::AMQPFrame;
@@ -14,7 +14,7 @@
 use asterrill_protocol::amqp::write_content;
 use std::time::Instant;
 
-const FRAME_MAX: u32 = 131_072;
+const DEFAULT_FRAME_MAX_BYTES: u32 = 131_072;
 const CHANNEL_MAX: u16 = 2047;
 const REPLY_SUCCESS: u16 = 200;
 const ACCESS_REFUSED: u16 = 403;
@@ -22,8 +22,8 @@
 const NO_ROUTE: u16 = 312;
 
 impl Connection {
-    /// None if the connection breaks.
-    pub(super) fn handle_frame(&mut self, frame: AMQPFrame) -> Option<Next> {
+    /// Handles a frame. Returns `None` if it is not valid in the state of the connection, which then ends.
+    pub(super) fn handle_frame(&mut self, frame: AMQPFrame) -> Option<ConnectionAction> {
         match frame {
             AMQPFrame::Method(0, AMQPClass::Connection(method)) => return self.handle_connection(method),
             AMQPFrame::Method(id, AMQPClass::Channel(ChannelMethod::Open(_))) => {
@@ -40,21 +40,21 @@
             }
             AMQPFrame::Method(id, AMQPClass::Basic(method)) => self.handle_basic(id, method),
             AMQPFrame::Header(id, _, header) => {
-                let publishing = self.channels.get_mut(&id)?.publishing.as_mut()?;
-                publishing.properties = Some(header.properties);
-                publishing.body_size = Some(header.body_size);
-                self.finish_publishing(id)?;
+                let pending_publish = self.channels.get_mut(&id)?.pending_publish.as_mut()?;
+                pending_publish.properties = Some(header.properties);
+                pending_publish.body_size = Some(header.body_size);
+                self.finish_publish(id)?;
             }
             AMQPFrame::Body(id, bytes) => {
-                self.channels.get_mut(&id)?.publishing.as_mut()?.body.extend_from_slice(&bytes);
-                self.finish_publishing(id)?;
+                self.channels.get_mut(&id)?.pending_publish.as_mut()?.body.extend_from_slice(&bytes);
+                self.finish_publish(id)?;
             }
             _ => {}
         }
-        Some(Next::GoOn)
+        Some(ConnectionAction::Continue)
     }
 
-    fn handle_connection(&mut self, method: ConnectionMethod) -> Option<Next> {
+    fn handle_connection(&mut self, method: ConnectionMethod) -> Option<ConnectionAction> {
         match method {
             ConnectionMethod::StartOk(ok) => self.log_in(ok.response.as_bytes())?,
             ConnectionMethod::TuneOk(ok) => self.heartbeat_s = ok.heartbeat,
@@ -66,28 +66,29 @@
             ConnectionMethod::Close(close) => {
                 let close_ok = ConnectionMethod::CloseOk(connection::CloseOk {});
                 self.send(0, AMQPClass::Connection(close_ok));
-                self.closed_in_order = close.reply_code == REPLY_SUCCESS;
+                self.closed_cleanly = close.reply_code == REPLY_SUCCESS;
                 let mut state = lock(&self.state);
-                state.ledger.closed_in_order += u64::from(self.closed_in_order);
+                state.ledger.closed_cleanly += u64::from(self.closed_cleanly);
                 state.ledger.closed_at = Some(Instant::now());
-                return Some(Next::Close);
+                return Some(ConnectionAction::Close);
             }
-            ConnectionMethod::CloseOk(_) => return Some(Next::Close),
+            ConnectionMethod::CloseOk(_) => return Some(ConnectionAction::Close),
             _ => {}
         }
-        Some(Next::GoOn)
+        Some(ConnectionAction::Continue)
     }
 
-    /// Checks the password of SASL PLAIN, and tunes the connection. None if the response is no such.
+    /// Checks the password of a SASL PLAIN response, and tunes the connection. Returns `None` for a malformed response.
     fn log_in(&mut self, response: &[u8]) -> Option<()> {
         let response = String::from_utf8_lossy(response).into_owned();
         let (user, password) = response.strip_prefix('\0')?.split_once('\0')?;
         let mut state = self.lock_state();
         state.ledger.logins.insert(user.to_string());
-        let admitted = password == state.password;
-        let (frame_max, heartbeat) = (state.script.frame_max.unwrap_or(FRAME_MAX), state.script.heartbeat_s);
+        let accepted = password == state.password;
+        let (frame_max, heartbeat) =
+            (state.script.frame_max.unwrap_or(DEFAULT_FRAME_MAX_BYTES), state.script.heartbeat_s);
         drop(state);
-        let answer = if admitted {
+        let answer = if accepted {
             ConnectionMethod::Tune(connection::Tune { channel_max: CHANNEL_MAX, frame_max, heartbeat })
         } else {
             ConnectionMethod::Close(connection::Close {
@@ -119,7 +120,7 @@
                 let settlement = if reject.requeue { Settlement::Requeued } else { Settlement::Rejected };
                 self.settle(id, reject.delivery_tag, settlement);
             }
-            BasicMethod::Publish(publish) => channel.publishing = Some(Publishing::new(publish)),
+            BasicMethod::Publish(publish) => channel.pending_publish = Some(PendingPublish::new(publish)),
             _ => {}
         }
     }
@@ -155,17 +156,17 @@
         if settlement == Settlement::Requeued {
             message.delivered += 1;
             state.queues.entry(queue).or_default().push_front(message);
-        } else if state.script.forgets_settlements {
+        } else if state.script.loses_settlements {
             channel.settled_messages.push((queue, message));
         }
     }
 
-    /// Routes what the client published, once it is complete: an answer.
-    fn finish_publishing(&mut self, id: u16) -> Option<()> {
+    /// Routes a reply that the client published, once it is complete.
+    fn finish_publish(&mut self, id: u16) -> Option<()> {
         let channel = self.channels.get_mut(&id)?;
         let Some(published) = channel.take_published() else { return Some(()) };
         let confirm = channel.next_confirm();
-        let Publishing { publish, properties, body, .. } = published;
+        let PendingPublish { publish, properties, body, .. } = published;
         let properties = properties.unwrap_or_default();
         let mut state = lock(&self.state);
         if state.reply_queues.contains(publish.routing_key.as_str()) {
@@ -179,7 +180,14 @@
                 exchange: publish.exchange,
                 routing_key: publish.routing_key,
             });
-            write_content(&mut self.out, id, AMQPClass::Basic(returned), properties, &body, CONTENT_FRAME);
+            write_content(
+                &mut self.out,
+                id,
+                AMQPClass::Basic(returned),
+                properties,
+                &body,
+                MAX_CONTENT_FRAME_BYTES,
+            );
         }
         drop(state);
         if let Some(delivery_tag) = confirm {
@@ -189,7 +197,7 @@
         Some(())
     }
 
-    /// Closes a channel with a reason.
+    /// Closes a channel with a reply code and a reason.
     pub(super) fn close_channel_with(&mut self, id: u16, reply_code: u16, reason: &str) {
         self.close_channel(id);
         let close = channel::Close { reply_code, reply_text: reason.into(), class_id: 60, method_id: 80 };
--- a/lab/src/fleet/agree/probe_caller.rs
+++ b/lab/src/fleet/agree/probe_caller.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::callers::UnansweredAttempt;
 use crate::fleet::cluster::Fleet;
-use crate::method::PRICE;
+use crate::method::TILL_PRICE;
 use crate::sidecar::{read_frame, unix_us, Frame, RpcHeader, ABORTED, OK};
 use crate::sync::lock;
 use crate::time::ms;
@@ -47,7 +47,7 @@
     pub(super) fn start(fleet: &Fleet) -> ProbeCaller {
         let caller = ProbeCaller { ledger: Arc::default(), stopped: Arc::default() };
         for (node, member) in fleet.members.iter().enumerate() {
-            let (address, start) = (member.node.at, fleet.start);
+            let (address, start) = (member.node.address, fleet.start);
             let (ledger, stopped) = (caller.ledger.clone(), caller.stopped.clone());
             std::thread::spawn(move || call_node(address, node, start, &ledger, &stopped));
         }
@@ -79,10 +79,10 @@
             }
             let trace = unix_us() ^ (node as u64) << 56;
             let header = RpcHeader {
-                method: PRICE.name,
+                method: TILL_PRICE.name,
                 trace,
                 caller: PROBE_CALLER_ID,
-                patience: PATIENCE,
+                timeout: PATIENCE,
                 tenant: None,
             };
             let (at_ms, sent) = (start.elapsed().as_millis() as u64, Instant::now());
--- a/lab/src/fleet/cluster.rs
+++ b/lab/src/fleet/cluster.rs
@@ -80,12 +80,12 @@
     let process = std::process::id();
     let (a, b) = (20 + (process / 250 % 200) as u8, (process % 250) as u8 + 1);
     let address = SocketAddr::from(([127, a, b, n as u8 + 1], SIDECAR_PORT));
-    Placement { name: format!("n{n}"), at: address, placeholders: Vec::new() }
+    Placement { name: format!("n{n}"), address, placeholders: Vec::new() }
 }
 
 /// Returns the address at which a member receives datagrams.
 fn gossip_address(n: usize) -> SocketAddr {
-    SocketAddr::from((placement(n).at.ip(), GOSSIP_PORT))
+    SocketAddr::from((placement(n).address.ip(), GOSSIP_PORT))
 }
 
 /// Returns the placeholders of the operator's file that differ between members, with their values.
@@ -124,7 +124,7 @@
 
     /// Returns the index and address of each process, by name.
     pub fn backend_addresses(&self) -> BackendAddresses {
-        let entry = |(n, m): (usize, &Member)| (format!("n{n}"), (n, m.node.at));
+        let entry = |(n, m): (usize, &Member)| (format!("n{n}"), (n, m.node.address));
         BackendAddresses { by_name: Arc::new(self.members.iter().enumerate().map(entry).collect()) }
     }
 
@@ -189,7 +189,7 @@
     ) -> Result<Member, ScenarioError> {
         let agent = Agent::start(config.setup.cores, &config.setup.methods)?;
         let [agent_proxy, upstream_proxy, name_service_proxy] =
-            [TcpProxy::start(agent.at)?, TcpProxy::start(upstream)?, TcpProxy::start(name_service)?];
+            [TcpProxy::start(agent.address)?, TcpProxy::start(upstream)?, TcpProxy::start(name_service)?];
         let services = Services {
             agent: agent_proxy.address,
             upstream: upstream_proxy.address,
--- a/lab/src/fleet/fault_injection.rs
+++ b/lab/src/fleet/fault_injection.rs
@@ -104,7 +104,7 @@
             }
             FaultKind::Crash => {
                 member.node.kill();
-                member.agent.backend_restarted();
+                member.agent.handle_backend_restart();
                 member.node.restart()?;
                 member.available_since = Instant::now();
             }
--- a/lab/src/fleet/idle_flood.rs
+++ b/lab/src/fleet/idle_flood.rs
@@ -3,7 +3,7 @@
 use super::cluster::Fleet;
 use super::single_call::{call_once, is_healthy_by, ANSWER_TIMEOUT};
 use super::small_fleet::{member_setup, start_fleet};
-use crate::method::{Method, LOOK};
+use crate::method::{Method, LOOK_UP};
 use crate::report::{Report, ScenarioError};
 use crate::sidecar::{encode_health_check, OK, REQUEST};
 use crate::time::ms;
@@ -92,18 +92,21 @@
 /// Runs the scenario.
 pub fn idle_flood(report: &mut Report, seed: u64) -> Result<(), ScenarioError> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let methods = [Method { work: ms(4), ..LOOK }];
+    let methods = [Method { work: ms(4), ..LOOK_UP }];
     let mut fleet = start_fleet(1, member_setup(&methods, SOCKETS, CALLERS))?;
     fleet.wait_until_listed();
     let member = &fleet.members[0];
-    report.rule("an RPC before the flood was not served", call_once(member.node.at, 1, &mut rng) == Some(OK));
+    report.rule(
+        "an RPC before the flood was not served",
+        call_once(member.node.address, 1, &mut rng) == Some(OK),
+    );
     // Even seeds make the name service unreachable; odd seeds keep its connections open without an answer.
     if seed.is_multiple_of(2) {
         member.name_service_proxy.set_refusing(true);
     } else {
         member.name_service_proxy.set_stalled(true);
     }
-    let clients = IdleClients::start(member.node.at);
+    let clients = IdleClients::start(member.node.address);
     thread::sleep(ms(500));
     let service = call_while_flooded(&fleet, &mut rng);
     let reported_after = wait_for_report(&fleet);
@@ -131,7 +134,7 @@
 /// Sends RPCs and health checks, while the links to the agent and the upstream are reset once each.
 fn call_while_flooded(fleet: &Fleet, rng: &mut StdRng) -> ServiceCounts {
     let member = &fleet.members[0];
-    let address = member.node.at;
+    let address = member.node.address;
     let (start, mut service) = (Instant::now(), ServiceCounts::default());
     while start.elapsed() < FLOOD_DURATION {
         let turn_start = Instant::now();
--- a/lab/src/fleet/members/cpu.rs
+++ b/lab/src/fleet/members/cpu.rs
@@ -5,7 +5,7 @@
 use crate::fleet::cluster::{Fleet, FleetConfig};
 use crate::fleet::workload::COLD_START;
 use crate::load::{run_load, sum, RateSpan};
-use crate::method::{FRAMED, LOOK, PRICE};
+use crate::method::{FRAMED_METHODS, LOOK_UP, TILL_PRICE};
 use crate::report::{Report, ScenarioError};
 use crate::setup::Setup;
 use crate::time::ms;
@@ -21,7 +21,7 @@
 
 /// Starts a fleet whose runs do no work, with this operator's file, on a network with this seed.
 pub fn start_idle_fleet(nodes: usize, file: String, seed: u64) -> Result<Fleet, ScenarioError> {
-    let methods = [PRICE, LOOK].map(|method| method.without_work());
+    let methods = [TILL_PRICE, LOOK_UP].map(|method| method.without_work());
     let setup = Setup { operator_file: Some(file), shared_upstream: None, ..member_setup(&methods, nodes) };
     Fleet::start(&FleetConfig {
         nodes,
@@ -50,9 +50,15 @@
     std::thread::sleep(DISCOVERY_WAIT);
     let node = &fleet.members[0].node;
     let others = || fleet.members[1..].iter().map(|m| m.node.cpu_us()).sum::<u64>();
-    run_load(node.at, &FRAMED, &[RateSpan::new(WARM_UP, load.rate)], seed + 50 + round, &never_stopped)?;
+    run_load(
+        node.address,
+        &FRAMED_METHODS,
+        &[RateSpan::new(WARM_UP, load.rate)],
+        seed + 50 + round,
+        &never_stopped,
+    )?;
     let (before, others_before, start) = (node.cpu_us(), others(), Instant::now());
-    let stats = run_load(node.at, &FRAMED, &[load], seed + round, &never_stopped)?;
+    let stats = run_load(node.address, &FRAMED_METHODS, &[load], seed + round, &never_stopped)?;
     let rpcs = sum(&stats, |s| s.sent).max(1);
     let cpu_us_per_rpc = (node.cpu_us() - before) as f64 / rpcs as f64;
     let idle_cpu_us = (others() - others_before) as f64 / (nodes - 1) as f64;
--- a/lab/src/fleet/name_service.rs
+++ b/lab/src/fleet/name_service.rs
@@ -1,7 +1,7 @@
 //! Stand-in for the name service: backends send load reports, and callers see the list of backends with a delay.
 
 use super::upstream::element_mut;
-use crate::stand_ins::{HttpRequest, NO_CONTENT};
+use crate::stubs::{HttpRequest, NO_CONTENT};
 use crate::sync::lock;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufReader, Write};
--- a/lab/src/fleet/ready.rs
+++ b/lab/src/fleet/ready.rs
@@ -74,7 +74,7 @@
         member.node.restart()?;
     }
     let wait = |(n, member): (usize, &Member)| {
-        let (address, name_service) = (member.node.at, fleet.name_service.clone());
+        let (address, name_service) = (member.node.address, fleet.name_service.clone());
         thread::spawn(move || wait_until_ready(n, address, &name_service, start))
     };
     let waits: Vec<_> = fleet.members.iter().enumerate().map(wait).collect();
--- a/lab/src/fleet/restart_recovery/run.rs
+++ b/lab/src/fleet/restart_recovery/run.rs
@@ -9,7 +9,7 @@
 use crate::fleet::fault_script::{FaultKind, ScheduledFault};
 use crate::fleet::options::{FleetOptions, OutageKind};
 use crate::fleet::workload::{caller_profile, mean_work, methods, COLD_START, METHOD_WEIGHTS, WARM_UP};
-use crate::method::UPDATE;
+use crate::method::STOCK_UPDATE;
 use crate::report::ScenarioError;
 use crate::setup::Setup;
 use crate::time::ms;
@@ -169,7 +169,7 @@
     }
 
     fn work_done(&self) -> Duration {
-        self.fleet.members.iter().map(|member| member.agent.state().worked).sum()
+        self.fleet.members.iter().map(|member| member.agent.state().total_work).sum()
     }
 
     /// Measures service and load before the first fault.
@@ -226,7 +226,7 @@
             attempts_peak: self.attempts_peak(&ledger),
             calls_peak: self.calls_peak(),
             stale_decisions,
-            repeated_effects: self.fleet.repeated_effects(UPDATE.name),
+            repeated_effects: self.fleet.repeated_effects(STOCK_UPDATE.name),
             reports_peak: self.fleet.name_service.peak_reports(reports_from),
             snapshots_failed: logs.iter().map(failed_writes).sum(),
             buckets: ledger.buckets[bucket(self.load_start_ms)..].to_vec(),
--- a/lab/src/fleet/single_call.rs
+++ b/lab/src/fleet/single_call.rs
@@ -1,6 +1,6 @@
 //! Health checks and RPCs on separate connections.
 
-use crate::method::LOOK;
+use crate::method::LOOK_UP;
 use crate::sidecar::{encode_health_check, read_frame, RpcHeader, HEALTH, OK};
 use crate::time::ms;
 use rand::rngs::StdRng;
@@ -16,7 +16,7 @@
 
 /// Returns the header of an RPC of [`LOOK`], with a random trace identifier.
 pub(super) fn lookup_header(caller: u64, rng: &mut StdRng) -> RpcHeader<'static> {
-    RpcHeader { method: LOOK.name, trace: rng.random(), caller, patience: ms(1_500), tenant: None }
+    RpcHeader { method: LOOK_UP.name, trace: rng.random(), caller, timeout: ms(1_500), tenant: None }
 }
 
 /// Reports whether a health check on a separate connection is answered as healthy before the deadline. Failed checks
--- a/lab/src/method.rs
+++ b/lab/src/method.rs
@@ -1,32 +1,32 @@
-//! The methods of the stand-in deployment.
+//! Methods of the simulated deployment.
 
 use crate::load::MethodLoad;
 use crate::time::ms;
 use std::time::Duration;
 
-/// A method of the stand-in deployment.
+/// A method of the simulated deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Method {
-    /// Its name.
+    /// Name of the method.
     pub name: &'static str,
-    /// `free`, `guarded` or `single_shot`, as the settings have it.
+    /// Value of the setting `Effect`: `free`, `guarded` or `single_shot`.
     pub effect: &'static str,
-    /// Its criticality.
+    /// Criticality of the method.
     pub criticality: f64,
-    /// Its latency target.
+    /// Latency target.
     pub target_ms: u64,
-    /// Its deadline.
+    /// Deadline.
     pub deadline_ms: u64,
-    /// Work of one run on a core.
+    /// Time that one run occupies a core.
     pub work: Duration,
-    /// Of so many runs one fails; 0 for none.
+    /// Interval of failing runs: one in this many runs fails; 0 for none.
     pub fails_every: u64,
     /// Whether a run calls the upstream.
     pub calls_upstream: bool,
 }
 
-/// Critical and quick.
-pub const PRICE: Method = Method {
+/// Critical method with short runs.
+pub const TILL_PRICE: Method = Method {
     name: "till-price",
     effect: "free",
     criticality: 5.0,
@@ -37,38 +37,38 @@
     calls_upstream: false,
 };
 
-/// Frequent and of middling criticality.
-pub const LOOK: Method =
-    Method { name: "look-up", criticality: 1.0, target_ms: 200, deadline_ms: 800, work: ms(3), ..PRICE };
+/// Frequent method of medium criticality.
+pub const LOOK_UP: Method =
+    Method { name: "look-up", criticality: 1.0, target_ms: 200, deadline_ms: 800, work: ms(3), ..TILL_PRICE };
 
-/// What the queue's messages call: it must not run twice.
-pub const UPDATE: Method = Method {
+/// Method that the queue's messages call; a message must not run twice.
+pub const STOCK_UPDATE: Method = Method {
     name: "stock-update",
     effect: "guarded",
     criticality: 0.2,
     target_ms: 1_000,
     deadline_ms: 5_000,
     work: ms(4),
-    ..PRICE
+    ..TILL_PRICE
 };
 
 impl Method {
-    /// How it is called: as often as its weight says, by callers that wait until its deadline.
+    /// Returns the load of this method with a relative frequency, from callers that wait until its deadline.
     pub const fn load(&self, weight: u32) -> MethodLoad {
         MethodLoad {
             method: self.name,
             weight,
             criticality: self.criticality,
             target: ms(self.target_ms),
-            patience: ms(self.deadline_ms),
+            timeout: ms(self.deadline_ms),
         }
     }
 
-    /// The same without work: what is measured is the backend alone.
+    /// Returns the method without work, so that only the cost of the backend is measured.
     pub const fn without_work(self) -> Method {
         Method { work: Duration::ZERO, ..self }
     }
 }
 
-/// The framed RPCs of most scenarios.
-pub const FRAMED: [MethodLoad; 2] = [PRICE.load(1), LOOK.load(3)];
+/// Methods called by framed RPCs in most scenarios.
+pub const FRAMED_METHODS: [MethodLoad; 2] = [TILL_PRICE.load(1), LOOK_UP.load(3)];
--- a/lab/src/scale/callers.rs
+++ b/lab/src/scale/callers.rs
@@ -2,13 +2,13 @@
 //! sends one RPC and then keeps its connection open.
 
 use crate::agent::Agent;
-use crate::method::{Method, LOOK};
+use crate::method::{Method, LOOK_UP};
 use crate::node::Node;
 use crate::process::{resident_kb, thread_cpu_ns};
 use crate::report::{Report, ScenarioError};
 use crate::setup::{Services, Setup};
 use crate::sidecar::{read_frame, RpcHeader, OK};
-use crate::stand_ins::{start_echo_upstream, start_naming};
+use crate::stubs::{start_echo_upstream, start_name_service};
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -40,7 +40,8 @@
 fn open_connection(address: SocketAddr, caller: u64) -> Option<OpenConnection> {
     let mut stream = TcpStream::connect_timeout(&address, ANSWER_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
-    let header = RpcHeader { method: LOOK.name, trace: caller, caller, patience: RPC_TIMEOUT, tenant: None };
+    let header =
+        RpcHeader { method: LOOK_UP.name, trace: caller, caller, timeout: RPC_TIMEOUT, tenant: None };
     stream.write_all(&header.encode(1, format!("look {caller}").as_bytes())).ok()?;
     loop {
         let frame = read_frame(&mut stream)?;
@@ -77,7 +78,7 @@
 
 /// Starts the process with an agent, an upstream and a name service, and settings for all callers.
 fn start_node(program: Option<&Path>) -> Result<Node, ScenarioError> {
-    let methods = [Method { work: Duration::from_micros(200), ..LOOK }];
+    let methods = [Method { work: Duration::from_micros(200), ..LOOK_UP }];
     let agent = Agent::start(CORES, &methods)?;
     let setup = Setup {
         memory_mb: 192,
@@ -89,8 +90,8 @@
         callers: CONNECTIONS[CONNECTIONS.len() - 1],
         ..Setup::new(&methods, CORES)
     };
-    let (upstream, naming) = (start_echo_upstream()?, start_naming()?);
-    let services = Services { agent: agent.at, upstream, naming };
+    let (upstream, naming) = (start_echo_upstream()?, start_name_service()?);
+    let services = Services { agent: agent.address, upstream, naming };
     Ok(Node::start(&setup, &services, "")?)
 }
 
@@ -127,7 +128,7 @@
     for count in CONNECTIONS {
         while connections.len() < count {
             let caller = connections.len() as u64;
-            let connection = open_connection(node.at, caller);
+            let connection = open_connection(node.address, caller);
             connections
                 .push(connection.ok_or_else(|| format!("the RPC of caller {caller} was not answered"))?);
         }
--- a/lab/src/scale/config/scenario.rs
+++ b/lab/src/scale/config/scenario.rs
@@ -94,10 +94,10 @@
 ) -> Result<BackgroundLoad, ScenarioError> {
     let (methods, tenants) = (options.methods.max(1), options.tenants);
     let profile = LoadProfile { methods, tenants, callers: CALLERS, rate, seed };
-    let mut load = BackgroundLoad::start(bed.node.at, &bed.agent, profile)?;
-    load.check_health(bed.node.at)?;
+    let mut load = BackgroundLoad::start(bed.node.address, &bed.agent, profile)?;
+    load.check_health(bed.node.address)?;
     if tenants > 0 {
-        load.check_version_order(bed.node.at, seed)?;
+        load.check_version_order(bed.node.address, seed)?;
     }
     Ok(load)
 }
--- a/lab/src/scale/forms/measure.rs
+++ b/lab/src/scale/forms/measure.rs
@@ -1,7 +1,7 @@
 //! Measurement of the memory of versions, and of the CPU time of a change, a comparison and a revert.
 
 use super::versions::Versions;
-use crate::process::{resident_kb, OWN};
+use crate::process::{resident_kb, OWN_PROCESS};
 use crate::report::ScenarioError;
 use nix::sys::resource::{getrusage, UsageWho};
 use nix::sys::time::TimeValLike;
@@ -32,11 +32,11 @@
 
 /// Measures the memory and the CPU time of a form with `size` entries.
 pub(super) fn measure<V: Versions>(size: usize) -> Result<Value, ScenarioError> {
-    let empty_kb = resident_kb(OWN);
+    let empty_kb = resident_kb(OWN_PROCESS);
     let mut versions = V::new(size);
-    let first_kb = resident_kb(OWN);
+    let first_kb = resident_kb(OWN_PROCESS);
     (0..ADDED_VERSIONS).for_each(|index| versions.push_change(index));
-    let all_kb = resident_kb(OWN);
+    let all_kb = resident_kb(OWN_PROCESS);
     let differing = versions.count_differences();
     let runs = (ENTRIES_PER_TURN / size).clamp(5, 2_000);
     let differ_us = cpu_us_per_run(runs, |_| {
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -178,7 +178,7 @@
     fn measure_round(&mut self, report: &mut Report, plan: &Plan, seed: u64) -> Result<(), ScenarioError> {
         let (methods, tenants, callers) = (self.methods, self.tenants, self.callers);
         let profile = LoadProfile { methods, tenants, callers, rate: plan.rate_per_s, seed };
-        let load = BackgroundLoad::start(self.bed.node.at, &self.bed.agent, profile)?;
+        let load = BackgroundLoad::start(self.bed.node.address, &self.bed.agent, profile)?;
         thread::sleep(WARM_UP);
         load.set_phase(MEASURED_PHASE);
         let before = self.bed.meter.read();
