--- a/lab/src/scale/agree/audit.rs
+++ b/lab/src/scale/agree/audit.rs
@@ -1,7 +1,7 @@
 //! The simulation's own account of versions: who acted on what, for how long two acted on versions that contradict each
 //! other, and whether a version ever had two contents.
 
-use super::node::Acting;
+use super::node::EnforcedVersions;
 use asterrill::Us;
 use asterrill_consensus::{contradicts, Version};
 use std::collections::{BTreeMap, HashMap};
@@ -25,7 +25,7 @@
     /// Whether two versions contradict each other.
     contradictions: HashMap<(u64, u64), bool>,
     /// Since when some node acts on a version alone.
-    acting_since: BTreeMap<u64, Us>,
+    enforced_since: BTreeMap<u64, Us>,
     /// The longest time for which a node acted on a version that contradicts one that another acted on.
     pub(super) longest_contradiction: Us,
     /// How often a node went back to an older version.
@@ -37,7 +37,7 @@
 
 impl VersionAudit {
     /// A version was seen with a content.
-    pub(super) fn see(&mut self, version: u64, hash: u64) {
+    pub(super) fn record_hash(&mut self, version: u64, hash: u64) {
         self.forked += u64::from(*self.hashes.entry(version).or_insert(hash) != hash);
     }
 
@@ -47,23 +47,23 @@
     }
 
     /// A node acts on versions from now on; `highest`: the highest that it acted on before.
-    pub(super) fn begin_acting(
-        &mut self, node: usize, acting: Acting, highest: u64, was_acting: bool, now: Us,
+    pub(super) fn begin_enforcing(
+        &mut self, node: usize, versions: EnforcedVersions, highest: u64, was_enforcing: bool, now: Us,
     ) {
-        let Acting { effective, newest } = acting;
+        let EnforcedVersions { effective, newest } = versions;
         if effective == newest {
-            self.acting_since.entry(effective).or_insert(now);
+            self.enforced_since.entry(effective).or_insert(now);
         }
         self.reverted += u64::from(effective < highest);
-        if effective > highest || !was_acting {
+        if effective > highest || !was_enforcing {
             self.activations.push(Activation { node, before: highest, version: effective, at: now });
         }
     }
 
     /// A node does not act on a version any more: for how long did another act on one that contradicts it? `find` looks a
     /// version up with the voters.
-    pub(super) fn end_acting(&mut self, version: u64, at: Us, find: &dyn Fn(u64) -> Option<Version>) {
-        let later = self.acting_since.range(version + 1..).map(|(v, since)| (*v, *since));
+    pub(super) fn end_enforcing(&mut self, version: u64, at: Us, find: &dyn Fn(u64) -> Option<Version>) {
+        let later = self.enforced_since.range(version + 1..).map(|(v, since)| (*v, *since));
         let later: Vec<(u64, Us)> = later.collect();
         for (other, since) in later {
             if at > since && at - since > self.longest_contradiction && self.contradict(version, other, find)
--- a/lab/src/scale/agree/build.rs
+++ b/lab/src/scale/agree/build.rs
@@ -2,8 +2,8 @@
 
 use super::cluster::Cluster;
 use super::options::AgreeOptions;
-use super::run::{entry_name, put, Baseline, Run, PATIENCE, VOTERS};
-use super::units::{ms, MS, S};
+use super::run::{entry_name, put, Baseline, Run, MAX_WAIT, VOTERS};
+use super::units::{ms, MILLISECOND, SECOND};
 use crate::process::{resident_kb, OWN};
 use crate::report::{Report, ScenarioError};
 use asterrill::Us;
@@ -11,21 +11,21 @@
 use serde_json::json;
 
 /// The leases of all nodes (operator-config/src/fleet.rs).
-pub(super) const LEASE: Us = 5 * S;
-const TICK: Us = 50 * MS;
+pub(super) const LEASE_DURATION: Us = 5 * SECOND;
+const TICK_INTERVAL: Us = 50 * MILLISECOND;
 /// One-entry changes, after which the voters have no steps from the start any more.
-pub(super) const FORGOTTEN_AFTER: usize = 260;
-const ELECTED_WITHIN: Us = 20 * S;
-const AT_REST: Us = 2 * S;
-const REPLICAS_AT_REST: Us = 6 * S;
+pub(super) const HISTORY_OVERFLOW_CHANGES: usize = 260;
+const LEADER_WAIT_TIMEOUT: Us = 20 * SECOND;
+const SETTLE_TIME: Us = 2 * SECOND;
+const REPLICA_SETTLE_TIME: Us = 6 * SECOND;
 
 /// Builds the cluster and reports what that took.
 pub(super) fn build(report: &mut Report, options: &AgreeOptions, seed: u64) -> Result<Run, ScenarioError> {
     let config = Config {
         voters: (0..VOTERS).map(|n| format!("keeper-{n}")).collect(),
-        lease_duration: LEASE,
-        renew_interval: LEASE / 5,
-        tick_interval: TICK,
+        lease_duration: LEASE_DURATION,
+        renew_interval: LEASE_DURATION / 5,
+        tick_interval: TICK_INTERVAL,
     };
     let mut cluster = Cluster::new(VOTERS, config, seed, options.charges_cpu());
     let before_kb = resident_kb(OWN);
@@ -33,7 +33,7 @@
         cluster.add();
         cluster.start(n, &[]);
     }
-    let mut run = Run::new(cluster, options.entries, options.every.max(1) * S);
+    let mut run = Run::new(cluster, options.entries, options.change_interval_s.max(1) * SECOND);
     build_list(report, &mut run)?;
     let disks: usize = (0..VOTERS).map(|n| run.cluster.nodes[n].disk.capacity()).sum();
     if !options.quick {
@@ -47,7 +47,7 @@
     run.baseline = Baseline {
         bound_losses: run.cluster.bound_losses,
         elections: run.cluster.elections,
-        lease_expirations: run.count(|counters| counters.lease_expirations),
+        lease_expirations: run.sum_counter(|counters| counters.lease_expirations),
         proposals: run.cluster.proposals.len(),
     };
     Ok(run)
@@ -56,17 +56,18 @@
 /// The voters elect a leader and agree on the list: in steps of as many changes as one may have, the last of them one by
 /// one.
 fn build_list(report: &mut Report, run: &mut Run) -> Result<(), ScenarioError> {
-    run.wait_until(ELECTED_WITHIN, |cluster| cluster.leader().is_some()).ok_or("nobody comes to lead")?;
-    run.cluster.run_to(run.cluster.now + AT_REST);
+    run.wait_until(LEADER_WAIT_TIMEOUT, |cluster| cluster.leader().is_some())
+        .ok_or("nobody comes to lead")?;
+    run.cluster.run_to(run.cluster.now + SETTLE_TIME);
     let all: Vec<Change> = (0..run.entries).map(|n| put(entry_name(n), Access::Allowed)).collect();
-    let (many, single) = all.split_at(run.entries - FORGOTTEN_AFTER);
+    let (many, single) = all.split_at(run.entries - HISTORY_OVERFLOW_CHANGES);
     for step in many.chunks(MAX_STEP_CHANGES).chain(single.chunks(1)) {
         if step.len() == 1 && report.get("disk_bytes_of_the_list").is_none() {
-            report.set("disk_bytes_of_the_list", json!(run.cluster.nodes[0].appended));
+            report.set("disk_bytes_of_the_list", json!(run.cluster.nodes[0].appended_bytes));
         }
         run.change(0, step.to_vec()).ok_or("the list does not come about")?;
     }
-    run.cluster.run_to(run.cluster.now + AT_REST);
+    run.cluster.run_to(run.cluster.now + SETTLE_TIME);
     run.cluster.remember_versions();
     Ok(())
 }
@@ -81,7 +82,7 @@
     let snapshot = persisted.snapshot();
     report.set("version_bytes", json!(snapshot.len()));
     run.resident_kb = resident_kb(OWN);
-    let step = S / replicas.max(1) as u64;
+    let step = SECOND / replicas.max(1) as u64;
     for _ in 0..replicas {
         let n = run.cluster.add();
         run.cluster.start(n, &snapshot);
@@ -89,8 +90,8 @@
         run.cluster.run_to(run.cluster.now + step);
     }
     let newest = run.newest_version();
-    let took = run.wait_until_effective(newest, PATIENCE).ok_or("the holders do not come to act")?;
+    let took = run.wait_until_effective(newest, MAX_WAIT).ok_or("the holders do not come to act")?;
     report.set("begin_ms", json!(ms(took)));
-    run.cluster.run_to(run.cluster.now + REPLICAS_AT_REST);
+    run.cluster.run_to(run.cluster.now + REPLICA_SETTLE_TIME);
     Ok(())
 }
--- a/lab/src/scale/agree/changes.rs
+++ b/lab/src/scale/agree/changes.rs
@@ -1,28 +1,28 @@
 //! Changes in turns while something goes wrong, steps of many entries, and replicas that start without anything.
 
-use super::build::LEASE;
+use super::build::LEASE_DURATION;
 use super::cluster::Cluster;
-use super::options::Kind;
-use super::run::{percentiles, EntryChange, Run, PATIENCE, VOTERS};
-use super::units::{ms, S};
+use super::options::ScenarioKind;
+use super::run::{percentiles, EntryChange, Run, MAX_WAIT, VOTERS};
+use super::units::{ms, SECOND};
 use crate::report::Report;
 use asterrill::Us;
 use asterrill_consensus::{Change, MAX_STEP_CHANGES};
 use rand::seq::SliceRandom;
 use serde_json::json;
 
-const FAULTY: usize = 8; // replicas that die or are cut off
-const LOSS: f64 = 0.1;
+const FAULTY_REPLICAS: usize = 8; // replicas that die or are cut off
+const MESSAGE_LOSS_RATE: f64 = 0.1;
 const ROUNDS: usize = 20;
 const QUICK_ROUNDS: usize = 6;
-const DOWN_ROUNDS: u64 = 5; // that the leader is away
-const MAX_STEPS: usize = 5_200_000; // replicas times entries of a run in which every entry changes
-const ZONE: usize = 64; // replicas that come back at once
-const REGION: usize = 255;
-const DISK_BACK_WITHIN: Us = 60 * S;
+const LEADER_DOWN_ROUNDS: u64 = 5; // that the leader is away
+const MAX_FULL_CHANGE_REPLICA_ENTRIES: usize = 5_200_000; // replicas times entries of a run in which every entry changes
+const ZONE_REPLICAS: usize = 64; // replicas that come back at once
+const REGION_REPLICAS: usize = 255;
+const DISK_RECOVERY_TIMEOUT: Us = 60 * SECOND;
 
 /// The least number of replicas that the faults leave something of.
-pub(super) const MIN_REPLICAS: usize = FAULTY + 2;
+pub(super) const MIN_REPLICAS: usize = FAULTY_REPLICAS + 2;
 
 /// A voter that was killed, and when it starts again.
 struct KilledLeader {
@@ -40,22 +40,23 @@
 }
 
 /// Makes changes while something of a kind goes wrong.
-pub(super) fn play_changes(report: &mut Report, run: &mut Run, kind: Kind, quick: bool) {
-    let (begun, usage_before, disk_before) = (run.cluster.now, run.usage(), appended(run));
-    let faulty = begin_faults(report, run, kind);
-    let rounds = play_rounds(run, kind, quick);
-    if kind == Kind::Cut {
+pub(super) fn run_changes(report: &mut Report, run: &mut Run, kind: ScenarioKind, quick: bool) {
+    let (begun, usage_before, disk_before) = (run.cluster.now, run.usage(), voters_appended_bytes(run));
+    let faulty = inject_faults(report, run, kind);
+    let rounds = run_rounds(run, kind, quick);
+    if kind == ScenarioKind::ReplicasIsolated {
         // So long that a lease which does not end shows.
-        let end = begun + 2 * LEASE + run.cluster.config.contradiction_bound() + 2 * S;
+        let end = begun + 2 * LEASE_DURATION + run.cluster.config.contradiction_bound() + 2 * SECOND;
         run.cluster.run_to(end.max(run.cluster.now));
     }
     let span = run.cluster.now - begun;
     run.report_usage(report, "changing", &usage_before, span, quick);
-    let written = (appended(run) - disk_before) as f64 / (VOTERS * rounds.changes.len().max(1)) as f64;
+    let written =
+        (voters_appended_bytes(run) - disk_before) as f64 / (VOTERS * rounds.changes.len().max(1)) as f64;
     report.set("disk_bytes_per_change", json!(written.round()));
     // The last of them gets its time as well.
     let newest = run.newest_version();
-    let last = run.wait_until_effective(newest, PATIENCE);
+    let last = run.wait_until_effective(newest, MAX_WAIT);
     let mut steady = run.connected_nodes();
     steady.retain(|n| Some(*n) != rounds.killed && !faulty.contains(n));
     report_in_force(report, run, &rounds.changes, &steady);
@@ -63,50 +64,50 @@
     report.set("refused", json!(rounds.refused));
     report.set("last_in_force", json!(last.is_some()));
     run.cluster.remember_versions();
-    let by = run.pick_replica();
-    play_big_step(report, run, by, &steady);
-    if !quick && run.entries * run.replicas.len() <= MAX_STEPS {
-        play_all_entries(report, run, by);
+    let by = run.random_replica();
+    run_largest_step(report, run, by, &steady);
+    if !quick && run.entries * run.replicas.len() <= MAX_FULL_CHANGE_REPLICA_ENTRIES {
+        change_all_entries(report, run, by);
     }
     if !quick {
         report.set("holder_kb_after", json!(run.replica_kb()));
     }
-    play_catch_up(report, run, quick);
-    for n in faulty.iter().filter(|_| kind == Kind::Dead) {
+    run_catch_up(report, run, quick);
+    for n in faulty.iter().filter(|_| kind == ScenarioKind::ReplicasKilled) {
         run.cluster.start(*n, &[]);
     }
     report_files(report, run);
 }
 
 /// Bytes that all voters appended.
-fn appended(run: &Run) -> u64 {
-    (0..VOTERS).map(|n| run.cluster.nodes[n].appended).sum()
+fn voters_appended_bytes(run: &Run) -> u64 {
+    (0..VOTERS).map(|n| run.cluster.nodes[n].appended_bytes).sum()
 }
 
 /// Replicas that die or are cut off, in the kinds in which some do.
-fn begin_faults(report: &mut Report, run: &mut Run, kind: Kind) -> Vec<usize> {
+fn inject_faults(report: &mut Report, run: &mut Run, kind: ScenarioKind) -> Vec<usize> {
     let mut faulty = run.replicas.clone();
     faulty.shuffle(&mut run.cluster.rng);
-    faulty.truncate(FAULTY);
+    faulty.truncate(FAULTY_REPLICAS);
     match kind {
-        Kind::Dead => faulty.iter().for_each(|n| run.cluster.kill(*n)),
-        Kind::Cut => run.cluster.cut.extend(&faulty),
-        Kind::Loss => run.cluster.loss = LOSS,
-        Kind::DiskLost => lose_disk(report, run),
+        ScenarioKind::ReplicasKilled => faulty.iter().for_each(|n| run.cluster.kill(*n)),
+        ScenarioKind::ReplicasIsolated => run.cluster.isolated.extend(&faulty),
+        ScenarioKind::MessageLoss => run.cluster.loss = MESSAGE_LOSS_RATE,
+        ScenarioKind::DiskLost => restart_with_empty_disk(report, run),
         _ => {}
     }
     faulty
 }
 
-fn play_rounds(run: &mut Run, kind: Kind, quick: bool) -> Rounds {
-    let (rounds, every) = if quick { (QUICK_ROUNDS, S) } else { (ROUNDS, run.every) };
+fn run_rounds(run: &mut Run, kind: ScenarioKind, quick: bool) -> Rounds {
+    let (rounds, every) = if quick { (QUICK_ROUNDS, SECOND) } else { (ROUNDS, run.change_interval) };
     let mut played = Rounds { changes: Vec::new(), refused: 0, killed: None };
     let mut away: Option<KilledLeader> = None;
     for round in 0..rounds {
-        if kind == Kind::LeaderKilled && round == rounds / 4 {
+        if kind == ScenarioKind::LeaderKilled && round == rounds / 4 {
             played.killed = run.cluster.leader();
             played.killed.iter().for_each(|n| run.cluster.kill(*n));
-            let back_at = run.cluster.now + DOWN_ROUNDS * every;
+            let back_at = run.cluster.now + LEADER_DOWN_ROUNDS * every;
             away = played.killed.map(|voter| KilledLeader { voter, back_at });
         }
         if let Some(back) = away.take_if(|killed| run.cluster.now >= killed.back_at) {
@@ -139,11 +140,11 @@
 }
 
 /// One step of as many entries as it may have, proposed at a replica.
-fn play_big_step(report: &mut Report, run: &mut Run, by: usize, nodes: &[usize]) {
+fn run_largest_step(report: &mut Report, run: &mut Run, by: usize, nodes: &[usize]) {
     let entries = run.entries.min(MAX_STEP_CHANGES);
-    let step: Vec<Change> = (0..entries).map(|n| run.flip_entry(n)).collect();
+    let step: Vec<Change> = (0..entries).map(|n| run.toggle_entry_access(n)).collect();
     let took = run.change(by, step).and_then(|version| {
-        run.wait_until_effective(version.number, PATIENCE)?;
+        run.wait_until_effective(version.number, MAX_WAIT)?;
         run.cluster.audit.in_force_after(version.number, version.proposed, nodes).into_iter().max()
     });
     report.set("big_step_entries", json!(entries));
@@ -151,33 +152,33 @@
 }
 
 /// All entries, in such steps, one after the other.
-fn play_all_entries(report: &mut Report, run: &mut Run, by: usize) {
+fn change_all_entries(report: &mut Report, run: &mut Run, by: usize) {
     let (begun, mut last, mut refused) = (run.cluster.now, 0, 0);
     for from in (0..run.entries).step_by(MAX_STEP_CHANGES) {
         let to = (from + MAX_STEP_CHANGES).min(run.entries);
-        let step: Vec<Change> = (from..to).map(|n| run.flip_entry(n)).collect();
+        let step: Vec<Change> = (from..to).map(|n| run.toggle_entry_access(n)).collect();
         match run.change(by, step) {
             Some(version) => last = version.number,
             None => refused += 1,
         }
     }
-    let took = run.wait_until_effective(last, PATIENCE).map(|_| ms(run.cluster.now - begun));
+    let took = run.wait_until_effective(last, MAX_WAIT).map(|_| ms(run.cluster.now - begun));
     report.set("everything_ms", json!(took));
     report.set("everything_refused", json!(refused));
 }
 
 /// A zone comes back, and a region; in the quick form a third of the replicas.
-fn play_catch_up(report: &mut Report, run: &mut Run, quick: bool) {
+fn run_catch_up(report: &mut Report, run: &mut Run, quick: bool) {
     if quick {
-        let catch_up = run.restart_blank(run.replicas.len() / 3);
+        let catch_up = run.restart_without_state(run.replicas.len() / 3);
         report.set("catch_up_ms", json!(catch_up.took.map(ms)));
         return;
     }
-    for (suffix, count) in [("", ZONE), ("_255", REGION)] {
-        if run.replicas.len() < count + FAULTY {
+    for (suffix, count) in [("", ZONE_REPLICAS), ("_255", REGION_REPLICAS)] {
+        if run.replicas.len() < count + FAULTY_REPLICAS {
             continue;
         }
-        let catch_up = run.restart_blank(count);
+        let catch_up = run.restart_without_state(count);
         if catch_up.took.is_none() {
             report.set(&format!("catch_up_given_up_ms{suffix}"), json!(ms(catch_up.ended_after)));
             report.set(&format!("catch_up_given_up_act{suffix}"), json!(catch_up.acting));
@@ -185,21 +186,21 @@
         report.set(&format!("catch_up_ms{suffix}"), json!(catch_up.took.map(ms)));
         report.set(&format!("catch_up_keepers_cpu_ms{suffix}"), json!(catch_up.voters_cpu_ms.round()));
         let newest = run.newest_version();
-        run.wait_until_effective(newest, PATIENCE);
+        run.wait_until_effective(newest, MAX_WAIT);
     }
 }
 
 /// Files that voters wrote anew, and their bytes on average.
 fn report_files(report: &mut Report, run: &Run) {
-    let written = (0..VOTERS).map(|n| run.cluster.nodes[n].files_written);
-    let (files, bytes) = written.fold((0, 0), |(files, bytes), one| (files + one.files, bytes + one.bytes));
+    let written = (0..VOTERS).map(|n| run.cluster.nodes[n].replaced_files);
+    let (files, bytes) = written.fold((0, 0), |(files, bytes), one| (files + one.count, bytes + one.bytes));
     report.set("disk_files_anew", json!(files));
     report.set("disk_bytes_whole", json!((bytes as f64 / files.max(1) as f64).round()));
 }
 
 /// A voter starts on an empty disk: how long until it has what the others have. One that never does is stopped, so that
 /// the rest can be judged.
-fn lose_disk(report: &mut Report, run: &mut Run) {
+fn restart_with_empty_disk(report: &mut Report, run: &mut Run) {
     let leader = run.cluster.leader();
     let Some(n) = (0..VOTERS).find(|n| Some(*n) != leader) else { return };
     run.cluster.kill(n);
@@ -207,9 +208,9 @@
     run.cluster.start(n, &[]);
     let newest = run.newest_version();
     let has_newest = |cluster: &Cluster| cluster.nodes[n].version_number().is_some_and(|v| v >= newest);
-    let took = run.wait_until(DISK_BACK_WITHIN, has_newest);
+    let took = run.wait_until(DISK_RECOVERY_TIMEOUT, has_newest);
     report.set("keeper_back_ms", json!(took.map(ms)));
-    let dropped = run.count(|counters| counters.dropped_messages);
+    let dropped = run.sum_counter(|counters| counters.dropped_messages);
     report.set("keeper_back_dropped", json!(dropped));
     if took.is_none() {
         run.cluster.kill(n);
--- a/lab/src/scale/agree/cluster.rs
+++ b/lab/src/scale/agree/cluster.rs
@@ -8,7 +8,7 @@
 //! headers of UDP and IP.
 
 use super::audit::VersionAudit;
-use super::node::{Acting, Node, Received, Usage, View};
+use super::node::{EnforcedVersions, Enforcement, Node, Received, Usage};
 use asterrill::Us;
 use asterrill_consensus::{
     ApplyMode, Change, Config, DiskWrite, Node as ConsensusNode, Proposal, ProposalOutcome, Version,
@@ -20,8 +20,8 @@
 
 /// Bytes that a message takes beyond its own.
 pub(super) const ENVELOPE_BYTES: u64 = 1 + 33 + 16; // kind of the payload, head and keyed hash of `asterrill-membership`
-const MAX_UNREAD: usize = 4_096; // membership/src/receive.rs: messages that wait to be taken
-const CLOCK_RATES: Range<u64> = 985..1_015; // thousandths
+const MAX_UNREAD_MESSAGES: usize = 4_096; // membership/src/receive.rs: messages that wait to be taken
+const CLOCK_RATES_PERMILLE: Range<u64> = 985..1_015; // thousandths
 
 /// Messages that were lost to a bound of the real process, in all.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -37,15 +37,15 @@
 /// What happens at a moment.
 pub(super) enum Event {
     Message { from: usize, to: usize, bytes: Vec<u8> },
-    Persisted { node: usize, start: u64, write: DiskWrite },
-    Turn(usize),
+    Persisted { node: usize, start_id: u64, write: DiskWrite },
+    Iteration(usize),
 }
 
 /// A proposal, by the node at which it was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ProposalKey {
     pub(super) node: usize,
-    pub(super) start: u64,
+    pub(super) start_id: u64,
     pub(super) number: u64,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// The nodes, the messages between them and the virtual time. Turns of nodes are in `turn.rs`.
+/// The nodes, the messages between them and the virtual time. Turns of nodes are in `event_loop.rs`.
 pub(super) struct Cluster {
     pub(super) now: Us,
     pub(super) config: Config,
@@ -76,7 +76,7 @@
     /// Of 1, the part of messages that get lost.
     pub(super) loss: f64,
     /// Nodes that go on and hear nobody, and that nobody hears.
-    pub(super) cut: HashSet<usize>,
+    pub(super) isolated: HashSet<usize>,
     pub(super) charges_cpu: bool,
     events: BTreeMap<(Us, u64), Event>,
     events_pushed: u64,
@@ -88,12 +88,12 @@
     pub(super) audit: VersionAudit,
     pub(super) bound_losses: BoundLosses,
     /// Messages that got lost on their way.
-    pub(super) lost: u64,
+    pub(super) lost_messages: u64,
     /// How often a voter began to lead.
     pub(super) elections: u64,
-    pub(super) events_done: u64,
+    pub(super) processed_events: u64,
     /// All messages that were read, as one number.
-    pub(super) trace: u64,
+    pub(super) trace_hash: u64,
 }
 
 /// A version, as a voter has it.
@@ -112,7 +112,7 @@
             voters,
             rng: StdRng::seed_from_u64(seed),
             loss: 0.0,
-            cut: HashSet::new(),
+            isolated: HashSet::new(),
             charges_cpu,
             events: BTreeMap::new(),
             events_pushed: 0,
@@ -122,10 +122,10 @@
             proposals: BTreeMap::new(),
             audit: VersionAudit::default(),
             bound_losses: BoundLosses::default(),
-            lost: 0,
+            lost_messages: 0,
             elections: 0,
-            events_done: 0,
-            trace: 0,
+            processed_events: 0,
+            trace_hash: 0,
         }
     }
 
@@ -136,20 +136,21 @@
         self.indexes.insert(name.clone(), n);
         self.names.push(name);
         self.nodes.push(Node::new(
-            CLOCK_RATES.start + self.rng.random_range(0..CLOCK_RATES.end - CLOCK_RATES.start),
+            CLOCK_RATES_PERMILLE.start
+                + self.rng.random_range(0..CLOCK_RATES_PERMILLE.end - CLOCK_RATES_PERMILLE.start),
         ));
         n
     }
 
     pub(super) fn local_time(&self, n: usize) -> Us {
-        self.now * self.nodes[n].clock_rate / 1_000
+        self.now * self.nodes[n].clock_rate_permille / 1_000
     }
 
     pub(super) fn global_time(&self, n: usize, local: Us) -> Us {
-        local.saturating_mul(1_000).div_ceil(self.nodes[n].clock_rate)
+        local.saturating_mul(1_000).div_ceil(self.nodes[n].clock_rate_permille)
     }
 
-    pub(super) fn push(&mut self, at: Us, event: Event) {
+    pub(super) fn schedule(&mut self, at: Us, event: Event) {
         self.events_pushed += 1;
         self.events.insert((at, self.events_pushed), event);
     }
@@ -164,26 +165,26 @@
         let Ok(consensus) = started else { return };
         node.disk.truncate(consensus.valid_log_len());
         node.consensus = Some(consensus);
-        (node.start, node.highest) = (self.starts, 0);
+        (node.start_id, node.highest_enforced) = (self.starts, 0);
         node.inbox.clear();
         node.persisted.clear();
-        (node.busy_until, node.writing_until, node.turn) = (self.now, self.now, None);
-        self.wake(n, self.now);
+        (node.busy_until, node.writing_until, node.next_iteration) = (self.now, self.now, None);
+        self.schedule_iteration(n, self.now);
     }
 
     /// Ends a node where it stands.
     pub(super) fn kill(&mut self, n: usize) {
-        self.set_view(n, View::default());
+        self.set_enforcement(n, Enforcement::default());
         let node = &mut self.nodes[n];
-        (node.consensus, node.turn, node.leads) = (None, None, false);
+        (node.consensus, node.next_iteration, node.is_leader) = (None, None, false);
     }
 
-    pub(super) fn wake(&mut self, n: usize, at: Us) {
+    pub(super) fn schedule_iteration(&mut self, n: usize, at: Us) {
         let node = &mut self.nodes[n];
         let at = at.max(node.busy_until).max(self.now);
-        if node.consensus.is_some() && node.turn.is_none_or(|turn| turn > at) {
-            node.turn = Some(at);
-            self.push(at, Event::Turn(n));
+        if node.consensus.is_some() && node.next_iteration.is_none_or(|next| next > at) {
+            node.next_iteration = Some(at);
+            self.schedule(at, Event::Iteration(n));
         }
     }
 
@@ -198,15 +199,15 @@
         while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= end) {
             let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
-            self.events_done += 1;
+            self.processed_events += 1;
             match event {
                 Event::Message { from, to, bytes } => self.receive(from, to, bytes),
-                Event::Persisted { node, start, write } => self.persist(node, start, write),
-                Event::Turn(n) if self.nodes[n].turn == Some(at) => {
-                    self.nodes[n].turn = None;
-                    self.take_turn(n, None);
+                Event::Persisted { node, start_id, write } => self.persist(node, start_id, write),
+                Event::Iteration(n) if self.nodes[n].next_iteration == Some(at) => {
+                    self.nodes[n].next_iteration = None;
+                    self.run_iteration(n, None);
                 }
-                Event::Turn(_) => {} // it was set anew
+                Event::Iteration(_) => {} // it was set anew
             }
         }
         self.now = self.now.max(end);
@@ -220,41 +221,41 @@
         }
         node.usage.received += 1;
         node.usage.received_bytes += bytes.len() as u64 + ENVELOPE_BYTES;
-        if !node.admits(from, now) {
+        if !node.try_consume_token(from, now) {
             self.bound_losses.rate_limited += 1;
             return;
         }
-        if node.inbox.len() >= MAX_UNREAD {
+        if node.inbox.len() >= MAX_UNREAD_MESSAGES {
             self.bound_losses.unread += 1;
             return;
         }
-        self.trace = self.trace.wrapping_mul(31).wrapping_add(now ^ bytes.len() as u64);
+        self.trace_hash = self.trace_hash.wrapping_mul(31).wrapping_add(now ^ bytes.len() as u64);
         node.inbox.push_back(Received { from, bytes });
-        self.wake(to, now);
+        self.schedule_iteration(to, now);
     }
 
     /// A write is on disk; none of an earlier start.
-    fn persist(&mut self, n: usize, start: u64, write: DiskWrite) {
+    fn persist(&mut self, n: usize, start_id: u64, write: DiskWrite) {
         let node = &mut self.nodes[n];
-        if node.start != start || node.consensus.is_none() {
+        if node.start_id != start_id || node.consensus.is_none() {
             return;
         }
         if write.replace {
-            node.files_written.files += 1;
-            node.files_written.bytes += write.bytes.len() as u64;
+            node.replaced_files.count += 1;
+            node.replaced_files.bytes += write.bytes.len() as u64;
             node.disk = write.bytes;
         } else {
-            node.appended += write.bytes.len() as u64;
+            node.appended_bytes += write.bytes.len() as u64;
             node.disk.extend_from_slice(&write.bytes);
         }
         node.persisted.push(write.number);
-        self.wake(n, self.now);
+        self.schedule_iteration(n, self.now);
     }
 
     /// An operator proposes changes at a node.
     pub(super) fn propose(&mut self, n: usize, changes: Vec<Change>) -> Option<ProposalKey> {
-        let number = self.take_turn(n, Some(Proposal::Change { base: None, changes }))?;
-        let key = ProposalKey { node: n, start: self.nodes[n].start, number };
+        let number = self.run_iteration(n, Some(Proposal::Change { base: None, changes }))?;
+        let key = ProposalKey { node: n, start_id: self.nodes[n].start_id, number };
         self.proposals.entry(key).or_insert(None);
         Some(key)
     }
@@ -270,37 +271,39 @@
     }
 
     /// What a node acts on now, from its apply policy and its lease.
-    pub(super) fn read_view(&mut self, n: usize) {
+    pub(super) fn update_enforcement(&mut self, n: usize) {
         let at = self.local_time(n);
         let Some(consensus) = &self.nodes[n].consensus else { return };
         let (policy, until) = (consensus.apply_policy(), consensus.lease_until());
         let leased = at < until && matches!(policy.mode, ApplyMode::Full | ApplyMode::Transition);
-        let acting = Acting { effective: policy.effective_number(), newest: policy.newest_number() };
-        let view = View { acting: leased.then_some(acting), until: self.global_time(n, until) };
+        let versions =
+            EnforcedVersions { effective: policy.effective_number(), newest: policy.newest_number() };
+        let enforcement =
+            Enforcement { versions: leased.then_some(versions), lease_until: self.global_time(n, until) };
         if leased {
-            self.audit.see(acting.effective, policy.effective().hash());
+            self.audit.record_hash(versions.effective, policy.effective().hash());
         }
-        self.set_view(n, view);
+        self.set_enforcement(n, enforcement);
     }
 
-    fn set_view(&mut self, n: usize, view: View) {
+    fn set_enforcement(&mut self, n: usize, enforcement: Enforcement) {
         let now = self.now;
-        let before = std::mem::replace(&mut self.nodes[n].view, view);
-        if before.acting == view.acting {
+        let before = std::mem::replace(&mut self.nodes[n].enforcement, enforcement);
+        if before.versions == enforcement.versions {
             return;
         }
-        if let Some(acting) = before.acting {
-            self.end_acting(acting.newest, now.min(before.until));
+        if let Some(versions) = before.versions {
+            self.end_enforcing(versions.newest, now.min(before.lease_until));
         }
-        let Some(acting) = view.acting else { return };
-        let highest = self.nodes[n].highest;
-        self.audit.begin_acting(n, acting, highest, before.acting.is_some(), now);
-        self.nodes[n].highest = highest.max(acting.effective);
+        let Some(versions) = enforcement.versions else { return };
+        let highest = self.nodes[n].highest_enforced;
+        self.audit.begin_enforcing(n, versions, highest, before.versions.is_some(), now);
+        self.nodes[n].highest_enforced = highest.max(versions.effective);
     }
 
-    fn end_acting(&mut self, version: u64, at: Us) {
+    fn end_enforcing(&mut self, version: u64, at: Us) {
         let (nodes, voters) = (&self.nodes, self.voters);
-        self.audit.end_acting(version, at, &|version| find_version(nodes, voters, version));
+        self.audit.end_enforcing(version, at, &|version| find_version(nodes, voters, version));
     }
 
     /// Remembers all versions that the leader has, so that what it forgets can be compared later.
@@ -322,16 +325,16 @@
 
     /// The version that a node acts on under a lease.
     pub(super) fn effective_version(&self, n: usize) -> Option<u64> {
-        let view = self.nodes[n].view;
-        view.acting.filter(|_| view.until > self.now).map(|acting| acting.effective)
+        let enforcement = self.nodes[n].enforcement;
+        enforcement.versions.filter(|_| enforcement.lease_until > self.now).map(|versions| versions.effective)
     }
 
     /// Takes into account what nodes still act on.
     pub(super) fn close_audit(&mut self) {
         for n in 0..self.nodes.len() {
-            let view = self.nodes[n].view;
-            if let Some(acting) = view.acting {
-                self.end_acting(acting.newest, self.now.min(view.until));
+            let enforcement = self.nodes[n].enforcement;
+            if let Some(versions) = enforcement.versions {
+                self.end_enforcing(versions.newest, self.now.min(enforcement.lease_until));
             }
         }
     }
--- a/lab/src/scale/agree/crowd.rs
+++ b/lab/src/scale/agree/concurrent_proposals.rs
@@ -2,26 +2,26 @@
 
 use super::cluster::Outcome;
 use super::run::{percentiles, put, Run};
-use super::units::S;
+use super::units::SECOND;
 use crate::report::Report;
 use asterrill::Us;
 use asterrill_consensus::{Access, ProposalOutcome};
 use serde_json::json;
 
-const CHANGES: usize = 20; // of each proposal
-const NAME_PADDING: usize = 56; // that makes a proposal as long as two fragments
-const SETTLED_WITHIN: Us = 10 * S;
+const CHANGES_PER_PROPOSAL: usize = 20; // of each proposal
+const ENTRY_NAME_PADDING_BYTES: usize = 56; // that makes a proposal as long as two fragments
+const PROPOSAL_TIMEOUT: Us = 10 * SECOND;
 
 /// Plays it.
-pub(super) fn play_crowd(report: &mut Report, run: &mut Run) {
+pub(super) fn run_concurrent_proposals(report: &mut Report, run: &mut Run) {
     let begun = run.cluster.now;
-    let name = |n: usize, k: usize| format!("{n:04}-{k:02}-{}", "x".repeat(NAME_PADDING));
+    let name = |n: usize, k: usize| format!("{n:04}-{k:02}-{}", "x".repeat(ENTRY_NAME_PADDING_BYTES));
     let mut keys = Vec::new();
     for n in run.replicas.clone() {
-        let step = (0..CHANGES).map(|k| put(name(n, k), Access::Allowed)).collect();
+        let step = (0..CHANGES_PER_PROPOSAL).map(|k| put(name(n, k), Access::Allowed)).collect();
         keys.extend(run.cluster.propose(n, step));
     }
-    run.cluster.run_to(begun + SETTLED_WITHIN);
+    run.cluster.run_to(begun + PROPOSAL_TIMEOUT);
     let outcomes: Vec<&Outcome> = keys.iter().filter_map(|key| run.cluster.outcome(key)).collect();
     let committed = outcomes.iter().filter(|one| one.committed().is_some());
     let took: Vec<Us> = committed.map(|one| one.at - begun).collect();
--- a/lab/src/scale/agree/turn.rs
+++ b/lab/src/scale/agree/event_loop.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::{Cluster, Event, Outcome, ProposalKey, ENVELOPE_BYTES};
 use super::node::Received;
-use super::units::MS;
+use super::units::MILLISECOND;
 use asterrill::Us;
 use asterrill_consensus::{
     CompletedProposal, Datagram, DiskWrite, Node as ConsensusNode, Proposal, ProposalOutcome,
@@ -11,29 +11,29 @@
 use rand::Rng;
 use std::ops::Range;
 
-const MAX_UNSENT: usize = 4_096; // daemon/src/membership.rs: datagrams that wait to be sent
-const IDLE_SLEEP: Us = MS; // a loop that has nothing to read sleeps so long at the least
-const NETWORK_DELAY: Range<Us> = 200..3 * MS;
-const WRITE_TIME: Range<Us> = 100..4 * MS;
+const MAX_UNSENT_MESSAGES: usize = 4_096; // daemon/src/membership.rs: datagrams that wait to be sent
+const MIN_IDLE_SLEEP: Us = MILLISECOND; // a loop that has nothing to read sleeps so long at the least
+const NETWORK_DELAY: Range<Us> = 200..3 * MILLISECOND;
+const DISK_WRITE_TIME: Range<Us> = 100..4 * MILLISECOND;
 
 /// What a node has to send, to write and to report after a turn.
-struct TurnOutput {
+struct IterationOutput {
     datagrams: Vec<Datagram>,
     writes: Vec<DiskWrite>,
     outcomes: Vec<CompletedProposal>,
     /// By its own clock.
     next_tick: Us,
-    leads: bool,
+    is_leader: bool,
 }
 
-impl TurnOutput {
-    fn take(consensus: &mut ConsensusNode) -> TurnOutput {
-        TurnOutput {
+impl IterationOutput {
+    fn take(consensus: &mut ConsensusNode) -> IterationOutput {
+        IterationOutput {
             datagrams: consensus.take_outgoing(),
             writes: consensus.take_writes(),
             outcomes: consensus.take_outcomes(),
             next_tick: consensus.next_tick(),
-            leads: consensus.is_leader(),
+            is_leader: consensus.is_leader(),
         }
     }
 }
@@ -47,7 +47,7 @@
 impl Cluster {
     /// One turn of a node's loop: what is on disk, what was received, what is due; then what comes of it. The number of the
     /// proposal, if there is one.
-    pub(super) fn take_turn(&mut self, n: usize, proposal: Option<Proposal>) -> Option<u64> {
+    pub(super) fn run_iteration(&mut self, n: usize, proposal: Option<Proposal>) -> Option<u64> {
         let (at, now) = (self.local_time(n), self.now);
         let names = &self.names;
         let node = &mut self.nodes[n];
@@ -63,39 +63,39 @@
         if consensus.next_tick() <= at {
             consensus.tick(at, now);
         }
-        let output = TurnOutput::take(consensus);
+        let output = IterationOutput::take(consensus);
         let cost = cpu_ns().saturating_sub(begun);
         node.usage.cpu_ns += cost;
         let end = if self.charges_cpu { now + cost / 1_000 } else { now };
         node.busy_until = end;
-        self.finish_turn(n, end, output);
+        self.apply_output(n, end, output);
         number
     }
 
-    fn finish_turn(&mut self, n: usize, end: Us, output: TurnOutput) {
-        let start = self.nodes[n].start;
+    fn apply_output(&mut self, n: usize, end: Us, output: IterationOutput) {
+        let start_id = self.nodes[n].start_id;
         self.send(n, end, output.datagrams);
         for write in output.writes {
-            let took = self.rng.random_range(WRITE_TIME);
+            let took = self.rng.random_range(DISK_WRITE_TIME);
             let persisted = self.nodes[n].writing_until.max(end) + took;
             self.nodes[n].writing_until = persisted;
-            self.push(persisted, Event::Persisted { node: n, start, write });
+            self.schedule(persisted, Event::Persisted { node: n, start_id, write });
         }
         for CompletedProposal { number, outcome } in output.outcomes {
             if let ProposalOutcome::Committed { number, hash } = &outcome {
-                self.audit.see(*number, *hash);
+                self.audit.record_hash(*number, *hash);
             }
-            let key = ProposalKey { node: n, start, number };
+            let key = ProposalKey { node: n, start_id, number };
             self.proposals.insert(key, Some(Outcome { at: end, outcome }));
         }
-        let led = std::mem::replace(&mut self.nodes[n].leads, output.leads);
-        self.elections += u64::from(output.leads && !led);
-        self.read_view(n);
-        self.wake(n, self.global_time(n, output.next_tick).max(end + IDLE_SLEEP));
+        let led = std::mem::replace(&mut self.nodes[n].is_leader, output.is_leader);
+        self.elections += u64::from(output.is_leader && !led);
+        self.update_enforcement(n);
+        self.schedule_iteration(n, self.global_time(n, output.next_tick).max(end + MIN_IDLE_SLEEP));
     }
 
     fn send(&mut self, n: usize, end: Us, mut datagrams: Vec<Datagram>) {
-        let excess = datagrams.len().saturating_sub(MAX_UNSENT);
+        let excess = datagrams.len().saturating_sub(MAX_UNSENT_MESSAGES);
         datagrams.drain(..excess);
         self.bound_losses.unsent += excess as u64;
         let usage = &mut self.nodes[n].usage;
@@ -104,13 +104,13 @@
             datagrams.iter().map(|datagram| datagram.payload.len() as u64 + ENVELOPE_BYTES).sum::<u64>();
         for Datagram { to, payload: bytes } in datagrams {
             let Some(to) = self.indexes.get(&to).copied() else { continue };
-            let cut = self.cut.contains(&n) || self.cut.contains(&to);
+            let cut = self.isolated.contains(&n) || self.isolated.contains(&to);
             if cut || (self.loss > 0.0 && self.rng.random::<f64>() < self.loss) {
-                self.lost += 1;
+                self.lost_messages += 1;
                 continue;
             }
             let delay = self.rng.random_range(NETWORK_DELAY);
-            self.push(end + delay, Event::Message { from: n, to, bytes });
+            self.schedule(end + delay, Event::Message { from: n, to, bytes });
         }
     }
 }
--- a/lab/src/scale/agree/mod.rs
+++ b/lab/src/scale/agree/mod.rs
@@ -8,12 +8,12 @@
 mod build;
 mod changes;
 mod cluster;
-mod crowd;
+mod concurrent_proposals;
+mod event_loop;
 mod node;
 mod options;
 mod run;
 mod scenario;
-mod turn;
 mod units;
 
 pub use options::AgreeOptions;
--- a/lab/src/scale/agree/node.rs
+++ b/lab/src/scale/agree/node.rs
@@ -4,8 +4,8 @@
 use asterrill_consensus::Node as ConsensusNode;
 use std::collections::{HashMap, VecDeque};
 
-const BURST: f64 = 2_000.0; // messages that one sender may send at once
-const RATE: f64 = 1_000.0; // and a second
+const MAX_SENDER_BURST_MESSAGES: f64 = 2_000.0; // messages that one sender may send at once
+const MAX_SENDER_MESSAGES_PER_S: f64 = 1_000.0; // and a second
 
 /// What one node has spent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -31,30 +31,30 @@
 
 /// The versions that a node acts on under a lease: the effective one, and the newest, which is the stricter of the two.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Acting {
+pub(super) struct EnforcedVersions {
     pub(super) effective: u64,
     pub(super) newest: u64,
 }
 
 /// What a node acts on, as it would answer now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct View {
-    pub(super) acting: Option<Acting>,
+pub(super) struct Enforcement {
+    pub(super) versions: Option<EnforcedVersions>,
     /// When its lease ends.
-    pub(super) until: Us,
+    pub(super) lease_until: Us,
 }
 
 /// What one sender may send.
 #[derive(Clone, Copy)]
-struct Allowance {
-    messages: f64,
-    at: Us,
+struct TokenBucket {
+    tokens: f64,
+    updated_at: Us,
 }
 
 /// Files that were written anew.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct FilesWritten {
-    pub(super) files: u64,
+pub(super) struct ReplacedFiles {
+    pub(super) count: u64,
     pub(super) bytes: u64,
 }
 
@@ -69,63 +69,66 @@
     /// None while it is down.
     pub(super) consensus: Option<ConsensusNode>,
     /// Thousandths of its clock's rate.
-    pub(super) clock_rate: u64,
+    pub(super) clock_rate_permille: u64,
     pub(super) inbox: VecDeque<Received>,
     /// Writes that are on disk, and of which it has not been notified.
     pub(super) persisted: Vec<u64>,
     /// Until when it computes.
     pub(super) busy_until: Us,
     /// When its next turn is.
-    pub(super) turn: Option<Us>,
+    pub(super) next_iteration: Option<Us>,
     /// Its number of this start; tells starts of all nodes apart.
-    pub(super) start: u64,
+    pub(super) start_id: u64,
     pub(super) disk: Vec<u8>,
     /// Until when it writes.
     pub(super) writing_until: Us,
-    pub(super) leads: bool,
-    pub(super) view: View,
+    pub(super) is_leader: bool,
+    pub(super) enforcement: Enforcement,
     /// The highest version that it acted on since its start.
-    pub(super) highest: u64,
-    allowances: HashMap<usize, Allowance>,
+    pub(super) highest_enforced: u64,
+    rate_limits: HashMap<usize, TokenBucket>,
     pub(super) usage: Usage,
     /// Bytes that were appended on disk.
-    pub(super) appended: u64,
-    pub(super) files_written: FilesWritten,
+    pub(super) appended_bytes: u64,
+    pub(super) replaced_files: ReplacedFiles,
 }
 
 impl Node {
     /// A node that does not run yet.
-    pub(super) fn new(clock_rate: u64) -> Node {
+    pub(super) fn new(clock_rate_permille: u64) -> Node {
         Node {
             consensus: None,
-            clock_rate,
+            clock_rate_permille,
             inbox: VecDeque::new(),
             persisted: Vec::new(),
             busy_until: 0,
-            turn: None,
-            start: 0,
+            next_iteration: None,
+            start_id: 0,
             disk: Vec::new(),
             writing_until: 0,
-            leads: false,
-            view: View::default(),
-            highest: 0,
-            allowances: HashMap::new(),
+            is_leader: false,
+            enforcement: Enforcement::default(),
+            highest_enforced: 0,
+            rate_limits: HashMap::new(),
             usage: Usage::default(),
-            appended: 0,
-            files_written: FilesWritten::default(),
+            appended_bytes: 0,
+            replaced_files: ReplacedFiles::default(),
         }
     }
 
     /// Whether a sender may send one more message now, which is counted.
-    pub(super) fn admits(&mut self, from: usize, now: Us) -> bool {
-        let allowance = self.allowances.entry(from).or_insert(Allowance { messages: BURST, at: now });
-        let more = RATE * (now - allowance.at) as f64 / 1e6;
-        allowance.messages = (allowance.messages + more).min(BURST);
-        allowance.at = now;
-        if allowance.messages < 1.0 {
+    pub(super) fn try_consume_token(&mut self, from: usize, now: Us) -> bool {
+        let bucket = self
+            .rate_limits
+            .entry(from)
+            .or_insert(TokenBucket { tokens: MAX_SENDER_BURST_MESSAGES, updated_at: now });
+        let more = MAX_SENDER_MESSAGES_PER_S * (now - bucket.updated_at) as f64 / 1e6;
+        bucket.tokens = (bucket.tokens + more).min(MAX_SENDER_BURST_MESSAGES);
+        bucket.updated_at = now;
+        if bucket.tokens < 1.0 {
             return false;
         }
-        allowance.messages -= 1.0;
+        bucket.tokens -= 1.0;
         true
     }
 
--- a/lab/src/scale/agree/options.rs
+++ b/lab/src/scale/agree/options.rs
@@ -4,15 +4,19 @@
 
 /// What goes wrong while changes are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Kind {
+pub enum ScenarioKind {
     /// Nothing
-    Quiet,
+    #[value(name = "quiet")]
+    NoFaults,
     /// Eight replicas die at once, and stay dead
-    Dead,
+    #[value(name = "dead")]
+    ReplicasKilled,
     /// Eight replicas are cut off from all, and act on until their leases end
-    Cut,
+    #[value(name = "cut")]
+    ReplicasIsolated,
     /// One datagram in ten is lost
-    Loss,
+    #[value(name = "loss")]
+    MessageLoss,
     /// The voter that leads is killed, and comes back with its disk after twenty seconds
     #[value(name = "keeper")]
     LeaderKilled,
@@ -20,7 +24,8 @@
     #[value(name = "disk")]
     DiskLost,
     /// In place of changes in turns: all replicas propose something at once, in two fragments each
-    Crowd,
+    #[value(name = "crowd")]
+    ConcurrentProposals,
 }
 
 /// What is played, on the command line.
@@ -36,16 +41,16 @@
     #[arg(skip)]
     pub quick: bool,
     /// Seconds between changes: 4 is ten times as many as on an average day
-    #[arg(long, default_value_t = 4)]
-    pub every: u64,
+    #[arg(long = "every", value_name = "EVERY", default_value_t = 4)]
+    pub change_interval_s: u64,
     /// Computing takes no virtual time
-    #[arg(long)]
-    pub free: bool,
+    #[arg(long = "free")]
+    pub ignore_cpu_time: bool,
 }
 
 impl AgreeOptions {
     /// Whether a node's computing takes virtual time; nothing is the same twice then.
     pub(super) fn charges_cpu(&self) -> bool {
-        !(self.quick || self.free)
+        !(self.quick || self.ignore_cpu_time)
     }
 }
--- a/lab/src/scale/agree/run.rs
+++ b/lab/src/scale/agree/run.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::{BoundLosses, Cluster};
 use super::node::Usage;
-use super::units::{ms, MS, S};
+use super::units::{ms, MILLISECOND, SECOND};
 use crate::process::{resident_kb, OWN};
 use crate::report::Report;
 use asterrill::Us;
@@ -14,10 +14,10 @@
 /// Nodes whose majority orders versions.
 pub(super) const VOTERS: usize = 3;
 /// How long anything may take to come about.
-pub(super) const PATIENCE: Us = 600 * S;
-const SETTLED_WITHIN: Us = 20 * S; // for a proposal
-const POLL: Us = 5 * MS;
-const MAX_CPU_MS: f64 = 200_000.0; // of the voters, after which blank replicas are given up
+pub(super) const MAX_WAIT: Us = 600 * SECOND;
+const PROPOSAL_TIMEOUT: Us = 20 * SECOND; // for a proposal
+const POLL_INTERVAL: Us = 5 * MILLISECOND;
+const MAX_CATCH_UP_CPU_MS: f64 = 200_000.0; // of the voters, after which blank replicas are given up
 
 /// The name of an entry.
 pub(super) fn entry_name(n: usize) -> String {
@@ -39,7 +39,7 @@
 
 /// A version that came of a proposal.
 #[derive(Clone, Copy)]
-pub(super) struct Committed {
+pub(super) struct CommittedVersion {
     pub(super) number: u64,
     pub(super) proposed: Us,
 }
@@ -47,7 +47,7 @@
 /// A change of one entry that came about.
 #[derive(Clone, Copy)]
 pub(super) struct EntryChange {
-    pub(super) version: Committed,
+    pub(super) version: CommittedVersion,
     /// It contradicts the version before.
     pub(super) contradicts: bool,
 }
@@ -82,38 +82,38 @@
     denied: Vec<bool>,
     rounds: u64,
     /// Between changes.
-    pub(super) every: Us,
+    pub(super) change_interval: Us,
     /// Resident memory, in kB, before there were replicas.
     pub(super) resident_kb: f64,
     pub(super) baseline: Baseline,
 }
 
 impl Run {
-    pub(super) fn new(cluster: Cluster, entries: usize, every: Us) -> Run {
+    pub(super) fn new(cluster: Cluster, entries: usize, change_interval: Us) -> Run {
         Run {
             cluster,
             replicas: Vec::new(),
             entries,
             denied: vec![false; entries],
             rounds: 0,
-            every,
+            change_interval,
             resident_kb: 0.0,
             baseline: Baseline::default(),
         }
     }
 
     /// Proposes changes at a node and lets time pass until they are settled; the version, if they are committed.
-    pub(super) fn change(&mut self, at: usize, changes: Vec<Change>) -> Option<Committed> {
+    pub(super) fn change(&mut self, at: usize, changes: Vec<Change>) -> Option<CommittedVersion> {
         let proposed = self.cluster.now;
         let key = self.cluster.propose(at, changes)?;
         loop {
             if let Some(outcome) = self.cluster.outcome(&key) {
-                return outcome.committed().map(|(number, _)| Committed { number, proposed });
+                return outcome.committed().map(|(number, _)| CommittedVersion { number, proposed });
             }
-            if self.cluster.now > proposed + SETTLED_WITHIN {
+            if self.cluster.now > proposed + PROPOSAL_TIMEOUT {
                 return None;
             }
-            self.cluster.run_to(self.cluster.now + MS);
+            self.cluster.run_to(self.cluster.now + MILLISECOND);
         }
     }
 
@@ -124,7 +124,7 @@
             if self.cluster.now >= begun + within {
                 return None;
             }
-            self.cluster.run_to(self.cluster.now + POLL);
+            self.cluster.run_to(self.cluster.now + POLL_INTERVAL);
         }
         Some(self.cluster.now - begun)
     }
@@ -139,7 +139,7 @@
     /// Nodes that run and are not cut off.
     pub(super) fn connected_nodes(&self) -> Vec<usize> {
         let is_connected =
-            |n: &usize| self.cluster.nodes[*n].consensus.is_some() && !self.cluster.cut.contains(n);
+            |n: &usize| self.cluster.nodes[*n].consensus.is_some() && !self.cluster.isolated.contains(n);
         (0..self.cluster.nodes.len()).filter(is_connected).collect()
     }
 
@@ -154,14 +154,14 @@
     }
 
     /// An entry that is admitted is barred, and the other way about.
-    pub(super) fn flip_entry(&mut self, n: usize) -> Change {
+    pub(super) fn toggle_entry_access(&mut self, n: usize) -> Change {
         let n = n % self.entries;
         self.denied[n] = !self.denied[n];
         put(entry_name(n), if self.denied[n] { Access::Denied } else { Access::Allowed })
     }
 
     /// A random replica.
-    pub(super) fn pick_replica(&mut self) -> usize {
+    pub(super) fn random_replica(&mut self) -> usize {
         let replicas = self.connected_replicas();
         replicas[self.cluster.rng.random_range(0..replicas.len())]
     }
@@ -173,16 +173,16 @@
         let contradicts = self.rounds % 2 == 1;
         let change = if contradicts {
             let n = self.cluster.rng.random_range(0..self.entries);
-            self.flip_entry(n)
+            self.toggle_entry_access(n)
         } else {
             put(format!("fresh-{:05}", self.rounds), Access::Allowed)
         };
-        let by = self.pick_replica();
+        let by = self.random_replica();
         self.change(by, vec![change]).map(|version| EntryChange { version, contradicts })
     }
 
     /// Replicas start anew without anything, at once, while changes go on; until all act again, or that is given up.
-    pub(super) fn restart_blank(&mut self, count: usize) -> CatchUp {
+    pub(super) fn restart_without_state(&mut self, count: usize) -> CatchUp {
         let mut blank = self.connected_replicas();
         blank.shuffle(&mut self.cluster.rng);
         blank.truncate(count);
@@ -191,18 +191,18 @@
             self.cluster.kill(*n);
             self.cluster.start(*n, &[]);
         }
-        let (mut next, mut took) = (begun + self.every, None);
-        while self.cluster.now < begun + PATIENCE && self.voters_cpu_ms() - cpu_before < MAX_CPU_MS {
+        let (mut next, mut took) = (begun + self.change_interval, None);
+        while self.cluster.now < begun + MAX_WAIT && self.voters_cpu_ms() - cpu_before < MAX_CATCH_UP_CPU_MS {
             let acts = |n: &usize| self.cluster.effective_version(*n).is_some_and(|v| v >= newest);
             if blank.iter().all(acts) {
                 took = Some(self.cluster.now - begun);
                 break;
             }
             if self.cluster.now >= next {
-                next += self.every;
+                next += self.change_interval;
                 self.change_one_entry();
             }
-            self.cluster.run_to(self.cluster.now + POLL);
+            self.cluster.run_to(self.cluster.now + POLL_INTERVAL);
         }
         CatchUp {
             took,
@@ -213,7 +213,7 @@
     }
 
     /// A counter over all nodes that run.
-    pub(super) fn count(&self, of: impl Fn(&Counters) -> u64) -> u64 {
+    pub(super) fn sum_counter(&self, of: impl Fn(&Counters) -> u64) -> u64 {
         let running = self.cluster.nodes.iter().filter_map(|node| node.consensus.as_ref());
         running.map(|consensus| of(&consensus.counters)).sum()
     }
--- a/lab/src/scale/agree/scenario.rs
+++ b/lab/src/scale/agree/scenario.rs
@@ -1,43 +1,43 @@
 //! The scenario, its rules and its budgets.
 
-use super::build::{build, FORGOTTEN_AFTER};
-use super::changes::{play_changes, MIN_REPLICAS};
-use super::crowd::play_crowd;
-use super::options::{AgreeOptions, Kind};
+use super::build::{build, HISTORY_OVERFLOW_CHANGES};
+use super::changes::{run_changes, MIN_REPLICAS};
+use super::concurrent_proposals::run_concurrent_proposals;
+use super::options::{AgreeOptions, ScenarioKind};
 use super::run::Run;
-use super::units::{ms, S};
+use super::units::{ms, SECOND};
 use crate::process::{resident_kb, OWN};
 use crate::report::{Report, ScenarioError};
 use asterrill::Us;
 use clap::ValueEnum;
 use serde_json::{json, Value};
 
-const MAX_ENTRIES: usize = 12_000_000; // replicas times entries, for which two gigabytes are enough
+const MAX_REPLICA_ENTRIES: usize = 12_000_000; // replicas times entries, for which two gigabytes are enough
 const QUICK_ENTRIES: usize = 400;
-const QUIET: Us = 30 * S;
-const QUICK_QUIET: Us = 5 * S;
-const AFTER_FAULTS: Us = 10 * S;
-const SAME_WITHIN: Us = 30 * S; // of the end of the faults
-const ENOUGH_VERSIONS: usize = 4; // to show anything
+const QUIET_PHASE: Us = 30 * SECOND;
+const QUICK_QUIET_PHASE: Us = 5 * SECOND;
+const RECOVERY_PHASE: Us = 10 * SECOND;
+const CONVERGENCE_TIMEOUT: Us = 30 * SECOND; // of the end of the faults
+const MIN_COMMITTED_VERSIONS: usize = 4; // to show anything
 
 // What a backend may spend (CPU ms a second, bytes a second, kB), and until when a change is in force in the fleet (ms).
-const CPU_MS_PER_S: f64 = 14.0;
-const BYTES_PER_S: f64 = 24_000.0;
-const MEMORY_KB: f64 = 32_768.0;
-const IN_FORCE_MS: f64 = 17_000.0;
+const MAX_CPU_MS_PER_S: f64 = 14.0;
+const MAX_BYTES_PER_S: f64 = 24_000.0;
+const MAX_MEMORY_KB: f64 = 32_768.0;
+const MAX_IN_FORCE_MS: f64 = 17_000.0;
 
 const BUDGETS: [(&str, f64); 11] = [
-    ("holder_cpu_ms_per_s_quiet", CPU_MS_PER_S),
-    ("holder_cpu_ms_per_s_changing", CPU_MS_PER_S),
-    ("holder_bytes_per_s_quiet", BYTES_PER_S),
-    ("holder_bytes_per_s_changing", BYTES_PER_S),
-    ("holder_kb", MEMORY_KB),
-    ("holder_kb_after", MEMORY_KB),
-    ("in_force_ms_max", IN_FORCE_MS),
-    ("big_step_ms_max", IN_FORCE_MS),
-    ("everything_ms", IN_FORCE_MS),
-    ("catch_up_ms", IN_FORCE_MS),
-    ("catch_up_ms_255", IN_FORCE_MS),
+    ("holder_cpu_ms_per_s_quiet", MAX_CPU_MS_PER_S),
+    ("holder_cpu_ms_per_s_changing", MAX_CPU_MS_PER_S),
+    ("holder_bytes_per_s_quiet", MAX_BYTES_PER_S),
+    ("holder_bytes_per_s_changing", MAX_BYTES_PER_S),
+    ("holder_kb", MAX_MEMORY_KB),
+    ("holder_kb_after", MAX_MEMORY_KB),
+    ("in_force_ms_max", MAX_IN_FORCE_MS),
+    ("big_step_ms_max", MAX_IN_FORCE_MS),
+    ("everything_ms", MAX_IN_FORCE_MS),
+    ("catch_up_ms", MAX_IN_FORCE_MS),
+    ("catch_up_ms_255", MAX_IN_FORCE_MS),
 ];
 /// Figures that are null where something never came about.
 const NULL_IF_NEVER: [&str; 5] =
@@ -47,25 +47,25 @@
 pub fn scenario(
     report: &mut Report, options: AgreeOptions, kind: Option<&str>, seed: u64,
 ) -> Result<(), ScenarioError> {
-    let kind = kind.map_or(Ok(Kind::Quiet), |kind| Kind::from_str(kind, true));
+    let kind = kind.map_or(Ok(ScenarioKind::NoFaults), |kind| ScenarioKind::from_str(kind, true));
     let kind = kind.map_err(|error| format!("--kind: {error}"))?;
     let quick = options.quick;
     let options = within_bounds(options)?;
     let mut run = build(report, &options, seed)?;
     let before = run.usage();
-    let span = if quick { QUICK_QUIET } else { QUIET };
+    let span = if quick { QUICK_QUIET_PHASE } else { QUIET_PHASE };
     run.cluster.run_to(run.cluster.now + span);
     run.report_usage(report, "quiet", &before, span, quick);
-    if kind == Kind::Crowd {
-        play_crowd(report, &mut run);
+    if kind == ScenarioKind::ConcurrentProposals {
+        run_concurrent_proposals(report, &mut run);
     } else {
-        play_changes(report, &mut run, kind, quick);
+        run_changes(report, &mut run, kind, quick);
     }
     // Faults end; all come to the same.
-    (run.cluster.loss, run.cluster.cut) = (0.0, Default::default());
-    run.cluster.run_to(run.cluster.now + AFTER_FAULTS);
+    (run.cluster.loss, run.cluster.isolated) = (0.0, Default::default());
+    run.cluster.run_to(run.cluster.now + RECOVERY_PHASE);
     let newest = run.newest_version();
-    let same = run.wait_until_effective(newest, SAME_WITHIN).is_some();
+    let same = run.wait_until_effective(newest, CONVERGENCE_TIMEOUT).is_some();
     run.cluster.close_audit();
     report_run(report, &run, &options, kind);
     report.rule("not all act on the newest version at the end", same);
@@ -75,30 +75,31 @@
 fn within_bounds(options: AgreeOptions) -> Result<AgreeOptions, ScenarioError> {
     let entries = match options.quick {
         true => options.entries.min(QUICK_ENTRIES),
-        false => options.entries.max(FORGOTTEN_AFTER + 1),
+        false => options.entries.max(HISTORY_OVERFLOW_CHANGES + 1),
     };
     let options = AgreeOptions { entries, replicas: options.replicas.max(MIN_REPLICAS), ..options };
-    if options.entries <= FORGOTTEN_AFTER || options.replicas * options.entries > MAX_ENTRIES {
+    if options.entries <= HISTORY_OVERFLOW_CHANGES || options.replicas * options.entries > MAX_REPLICA_ENTRIES
+    {
         let bounds =
-            format!("holders times entries is at most {MAX_ENTRIES}, entries more than {FORGOTTEN_AFTER}");
+            format!("holders times entries is at most {MAX_REPLICA_ENTRIES}, entries more than {HISTORY_OVERFLOW_CHANGES}");
         return Err(format!("{bounds}: two gigabytes").into());
     }
     Ok(options)
 }
 
 /// Reports what the whole run has shown, and checks the rules.
-fn report_run(report: &mut Report, run: &Run, options: &AgreeOptions, kind: Kind) {
+fn report_run(report: &mut Report, run: &Run, options: &AgreeOptions, kind: ScenarioKind) {
     let (cluster, audit, baseline) = (&run.cluster, &run.cluster.audit, &run.baseline);
     let bound = cluster.config.contradiction_bound();
     let committed = cluster.outcomes().filter(|one| one.committed().is_some()).count();
     let lost_versions = cluster.lost_versions();
     let (losses, losses_before) = (cluster.bound_losses, baseline.bound_losses);
-    let lapsed = run.count(|c| c.lease_expirations).saturating_sub(baseline.lease_expirations);
+    let lapsed = run.sum_counter(|c| c.lease_expirations).saturating_sub(baseline.lease_expirations);
     for (name, value) in [
         ("holders", json!(options.replicas)),
         ("entries", json!(options.entries)),
         ("kind", json!(kind.to_possible_value().map(|kind| kind.get_name().to_string()))),
-        ("change_every_s", json!(options.every)),
+        ("change_every_s", json!(options.change_interval_s)),
         ("cpu_takes_time", json!(options.charges_cpu())),
         ("wishes", json!(cluster.proposals.len())),
         ("wishes_done", json!(committed)),
@@ -109,15 +110,15 @@
         ("lost_versions", json!(lost_versions)),
         ("elections", json!(cluster.elections - baseline.elections)),
         ("lapsed", json!(lapsed)),
-        ("odd", json!(run.count(|c| c.invalid_messages))),
-        ("dropped_out", json!(run.count(|c| c.dropped_messages))),
+        ("odd", json!(run.sum_counter(|c| c.invalid_messages))),
+        ("dropped_out", json!(run.sum_counter(|c| c.dropped_messages))),
         ("dropped_waiting", json!(losses.unsent - losses_before.unsent)),
         ("dropped_words", json!(losses.unread - losses_before.unread)),
         ("dropped_flooded", json!(losses.rate_limited - losses_before.rate_limited)),
         ("flooded_by_the_load", json!(losses_before.rate_limited)),
-        ("lost_on_the_way", json!(cluster.lost)),
-        ("events", json!(cluster.events_done)),
-        ("trace", json!(format!("{:016x}", cluster.trace))),
+        ("lost_on_the_way", json!(cluster.lost_messages)),
+        ("events", json!(cluster.processed_events)),
+        ("trace", json!(format!("{:016x}", cluster.trace_hash))),
     ] {
         report.set(name, value);
     }
@@ -131,7 +132,7 @@
     report.rule("two acted on contradicting versions for longer than is stated", in_bound);
     report.rule("a version that was reported as committed is gone", lost_versions == 0);
     report.rule("two histories of a version", audit.forked == 0);
-    let enough = committed >= baseline.proposals + ENOUGH_VERSIONS;
+    let enough = committed >= baseline.proposals + MIN_COMMITTED_VERSIONS;
     report.rule("too few versions came about to show anything", enough);
 }
 
--- a/lab/src/scale/agree/tests/scenario.rs
+++ b/lab/src/scale/agree/tests/scenario.rs
@@ -4,7 +4,13 @@
 
 fn quick(kind: &str, seed: u64) -> Value {
     let mut report = Report::default();
-    let options = AgreeOptions { replicas: 12, entries: 300, quick: true, every: 1, free: false };
+    let options = AgreeOptions {
+        replicas: 12,
+        entries: 300,
+        quick: true,
+        change_interval_s: 1,
+        ignore_cpu_time: false,
+    };
     scenario(&mut report, options, Some(kind), seed).unwrap();
     report.json("scale-agree", seed)
 }
--- a/lab/src/scale/agree/units.rs
+++ b/lab/src/scale/agree/units.rs
@@ -3,9 +3,9 @@
 use asterrill::Us;
 
 /// A millisecond.
-pub(super) const MS: Us = 1_000;
+pub(super) const MILLISECOND: Us = 1_000;
 /// A second.
-pub(super) const S: Us = 1_000 * MS;
+pub(super) const SECOND: Us = 1_000 * MILLISECOND;
 
 /// A span in ms, for a report.
 pub(super) fn ms(us: Us) -> f64 {
