--- a/lab/src/scale/members/mod.rs
+++ b/lab/src/scale/members/mod.rs
@@ -10,7 +10,7 @@
 //! | `cut` | the two halves hear nothing of each other for longer than the transition |
 
 mod action_queue;
-mod deaths;
+mod crashes;
 mod options;
 mod partition;
 mod processes;
--- a/lab/src/scale/members/options.rs
+++ b/lab/src/scale/members/options.rs
@@ -1,13 +1,13 @@
 //! How the scenario is played.
 
-use super::simulation::{MS, S};
+use super::simulation::{MILLISECOND, SECOND};
 use asterrill_membership::MembershipConfig;
 use clap::ValueEnum;
 use std::ops::RangeInclusive;
 
 /// What happens once all know each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Kind {
+pub enum ScenarioKind {
     /// Nothing: the figures of calm alone
     Calm,
     /// Three deaths, one after the other, and the wait until what the first had is taken
@@ -20,8 +20,8 @@
     Cut,
 }
 
-const SIZES: RangeInclusive<usize> = 4..=2_000; // that are played
-const HIGHEST_LOSS: f64 = 0.5;
+const FLEET_SIZES: RangeInclusive<usize> = 4..=2_000; // that are played
+const MAX_LOSS_RATE: f64 = 0.5;
 
 /// How it is played.
 #[derive(Clone, Copy)]
@@ -31,7 +31,7 @@
     /// Seed of all random draws.
     pub seed: u64,
     /// What happens.
-    pub kind: Kind,
+    pub kind: ScenarioKind,
     /// Of 1, the part of datagrams that get lost.
     pub loss: f64,
     /// The small form for CI: what is the same each time.
@@ -40,12 +40,14 @@
 
 impl MembersOptions {
     /// Options within what can be played.
-    pub fn new(nodes: usize, seed: u64, kind: Option<Kind>, loss: f64, quick: bool) -> MembersOptions {
+    pub fn new(
+        nodes: usize, seed: u64, kind: Option<ScenarioKind>, loss: f64, quick: bool,
+    ) -> MembersOptions {
         MembersOptions {
-            nodes: nodes.clamp(*SIZES.start(), *SIZES.end()),
+            nodes: nodes.clamp(*FLEET_SIZES.start(), *FLEET_SIZES.end()),
             seed,
-            kind: kind.unwrap_or(Kind::Quiet),
-            loss: loss.clamp(0.0, HIGHEST_LOSS),
+            kind: kind.unwrap_or(ScenarioKind::Quiet),
+            loss: loss.clamp(0.0, MAX_LOSS_RATE),
             quick,
         }
     }
@@ -54,12 +56,12 @@
 /// The intervals that operators have if they set none; a newcomer counts after two seconds, so that a run is short.
 pub(super) fn default_intervals(nodes: usize) -> MembershipConfig {
     MembershipConfig {
-        probe_interval: 200 * MS,
-        suspicion_timeout: S,
-        announce_interval: S,
-        join_delay: 2 * S,
-        forget_after: 3_600 * S,
-        flap_window: 60 * S,
+        probe_interval: 200 * MILLISECOND,
+        suspicion_timeout: SECOND,
+        announce_interval: SECOND,
+        join_delay: 2 * SECOND,
+        forget_after: 3_600 * SECOND,
+        flap_window: 60 * SECOND,
         expected_members: nodes,
     }
 }
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -1,8 +1,8 @@
 //! Real processes beside simulated members, with the same intervals: how much the simulation leaves out. Each process has
 //! an agent and proxies; datagrams go over relays, which are in this process and cost it, not them.
 
-use super::options::{Kind, MembersOptions};
-use super::scenario::play;
+use super::options::{MembersOptions, ScenarioKind};
+use super::scenario::run_with_intervals;
 use crate::fleet::members::setup::{
     operator_file, request_within, FILE_WITHOUT_MEMBERS, GREET_MS, PROBE_MS, SETTLE_MS, SUSPICION_MS,
 };
@@ -19,15 +19,15 @@
 use std::ops::RangeInclusive;
 use std::time::{Duration, Instant};
 
-const SIZES: RangeInclusive<usize> = 4..=40; // processes
-const STARTED: Duration = ms(3_000);
-const CALM: Duration = ms(15_000);
-const ALL_MET_WITHIN: Duration = ms(60_000);
-const DEATHS: usize = 3;
-const ATTEMPTS: usize = 20; // a busy machine may have to be asked more than once
+const FLEET_SIZES: RangeInclusive<usize> = 4..=40; // processes
+const STARTUP_TIME: Duration = ms(3_000);
+const IDLE_PHASE: Duration = ms(15_000);
+const DISCOVERY_TIMEOUT: Duration = ms(60_000);
+const CRASHES: usize = 3;
+const MAX_COUNTER_ATTEMPTS: usize = 20; // a busy machine may have to be asked more than once
 const ANSWER_TIMEOUT: Duration = ms(400);
-const POLL: Duration = ms(20); // between rounds
-const LATE_MS: u64 = 500; // that asking adds to what is promised
+const POLL_INTERVAL: Duration = ms(20); // between rounds
+const POLLING_ALLOWANCE_MS: u64 = 500; // that asking adds to what is promised
 const US_PER_MS: u64 = 1_000;
 
 /// The same intervals as in the processes' file.
@@ -59,7 +59,7 @@
     pauses: u64,
 }
 
-fn ask(fleet: &Fleet, n: usize) -> Option<MembersAnswer> {
+fn query_members(fleet: &Fleet, n: usize) -> Option<MembersAnswer> {
     let dir = &fleet.members.get(n)?.node.dir;
     let answer = request_within(dir, json!({"do": "members"}), ANSWER_TIMEOUT)?;
     let members = answer["members"].as_array()?;
@@ -78,7 +78,7 @@
 
 /// Counters of a process; zeros if it does not answer.
 fn counters(fleet: &Fleet, n: usize) -> Counters {
-    let answer = (0..ATTEMPTS).find_map(|_| ask(fleet, n));
+    let answer = (0..MAX_COUNTER_ATTEMPTS).find_map(|_| query_members(fleet, n));
     answer.map_or(Counters::default(), |answer| answer.counters)
 }
 
@@ -90,20 +90,20 @@
     let (mut open, mut took_ms) = (processes.to_vec(), Vec::new());
     while !open.is_empty() && since.elapsed() < within {
         open.retain(|n| {
-            let held = ask(fleet, *n).is_some_and(|answer| holds(&answer));
+            let held = query_members(fleet, *n).is_some_and(|answer| holds(&answer));
             if held {
                 took_ms.push(since.elapsed().as_millis() as u64);
             }
             !held
         });
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
     took_ms.sort_unstable();
     took_ms
 }
 
 /// What one process takes on average in a time in which nothing happens.
-struct Calm {
+struct IdleUsage {
     cpu_ms_per_s: f64,
     /// Memory of its own, not shared with a file.
     memory_kb: f64,
@@ -113,7 +113,7 @@
 }
 
 /// `with_members`: the processes know each other and can be asked for counters.
-fn measure_calm(fleet: &Fleet, with_members: bool) -> Calm {
+fn measure_idle(fleet: &Fleet, with_members: bool) -> IdleUsage {
     let nodes = fleet.members.len();
     let average = |of: &dyn Fn(usize) -> f64| (0..nodes).map(of).sum::<f64>() / nodes.max(1) as f64;
     let cpu_ms = || average(&|n| fleet.members[n].node.cpu_us() as f64 / 1e3);
@@ -121,15 +121,15 @@
         || -> Vec<Counters> { (0..nodes).filter(|_| with_members).map(|n| counters(fleet, n)).collect() };
     let (before, since) = (read(), Instant::now());
     let cpu_before = cpu_ms();
-    std::thread::sleep(CALM);
+    std::thread::sleep(IDLE_PHASE);
     let cpu = cpu_ms() - cpu_before;
     let (span, after) = (since.elapsed().as_secs_f64(), read());
     let rate = |of: fn(&Counters) -> u64| {
         let pairs = before.iter().zip(&after).map(|(before, after)| of(after).saturating_sub(of(before)));
         round(pairs.sum::<u64>() as f64 / span / nodes.max(1) as f64)
     };
-    Calm {
-        cpu_ms_per_s: round(cpu / CALM.as_secs_f64()),
+    IdleUsage {
+        cpu_ms_per_s: round(cpu / IDLE_PHASE.as_secs_f64()),
         memory_kb: round(average(&|n| status_kb_or_zero(&fleet.members[n].node.process(), "RssAnon"))),
         datagrams_per_s: rate(|counters| counters.sent),
         bytes_per_s: rate(|counters| counters.bytes),
@@ -138,10 +138,10 @@
 }
 
 /// Kills processes, one after the other; how long each of the others took to find that, in ms.
-fn kill_some(report: &mut Report, fleet: &mut Fleet, detection_ms: u64) -> Vec<u64> {
+fn crash_processes(report: &mut Report, fleet: &mut Fleet, detection_ms: u64) -> Vec<u64> {
     let nodes = fleet.members.len();
     let (mut alive, mut took_ms): (Vec<usize>, Vec<u64>) = ((0..nodes).collect(), Vec::new());
-    for death in 0..DEATHS.min(nodes - 2) {
+    for death in 0..CRASHES.min(nodes - 2) {
         let n = nodes / 2 + death;
         alive.retain(|other| *other != n);
         let since = Instant::now();
@@ -158,8 +158,8 @@
 /// What the processes have shown.
 struct ProcessFigures {
     /// In calm, without `[members]` and with it.
-    without: Calm,
-    with: Calm,
+    without: IdleUsage,
+    with: IdleUsage,
     /// How long each took to know all others, and losses to be found, in ms, sorted.
     met_ms: Vec<u64>,
     detected_ms: Vec<u64>,
@@ -171,46 +171,46 @@
     report: &mut Report, seed: u64, nodes: usize, detection_ms: u64,
 ) -> Result<ProcessFigures, ScenarioError> {
     let mut fleet = start_idle_fleet(nodes, FILE_WITHOUT_MEMBERS.into(), seed)?;
-    std::thread::sleep(STARTED);
-    let without = measure_calm(&fleet, false);
+    std::thread::sleep(STARTUP_TIME);
+    let without = measure_idle(&fleet, false);
     let mut left = fleet.end();
     drop(fleet);
     let mut fleet = start_idle_fleet(nodes, operator_file(nodes), seed)?;
     let begun = fleet.members.iter().map(|m| m.since).max().unwrap_or(fleet.start);
     let all: Vec<usize> = (0..nodes).collect();
-    let met_ms = wait_until(&fleet, begun, ALL_MET_WITHIN, &all, |answer| answer.alive + 1 >= nodes);
-    std::thread::sleep(STARTED);
-    let with = measure_calm(&fleet, true);
-    let detected_ms = kill_some(report, &mut fleet, detection_ms);
+    let met_ms = wait_until(&fleet, begun, DISCOVERY_TIMEOUT, &all, |answer| answer.alive + 1 >= nodes);
+    std::thread::sleep(STARTUP_TIME);
+    let with = measure_idle(&fleet, true);
+    let detected_ms = crash_processes(report, &mut fleet, detection_ms);
     left += fleet.end();
     Ok(ProcessFigures { without, with, met_ms, detected_ms, left })
 }
 
 /// Plays so many processes beside as many simulated members.
 pub fn compare_with_processes(report: &mut Report, seed: u64, nodes: usize) -> Result<(), ScenarioError> {
-    let nodes = nodes.clamp(*SIZES.start(), *SIZES.end());
+    let nodes = nodes.clamp(*FLEET_SIZES.start(), *FLEET_SIZES.end());
     let mut simulated = Report::default();
-    let options = MembersOptions { nodes, seed, kind: Kind::Quiet, loss: 0.0, quick: false };
-    play(&mut simulated, &options, intervals(nodes));
+    let options = MembersOptions { nodes, seed, kind: ScenarioKind::Quiet, loss: 0.0, quick: false };
+    run_with_intervals(&mut simulated, &options, intervals(nodes));
     simulated.broken().iter().for_each(|rule| report.rule(rule, false));
     let timing = LeaseTiming::from_intervals(PROBE_MS * US_PER_MS, SUSPICION_MS * US_PER_MS, nodes);
     let detection_ms = timing.detection_time / US_PER_MS;
     let real = measure_processes(report, seed, nodes, detection_ms)?;
-    report_beside(report, &real, &simulated);
+    report_comparison(report, &real, &simulated);
     report.set("notice_ms", json!(detection_ms));
     report.set("nodes", json!(nodes));
     let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     report.set("load", json!(load.trim()));
     report.set("left_processes", json!(real.left));
     report.rule("they did not find each other", real.met_ms.len() == nodes);
-    let in_time = real.detected_ms.last().is_none_or(|last| *last <= detection_ms + LATE_MS);
+    let in_time = real.detected_ms.last().is_none_or(|last| *last <= detection_ms + POLLING_ALLOWANCE_MS);
     report.rule("a loss was found later than is promised", in_time);
     report.rule("a process was left behind", real.left == 0);
     Ok(())
 }
 
 /// The figures of processes beside those of simulated members.
-fn report_beside(report: &mut Report, real: &ProcessFigures, simulated: &Report) {
+fn report_comparison(report: &mut Report, real: &ProcessFigures, simulated: &Report) {
     let (with, without) = (&real.with, &real.without);
     let cpu = round(with.cpu_ms_per_s - without.cpu_ms_per_s);
     let memory = round(with.memory_kb - without.memory_kb);
--- a/lab/src/scale/members/run.rs
+++ b/lab/src/scale/members/run.rs
@@ -1,7 +1,7 @@
 //! A run of a simulation: the waits, the worst second, and what members say of losses.
 
 use super::options::MembersOptions;
-use super::simulation::{Failure, PersistedMembers, Simulation, MS, S};
+use super::simulation::{FailureReport, PersistedMembers, Simulation, MILLISECOND, SECOND};
 use crate::process::{thread_cpu_ns, OWN};
 use crate::report::Report;
 use asterrill::Us;
@@ -9,13 +9,13 @@
 use serde_json::{json, Value};
 
 /// What is waited for at the most until all have met.
-pub(super) const ALL_MET_WITHIN: Us = 300 * S;
+pub(super) const DISCOVERY_TIMEOUT: Us = 300 * SECOND;
 /// Members up to which a transition is waited for: the first one.
 pub(super) const FIRST_TRANSITION_MAX_NODES: usize = 600;
 /// The same for a second one.
 pub(super) const SECOND_TRANSITION_MAX_NODES: usize = 400;
 const LOSSY_MAX_NODES: usize = 200; // the same with losses, where wrong failures leave something untaken most of the time
-const BEHIND_TRANSITIONS: Us = 30 * S;
+const TRANSITION_MARGIN: Us = 30 * SECOND;
 
 /// CPU time of this process so far, in ms. All is done by its first thread.
 pub(super) fn own_cpu_ms() -> f64 {
@@ -25,7 +25,7 @@
 
 /// A virtual time in ms, for a report.
 pub(super) fn to_ms(us: Option<Us>) -> Value {
-    us.map_or(Value::Null, |us| json!(us / MS))
+    us.map_or(Value::Null, |us| json!(us / MILLISECOND))
 }
 
 /// Median and greatest, in ms.
@@ -35,7 +35,7 @@
 }
 
 /// Where the counts stood at a moment.
-struct Counts {
+struct Totals {
     at: Us,
     cpu_ms: f64,
     sent: u64,
@@ -50,13 +50,13 @@
     pub(super) bytes: f64,
 }
 
-impl Counts {
-    fn read(simulation: &Simulation) -> Counts {
+impl Totals {
+    fn read(simulation: &Simulation) -> Totals {
         let (at, sent, bytes) = (simulation.now, simulation.sent, simulation.bytes);
-        Counts { at, cpu_ms: own_cpu_ms(), sent, bytes }
+        Totals { at, cpu_ms: own_cpu_ms(), sent, bytes }
     }
 
-    fn since(&self, before: &Counts, nodes: usize) -> Cost {
+    fn since(&self, before: &Totals, nodes: usize) -> Cost {
         let span = (self.at - before.at) as f64 / 1e6 * nodes as f64;
         Cost {
             cpu_ms: (self.cpu_ms - before.cpu_ms) / span,
@@ -105,21 +105,21 @@
     }
 
     /// Until a transition has to have come about.
-    pub(super) fn transitions_over(&self) -> Us {
-        2 * self.transition() + BEHIND_TRANSITIONS
+    pub(super) fn transition_timeout(&self) -> Us {
+        2 * self.transition() + TRANSITION_MARGIN
     }
 
     /// Runs so long; what it cost.
-    pub(super) fn cost_of(&mut self, span: Us) -> Cost {
-        let before = Counts::read(&self.simulation);
+    pub(super) fn measure_cost(&mut self, span: Us) -> Cost {
+        let before = Totals::read(&self.simulation);
         self.simulation.run(span);
-        Counts::read(&self.simulation).since(&before, self.options.nodes)
+        Totals::read(&self.simulation).since(&before, self.options.nodes)
     }
 
     /// Runs so long and remembers the worst second of it.
     pub(super) fn track_worst(&mut self, span: Us) {
-        for _ in 0..span.div_ceil(S) {
-            let cost = self.cost_of(S);
+        for _ in 0..span.div_ceil(SECOND) {
+            let cost = self.measure_cost(SECOND);
             self.worst.cpu_ms = self.worst.cpu_ms.max(cost.cpu_ms);
             self.worst.bytes = self.worst.bytes.max(cost.bytes);
         }
@@ -134,14 +134,14 @@
             if self.simulation.now - start >= within {
                 return None;
             }
-            self.track_worst(S);
+            self.track_worst(SECOND);
         }
         Some(self.simulation.now - start)
     }
 
     /// Until all of what is divided is taken, or it has to have been.
-    pub(super) fn wait_until_taken(&mut self) -> Option<Us> {
-        self.simulation.until(self.transitions_over(), Simulation::all_taken)
+    pub(super) fn wait_until_fully_shared(&mut self) -> Option<Us> {
+        self.simulation.run_until(self.transition_timeout(), Simulation::all_shares_taken)
     }
 
     /// Whether a run of this size waits for what takes a transition.
@@ -152,12 +152,12 @@
 
     /// How long after a moment each of the others said that these have failed.
     pub(super) fn detected(&self, since: Us, lost: &[usize]) -> Vec<Us> {
-        let counts = |failure: &&Failure| {
-            failure.at >= since && lost.contains(&failure.of) && self.simulation.up(failure.by)
+        let counts = |failure: &&FailureReport| {
+            failure.at >= since && lost.contains(&failure.subject) && self.simulation.up(failure.observer)
         };
         let failures = self.simulation.failures.iter().filter(counts);
         let mut first: Vec<(usize, usize, Us)> =
-            failures.map(|failure| (failure.by, failure.of, failure.at - since)).collect();
+            failures.map(|failure| (failure.observer, failure.subject, failure.at - since)).collect();
         first.sort_unstable();
         first.dedup_by_key(|(by, of, _)| (*by, *of));
         first.into_iter().map(|(_, _, took)| took).collect()
@@ -174,7 +174,7 @@
 
     /// Members in touch that were called failed.
     pub(super) fn false_failures(&self) -> usize {
-        self.simulation.failures.iter().filter(|failure| failure.wrong).count()
+        self.simulation.failures.iter().filter(|failure| failure.false_positive).count()
     }
 
     /// Ends members where they stand.
--- a/lab/src/scale/members/scenario.rs
+++ b/lab/src/scale/members/scenario.rs
@@ -1,8 +1,8 @@
 //! The scenario: all meet, the figures of calm, and what the kind says.
 
-use super::options::{default_intervals, Kind, MembersOptions};
-use super::run::{own_cpu_ms, to_ms, Cost, Run, ALL_MET_WITHIN};
-use super::simulation::{Simulation, MS, S, START};
+use super::options::{default_intervals, MembersOptions, ScenarioKind};
+use super::run::{own_cpu_ms, to_ms, Cost, Run, DISCOVERY_TIMEOUT};
+use super::simulation::{Simulation, MILLISECOND, SECOND, START_TIME};
 use crate::process::{resident_kb, OWN};
 use crate::report::Report;
 use crate::scale::statistics::rounded;
@@ -10,33 +10,33 @@
 use asterrill_membership::MembershipConfig;
 use serde_json::{json, Value};
 
-const REST: Us = 5 * S; // once all have met
-const CALM: Us = 30 * S; // of which the figures are
+const SETTLE_TIME: Us = 5 * SECOND; // once all have met
+const IDLE_PHASE: Us = 30 * SECOND; // of which the figures are
 
 // What a backend may spend on all control (docs/design, "the fleet ahead").
-const CPU_MS_PER_S: f64 = 14.0;
-const BYTES_PER_S: f64 = 24_000.0;
-const MEMORY_KB: f64 = 32_768.0;
+const MAX_CPU_MS_PER_S: f64 = 14.0;
+const MAX_BYTES_PER_S: f64 = 24_000.0;
+const MAX_MEMORY_KB: f64 = 32_768.0;
 
 const BUDGETS: [(&str, f64); 9] = [
-    ("cpu_ms_per_s", CPU_MS_PER_S),
-    ("worst_cpu_ms_per_s", CPU_MS_PER_S),
-    ("away_worst_cpu_ms_per_s", CPU_MS_PER_S),
-    ("cut_worst_cpu_ms_per_s", CPU_MS_PER_S),
-    ("bytes_per_s", BYTES_PER_S),
-    ("worst_bytes_per_s", BYTES_PER_S),
-    ("away_worst_bytes_per_s", BYTES_PER_S),
-    ("cut_worst_bytes_per_s", BYTES_PER_S),
-    ("memory_kb", MEMORY_KB),
+    ("cpu_ms_per_s", MAX_CPU_MS_PER_S),
+    ("worst_cpu_ms_per_s", MAX_CPU_MS_PER_S),
+    ("away_worst_cpu_ms_per_s", MAX_CPU_MS_PER_S),
+    ("cut_worst_cpu_ms_per_s", MAX_CPU_MS_PER_S),
+    ("bytes_per_s", MAX_BYTES_PER_S),
+    ("worst_bytes_per_s", MAX_BYTES_PER_S),
+    ("away_worst_bytes_per_s", MAX_BYTES_PER_S),
+    ("cut_worst_bytes_per_s", MAX_BYTES_PER_S),
+    ("memory_kb", MAX_MEMORY_KB),
 ];
 
 /// Plays it.
 pub fn scenario(report: &mut Report, options: &MembersOptions) {
-    play(report, options, default_intervals(options.nodes));
+    run_with_intervals(report, options, default_intervals(options.nodes));
 }
 
 /// The same with other intervals.
-pub(super) fn play(report: &mut Report, options: &MembersOptions, intervals: MembershipConfig) {
+pub(super) fn run_with_intervals(report: &mut Report, options: &MembersOptions, intervals: MembershipConfig) {
     let (empty_kb, cpu_before_ms) = (resident_kb(OWN), own_cpu_ms());
     let nodes = options.nodes;
     let simulation = Simulation::new(nodes, options.seed, intervals, options.loss);
@@ -44,47 +44,47 @@
     run.set("nodes", json!(nodes));
     run.set("kind", json!(format!("{:?}", options.kind).to_lowercase()));
     run.set("loss", json!(options.loss));
-    let met = run.simulation.until(ALL_MET_WITHIN, Simulation::all_met);
+    let met = run.simulation.run_until(DISCOVERY_TIMEOUT, Simulation::all_met);
     run.set("found_ms", to_ms(met));
     let bytes = run.simulation.bytes as f64 / nodes as f64;
     run.set("found_bytes", json!(bytes.round()));
-    run.track_worst(REST);
+    run.track_worst(SETTLE_TIME);
     run.set("found_cpu_ms", rounded((own_cpu_ms() - cpu_before_ms) / nodes as f64));
     run.set("memory_kb", rounded((resident_kb(OWN) - empty_kb) / nodes as f64));
-    let calm = run.cost_of(CALM);
+    let calm = run.measure_cost(IDLE_PHASE);
     run.set("cpu_ms_per_s", rounded(calm.cpu_ms));
     run.set("datagrams_per_s", rounded(calm.datagrams));
     run.set("bytes_per_s", rounded(calm.bytes));
-    run.set("transition_ms", json!(run.transition() / MS));
-    run.set("notice_ms", json!(run.detection() / MS));
+    run.set("transition_ms", json!(run.transition() / MILLISECOND));
+    run.set("notice_ms", json!(run.detection() / MILLISECOND));
     match options.kind {
-        Kind::Calm => {}
-        Kind::Quiet => run.play_deaths(),
-        Kind::Restarts => run.play_restarts(),
-        Kind::Zone => run.play_zone(),
-        Kind::Cut => run.play_partition(),
+        ScenarioKind::Calm => {}
+        ScenarioKind::Quiet => run.run_crashes(),
+        ScenarioKind::Restarts => run.run_restarts(),
+        ScenarioKind::Zone => run.run_zone_outage(),
+        ScenarioKind::Cut => run.run_partition(),
     }
     run.set("cpu_ms_of_the_run", json!((own_cpu_ms() - cpu_before_ms).round()));
     run.report.rule("they did not find each other", met.is_some());
-    run.end();
+    run.report_totals();
 }
 
 impl Run<'_> {
     /// Reports what the whole run has shown.
-    fn end(mut self) {
+    fn report_totals(mut self) {
         let false_failures = self.false_failures();
         self.set("false_failed", json!(false_failures));
         self.set("bytes_max", json!(self.simulation.bytes_max));
-        self.set("taken_most", json!((self.simulation.most * 1e6).round() / 1e6));
+        self.set("taken_most", json!((self.simulation.max_total_share * 1e6).round() / 1e6));
         self.set("worst_cpu_ms_per_s", rounded(self.worst.cpu_ms));
         self.set("worst_bytes_per_s", json!(self.worst.bytes.round()));
         self.set("datagrams", json!(self.simulation.sent));
-        self.set("virtual_s", json!((self.simulation.now - START) / S));
-        self.set("trace", json!(format!("{:016x}", self.simulation.trace)));
+        self.set("virtual_s", json!((self.simulation.now - START_TIME) / SECOND));
+        self.set("trace", json!(format!("{:016x}", self.simulation.trace_hash)));
         self.set("memory_kb_of_the_process", json!(resident_kb(OWN)));
-        let exceeded = self.simulation.exceeded_whole();
+        let exceeded = self.simulation.exceeded_total_quota();
         self.report.rule("more than the whole was taken of what is shared", !exceeded);
-        let healed = self.options.kind == Kind::Cut;
+        let healed = self.options.kind == ScenarioKind::Cut;
         self.rule_without_loss("a member in touch was called failed", false_failures == 0 || healed);
         self.report_over_budget();
     }
--- a/lab/src/scale/members/simulation.rs
+++ b/lab/src/scale/members/simulation.rs
@@ -13,26 +13,26 @@
 use std::ops::RangeInclusive;
 
 /// A millisecond in [`Us`].
-pub const MS: Us = 1_000;
+pub const MILLISECOND: Us = 1_000;
 /// A second in [`Us`].
-pub const S: Us = 1_000 * MS;
+pub const SECOND: Us = 1_000 * MILLISECOND;
 /// When a simulation begins.
-pub const START: Us = 1_000 * S;
-const DELAY: RangeInclusive<Us> = 100..=2 * MS; // of a datagram on its way
-const STAGGER: Us = S; // over which a fleet starts
-const CONTACTS: usize = 3;
-const SUM_ERROR: f64 = 1e-6; // sums of parts that differ by less are the same
+pub const START_TIME: Us = 1_000 * SECOND;
+const NETWORK_DELAY: RangeInclusive<Us> = 100..=2 * MILLISECOND; // of a datagram on its way
+const START_SPREAD: Us = SECOND; // over which a fleet starts
+const MAX_CONTACTS: usize = 3;
+const SHARE_SUM_TOLERANCE: f64 = 1e-6; // sums of parts that differ by less are the same
 
 /// A member says that another has failed.
-pub struct Failure {
+pub struct FailureReport {
     /// When.
     pub at: Us,
     /// Which says so.
-    pub by: usize,
+    pub observer: usize,
     /// Of which.
-    pub of: usize,
+    pub subject: usize,
     /// That one was there, and nothing between the two was cut.
-    pub wrong: bool,
+    pub false_positive: bool,
 }
 
 /// One place in the fleet, and what its member was seen to say.
@@ -40,7 +40,7 @@
     member: Option<Membership>,
     start: u64,
     /// It takes nothing before.
-    since: Us,
+    starts_at: Us,
     /// When its next tick is set for.
     wake: Us,
     /// Which start of each other it takes for up; zero for none.
@@ -48,7 +48,7 @@
     /// Whom it has ever taken for up.
     met: Vec<bool>,
     view: View,
-    part: f64,
+    quota_share: f64,
     /// Which side of a cut it is on.
     side: u8,
 }
@@ -74,13 +74,13 @@
     /// And of which it never has.
     unmet_pairs: usize,
     /// The sum of what all take.
-    sum: f64,
+    total_share: f64,
     /// The greatest sum so far.
-    pub most: f64,
+    pub max_total_share: f64,
     /// What members said of each other.
-    pub failures: Vec<Failure>,
+    pub failures: Vec<FailureReport>,
     /// All that was sent and all events of members, as one number.
-    pub trace: u64,
+    pub trace_hash: u64,
 }
 
 /// What a start of a member persisted for the next one.
@@ -110,16 +110,16 @@
         let slot = |_| Slot {
             member: None,
             start: 0,
-            since: START,
+            starts_at: START_TIME,
             wake: Us::MAX,
             known_starts: vec![0; nodes],
             met: vec![false; nodes],
             view: View::Isolated,
-            part: 0.0,
+            quota_share: 0.0,
             side: 0,
         };
         let mut simulation = Simulation {
-            now: START,
+            now: START_TIME,
             config,
             slots: (0..nodes).map(slot).collect(),
             queue: ActionQueue::default(),
@@ -130,21 +130,21 @@
             bytes_max: 0,
             unknown_pairs: 0,
             unmet_pairs: nodes * nodes.saturating_sub(1),
-            sum: 0.0,
-            most: 0.0,
+            total_share: 0.0,
+            max_total_share: 0.0,
             failures: Vec::new(),
-            trace: 0,
+            trace_hash: 0,
         };
-        simulation.start((0..nodes).map(|n| (n, PersistedMembers::default())).collect(), STAGGER);
+        simulation.start((0..nodes).map(|n| (n, PersistedMembers::default())).collect(), START_SPREAD);
         simulation
     }
 
     /// Starts some within so long, with the names and addresses that their earlier starts persisted.
     pub fn start(&mut self, some: Vec<(usize, PersistedMembers)>, within: Us) {
-        some.into_iter().for_each(|(n, persisted)| self.begin(n, within, persisted));
+        some.into_iter().for_each(|(n, persisted)| self.start_member(n, within, persisted));
         self.count_unknown_pairs();
     }
-    fn begin(&mut self, n: usize, within: Us, persisted: PersistedMembers) {
+    fn start_member(&mut self, n: usize, within: Us, persisted: PersistedMembers) {
         let Some(name) = MemberName::new(&format!("n{n}")) else { return };
         let since = self.now + self.rng.random_range(0..=within);
         let start = self.slots[n].start + 1;
@@ -158,12 +158,12 @@
         };
         let codec = EnvelopeCodec::new(b"a secret of the lab", "lab", &format!("n{n}"), start);
         let contacts =
-            (0..CONTACTS.min(self.slots.len())).map(address_of).chain(persisted.addresses).collect();
+            (0..MAX_CONTACTS.min(self.slots.len())).map(address_of).chain(persisted.addresses).collect();
         let seed = self.rng.random();
         let member = Membership::new(since, id, codec, self.config, contacts, persisted.agreed, seed);
         let slot = &mut self.slots[n];
         slot.known_starts.iter_mut().for_each(|start| *start = 0);
-        (slot.start, slot.since, slot.view) = (start, since, member.view());
+        (slot.start, slot.starts_at, slot.view) = (start, since, member.view());
         slot.member = Some(member);
         self.set_wake(n, since);
     }
@@ -174,17 +174,17 @@
             if let Some(member) = &mut self.slots[n].member {
                 member.leave(now);
             }
-            self.flush(n);
+            self.process_output(n);
         }
         let slot = &mut self.slots[n];
         let state = slot.member.take().map(|member| member.persisted_state(0)).unwrap_or_default();
-        self.sum -= std::mem::take(&mut slot.part);
+        self.total_share -= std::mem::take(&mut slot.quota_share);
         slot.wake = Us::MAX;
         self.count_unknown_pairs();
         PersistedMembers { agreed: state.agreed_members, addresses: state.addresses }
     }
     /// Cuts the fleet: the first so many hear only each other, and so do the rest. All hear all with none.
-    pub fn cut(&mut self, first: usize) {
+    pub fn partition(&mut self, first: usize) {
         self.slots.iter_mut().enumerate().for_each(|(n, slot)| slot.side = u8::from(n < first));
     }
 
@@ -209,24 +209,24 @@
         self.slots.iter().all(|slot| slot.member.is_none() || slot.view == View::Complete)
     }
     /// Whether all of what is divided is taken.
-    pub fn all_taken(&self) -> bool {
-        self.sum >= 1.0 - SUM_ERROR
+    pub fn all_shares_taken(&self) -> bool {
+        self.total_share >= 1.0 - SHARE_SUM_TOLERANCE
     }
     /// What all members take of the whole (1).
-    pub fn taken(&self) -> f64 {
-        self.sum
+    pub fn total_share(&self) -> f64 {
+        self.total_share
     }
     /// Members that are up and take nothing.
-    pub fn without_part(&self) -> usize {
-        self.slots.iter().filter(|slot| slot.member.is_some() && slot.part == 0.0).count()
+    pub fn members_without_share(&self) -> usize {
+        self.slots.iter().filter(|slot| slot.member.is_some() && slot.quota_share == 0.0).count()
     }
     /// What a member takes of the whole (1).
-    pub fn part(&self, n: usize) -> f64 {
-        self.slots[n].part
+    pub fn quota_share(&self, n: usize) -> f64 {
+        self.slots[n].quota_share
     }
     /// Whether more than the whole was taken.
-    pub fn exceeded_whole(&self) -> bool {
-        self.most > 1.0 + SUM_ERROR
+    pub fn exceeded_total_quota(&self) -> bool {
+        self.max_total_share > 1.0 + SHARE_SUM_TOLERANCE
     }
 
     /// Lets time pass.
@@ -243,30 +243,30 @@
                     if let Some(member) = &mut self.slots[n].member {
                         member.tick(when);
                     }
-                    self.flush(n);
+                    self.process_output(n);
                 }
                 Action::Datagram { from, to, bytes } => {
                     self.now = when;
                     let slot = &mut self.slots[to];
-                    if let Some(member) = slot.member.as_mut().filter(|_| slot.since <= when) {
+                    if let Some(member) = slot.member.as_mut().filter(|_| slot.starts_at <= when) {
                         member.handle_datagram(when, address_of(from), &bytes);
-                        self.flush(to);
+                        self.process_output(to);
                     }
                 }
             }
         }
         self.now = until;
         // A sum that is held up to date step by step drifts.
-        self.sum = self.slots.iter().map(|slot| slot.part).sum();
+        self.total_share = self.slots.iter().map(|slot| slot.quota_share).sum();
     }
     /// Runs until it holds, at most so long; how long that took.
-    pub fn until(&mut self, most: Us, holds: impl Fn(&Simulation) -> bool) -> Option<Us> {
+    pub fn run_until(&mut self, most: Us, holds: impl Fn(&Simulation) -> bool) -> Option<Us> {
         let start = self.now;
         while !holds(self) {
             if self.now - start >= most {
                 return None;
             }
-            self.run(100 * MS);
+            self.run(100 * MILLISECOND);
         }
         Some(self.now - start)
     }
@@ -279,12 +279,12 @@
             }
         }
     }
-    fn mix_trace(&mut self, word: u64) {
-        self.trace = (self.trace ^ word).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
+    fn update_trace_hash(&mut self, word: u64) {
+        self.trace_hash = (self.trace_hash ^ word).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
     }
 
     /// Sends what a member has to send, records what it says, and sets its next tick.
-    fn flush(&mut self, n: usize) {
+    fn process_output(&mut self, n: usize) {
         let Some(member) = &mut self.slots[n].member else { return };
         let (out, events, next, part) =
             (member.take_datagrams(), member.take_events(), member.next_wakeup(), member.quota_fraction());
@@ -292,20 +292,20 @@
             self.record_event(n, &event);
         }
         let slot = &mut self.slots[n];
-        self.sum += part - std::mem::replace(&mut slot.part, part);
-        self.most = self.most.max(self.sum);
+        self.total_share += part - std::mem::replace(&mut slot.quota_share, part);
+        self.max_total_share = self.max_total_share.max(self.total_share);
         for Transmit { destination, contents: bytes } in out {
             (self.sent, self.bytes) = (self.sent + 1, self.bytes + bytes.len() as u64);
             self.bytes_max = self.bytes_max.max(bytes.len());
             let Some(to) = index_of(destination).filter(|to| *to < self.slots.len()) else { continue };
             // The keyed hash stands for all that is in it.
             let hash = bytes.get(33..41).and_then(|hash| hash.try_into().ok()).map_or(0, u64::from_le_bytes);
-            self.mix_trace(self.now ^ hash ^ (to as u64) << 32 ^ n as u64);
+            self.update_trace_hash(self.now ^ hash ^ (to as u64) << 32 ^ n as u64);
             let lost = self.loss > 0.0 && self.rng.random::<f64>() < self.loss;
             if lost || self.slots[n].side != self.slots[to].side {
                 continue;
             }
-            let due = self.now + self.rng.random_range(DELAY);
+            let due = self.now + self.rng.random_range(NETWORK_DELAY);
             self.queue.push(due, Action::Datagram { from: n, to, bytes });
         }
         // A member never wants to wake twice at one moment for nothing.
@@ -317,15 +317,20 @@
         for byte in format!("{event:?}").bytes() {
             hash = hash.wrapping_mul(31).wrapping_add(u64::from(byte));
         }
-        self.mix_trace(hash ^ (n as u64) << 48);
+        self.update_trace_hash(hash ^ (n as u64) << 48);
         match event {
             Event::Alive { name, generation, .. } => self.record_known(n, name, *generation),
             Event::Dead { name } => {
                 if let Some(m) = index_in_name(name).filter(|m| *m < self.slots.len()) {
                     let (by, of) = (&self.slots[n], &self.slots[m]);
                     let there = of.member.is_some() && by.known_starts[m] == of.start;
-                    let wrong = there && by.side == of.side;
-                    self.failures.push(Failure { at: self.now, by: n, of: m, wrong });
+                    let false_positive = there && by.side == of.side;
+                    self.failures.push(FailureReport {
+                        at: self.now,
+                        observer: n,
+                        subject: m,
+                        false_positive,
+                    });
                 }
                 self.record_known(n, name, 0);
             }
--- a/lab/src/scale/members/tests/scenario.rs
+++ b/lab/src/scale/members/tests/scenario.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn quick(seed: u64, kind: Kind) -> Report {
+fn quick(seed: u64, kind: ScenarioKind) -> Report {
     let mut report = Report::default();
     scenario(&mut report, &MembersOptions { nodes: 10, seed, kind, loss: 0.0, quick: true });
     report
@@ -10,7 +10,7 @@
 
 #[test]
 fn quick_form_depends_on_the_seed_alone() {
-    let run = |seed| quick(seed, Kind::Quiet).json("scale-members", 0);
+    let run = |seed| quick(seed, ScenarioKind::Quiet).json("scale-members", 0);
     let (one, again, other) = (run(1), run(1), run(2));
     assert_eq!(one, again);
     assert_ne!(one["trace"], other["trace"]);
@@ -21,11 +21,11 @@
 #[test]
 fn each_kind_holds_its_rules_and_reports_what_happened() {
     for (kind, field) in [
-        (Kind::Calm, "found_ms"),
-        (Kind::Quiet, "transition_first_ms"),
-        (Kind::Restarts, "back_ms_max"),
-        (Kind::Zone, "whole_ms"),
-        (Kind::Cut, "all_taken_ms"),
+        (ScenarioKind::Calm, "found_ms"),
+        (ScenarioKind::Quiet, "transition_first_ms"),
+        (ScenarioKind::Restarts, "back_ms_max"),
+        (ScenarioKind::Zone, "whole_ms"),
+        (ScenarioKind::Cut, "all_taken_ms"),
     ] {
         let report = quick(3, kind);
         assert!(report.broken().is_empty(), "{kind:?}: {:?}", report.broken());
--- a/lab/src/scale/members/tests/simulation.rs
+++ b/lab/src/scale/members/tests/simulation.rs
@@ -4,12 +4,12 @@
 
 fn config(expect: usize) -> MembershipConfig {
     MembershipConfig {
-        probe_interval: 200 * MS,
-        suspicion_timeout: S,
-        announce_interval: S,
-        join_delay: 2 * S,
-        forget_after: 600 * S,
-        flap_window: 20 * S,
+        probe_interval: 200 * MILLISECOND,
+        suspicion_timeout: SECOND,
+        announce_interval: SECOND,
+        join_delay: 2 * SECOND,
+        forget_after: 600 * SECOND,
+        flap_window: 20 * SECOND,
         expected_members: expect,
     }
 }
@@ -18,7 +18,7 @@
 fn check(simulation: &mut Simulation) {
     let up: Vec<usize> = (0..simulation.slots.len()).filter(|n| simulation.up(*n)).collect();
     let parts: f64 = up.iter().filter_map(|n| simulation.member(*n)).map(Membership::quota_fraction).sum();
-    assert!((parts - simulation.taken()).abs() < 1e-9, "{parts} {}", simulation.taken());
+    assert!((parts - simulation.total_share()).abs() < 1e-9, "{parts} {}", simulation.total_share());
     let mut unknown_pairs = 0;
     for n in &up {
         let shown = simulation.member(*n).map(Membership::members).unwrap_or_default();
@@ -36,32 +36,37 @@
 fn incremental_counts_match_what_members_say() {
     let mut simulation = Simulation::new(12, 5, config(12), 0.0);
     assert!(!simulation.all_met() && !simulation.all_known());
-    simulation.run(1_500 * MS);
+    simulation.run(1_500 * MILLISECOND);
     check(&mut simulation);
     simulation
-        .until(60 * S, |simulation| {
-            simulation.all_met() && simulation.all_complete() && simulation.all_taken()
+        .run_until(60 * SECOND, |simulation| {
+            simulation.all_met() && simulation.all_complete() && simulation.all_shares_taken()
         })
         .expect("all is taken");
     check(&mut simulation);
-    assert!(simulation.all_known() && simulation.failures.is_empty() && simulation.without_part() == 0);
+    assert!(
+        simulation.all_known() && simulation.failures.is_empty() && simulation.members_without_share() == 0
+    );
     let persisted = simulation.stop(3, false);
-    simulation.run(20 * S);
+    simulation.run(20 * SECOND);
     check(&mut simulation);
-    assert!(simulation.failures.iter().all(|f| f.of == 3 && !f.wrong) && simulation.failures.len() == 11);
+    assert!(
+        simulation.failures.iter().all(|f| f.subject == 3 && !f.false_positive)
+            && simulation.failures.len() == 11
+    );
     simulation.start(vec![(3, persisted)], 0);
     assert!(!simulation.all_known());
-    simulation.cut(6);
-    simulation.run(20 * S);
+    simulation.partition(6);
+    simulation.run(20 * SECOND);
     check(&mut simulation);
     assert!(
         !simulation.all_known()
             && (0..12).filter_map(|n| simulation.member(n)).all(|m| !m.view().has_quorum())
     );
-    simulation.cut(0);
+    simulation.partition(0);
     simulation
-        .until(60 * S, |simulation| simulation.all_known() && simulation.all_complete())
+        .run_until(60 * SECOND, |simulation| simulation.all_known() && simulation.all_complete())
         .expect("whole again");
     check(&mut simulation);
-    assert!(!simulation.exceeded_whole(), "{}", simulation.most);
+    assert!(!simulation.exceeded_total_quota(), "{}", simulation.max_total_share);
 }
