--- a/lab/src/scale/config/scenario.rs
+++ b/lab/src/scale/config/scenario.rs
@@ -31,7 +31,7 @@
     thread::sleep(AT_REST);
     let resident = bed.status_kb("VmRSS");
     let exit = bed.shut_down();
-    report.rule("a process was left over", exit.left == 0);
+    report.rule("a process was left over", exit.leftover_processes == 0);
     Ok(json!(resident))
 }
 
@@ -126,8 +126,8 @@
 fn end(mut session: Session) {
     let exit = session.bed.shut_down();
     let report = session.report;
-    report.set("left_processes", json!(exit.left));
-    report.rule("a process was left over", exit.left == 0);
+    report.set("left_processes", json!(exit.leftover_processes));
+    report.rule("a process was left over", exit.leftover_processes == 0);
     report.rule("the process did not end well", exit.code == Some(0));
     if session.quick {
         report.rule("a change was refused that is good", session.rejected == 0);
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -239,7 +239,7 @@
     points.iter().for_each(|point| point.bed.node.signal("TERM"));
     for point in points {
         let exit = point.bed.shut_down();
-        left += exit.left;
+        left += exit.leftover_processes;
         report.rule("the process did not end well", exit.code == Some(0));
     }
     report.set("left_processes", json!(left));
--- a/lab/src/scale/test_bed/agent.rs
+++ b/lab/src/scale/test_bed/agent.rs
@@ -9,16 +9,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const IDLE_WAIT: Duration = Duration::from_millis(50);
+const MAX_IDLE_WAIT: Duration = Duration::from_millis(50);
 
 #[derive(Default)]
 struct AgentState {
     /// The backend's connection that subscribed last.
     subscriber: Option<TcpStream>,
-    notices: u64,
+    notice_count: u64,
     /// Runs by when they end, and a number that keeps those of one moment apart.
     running: BTreeMap<(Instant, u64), Run>,
-    next_number: u64,
+    next_run_number: u64,
     /// By the number in an RPC's body: from the launch that was read to the outcome that was written.
     run_times: HashMap<u64, Duration>,
 }
@@ -43,8 +43,8 @@
 
     fn finish(&mut self, run: &Run, outcome: &str) {
         let result = if outcome == "PASS" { [b"did ", &run.body[..]].concat() } else { Vec::new() };
-        self.notices += 1;
-        let head = format!("outcome {} {} {outcome} 1 {}\r\n", self.notices, run.id, result.len());
+        self.notice_count += 1;
+        let head = format!("outcome {} {} {outcome} 1 {}\r\n", self.notice_count, run.id, result.len());
         let bytes = [head.as_bytes(), &result, b"\r\n"].concat();
         if let Some(number) = rpc_number(&run.body) {
             self.run_times.insert(number, run.since.elapsed());
@@ -57,7 +57,7 @@
 #[derive(Clone)]
 pub struct TimedAgent {
     /// Where it listens.
-    pub at: SocketAddr,
+    pub addr: SocketAddr,
     work: Duration,
     shared: Arc<(Mutex<AgentState>, Condvar)>,
     stopped: Arc<AtomicBool>,
@@ -67,8 +67,12 @@
     /// Listens on a port that the system chooses; each run takes `work`.
     pub fn start(work: Duration) -> std::io::Result<TimedAgent> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let agent =
-            TimedAgent { at: listener.local_addr()?, work, shared: Arc::default(), stopped: Arc::default() };
+        let agent = TimedAgent {
+            addr: listener.local_addr()?,
+            work,
+            shared: Arc::default(),
+            stopped: Arc::default(),
+        };
         let (acceptor, worker) = (agent.clone(), agent.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -92,7 +96,7 @@
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
         self.shared.1.notify_all();
-        drop(TcpStream::connect(self.at)); // so that the acceptor looks
+        drop(TcpStream::connect(self.addr)); // so that the acceptor looks
     }
 
     fn state(&self) -> MutexGuard<'_, AgentState> {
@@ -135,8 +139,8 @@
                 if self.work.is_zero() {
                     state.finish(&run, "PASS");
                 } else {
-                    state.next_number += 1;
-                    let key = (since + self.work, state.next_number);
+                    state.next_run_number += 1;
+                    let key = (since + self.work, state.next_run_number);
                     state.running.insert(key, run);
                     drop(state);
                     self.shared.1.notify_one();
@@ -169,7 +173,7 @@
                 state.finish(&run, "PASS");
             }
             let next = state.running.first_key_value().map(|((at, _), _)| *at);
-            let wait = next.map_or(IDLE_WAIT, |at| at.saturating_duration_since(Instant::now()));
+            let wait = next.map_or(MAX_IDLE_WAIT, |at| at.saturating_duration_since(Instant::now()));
             state = self.shared.1.wait_timeout(state, wait).unwrap_or_else(|e| e.into_inner()).0;
         }
     }
--- a/lab/src/scale/test_bed/bed.rs
+++ b/lab/src/scale/test_bed/bed.rs
@@ -14,8 +14,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const LISTENS_WITHIN: Duration = Duration::from_secs(20);
-const EXITS_WITHIN: Duration = Duration::from_secs(30);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(20);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// One process with a [`TimedAgent`], a name service and a control socket.
 pub struct TestBed {
@@ -36,7 +36,7 @@
     /// Its exit code; none if it was killed or did not end.
     pub code: Option<i32>,
     /// Processes that are still there: 0 or 1.
-    pub left: u64,
+    pub leftover_processes: u64,
 }
 
 impl TestBed {
@@ -54,7 +54,7 @@
         let agent = TimedAgent::start(work)?;
         let at = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
         let naming = start_naming()?;
-        let mut config = json!({"name": "n1", "listen": at.to_string(), "agent": agent.at.to_string(),
+        let mut config = json!({"name": "n1", "listen": at.to_string(), "agent": agent.addr.to_string(),
             "naming": naming.to_string(), "seed": "00000000000000a7", "stop_ms": 2_000,
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1_024}});
         let file = format!(
@@ -64,7 +64,7 @@
         let start = Instant::now();
         let node = Node::with_files(at, &text, Some(&file), program.map(Path::to_path_buf), "none")?;
         while TcpStream::connect(at).is_err() {
-            if start.elapsed() > LISTENS_WITHIN {
+            if start.elapsed() > STARTUP_TIMEOUT {
                 return Err(format!("it does not listen: {}", node.read_log()).into());
             }
             thread::sleep(Duration::from_micros(300));
@@ -102,9 +102,9 @@
     /// Asks the process to shut down, and waits for its end.
     pub fn shut_down(&mut self) -> Exit {
         self.node.signal("TERM");
-        let code = self.node.wait_for_exit(EXITS_WITHIN);
-        let left = Path::new(&format!("/proc/{}", self.node.child.id())).exists();
-        Exit { code, left: u64::from(left) }
+        let code = self.node.wait_for_exit(EXIT_TIMEOUT);
+        let is_running = Path::new(&format!("/proc/{}", self.node.child.id())).exists();
+        Exit { code, leftover_processes: u64::from(is_running) }
     }
 }
 
--- a/lab/src/scale/test_bed/health.rs
+++ b/lab/src/scale/test_bed/health.rs
@@ -22,7 +22,7 @@
 }
 
 /// Checks health again and again, until the load ends or the connection does. `floor`: the other side is a stand-in.
-pub(super) fn check_repeatedly(mut to: TcpStream, ledger: &Ledger, floor: bool) -> Option<()> {
+pub(super) fn check_repeatedly(mut to: TcpStream, ledger: &Ledger, is_echo: bool) -> Option<()> {
     to.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
     let (mut last_answer, mut stream, mut phase_before) = (Instant::now(), 0_u32, ledger.phase());
     while !ledger.is_stopped() {
@@ -32,7 +32,7 @@
         let (gap, phase) = (last_answer.elapsed(), ledger.phase());
         for phase in [phase_before, phase] {
             let mut stats = lock(&ledger.phases[phase]);
-            let longest = if floor { &mut stats.gap_floor } else { &mut stats.gap };
+            let longest = if is_echo { &mut stats.gap_floor } else { &mut stats.gap };
             *longest = gap.max(*longest);
         }
         if !answered {
--- a/lab/src/scale/test_bed/ledger.rs
+++ b/lab/src/scale/test_bed/ledger.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Phases that a load can tell apart.
-const PHASES: usize = 8;
+const MAX_PHASES: usize = 8;
 
 /// What became of the RPCs that were sent in one phase.
 #[derive(Clone, Debug)]
@@ -103,7 +103,7 @@
             phase: AtomicUsize::new(0),
             sentinel_pair: AtomicU64::new(0),
             stopped: AtomicBool::new(false),
-            phases: (0..PHASES).map(|_| Mutex::new(PhaseStats::new())).collect(),
+            phases: (0..MAX_PHASES).map(|_| Mutex::new(PhaseStats::new())).collect(),
             violations: Mutex::default(),
         }
     }
--- a/lab/src/scale/test_bed/load.rs
+++ b/lab/src/scale/test_bed/load.rs
@@ -18,8 +18,8 @@
 use std::time::{Duration, Instant};
 
 const CONNECTIONS: usize = 8; // that RPCs come on
-const LATE_ANSWERS: Duration = Duration::from_millis(500); // beyond the patience of the last RPC
-const SECOND_ANSWERS: Duration = Duration::from_millis(50); // until no RPC is answered a second time any more
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(500); // beyond the patience of the last RPC
+const DUPLICATE_ANSWER_WAIT: Duration = Duration::from_millis(50); // until no RPC is answered a second time any more
 
 /// How RPCs arrive.
 #[derive(Clone, Copy, Debug)]
@@ -75,11 +75,11 @@
     /// Checks health all the time, on a connection of its own; and that of a stand-in beside it.
     pub fn check_health(&mut self, at: SocketAddr) -> std::io::Result<()> {
         let echo = TcpListener::bind("127.0.0.1:0")?;
-        for (at, floor) in [(at, false), (echo.local_addr()?, true)] {
+        for (at, is_echo) in [(at, false), (echo.local_addr()?, true)] {
             let stream = connect(at)?;
             let ledger = self.ledger.clone();
             self.workers.push(thread::spawn(move || {
-                health::check_repeatedly(stream, &ledger, floor).unwrap_or_default();
+                health::check_repeatedly(stream, &ledger, is_echo).unwrap_or_default();
             }));
         }
         let (accepted, _) = echo.accept()?;
@@ -113,13 +113,13 @@
         self.ledger.stop();
         let sender = self.sender.take().ok_or("the load has ended already")?;
         let connections = sender.join().map_err(|_| "the load ended badly")?;
-        let until = Instant::now() + PATIENCE + LATE_ANSWERS;
+        let until = Instant::now() + PATIENCE + LATE_ANSWER_TIMEOUT;
         let in_flight = || connections.iter().map(|one| lock(&one.in_flight).len() as u64).sum::<u64>();
         while in_flight() > 0 && Instant::now() < until {
             thread::sleep(Duration::from_millis(5));
         }
         lock(&self.ledger.violations).unanswered += in_flight();
-        thread::sleep(SECOND_ANSWERS);
+        thread::sleep(DUPLICATE_ANSWER_WAIT);
         connections.iter().for_each(|one| one.stream.shutdown(Shutdown::Both).unwrap_or_default());
         for worker in self.workers.drain(..) {
             worker.join().map_err(|_| "a stand-in ended badly")?;
--- a/lab/src/scale/test_bed/settings.rs
+++ b/lab/src/scale/test_bed/settings.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{json, Value};
 
-const CORES: usize = 8;
+const SITE_CORES: usize = 8;
 const DEFAULT_TARGET_MS: u64 = 800;
 const DEFAULT_QUOTA_RPS: f64 = 100.0;
 
@@ -69,7 +69,7 @@
         let sentinels = self.sentinel_pairs.iter().flat_map(|pair| sentinel_tenants(*pair));
         tenants.extend(sentinels.map(|name| SiteSettings::sentinel(&name)));
         json!({"Categories": methods, "Tenants": tenants,
-            "FamilyInfo": {"NCores": CORES, "RamKb": 200_000, "RunFactor": 2, "Say": "window", "Below": "off",
+            "FamilyInfo": {"NCores": SITE_CORES, "RamKb": 200_000, "RunFactor": 2, "Say": "window", "Below": "off",
                 "StopMode": "abort", "Gauges": ["on_cores", "links"], "IdleMs": 30_000, "Callers": self.callers},
             "Limits": {"RetryAfter": true, "MaxRetryAfterMs": 500}, "StepMs": 2, "ReplicasOfMe": 1,
             "Safety": {"TipMultiple": 8, "ColdFrom": 1.0, "RampTimeMs": 1_000, "StopSendingWithinMs": 400}})
--- a/lab/src/scale/test_bed/tests/disk.rs
+++ b/lab/src/scale/test_bed/tests/disk.rs
@@ -4,7 +4,7 @@
 use std::io::Write;
 
 #[test]
-fn counts_growth_of_a_file_and_the_length_of_a_new_one() {
+fn counts_file_growth_and_length_of_replaced_file() {
     let dir = std::env::temp_dir().join(format!("asterrill-lab-disk-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     std::fs::write(dir.join("log"), [0; 100]).unwrap();
--- a/lab/src/scale/test_bed/tests/load.rs
+++ b/lab/src/scale/test_bed/tests/load.rs
@@ -6,13 +6,13 @@
 
 /// How a stand-in for the process answers RPCs.
 #[derive(Clone, Copy, PartialEq)]
-enum Answers {
+enum AnswerMode {
     Correctly,
     Never,
     Twice,
-    WithAnotherResult,
+    WithWrongResult,
     /// Of the sentinel pair only the first tenant is recognised, from the third pair on.
-    WithHalfAChange,
+    WithPartialChange,
 }
 
 /// The body of an RPC, and the value of a field.
@@ -30,18 +30,18 @@
 }
 
 /// Answers connections on its own, as a process would that has the agent run everything.
-fn stand_in(answers: Answers) -> SocketAddr {
+fn start_stand_in(answers: AnswerMode) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            thread::spawn(move || answer_on(stream, answers));
+            thread::spawn(move || answer_requests(stream, answers));
         }
     });
     at
 }
 
-fn answer_on(mut stream: TcpStream, answers: Answers) -> Option<()> {
+fn answer_requests(mut stream: TcpStream, answers: AnswerMode) -> Option<()> {
     let mut pairs = 0;
     loop {
         let frame = read_frame(&mut stream)?;
@@ -53,19 +53,19 @@
         let tenant = fields.get("customer").cloned().unwrap_or_default();
         pairs += u32::from(tenant.starts_with("a-"));
         let recognised = match (tenant.as_bytes().first(), answers) {
-            (Some(b'a'), Answers::WithHalfAChange) => pairs > 2,
-            (Some(b'z'), Answers::WithHalfAChange) => false,
+            (Some(b'a'), AnswerMode::WithPartialChange) => pairs > 2,
+            (Some(b'z'), AnswerMode::WithPartialChange) => false,
             (Some(b'a' | b'z'), _) => pairs > 2,
             _ => true,
         };
         let result = match answers {
-            Answers::WithAnotherResult => b"did rpc 0".to_vec(),
+            AnswerMode::WithWrongResult => b"did rpc 0".to_vec(),
             _ => [b"did ", &body[..]].concat(),
         };
         let payload = if recognised { [&[0, 0][..], &result].concat() } else { vec![ABORTED, 0] };
         let times = match answers {
-            Answers::Never => 0,
-            Answers::Twice => 2,
+            AnswerMode::Never => 0,
+            AnswerMode::Twice => 2,
             _ => 1,
         };
         for _ in 0..times {
@@ -74,8 +74,8 @@
     }
 }
 
-fn run_load(answers: Answers, pair: u64) -> (Vec<PhaseStats>, Violations) {
-    let (at, agent) = (stand_in(answers), TimedAgent::start(Duration::ZERO).unwrap());
+fn run_load(answers: AnswerMode, pair: u64) -> (Vec<PhaseStats>, Violations) {
+    let (at, agent) = (start_stand_in(answers), TimedAgent::start(Duration::ZERO).unwrap());
     let profile = LoadProfile { methods: 3, tenants: 4, callers: 5, rate: 400.0, seed: 1 };
     let mut load = BackgroundLoad::start(at, &agent, profile).unwrap();
     load.check_health(at).unwrap();
@@ -84,8 +84,9 @@
     // As long as it takes on a busy machine.
     let until = Instant::now() + Duration::from_secs(20);
     let sent = || lock(&load.ledger.phases[0]).sent >= 60;
-    let paired = || answers == Answers::Never || pair == 0 || lock(&load.ledger.violations).pairs >= 20;
-    while !(sent() && paired()) && Instant::now() < until {
+    let checked_pairs =
+        || answers == AnswerMode::Never || pair == 0 || lock(&load.ledger.violations).pairs >= 20;
+    while !(sent() && checked_pairs()) && Instant::now() < until {
         thread::sleep(Duration::from_millis(10));
     }
     let found = load.finish().unwrap();
@@ -95,7 +96,7 @@
 
 #[test]
 fn correct_answers_violate_nothing() {
-    let (phases, violations) = run_load(Answers::Correctly, 0);
+    let (phases, violations) = run_load(AnswerMode::Correctly, 0);
     assert!(phases[0].ok > 20 && phases[0].ok == phases[0].sent, "{:?}", phases[0]);
     assert!(phases[0].gap > Duration::ZERO && phases[0].gap_floor > Duration::ZERO);
     assert_eq!(violations, Violations::default());
@@ -103,24 +104,24 @@
 
 #[test]
 fn counts_unanswered_rpcs() {
-    let (phases, violations) = run_load(Answers::Never, 0);
+    let (phases, violations) = run_load(AnswerMode::Never, 0);
     assert!(violations.unanswered > 20 && violations.unanswered == phases[0].sent, "{violations:?}");
 }
 
 #[test]
-fn counts_second_answers() {
-    assert!(run_load(Answers::Twice, 0).1.answered_twice > 20);
+fn counts_duplicate_answers() {
+    assert!(run_load(AnswerMode::Twice, 0).1.answered_twice > 20);
 }
 
 #[test]
 fn counts_results_of_other_rpcs() {
-    assert!(run_load(Answers::WithAnotherResult, 0).1.wrong_results > 20);
+    assert!(run_load(AnswerMode::WithWrongResult, 0).1.wrong_results > 20);
 }
 
 #[test]
-fn detects_a_change_that_is_applied_in_part() {
-    let whole = run_load(Answers::Correctly, 7).1;
+fn detects_partially_applied_change() {
+    let whole = run_load(AnswerMode::Correctly, 7).1;
     assert!(whole.pairs > 10 && whole.older_after_newer == 0, "{whole:?}");
-    let half = run_load(Answers::WithHalfAChange, 7).1;
+    let half = run_load(AnswerMode::WithPartialChange, 7).1;
     assert!(half.older_after_newer > 0, "{half:?}");
 }
--- a/lab/src/scale/test_bed/tests/meter.rs
+++ b/lab/src/scale/test_bed/tests/meter.rs
@@ -9,12 +9,12 @@
     let mut meter = CpuMeter::new(std::process::id());
     let before = meter.read();
     let until = Instant::now() + Duration::from_secs(20);
-    let mut burnt = 0.0;
+    let mut used_cpu_ms = 0.0;
     // As long as it takes on a busy machine.
-    while burnt < 5.0 && Instant::now() < until {
+    while used_cpu_ms < 5.0 && Instant::now() < until {
         std::hint::black_box((0..1_000_000_u64).fold(0, |a, b| a ^ std::hint::black_box(b)));
-        burnt = meter.read().cpu_ms(&before);
+        used_cpu_ms = meter.read().cpu_ms(&before);
     }
-    assert!(burnt >= 5.0);
+    assert!(used_cpu_ms >= 5.0);
     assert!(status_kb(OWN, "VmRSS").unwrap() > 500);
 }
--- a/lab/src/scale/test_bed/tests/version_order.rs
+++ b/lab/src/scale/test_bed/tests/version_order.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn order_of_versions_follows_from_two_answers() {
+fn two_answers_reveal_version_order() {
     // A change that adds both tenants: never the first one recognised, and not the second.
     assert!(out_of_order(true, false, false));
     assert!(![(true, true), (false, false), (false, true)].iter().any(|(a, b)| out_of_order(*a, *b, false)));
