--- a/lab/src/scale/agree/build.rs
+++ b/lab/src/scale/agree/build.rs
@@ -53,14 +53,14 @@
     Ok(run)
 }
 
-/// Waits for a leader and commits the list in steps of the maximum size, and the last entries one by one.
+/// Waits for a leader and commits the list: most entries in steps of the maximum size, the last ones one by one.
 fn build_list(report: &mut Report, run: &mut Run) -> Result<(), ScenarioError> {
     run.wait_until(LEADER_WAIT_TIMEOUT, |cluster| cluster.leader().is_some())
         .ok_or("the voters elected no leader in time")?;
     run.cluster.run_to(run.cluster.now + SETTLE_TIME);
     let all: Vec<Change> = (0..run.entries).map(|n| put(entry_name(n), Access::Allowed)).collect();
-    let (many, single) = all.split_at(run.entries - HISTORY_OVERFLOW_CHANGES);
-    for step in many.chunks(MAX_STEP_CHANGES).chain(single.chunks(1)) {
+    let (batched, single) = all.split_at(run.entries - HISTORY_OVERFLOW_CHANGES);
+    for step in batched.chunks(MAX_STEP_CHANGES).chain(single.chunks(1)) {
         if step.len() == 1 && report.get("disk_bytes_of_the_list").is_none() {
             report.set("disk_bytes_of_the_list", json!(run.cluster.nodes[0].appended_bytes));
         }
@@ -89,10 +89,10 @@
         run.cluster.run_to(run.cluster.now + step);
     }
     let newest = run.newest_version();
-    let took = run
+    let duration = run
         .wait_until_effective(newest, MAX_WAIT)
         .ok_or("not all replicas enforced the newest version in time")?;
-    report.set("begin_ms", json!(ms(took)));
+    report.set("begin_ms", json!(ms(duration)));
     run.cluster.run_to(run.cluster.now + REPLICA_SETTLE_TIME);
     Ok(())
 }
--- a/lab/src/scale/agree/changes.rs
+++ b/lab/src/scale/agree/changes.rs
@@ -45,15 +45,15 @@
 
 /// Makes changes under the faults of a kind and reports the results.
 pub(super) fn run_changes(report: &mut Report, run: &mut Run, kind: ScenarioKind, quick: bool) {
-    let (begun, usage_before, disk_before) = (run.cluster.now, run.usage(), voters_appended_bytes(run));
+    let (started_at, usage_before, disk_before) = (run.cluster.now, run.usage(), voters_appended_bytes(run));
     let faulty = inject_faults(report, run, kind);
     let rounds = run_rounds(run, kind, quick);
     if kind == ScenarioKind::ReplicasIsolated {
         // Runs long enough to detect a lease that does not expire.
-        let end = begun + 2 * LEASE_DURATION + run.cluster.config.contradiction_bound() + 2 * SECOND;
+        let end = started_at + 2 * LEASE_DURATION + run.cluster.config.contradiction_bound() + 2 * SECOND;
         run.cluster.run_to(end.max(run.cluster.now));
     }
-    let span = run.cluster.now - begun;
+    let span = run.cluster.now - started_at;
     run.report_usage(report, "changing", &usage_before, span, quick);
     let bytes_per_change =
         (voters_appended_bytes(run) - disk_before) as f64 / (VOTERS * rounds.changes.len().max(1)) as f64;
@@ -88,7 +88,7 @@
     (0..VOTERS).map(|n| run.cluster.nodes[n].appended_bytes).sum()
 }
 
-/// Injects the faults of a kind. Returns the replicas that are killed or isolated, if the kind affects any.
+/// Injects the faults of a kind. Returns the selected replicas, which the kinds `dead` and `cut` kill or isolate.
 fn inject_faults(report: &mut Report, run: &mut Run, kind: ScenarioKind) -> Vec<usize> {
     let mut faulty = run.replicas.clone();
     faulty.shuffle(&mut run.cluster.rng);
@@ -103,21 +103,22 @@
     faulty
 }
 
+/// Makes the sequential changes, and kills and restarts the leader in the kind `keeper`.
 fn run_rounds(run: &mut Run, kind: ScenarioKind, quick: bool) -> Rounds {
-    let (rounds, every) = if quick { (QUICK_ROUNDS, SECOND) } else { (ROUNDS, run.change_interval) };
+    let (rounds, interval) = if quick { (QUICK_ROUNDS, SECOND) } else { (ROUNDS, run.change_interval) };
     let mut results = Rounds { changes: Vec::new(), uncommitted: 0, killed_leader: None };
     let mut down: Option<KilledLeader> = None;
     for round in 0..rounds {
         if kind == ScenarioKind::LeaderKilled && round == rounds / 4 {
             results.killed_leader = run.cluster.leader();
             results.killed_leader.iter().for_each(|n| run.cluster.kill(*n));
-            let restart_at = run.cluster.now + LEADER_DOWN_ROUNDS * every;
+            let restart_at = run.cluster.now + LEADER_DOWN_ROUNDS * interval;
             down = results.killed_leader.map(|voter| KilledLeader { voter, restart_at });
         }
         if let Some(killed) = down.take_if(|killed| run.cluster.now >= killed.restart_at) {
             run.cluster.start(killed.voter, &[]);
         }
-        let next = run.cluster.now + every;
+        let next = run.cluster.now + interval;
         match run.change_one_entry() {
             Some(change) => results.changes.push(change),
             None => results.uncommitted += 1,
@@ -158,7 +159,7 @@
 
 /// Changes all entries in sequential steps of the maximum size.
 fn change_all_entries(report: &mut Report, run: &mut Run, proposer: usize) {
-    let (begun, mut last, mut uncommitted) = (run.cluster.now, 0, 0);
+    let (started_at, mut last, mut uncommitted) = (run.cluster.now, 0, 0);
     for from in (0..run.entries).step_by(MAX_STEP_CHANGES) {
         let to = (from + MAX_STEP_CHANGES).min(run.entries);
         let step: Vec<Change> = (from..to).map(|n| run.toggle_entry_access(n)).collect();
@@ -167,7 +168,7 @@
             None => uncommitted += 1,
         }
     }
-    let duration = run.wait_until_effective(last, MAX_WAIT).map(|_| ms(run.cluster.now - begun));
+    let duration = run.wait_until_effective(last, MAX_WAIT).map(|_| ms(run.cluster.now - started_at));
     report.set("everything_ms", json!(duration));
     report.set("everything_refused", json!(uncommitted));
 }
@@ -197,14 +198,16 @@
 
 /// Reports the number of files that voters replaced, and their mean size.
 fn report_files(report: &mut Report, run: &Run) {
-    let written = (0..VOTERS).map(|n| run.cluster.nodes[n].replaced_files);
-    let (files, bytes) = written.fold((0, 0), |(files, bytes), one| (files + one.count, bytes + one.bytes));
+    let replaced = (0..VOTERS).map(|n| run.cluster.nodes[n].replaced_files);
+    let (files, bytes) =
+        replaced.fold((0, 0), |(files, bytes), replaced| (files + replaced.count, bytes + replaced.bytes));
     report.set("disk_files_anew", json!(files));
     report.set("disk_bytes_whole", json!((bytes as f64 / files.max(1) as f64).round()));
 }
 
-/// Restarts a follower with an empty disk and reports how long it takes to reach the newest version. A voter that does not
-/// reach it is stopped, so that the rest of the run can be judged.
+/// Restarts a follower with an empty disk and reports how long it takes to reach the newest version.
+///
+/// A voter that does not reach it is stopped, so that the rest of the run can be judged.
 fn restart_with_empty_disk(report: &mut Report, run: &mut Run) {
     let leader = run.cluster.leader();
     let Some(n) = (0..VOTERS).find(|n| Some(*n) != leader) else { return };
--- a/lab/src/scale/agree/event_loop.rs
+++ b/lab/src/scale/agree/event_loop.rs
@@ -54,7 +54,7 @@
         let names = &self.names;
         let node = &mut self.nodes[n];
         let consensus = node.consensus.as_mut()?;
-        let begun = cpu_ns();
+        let started_at = cpu_ns();
         let number = proposal.map(|proposal| consensus.propose(proposal));
         for write in std::mem::take(&mut node.persisted) {
             consensus.persisted(at, write);
@@ -66,7 +66,7 @@
             consensus.tick(at, now);
         }
         let output = IterationOutput::take(consensus);
-        let cost = cpu_ns().saturating_sub(begun);
+        let cost = cpu_ns().saturating_sub(started_at);
         node.usage.cpu_ns += cost;
         let end = if self.charges_cpu { now + cost / 1_000 } else { now };
         node.busy_until = end;
--- a/lab/src/scale/agree/run.rs
+++ b/lab/src/scale/agree/run.rs
@@ -122,23 +122,23 @@
     }
 
     /// Runs until a condition holds. Returns the time it took, or `None` after a timeout.
-    pub(super) fn wait_until(&mut self, within: Us, holds: impl Fn(&Cluster) -> bool) -> Option<Us> {
-        let begun = self.cluster.now;
+    pub(super) fn wait_until(&mut self, timeout: Us, holds: impl Fn(&Cluster) -> bool) -> Option<Us> {
+        let started_at = self.cluster.now;
         while !holds(&self.cluster) {
-            if self.cluster.now >= begun + within {
+            if self.cluster.now >= started_at + timeout {
                 return None;
             }
             self.cluster.run_to(self.cluster.now + POLL_INTERVAL);
         }
-        Some(self.cluster.now - begun)
+        Some(self.cluster.now - started_at)
     }
 
     /// Runs until all connected nodes enforce a version or a later one.
-    pub(super) fn wait_until_effective(&mut self, version: u64, within: Us) -> Option<Us> {
+    pub(super) fn wait_until_effective(&mut self, version: u64, timeout: Us) -> Option<Us> {
         let nodes = self.connected_nodes();
         let enforces =
             |cluster: &Cluster, n: &usize| cluster.effective_version(*n).is_some_and(|v| v >= version);
-        self.wait_until(within, |cluster| nodes.iter().all(|n| enforces(cluster, n)))
+        self.wait_until(timeout, |cluster| nodes.iter().all(|n| enforces(cluster, n)))
     }
 
     /// Returns the running nodes that are not isolated.
@@ -165,14 +165,16 @@
         put(entry_name(n), if self.denied[n] { Access::Denied } else { Access::Allowed })
     }
 
-    /// A random replica.
+    /// Returns a random connected replica.
     pub(super) fn random_replica(&mut self) -> usize {
         let replicas = self.connected_replicas();
         replicas[self.cluster.rng.random_range(0..replicas.len())]
     }
 
-    /// Changes one entry at a random replica. Changes alternate between one that contradicts the previous version (an entry
-    /// is denied or allowed) and one that does not (a new entry).
+    /// Changes one entry at a random replica.
+    ///
+    /// Changes alternate between one that contradicts the previous version (an entry is denied or allowed) and one that
+    /// does not (a new entry).
     pub(super) fn change_one_entry(&mut self) -> Option<EntryChange> {
         self.entry_changes += 1;
         let contradicts = self.entry_changes % 2 == 1;
@@ -186,22 +188,27 @@
         self.change(replica, vec![change]).map(|version| EntryChange { version, contradicts })
     }
 
-    /// Restarts random replicas without state at the same time while changes continue. Waits until all of them enforce a
-    /// version again, up to a limit of time and of CPU time.
+    /// Restarts random replicas without state at the same time while changes continue.
+    ///
+    /// Waits until all of them enforce the newest version of the time of the restart, up to a limit of time and of CPU time
+    /// of the voters.
     pub(super) fn restart_without_state(&mut self, count: usize) -> CatchUp {
         let mut restarted = self.connected_replicas();
         restarted.shuffle(&mut self.cluster.rng);
         restarted.truncate(count);
-        let (begun, newest, cpu_before) = (self.cluster.now, self.newest_version(), self.voters_cpu_ms());
+        let (started_at, newest, cpu_before) =
+            (self.cluster.now, self.newest_version(), self.voters_cpu_ms());
         for n in &restarted {
             self.cluster.kill(*n);
             self.cluster.start(*n, &[]);
         }
-        let (mut next_change, mut duration) = (begun + self.change_interval, None);
-        while self.cluster.now < begun + MAX_WAIT && self.voters_cpu_ms() - cpu_before < MAX_CATCH_UP_CPU_MS {
+        let (mut next_change, mut duration) = (started_at + self.change_interval, None);
+        while self.cluster.now < started_at + MAX_WAIT
+            && self.voters_cpu_ms() - cpu_before < MAX_CATCH_UP_CPU_MS
+        {
             let enforces = |n: &usize| self.cluster.effective_version(*n).is_some_and(|v| v >= newest);
             if restarted.iter().all(enforces) {
-                duration = Some(self.cluster.now - begun);
+                duration = Some(self.cluster.now - started_at);
                 break;
             }
             if self.cluster.now >= next_change {
@@ -210,13 +217,12 @@
             }
             self.cluster.run_to(self.cluster.now + POLL_INTERVAL);
         }
+        let enforces_any = |n: &&usize| self.cluster.effective_version(**n).is_some();
+        let enforcing_replicas = restarted.iter().filter(enforces_any).count();
         CatchUp {
             duration,
-            elapsed: self.cluster.now - begun,
-            enforcing_replicas: restarted
-                .iter()
-                .filter(|n| self.cluster.effective_version(**n).is_some())
-                .count(),
+            elapsed: self.cluster.now - started_at,
+            enforcing_replicas,
             voters_cpu_ms: self.voters_cpu_ms() - cpu_before,
         }
     }
@@ -246,8 +252,8 @@
     pub(super) fn report_usage(
         &self, report: &mut Report, phase: &str, before: &[Usage], span: Us, quick: bool,
     ) {
-        let all = self.usage();
-        let spent: Vec<Usage> = all.iter().zip(before).map(|(now, before)| now.since(before)).collect();
+        let after = self.usage();
+        let spent: Vec<Usage> = after.iter().zip(before).map(|(now, before)| now.since(before)).collect();
         let leader = self.cluster.leader().unwrap_or(0);
         let others: Vec<usize> = (0..VOTERS).filter(|n| *n != leader).collect();
         let mean = |nodes: &[usize], of: fn(&Usage) -> u64| {
@@ -257,8 +263,8 @@
         for (role, nodes) in
             [("holder", self.connected_replicas()), ("leader", vec![leader]), ("keeper", others)]
         {
-            let mut set = |what: &str, value: f64| {
-                report.set(&format!("{role}_{what}_{phase}"), json!((value * 1e3).round() / 1e3));
+            let mut set = |metric: &str, value: f64| {
+                report.set(&format!("{role}_{metric}_{phase}"), json!((value * 1e3).round() / 1e3));
             };
             if !quick {
                 set("cpu_ms_per_s", mean(&nodes, |usage| usage.cpu_ns) / 1e6);
--- a/lab/src/scale/agree/scenario.rs
+++ b/lab/src/scale/agree/scenario.rs
@@ -12,7 +12,7 @@
 use clap::ValueEnum;
 use serde_json::{json, Value};
 
-/// Maximum product of replicas and entries; larger ones need more than two gigabytes of memory.
+/// Maximum product of replicas and entries, for which two gigabytes of memory suffice.
 const MAX_REPLICA_ENTRIES: usize = 12_000_000;
 const QUICK_ENTRIES: usize = 400;
 const QUIET_PHASE: Us = 30 * SECOND;
@@ -75,7 +75,7 @@
     Ok(())
 }
 
-/// Returns the options raised to their minimum, or capped in the quick form.
+/// Returns the options with the minimum sizes applied, and with fewer entries in the quick form.
 fn within_bounds(options: AgreeOptions) -> Result<AgreeOptions, ScenarioError> {
     let entries = match options.quick {
         true => options.entries.min(QUICK_ENTRIES),
--- a/lab/src/scale/members/action_queue.rs
+++ b/lab/src/scale/members/action_queue.rs
@@ -1,21 +1,21 @@
-//! What happens in a simulation, in the order of time.
+//! Queue of the scheduled actions of a simulation.
 
 use asterrill::Us;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// What happens at a moment.
+/// A scheduled action.
 pub(super) enum Action {
-    /// A member may want its tick; which time it was set for is looked up, as it may have been set anew.
+    /// Wakes a member for its tick. The simulation ignores it if the member has been rescheduled.
     Wake(usize),
     /// A datagram arrives.
     Datagram { from: usize, to: usize, bytes: Vec<u8> },
 }
 
-/// An action and its time; ordered by time, then in the order in which they were pushed.
+/// An action and its time, ordered by time and then by the order of insertion.
 pub(super) struct TimedAction {
     pub(super) at: Us,
-    number: u64,
+    sequence: u64,
     pub(super) action: Action,
 }
 
@@ -32,12 +32,12 @@
 }
 impl Ord for TimedAction {
     fn cmp(&self, other: &TimedAction) -> Ordering {
-        // The heap has the greatest first.
-        (other.at, other.number).cmp(&(self.at, self.number))
+        // Reversed, because the heap returns the greatest element first.
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Actions in the order of time.
+/// Actions ordered by time.
 #[derive(Default)]
 pub(super) struct ActionQueue {
     heap: BinaryHeap<TimedAction>,
@@ -47,10 +47,10 @@
 impl ActionQueue {
     pub(super) fn push(&mut self, at: Us, action: Action) {
         self.pushed += 1;
-        self.heap.push(TimedAction { at, number: self.pushed, action });
+        self.heap.push(TimedAction { at, sequence: self.pushed, action });
     }
 
-    /// The next action, if it happens by then.
+    /// Removes and returns the next action that is due by `until`.
     pub(super) fn pop_until(&mut self, until: Us) -> Option<TimedAction> {
         self.heap.peek().filter(|next| next.at <= until)?;
         self.heap.pop()
--- a/lab/src/scale/members/mod.rs
+++ b/lab/src/scale/members/mod.rs
@@ -1,13 +1,14 @@
-//! `scale-members`: what it costs to know the others at the fleet's size, and how long it takes. Members are simulated in
-//! memory on virtual time, so that 1,020 of them fit in one process; CPU is this process's own.
+//! The scenario `scale-members`: cost and latency of membership at the size of a fleet.
 //!
-//! | kind | what happens once all know each other |
+//! Members are simulated in memory on virtual time, so that 1,020 of them fit in one process. CPU is that of this process.
+//!
+//! | kind | what happens once all members know each other |
 //! | --- | --- |
-//! | `calm` | nothing: the figures of calm alone |
-//! | `quiet` | three deaths, one after the other, and the wait until what the first had is taken |
-//! | `restarts` | one restart each 45 s over the fleet, every third without a word |
-//! | `zone` | 64 of 510 die at once and are back at once |
-//! | `cut` | the two halves hear nothing of each other for longer than the transition |
+//! | `calm` | nothing; only the figures of an idle fleet |
+//! | `quiet` | three crashes in sequence, and the wait until the quota of the first crashed member is reassigned |
+//! | `restarts` | one restart every 45 s over the fleet, every third without an announcement |
+//! | `zone` | 64 of 510 members crash at the same time and restart at the same time |
+//! | `cut` | a partition into two halves that lasts longer than the quota transition |
 
 mod action_queue;
 mod crashes;
--- a/lab/src/scale/members/options.rs
+++ b/lab/src/scale/members/options.rs
@@ -1,45 +1,46 @@
-//! How the scenario is played.
+//! Options of the scenario.
 
 use super::simulation::{MILLISECOND, SECOND};
 use asterrill_membership::MembershipConfig;
 use clap::ValueEnum;
 use std::ops::RangeInclusive;
 
-/// What happens once all know each other.
+/// What happens once all members know each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum ScenarioKind {
-    /// Nothing: the figures of calm alone
+    /// Nothing; only the figures of an idle fleet
     Calm,
-    /// Three deaths, one after the other, and the wait until what the first had is taken
+    /// Three crashes in sequence, and the wait until the quota of the first crashed member is reassigned
     Quiet,
-    /// One restart each 45 s over the fleet, every third without a word
+    /// One restart every 45 s over the fleet, every third without an announcement
     Restarts,
-    /// 64 of 510 die at once and are back at once
+    /// 64 of 510 members crash at the same time and restart at the same time
     Zone,
-    /// The two halves hear nothing of each other for longer than the transition
+    /// A partition into two halves that lasts longer than the quota transition
     Cut,
 }
 
-const FLEET_SIZES: RangeInclusive<usize> = 4..=2_000; // that are played
+/// Numbers of members that can be simulated.
+const FLEET_SIZES: RangeInclusive<usize> = 4..=2_000;
 const MAX_LOSS_RATE: f64 = 0.5;
 
-/// How it is played.
+/// Options of the scenario.
 #[derive(Clone, Copy)]
 pub struct MembersOptions {
-    /// Members.
+    /// Number of members.
     pub nodes: usize,
     /// Seed of all random draws.
     pub seed: u64,
-    /// What happens.
+    /// What happens once all members know each other.
     pub kind: ScenarioKind,
-    /// Of 1, the part of datagrams that get lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// The small form for CI: what is the same each time.
+    /// The small deterministic form for CI.
     pub quick: bool,
 }
 
 impl MembersOptions {
-    /// Options within what can be played.
+    /// Creates options, with the values limited to supported ranges.
     pub fn new(
         nodes: usize, seed: u64, kind: Option<ScenarioKind>, loss: f64, quick: bool,
     ) -> MembersOptions {
@@ -53,7 +54,7 @@
     }
 }
 
-/// The intervals that operators have if they set none; a newcomer counts after two seconds, so that a run is short.
+/// Returns the default intervals of operators, but with a join delay of two seconds, so that a run is short.
 pub(super) fn default_intervals(nodes: usize) -> MembershipConfig {
     MembershipConfig {
         probe_interval: 200 * MILLISECOND,
--- a/lab/src/scale/members/partition.rs
+++ b/lab/src/scale/members/partition.rs
@@ -1,4 +1,4 @@
-//! `cut`: the two halves hear nothing of each other for longer than the transition.
+//! The kind `cut`: a partition into two halves that lasts longer than the quota transition.
 
 use super::run::{to_ms, Run, DISCOVERY_TIMEOUT, SECOND_TRANSITION_MAX_NODES};
 use super::simulation::{Simulation, MILLISECOND, SECOND};
@@ -8,9 +8,13 @@
 use serde_json::{json, Value};
 use std::ops::Range;
 
-const MIN_PARTITION_TIME: Us = 60 * SECOND; // that a cut lasts where the transition is not waited for
+/// Duration of a partition in a run that does not wait for the quota transition.
+const MIN_PARTITION_TIME: Us = 60 * SECOND;
+/// Time by which a partition outlasts the quota transition.
 const PARTITION_MARGIN: Us = 30 * SECOND;
-const HEALING_ANNOUNCEMENTS: u64 = 4; // within which the sides of a healed cut find each other, as the operators' page promises
+/// Number of announce intervals within which the sides of a healed partition find each other, as the documentation for
+/// operators promises.
+const HEALING_ANNOUNCEMENTS: u64 = 4;
 
 impl Run<'_> {
     pub(super) fn run_partition(&mut self) {
@@ -21,33 +25,33 @@
         let gone =
             self.simulation.run_until(2 * self.detection(), |simulation| simulation.total_share() == 0.0);
         self.set("lease_gone_ms", to_ms(gone));
-        // As long as a side that led would take to take what the other had, and beyond.
+        // Lasts longer than a side with a quorum would need to take over the quota of the other side.
         let waits = self.waits_for_transitions(SECOND_TRANSITION_MAX_NODES);
         let span = if waits { self.transition() + PARTITION_MARGIN } else { MIN_PARTITION_TIME };
-        let rest = span.saturating_sub(self.simulation.now - since);
-        self.track_worst(rest.max(SECOND));
-        let mut leading = 0;
+        let remaining = span.saturating_sub(self.simulation.now - since);
+        self.track_worst(remaining.max(SECOND));
+        let mut sides_with_quorum = 0;
         for (name, side) in [("side_a", 0..nodes / 2), ("side_b", nodes / 2..nodes)] {
-            leading += usize::from(self.report_side(name, side));
+            sides_with_quorum += usize::from(self.report_side(name, side));
         }
-        self.set("sides_that_lead", json!(leading));
+        self.set("sides_that_lead", json!(sides_with_quorum));
         self.set("cut_ms", json!((self.simulation.now - since) / MILLISECOND));
-        self.report.rule("both sides of a cut lead", leading < 2);
-        self.report.rule("a half leads", leading == 0);
+        self.report.rule("both sides of a partition have a quorum", sides_with_quorum < 2);
+        self.report.rule("a half of the fleet has a quorum", sides_with_quorum == 0);
         let false_failures = self.false_failures() - false_before;
-        self.rule_without_loss("a member in touch was called failed", false_failures == 0);
-        let cut = std::mem::take(&mut self.worst);
-        self.set("cut_worst_cpu_ms_per_s", rounded(cut.cpu_ms));
-        self.set("cut_worst_bytes_per_s", json!(cut.bytes.round()));
+        self.rule_without_loss("a reachable member was declared failed", false_failures == 0);
+        let worst = std::mem::take(&mut self.worst);
+        self.set("cut_worst_cpu_ms_per_s", rounded(worst.cpu_ms));
+        self.set("cut_worst_bytes_per_s", json!(worst.bytes.round()));
         self.measure_healing();
     }
 
-    /// Reports a side of the cut; whether any of its members leads.
+    /// Reports the figures of one side of the partition. Returns whether any of its members has a quorum.
     fn report_side(&mut self, name: &str, side: Range<usize>) -> bool {
         let nodes = self.options.nodes;
         let members: Vec<&Membership> = side.filter_map(|n| self.simulation.member(n)).collect();
         let minority = members.iter().filter(|m| m.view() == View::Minority).count();
-        let leading = members.iter().filter(|m| m.view().has_quorum()).count();
+        let with_quorum = members.iter().filter(|m| m.view().has_quorum()).count();
         let leased = members.iter().filter(|m| m.quota_fraction() > 0.0).count();
         let policy =
             members.first().map(|m| role_policy(m.view(), m.quota_fraction(), nodes, m.agreed_size()));
@@ -55,14 +59,14 @@
             AllowedChanges::Any => "any",
             AllowedChanges::RollbackOnly => "only undo and settle",
         });
-        let figures: Value = json!({"members": members.len(), "minority": minority, "leads": leading,
+        let figures: Value = json!({"members": members.len(), "minority": minority, "leads": with_quorum,
             "leased": leased, "part_of_the_even_one": policy.map(|policy| policy.quota_factor),
             "changes": changes, "agreed": members.first().map(|m| m.agreed_size())});
         self.set(name, figures);
-        leading > 0
+        with_quorum > 0
     }
 
-    /// The cut heals: until all know each other, see the whole fleet, and take all.
+    /// Heals the partition. Reports the times until all members know each other, see the whole fleet and use the whole quota.
     fn measure_healing(&mut self) {
         self.simulation.partition(0);
         let (healed, false_before) = (self.simulation.now, self.false_failures());
@@ -71,11 +75,11 @@
         let complete = self.simulation.run_until(DISCOVERY_TIMEOUT, Simulation::all_complete);
         let complete = complete.map(|_| self.simulation.now - healed);
         self.set("whole_ms", to_ms(complete));
-        let greetings = HEALING_ANNOUNCEMENTS * self.intervals.announce_interval * 5 / 4;
-        let promised = self.detection() + greetings + self.intervals.join_delay;
-        self.set("whole_bound_ms", json!(promised / MILLISECOND));
-        let late = complete.is_none_or(|complete| complete > promised);
-        self.rule_without_loss("views were not equal again in the time that is promised", !late);
+        let announcements = HEALING_ANNOUNCEMENTS * self.intervals.announce_interval * 5 / 4;
+        let bound = self.detection() + announcements + self.intervals.join_delay;
+        self.set("whole_bound_ms", json!(bound / MILLISECOND));
+        let late = complete.is_none_or(|complete| complete > bound);
+        self.rule_without_loss("the views of the members did not converge within the bound", !late);
         if self.waits_for_transitions(SECOND_TRANSITION_MAX_NODES) {
             let taken = self.wait_until_fully_shared().map(|_| self.simulation.now - healed);
             self.set("all_taken_ms", to_ms(taken));
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -1,5 +1,7 @@
-//! Real processes beside simulated members, with the same intervals: how much the simulation leaves out. Each process has
-//! an agent and proxies; datagrams go over relays, which are in this process and cost it, not them.
+//! A comparison of real processes with simulated members at the same intervals, which shows what the simulation omits.
+//!
+//! Each process has an agent and proxies. Datagrams pass through relays in this process, whose CPU time does not count for
+//! the measured processes.
 
 use super::options::{MembersOptions, ScenarioKind};
 use super::scenario::run_with_intervals;
@@ -19,18 +21,21 @@
 use std::ops::RangeInclusive;
 use std::time::{Duration, Instant};
 
-const FLEET_SIZES: RangeInclusive<usize> = 4..=40; // processes
+/// Numbers of processes that can be started.
+const FLEET_SIZES: RangeInclusive<usize> = 4..=40;
 const STARTUP_TIME: Duration = ms(3_000);
 const IDLE_PHASE: Duration = ms(15_000);
 const DISCOVERY_TIMEOUT: Duration = ms(60_000);
 const CRASHES: usize = 3;
-const MAX_COUNTER_ATTEMPTS: usize = 20; // a busy machine may have to be asked more than once
+/// Maximum number of requests for counters: on a busy machine, a request may time out.
+const MAX_COUNTER_ATTEMPTS: usize = 20;
 const ANSWER_TIMEOUT: Duration = ms(400);
-const POLL_INTERVAL: Duration = ms(20); // between rounds
-const POLLING_ALLOWANCE_MS: u64 = 500; // that asking adds to what is promised
+const POLL_INTERVAL: Duration = ms(20);
+/// Time that polling may add to the bound on detection.
+const POLLING_ALLOWANCE_MS: u64 = 500;
 const US_PER_MS: u64 = 1_000;
 
-/// The same intervals as in the processes' file.
+/// Returns the intervals that the operator's file of the processes has.
 fn intervals(nodes: usize) -> MembershipConfig {
     let us = |ms: u64| -> Us { ms * US_PER_MS };
     MembershipConfig {
@@ -44,14 +49,14 @@
     }
 }
 
-/// What one process says of the others.
+/// The view of one process of the other members.
 struct MembersAnswer {
     alive: usize,
     failed: BTreeSet<String>,
     counters: Counters,
 }
 
-/// Datagrams that were sent, their bytes, and pauses.
+/// Counters of sent datagrams, of their bytes, and of pauses.
 #[derive(Clone, Copy, Default)]
 struct Counters {
     sent: u64,
@@ -59,6 +64,7 @@
     pauses: u64,
 }
 
+/// Queries the members that a process sees, and its counters.
 fn query_members(fleet: &Fleet, n: usize) -> Option<MembersAnswer> {
     let dir = &fleet.members.get(n)?.node.dir;
     let answer = request_within(dir, json!({"do": "members"}), ANSWER_TIMEOUT)?;
@@ -76,43 +82,44 @@
     })
 }
 
-/// Counters of a process; zeros if it does not answer.
+/// Returns the counters of a process, or zeros if it does not answer.
 fn counters(fleet: &Fleet, n: usize) -> Counters {
     let answer = (0..MAX_COUNTER_ATTEMPTS).find_map(|_| query_members(fleet, n));
     answer.map_or(Counters::default(), |answer| answer.counters)
 }
 
-/// Asks processes until it holds for each, at most so long; how long after the moment it did for each, in ms.
+/// Polls processes until a condition holds for each. Returns the sorted times in milliseconds after which it held; processes
+/// for which it did not hold before the timeout are missing.
 fn wait_until(
-    fleet: &Fleet, since: Instant, within: Duration, processes: &[usize],
+    fleet: &Fleet, since: Instant, timeout: Duration, processes: &[usize],
     holds: impl Fn(&MembersAnswer) -> bool,
 ) -> Vec<u64> {
-    let (mut open, mut took_ms) = (processes.to_vec(), Vec::new());
-    while !open.is_empty() && since.elapsed() < within {
-        open.retain(|n| {
+    let (mut pending, mut elapsed_ms) = (processes.to_vec(), Vec::new());
+    while !pending.is_empty() && since.elapsed() < timeout {
+        pending.retain(|n| {
             let held = query_members(fleet, *n).is_some_and(|answer| holds(&answer));
             if held {
-                took_ms.push(since.elapsed().as_millis() as u64);
+                elapsed_ms.push(since.elapsed().as_millis() as u64);
             }
             !held
         });
         std::thread::sleep(POLL_INTERVAL);
     }
-    took_ms.sort_unstable();
-    took_ms
+    elapsed_ms.sort_unstable();
+    elapsed_ms
 }
 
-/// What one process takes on average in a time in which nothing happens.
+/// Mean resource usage of one idle process.
 struct IdleUsage {
     cpu_ms_per_s: f64,
-    /// Memory of its own, not shared with a file.
+    /// Anonymous resident memory.
     memory_kb: f64,
     datagrams_per_s: f64,
     bytes_per_s: f64,
     pauses_per_s: f64,
 }
 
-/// `with_members`: the processes know each other and can be asked for counters.
+/// Measures idle processes. Their counters are queried only if `with_members` is set, that is, if membership is enabled.
 fn measure_idle(fleet: &Fleet, with_members: bool) -> IdleUsage {
     let nodes = fleet.members.len();
     let average = |of: &dyn Fn(usize) -> f64| (0..nodes).map(of).sum::<f64>() / nodes.max(1) as f64;
@@ -137,34 +144,36 @@
     }
 }
 
-/// Kills processes, one after the other; how long each of the others took to find that, in ms.
+/// Kills processes in sequence. Returns the sorted times in milliseconds until each of the others detected the failure.
 fn crash_processes(report: &mut Report, fleet: &mut Fleet, detection_ms: u64) -> Vec<u64> {
     let nodes = fleet.members.len();
-    let (mut alive, mut took_ms): (Vec<usize>, Vec<u64>) = ((0..nodes).collect(), Vec::new());
-    for death in 0..CRASHES.min(nodes - 2) {
-        let n = nodes / 2 + death;
+    let (mut alive, mut detected_ms): (Vec<usize>, Vec<u64>) = ((0..nodes).collect(), Vec::new());
+    for crash in 0..CRASHES.min(nodes - 2) {
+        let n = nodes / 2 + crash;
         alive.retain(|other| *other != n);
         let since = Instant::now();
         fleet.members[n].node.kill();
-        let (name, within) = (format!("n{n}"), ms(2 * detection_ms));
-        let found = wait_until(fleet, since, within, &alive, |answer| answer.failed.contains(&name));
-        report.rule("a loss was not found by all", found.len() == alive.len());
-        took_ms.extend(found);
+        let (name, timeout) = (format!("n{n}"), ms(2 * detection_ms));
+        let found = wait_until(fleet, since, timeout, &alive, |answer| answer.failed.contains(&name));
+        report.rule("not all members detected a failure", found.len() == alive.len());
+        detected_ms.extend(found);
     }
-    took_ms.sort_unstable();
-    took_ms
+    detected_ms.sort_unstable();
+    detected_ms
 }
 
-/// What the processes have shown.
+/// Figures of the processes.
 struct ProcessFigures {
-    /// In calm, without `[members]` and with it.
-    without: IdleUsage,
-    with: IdleUsage,
-    /// How long each took to know all others, and losses to be found, in ms, sorted.
-    met_ms: Vec<u64>,
+    /// Idle usage without `[members]`.
+    without_members: IdleUsage,
+    /// Idle usage with `[members]`.
+    with_members: IdleUsage,
+    /// Sorted times until each process knew all others.
+    discovered_ms: Vec<u64>,
+    /// Sorted times until failures were detected.
     detected_ms: Vec<u64>,
-    /// Processes that are still there at the end.
-    left: usize,
+    /// Number of processes that are still running at the end.
+    leftover_processes: usize,
 }
 
 fn measure_processes(
@@ -172,21 +181,22 @@
 ) -> Result<ProcessFigures, ScenarioError> {
     let mut fleet = start_idle_fleet(nodes, FILE_WITHOUT_MEMBERS.into(), seed)?;
     std::thread::sleep(STARTUP_TIME);
-    let without = measure_idle(&fleet, false);
-    let mut left = fleet.end();
+    let without_members = measure_idle(&fleet, false);
+    let mut leftover_processes = fleet.end();
     drop(fleet);
     let mut fleet = start_idle_fleet(nodes, operator_file(nodes), seed)?;
-    let begun = fleet.members.iter().map(|m| m.since).max().unwrap_or(fleet.start);
+    let started_at = fleet.members.iter().map(|m| m.since).max().unwrap_or(fleet.start);
     let all: Vec<usize> = (0..nodes).collect();
-    let met_ms = wait_until(&fleet, begun, DISCOVERY_TIMEOUT, &all, |answer| answer.alive + 1 >= nodes);
+    let discovered_ms =
+        wait_until(&fleet, started_at, DISCOVERY_TIMEOUT, &all, |answer| answer.alive + 1 >= nodes);
     std::thread::sleep(STARTUP_TIME);
-    let with = measure_idle(&fleet, true);
+    let with_members = measure_idle(&fleet, true);
     let detected_ms = crash_processes(report, &mut fleet, detection_ms);
-    left += fleet.end();
-    Ok(ProcessFigures { without, with, met_ms, detected_ms, left })
+    leftover_processes += fleet.end();
+    Ok(ProcessFigures { without_members, with_members, discovered_ms, detected_ms, leftover_processes })
 }
 
-/// Plays so many processes beside as many simulated members.
+/// Runs the same number of real processes and of simulated members, and reports their figures side by side.
 pub fn compare_with_processes(report: &mut Report, seed: u64, nodes: usize) -> Result<(), ScenarioError> {
     let nodes = nodes.clamp(*FLEET_SIZES.start(), *FLEET_SIZES.end());
     let mut simulated = Report::default();
@@ -201,21 +211,21 @@
     report.set("nodes", json!(nodes));
     let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     report.set("load", json!(load.trim()));
-    report.set("left_processes", json!(real.left));
-    report.rule("they did not find each other", real.met_ms.len() == nodes);
+    report.set("left_processes", json!(real.leftover_processes));
+    report.rule("not all members discovered each other in time", real.discovered_ms.len() == nodes);
     let in_time = real.detected_ms.last().is_none_or(|last| *last <= detection_ms + POLLING_ALLOWANCE_MS);
-    report.rule("a loss was found later than is promised", in_time);
-    report.rule("a process was left behind", real.left == 0);
+    report.rule("a failure was detected later than the bound", in_time);
+    report.rule("a process is still running at the end", real.leftover_processes == 0);
     Ok(())
 }
 
-/// The figures of processes beside those of simulated members.
+/// Reports the figures of the processes beside those of the simulated members.
 fn report_comparison(report: &mut Report, real: &ProcessFigures, simulated: &Report) {
-    let (with, without) = (&real.with, &real.without);
+    let (with, without) = (&real.with_members, &real.without_members);
     let cpu = round(with.cpu_ms_per_s - without.cpu_ms_per_s);
     let memory = round(with.memory_kb - without.memory_kb);
     for (name, value) in [
-        ("found_ms", json!(real.met_ms.last())),
+        ("found_ms", json!(real.discovered_ms.last())),
         ("detect_ms_p50", json!(real.detected_ms.get(real.detected_ms.len() / 2))),
         ("detect_ms_max", json!(real.detected_ms.last())),
         ("datagrams_per_s", json!(with.datagrams_per_s)),
@@ -223,8 +233,8 @@
         ("cpu_ms_per_s", json!(cpu)),
         ("memory_kb", json!(memory)),
     ] {
-        let beside: Value = json!({"real": value, "hollow": simulated.figure(name).unwrap_or(0.0)});
-        report.set(name, beside);
+        let pair: Value = json!({"real": value, "hollow": simulated.figure(name).unwrap_or(0.0)});
+        report.set(name, pair);
     }
     let cpu = json!({"members": with.cpu_ms_per_s, "off": without.cpu_ms_per_s});
     report.set("cpu_ms_per_s_of_the_process", cpu);
--- a/lab/src/scale/members/restarts.rs
+++ b/lab/src/scale/members/restarts.rs
@@ -1,4 +1,4 @@
-//! `restarts`: one restart each 45 s over the fleet, every third without a word.
+//! The kind `restarts`: one restart every 45 s over the fleet, every third without an announcement.
 
 use super::run::{median_and_max, Run};
 use super::simulation::{Simulation, SECOND};
@@ -6,9 +6,9 @@
 use asterrill::Us;
 use serde_json::json;
 
-const RESTART_INTERVAL: Us = 45 * SECOND; // between restarts
+const RESTART_INTERVAL: Us = 45 * SECOND;
 const RESTARTS: usize = 6;
-const RESTART_DOWNTIME: Us = SECOND; // that a restart takes
+const RESTART_DOWNTIME: Us = SECOND;
 
 impl Run<'_> {
     pub(super) fn run_restarts(&mut self) {
--- a/lab/src/scale/members/run.rs
+++ b/lab/src/scale/members/run.rs
@@ -1,4 +1,4 @@
-//! A run of a simulation: the waits, the worst second, and what members say of losses.
+//! A run of the simulation: waits, the cost of the worst second, and the detection of failures.
 
 use super::options::MembersOptions;
 use super::simulation::{FailureReport, PersistedMembers, Simulation, MILLISECOND, SECOND};
@@ -8,33 +8,35 @@
 use asterrill_membership::{LeaseTiming, MembershipConfig};
 use serde_json::{json, Value};
 
-/// What is waited for at the most until all have met.
+/// Maximum time until all members have discovered each other.
 pub(super) const DISCOVERY_TIMEOUT: Us = 300 * SECOND;
-/// Members up to which a transition is waited for: the first one.
+/// Maximum size of a fleet in which a run waits for the first quota transition.
 pub(super) const FIRST_TRANSITION_MAX_NODES: usize = 600;
-/// The same for a second one.
+/// Maximum size of a fleet in which a run waits for a second quota transition.
 pub(super) const SECOND_TRANSITION_MAX_NODES: usize = 400;
-const LOSSY_MAX_NODES: usize = 200; // the same with losses, where wrong failures leave something untaken most of the time
+/// Maximum size of a fleet in which a run with datagram loss waits for a quota transition. In larger ones, false failures
+/// leave some quota unassigned most of the time.
+const LOSSY_MAX_NODES: usize = 200;
 const TRANSITION_MARGIN: Us = 30 * SECOND;
 
-/// CPU time of this process so far, in ms. All is done by its first thread.
+/// Returns the CPU time of the main thread of this process, which does all the work, in milliseconds.
 pub(super) fn own_cpu_ms() -> f64 {
     let first = std::process::id().to_string();
     thread_cpu_ns(OWN).find(|(thread, _)| *thread == first).map_or(0.0, |(_, ns)| ns as f64 / 1e6)
 }
 
-/// A virtual time in ms, for a report.
+/// Converts a duration to milliseconds for a report.
 pub(super) fn to_ms(us: Option<Us>) -> Value {
     us.map_or(Value::Null, |us| json!(us / MILLISECOND))
 }
 
-/// Median and greatest, in ms.
-pub(super) fn median_and_max(mut took: Vec<Us>) -> [Value; 2] {
-    took.sort_unstable();
-    [took.get(took.len() / 2), took.last()].map(|us| to_ms(us.copied()))
+/// Returns the median and the maximum, in milliseconds.
+pub(super) fn median_and_max(mut durations: Vec<Us>) -> [Value; 2] {
+    durations.sort_unstable();
+    [durations.get(durations.len() / 2), durations.last()].map(|us| to_ms(us.copied()))
 }
 
-/// Where the counts stood at a moment.
+/// Totals of the simulation at a moment.
 struct Totals {
     at: Us,
     cpu_ms: f64,
@@ -42,7 +44,7 @@
     bytes: u64,
 }
 
-/// What was spent each second by each member.
+/// Mean cost per member and second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Cost {
     pub(super) cpu_ms: f64,
@@ -66,25 +68,25 @@
     }
 }
 
-/// A run, and what it has shown.
+/// State of a run.
 pub(super) struct Run<'a> {
     pub(super) simulation: Simulation,
     pub(super) options: &'a MembersOptions,
     pub(super) intervals: MembershipConfig,
     pub(super) report: &'a mut Report,
-    /// CPU and bytes of the worst second; each may be of another second.
+    /// Maxima of CPU and of bytes in any second, possibly of different seconds.
     pub(super) worst: Cost,
 }
 
 impl Run<'_> {
-    /// Reports a figure; figures of the machine only where the run need not be the same each time.
+    /// Reports a figure. The quick form omits CPU and memory, which differ from run to run.
     pub(super) fn set(&mut self, name: &str, value: Value) {
         if !self.options.quick || !(name.contains("cpu") || name.contains("memory")) {
             self.report.set(name, value);
         }
     }
 
-    /// Checks a rule that holds only where no datagrams get lost.
+    /// Checks a rule that applies only without datagram loss.
     pub(super) fn rule_without_loss(&mut self, broken: &str, holds: bool) {
         self.report.rule(broken, holds || self.options.loss > 0.0);
     }
@@ -94,29 +96,29 @@
         LeaseTiming::from_intervals(probe, suspicion, self.options.nodes)
     }
 
-    /// Until what a lost member had may be taken.
+    /// Returns the time from the loss of a member until the others may use its quota.
     pub(super) fn transition(&self) -> Us {
         self.lease().reassignment_delay()
     }
 
-    /// Until all have found a loss.
+    /// Returns the maximum time until all members have detected a failure.
     pub(super) fn detection(&self) -> Us {
         self.lease().detection_time
     }
 
-    /// Until a transition has to have come about.
+    /// Returns the time within which a quota transition has to complete.
     pub(super) fn transition_timeout(&self) -> Us {
         2 * self.transition() + TRANSITION_MARGIN
     }
 
-    /// Runs so long; what it cost.
+    /// Runs for a time span and returns its cost.
     pub(super) fn measure_cost(&mut self, span: Us) -> Cost {
         let before = Totals::read(&self.simulation);
         self.simulation.run(span);
         Totals::read(&self.simulation).since(&before, self.options.nodes)
     }
 
-    /// Runs so long and remembers the worst second of it.
+    /// Runs for a time span and updates the maxima of its seconds.
     pub(super) fn track_worst(&mut self, span: Us) {
         for _ in 0..span.div_ceil(SECOND) {
             let cost = self.measure_cost(SECOND);
@@ -125,13 +127,14 @@
         }
     }
 
-    /// The same until it holds, to the second; how long that took.
+    /// Runs, with updates of the maxima, until a condition holds. Returns the time it took to the second, or `None` after a
+    /// timeout.
     pub(super) fn track_worst_until(
-        &mut self, within: Us, holds: impl Fn(&Simulation) -> bool,
+        &mut self, timeout: Us, holds: impl Fn(&Simulation) -> bool,
     ) -> Option<Us> {
         let start = self.simulation.now;
         while !holds(&self.simulation) {
-            if self.simulation.now - start >= within {
+            if self.simulation.now - start >= timeout {
                 return None;
             }
             self.track_worst(SECOND);
@@ -139,18 +142,18 @@
         Some(self.simulation.now - start)
     }
 
-    /// Until all of what is divided is taken, or it has to have been.
+    /// Runs until the whole quota is assigned. Returns the time it took, or `None` after a timeout.
     pub(super) fn wait_until_fully_shared(&mut self) -> Option<Us> {
         self.simulation.run_until(self.transition_timeout(), Simulation::all_shares_taken)
     }
 
-    /// Whether a run of this size waits for what takes a transition.
+    /// Reports whether a run of this size waits for quota transitions.
     pub(super) fn waits_for_transitions(&self, max_nodes: usize) -> bool {
         let max_nodes = if self.options.loss > 0.0 { LOSSY_MAX_NODES } else { max_nodes };
         self.options.nodes <= max_nodes
     }
 
-    /// How long after a moment each of the others said that these have failed.
+    /// Returns the times from a moment until each running member declared each of the lost members failed.
     pub(super) fn detected(&self, since: Us, lost: &[usize]) -> Vec<Us> {
         let counts = |failure: &&FailureReport| {
             failure.at >= since && lost.contains(&failure.subject) && self.simulation.up(failure.observer)
@@ -160,24 +163,24 @@
             failures.map(|failure| (failure.observer, failure.subject, failure.at - since)).collect();
         first.sort_unstable();
         first.dedup_by_key(|(by, of, _)| (*by, *of));
-        first.into_iter().map(|(_, _, took)| took).collect()
+        first.into_iter().map(|(_, _, duration)| duration).collect()
     }
 
-    /// Reports how long losses took to be found, and checks that none took longer than is promised.
-    pub(super) fn report_detection(&mut self, took: Vec<Us>) {
-        let late = took.iter().any(|took| *took > self.detection());
-        self.rule_without_loss("a loss was found later than is promised", !late);
-        let [p50, max] = median_and_max(took);
+    /// Reports detection times and checks that none exceeds the bound.
+    pub(super) fn report_detection(&mut self, durations: Vec<Us>) {
+        let late = durations.iter().any(|duration| *duration > self.detection());
+        self.rule_without_loss("a failure was detected later than the bound", !late);
+        let [p50, max] = median_and_max(durations);
         self.set("detect_ms_p50", p50);
         self.set("detect_ms_max", max);
     }
 
-    /// Members in touch that were called failed.
+    /// Returns the number of failure reports about reachable members.
     pub(super) fn false_failures(&self) -> usize {
         self.simulation.failures.iter().filter(|failure| failure.false_positive).count()
     }
 
-    /// Ends members where they stand.
+    /// Stops members without an announcement and returns their persisted state.
     pub(super) fn kill(&mut self, members: &[usize]) -> Vec<(usize, PersistedMembers)> {
         members.iter().map(|n| (*n, self.simulation.stop(*n, false))).collect()
     }
--- a/lab/src/scale/members/scenario.rs
+++ b/lab/src/scale/members/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario: all meet, the figures of calm, and what the kind says.
+//! The scenario: mutual discovery, the figures of an idle fleet, and then the events of the kind.
 
 use super::options::{default_intervals, MembersOptions, ScenarioKind};
 use super::run::{own_cpu_ms, to_ms, Cost, Run, DISCOVERY_TIMEOUT};
@@ -10,10 +10,12 @@
 use asterrill_membership::MembershipConfig;
 use serde_json::{json, Value};
 
-const SETTLE_TIME: Us = 5 * SECOND; // once all have met
-const IDLE_PHASE: Us = 30 * SECOND; // of which the figures are
+/// Wait after mutual discovery.
+const SETTLE_TIME: Us = 5 * SECOND;
+/// Time over which the figures of an idle fleet are measured.
+const IDLE_PHASE: Us = 30 * SECOND;
 
-// What a backend may spend on all control (docs/design, "the fleet ahead").
+// Budgets of one backend for all control traffic (docs/design, "the fleet ahead").
 const MAX_CPU_MS_PER_S: f64 = 14.0;
 const MAX_BYTES_PER_S: f64 = 24_000.0;
 const MAX_MEMORY_KB: f64 = 32_768.0;
@@ -30,12 +32,12 @@
     ("memory_kb", MAX_MEMORY_KB),
 ];
 
-/// Plays it.
+/// Runs the scenario with the default intervals.
 pub fn scenario(report: &mut Report, options: &MembersOptions) {
     run_with_intervals(report, options, default_intervals(options.nodes));
 }
 
-/// The same with other intervals.
+/// Runs the scenario with the given intervals.
 pub(super) fn run_with_intervals(report: &mut Report, options: &MembersOptions, intervals: MembershipConfig) {
     let (empty_kb, cpu_before_ms) = (resident_kb(OWN), own_cpu_ms());
     let nodes = options.nodes;
@@ -44,17 +46,17 @@
     run.set("nodes", json!(nodes));
     run.set("kind", json!(format!("{:?}", options.kind).to_lowercase()));
     run.set("loss", json!(options.loss));
-    let met = run.simulation.run_until(DISCOVERY_TIMEOUT, Simulation::all_met);
+    let met = run.simulation.run_until(DISCOVERY_TIMEOUT, Simulation::all_discovered);
     run.set("found_ms", to_ms(met));
     let bytes = run.simulation.bytes as f64 / nodes as f64;
     run.set("found_bytes", json!(bytes.round()));
     run.track_worst(SETTLE_TIME);
     run.set("found_cpu_ms", rounded((own_cpu_ms() - cpu_before_ms) / nodes as f64));
     run.set("memory_kb", rounded((resident_kb(OWN) - empty_kb) / nodes as f64));
-    let calm = run.measure_cost(IDLE_PHASE);
-    run.set("cpu_ms_per_s", rounded(calm.cpu_ms));
-    run.set("datagrams_per_s", rounded(calm.datagrams));
-    run.set("bytes_per_s", rounded(calm.bytes));
+    let idle = run.measure_cost(IDLE_PHASE);
+    run.set("cpu_ms_per_s", rounded(idle.cpu_ms));
+    run.set("datagrams_per_s", rounded(idle.datagrams));
+    run.set("bytes_per_s", rounded(idle.bytes));
     run.set("transition_ms", json!(run.transition() / MILLISECOND));
     run.set("notice_ms", json!(run.detection() / MILLISECOND));
     match options.kind {
@@ -65,12 +67,12 @@
         ScenarioKind::Cut => run.run_partition(),
     }
     run.set("cpu_ms_of_the_run", json!((own_cpu_ms() - cpu_before_ms).round()));
-    run.report.rule("they did not find each other", met.is_some());
+    run.report.rule("not all members discovered each other in time", met.is_some());
     run.report_totals();
 }
 
 impl Run<'_> {
-    /// Reports what the whole run has shown.
+    /// Reports the totals of the run and checks the rules about the whole run.
     fn report_totals(mut self) {
         let false_failures = self.false_failures();
         self.set("false_failed", json!(false_failures));
@@ -83,13 +85,13 @@
         self.set("trace", json!(format!("{:016x}", self.simulation.trace_hash)));
         self.set("memory_kb_of_the_process", json!(resident_kb(OWN)));
         let exceeded = self.simulation.exceeded_total_quota();
-        self.report.rule("more than the whole was taken of what is shared", !exceeded);
+        self.report.rule("the quota shares of all members exceeded the whole quota", !exceeded);
         let healed = self.options.kind == ScenarioKind::Cut;
-        self.rule_without_loss("a member in touch was called failed", false_failures == 0 || healed);
+        self.rule_without_loss("a reachable member was declared failed", false_failures == 0 || healed);
         self.report_over_budget();
     }
 
-    /// What is over the budget, which breaks no rule: it stands on the page.
+    /// Reports the figures over budget. They break no rule, but the capacity page lists them.
     fn report_over_budget(&mut self) {
         let over = BUDGETS.iter().filter_map(|(name, budget)| {
             let figure = self.report.figure(name)?;
--- a/lab/src/scale/members/simulation.rs
+++ b/lab/src/scale/members/simulation.rs
@@ -1,5 +1,7 @@
-//! Members simulated in memory on virtual time: the state machines of `asterrill-membership` as they are, with a driver
-//! that looks only at what is due next. What it leaves out: sockets, system calls, threads, the rest of the process.
+//! A simulation of members in memory on virtual time.
+//!
+//! The members are the state machines of `asterrill-membership`; an event queue drives them. The simulation omits sockets,
+//! system calls, threads and the rest of the process.
 
 use super::action_queue::{Action, ActionQueue, TimedAction};
 use asterrill::Us;
@@ -12,48 +14,50 @@
 use std::net::{IpAddr, SocketAddr};
 use std::ops::RangeInclusive;
 
-/// A millisecond in [`Us`].
+/// One millisecond.
 pub const MILLISECOND: Us = 1_000;
-/// A second in [`Us`].
+/// One second.
 pub const SECOND: Us = 1_000 * MILLISECOND;
-/// When a simulation begins.
+/// The virtual time at which a simulation starts.
 pub const START_TIME: Us = 1_000 * SECOND;
-const NETWORK_DELAY: RangeInclusive<Us> = 100..=2 * MILLISECOND; // of a datagram on its way
-const START_SPREAD: Us = SECOND; // over which a fleet starts
+const NETWORK_DELAY: RangeInclusive<Us> = 100..=2 * MILLISECOND;
+/// Time over which the members of a fleet start.
+const START_SPREAD: Us = SECOND;
 const MAX_CONTACTS: usize = 3;
-const SHARE_SUM_TOLERANCE: f64 = 1e-6; // sums of parts that differ by less are the same
+/// Rounding error up to which sums of quota shares count as equal.
+const SHARE_SUM_TOLERANCE: f64 = 1e-6;
 
-/// A member says that another has failed.
+/// A report of a member that another has failed.
 pub struct FailureReport {
-    /// When.
+    /// The virtual time of the report.
     pub at: Us,
-    /// Which says so.
+    /// The index of the reporting member.
     pub observer: usize,
-    /// Of which.
+    /// The index of the member reported as failed.
     pub subject: usize,
-    /// That one was there, and nothing between the two was cut.
+    /// Whether the subject was up and no partition separated the two.
     pub false_positive: bool,
 }
 
-/// One place in the fleet, and what its member was seen to say.
+/// One slot of the fleet, with the last observed output of its member.
 struct Slot {
     member: Option<Membership>,
     start: u64,
-    /// It takes nothing before.
+    /// Datagrams that arrive before this time are ignored.
     starts_at: Us,
-    /// When its next tick is set for.
+    /// The virtual time of the next scheduled tick.
     wake: Us,
-    /// Which start of each other it takes for up; zero for none.
+    /// The start number of each other member that it considers up; zero for none.
     known_starts: Vec<u64>,
-    /// Whom it has ever taken for up.
-    met: Vec<bool>,
+    /// Whether it has ever considered each other member up.
+    discovered: Vec<bool>,
     view: View,
     quota_share: f64,
-    /// Which side of a cut it is on.
+    /// The side of a partition that it is on.
     side: u8,
 }
 
-/// A simulated fleet. All in it follows from the seed.
+/// A simulated fleet, determined by its seed.
 pub struct Simulation {
     /// The virtual time.
     pub now: Us,
@@ -61,37 +65,37 @@
     slots: Vec<Slot>,
     queue: ActionQueue,
     rng: StdRng,
-    /// Of 1, the part of datagrams that get lost.
+    /// Fraction of datagrams that are lost.
     loss: f64,
-    /// Datagrams that were sent.
+    /// Number of sent datagrams.
     pub sent: u64,
-    /// Their bytes.
+    /// Total size of the sent datagrams, in bytes.
     pub bytes: u64,
-    /// Bytes of the longest.
+    /// Size of the longest datagram, in bytes.
     pub bytes_max: usize,
-    /// Pairs of members that are up of which one does not take the other for up.
+    /// Number of ordered pairs of running members of which the first does not consider the second up.
     unknown_pairs: usize,
-    /// And of which it never has.
-    unmet_pairs: usize,
-    /// The sum of what all take.
+    /// Number of ordered pairs of members of which the first has never considered the second up.
+    undiscovered_pairs: usize,
+    /// Sum of the quota shares of all members.
     total_share: f64,
-    /// The greatest sum so far.
+    /// Maximum of the sum of quota shares so far.
     pub max_total_share: f64,
-    /// What members said of each other.
+    /// All failure reports so far.
     pub failures: Vec<FailureReport>,
-    /// All that was sent and all events of members, as one number.
+    /// Hash over all datagrams and all events of members.
     pub trace_hash: u64,
 }
 
-/// What a start of a member persisted for the next one.
+/// State that a member persists for its next start.
 #[derive(Default)]
 pub struct PersistedMembers {
-    /// Names that were agreed on.
+    /// Names of the agreed members.
     agreed: BTreeSet<MemberName>,
     addresses: Vec<SocketAddr>,
 }
 
-/// The address of a member.
+/// Returns the address of a member.
 fn address_of(n: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8 + 1], 7_946))
 }
@@ -105,7 +109,7 @@
 }
 
 impl Simulation {
-    /// So many members, which start within a second with three of them as contacts.
+    /// Creates a fleet of `nodes` members, which start within a second with the first three as contacts.
     pub fn new(nodes: usize, seed: u64, config: MembershipConfig, loss: f64) -> Simulation {
         let slot = |_| Slot {
             member: None,
@@ -113,7 +117,7 @@
             starts_at: START_TIME,
             wake: Us::MAX,
             known_starts: vec![0; nodes],
-            met: vec![false; nodes],
+            discovered: vec![false; nodes],
             view: View::Isolated,
             quota_share: 0.0,
             side: 0,
@@ -129,7 +133,7 @@
             bytes: 0,
             bytes_max: 0,
             unknown_pairs: 0,
-            unmet_pairs: nodes * nodes.saturating_sub(1),
+            undiscovered_pairs: nodes * nodes.saturating_sub(1),
             total_share: 0.0,
             max_total_share: 0.0,
             failures: Vec::new(),
@@ -139,14 +143,14 @@
         simulation
     }
 
-    /// Starts some within so long, with the names and addresses that their earlier starts persisted.
-    pub fn start(&mut self, some: Vec<(usize, PersistedMembers)>, within: Us) {
-        some.into_iter().for_each(|(n, persisted)| self.start_member(n, within, persisted));
+    /// Starts members at random times within `spread`, with the state that their earlier starts persisted.
+    pub fn start(&mut self, members: Vec<(usize, PersistedMembers)>, spread: Us) {
+        members.into_iter().for_each(|(n, persisted)| self.start_member(n, spread, persisted));
         self.count_unknown_pairs();
     }
-    fn start_member(&mut self, n: usize, within: Us, persisted: PersistedMembers) {
+    fn start_member(&mut self, n: usize, spread: Us, persisted: PersistedMembers) {
         let Some(name) = MemberName::new(&format!("n{n}")) else { return };
-        let since = self.now + self.rng.random_range(0..=within);
+        let starts_at = self.now + self.rng.random_range(0..=spread);
         let start = self.slots[n].start + 1;
         let id = MemberId {
             name,
@@ -160,14 +164,14 @@
         let contacts =
             (0..MAX_CONTACTS.min(self.slots.len())).map(address_of).chain(persisted.addresses).collect();
         let seed = self.rng.random();
-        let member = Membership::new(since, id, codec, self.config, contacts, persisted.agreed, seed);
+        let member = Membership::new(starts_at, id, codec, self.config, contacts, persisted.agreed, seed);
         let slot = &mut self.slots[n];
         slot.known_starts.iter_mut().for_each(|start| *start = 0);
-        (slot.start, slot.starts_at, slot.view) = (start, since, member.view());
+        (slot.start, slot.starts_at, slot.view) = (start, starts_at, member.view());
         slot.member = Some(member);
-        self.set_wake(n, since);
+        self.set_wake(n, starts_at);
     }
-    /// Ends one where it stands, or after it has announced that it leaves. Hands back what it had persisted.
+    /// Stops a member, after an announcement if `announced`. Returns its persisted state.
     pub fn stop(&mut self, n: usize, announced: bool) -> PersistedMembers {
         let now = self.now;
         if announced {
@@ -183,60 +187,61 @@
         self.count_unknown_pairs();
         PersistedMembers { agreed: state.agreed_members, addresses: state.addresses }
     }
-    /// Cuts the fleet: the first so many hear only each other, and so do the rest. All hear all with none.
+    /// Partitions the fleet into the first `first` members and the rest. Zero heals the partition.
     pub fn partition(&mut self, first: usize) {
         self.slots.iter_mut().enumerate().for_each(|(n, slot)| slot.side = u8::from(n < first));
     }
 
-    /// Whether a member is there.
+    /// Reports whether a member is running.
     pub fn up(&self, n: usize) -> bool {
         self.slots[n].member.is_some()
     }
-    /// A member that is there.
+    /// Returns a running member.
     pub fn member(&self, n: usize) -> Option<&Membership> {
         self.slots.get(n)?.member.as_ref()
     }
-    /// Whether all members that are up know each other.
+    /// Reports whether all running members consider each other up.
     pub fn all_known(&self) -> bool {
         self.unknown_pairs == 0
     }
-    /// Whether each has known each other at one time.
-    pub fn all_met(&self) -> bool {
-        self.unmet_pairs == 0
+    /// Reports whether each member has considered each other up at some time.
+    pub fn all_discovered(&self) -> bool {
+        self.undiscovered_pairs == 0
     }
-    /// Whether all members that are up see the whole fleet.
+    /// Reports whether all running members see the whole fleet.
     pub fn all_complete(&self) -> bool {
         self.slots.iter().all(|slot| slot.member.is_none() || slot.view == View::Complete)
     }
-    /// Whether all of what is divided is taken.
+    /// Reports whether the whole quota is in use.
     pub fn all_shares_taken(&self) -> bool {
         self.total_share >= 1.0 - SHARE_SUM_TOLERANCE
     }
-    /// What all members take of the whole (1).
+    /// Returns the sum of the quota shares of all members; 1 is the whole quota.
     pub fn total_share(&self) -> f64 {
         self.total_share
     }
-    /// Members that are up and take nothing.
+    /// Returns the number of running members without a quota share.
     pub fn members_without_share(&self) -> usize {
         self.slots.iter().filter(|slot| slot.member.is_some() && slot.quota_share == 0.0).count()
     }
-    /// What a member takes of the whole (1).
+    /// Returns the quota share of a member; 1 is the whole quota.
     pub fn quota_share(&self, n: usize) -> f64 {
         self.slots[n].quota_share
     }
-    /// Whether more than the whole was taken.
+    /// Reports whether the sum of quota shares ever exceeded the whole quota.
     pub fn exceeded_total_quota(&self) -> bool {
         self.max_total_share > 1.0 + SHARE_SUM_TOLERANCE
     }
 
-    /// Lets time pass.
+    /// Runs for a time span.
     pub fn run(&mut self, span: Us) {
         let until = self.now + span;
         while let Some(TimedAction { at: when, action, .. }) = self.queue.pop_until(until) {
             match action {
                 Action::Wake(n) => {
                     if self.slots[n].wake != when {
-                        continue; // it was set anew
+                        // The tick was rescheduled.
+                        continue;
                     }
                     self.now = when;
                     self.slots[n].wake = Us::MAX;
@@ -256,14 +261,14 @@
             }
         }
         self.now = until;
-        // A sum that is held up to date step by step drifts.
+        // An incrementally updated sum accumulates rounding errors.
         self.total_share = self.slots.iter().map(|slot| slot.quota_share).sum();
     }
-    /// Runs until it holds, at most so long; how long that took.
-    pub fn run_until(&mut self, most: Us, holds: impl Fn(&Simulation) -> bool) -> Option<Us> {
+    /// Runs until a condition holds. Returns the time it took, or `None` after a timeout.
+    pub fn run_until(&mut self, timeout: Us, holds: impl Fn(&Simulation) -> bool) -> Option<Us> {
         let start = self.now;
         while !holds(self) {
-            if self.now - start >= most {
+            if self.now - start >= timeout {
                 return None;
             }
             self.run(100 * MILLISECOND);
@@ -283,33 +288,33 @@
         self.trace_hash = (self.trace_hash ^ word).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
     }
 
-    /// Sends what a member has to send, records what it says, and sets its next tick.
+    /// Sends the datagrams of a member, records its events and schedules its next tick.
     fn process_output(&mut self, n: usize) {
         let Some(member) = &mut self.slots[n].member else { return };
-        let (out, events, next, part) =
+        let (datagrams, events, next_tick, share) =
             (member.take_datagrams(), member.take_events(), member.next_wakeup(), member.quota_fraction());
         for event in events {
             self.record_event(n, &event);
         }
         let slot = &mut self.slots[n];
-        self.total_share += part - std::mem::replace(&mut slot.quota_share, part);
+        self.total_share += share - std::mem::replace(&mut slot.quota_share, share);
         self.max_total_share = self.max_total_share.max(self.total_share);
-        for Transmit { destination, contents: bytes } in out {
+        for Transmit { destination, contents: bytes } in datagrams {
             (self.sent, self.bytes) = (self.sent + 1, self.bytes + bytes.len() as u64);
             self.bytes_max = self.bytes_max.max(bytes.len());
             let Some(to) = index_of(destination).filter(|to| *to < self.slots.len()) else { continue };
-            // The keyed hash stands for all that is in it.
+            // The keyed hash covers the whole contents.
             let hash = bytes.get(33..41).and_then(|hash| hash.try_into().ok()).map_or(0, u64::from_le_bytes);
             self.update_trace_hash(self.now ^ hash ^ (to as u64) << 32 ^ n as u64);
             let lost = self.loss > 0.0 && self.rng.random::<f64>() < self.loss;
             if lost || self.slots[n].side != self.slots[to].side {
                 continue;
             }
-            let due = self.now + self.rng.random_range(NETWORK_DELAY);
-            self.queue.push(due, Action::Datagram { from: n, to, bytes });
+            let arrival = self.now + self.rng.random_range(NETWORK_DELAY);
+            self.queue.push(arrival, Action::Datagram { from: n, to, bytes });
         }
-        // A member never wants to wake twice at one moment for nothing.
-        self.set_wake(n, next.max(self.now));
+        // Cannot loop: a member never asks for a second tick at the same time without need.
+        self.set_wake(n, next_tick.max(self.now));
     }
 
     fn record_event(&mut self, n: usize, event: &Event) {
@@ -322,9 +327,9 @@
             Event::Alive { name, generation, .. } => self.record_known(n, name, *generation),
             Event::Dead { name } => {
                 if let Some(m) = index_in_name(name).filter(|m| *m < self.slots.len()) {
-                    let (by, of) = (&self.slots[n], &self.slots[m]);
-                    let there = of.member.is_some() && by.known_starts[m] == of.start;
-                    let false_positive = there && by.side == of.side;
+                    let (observer, subject) = (&self.slots[n], &self.slots[m]);
+                    let was_up = subject.member.is_some() && observer.known_starts[m] == subject.start;
+                    let false_positive = was_up && observer.side == subject.side;
                     self.failures.push(FailureReport {
                         at: self.now,
                         observer: n,
@@ -341,27 +346,28 @@
     }
     fn record_known(&mut self, n: usize, name: &MemberName, start: u64) {
         let Some(m) = index_in_name(name).filter(|m| *m < self.slots.len() && *m != n) else { return };
-        let (up, is) = (self.slots[m].member.is_some(), self.slots[m].start);
+        let (up, current) = (self.slots[m].member.is_some(), self.slots[m].start);
         let slot = &mut self.slots[n];
         let before = std::mem::replace(&mut slot.known_starts[m], start);
-        if start != 0 && !std::mem::replace(&mut slot.met[m], true) {
-            self.unmet_pairs -= 1;
+        if start != 0 && !std::mem::replace(&mut slot.discovered[m], true) {
+            self.undiscovered_pairs -= 1;
         }
         if up && slot.member.is_some() {
-            self.unknown_pairs =
-                (self.unknown_pairs + usize::from(start != is)).saturating_sub(usize::from(before != is));
+            self.unknown_pairs = (self.unknown_pairs + usize::from(start != current))
+                .saturating_sub(usize::from(before != current));
         }
     }
     fn count_unknown_pairs(&mut self) {
         let up: Vec<Option<u64>> =
             self.slots.iter().map(|slot| slot.member.as_ref().map(|_| slot.start)).collect();
-        let row = |(n, slot): (usize, &Slot)| {
-            let one = |(m, start): &(usize, &Option<u64>)| {
+        let unknown_of = |(n, slot): (usize, &Slot)| {
+            let is_unknown = |(m, start): &(usize, &Option<u64>)| {
                 *m != n && start.is_some_and(|start| slot.known_starts.get(*m) != Some(&start))
             };
-            up.iter().enumerate().filter(one).count()
+            up.iter().enumerate().filter(is_unknown).count()
         };
-        self.unknown_pairs = self.slots.iter().enumerate().filter(|(_, p)| p.member.is_some()).map(row).sum();
+        self.unknown_pairs =
+            self.slots.iter().enumerate().filter(|(_, slot)| slot.member.is_some()).map(unknown_of).sum();
     }
 }
 
--- a/lab/src/scale/members/zone.rs
+++ b/lab/src/scale/members/zone.rs
@@ -1,4 +1,4 @@
-//! `zone`: 64 of 510 die at once and are back at once.
+//! The kind `zone`: 64 of 510 members crash at the same time and restart at the same time.
 
 use super::run::{to_ms, Run, DISCOVERY_TIMEOUT, SECOND_TRANSITION_MAX_NODES};
 use super::simulation::{Simulation, SECOND};
@@ -6,10 +6,12 @@
 use asterrill::Us;
 use serde_json::json;
 
+/// Number of crashed members in a fleet of [`ZONE_FLEET_MEMBERS`].
 const ZONE_MEMBERS: usize = 64;
 const ZONE_FLEET_MEMBERS: usize = 510;
-const MIN_ZONE_DOWNTIME: Us = 30 * SECOND; // at the least
-const ZONE_START_SPREAD: Us = SECOND; // all of them start
+const MIN_ZONE_DOWNTIME: Us = 30 * SECOND;
+/// Time over which the members of the zone restart.
+const ZONE_START_SPREAD: Us = SECOND;
 
 impl Run<'_> {
     pub(super) fn run_zone_outage(&mut self) {
@@ -17,27 +19,28 @@
         let zone: Vec<usize> = (nodes - (nodes * ZONE_MEMBERS / ZONE_FLEET_MEMBERS).max(1)..nodes).collect();
         let since = self.simulation.now;
         let persisted = self.kill(&zone);
-        let (pairs, mut took) = (zone.len() * (nodes - zone.len()), Vec::new());
-        let most = 2 * self.detection();
+        let (pairs, mut detected) = (zone.len() * (nodes - zone.len()), Vec::new());
+        let max_downtime = 2 * self.detection();
         loop {
-            let away = self.simulation.now - since;
-            if away >= MIN_ZONE_DOWNTIME && (took.len() >= pairs || away >= most) {
+            let downtime = self.simulation.now - since;
+            if downtime >= MIN_ZONE_DOWNTIME && (detected.len() >= pairs || downtime >= max_downtime) {
                 break;
             }
             self.track_worst(SECOND);
-            took = self.detected(since, &zone);
+            detected = self.detected(since, &zone);
         }
         self.set("zone", json!(zone.len()));
-        self.rule_without_loss("a zone's loss was not found by all", took.len() == pairs);
-        self.report_detection(took);
-        let away = std::mem::take(&mut self.worst);
-        self.set("away_worst_cpu_ms_per_s", rounded(away.cpu_ms));
-        self.set("away_worst_bytes_per_s", json!(away.bytes.round()));
+        self.rule_without_loss("not all members detected the loss of a zone", detected.len() == pairs);
+        self.report_detection(detected);
+        let worst = std::mem::take(&mut self.worst);
+        self.set("away_worst_cpu_ms_per_s", rounded(worst.cpu_ms));
+        self.set("away_worst_bytes_per_s", json!(worst.bytes.round()));
         self.simulation.start(persisted, ZONE_START_SPREAD);
         self.wait_for_return();
     }
 
-    /// The zone is back: until all know each other, see the whole fleet, and take all.
+    /// Reports the times from the restart of the zone until all members know each other, see the whole fleet and use the
+    /// whole quota.
     fn wait_for_return(&mut self) {
         let back = self.track_worst_until(DISCOVERY_TIMEOUT, Simulation::all_known);
         self.set("back_ms", to_ms(back));
