--- a/lab/src/scale/test_bed/agent.rs
+++ b/lab/src/scale/test_bed/agent.rs
@@ -1,4 +1,4 @@
-//! A stand-in agent without a limit of cores, which accounts for how long it had each run.
+//! A stand-in agent without a core limit that records the duration of each run.
 
 use crate::sync::lock;
 use std::collections::{BTreeMap, HashMap};
@@ -13,13 +13,13 @@
 
 #[derive(Default)]
 struct AgentState {
-    /// The backend's connection that subscribed last.
+    /// The backend connection that subscribed last.
     subscriber: Option<TcpStream>,
     notice_count: u64,
-    /// Runs by when they end, and a number that keeps those of one moment apart.
+    /// Running runs by the time of their end and a number that makes the key unique.
     running: BTreeMap<(Instant, u64), Run>,
     next_run_number: u64,
-    /// By the number in an RPC's body: from the launch that was read to the outcome that was written.
+    /// Durations from the launch that was read to the outcome that was written, by the number in the body of the RPC.
     run_times: HashMap<u64, Duration>,
 }
 
@@ -29,7 +29,7 @@
     since: Instant,
 }
 
-/// The number of an RPC whose time is accounted for.
+/// Returns the number of an RPC whose run time is recorded.
 fn rpc_number(body: &[u8]) -> Option<u64> {
     std::str::from_utf8(body).ok()?.strip_prefix("rpc ")?.parse().ok()
 }
@@ -53,10 +53,10 @@
     }
 }
 
-/// An agent that runs whatever it is given for the same time, and accounts for how long it had each run.
+/// An agent whose runs all take the same time, and which records the duration of each run.
 #[derive(Clone)]
 pub struct TimedAgent {
-    /// Where it listens.
+    /// The listening address.
     pub addr: SocketAddr,
     work: Duration,
     shared: Arc<(Mutex<AgentState>, Condvar)>,
@@ -87,30 +87,31 @@
         Ok(agent)
     }
 
-    /// How long it had the run of an RPC, once.
+    /// Removes and returns the recorded duration of the run of an RPC.
     pub fn take_run_time(&self, rpc: u64) -> Option<Duration> {
         self.state().run_times.remove(&rpc)
     }
 
-    /// Ends its threads.
+    /// Stops the threads of the agent.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
         self.shared.1.notify_all();
-        drop(TcpStream::connect(self.addr)); // so that the acceptor looks
+        // Wakes the acceptor, so that it sees the flag.
+        drop(TcpStream::connect(self.addr));
     }
 
     fn state(&self) -> MutexGuard<'_, AgentState> {
         lock(&self.shared.0)
     }
 
-    /// Reads a backend's connection to its end.
+    /// Serves a backend connection until it closes.
     fn serve(&self, stream: TcpStream) -> Option<()> {
         stream.set_nodelay(true).ok()?;
-        let mut from = BufReader::new(stream.try_clone().ok()?);
+        let mut reader = BufReader::new(stream.try_clone().ok()?);
         let mut line = String::new();
         loop {
             line.clear();
-            if from.read_line(&mut line).ok()? == 0 {
+            if reader.read_line(&mut line).ok()? == 0 {
                 return None;
             }
             let since = Instant::now();
@@ -118,7 +119,7 @@
             let mut body = Vec::new();
             if ["launch", "deliver"].contains(&words[0]) {
                 body = vec![0; words.last()?.parse::<usize>().ok()? + 2];
-                from.read_exact(&mut body).ok()?;
+                reader.read_exact(&mut body).ok()?;
                 body.truncate(body.len() - 2);
             }
             self.handle(&stream, &words, body, since)?;
@@ -162,7 +163,7 @@
         Some(())
     }
 
-    /// Ends runs when their time is over, until the agent is stopped.
+    /// Finishes runs when they are due, until the agent is stopped.
     fn finish_runs(&self) {
         let mut state = self.state();
         while !self.stopped.load(Ordering::Acquire) {
@@ -172,8 +173,8 @@
                 let run = entry.remove();
                 state.finish(&run, "PASS");
             }
-            let next = state.running.first_key_value().map(|((at, _), _)| *at);
-            let wait = next.map_or(MAX_IDLE_WAIT, |at| at.saturating_duration_since(Instant::now()));
+            let next_end = state.running.first_key_value().map(|((end, _), _)| *end);
+            let wait = next_end.map_or(MAX_IDLE_WAIT, |end| end.saturating_duration_since(Instant::now()));
             state = self.shared.1.wait_timeout(state, wait).unwrap_or_else(|e| e.into_inner()).0;
         }
     }
--- a/lab/src/scale/test_bed/bed.rs
+++ b/lab/src/scale/test_bed/bed.rs
@@ -1,4 +1,4 @@
-//! The process among its stand-ins.
+//! The process under test and its stand-ins.
 
 use super::agent::TimedAgent;
 use super::meter::CpuMeter;
@@ -21,33 +21,33 @@
 pub struct TestBed {
     /// The process.
     pub node: Node,
-    /// Its agent.
+    /// The stand-in agent of the process.
     pub agent: TimedAgent,
-    /// Its CPU.
+    /// The CPU meter of the process.
     pub meter: CpuMeter,
-    /// From its start until it listened, in ms.
+    /// Time from the start of the process until it accepted connections, in milliseconds.
     pub start_ms: f64,
     config: Value,
 }
 
-/// How a process ended.
+/// The exit of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct Exit {
-    /// Its exit code; none if it was killed or did not end.
+    /// The exit code; `None` if the process was killed or did not exit in time.
     pub code: Option<i32>,
-    /// Processes that are still there: 0 or 1.
+    /// Number of processes that are still running, 0 or 1.
     pub leftover_processes: u64,
 }
 
 impl TestBed {
-    /// Starts a process of this build, or of `program`, and waits until it listens. Each run takes `work`.
+    /// Starts a process of this build, or of `program`, and waits until it accepts connections. Each run takes `work`.
     pub fn start(
         site: &SiteSettings, program: Option<&Path>, work: Duration,
     ) -> Result<TestBed, ScenarioError> {
         TestBed::start_with(site, program, work, "")
     }
 
-    /// The same with more sections in the operator's file.
+    /// Starts a process like [`TestBed::start`], with more sections in the operator's file.
     pub fn start_with(
         site: &SiteSettings, program: Option<&Path>, work: Duration, sections: &str,
     ) -> Result<TestBed, ScenarioError> {
@@ -65,7 +65,11 @@
         let node = Node::with_files(at, &text, Some(&file), program.map(Path::to_path_buf), "none")?;
         while TcpStream::connect(at).is_err() {
             if start.elapsed() > STARTUP_TIMEOUT {
-                return Err(format!("it does not listen: {}", node.read_log()).into());
+                return Err(format!(
+                    "the process did not accept connections within {STARTUP_TIMEOUT:?}; its log: {}",
+                    node.read_log()
+                )
+                .into());
             }
             thread::sleep(Duration::from_micros(300));
         }
@@ -74,32 +78,32 @@
         Ok(TestBed { node, agent, meter, start_ms, config })
     }
 
-    /// The platform's file for a site.
+    /// Returns the text of the platform's file for a site.
     pub fn config_text(&mut self, site: &SiteSettings) -> String {
         config_text(&mut self.config, site)
     }
 
-    /// Where the process reads the platform's file.
+    /// Returns the path of the platform's file.
     pub fn config_path(&self) -> PathBuf {
         self.node.dir.join("config.json")
     }
 
-    /// An operator at the control socket.
+    /// Creates a client of the control socket.
     pub fn control_client(&self) -> ControlClient {
         ControlClient::new(&self.node.dir.join("control"))
     }
 
-    /// The state directory.
+    /// Returns the path of the state directory.
     pub fn state_dir(&self) -> PathBuf {
         self.node.dir.join("state")
     }
 
-    /// A line of the process's `/proc/PID/status`, in kB.
+    /// Returns a value in kB of the process's `/proc/PID/status`.
     pub fn status_kb(&self, name: &str) -> Option<u64> {
         status_kb(&self.node.process(), name)
     }
 
-    /// Asks the process to shut down, and waits for its end.
+    /// Shuts the process down and waits for its exit.
     pub fn shut_down(&mut self) -> Exit {
         self.node.signal("TERM");
         let code = self.node.wait_for_exit(EXIT_TIMEOUT);
@@ -114,7 +118,8 @@
     }
 }
 
-/// The file's text; the settings are put in for that only, so that they are held in memory once.
+/// Returns the text of the platform's file. The settings are added only for the conversion, so that no second copy stays in
+/// memory.
 fn config_text(config: &mut Value, site: &SiteSettings) -> String {
     config["settings"] = site.settings();
     let text = config.to_string();
--- a/lab/src/scale/test_bed/disk.rs
+++ b/lab/src/scale/test_bed/disk.rs
@@ -1,27 +1,29 @@
-//! What is written to a directory.
+//! Measurement of the bytes written to a directory.
 
 use std::collections::BTreeMap;
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// A file as it was at the last sample.
+/// Identity and length of a file at the last sample.
 #[derive(Clone, Copy)]
 struct FileSize {
     inode: u64,
     length: u64,
 }
 
-/// Bytes that were written to a directory, by samples of it: a file that grew took its growth, one that was made anew its
-/// whole length. What came and went between two samples is not seen.
+/// A meter of the bytes written to a directory, based on samples.
+///
+/// A file that grew counts with its growth, a new or replaced one with its whole length. Files that are created and removed
+/// between two samples are not counted.
 pub struct DiskWriteMeter {
     dir: PathBuf,
     files: BTreeMap<PathBuf, FileSize>,
-    /// Bytes so far.
+    /// Bytes written so far.
     pub bytes: u64,
 }
 
 impl DiskWriteMeter {
-    /// A meter that starts at 0 with the directory as it is.
+    /// Creates a meter that starts at 0 with the current contents of the directory.
     pub fn new(dir: &Path) -> DiskWriteMeter {
         let mut meter = DiskWriteMeter { dir: dir.into(), files: BTreeMap::new(), bytes: 0 };
         meter.sample();
@@ -29,7 +31,7 @@
         meter
     }
 
-    /// Adds what was written since the last sample.
+    /// Adds the bytes written since the last sample.
     pub fn sample(&mut self) {
         for file in std::fs::read_dir(&self.dir).into_iter().flatten().flatten() {
             let Ok(metadata) = file.metadata() else { continue };
--- a/lab/src/scale/test_bed/ledger.rs
+++ b/lab/src/scale/test_bed/ledger.rs
@@ -1,5 +1,5 @@
-//! The account of the RPCs that a [`BackgroundLoad`](super::load::BackgroundLoad) sends: figures by phase, and what must
-//! never happen.
+//! Statistics of the RPCs that a [`BackgroundLoad`](super::load::BackgroundLoad) sends, by phase, and violations of
+//! invariants.
 
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -7,25 +7,25 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Phases that a load can tell apart.
+/// Maximum number of phases of a load.
 const MAX_PHASES: usize = 8;
 
-/// What became of the RPCs that were sent in one phase.
+/// Statistics of the RPCs that were sent in one phase.
 #[derive(Clone, Debug)]
 pub struct PhaseStats {
-    /// RPCs that were sent.
+    /// Number of sent RPCs.
     pub sent: u64,
-    /// Answers with a result.
+    /// Number of answers with a result.
     pub ok: u64,
-    /// Rejections before the RPC ran.
+    /// Number of RPCs that were rejected before they ran.
     pub rejected: u64,
-    /// All other answers.
+    /// Number of all other answers.
     pub aborted: u64,
-    /// Of answers with a result, the latency beyond the agent's time, in microseconds.
+    /// Latency of answers with a result, less the run time at the agent, in microseconds.
     pub added_us: Histogram<u64>,
-    /// The longest time without an answer to the health checks.
+    /// The longest time without an answer to a health check.
     pub gap: Duration,
-    /// The same of health checks of a stand-in: what this machine does to such a figure by itself.
+    /// The longest time without an answer to a health check of an echo server, which is due to this machine alone.
     pub gap_floor: Duration,
 }
 
@@ -43,13 +43,13 @@
         }
     }
 
-    /// The added latency at a quantile (0 to 1), in ms; none where nothing was answered ok.
+    /// Returns the added latency at a quantile (0 to 1) in milliseconds, or `None` without answers with a result.
     pub fn added_ms(&self, quantile: f64) -> Option<f64> {
-        let any = !self.added_us.is_empty();
-        any.then(|| self.added_us.value_at_quantile(quantile) as f64 / 1_000.0)
+        let has_samples = !self.added_us.is_empty();
+        has_samples.then(|| self.added_us.value_at_quantile(quantile) as f64 / 1_000.0)
     }
 
-    /// Both phases as one.
+    /// Merges the statistics of another phase into these.
     pub fn merged(mut self, other: &PhaseStats) -> PhaseStats {
         self.sent += other.sent;
         self.ok += other.ok;
@@ -62,22 +62,22 @@
     }
 }
 
-/// What must never happen, over all phases.
+/// Violations of invariants over all phases.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Violations {
-    /// RPCs without an answer.
+    /// Number of RPCs without an answer.
     pub unanswered: u64,
-    /// Answers to RPCs that had been answered.
+    /// Number of answers to RPCs that were already answered.
     pub answered_twice: u64,
-    /// Results that no run made for their RPC.
+    /// Number of results that do not belong to their RPC.
     pub wrong_results: u64,
-    /// An RPC that was sent after another was decided under an older version than that one.
+    /// Number of RPCs that were decided under an older version than an RPC sent before.
     pub older_after_newer: u64,
-    /// Pairs of RPCs by which that was checked.
+    /// Number of pairs of RPCs whose order of versions was checked.
     pub pairs: u64,
 }
 
-/// An RPC that waits for its answer.
+/// An RPC without an answer so far.
 pub(super) struct InFlight {
     pub(super) number: u64,
     pub(super) sent: Instant,
@@ -87,10 +87,10 @@
 /// The RPCs in flight on one connection, by stream.
 pub(super) type InFlightTable = Arc<Mutex<BTreeMap<u32, InFlight>>>;
 
-/// What the threads of a load share.
+/// State that the threads of a load share.
 pub(super) struct Ledger {
     phase: AtomicUsize,
-    /// The sentinel pair that is called, 0 for none.
+    /// The number of the sentinel pair that is called, or 0.
     pub(super) sentinel_pair: AtomicU64,
     stopped: AtomicBool,
     pub(super) phases: Vec<Mutex<PhaseStats>>,
--- a/lab/src/scale/test_bed/load.rs
+++ b/lab/src/scale/test_bed/load.rs
@@ -1,4 +1,4 @@
-//! RPCs at a steady rate over all methods and tenants, with an account of each.
+//! A load of RPCs at a constant mean rate over all methods and tenants, in which each RPC is tracked.
 
 use super::agent::TimedAgent;
 use super::ledger::{InFlight, InFlightTable, Ledger, PhaseStats, Violations};
@@ -17,20 +17,23 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-const CONNECTIONS: usize = 8; // that RPCs come on
-const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(500); // beyond the patience of the last RPC
-const DUPLICATE_ANSWER_WAIT: Duration = Duration::from_millis(50); // until no RPC is answered a second time any more
+/// Number of connections that RPCs are sent on.
+const CONNECTIONS: usize = 8;
+/// Wait for answers beyond the patience of the last RPC.
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Wait for duplicate answers after the last RPC is answered.
+const DUPLICATE_ANSWER_WAIT: Duration = Duration::from_millis(50);
 
-/// How RPCs arrive.
+/// Parameters of a load.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadProfile {
-    /// Methods that are called, numbered from 0.
+    /// Number of called methods, numbered from 0.
     pub methods: usize,
-    /// Tenants for whom they are called; with 0 no tenant is named.
+    /// Number of tenants, numbered from 0. With 0, RPCs name no tenant.
     pub tenants: usize,
-    /// Callers, numbered from 1.
+    /// Number of callers, numbered from 1.
     pub callers: usize,
-    /// RPCs a second.
+    /// Mean rate in RPCs per second.
     pub rate: f64,
     /// Seed of all random draws.
     pub seed: u64,
@@ -43,7 +46,7 @@
     next_stream: u32,
 }
 
-/// RPCs at a steady rate over all methods and tenants, from [`BackgroundLoad::start`] until [`BackgroundLoad::finish`].
+/// A load of RPCs over all methods and tenants, from [`BackgroundLoad::start`] until [`BackgroundLoad::finish`].
 pub struct BackgroundLoad {
     pub(super) ledger: Arc<Ledger>,
     sender: Option<JoinHandle<Vec<Connection>>>,
@@ -72,7 +75,7 @@
         Ok(BackgroundLoad { ledger, sender, workers })
     }
 
-    /// Checks health all the time, on a connection of its own; and that of a stand-in beside it.
+    /// Starts continuous health checks of the process and, for comparison, of an echo server, each on its own connection.
     pub fn check_health(&mut self, at: SocketAddr) -> std::io::Result<()> {
         let echo = TcpListener::bind("127.0.0.1:0")?;
         for (at, is_echo) in [(at, false), (echo.local_addr()?, true)] {
@@ -87,7 +90,7 @@
         Ok(())
     }
 
-    /// Calls both tenants of a sentinel pair at once, again and again, while [`BackgroundLoad::set_sentinel_pair`] names
+    /// Starts to call both tenants of a sentinel pair at once, repeatedly, while [`BackgroundLoad::set_sentinel_pair`] names
     /// one.
     pub fn check_version_order(&mut self, at: SocketAddr, seed: u64) -> std::io::Result<()> {
         let stream = connect(at)?;
@@ -98,31 +101,34 @@
         Ok(())
     }
 
-    /// A change is about to add this sentinel pair of tenants; 0 for none.
+    /// Sets the sentinel pair of tenants that the next change adds; 0 for none.
     pub fn set_sentinel_pair(&self, pair: u64) {
         self.ledger.sentinel_pair.store(pair, Ordering::Release);
     }
 
-    /// What follows is counted under another phase.
+    /// Starts another phase. RPCs that are sent from now on count for it.
     pub fn set_phase(&self, phase: usize) {
         self.ledger.set_phase(phase);
     }
 
-    /// Sends no more RPCs and waits for those in flight. The figures by phase, and what must never happen.
+    /// Stops the load and waits for the RPCs in flight. Returns the statistics by phase, and the violations.
     pub fn finish(mut self) -> Result<(Vec<PhaseStats>, Violations), ScenarioError> {
         self.ledger.stop();
-        let sender = self.sender.take().ok_or("the load has ended already")?;
-        let connections = sender.join().map_err(|_| "the load ended badly")?;
+        let sender = self.sender.take().ok_or("the load is already finished")?;
+        let connections = sender.join().map_err(|_| "the sender thread of the load panicked")?;
         let until = Instant::now() + PATIENCE + LATE_ANSWER_TIMEOUT;
-        let in_flight = || connections.iter().map(|one| lock(&one.in_flight).len() as u64).sum::<u64>();
+        let in_flight =
+            || connections.iter().map(|connection| lock(&connection.in_flight).len() as u64).sum::<u64>();
         while in_flight() > 0 && Instant::now() < until {
             thread::sleep(Duration::from_millis(5));
         }
         lock(&self.ledger.violations).unanswered += in_flight();
         thread::sleep(DUPLICATE_ANSWER_WAIT);
-        connections.iter().for_each(|one| one.stream.shutdown(Shutdown::Both).unwrap_or_default());
+        connections
+            .iter()
+            .for_each(|connection| connection.stream.shutdown(Shutdown::Both).unwrap_or_default());
         for worker in self.workers.drain(..) {
-            worker.join().map_err(|_| "a stand-in ended badly")?;
+            worker.join().map_err(|_| "a worker thread of the load panicked")?;
         }
         let phases = self.ledger.phases.iter().map(|stats| lock(stats).clone()).collect();
         let violations = lock(&self.ledger.violations).clone();
@@ -142,13 +148,14 @@
     Ok(stream)
 }
 
+/// Sends RPCs until the load is stopped or a connection breaks.
 fn send(mut connections: Vec<Connection>, profile: LoadProfile, ledger: &Ledger) -> Vec<Connection> {
     let mut rng = StdRng::seed_from_u64(profile.seed);
-    let (mut at, mut number) = (Instant::now(), 0_u64);
+    let (mut arrival, mut number) = (Instant::now(), 0_u64);
     while !ledger.is_stopped() {
-        // Exponential gaps: the arrivals of many callers that are independent of each other.
-        at += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / profile.rate);
-        thread::sleep(at.saturating_duration_since(Instant::now()));
+        // Exponential intervals model the arrivals of many independent callers.
+        arrival += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / profile.rate);
+        thread::sleep(arrival.saturating_duration_since(Instant::now()));
         let index = rng.random_range(0..connections.len());
         let connection = &mut connections[index];
         if lock(&connection.in_flight).len() >= MAX_STREAMS {
@@ -166,12 +173,14 @@
         lock(&ledger.phases[phase]).sent += 1;
         lock(&connection.in_flight).insert(stream, InFlight { number, sent: Instant::now(), phase });
         if connection.stream.write_all(&bytes).is_err() {
-            break; // what is in flight counts as unanswered
+            // RPCs in flight count as unanswered.
+            break;
         }
     }
     connections
 }
 
+/// Reads the answers on a connection and records them.
 fn read_answers(
     mut from: TcpStream, in_flight: &InFlightTable, ledger: &Ledger, agent: &TimedAgent,
 ) -> Option<()> {
--- a/lab/src/scale/test_bed/meter.rs
+++ b/lab/src/scale/test_bed/meter.rs
@@ -1,4 +1,4 @@
-//! CPU time of a process, of threads that have ended as well.
+//! Measurement of the CPU time of a process, including threads that have ended.
 
 use crate::process::{cpu_ticks, thread_cpu_ns};
 use std::collections::HashMap;
@@ -7,8 +7,9 @@
 const CPU_TICK_NS: u64 = 10_000_000;
 const NS_PER_MS: f64 = 1e6;
 
-/// A meter of one process: by the nanoseconds of its threads, and by its ticks where threads came and went between two
-/// readings.
+/// A CPU meter of one process.
+///
+/// It reads the nanoseconds of the threads, and the ticks of the process for threads that start and end between two readings.
 pub struct CpuMeter {
     process: String,
     thread_times_ns: HashMap<String, u64>,
@@ -16,17 +17,17 @@
     tick_total_ns: u64,
 }
 
-/// What a [`CpuMeter`] showed at a moment.
+/// A reading of a [`CpuMeter`].
 #[derive(Clone, Copy, Debug)]
 pub struct CpuReading {
     thread_total_ns: u64,
     tick_total_ns: u64,
-    /// The moment.
+    /// The time of the reading.
     pub at: Instant,
 }
 
 impl CpuMeter {
-    /// A meter of the process with this id.
+    /// Creates a meter of the process with this id.
     pub fn new(process: u32) -> CpuMeter {
         CpuMeter {
             process: process.to_string(),
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Reads the meter; it never runs backwards, also once the process has ended.
+    /// Reads the meter. Readings never decrease, even after the exit of the process.
     pub fn read(&mut self) -> CpuReading {
         self.thread_times_ns.extend(thread_cpu_ns(&self.process));
         self.thread_total_ns = self.thread_total_ns.max(self.thread_times_ns.values().sum());
@@ -50,15 +51,17 @@
 }
 
 impl CpuReading {
-    /// CPU between two readings, in ms: by the threads' own clocks, or by the process's ticks less their grain where
-    /// threads that came and went took more.
+    /// Returns the CPU time between two readings in milliseconds.
+    ///
+    /// It is the larger one of the time of the threads and the ticks of the process less their resolution. The latter is larger
+    /// if threads that started and ended in between took more.
     pub fn cpu_ms(&self, since: &CpuReading) -> f64 {
-        let fine = self.thread_total_ns.saturating_sub(since.thread_total_ns);
-        let coarse = self.tick_total_ns.saturating_sub(since.tick_total_ns).saturating_sub(2 * CPU_TICK_NS);
-        fine.max(coarse) as f64 / NS_PER_MS
+        let thread_ns = self.thread_total_ns.saturating_sub(since.thread_total_ns);
+        let tick_ns = self.tick_total_ns.saturating_sub(since.tick_total_ns).saturating_sub(2 * CPU_TICK_NS);
+        thread_ns.max(tick_ns) as f64 / NS_PER_MS
     }
 
-    /// Time between two readings, in ms.
+    /// Returns the wall-clock time between two readings in milliseconds.
     pub fn ms(&self, since: &CpuReading) -> f64 {
         self.at.duration_since(since.at).as_secs_f64() * 1e3
     }
--- a/lab/src/scale/test_bed/mod.rs
+++ b/lab/src/scale/test_bed/mod.rs
@@ -1,5 +1,7 @@
-//! One real process with many methods and tenants, and what stands around it: an agent that says how long it took, RPCs
-//! at a steady rate, health checks without end, an operator at the control socket, and meters of the process.
+//! A test bed for one real process with many methods and tenants.
+//!
+//! It consists of an agent that records its run times, RPCs at a constant mean rate, continuous health checks, an operator at
+//! the control socket, and meters of the process.
 
 pub mod agent;
 pub mod bed;
--- a/lab/src/scale/test_bed/settings.rs
+++ b/lab/src/scale/test_bed/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings of a site with numbered methods and tenants.
+//! Platform settings of a site with numbered methods and tenants.
 
 use serde_json::{json, Value};
 
@@ -6,37 +6,37 @@
 const DEFAULT_TARGET_MS: u64 = 800;
 const DEFAULT_QUOTA_RPS: f64 = 100.0;
 
-/// What the settings say: names are numbered, figures are what a scenario made of them.
+/// Settings of a site. Names follow from numbers; a scenario sets the values.
 #[derive(Clone, Debug)]
 pub struct SiteSettings {
     /// Latency targets of methods, in ms.
     pub latency_targets_ms: Vec<u64>,
-    /// Quotas of tenants, in RPCs a second.
+    /// Quotas of tenants, in RPCs per second.
     pub quotas_rps: Vec<f64>,
-    /// Numbers of the sentinel pairs of tenants that were added (see [`sentinel_tenants`]).
+    /// Numbers of the added sentinel pairs of tenants (see [`sentinel_tenants`]).
     pub sentinel_pairs: Vec<u64>,
-    /// Callers that the settings name.
+    /// Number of callers in the settings.
     pub callers: usize,
 }
 
-/// The names of a pair of tenants, one before all others in the order of names and one behind: a change that is applied
-/// in that order comes to them first and last.
+/// Returns the names of a pair of tenants that sort before and after all others, so that a change that is applied in the order
+/// of names reaches them first and last.
 pub fn sentinel_tenants(pair: u64) -> [String; 2] {
     [format!("a-{pair:05}"), format!("z-{pair:05}")]
 }
 
-/// The name of a method by its number.
+/// Returns the name of a method.
 pub fn method_name(n: usize) -> String {
     format!("method-{n:05}")
 }
 
-/// The name of a tenant by its number.
+/// Returns the name of a tenant.
 pub fn tenant_name(n: usize) -> String {
     format!("tenant-{n:05}")
 }
 
 impl SiteSettings {
-    /// Settings in which all methods are alike, and all tenants.
+    /// Creates settings with identical methods and identical tenants.
     pub fn new(methods: usize, tenants: usize, callers: usize) -> SiteSettings {
         SiteSettings {
             latency_targets_ms: vec![DEFAULT_TARGET_MS; methods],
@@ -46,23 +46,23 @@
         }
     }
 
-    /// A method's entry.
+    /// Returns the entry of a method.
     pub fn method(&self, n: usize) -> Value {
         json!({"Name": method_name(n), "AimMs": self.latency_targets_ms[n], "DeadlineMs": 2_000, "Effect": "free",
             "Worth": 1, "LateWorth": 0.2, "WindowMs": 0})
     }
 
-    /// A tenant's entry.
+    /// Returns the entry of a tenant.
     pub fn tenant(&self, n: usize) -> Value {
         json!({"Name": tenant_name(n), "QuotaRps": self.quotas_rps[n]})
     }
 
-    /// A sentinel tenant's entry.
+    /// Returns the entry of a sentinel tenant.
     pub fn sentinel(name: &str) -> Value {
         json!({"Name": name, "QuotaRps": DEFAULT_QUOTA_RPS})
     }
 
-    /// The whole of the settings.
+    /// Returns the complete settings.
     pub fn settings(&self) -> Value {
         let methods: Vec<Value> = (0..self.latency_targets_ms.len()).map(|n| self.method(n)).collect();
         let mut tenants: Vec<Value> = (0..self.quotas_rps.len()).map(|n| self.tenant(n)).collect();
--- a/lab/src/scale/test_bed/tests/load.rs
+++ b/lab/src/scale/test_bed/tests/load.rs
@@ -1,4 +1,4 @@
-//! Tests of `load.rs`: the ledger against stand-ins of the process that misbehave.
+//! Tests of `load.rs`: the ledger with stand-ins for the process that violate invariants.
 
 use super::*;
 use crate::sidecar::{encode_frame, ABORTED, HEALTH, HEALTH_CHECK};
@@ -11,11 +11,11 @@
     Never,
     Twice,
     WithWrongResult,
-    /// Of the sentinel pair only the first tenant is recognised, from the third pair on.
+    /// Recognises only the first tenant of the sentinel pair, from the third pair on.
     WithPartialChange,
 }
 
-/// The body of an RPC, and the value of a field.
+/// Returns the header fields and the body of an RPC.
 fn parse_request(payload: &[u8]) -> (BTreeMap<String, String>, Vec<u8>) {
     let (mut at, mut fields) = (1, BTreeMap::new());
     for _ in 0..payload[0] {
@@ -29,7 +29,7 @@
     (fields, payload[at..].to_vec())
 }
 
-/// Answers connections on its own, as a process would that has the agent run everything.
+/// Starts a stand-in for the process that answers RPCs itself.
 fn start_stand_in(answers: AnswerMode) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
@@ -41,6 +41,7 @@
     at
 }
 
+/// Answers the requests of one connection.
 fn answer_requests(mut stream: TcpStream, answers: AnswerMode) -> Option<()> {
     let mut pairs = 0;
     loop {
@@ -81,7 +82,7 @@
     load.check_health(at).unwrap();
     load.check_version_order(at, 1).unwrap();
     load.set_sentinel_pair(pair);
-    // As long as it takes on a busy machine.
+    // Long enough for a busy machine.
     let until = Instant::now() + Duration::from_secs(20);
     let sent = || lock(&load.ledger.phases[0]).sent >= 60;
     let checked_pairs =
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn correct_answers_violate_nothing() {
+fn correct_answers_cause_no_violations() {
     let (phases, violations) = run_load(AnswerMode::Correctly, 0);
     assert!(phases[0].ok > 20 && phases[0].ok == phases[0].sent, "{:?}", phases[0]);
     assert!(phases[0].gap > Duration::ZERO && phases[0].gap_floor > Duration::ZERO);
--- a/lab/src/scale/test_bed/tests/version_order.rs
+++ b/lab/src/scale/test_bed/tests/version_order.rs
@@ -4,10 +4,14 @@
 
 #[test]
 fn two_answers_reveal_version_order() {
-    // A change that adds both tenants: never the first one recognised, and not the second.
+    // A change that adds both tenants: a violation if only the first one is recognised.
     assert!(out_of_order(true, false, false));
-    assert!(![(true, true), (false, false), (false, true)].iter().any(|(a, b)| out_of_order(*a, *b, false)));
-    // One that removes both.
+    assert!(![(true, true), (false, false), (false, true)]
+        .iter()
+        .any(|(first, second)| out_of_order(*first, *second, false)));
+    // A change that removes both tenants: a violation if only the second one is recognised.
     assert!(out_of_order(false, true, true));
-    assert!(![(true, true), (false, false), (true, false)].iter().any(|(a, b)| out_of_order(*a, *b, true)));
+    assert!(![(true, true), (false, false), (true, false)]
+        .iter()
+        .any(|(first, second)| out_of_order(*first, *second, true)));
 }
--- a/lab/src/scale/test_bed/version_order.rs
+++ b/lab/src/scale/test_bed/version_order.rs
@@ -1,5 +1,7 @@
-//! Pairs of RPCs that are sent at once while one version follows another: their answers show under which version each of
-//! the two was decided, and it is never an earlier one under the newer and a later one under the older.
+//! A check that versions take effect in order, by pairs of RPCs that are sent at once while one version replaces another.
+//!
+//! The answers show under which version each RPC of a pair was decided. It is a violation if the first was decided under the
+//! newer version and the second under the older one.
 
 use super::health::CHECK_INTERVAL;
 use super::ledger::Ledger;
@@ -14,26 +16,27 @@
 use std::sync::atomic::Ordering;
 use std::thread;
 
-/// Whether two RPCs of one connection, the earlier first, were decided under a newer version and then an older one. Each
-/// is of a tenant that the same change adds, or removes when it is undone; the arguments say whether its tenant was
-/// recognised. `both_before`: both tenants were there before the change.
-pub(super) fn out_of_order(earlier: bool, later: bool, both_before: bool) -> bool {
-    earlier != both_before && later == both_before
+/// Reports whether two RPCs of one connection were decided under a newer version and then under an older one.
+///
+/// Both tenants are added by the same change, or removed when it is undone. `first` and `second` tell whether the tenants of
+/// the RPCs were recognised, in the order of sending; `known_before` tells whether both tenants existed before the change.
+pub(super) fn out_of_order(first: bool, second: bool, known_before: bool) -> bool {
+    first != known_before && second == known_before
 }
 
-/// Calls both tenants of the ledger's sentinel pair at once, again and again, until the load ends.
+/// Calls both tenants of the ledger's sentinel pair at once, repeatedly, until the load is stopped.
 pub(super) fn check_repeatedly(mut to: TcpStream, ledger: &Ledger, seed: u64) -> Option<()> {
     to.set_read_timeout(Some(PATIENCE * 2)).ok()?;
     let mut rng = StdRng::seed_from_u64(seed);
-    // An RPC that is run first: a connection that brings only unknown tenants is closed.
-    let (mut stream, mut last_pair, mut both_before) = (1_u32, 0, false);
+    // Starts with a valid RPC, because a connection that brings only unknown tenants is closed.
+    let (mut stream, mut last_pair, mut known_before) = (1_u32, 0, false);
     to.write_all(&encode_rpc(stream, &method_name(0), Some(&tenant_name(0)), 1, rng.random(), b"pair 0"))
         .ok()?;
     while read_frame(&mut to)?.kind != ANSWER {}
     while !ledger.is_stopped() {
         let pair = ledger.sentinel_pair.load(Ordering::Acquire);
         if pair != last_pair {
-            (last_pair, both_before) = (pair, false);
+            (last_pair, known_before) = (pair, false);
         }
         if pair == 0 {
             thread::sleep(CHECK_INTERVAL);
@@ -42,18 +45,18 @@
         to.write_all(&encode_pair(pair, stream, &mut rng)).ok()?;
         let recognised = read_pair(&mut to, stream)?;
         stream += 2;
-        let [earlier, later] = recognised;
+        let [first, second] = recognised;
         let mut violations = lock(&ledger.violations);
-        violations.older_after_newer += u64::from(out_of_order(earlier, later, both_before));
+        violations.older_after_newer += u64::from(out_of_order(first, second, known_before));
         violations.pairs += 1;
         drop(violations);
-        both_before = if earlier == later { earlier } else { both_before };
+        known_before = if first == second { first } else { known_before };
         thread::sleep(CHECK_INTERVAL * 2);
     }
     Some(())
 }
 
-/// The RPCs of both tenants, in random order, on the two streams behind `stream`.
+/// Encodes the RPCs of both tenants, in random order, on the two streams after `stream`.
 fn encode_pair(pair: u64, stream: u32, rng: &mut StdRng) -> Vec<u8> {
     let mut tenants = sentinel_tenants(pair);
     if rng.random() {
@@ -68,17 +71,17 @@
     bytes
 }
 
-/// Whether the tenants of the two streams behind `stream` were recognised, in the order in which they were sent.
+/// Reads whether the tenants of the two streams after `stream` were recognised, in the order of sending.
 fn read_pair(from: &mut TcpStream, stream: u32) -> Option<[bool; 2]> {
     let mut recognised = [None; 2];
     loop {
-        if let [Some(earlier), Some(later)] = recognised {
-            return Some([earlier, later]);
+        if let [Some(first), Some(second)] = recognised {
+            return Some([first, second]);
         }
         let frame = read_frame(from)?;
         let index = frame.stream.wrapping_sub(stream + 1) as usize;
         if let (ANSWER, Some(slot)) = (frame.kind, recognised.get_mut(index)) {
-            // A tenant that is rejected for want of capacity was recognised all the same.
+            // A rejection for lack of capacity implies that the tenant was recognised.
             *slot = Some(matches!(frame.code(), Some(OK | REJECTED)));
         }
     }
