--- a/lab/src/scale/agree/audit.rs
+++ b/lab/src/scale/agree/audit.rs
@@ -1,7 +1,7 @@
 //! An audit of enforced versions, independent of the nodes.
 //!
-//! It records which node enforced which version, for how long two nodes enforced versions that contradict each other, and
-//! whether a version number ever had two contents.
+//! It records which node enforced which version, for how long two nodes enforced versions that contradict each other,
+//! and whether a version number ever had two contents.
 
 use super::node::EnforcedVersions;
 use asterrill::Us;
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Records that a node no longer enforces a version, and updates the longest time of a contradiction with a version that
-    /// another node enforces. `find` looks a version up in the logs of the voters.
+    /// Records that a node no longer enforces a version, and updates the longest time of a contradiction with a
+    /// version that another node enforces. `find` looks a version up in the logs of the voters.
     pub(super) fn end_enforcing(&mut self, version: u64, at: Us, find: &dyn Fn(u64) -> Option<Version>) {
         let later = self.enforced_since.range(version + 1..).map(|(v, since)| (*v, *since));
         let later: Vec<(u64, Us)> = later.collect();
--- a/lab/src/scale/agree/cluster.rs
+++ b/lab/src/scale/agree/cluster.rs
@@ -1,12 +1,13 @@
 //! A simulated cluster: many nodes of `asterrill-consensus` in one process on virtual time.
 //!
-//! Each node has iterations like those of the event loop in `daemon/src/membership/run.rs`. Messages are events with a size,
-//! a delay and a probability of loss.
+//! Each node has iterations like those of the event loop in `daemon/src/membership/run.rs`. Messages are events with
+//! a size, a delay and a probability of loss.
 //!
-//! The simulation models the limits on messages that wait to be read and to be sent, the rate limit of each sender, the size
-//! of the envelope, the duration of a disk write, clocks whose rates differ, and (with `charges_cpu`) that a node does nothing
-//! else while it computes. It omits sockets and their system calls, the keyed hash (BLAKE3), membership, the dispatcher that
-//! takes the effective version, the wait for a core, the bandwidth of a link, and headers of UDP and IP.
+//! The simulation models the limits on messages that wait to be read and to be sent, the rate limit of each sender,
+//! the size of the envelope, the duration of a disk write, clocks whose rates differ, and (with `charges_cpu`) that a
+//! node does nothing else while it computes. It omits sockets and their system calls, the keyed hash (BLAKE3),
+//! membership, the dispatcher that takes the effective version, the wait for a core, the bandwidth of a link, and
+//! headers of UDP and IP.
 
 use super::audit::VersionAudit;
 use super::node::{EnforcedVersions, Enforcement, Node, Received, Usage};
@@ -82,8 +83,8 @@
     pub(super) isolated: HashSet<usize>,
     pub(super) charges_cpu: bool,
     events: BTreeMap<(Us, u64), Event>,
-    events_pushed: u64,
-    starts: u64,
+    event_count: u64,
+    start_count: u64,
     pub(super) names: Vec<String>,
     pub(super) indexes: HashMap<String, usize>,
     /// Outcomes of all proposals; `None` while the outcome is unknown.
@@ -118,8 +119,8 @@
             isolated: HashSet::new(),
             charges_cpu,
             events: BTreeMap::new(),
-            events_pushed: 0,
-            starts: 0,
+            event_count: 0,
+            start_count: 0,
             names: Vec::new(),
             indexes: HashMap::new(),
             proposals: BTreeMap::new(),
@@ -156,21 +157,21 @@
     }
 
     pub(super) fn schedule(&mut self, at: Us, event: Event) {
-        self.events_pushed += 1;
-        self.events.insert((at, self.events_pushed), event);
+        self.event_count += 1;
+        self.events.insert((at, self.event_count), event);
     }
 
     /// Starts a node: a voter from its disk, a replica from a snapshot.
     pub(super) fn start(&mut self, n: usize, snapshot: &[u8]) {
-        self.starts += 1;
+        self.start_count += 1;
         let (at, name, config) = (self.local_time(n), self.names[n].clone(), self.config.clone());
         let node = &mut self.nodes[n];
-        let started = ConsensusNode::new(at, &name, self.starts, config, &node.disk, snapshot);
+        let started = ConsensusNode::new(at, &name, self.start_count, config, &node.disk, snapshot);
         // Cannot fail: the disk holds only what the voter itself wrote.
         let Ok(consensus) = started else { return };
         node.disk.truncate(consensus.valid_log_len());
         node.consensus = Some(consensus);
-        (node.start_id, node.highest_enforced) = (self.starts, 0);
+        (node.start_id, node.highest_enforced) = (self.start_count, 0);
         node.inbox.clear();
         node.persisted.clear();
         (node.busy_until, node.writing_until, node.next_iteration) = (self.now, self.now, None);
@@ -312,14 +313,16 @@
         self.audit.end_enforcing(version, at, &|version| find_version(nodes, voters, version));
     }
 
-    /// Adds all versions that the leader retains to the audit, so that they can be compared after the leader drops them.
+    /// Adds all versions that the leader retains to the audit, so that they can be compared after the leader drops
+    /// them.
     pub(super) fn remember_versions(&mut self) {
         let Some(leader) = self.leader() else { return };
         let Some(consensus) = &self.nodes[leader].consensus else { return };
         consensus.version_log().history().for_each(|version| self.audit.remember(version));
     }
 
-    /// Returns the number of versions that were reported as committed and that the leader lacks or has with another content.
+    /// Returns the number of versions that were reported as committed and that the leader lacks or has with another
+    /// content.
     pub(super) fn lost_versions(&self) -> u64 {
         let leader = self.leader().and_then(|n| self.nodes[n].consensus.as_ref());
         let Some(log) = leader.map(ConsensusNode::version_log) else { return u64::MAX };
--- a/lab/src/scale/agree/event_loop.rs
+++ b/lab/src/scale/agree/event_loop.rs
@@ -47,8 +47,8 @@
 }
 
 impl Cluster {
-    /// Runs one iteration of a node: a proposal, completed writes, received messages and a due tick, then their effects.
-    /// Returns the number of the proposal, if there is one.
+    /// Runs one iteration of a node: a proposal, completed writes, received messages and a due tick, then their
+    /// effects. Returns the number of the proposal, if there is one.
     pub(super) fn run_iteration(&mut self, n: usize, proposal: Option<Proposal>) -> Option<u64> {
         let (at, now) = (self.local_time(n), self.now);
         let names = &self.names;
--- a/lab/src/scale/agree/mod.rs
+++ b/lab/src/scale/agree/mod.rs
@@ -3,8 +3,8 @@
 //! The nodes are the real state machines of `asterrill-consensus`, driven in memory. `cluster.rs` lists what the driver
 //! models and what it omits.
 //!
-//! Times are virtual. CPU is the time that this thread spent in the state machines. It is added to the virtual time of the
-//! node that spent it, except with `--quick`, whose runs are deterministic.
+//! Times are virtual. CPU is the time that this thread spent in the state machines. It is added to the virtual time
+//! of the node that spent it, except with `--quick`, whose runs are deterministic.
 
 mod audit;
 mod build;
--- a/lab/src/scale/agree/run.rs
+++ b/lab/src/scale/agree/run.rs
@@ -190,8 +190,8 @@
 
     /// Restarts random replicas without state at the same time while changes continue.
     ///
-    /// Waits until all of them enforce the newest version of the time of the restart, up to a limit of time and of CPU time
-    /// of the voters.
+    /// Waits until all of them enforce the newest version of the time of the restart, up to a limit of time and of
+    /// CPU time of the voters.
     pub(super) fn restart_without_state(&mut self, count: usize) -> CatchUp {
         let mut restarted = self.connected_replicas();
         restarted.shuffle(&mut self.cluster.rng);
--- a/lab/src/scale/agree/scenario.rs
+++ b/lab/src/scale/agree/scenario.rs
@@ -85,8 +85,8 @@
     if options.entries <= HISTORY_OVERFLOW_CHANGES || options.replicas * options.entries > MAX_REPLICA_ENTRIES
     {
         return Err(format!(
-            "--holders times --entries is limited to {MAX_REPLICA_ENTRIES} by two gigabytes of memory, and --entries has \
-             to exceed {HISTORY_OVERFLOW_CHANGES}: found {} and {}",
+            "--holders times --entries must not exceed {MAX_REPLICA_ENTRIES} (two gigabytes of memory) and --entries \
+             must exceed {HISTORY_OVERFLOW_CHANGES}: found {} and {}",
             options.replicas, options.entries
         )
         .into());
--- a/lab/src/scale/members/action_queue.rs
+++ b/lab/src/scale/members/action_queue.rs
@@ -6,8 +6,8 @@
 
 /// A scheduled action.
 pub(super) enum Action {
-    /// Wakes a member for its tick. The simulation ignores it if the member has been rescheduled.
-    Wake(usize),
+    /// Runs the tick of a member. The simulation ignores it if the member has been rescheduled.
+    Tick(usize),
     /// A datagram arrives.
     Datagram { from: usize, to: usize, bytes: Vec<u8> },
 }
--- a/lab/src/scale/members/crashes.rs
+++ b/lab/src/scale/members/crashes.rs
@@ -26,12 +26,12 @@
 
     /// Crashes one member. Returns the times until each of the others detected the failure.
     fn crash_member(&mut self, n: usize, others: usize) -> Vec<Us> {
-        let (since, timeout) = (self.simulation.now, 2 * self.detection());
+        let (crashed_at, timeout) = (self.simulation.now, 2 * self.detection_bound());
         self.simulation.stop(n, false);
         let mut detected = Vec::new();
-        while detected.len() < others && self.simulation.now - since < timeout {
+        while detected.len() < others && self.simulation.now - crashed_at < timeout {
             self.simulation.run(SECOND);
-            detected = self.detected(since, &[n]);
+            detected = self.detection_times(crashed_at, &[n]);
         }
         self.rule_without_loss("not all members detected a failure", detected.len() == others);
         detected
@@ -42,16 +42,16 @@
         let nodes = self.options.nodes;
         let increased_share = 1.0 / (nodes as f64 - 1.0) - SHARE_TOLERANCE;
         let any_increased = |simulation: &Simulation| {
-            (0..nodes).any(|n| simulation.up(n) && simulation.quota_share(n) >= increased_share)
+            (0..nodes).any(|n| simulation.is_up(n) && simulation.quota_share(n) >= increased_share)
         };
-        let taken = self.simulation.run_until(self.transition_timeout(), any_increased);
-        let taken = taken.map(|_| self.simulation.now - first_crash);
-        let all = self.simulation.run_until(self.detection(), Simulation::all_shares_taken);
-        let all: Value = to_ms(all.map(|_| self.simulation.now - first_crash));
-        self.set("transition_first_ms", to_ms(taken));
-        self.set("transition_all_ms", all);
+        let first_reassigned = self.simulation.run_until(self.transition_timeout(), any_increased);
+        let first_reassigned = first_reassigned.map(|_| self.simulation.now - first_crash);
+        let fully_shared = self.simulation.run_until(self.detection_bound(), Simulation::all_shares_taken);
+        let fully_shared: Value = to_ms(fully_shared.map(|_| self.simulation.now - first_crash));
+        self.set("transition_first_ms", to_ms(first_reassigned));
+        self.set("transition_all_ms", fully_shared);
         // A false failure releases a share early, but no other member may use it: the rule is about the total share.
-        let early = taken.is_some_and(|taken| taken < self.transition());
+        let early = first_reassigned.is_some_and(|delay| delay < self.transition_delay());
         self.rule_without_loss("a quota share was reassigned before the end of the transition", !early);
     }
 }
--- a/lab/src/scale/members/mod.rs
+++ b/lab/src/scale/members/mod.rs
@@ -1,6 +1,7 @@
 //! The scenario `scale-members`: cost and latency of membership at the size of a fleet.
 //!
-//! Members are simulated in memory on virtual time, so that 1,020 of them fit in one process. CPU is that of this process.
+//! Members are simulated in memory on virtual time, so that 1,020 of them fit in one process. CPU is that of this
+//! process.
 //!
 //! | kind | what happens once all members know each other |
 //! | --- | --- |
--- a/lab/src/scale/members/partition.rs
+++ b/lab/src/scale/members/partition.rs
@@ -20,22 +20,23 @@
     pub(super) fn run_partition(&mut self) {
         let nodes = self.options.nodes;
         self.wait_until_fully_shared();
-        let (since, false_before) = (self.simulation.now, self.false_failures());
+        let (partitioned_at, false_before) = (self.simulation.now, self.false_failures());
         self.simulation.partition(nodes / 2);
-        let gone =
-            self.simulation.run_until(2 * self.detection(), |simulation| simulation.total_share() == 0.0);
-        self.set("lease_gone_ms", to_ms(gone));
+        let released = self
+            .simulation
+            .run_until(2 * self.detection_bound(), |simulation| simulation.total_share() == 0.0);
+        self.set("lease_gone_ms", to_ms(released));
         // Lasts longer than a side with a quorum would need to take over the quota of the other side.
         let waits = self.waits_for_transitions(SECOND_TRANSITION_MAX_NODES);
-        let span = if waits { self.transition() + PARTITION_MARGIN } else { MIN_PARTITION_TIME };
-        let remaining = span.saturating_sub(self.simulation.now - since);
+        let span = if waits { self.transition_delay() + PARTITION_MARGIN } else { MIN_PARTITION_TIME };
+        let remaining = span.saturating_sub(self.simulation.now - partitioned_at);
         self.track_worst(remaining.max(SECOND));
         let mut sides_with_quorum = 0;
         for (name, side) in [("side_a", 0..nodes / 2), ("side_b", nodes / 2..nodes)] {
             sides_with_quorum += usize::from(self.report_side(name, side));
         }
         self.set("sides_that_lead", json!(sides_with_quorum));
-        self.set("cut_ms", json!((self.simulation.now - since) / MILLISECOND));
+        self.set("cut_ms", json!((self.simulation.now - partitioned_at) / MILLISECOND));
         self.report.rule("both sides of a partition have a quorum", sides_with_quorum < 2);
         self.report.rule("a half of the fleet has a quorum", sides_with_quorum == 0);
         let false_failures = self.false_failures() - false_before;
@@ -66,7 +67,8 @@
         with_quorum > 0
     }
 
-    /// Heals the partition. Reports the times until all members know each other, see the whole fleet and use the whole quota.
+    /// Heals the partition. Reports the times until all members know each other, see the whole fleet and use the
+    /// whole quota.
     fn measure_healing(&mut self) {
         self.simulation.partition(0);
         let (healed, false_before) = (self.simulation.now, self.false_failures());
@@ -76,13 +78,13 @@
         let complete = complete.map(|_| self.simulation.now - healed);
         self.set("whole_ms", to_ms(complete));
         let announcements = HEALING_ANNOUNCEMENTS * self.intervals.announce_interval * 5 / 4;
-        let bound = self.detection() + announcements + self.intervals.join_delay;
+        let bound = self.detection_bound() + announcements + self.intervals.join_delay;
         self.set("whole_bound_ms", json!(bound / MILLISECOND));
         let late = complete.is_none_or(|complete| complete > bound);
         self.rule_without_loss("the views of the members did not converge within the bound", !late);
         if self.waits_for_transitions(SECOND_TRANSITION_MAX_NODES) {
-            let taken = self.wait_until_fully_shared().map(|_| self.simulation.now - healed);
-            self.set("all_taken_ms", to_ms(taken));
+            let fully_shared = self.wait_until_fully_shared().map(|_| self.simulation.now - healed);
+            self.set("all_taken_ms", to_ms(fully_shared));
         }
         self.set("failed_while_healing", json!(self.false_failures() - false_before));
     }
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -1,7 +1,7 @@
 //! A comparison of real processes with simulated members at the same intervals, which shows what the simulation omits.
 //!
-//! Each process has an agent and proxies. Datagrams pass through relays in this process, whose CPU time does not count for
-//! the measured processes.
+//! Each process has an agent and proxies. Datagrams pass through relays in this process, whose CPU time does not
+//! count for the measured processes.
 
 use super::options::{MembersOptions, ScenarioKind};
 use super::scenario::run_with_intervals;
@@ -88,8 +88,8 @@
     answer.map_or(Counters::default(), |answer| answer.counters)
 }
 
-/// Polls processes until a condition holds for each. Returns the sorted times in milliseconds after which it held; processes
-/// for which it did not hold before the timeout are missing.
+/// Polls processes until a condition holds for each. Returns the sorted times in milliseconds after which it held;
+/// processes for which it did not hold before the timeout are missing.
 fn wait_until(
     fleet: &Fleet, since: Instant, timeout: Duration, processes: &[usize],
     holds: impl Fn(&MembersAnswer) -> bool,
@@ -119,7 +119,8 @@
     pauses_per_s: f64,
 }
 
-/// Measures idle processes. Their counters are queried only if `with_members` is set, that is, if membership is enabled.
+/// Measures idle processes. Their counters are queried only if `with_members` is set, that is, if membership is
+/// enabled.
 fn measure_idle(fleet: &Fleet, with_members: bool) -> IdleUsage {
     let nodes = fleet.members.len();
     let average = |of: &dyn Fn(usize) -> f64| (0..nodes).map(of).sum::<f64>() / nodes.max(1) as f64;
--- a/lab/src/scale/members/restarts.rs
+++ b/lab/src/scale/members/restarts.rs
@@ -14,25 +14,26 @@
     pub(super) fn run_restarts(&mut self) {
         self.wait_until_fully_shared();
         let nodes = self.options.nodes;
-        let (mut back, mut members_without_share, mut untaken) = (Vec::new(), 0, 0.0_f64);
+        let (mut recovery_times, mut members_without_share, mut unassigned_share) = (Vec::new(), 0, 0.0_f64);
         for restart in 0..RESTARTS {
-            let (n, since) = (restart * (nodes / RESTARTS) + nodes / 20, self.simulation.now);
+            let (n, stopped_at) = (restart * (nodes / RESTARTS) + nodes / 20, self.simulation.now);
             let persisted = self.simulation.stop(n, restart % 3 != 2);
             self.simulation.run(RESTART_DOWNTIME);
             self.simulation.start(vec![(n, persisted)], 0);
-            back.extend(self.track_worst_until(RESTART_INTERVAL - RESTART_DOWNTIME, Simulation::all_known));
-            while self.simulation.now < since + RESTART_INTERVAL {
+            recovery_times
+                .extend(self.track_worst_until(RESTART_INTERVAL - RESTART_DOWNTIME, Simulation::all_known));
+            while self.simulation.now < stopped_at + RESTART_INTERVAL {
                 self.track_worst(SECOND);
                 members_without_share = members_without_share.max(self.simulation.members_without_share());
-                untaken = untaken.max(1.0 - self.simulation.total_share());
+                unassigned_share = unassigned_share.max(1.0 - self.simulation.total_share());
             }
         }
         self.set("restarts", json!(RESTARTS));
-        self.set("restarts_back", json!(back.len()));
-        let [p50, max] = median_and_max(back);
+        self.set("restarts_back", json!(recovery_times.len()));
+        let [p50, max] = median_and_max(recovery_times);
         self.set("back_ms_p50", p50);
         self.set("back_ms_max", max);
         self.set("waiting_max", json!(members_without_share));
-        self.set("unused_max", rounded(untaken));
+        self.set("unused_max", rounded(unassigned_share));
     }
 }
--- a/lab/src/scale/members/run.rs
+++ b/lab/src/scale/members/run.rs
@@ -14,15 +14,15 @@
 pub(super) const FIRST_TRANSITION_MAX_NODES: usize = 600;
 /// Maximum size of a fleet in which a run waits for a second quota transition.
 pub(super) const SECOND_TRANSITION_MAX_NODES: usize = 400;
-/// Maximum size of a fleet in which a run with datagram loss waits for a quota transition. In larger ones, false failures
-/// leave some quota unassigned most of the time.
+/// Maximum size of a fleet in which a run with datagram loss waits for a quota transition. In larger ones, false
+/// failures leave some quota unassigned most of the time.
 const LOSSY_MAX_NODES: usize = 200;
 const TRANSITION_MARGIN: Us = 30 * SECOND;
 
 /// Returns the CPU time of the main thread of this process, which does all the work, in milliseconds.
 pub(super) fn own_cpu_ms() -> f64 {
-    let first = std::process::id().to_string();
-    thread_cpu_ns(OWN).find(|(thread, _)| *thread == first).map_or(0.0, |(_, ns)| ns as f64 / 1e6)
+    let main_thread = std::process::id().to_string();
+    thread_cpu_ns(OWN).find(|(thread, _)| *thread == main_thread).map_or(0.0, |(_, ns)| ns as f64 / 1e6)
 }
 
 /// Converts a duration to milliseconds for a report.
@@ -58,7 +58,7 @@
         Totals { at, cpu_ms: own_cpu_ms(), sent, bytes }
     }
 
-    fn since(&self, before: &Totals, nodes: usize) -> Cost {
+    fn mean_cost_since(&self, before: &Totals, nodes: usize) -> Cost {
         let span = (self.at - before.at) as f64 / 1e6 * nodes as f64;
         Cost {
             cpu_ms: (self.cpu_ms - before.cpu_ms) / span,
@@ -97,25 +97,25 @@
     }
 
     /// Returns the time from the loss of a member until the others may use its quota.
-    pub(super) fn transition(&self) -> Us {
+    pub(super) fn transition_delay(&self) -> Us {
         self.lease().reassignment_delay()
     }
 
     /// Returns the maximum time until all members have detected a failure.
-    pub(super) fn detection(&self) -> Us {
+    pub(super) fn detection_bound(&self) -> Us {
         self.lease().detection_time
     }
 
     /// Returns the time within which a quota transition has to complete.
     pub(super) fn transition_timeout(&self) -> Us {
-        2 * self.transition() + TRANSITION_MARGIN
+        2 * self.transition_delay() + TRANSITION_MARGIN
     }
 
     /// Runs for a time span and returns its cost.
     pub(super) fn measure_cost(&mut self, span: Us) -> Cost {
         let before = Totals::read(&self.simulation);
         self.simulation.run(span);
-        Totals::read(&self.simulation).since(&before, self.options.nodes)
+        Totals::read(&self.simulation).mean_cost_since(&before, self.options.nodes)
     }
 
     /// Runs for a time span and updates the maxima of its seconds.
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Runs, with updates of the maxima, until a condition holds. Returns the time it took to the second, or `None` after a
-    /// timeout.
+    /// Runs, with updates of the maxima, until a condition holds. Returns the time it took to the second, or `None`
+    /// after a timeout.
     pub(super) fn track_worst_until(
         &mut self, timeout: Us, holds: impl Fn(&Simulation) -> bool,
     ) -> Option<Us> {
@@ -154,21 +154,21 @@
     }
 
     /// Returns the times from a moment until each running member declared each of the lost members failed.
-    pub(super) fn detected(&self, since: Us, lost: &[usize]) -> Vec<Us> {
+    pub(super) fn detection_times(&self, since: Us, lost: &[usize]) -> Vec<Us> {
         let counts = |failure: &&FailureReport| {
-            failure.at >= since && lost.contains(&failure.subject) && self.simulation.up(failure.observer)
+            failure.at >= since && lost.contains(&failure.subject) && self.simulation.is_up(failure.observer)
         };
         let failures = self.simulation.failures.iter().filter(counts);
         let mut first: Vec<(usize, usize, Us)> =
             failures.map(|failure| (failure.observer, failure.subject, failure.at - since)).collect();
         first.sort_unstable();
-        first.dedup_by_key(|(by, of, _)| (*by, *of));
+        first.dedup_by_key(|(observer, subject, _)| (*observer, *subject));
         first.into_iter().map(|(_, _, duration)| duration).collect()
     }
 
     /// Reports detection times and checks that none exceeds the bound.
     pub(super) fn report_detection(&mut self, durations: Vec<Us>) {
-        let late = durations.iter().any(|duration| *duration > self.detection());
+        let late = durations.iter().any(|duration| *duration > self.detection_bound());
         self.rule_without_loss("a failure was detected later than the bound", !late);
         let [p50, max] = median_and_max(durations);
         self.set("detect_ms_p50", p50);
--- a/lab/src/scale/members/scenario.rs
+++ b/lab/src/scale/members/scenario.rs
@@ -57,8 +57,8 @@
     run.set("cpu_ms_per_s", rounded(idle.cpu_ms));
     run.set("datagrams_per_s", rounded(idle.datagrams));
     run.set("bytes_per_s", rounded(idle.bytes));
-    run.set("transition_ms", json!(run.transition() / MILLISECOND));
-    run.set("notice_ms", json!(run.detection() / MILLISECOND));
+    run.set("transition_ms", json!(run.transition_delay() / MILLISECOND));
+    run.set("notice_ms", json!(run.detection_bound() / MILLISECOND));
     match options.kind {
         ScenarioKind::Calm => {}
         ScenarioKind::Quiet => run.run_crashes(),
--- a/lab/src/scale/members/simulation.rs
+++ b/lab/src/scale/members/simulation.rs
@@ -1,7 +1,7 @@
 //! A simulation of members in memory on virtual time.
 //!
-//! The members are the state machines of `asterrill-membership`; an event queue drives them. The simulation omits sockets,
-//! system calls, threads and the rest of the process.
+//! The members are the state machines of `asterrill-membership`; an event queue drives them. The simulation omits
+//! sockets, system calls, threads and the rest of the process.
 
 use super::action_queue::{Action, ActionQueue, TimedAction};
 use asterrill::Us;
@@ -46,7 +46,7 @@
     /// Datagrams that arrive before this time are ignored.
     starts_at: Us,
     /// The virtual time of the next scheduled tick.
-    wake: Us,
+    next_tick: Us,
     /// The start number of each other member that it considers up; zero for none.
     known_starts: Vec<u64>,
     /// Whether it has ever considered each other member up.
@@ -115,7 +115,7 @@
             member: None,
             start: 0,
             starts_at: START_TIME,
-            wake: Us::MAX,
+            next_tick: Us::MAX,
             known_starts: vec![0; nodes],
             discovered: vec![false; nodes],
             view: View::Isolated,
@@ -169,7 +169,7 @@
         slot.known_starts.iter_mut().for_each(|start| *start = 0);
         (slot.start, slot.starts_at, slot.view) = (start, starts_at, member.view());
         slot.member = Some(member);
-        self.set_wake(n, starts_at);
+        self.schedule_tick(n, starts_at);
     }
     /// Stops a member, after an announcement if `announced`. Returns its persisted state.
     pub fn stop(&mut self, n: usize, announced: bool) -> PersistedMembers {
@@ -183,7 +183,7 @@
         let slot = &mut self.slots[n];
         let state = slot.member.take().map(|member| member.persisted_state(0)).unwrap_or_default();
         self.total_share -= std::mem::take(&mut slot.quota_share);
-        slot.wake = Us::MAX;
+        slot.next_tick = Us::MAX;
         self.count_unknown_pairs();
         PersistedMembers { agreed: state.agreed_members, addresses: state.addresses }
     }
@@ -193,7 +193,7 @@
     }
 
     /// Reports whether a member is running.
-    pub fn up(&self, n: usize) -> bool {
+    pub fn is_up(&self, n: usize) -> bool {
         self.slots[n].member.is_some()
     }
     /// Returns a running member.
@@ -235,32 +235,32 @@
 
     /// Runs for a time span.
     pub fn run(&mut self, span: Us) {
-        let until = self.now + span;
-        while let Some(TimedAction { at: when, action, .. }) = self.queue.pop_until(until) {
+        let end = self.now + span;
+        while let Some(TimedAction { at, action, .. }) = self.queue.pop_until(end) {
             match action {
-                Action::Wake(n) => {
-                    if self.slots[n].wake != when {
+                Action::Tick(n) => {
+                    if self.slots[n].next_tick != at {
                         // The tick was rescheduled.
                         continue;
                     }
-                    self.now = when;
-                    self.slots[n].wake = Us::MAX;
+                    self.now = at;
+                    self.slots[n].next_tick = Us::MAX;
                     if let Some(member) = &mut self.slots[n].member {
-                        member.tick(when);
+                        member.tick(at);
                     }
                     self.process_output(n);
                 }
                 Action::Datagram { from, to, bytes } => {
-                    self.now = when;
+                    self.now = at;
                     let slot = &mut self.slots[to];
-                    if let Some(member) = slot.member.as_mut().filter(|_| slot.starts_at <= when) {
-                        member.handle_datagram(when, address_of(from), &bytes);
+                    if let Some(member) = slot.member.as_mut().filter(|_| slot.starts_at <= at) {
+                        member.handle_datagram(at, address_of(from), &bytes);
                         self.process_output(to);
                     }
                 }
             }
         }
-        self.now = until;
+        self.now = end;
         // An incrementally updated sum accumulates rounding errors.
         self.total_share = self.slots.iter().map(|slot| slot.quota_share).sum();
     }
@@ -276,11 +276,11 @@
         Some(self.now - start)
     }
 
-    fn set_wake(&mut self, n: usize, wake: Us) {
-        if wake != self.slots[n].wake {
-            self.slots[n].wake = wake;
-            if wake != Us::MAX {
-                self.queue.push(wake, Action::Wake(n));
+    fn schedule_tick(&mut self, n: usize, at: Us) {
+        if at != self.slots[n].next_tick {
+            self.slots[n].next_tick = at;
+            if at != Us::MAX {
+                self.queue.push(at, Action::Tick(n));
             }
         }
     }
@@ -314,7 +314,7 @@
             self.queue.push(arrival, Action::Datagram { from: n, to, bytes });
         }
         // Cannot loop: a member never asks for a second tick at the same time without need.
-        self.set_wake(n, next_tick.max(self.now));
+        self.schedule_tick(n, next_tick.max(self.now));
     }
 
     fn record_event(&mut self, n: usize, event: &Event) {
--- a/lab/src/scale/members/tests/simulation.rs
+++ b/lab/src/scale/members/tests/simulation.rs
@@ -16,7 +16,7 @@
 
 /// Compares the incrementally updated counts with the state of the members.
 fn check_counts(simulation: &mut Simulation) {
-    let up: Vec<usize> = (0..simulation.slots.len()).filter(|n| simulation.up(*n)).collect();
+    let up: Vec<usize> = (0..simulation.slots.len()).filter(|n| simulation.is_up(*n)).collect();
     let total_share: f64 =
         up.iter().filter_map(|n| simulation.member(*n)).map(Membership::quota_fraction).sum();
     assert!(
--- a/lab/src/scale/test_bed/bed.rs
+++ b/lab/src/scale/test_bed/bed.rs
@@ -118,8 +118,8 @@
     }
 }
 
-/// Returns the text of the platform's file. The settings are added only for the conversion, so that no second copy stays in
-/// memory.
+/// Returns the text of the platform's file. The settings are added only for the conversion, so that no second copy
+/// stays in memory.
 fn config_text(config: &mut Value, site: &SiteSettings) -> String {
     config["settings"] = site.settings();
     let text = config.to_string();
--- a/lab/src/scale/test_bed/disk.rs
+++ b/lab/src/scale/test_bed/disk.rs
@@ -13,8 +13,8 @@
 
 /// A meter of the bytes written to a directory, based on samples.
 ///
-/// A file that grew counts with its growth, a new or replaced one with its whole length. Files that are created and removed
-/// between two samples are not counted.
+/// A file that grew counts with its growth, a new or replaced one with its whole length. Files that are created and
+/// removed between two samples are not counted.
 pub struct DiskWriteMeter {
     dir: PathBuf,
     files: BTreeMap<PathBuf, FileSize>,
--- a/lab/src/scale/test_bed/load.rs
+++ b/lab/src/scale/test_bed/load.rs
@@ -75,7 +75,8 @@
         Ok(BackgroundLoad { ledger, sender, workers })
     }
 
-    /// Starts continuous health checks of the process and, for comparison, of an echo server, each on its own connection.
+    /// Starts continuous health checks of the process and, for comparison, of an echo server, each on its own
+    /// connection.
     pub fn check_health(&mut self, at: SocketAddr) -> std::io::Result<()> {
         let echo = TcpListener::bind("127.0.0.1:0")?;
         for (at, is_echo) in [(at, false), (echo.local_addr()?, true)] {
@@ -90,8 +91,8 @@
         Ok(())
     }
 
-    /// Starts to call both tenants of a sentinel pair at once, repeatedly, while [`BackgroundLoad::set_sentinel_pair`] names
-    /// one.
+    /// Starts to call both tenants of a sentinel pair at once, repeatedly, while
+    /// [`BackgroundLoad::set_sentinel_pair`] names one.
     pub fn check_version_order(&mut self, at: SocketAddr, seed: u64) -> std::io::Result<()> {
         let stream = connect(at)?;
         let ledger = self.ledger.clone();
--- a/lab/src/scale/test_bed/mod.rs
+++ b/lab/src/scale/test_bed/mod.rs
@@ -1,7 +1,7 @@
 //! A test bed for one real process with many methods and tenants.
 //!
-//! It consists of an agent that records its run times, RPCs at a constant mean rate, continuous health checks, an operator at
-//! the control socket, and meters of the process.
+//! It consists of an agent that records its run times, RPCs at a constant mean rate, continuous health checks, an
+//! operator at the control socket, and meters of the process.
 
 pub mod agent;
 pub mod bed;
--- a/lab/src/scale/test_bed/settings.rs
+++ b/lab/src/scale/test_bed/settings.rs
@@ -19,8 +19,8 @@
     pub callers: usize,
 }
 
-/// Returns the names of a pair of tenants that sort before and after all others, so that a change that is applied in the order
-/// of names reaches them first and last.
+/// Returns the names of a pair of tenants that sort before and after all others, so that a change that is applied in
+/// the order of names reaches them first and last.
 pub fn sentinel_tenants(pair: u64) -> [String; 2] {
     [format!("a-{pair:05}"), format!("z-{pair:05}")]
 }
--- a/lab/src/scale/test_bed/version_order.rs
+++ b/lab/src/scale/test_bed/version_order.rs
@@ -1,7 +1,8 @@
-//! A check that versions take effect in order, by pairs of RPCs that are sent at once while one version replaces another.
+//! A check that versions take effect in order, by pairs of RPCs that are sent at once while one version replaces
+//! another.
 //!
-//! The answers show under which version each RPC of a pair was decided. It is a violation if the first was decided under the
-//! newer version and the second under the older one.
+//! The answers show under which version each RPC of a pair was decided. It is a violation if the first was decided
+//! under the newer version and the second under the older one.
 
 use super::health::CHECK_INTERVAL;
 use super::ledger::Ledger;
@@ -18,8 +19,9 @@
 
 /// Reports whether two RPCs of one connection were decided under a newer version and then under an older one.
 ///
-/// Both tenants are added by the same change, or removed when it is undone. `first` and `second` tell whether the tenants of
-/// the RPCs were recognised, in the order of sending; `known_before` tells whether both tenants existed before the change.
+/// Both tenants are added by the same change, or removed when it is undone. `first` and `second` tell whether the
+/// tenants of the RPCs were recognised, in the order of sending; `known_before` tells whether both tenants existed
+/// before the change.
 pub(super) fn out_of_order(first: bool, second: bool, known_before: bool) -> bool {
     first != known_before && second == known_before
 }
