--- a/lab/src/scale/agree/options.rs
+++ b/lab/src/scale/agree/options.rs
@@ -43,7 +43,7 @@
     /// Seconds between changes; 4 is ten times the rate of an average day
     #[arg(long = "every", value_name = "EVERY", default_value_t = 4)]
     pub change_interval_s: u64,
-    /// Take no virtual time for CPU time
+    /// Do not charge CPU time to virtual time
     #[arg(long = "free")]
     pub ignore_cpu_time: bool,
 }
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -127,11 +127,11 @@
     let cpu_ms = || average(&|n| fleet.members[n].node.cpu_us() as f64 / 1e3);
     let read =
         || -> Vec<Counters> { (0..nodes).filter(|_| with_members).map(|n| counters(fleet, n)).collect() };
-    let (before, since) = (read(), Instant::now());
+    let (before, started_at) = (read(), Instant::now());
     let cpu_before = cpu_ms();
     std::thread::sleep(IDLE_PHASE);
     let cpu = cpu_ms() - cpu_before;
-    let (span, after) = (since.elapsed().as_secs_f64(), read());
+    let (span, after) = (started_at.elapsed().as_secs_f64(), read());
     let rate = |of: fn(&Counters) -> u64| {
         let pairs = before.iter().zip(&after).map(|(before, after)| of(after).saturating_sub(of(before)));
         round(pairs.sum::<u64>() as f64 / span / nodes.max(1) as f64)
@@ -152,10 +152,10 @@
     for crash in 0..CRASHES.min(nodes - 2) {
         let n = nodes / 2 + crash;
         alive.retain(|other| *other != n);
-        let since = Instant::now();
+        let killed_at = Instant::now();
         fleet.members[n].node.kill();
         let (name, timeout) = (format!("n{n}"), ms(2 * detection_ms));
-        let found = wait_until(fleet, since, timeout, &alive, |answer| answer.failed.contains(&name));
+        let found = wait_until(fleet, killed_at, timeout, &alive, |answer| answer.failed.contains(&name));
         report.rule("not all members detected a failure", found.len() == alive.len());
         detected_ms.extend(found);
     }
--- a/lab/src/scale/members/scenario.rs
+++ b/lab/src/scale/members/scenario.rs
@@ -46,8 +46,8 @@
     run.set("nodes", json!(nodes));
     run.set("kind", json!(format!("{:?}", options.kind).to_lowercase()));
     run.set("loss", json!(options.loss));
-    let met = run.simulation.run_until(DISCOVERY_TIMEOUT, Simulation::all_discovered);
-    run.set("found_ms", to_ms(met));
+    let discovery_time = run.simulation.run_until(DISCOVERY_TIMEOUT, Simulation::all_discovered);
+    run.set("found_ms", to_ms(discovery_time));
     let bytes = run.simulation.bytes as f64 / nodes as f64;
     run.set("found_bytes", json!(bytes.round()));
     run.track_worst(SETTLE_TIME);
@@ -67,7 +67,7 @@
         ScenarioKind::Cut => run.run_partition(),
     }
     run.set("cpu_ms_of_the_run", json!((own_cpu_ms() - cpu_before_ms).round()));
-    run.report.rule("not all members discovered each other in time", met.is_some());
+    run.report.rule("not all members discovered each other in time", discovery_time.is_some());
     run.report_totals();
 }
 
@@ -86,8 +86,11 @@
         self.set("memory_kb_of_the_process", json!(resident_kb(OWN)));
         let exceeded = self.simulation.exceeded_total_quota();
         self.report.rule("the quota shares of all members exceeded the whole quota", !exceeded);
-        let healed = self.options.kind == ScenarioKind::Cut;
-        self.rule_without_loss("a reachable member was declared failed", false_failures == 0 || healed);
+        let was_partitioned = self.options.kind == ScenarioKind::Cut;
+        self.rule_without_loss(
+            "a reachable member was declared failed",
+            false_failures == 0 || was_partitioned,
+        );
         self.report_over_budget();
     }
 
--- a/lab/src/scale/test_bed/agent.rs
+++ b/lab/src/scale/test_bed/agent.rs
@@ -16,7 +16,7 @@
     /// The backend connection that subscribed last.
     subscriber: Option<TcpStream>,
     notice_count: u64,
-    /// Running runs by the time of their end and a number that makes the key unique.
+    /// Runs in progress, by the time of their end and a number that makes the key unique.
     running: BTreeMap<(Instant, u64), Run>,
     next_run_number: u64,
     /// Durations from the launch that was read to the outcome that was written, by the number in the body of the RPC.
@@ -26,7 +26,7 @@
 struct Run {
     id: String,
     body: Vec<u8>,
-    since: Instant,
+    received_at: Instant,
 }
 
 /// Returns the number of an RPC whose run time is recorded.
@@ -47,7 +47,7 @@
         let head = format!("outcome {} {} {outcome} 1 {}\r\n", self.notice_count, run.id, result.len());
         let bytes = [head.as_bytes(), &result, b"\r\n"].concat();
         if let Some(number) = rpc_number(&run.body) {
-            self.run_times.insert(number, run.since.elapsed());
+            self.run_times.insert(number, run.received_at.elapsed());
         }
         self.send(&bytes);
     }
@@ -114,7 +114,7 @@
             if reader.read_line(&mut line).ok()? == 0 {
                 return None;
             }
-            let since = Instant::now();
+            let received_at = Instant::now();
             let words: Vec<&str> = line.trim_end().split(' ').collect();
             let mut body = Vec::new();
             if ["launch", "deliver"].contains(&words[0]) {
@@ -122,11 +122,11 @@
                 reader.read_exact(&mut body).ok()?;
                 body.truncate(body.len() - 2);
             }
-            self.handle(&stream, &words, body, since)?;
+            self.handle(&stream, &words, body, received_at)?;
         }
     }
 
-    fn handle(&self, stream: &TcpStream, words: &[&str], body: Vec<u8>, since: Instant) -> Option<()> {
+    fn handle(&self, stream: &TcpStream, words: &[&str], body: Vec<u8>, received_at: Instant) -> Option<()> {
         let id = words.get(1).copied().unwrap_or_default();
         let mut state = self.state();
         match words[0] {
@@ -136,12 +136,12 @@
                 state.subscriber = Some(subscriber);
             }
             "launch" => {
-                let run = Run { id: id.into(), body, since };
+                let run = Run { id: id.into(), body, received_at };
                 if self.work.is_zero() {
                     state.finish(&run, "PASS");
                 } else {
                     state.next_run_number += 1;
-                    let key = (since + self.work, state.next_run_number);
+                    let key = (received_at + self.work, state.next_run_number);
                     state.running.insert(key, run);
                     drop(state);
                     self.shared.1.notify_one();
--- a/lab/src/scale/test_bed/bed.rs
+++ b/lab/src/scale/test_bed/bed.rs
@@ -52,19 +52,25 @@
         site: &SiteSettings, program: Option<&Path>, work: Duration, sections: &str,
     ) -> Result<TestBed, ScenarioError> {
         let agent = TimedAgent::start(work)?;
-        let at = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
+        let listen_addr = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
         let naming = start_naming()?;
-        let mut config = json!({"name": "n1", "listen": at.to_string(), "agent": agent.addr.to_string(),
+        let mut config = json!({"name": "n1", "listen": listen_addr.to_string(), "agent": agent.addr.to_string(),
             "naming": naming.to_string(), "seed": "00000000000000a7", "stop_ms": 2_000,
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1_024}});
-        let file = format!(
+        let operator_file = format!(
             "[changes]\ncontrol {{dir}}/control\nstate {{dir}}/state\n[log]\nformat json\n{sections}"
         );
         let text = config_text(&mut config, site);
-        let start = Instant::now();
-        let node = Node::with_files(at, &text, Some(&file), program.map(Path::to_path_buf), "none")?;
-        while TcpStream::connect(at).is_err() {
-            if start.elapsed() > STARTUP_TIMEOUT {
+        let started_at = Instant::now();
+        let node = Node::with_files(
+            listen_addr,
+            &text,
+            Some(&operator_file),
+            program.map(Path::to_path_buf),
+            "none",
+        )?;
+        while TcpStream::connect(listen_addr).is_err() {
+            if started_at.elapsed() > STARTUP_TIMEOUT {
                 return Err(format!(
                     "the process did not accept connections within {STARTUP_TIMEOUT:?}; its log: {}",
                     node.read_log()
@@ -73,7 +79,7 @@
             }
             thread::sleep(Duration::from_micros(300));
         }
-        let start_ms = start.elapsed().as_secs_f64() * 1e3;
+        let start_ms = started_at.elapsed().as_secs_f64() * 1e3;
         let meter = CpuMeter::new(node.child.id());
         Ok(TestBed { node, agent, meter, start_ms, config })
     }
