--- a/lab/src/scale/config/scenario.rs
+++ b/lab/src/scale/config/scenario.rs
@@ -33,7 +33,7 @@
     thread::sleep(SETTLE_TIME);
     let resident = bed.status_kb("VmRSS");
     let exit = bed.shut_down();
-    report.rule("a process was still running after the shutdown", exit.left == 0);
+    report.rule("a process was still running after the shutdown", exit.leftover_processes == 0);
     Ok(json!(resident))
 }
 
@@ -133,8 +133,8 @@
 fn shut_down(mut session: Session) {
     let exit = session.bed.shut_down();
     let report = session.report;
-    report.set("left_processes", json!(exit.left));
-    report.rule("a process was still running after the shutdown", exit.left == 0);
+    report.set("left_processes", json!(exit.leftover_processes));
+    report.rule("a process was still running after the shutdown", exit.leftover_processes == 0);
     report.rule("the process did not exit with code 0", exit.code == Some(0));
     if session.quick {
         report.rule("a valid change was rejected", session.rejected == 0);
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -257,7 +257,7 @@
     points.iter().for_each(|point| point.bed.node.signal("TERM"));
     for point in points {
         let exit = point.bed.shut_down();
-        left_processes += exit.left;
+        left_processes += exit.leftover_processes;
         report.rule("the process did not exit with code 0", exit.code == Some(0));
     }
     report.set("left_processes", json!(left_processes));
--- a/lab/src/scale/test_bed/agent.rs
+++ b/lab/src/scale/test_bed/agent.rs
@@ -1,4 +1,4 @@
-//! A stand-in agent without a limit of cores, which accounts for how long it had each run.
+//! A stand-in agent without a core limit that records the duration of each run.
 
 use crate::sync::lock;
 use std::collections::{BTreeMap, HashMap};
@@ -9,27 +9,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const IDLE_WAIT: Duration = Duration::from_millis(50);
+const MAX_IDLE_WAIT: Duration = Duration::from_millis(50);
 
 #[derive(Default)]
 struct AgentState {
-    /// The backend's connection that subscribed last.
+    /// The backend connection that subscribed last.
     subscriber: Option<TcpStream>,
-    notices: u64,
-    /// Runs by when they end, and a number that keeps those of one moment apart.
+    notice_count: u64,
+    /// Runs in progress, by the time of their end and a number that makes the key unique.
     running: BTreeMap<(Instant, u64), Run>,
-    next_number: u64,
-    /// By the number in an RPC's body: from the launch that was read to the outcome that was written.
+    next_run_number: u64,
+    /// Durations from the launch that was read to the outcome that was written, by the number in the body of the RPC.
     run_times: HashMap<u64, Duration>,
 }
 
 struct Run {
     id: String,
     body: Vec<u8>,
-    since: Instant,
+    received_at: Instant,
 }
 
-/// The number of an RPC whose time is accounted for.
+/// Returns the number of an RPC whose run time is recorded.
 fn rpc_number(body: &[u8]) -> Option<u64> {
     std::str::from_utf8(body).ok()?.strip_prefix("rpc ")?.parse().ok()
 }
@@ -43,21 +43,21 @@
 
     fn finish(&mut self, run: &Run, outcome: &str) {
         let result = if outcome == "PASS" { [b"did ", &run.body[..]].concat() } else { Vec::new() };
-        self.notices += 1;
-        let head = format!("outcome {} {} {outcome} 1 {}\r\n", self.notices, run.id, result.len());
+        self.notice_count += 1;
+        let head = format!("outcome {} {} {outcome} 1 {}\r\n", self.notice_count, run.id, result.len());
         let bytes = [head.as_bytes(), &result, b"\r\n"].concat();
         if let Some(number) = rpc_number(&run.body) {
-            self.run_times.insert(number, run.since.elapsed());
+            self.run_times.insert(number, run.received_at.elapsed());
         }
         self.send(&bytes);
     }
 }
 
-/// An agent that runs whatever it is given for the same time, and accounts for how long it had each run.
+/// An agent whose runs all take the same time, and which records the duration of each run.
 #[derive(Clone)]
 pub struct TimedAgent {
-    /// Where it listens.
-    pub at: SocketAddr,
+    /// The listening address.
+    pub addr: SocketAddr,
     work: Duration,
     shared: Arc<(Mutex<AgentState>, Condvar)>,
     stopped: Arc<AtomicBool>,
@@ -67,8 +67,12 @@
     /// Listens on a port that the system chooses; each run takes `work`.
     pub fn start(work: Duration) -> std::io::Result<TimedAgent> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let agent =
-            TimedAgent { at: listener.local_addr()?, work, shared: Arc::default(), stopped: Arc::default() };
+        let agent = TimedAgent {
+            addr: listener.local_addr()?,
+            work,
+            shared: Arc::default(),
+            stopped: Arc::default(),
+        };
         let (acceptor, worker) = (agent.clone(), agent.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -83,45 +87,46 @@
         Ok(agent)
     }
 
-    /// How long it had the run of an RPC, once.
+    /// Removes and returns the recorded duration of the run of an RPC.
     pub fn take_run_time(&self, rpc: u64) -> Option<Duration> {
         self.state().run_times.remove(&rpc)
     }
 
-    /// Ends its threads.
+    /// Stops the threads of the agent.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
         self.shared.1.notify_all();
-        drop(TcpStream::connect(self.at)); // so that the acceptor looks
+        // Wakes the acceptor, so that it sees the flag.
+        drop(TcpStream::connect(self.addr));
     }
 
     fn state(&self) -> MutexGuard<'_, AgentState> {
         lock(&self.shared.0)
     }
 
-    /// Reads a backend's connection to its end.
+    /// Serves a backend connection until it closes.
     fn serve(&self, stream: TcpStream) -> Option<()> {
         stream.set_nodelay(true).ok()?;
-        let mut from = BufReader::new(stream.try_clone().ok()?);
+        let mut reader = BufReader::new(stream.try_clone().ok()?);
         let mut line = String::new();
         loop {
             line.clear();
-            if from.read_line(&mut line).ok()? == 0 {
+            if reader.read_line(&mut line).ok()? == 0 {
                 return None;
             }
-            let since = Instant::now();
+            let received_at = Instant::now();
             let words: Vec<&str> = line.trim_end().split(' ').collect();
             let mut body = Vec::new();
             if ["launch", "deliver"].contains(&words[0]) {
                 body = vec![0; words.last()?.parse::<usize>().ok()? + 2];
-                from.read_exact(&mut body).ok()?;
+                reader.read_exact(&mut body).ok()?;
                 body.truncate(body.len() - 2);
             }
-            self.handle(&stream, &words, body, since)?;
+            self.handle(&stream, &words, body, received_at)?;
         }
     }
 
-    fn handle(&self, stream: &TcpStream, words: &[&str], body: Vec<u8>, since: Instant) -> Option<()> {
+    fn handle(&self, stream: &TcpStream, words: &[&str], body: Vec<u8>, received_at: Instant) -> Option<()> {
         let id = words.get(1).copied().unwrap_or_default();
         let mut state = self.state();
         match words[0] {
@@ -131,12 +136,12 @@
                 state.subscriber = Some(subscriber);
             }
             "launch" => {
-                let run = Run { id: id.into(), body, since };
+                let run = Run { id: id.into(), body, received_at };
                 if self.work.is_zero() {
                     state.finish(&run, "PASS");
                 } else {
-                    state.next_number += 1;
-                    let key = (since + self.work, state.next_number);
+                    state.next_run_number += 1;
+                    let key = (received_at + self.work, state.next_run_number);
                     state.running.insert(key, run);
                     drop(state);
                     self.shared.1.notify_one();
@@ -158,7 +163,7 @@
         Some(())
     }
 
-    /// Ends runs when their time is over, until the agent is stopped.
+    /// Finishes runs when they are due, until the agent is stopped.
     fn finish_runs(&self) {
         let mut state = self.state();
         while !self.stopped.load(Ordering::Acquire) {
@@ -168,8 +173,8 @@
                 let run = entry.remove();
                 state.finish(&run, "PASS");
             }
-            let next = state.running.first_key_value().map(|((at, _), _)| *at);
-            let wait = next.map_or(IDLE_WAIT, |at| at.saturating_duration_since(Instant::now()));
+            let next_end = state.running.first_key_value().map(|((end, _), _)| *end);
+            let wait = next_end.map_or(MAX_IDLE_WAIT, |end| end.saturating_duration_since(Instant::now()));
             state = self.shared.1.wait_timeout(state, wait).unwrap_or_else(|e| e.into_inner()).0;
         }
     }
