--- a/recovery/src/stages.rs
+++ b/recovery/src/stages.rs
@@ -38,7 +38,7 @@
     RunsEnded,
     /// All criteria for full service were met in three consecutive intervals.
     SustainedFullService,
-    /// The breaker is open, or the agent does not answer.
+    /// The circuit breaker is open, or runs have stopped finishing.
     Unhealthy,
     /// The warm-up ramp after the start is not complete.
     RampIncomplete,
@@ -55,13 +55,15 @@
     pub fn as_str(self) -> &'static str {
         match self {
             StageReason::Started => "the process has started",
-            StageReason::SnapshotAssessed => "the snapshot has been assessed",
+            StageReason::SnapshotAssessed => "the snapshot has been assessed, or there was none",
             StageReason::RunsEnded => "ten runs have ended ok",
-            StageReason::SustainedFullService => "three seconds in a row were served in full",
-            StageReason::Unhealthy => "the agent or the upstream tier fails",
+            StageReason::SustainedFullService => {
+                "the criteria for full service were met for three consecutive seconds"
+            }
+            StageReason::Unhealthy => "the circuit breaker is open, or runs have stopped finishing",
             StageReason::RampIncomplete => "the warm-up ramp is not complete",
             StageReason::CallsLimited => "slow start still limits upstream calls",
-            StageReason::SlowRuns => "runs take longer than they should",
+            StageReason::SlowRuns => "serving times are longer than the learned ones",
             StageReason::Rejecting => "more than 5 in 100 RPCs are rejected",
         }
     }
@@ -84,13 +86,14 @@
     pub ramp_complete: bool,
     /// Whether upstream calls are limited by the settings only.
     pub calls_unrestricted: bool,
-    /// Whether the breaker is open or the agent does not answer.
+    /// Whether the circuit breaker is open or runs have stopped finishing.
     pub unhealthy: bool,
 }
 
 /// Number of ok runs after which a server is no longer cold. That many are needed to learn serving times.
 const OK_RUNS_UNTIL_WARMING: u64 = 10;
-/// Slowdown up to which serving times count as normal, because the work of a run varies around its mean.
+/// Slowdown up to which serving times count as normal, because the work of an RPC varies by about as much
+/// as its mean.
 const MAX_SLOWDOWN: f64 = 1.6;
 /// Fraction of RPCs that may be rejected at full service.
 const MAX_REJECTED_FRACTION: f64 = 0.05;
--- a/src/control/inputs.rs
+++ b/src/control/inputs.rs
@@ -48,7 +48,7 @@
             let answers_due = kill.saturating_sub(2 * control.step);
             control.drain.begin(noticed, answers_due);
             control.cap_deadlines(answers_due);
-            control.outcome.log.push("notice to leave".into());
+            control.outcome.log.push("shutdown notice received; draining".into());
         })
     }
 
--- a/src/control/publication.rs
+++ b/src/control/publication.rs
@@ -43,7 +43,9 @@
         let healthy = !self.drain.is_draining() && !stalled;
         if let Some(healthy) = self.feedback.update_health(healthy) {
             self.outcome.healthy = Some(healthy);
-            self.outcome.log.extend(stalled.then(|| "health off: work stopped finishing".into()));
+            self.outcome
+                .log
+                .extend(stalled.then(|| "runs have stopped finishing; reporting unhealthy".into()));
         }
     }
 
