--- a/engine/src/calls.rs
+++ b/engine/src/calls.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Cancels a call that no run waits for. `late` tells that its reply did not arrive in time.
+    /// Cancels a call that no run waits for. `late` is true if its reply did not arrive in time.
     pub(crate) fn abandon_call(
         &mut self, id: RpcId, call: PendingCall, late: bool, out: &mut dyn Outputs<ReplyTo>,
     ) {
--- a/engine/src/idempotency.rs
+++ b/engine/src/idempotency.rs
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Removes a record from all indexes.
+    /// Removes a record from all indexes. Every removal goes through this function, so that the indexes stay
+    /// consistent.
     fn remove_key(&mut self, key: IdempotencyKey) {
         let Some(entry) = self.entries.remove(&key) else { return };
         self.by_id.remove(&entry.id);
--- a/engine/src/outputs.rs
+++ b/engine/src/outputs.rs
@@ -45,11 +45,13 @@
     ) -> Option<UpstreamLinkId>;
     /// Cancels a call that no run waits for.
     fn cancel_call(&mut self, link: UpstreamLinkId, id: RpcId);
-    /// Reports that a call on this link is no longer in flight. `late` tells that its reply did not arrive in time.
+    /// Reports that a call on this link is no longer in flight. `late` is true if its reply did not arrive in
+    /// time.
     fn call_finished(&mut self, link: UpstreamLinkId, late: bool);
     /// Sets the health status that health checks report.
     fn set_health(&mut self, healthy: bool);
-    /// Sets the time in microseconds after which idle connections are closed; 0 once callers must disconnect for good.
+    /// Sets the time in microseconds after which idle connections are closed; 0 if callers must
+    /// disconnect because the server drains.
     fn close_idle(&mut self, idle_time: Us);
     /// Writes a line to the operators' log.
     fn log(&mut self, line: &str);
--- a/engine/src/response_cache.rs
+++ b/engine/src/response_cache.rs
@@ -78,7 +78,8 @@
         self.entries.get(&id)?.result.as_ref()
     }
 
-    /// Removes an entry from all indexes.
+    /// Removes an entry from all indexes. Every removal goes through this function, so that the indexes stay
+    /// consistent.
     pub(crate) fn remove(&mut self, id: RpcId) {
         if let Some(entry) = self.entries.remove(&id) {
             self.by_expiry.remove(&Expiry { at: entry.expires_at, id });
--- a/engine/src/runs.rs
+++ b/engine/src/runs.rs
@@ -46,8 +46,8 @@
         *count += 1;
     }
 
-    /// Ends a run that the executor could not start. Returns the requester, or none if the last command sent
-    /// for this RPC was not its launch.
+    /// Ends a run that the executor could not start. Returns the requester, or none if the last command sent for
+    /// this RPC was not its launch.
     pub fn launch_failed(&mut self, now: Us, id: RpcId, out: &mut dyn Outputs<ReplyTo>) -> Option<ReplyTo> {
         let rpc = self.rpcs.get(id).filter(|rpc| rpc.state == RpcState::Running(SentCommand::Launch))?;
         let reply_to = rpc.reply_to;
--- a/engine/src/table.rs
+++ b/engine/src/table.rs
@@ -30,7 +30,8 @@
         self.open.insert(rpc.request.id, rpc);
     }
 
-    /// Removes an RPC from the table. Returns false if it was not in the table.
+    /// Removes an RPC from the table and its indexes. Returns false if it was not in the table. No other function
+    /// removes an RPC, so that the indexes stay consistent.
     pub(crate) fn remove(&mut self, id: RpcId) -> bool {
         let Some(rpc) = self.open.remove(&id) else { return false };
         self.coalesced.remove(&Coalescing { original: rpc.original.unwrap_or(id), follower: id });
--- a/recovery/src/assessment.rs
+++ b/recovery/src/assessment.rs
@@ -47,7 +47,8 @@
     OtherMachine,
     /// The agent has started without a warm cache.
     AgentEmpty,
-    /// The snapshot has no value of this kind, or only values of methods that no longer exist.
+    /// The snapshot has no value of this kind, or only values that can't be used, such as costs of methods that no
+    /// longer exist or whose latency target has changed.
     NoValue,
 }
 
--- a/recovery/src/slow_start.rs
+++ b/recovery/src/slow_start.rs
@@ -36,7 +36,8 @@
 const BACKOFF_FACTOR: f64 = 0.5;
 /// Fraction of the limit that calls in flight must reach for the limit to grow.
 const MIN_USED_FRACTION: f64 = 0.5;
-/// Fraction of failed calls up to which an update counts as ok. One call in ten may fail for reasons other than overload.
+/// Fraction of failed calls up to which an update counts as ok. One call in ten may fail for reasons other
+/// than overload.
 const MAX_FAILED_FRACTION: f64 = 0.1;
 /// Consecutive updates without a successful call that count as an outage.
 const FAILED_UPDATES_UNTIL_OUTAGE: u32 = 3;
--- a/recovery/src/staleness.rs
+++ b/recovery/src/staleness.rs
@@ -22,7 +22,7 @@
 const MIN_UNDISCOUNTED_WEIGHT: f64 = 0.999;
 /// Maximum age of a concurrency target, because it depends on the load at its time.
 const MAX_TARGET_AGE_US: Us = MAX_EFFECT_TIME_US;
-/// Maximum age of a slowdown, because it may have been short.
+/// Maximum age of a slowdown, because the slowdown may have been brief.
 const MAX_SLOWDOWN_AGE_US: Us = 2_000_000;
 /// Maximum age of failed upstream calls for a single further failure to open the breaker.
 const MAX_FAILURE_AGE_US: Us = 60_000_000;
--- a/src/admission_queue.rs
+++ b/src/admission_queue.rs
@@ -4,7 +4,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Ratio of the expected wait to the work queued ahead. It exceeds 1 since more RPCs of higher rank will arrive.
+/// Ratio of the expected wait to the work queued ahead. It exceeds 1, because more RPCs of higher priority will
+/// arrive.
 const WAIT_FACTOR: f64 = 2.5;
 
 /// A class of RPCs of equal priority weight; higher weights sort first.
--- a/src/caller_feedback.rs
+++ b/src/caller_feedback.rs
@@ -18,7 +18,7 @@
 /// The meaning of the value that is published to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FeedbackMode {
-    /// Nothing is published.
+    /// No value is published.
     Off,
     /// The number of RPCs that each caller may have outstanding at this server.
     Credit,
@@ -93,9 +93,9 @@
     /// Returns the idle timeout of connections, if it has changed.
     ///
     /// This guards against a connection table full of idle connections: they load the cores and leave no connection
-    /// for other callers. The timeout is shortened while more than `MAX_CONNECTIONS_PER_CALLER` connections are open
-    /// per active caller, which also covers growth of the fleet or of the number of callers. The drawback is an
-    /// additional handshake for a caller that pauses.
+    /// for other callers. The timeout is shortened while more than `MAX_CONNECTIONS_PER_CALLER` connections per
+    /// active caller and more than `KEPT_CONNECTIONS_PER_CORE` per core are open, which also covers growth of the fleet
+    /// or of the number of callers. The drawback is an additional handshake for a caller that pauses.
     pub(crate) fn adjust_idle_timeout(&mut self, open: f64, active_callers: f64, cores: f64) -> Option<Us> {
         let before = self.idle;
         let wanted = MAX_CONNECTIONS_PER_CALLER * active_callers;
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -165,8 +165,9 @@
         self.set_timer(id, if fits { deadline } else { self.now });
     }
 
-    /// Returns a rejection for an RPC that can't be answered in time, because the server is draining, out of memory or
-    /// stalled, or its queue is too long.
+    /// Returns a rejection for an RPC that can't be answered in time or that the server has no capacity for: it arrived
+    /// after the grace period of a drain, its deadline has passed, memory is used up, runs have stopped finishing, or
+    /// the queue is too long.
     fn capacity_rejection(&self, candidate: &Candidate) -> Option<Rejection> {
         let Candidate { time_limits, forecast, .. } = candidate;
         let key_kb = if candidate.retention > 0 { self.keys.entry_kb } else { 0.0 };
--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -14,8 +14,8 @@
 const PENALTY_FACTOR: f64 = 0.25;
 
 impl Control {
-    /// Marks an RPC as answered, or as not to be answered any more. A queued RPC ends; a running one is cancelled, or
-    /// left to finish if runs can't be cancelled.
+    /// Marks an RPC as answered, or as not to be answered any more. A queued or coalesced RPC ends; a running one
+    /// is cancelled, or left to finish if runs can't be cancelled; a call in flight is abandoned.
     pub(super) fn mark_answered(&mut self, id: RpcId) {
         let Some(rpc) = self.rpcs.get_mut(&id).filter(|rpc| !rpc.answered) else { return };
         rpc.answered = true;
@@ -81,7 +81,7 @@
 
     /// Updates slowdown and cost with a run whose serving time was `served` microseconds.
     ///
-    /// A cancelled run would have taken at least as long, so it can only raise the slowdown. The serving times of a
+    /// A cancelled run would have taken at least as long, so it may only raise the slowdown. The serving times of a
     /// slow server are not learned as costs.
     fn update_estimates(&mut self, method: MethodId, served: f64, end: RunEnd) {
         let Some(CostEstimate { samples, mean }) = self.costs.get(method.0) else { return };
--- a/src/control/inputs.rs
+++ b/src/control/inputs.rs
@@ -125,7 +125,7 @@
         std::mem::take(&mut self.outcome)
     }
 
-    /// Requests a wake-up for the next timer or tick, unless an earlier one is already requested.
+    /// Requests a wakeup for the next timer or tick, unless an earlier one is already requested.
     fn schedule_wake(&mut self) {
         let next_timer = self.timers.first().map_or(self.next_tick, |(at, _)| self.next_tick.min(*at));
         let next = next_timer.max(self.now + 1);
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -78,7 +78,7 @@
     pub(super) slowdown: f64,
     /// Time of the next periodic adjustment.
     pub(super) next_tick: Us,
-    /// The earliest requested wake-up that has not fired yet; `Us::MAX` for none.
+    /// The earliest requested wakeup that has not fired yet; `Us::MAX` for none.
     pub(super) next_wake: Us,
     /// Number of arrivals so far.
     pub(super) sequence: u64,
@@ -131,10 +131,11 @@
         self.accounts.redistribute(self.now, self.concurrency.target, highest_max_cost);
     }
 
-    /// Reports whether the server is stalled: RPCs are running, but none has started or ended for too long.
+    /// Reports whether the server is stalled: RPCs are running, but none has entered or left the cores for
+    /// too long.
     ///
     /// This guards against runs that stop finishing because of a hang, a pause or a failed disk. The drawback is that
-    /// a single RPC that runs alone for several times its cost is taken for a stall.
+    /// an RPC that runs alone for several times its cost, which is rare, is taken for a stall.
     pub(super) fn is_stalled(&self) -> bool {
         let stall_timeout = STALL_FACTOR * self.highest_max_cost();
         self.cores.running > 0 && (self.now - self.cores.last_change) as f64 > stall_timeout
--- a/src/method.rs
+++ b/src/method.rs
@@ -2,10 +2,10 @@
 
 use crate::ids::{MethodId, Us};
 
-/// Whether an RPC of a method may run more than once.
+/// Rule for how often an RPC of a method may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// The RPC may run more than once.
+    /// The RPC may run more than once without harm.
     Idempotent,
     /// The RPC carries an idempotency key: of all attempts with that key within the method's window, only one runs.
     Keyed,
@@ -32,7 +32,7 @@
     pub latency_target: Us,
     /// Total time for which a client waits for an answer.
     pub deadline: Us,
-    /// Whether an RPC may run more than once.
+    /// Rule for how often an RPC may run.
     pub idempotency: Idempotency,
     /// Priority weight: the value of a successful answer within the latency target, 0 or more.
     pub criticality: f64,
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -9,7 +9,7 @@
     Rejected {
         /// Whether the caller is asked not to try another server.
         terminal: bool,
-        /// How long the caller should wait before it retries on this server; 0 for no advice.
+        /// Time that the caller should wait before it retries on this server; 0 for no advice.
         retry_after: Us,
     },
     /// An error that does not tell whether the RPC took effect.
@@ -25,7 +25,7 @@
     Rejected {
         /// Whether the caller is asked not to try another server.
         terminal: bool,
-        /// How long the caller should wait before it retries on this server; 0 for no advice.
+        /// Time that the caller should wait before it retries on this server; 0 for no advice.
         retry_after: Us,
     },
     /// An error that does not tell whether the RPC took effect.
@@ -55,7 +55,7 @@
 pub struct KeyRetention {
     /// The RPC that the key belongs to.
     pub id: RpcId,
-    /// How long to retain it, from now.
+    /// Time from now for which the key is retained.
     pub duration: Us,
 }
 
@@ -73,7 +73,8 @@
 pub struct Outcome {
     /// Final answers.
     pub answers: Vec<Reply>,
-    /// Running RPCs to cancel. This follows the answers, so that a run that is already answered ends for good.
+    /// Running RPCs to cancel. This follows the answers, so that a run is cancelled only when its RPC needs no
+    /// further answer.
     pub cancellations: Vec<RpcId>,
     /// Idempotency and cache keys to retain.
     pub retained_keys: Vec<KeyRetention>,
--- a/src/status.rs
+++ b/src/status.rs
@@ -3,8 +3,8 @@
 /// Limits while a server recovers from a restart or an upstream outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecoveryLimits {
-    /// Maximum number of upstream calls in flight, in addition to the limit of the settings; infinite for no
-    /// further limit.
+    /// Maximum number of upstream calls in flight. It applies together with the limit of the settings; infinite for no
+    /// additional limit.
     pub calls_in_flight: f64,
     /// Maximum ratio of retries to first attempts of upstream calls over ten seconds; infinite for no limit.
     pub retry_ratio: f64,
@@ -30,7 +30,7 @@
     pub warm: bool,
     /// Whether the circuit breaker blocks upstream calls.
     pub breaker_open: bool,
-    /// Whether the server is stalled: RPCs run, but none finishes.
+    /// Whether the server is stalled: RPCs run, but none has entered or left the cores for too long.
     pub stalled: bool,
     /// Maximum number of upstream calls in flight by the settings; infinite for no limit.
     pub call_limit: f64,
--- a/src/tests/harness.rs
+++ b/src/tests/harness.rs
@@ -192,7 +192,7 @@
         self.apply(outcome);
     }
 
-    /// Advances the time, firing all wake-ups and call timeouts that are due.
+    /// Advances the time, firing all wakeups and call timeouts that are due.
     pub(super) fn advance(&mut self, duration: Us) {
         let until = self.now + duration;
         loop {
--- a/src/tuning.rs
+++ b/src/tuning.rs
@@ -15,10 +15,11 @@
 pub(crate) const TICK_INTERVAL: Us = ACTIVITY_WINDOW / TICKS_PER_WINDOW;
 
 /// Ratio of max_cost to the mean cost. A slowdown within it may be random variation, as the work of an RPC varies by
-/// its mean.
+/// about as much as its mean.
 pub(crate) const COST_SPREAD: f64 = 1.6;
 
-/// Multiple of the highest max_cost without a run ending after which the server is stalled instead of merely busy.
+/// Multiple of the highest max_cost after which a server is stalled instead of merely busy, if no RPC has entered or
+/// left the cores in that time.
 pub(crate) const STALL_FACTOR: f64 = 5.0;
 
 /// Number of runs of any method over which the slowdown is averaged.
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,9 +1,9 @@
 //! Tests that a cold server never publishes more credit to all its callers together than the RPCs that it sustains at
 //! that time.
 //!
-//! Callers round their credit at random, so the RPCs that are outstanding may exceed that limit by a small multiple of
-//! its square root. The simulation covers 1,000 seeds, callers that the server has not seen yet, callers that restart and lose their
-//! credit, and several cold servers at once.
+//! Callers round their credit up or down at random, so the RPCs that are outstanding may exceed that limit by twice its
+//! square root plus 2. The simulation covers 1,000 seeds, callers that the server has not seen yet, callers that
+//! restart and lose their credit, and several cold servers at once.
 
 use asterrill::*;
 use nanorand::{Rng, WyRand};
@@ -259,6 +259,7 @@
 
 #[test]
 fn more_callers_than_expected_share_the_credit_once_they_are_seen() {
-    // Fewer callers than these are expected at the start, so the credit has to adapt to those seen in the last second.
+    // The server expects 10 callers at its start, and 12 send. The credit has to adapt to those seen in the last
+    // second.
     (0..200).for_each(|seed| _ = simulate(seed, 12, 10));
 }
