--- a/engine/src/outcomes.rs
+++ b/engine/src/outcomes.rs
@@ -42,8 +42,8 @@
         if let Some(idle_time) = outcome.close_idle_after {
             out.close_idle(idle_time);
         }
-        if let Some(span) = outcome.wake_after {
-            self.schedule_wakeup(self.now + span);
+        if let Some(delay) = outcome.wake_after {
+            self.schedule_wakeup(self.now + delay);
         }
         for line in outcome.log {
             out.log(&line);
--- a/recovery/src/snapshot.rs
+++ b/recovery/src/snapshot.rs
@@ -18,7 +18,7 @@
 
 const KIND: &str = "learned";
 const FORMAT: u32 = 1;
-/// Maximum length of a name. Longer names are omitted.
+/// Maximum length of a name. Longer names are not stored.
 const MAX_NAME_BYTES: usize = 256;
 
 /// Learned cost of one method.
@@ -96,7 +96,7 @@
 impl Snapshot {
     /// Returns the snapshot as checksummed text of at most about 400 kB: 1,024 methods, 1,024 tenants and 1,000
     /// accounts. Methods and tenants whose names are too long or contain control characters, such as line breaks, are
-    /// omitted.
+    /// omitted; such a name of the backend is replaced by an empty one.
     pub fn to_text(&self) -> String {
         let ClockReading { wall, uptime, boot_id } = self.taken_at;
         let mut body = format!("moment {wall} {uptime} {boot_id:016x}\n");
--- a/recovery/src/stages.rs
+++ b/recovery/src/stages.rs
@@ -157,7 +157,7 @@
     /// 1. The stage is `Restoring` until the snapshot has been assessed.
     /// 2. The stage is `Cold` until ten runs have ended ok.
     /// 3. Each interval of one second with RPCs is evaluated. It is good if the ramp is complete, calls are
-    ///    unrestricted, there is no slowdown, nothing is unhealthy, and at most 5 in 100 RPCs were rejected. Three
+    ///    unrestricted, the slowdown is at most 1.6, nothing is unhealthy, and at most 5 in 100 RPCs were rejected. Three
     ///    consecutive good intervals lead to `Full`, five consecutive bad ones back to `Warming`.
     pub fn update(&mut self, now: Us, evidence: StageEvidence) -> Option<Stage> {
         self.runs_ok += evidence.runs_ok;
