--- a/src/control/inputs.rs
+++ b/src/control/inputs.rs
@@ -48,7 +48,7 @@
             let answers_due = kill.saturating_sub(2 * control.step);
             control.drain.begin(noticed, answers_due);
             control.cap_deadlines(answers_due);
-            control.outcome.log.push("notice to leave".into());
+            control.outcome.log.push("shutdown notice received; draining".into());
         })
     }
 
@@ -125,7 +125,7 @@
         std::mem::take(&mut self.outcome)
     }
 
-    /// Requests a wake-up for the next timer or tick, unless an earlier one is already requested.
+    /// Requests a wakeup for the next timer or tick, unless an earlier one is already requested.
     fn schedule_wake(&mut self) {
         let next_timer = self.timers.first().map_or(self.next_tick, |(at, _)| self.next_tick.min(*at));
         let next = next_timer.max(self.now + 1);
