--- a/membership/src/member.rs
+++ b/membership/src/member.rs
@@ -37,10 +37,12 @@
     pub fn as_str(self) -> &'static str {
         match self {
             StatusReason::Alive => "",
-            StatusReason::ProbeFailed => "it did not answer a probe",
-            StatusReason::Unreachable => "it did not answer, nor for others",
-            StatusReason::LeaveAnnounced => "it said so",
-            StatusReason::DuplicateName => "it goes by this member's name",
+            StatusReason::ProbeFailed => "no answer to a probe",
+            StatusReason::Unreachable => {
+                "no answer to direct and indirect probes until the suspicion timeout"
+            }
+            StatusReason::LeaveAnnounced => "the member announced that it leaves",
+            StatusReason::DuplicateName => "another process uses the name of the reporting member",
         }
     }
 }
