--- a/membership/src/config.rs
+++ b/membership/src/config.rs
@@ -13,7 +13,7 @@
 /// Number of members asked for an indirect probe of a member that did not answer a direct one.
 const INDIRECT_PROBES: usize = 3;
 /// Maximum number of times that an update is gossiped.
-const MAX_TRANSMISSIONS: u8 = 10;
+const MAX_TRANSMISSIONS_PER_UPDATE: u8 = 10;
 /// Divisor of the probe interval that yields the timeout of a direct probe.
 const PROBE_TIMEOUT_DIVISOR: Us = 4;
 /// Ratio of the announce interval for live members to that for dead ones.
@@ -53,7 +53,7 @@
             probe_period: duration(self.probe_interval),
             probe_rtt: duration(self.probe_timeout()),
             num_indirect_probes: NonZeroUsize::new(INDIRECT_PROBES).unwrap_or(one),
-            max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
+            max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS_PER_UPDATE).unwrap_or(NonZeroU8::MIN),
             suspect_to_down_after: duration(scaled_suspicion_timeout(self.suspicion_timeout, members)),
             // This has to be long. Otherwise a late update would add a dead member again.
             remove_down_after: Some(duration(self.forget_after)),
--- a/membership/src/event.rs
+++ b/membership/src/event.rs
@@ -58,7 +58,7 @@
     },
     /// The other members had declared this one dead, and it rejoined with the next incarnation.
     Rejoined,
-    /// This process was paused or starved of CPU time.
+    /// This process was paused or had no CPU time.
     Paused {
         /// Duration of the pause in microseconds.
         duration: Us,
--- a/membership/src/flap.rs
+++ b/membership/src/flap.rs
@@ -31,7 +31,7 @@
     }
 
     /// Reports whether the last recorded score reaches the damping threshold.
-    pub(crate) fn exceeds_threshold(&self) -> bool {
+    pub(crate) fn reaches_damping_threshold(&self) -> bool {
         self.score >= DAMPING_THRESHOLD
     }
 
--- a/membership/src/role_policy.rs
+++ b/membership/src/role_policy.rs
@@ -29,7 +29,7 @@
     pub allowed_changes: AllowedChanges,
     /// True if the backend reports that it is ready, as far as membership is concerned.
     ///
-    /// Callers that are cut off from the other backends have only this one.
+    /// It is true in every view, because callers that are cut off from the other backends have only this one.
     pub ready: bool,
 }
 
--- a/membership/src/state.rs
+++ b/membership/src/state.rs
@@ -153,7 +153,7 @@
         self.timers.next_deadline().min(self.next_announce).max(self.now)
     }
 
-    /// Returns how much of the cluster this member sees.
+    /// Returns the view, that is, how much of the cluster this member sees.
     pub fn view(&self) -> View {
         self.quorum.view()
     }
--- a/membership/src/tests/lease_model.rs
+++ b/membership/src/tests/lease_model.rs
@@ -20,7 +20,7 @@
     /// Side of each member. Members on the same side receive each other's datagrams.
     side: [u8; MEMBERS],
     paused: [bool; MEMBERS],
-    /// Age of the current partition for each member.
+    /// Time steps since the sides last changed. Each member detects that change within [`DETECTION_STEPS`].
     since_change: [u64; MEMBERS],
     /// Members that each member considers present.
     present: [[bool; MEMBERS]; MEMBERS],
--- a/membership/src/transitions.rs
+++ b/membership/src/transitions.rs
@@ -71,7 +71,7 @@
             member.last_heard = before.last_heard;
             member.flaps = before.flaps;
             member.flaps.record(self.now, self.config.flap_window, before.status == MemberStatus::Dead);
-            member.damped = before.damped || member.flaps.exceeds_threshold();
+            member.damped = before.damped || member.flaps.reaches_damping_threshold();
             if member.damped && !before.damped {
                 self.flapping.insert(id.name.clone());
                 self.events.push(Event::Flapping { name: id.name.clone() });
