--- a/rollout/src/version_file/error.rs
+++ b/rollout/src/version_file/error.rs
@@ -27,8 +27,8 @@
     /// The hash of the snapshot's content differs from the hash in its header.
     #[error("the hash of the snapshot's content differs from the hash in its header")]
     SnapshotHash,
-    /// A line that should be the header of a step is malformed.
-    #[error("the step header is malformed")]
+    /// A line that should be the header of a step is malformed, or its checksum does not match.
+    #[error("the step header is malformed or its checksum does not match")]
     StepHeader,
     /// The file ends within the body of the step.
     #[error("the step body is cut short")]
--- a/rollout/src/version_file/snapshot.rs
+++ b/rollout/src/version_file/snapshot.rs
@@ -20,8 +20,9 @@
 impl WrittenFile {
     /// Returns the steps to append so that another state is on disk. Returns `None` if a snapshot must be written
     /// instead, because steps cannot lead to that state, or because all steps together would exceed both the length
-    /// of the snapshot and [`MIN_COMPACTION_BYTES`]. The file is therefore at most twice as long as a snapshot plus
-    /// the version on probation, and at least one byte of steps is written for each byte of a rewritten snapshot.
+    /// of the snapshot and [`MIN_COMPACTION_BYTES`]. The steps are therefore at most as long as the snapshot, or
+    /// [`MIN_COMPACTION_BYTES`] if that is more, and at least one byte of steps is written for each byte of a rewritten
+    /// snapshot. A version on probation that is rewritten with the snapshot may exceed that length.
     pub fn update_to(&self, to: &PersistedState) -> Option<PendingSteps> {
         let update = PendingSteps::between(&self.state, to)?;
         let steps_bytes = self.steps_bytes + update.bytes();
