--- a/consensus/src/lease.rs
+++ b/consensus/src/lease.rs
@@ -6,8 +6,8 @@
 //! - The leader grants the lease only after a majority has confirmed, later than the request arrived, that it still
 //!   leads. It counts the lease from that moment, and for a twentieth longer, because clocks run at different rates.
 //!   A lease that the leader counts as expired has therefore expired.
-//! - A new leader waits for one such duration before it activates a version that contradicts the active one. No earlier
-//!   leader can have granted a lease later than the election.
+//! - A new leader waits for the duration of one lease, including that twentieth, before it activates a version that
+//!   contradicts the active one. No earlier leader can have granted a lease later than the election.
 
 use asterrill::Us;
 use std::collections::BTreeMap;
--- a/consensus/src/lessor.rs
+++ b/consensus/src/lessor.rs
@@ -113,8 +113,10 @@
         granted
     }
 
-    /// Reports whether a version that contradicts the active one may become active: each node has it, or has no lease
-    /// any more.
+    /// Reports whether a version that contradicts the active one may become active.
+    ///
+    /// It may if each node has it or has no lease any more, and the leases that an earlier leader may have granted have
+    /// expired.
     pub fn may_activate(&self, now: Us, number: u64) -> bool {
         let ready = |holder: &LeaseHolder| holder.version >= number || holder.lease_until <= now;
         now >= self.earlier_leases_until && self.lease_holders.values().all(ready)
--- a/consensus/src/node/proposals.rs
+++ b/consensus/src/node/proposals.rs
@@ -17,7 +17,7 @@
 const REPROPOSE_INTERVAL_US: Us = 1_000_000;
 
 impl Node {
-    /// Proposes a change of an operator of this node.
+    /// Proposes a change that an operator requested at this node.
     ///
     /// Returns the number of the proposal, whose outcome [`Node::take_outcomes`] returns within 5 seconds.
     pub fn propose(&mut self, proposal: Proposal) -> u64 {
--- a/consensus/src/voter/state.rs
+++ b/consensus/src/voter/state.rs
@@ -38,8 +38,8 @@
     pub(super) next_tick: Us,
     /// True while this voter has no vote.
     ///
-    /// Its file is lost or damaged, so that it may have acknowledged entries that it no longer has; it may vote again
-    /// once it has caught up.
+    /// Its file is empty or damaged, so that it may have acknowledged entries that it no longer has. It may vote once it
+    /// has caught up, or once the logs of all voters are known to be empty.
     pub(super) non_voting: bool,
     /// Voters that have reported that their log is empty, including this one.
     pub(super) empty_voters: BTreeSet<VoterId>,
