--- a/consensus/src/step.rs
+++ b/consensus/src/step.rs
@@ -77,7 +77,7 @@
     /// Too many versions are committed and not active yet. The field has their number.
     #[error("{0} versions are already committed and not active yet")]
     TooManyPending(u64),
-    /// The version to restore is no longer retained. The field has its number.
-    #[error("version {0} is no longer retained")]
+    /// The version to restore is not retained, or never existed. The field has its number.
+    #[error("version {0} is not retained")]
     VersionNotRetained(u64),
 }
