--- a/rollout/src/sample.rs
+++ b/rollout/src/sample.rs
@@ -20,7 +20,8 @@
     pub in_time: f64,
     /// Final answers that were not in time and whose upstream call failed.
     pub upstream_failed: f64,
-    /// Expected CPU work of the RPCs that arrived, in microseconds. RPCs whose cost is not learned yet are left out.
+    /// Expected CPU work of the RPCs that arrived, in microseconds, by the mean cost that was learned so far. Until the
+    /// first run of a method this is an initial estimate.
     pub work_us: f64,
 }
 
--- a/rollout/src/version_file/recover.rs
+++ b/rollout/src/version_file/recover.rs
@@ -39,8 +39,8 @@
     pub damaged: Option<DamagedRecord>,
 }
 
-/// Recovers the state from a version file. The file is read line by line, so that at most one version and 64 KiB of
-/// text are held in memory.
+/// Recovers the state from a version file. The file is read line by line. Besides the version, memory holds 64 KiB
+/// of entries and the lines that are being read.
 ///
 /// # Errors
 /// Returns a [`VersionFileError`] if the file belongs to another program, has another format, does not start with a
