--- a/membership/src/persisted_state.rs
+++ b/membership/src/persisted_state.rs
@@ -90,7 +90,7 @@
     ///
     /// The previous generation is always used. The agreed members and addresses are used only if their age is known and
     /// below `forget_after` (microseconds), because older agreed members may have been replaced since. The age is
-    /// unknown if the state was written in the future by the present clock.
+    /// unknown if the present time is earlier than the time at which the state was written.
     pub fn restore(previous: Option<PersistedState>, wall_clock: Us, forget_after: Us) -> RestoredState {
         let generation =
             MemberId::next_generation(previous.as_ref().map(|state| state.generation), wall_clock);
--- a/membership/src/quota_lease.rs
+++ b/membership/src/quota_lease.rs
@@ -57,9 +57,9 @@
     lost_since: BTreeMap<MemberName, Us>,
     /// Start of the current uninterrupted quorum as this member sees it.
     quorum_since: Option<Us>,
-    /// True if this member has just started or had no quorum.
+    /// True after the start of this member and after each revocation of the lease.
     ///
-    /// Once it has a quorum, it waits until the others must have detected its return.
+    /// Once the member has a quorum, it waits until the others must have detected its return.
     must_wait: bool,
     fraction: f64,
 }
@@ -84,7 +84,8 @@
 
     /// Revokes the lease until there has been a quorum for the reassignment delay.
     ///
-    /// Called when there is no quorum, or when this process was paused for a time that it cannot determine.
+    /// Reasons are that there is no quorum, that this process was paused for a time that it cannot determine, and that
+    /// the member rejoins, leaves or is displaced.
     pub fn revoke(&mut self) {
         self.quorum_since = None;
         self.must_wait = true;
