--- a/lab/src/fleet/agree/evaluation.rs
+++ b/lab/src/fleet/agree/evaluation.rs
@@ -7,7 +7,7 @@
 use crate::report::Report;
 use serde_json::{json, Value};
 
-/// A node counts as acting under a lease at a change if it served a call within this time before the change.
+/// A node counts as enforcing versions under a lease at a change if it served a call within this time before the change.
 const RECENTLY_SERVED_MS: u64 = 500;
 
 /// Number and content hash of a version.
@@ -29,8 +29,8 @@
 
 /// State of a node at the end of the run.
 pub(super) struct FinalNodeState {
-    /// The version that the node acts on.
-    acting_version: u64,
+    /// The version that the node enforces.
+    enforced_version: u64,
     /// The newest version that the node has.
     newest_version: u64,
     versions: Vec<Value>,
@@ -40,7 +40,7 @@
     pub(super) fn read(fleet: &Fleet, n: usize) -> FinalNodeState {
         let answer = request(&fleet.members[n].node.dir, json!({"do": "fleet"})).unwrap_or_default();
         FinalNodeState {
-            acting_version: answer["version"].as_u64().unwrap_or(0),
+            enforced_version: answer["version"].as_u64().unwrap_or(0),
             newest_version: answer["newest"].as_u64().unwrap_or(0),
             versions: answer["versions"].as_array().cloned().unwrap_or_default(),
         }
@@ -71,7 +71,7 @@
     contradiction_ms: u64,
     /// Number of calls that a node served after it had rejected one itself.
     served_after_own_rejection: usize,
-    /// Number of calls that were served after the documented time at which the change had to be in force.
+    /// Number of calls that were served after the documented bound by which the change had to be in force.
     served_after_bound: usize,
 }
 
@@ -174,20 +174,21 @@
     report.rule("an RPC got no final answer", recording.unanswered == 0);
     let in_time = denied.contradiction_ms <= IN_FORCE_MS + CALL_SLACK_MS;
     report.rule(
-        "answers of different nodes contradicted each other for longer than the documented time",
+        "answers of different nodes contradicted each other for longer than the documented bound",
         in_time,
     );
     report.rule(
-        "a denial was not in force at every node within the documented time",
+        "a denial was not in force at every node within the documented bound",
         denied.served_after_bound == 0,
     );
-    report.rule("a node returned to an older version", denied.served_after_own_rejection == 0);
+    report.rule("a node reverted to an older version", denied.served_after_own_rejection == 0);
 }
 
 /// Reports the versions of the nodes.
 fn report_versions(report: &mut Report, recording: &Recording) {
     let faults = recording.version_faults();
-    let acting_versions: Vec<u64> = recording.final_states.iter().map(|state| state.acting_version).collect();
+    let enforced_versions: Vec<u64> =
+        recording.final_states.iter().map(|state| state.enforced_version).collect();
     let latencies_ms = recording.commit_latencies_ms();
     report.set("kind", json!(recording.name));
     report.set("nodes", json!(recording.nodes()));
@@ -197,12 +198,13 @@
     report.set("other_histories", json!(faults.conflicting));
     report.set("propose_ms_p50", json!(latencies_ms.get(latencies_ms.len() / 2)));
     report.set("propose_ms_max", json!(latencies_ms.last()));
-    report.set("newest", json!(acting_versions));
+    report.set("newest", json!(enforced_versions));
     report.rule("a node does not have a version that was reported as committed", faults.lost == 0);
-    report.rule("nodes have different contents for the same version", faults.conflicting == 0);
+    report.rule("a version number has two different contents", faults.conflicting == 0);
     let last = recording.changes.last().map_or(1, |change| change.version.number);
-    let all_newest = acting_versions.iter().all(|number| *number == acting_versions[0] && *number >= last);
-    report.rule("not all nodes act on the newest version at the end", all_newest);
+    let all_newest =
+        enforced_versions.iter().all(|number| *number == enforced_versions[0] && *number >= last);
+    report.rule("not all nodes enforce the newest version at the end", all_newest);
     let enough = recording.changes.len() >= CHANGE_COUNT / 2;
     report.rule("fewer than half of the changes were committed", enough);
 }
--- a/lab/src/fleet/agree/probe_caller.rs
+++ b/lab/src/fleet/agree/probe_caller.rs
@@ -92,7 +92,7 @@
             let answer = read_answer(&mut connection, stream);
             let mut ledger = lock(ledger);
             match answer.as_ref().and_then(Frame::code) {
-                // An aborted run does not show which list the node acts on.
+                // An aborted run does not show which list the node enforces.
                 Some(ABORTED) => {}
                 Some(code) => ledger.calls.push(Call { at_ms, node, served: code == OK }),
                 None if sent.elapsed() >= UNANSWERED_AFTER => {
--- a/lab/src/fleet/idle_flood.rs
+++ b/lab/src/fleet/idle_flood.rs
@@ -126,7 +126,7 @@
     report.rule("the link to the agent was not re-established", logged_count(&log, "agent_up") >= 2);
     let filled = logged_count(&log, "closed_crowded") > 0 && opened > 200;
     report.rule("the idle clients did not use up the descriptors", filled);
-    report.rule("the process did not exit with code 0 after SIGTERM", exit_code == Some(0));
+    report.rule("asterrilld did not exit with code 0 within 4 s", exit_code == Some(0));
     report.rule("a process was still running at the end", fleet.end() == 0);
     Ok(())
 }
--- a/lab/src/fleet/members/evaluation.rs
+++ b/lab/src/fleet/members/evaluation.rs
@@ -224,7 +224,7 @@
         recording.plan.faults.iter().for_each(|fault| eprintln!("{fault}"));
         evaluation.wrong_views.iter().take(MAX_PRINTED).for_each(|wrong| eprintln!("{wrong}"));
         let false_failures = evaluation.false_failures.iter().take(MAX_PRINTED);
-        false_failures.for_each(|(n, m)| eprintln!("n{n} reports the connected member n{m} as failed"));
+        false_failures.for_each(|(n, m)| eprintln!("n{n} reports the reachable member n{m} as failed"));
     }
 }
 
@@ -244,8 +244,8 @@
     report.rule("a view was wrong for longer than the documented bound", evaluation.wrong_views.is_empty());
     let late =
         detection.last().is_some_and(|longest_ms| *longest_ms > bounds.detection_ms + OBSERVATION_SLACK_MS);
-    report.rule("a loss was detected later than the documented bound", !late);
-    report.rule("a connected member was reported as failed", evaluation.false_failures.is_empty());
+    report.rule("a failure was detected later than the documented bound", !late);
+    report.rule("a reachable member was reported as failed", evaluation.false_failures.is_empty());
 }
 
 fn report_shared(report: &mut Report, nodes: usize, evaluation: &Evaluation) {
@@ -283,7 +283,7 @@
     report.set("left_processes", json!(remaining_processes));
     report.rule("an RPC got no final answer", unanswered == 0);
     report.rule("an RPC was answered twice", ledger.answered_twice == 0);
-    report.rule("an RPC got the result of another", ledger.wrong_results == 0);
+    report.rule("an RPC got the result of another RPC", ledger.wrong_results == 0);
     report.rule("an RPC that must not run twice ran twice", repeated_effects == 0);
     report.rule("a process was still running at the end", remaining_processes == 0);
     report.rule("a process panicked", none_panicked);
--- a/lab/src/fleet/restart_recovery/scenario.rs
+++ b/lab/src/fleet/restart_recovery/scenario.rs
@@ -54,7 +54,7 @@
 fn check(report: &mut Report, measurements: &Measurements, options: &FleetOptions, expected_load: f64) {
     report.rule("an RPC got no final answer", measurements.unanswered == 0);
     report.rule("an RPC was answered twice", measurements.ledger.answered_twice == 0);
-    report.rule("an RPC got the result of another", measurements.ledger.wrong_results == 0);
+    report.rule("an RPC got the result of another RPC", measurements.ledger.wrong_results == 0);
     report.rule("an RPC that must not run twice ran twice", measurements.repeated_effects == 0);
     report.rule("a decision was based on an outdated value", measurements.stale_decisions == 0);
     report.rule("a process was still running at the end", measurements.remaining_processes == 0);
--- a/lab/src/queue/flood.rs
+++ b/lab/src/queue/flood.rs
@@ -27,7 +27,7 @@
     report.set("framed_in_time_flooded", json!(flooded.in_time));
     report.set("p99_ms_alone", json!(alone.p99_ms));
     report.set("p99_ms_flooded", json!(flooded.p99_ms));
-    report.rule("at most 90 % of framed RPCs were in time without the queue", alone.in_time > 0.9);
+    report.rule("at most 90% of framed RPCs were in time without the queue", alone.in_time > 0.9);
     let difference = (alone.in_time - flooded.in_time).abs();
     report.rule("the queue changed the in-time fraction of framed RPCs by 0.02 or more", difference < 0.02);
     Ok(())
--- a/lab/src/rollout/managed_backend.rs
+++ b/lab/src/rollout/managed_backend.rs
@@ -40,7 +40,7 @@
 }
 
 impl ManagedBackend {
-    /// Starts a backend whose cores are 70 % busy at 250 RPCs per second; with `thrashes` its cores thrash under
+    /// Starts a backend whose cores are 70% busy at 250 RPCs per second; with `thrashes` its cores thrash under
     /// overload.
     pub(super) fn start(seed: u64, thrashes: bool) -> Result<ManagedBackend, ScenarioError> {
         ManagedBackend::start_with(seed, thrashes, None)
--- a/lab/src/scale/agree/scenario.rs
+++ b/lab/src/scale/agree/scenario.rs
@@ -71,7 +71,7 @@
     let converged = run.wait_until_effective(newest, CONVERGENCE_TIMEOUT).is_some();
     run.cluster.close_audit();
     report_run(report, &run, &options, kind);
-    report.rule("some nodes do not enforce the newest version at the end", converged);
+    report.rule("not all nodes enforce the newest version at the end", converged);
     Ok(())
 }
 
@@ -136,8 +136,12 @@
     }
     report.rule("a node reverted to an older version", audit.reverted == 0);
     let within_bound = audit.longest_contradiction <= bound;
-    report.rule("two nodes enforced contradicting versions for longer than the stated bound", within_bound);
-    report.rule("a version that was reported as committed is lost", lost_versions == 0);
+    report
+        .rule("two nodes enforced contradicting versions for longer than the documented bound", within_bound);
+    report.rule(
+        "the leader lacks a version that was reported as committed, or has it with another content",
+        lost_versions == 0,
+    );
     report.rule("a version number has two different contents", audit.forked == 0);
     let enough = committed >= baseline.proposals + MIN_COMMITTED_VERSIONS;
     report.rule("too few versions were committed for a meaningful result", enough);
--- a/lab/src/scale/callers.rs
+++ b/lab/src/scale/callers.rs
@@ -140,6 +140,6 @@
     drop(connections);
     node.signal("TERM");
     let code = node.wait_for_exit(EXIT_TIMEOUT);
-    report.rule("the process did not shut down with exit code 0", code == Some(0));
+    report.rule("asterrilld did not exit with code 0 within 6 s", code == Some(0));
     Ok(())
 }
--- a/lab/src/scale/config/scenario.rs
+++ b/lab/src/scale/config/scenario.rs
@@ -33,7 +33,7 @@
     thread::sleep(SETTLE_TIME);
     let resident = bed.status_kb("VmRSS");
     let exit = bed.shut_down();
-    report.rule("a process was still running after the shutdown", exit.leftover_processes == 0);
+    report.rule("a process was still running at the end", exit.leftover_processes == 0);
     Ok(json!(resident))
 }
 
@@ -121,7 +121,7 @@
     let half_applied = status["counters"]["half_applied"].as_u64();
     let report = &mut session.report;
     report.set("half_applied", json!(half_applied));
-    report.rule("an answer was decided under parts of two versions", half_applied == Some(0));
+    report.rule("an answer was decided under a mix of two versions", half_applied == Some(0));
     report.set("rss_kb_end", json!(session.bed.status_kb("VmRSS")));
     report.set("peak_kb", json!(session.bed.status_kb("VmHWM")));
     report.set("refused", json!(session.rejected));
@@ -134,8 +134,8 @@
     let exit = session.bed.shut_down();
     let report = session.report;
     report.set("left_processes", json!(exit.leftover_processes));
-    report.rule("a process was still running after the shutdown", exit.leftover_processes == 0);
-    report.rule("the process did not exit with code 0", exit.code == Some(0));
+    report.rule("a process was still running at the end", exit.leftover_processes == 0);
+    report.rule("asterrilld did not exit with code 0 within 30 s", exit.code == Some(0));
     if session.quick {
         report.rule("a valid change was rejected", session.rejected == 0);
     }
@@ -149,7 +149,7 @@
     report.set("pairs", json!(violations.pairs));
     report.rule("an RPC got no final answer", violations.unanswered == 0);
     report.rule("an RPC was answered twice", violations.answered_twice == 0);
-    report.rule("an RPC got the result of another", violations.wrong_results == 0);
+    report.rule("an RPC got the result of another RPC", violations.wrong_results == 0);
     let in_order = violations.older_after_newer == 0;
     report.rule("an RPC was decided under an older version than one before it", in_order);
 }
--- a/lab/src/scale/members/partition.rs
+++ b/lab/src/scale/members/partition.rs
@@ -40,7 +40,7 @@
         self.report.rule("both sides of a partition have a quorum", sides_with_quorum < 2);
         self.report.rule("a half of the fleet has a quorum", sides_with_quorum == 0);
         let false_failures = self.false_failures() - false_before;
-        self.rule_without_loss("a reachable member was declared failed", false_failures == 0);
+        self.rule_without_loss("a reachable member was reported as failed", false_failures == 0);
         let worst = std::mem::take(&mut self.worst);
         self.set("cut_worst_cpu_ms_per_s", rounded(worst.cpu_ms));
         self.set("cut_worst_bytes_per_s", json!(worst.bytes.round()));
@@ -81,7 +81,10 @@
         let bound = self.detection_bound() + announcements + self.intervals.join_delay;
         self.set("whole_bound_ms", json!(bound / MILLISECOND));
         let late = complete.is_none_or(|complete| complete > bound);
-        self.rule_without_loss("the views of the members did not converge within the bound", !late);
+        self.rule_without_loss(
+            "the views of the members did not converge within the documented bound",
+            !late,
+        );
         if self.waits_for_transitions(SECOND_TRANSITION_MAX_NODES) {
             let fully_shared = self.wait_until_fully_shared().map(|_| self.simulation.now - healed);
             self.set("all_taken_ms", to_ms(fully_shared));
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -215,8 +215,8 @@
     report.set("left_processes", json!(real.leftover_processes));
     report.rule("not all members discovered each other in time", real.discovered_ms.len() == nodes);
     let in_time = real.detected_ms.last().is_none_or(|last| *last <= detection_ms + POLLING_ALLOWANCE_MS);
-    report.rule("a failure was detected later than the bound", in_time);
-    report.rule("a process is still running at the end", real.leftover_processes == 0);
+    report.rule("a failure was detected later than the documented bound", in_time);
+    report.rule("a process was still running at the end", real.leftover_processes == 0);
     Ok(())
 }
 
--- a/lab/src/scale/members/run.rs
+++ b/lab/src/scale/members/run.rs
@@ -171,7 +171,7 @@
     /// Reports detection times and checks that none exceeds the bound.
     pub(super) fn report_detection(&mut self, durations: Vec<Us>) {
         let late = durations.iter().any(|duration| *duration > self.detection_bound());
-        self.rule_without_loss("a failure was detected later than the bound", !late);
+        self.rule_without_loss("a failure was detected later than the documented bound", !late);
         let [p50, max] = median_and_max(durations);
         self.set("detect_ms_p50", p50);
         self.set("detect_ms_max", max);
--- a/lab/src/scale/members/scenario.rs
+++ b/lab/src/scale/members/scenario.rs
@@ -88,7 +88,7 @@
         self.report.rule("the quota shares of all members exceeded the whole quota", !exceeded);
         let was_partitioned = self.options.kind == ScenarioKind::Cut;
         self.rule_without_loss(
-            "a reachable member was declared failed",
+            "a reachable member was reported as failed",
             false_failures == 0 || was_partitioned,
         );
         self.report_over_budget();
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -188,7 +188,7 @@
         let (phases, violations) = load.finish()?;
         report.rule("an RPC got no final answer", violations.unanswered == 0);
         report.rule("an RPC was answered twice", violations.answered_twice == 0);
-        report.rule("an RPC got the result of another", violations.wrong_results == 0);
+        report.rule("an RPC got the result of another RPC", violations.wrong_results == 0);
         let stats = &phases[MEASURED_PHASE];
         report.rule("fewer than 9 of 10 RPCs were answered ok", stats.ok * 10 >= stats.sent * 9);
         self.cpu_us.push(after.cpu_ms(&before) * 1e3 / stats.sent.max(1) as f64);
@@ -258,10 +258,10 @@
     for point in points {
         let exit = point.bed.shut_down();
         left_processes += exit.leftover_processes;
-        report.rule("the process did not exit with code 0", exit.code == Some(0));
+        report.rule("asterrilld did not exit with code 0 within 30 s", exit.code == Some(0));
     }
     report.set("left_processes", json!(left_processes));
-    report.rule("a process was still running after the shutdown", left_processes == 0);
+    report.rule("a process was still running at the end", left_processes == 0);
 }
 
 /// Figures of one build.
--- a/lab/src/scale/test_bed/bed.rs
+++ b/lab/src/scale/test_bed/bed.rs
@@ -72,7 +72,8 @@
         while TcpStream::connect(listen_addr).is_err() {
             if started_at.elapsed() > STARTUP_TIMEOUT {
                 return Err(format!(
-                    "the process did not accept connections within {STARTUP_TIMEOUT:?}; its log: {}",
+                    "asterrilld does not listen within {} s; its log: {}",
+                    STARTUP_TIMEOUT.as_secs(),
                     node.read_log()
                 )
                 .into());
--- a/lab/src/scale/tool.rs
+++ b/lab/src/scale/tool.rs
@@ -124,8 +124,9 @@
 /// Measures the tool of this build, or the tool at the path `other`.
 pub fn scenario(report: &mut Report, other: Option<&Path>) -> Result<(), ScenarioError> {
     let own = daemon_program().map(|daemon| daemon.with_file_name("asterrill"));
-    let program =
-        other.or(own.as_deref()).ok_or("asterrill is not built in the directory of this program")?;
+    let program = other
+        .or(own.as_deref())
+        .ok_or("asterrill is missing in the directory of asterrill-lab: build it first")?;
     let dir = TempDir(std::env::temp_dir().join(format!("asterrill-lab-tool-{}", std::process::id())));
     std::fs::create_dir_all(&dir.0)?;
     let [original, changed] = ["one.json", "two.json"].map(|name| dir.0.join(name));
