--- a/lab/src/fleet/agree/mod.rs
+++ b/lab/src/fleet/agree/mod.rs
@@ -1,5 +1,5 @@
 //! `fleet-agree`: real processes that agree on lists. Operators at random nodes allow and deny one caller in turn
-//! while faults are injected. A stand-in for that caller calls every node continuously, and the answers show which
+//! while faults are injected. A stub of that caller calls every node continuously, and the answers show which
 //! version each node enforces.
 
 mod evaluation;
--- a/lab/src/fleet/agree/probe_caller.rs
+++ b/lab/src/fleet/agree/probe_caller.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the caller that is allowed and denied; it calls every node.
+//! Stub of the caller that is allowed and denied; it calls every node.
 
 use crate::fleet::callers::UnansweredAttempt;
 use crate::fleet::cluster::Fleet;
@@ -18,7 +18,7 @@
 const RECONNECT_DELAY: Duration = ms(30);
 const READ_TIMEOUT: Duration = ms(2_500);
 const UNANSWERED_AFTER: Duration = ms(2_400);
-const PATIENCE: Duration = ms(1_500);
+const RPC_TIMEOUT: Duration = ms(1_500);
 const CALL_INTERVAL: Duration = ms(40);
 const FINAL_ANSWERS_WAIT: Duration = ms(300);
 
@@ -82,7 +82,7 @@
                 method: TILL_PRICE.name,
                 trace,
                 caller: PROBE_CALLER_ID,
-                timeout: PATIENCE,
+                timeout: RPC_TIMEOUT,
                 tenant: None,
             };
             let (at_ms, sent) = (start.elapsed().as_millis() as u64, Instant::now());
--- a/lab/src/fleet/callers/attempts.rs
+++ b/lab/src/fleet/callers/attempts.rs
@@ -11,10 +11,10 @@
 
 /// Attempts of an RPC that may be retried.
 const MAX_ATTEMPTS_PER_RPC: u32 = 3;
-/// Time after the patience of an attempt at which its answer counts as missing.
+/// Time after the timeout of an attempt at which its answer counts as missing.
 const ANSWER_SLACK: Duration = Duration::from_millis(250);
-/// Remaining patience of an RPC below which it is not attempted again.
-const MIN_ATTEMPT_PATIENCE: Duration = Duration::from_millis(5);
+/// Remaining time of an RPC below which it is not attempted again.
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(5);
 
 impl Caller {
     pub(super) fn start_rpc(&mut self, rpc: u64, at: Instant) {
@@ -25,7 +25,7 @@
         self.rpcs.insert(rpc, Rpc { method, first_sent: at, body, attempts: 0 });
         self.record_bucket(at, |bucket| bucket.offered += method.criticality);
         self.record(|ledger| ledger.rpcs += 1);
-        self.set_timer(at + method.timeout, Timer::PatienceOver(rpc));
+        self.set_timer(at + method.timeout, Timer::RpcTimeout(rpc));
         self.attempt(rpc);
     }
 
@@ -40,19 +40,19 @@
         let now = Instant::now();
         let Some(rpc) = self.rpcs.get(&id) else { return };
         let (method, attempts) = (rpc.method, rpc.attempts);
-        let patience = (rpc.first_sent + method.timeout).saturating_duration_since(now);
-        if attempts >= MAX_ATTEMPTS_PER_RPC || patience < MIN_ATTEMPT_PATIENCE {
+        let timeout = (rpc.first_sent + method.timeout).saturating_duration_since(now);
+        if attempts >= MAX_ATTEMPTS_PER_RPC || timeout < MIN_ATTEMPT_TIMEOUT {
             return self.finish_rpc(id, false);
         }
         let Some(node) = self.choose_backend() else {
-            // No backend can be called now; the RPC is tried again shortly while its patience lasts.
+            // No backend can be called now; the RPC is tried again shortly until it times out.
             let delay = Duration::from_millis(self.rng.random_range(20..60));
             return self.set_timer(now + delay, Timer::Retry(id));
         };
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         rpc.attempts += 1;
         let (trace, caller) = (self.rng.random(), self.number as u64);
-        let header = RpcHeader { method: method.method, trace, caller, timeout: patience, tenant: None };
+        let header = RpcHeader { method: method.method, trace, caller, timeout, tenant: None };
         let Some(connection) = self.connections.get_mut(&node) else { return };
         connection.last_stream += 1;
         let (connection_id, stream) = (connection.id, connection.last_stream);
@@ -62,7 +62,7 @@
         }
         self.record_bucket(now, |bucket| bucket.attempts += 1);
         let timer = Timer::AnswerDeadline { node, connection: connection_id, stream };
-        self.set_timer(now + patience + ANSWER_SLACK, timer);
+        self.set_timer(now + timeout + ANSWER_SLACK, timer);
     }
 
     /// Records an attempt that is still in flight at its deadline as unanswered.
--- a/lab/src/fleet/callers/caller.rs
+++ b/lab/src/fleet/callers/caller.rs
@@ -76,13 +76,13 @@
     Retry(u64),
     /// The answer to an attempt is due.
     AnswerDeadline { node: usize, connection: ConnectionId, stream: u32 },
-    /// The patience of an RPC has ended.
-    PatienceOver(u64),
+    /// The timeout of an RPC has expired.
+    RpcTimeout(u64),
     /// All connections have to be closed.
     Reconnect,
 }
 
-/// A stand-in caller.
+/// A stub caller.
 pub(super) struct Caller {
     pub(super) number: usize,
     /// Whether it ignores the credit and the pauses that backends advertise.
@@ -186,7 +186,7 @@
             Timer::AnswerDeadline { node, connection, stream } => {
                 self.handle_answer_deadline(node, connection, stream);
             }
-            Timer::PatienceOver(rpc) => self.finish_rpc(rpc, false),
+            Timer::RpcTimeout(rpc) => self.finish_rpc(rpc, false),
             Timer::Reconnect => self.connections.values().for_each(Connection::shut_down),
         }
     }
--- a/lab/src/fleet/callers/ledger.rs
+++ b/lab/src/fleet/callers/ledger.rs
@@ -17,7 +17,7 @@
     pub attempts: u32,
 }
 
-/// An attempt that was sent completely on a connection that stayed open, and that got no answer within its patience.
+/// An attempt that was sent completely on a connection that stayed open, and that got no answer within its timeout.
 #[derive(Clone, Copy, Debug)]
 pub struct UnansweredAttempt {
     /// Index of the backend.
--- a/lab/src/fleet/callers/mod.rs
+++ b/lab/src/fleet/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in sidecars that call a fleet. Each sends RPCs at random intervals, chooses a backend from a delayed list,
+//! Stub sidecars that call a fleet. Each sends RPCs at random intervals, chooses a backend from a delayed list,
 //! and retries at other backends without marking the RPC as a retry. Some of them ignore `pause` and credit.
 
 mod attempts;
--- a/lab/src/fleet/fault_injection.rs
+++ b/lab/src/fleet/fault_injection.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// The longest time that any caller waits for an answer.
-const MAX_PATIENCE: Duration = Duration::from_millis(3_300);
+const MAX_RPC_TIMEOUT: Duration = Duration::from_millis(3_300);
 const FLOOD_DURATION: Duration = Duration::from_secs(1);
 const MAX_FLOOD_DATAGRAMS: u32 = 20_000;
 const FLOOD_INTERVAL: Duration = Duration::from_micros(100);
@@ -44,7 +44,7 @@
         let pauses: Vec<(usize, Instant, Instant)> = ended.chain(still_paused).collect();
         let explained = |attempt: &UnansweredAttempt| {
             pauses.iter().any(|(node, from, to)| {
-                *node == attempt.node && *from <= attempt.sent + MAX_PATIENCE && attempt.sent <= *to
+                *node == attempt.node && *from <= attempt.sent + MAX_RPC_TIMEOUT && attempt.sent <= *to
             })
         };
         unanswered.iter().filter(|attempt| !explained(attempt)).count()
--- a/lab/src/fleet/mod.rs
+++ b/lab/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios with several real backend processes, stand-in services and injected faults.
+//! Scenarios with several real backend processes, stub services and injected faults.
 
 pub mod agree;
 mod callers;
--- a/lab/src/fleet/name_service.rs
+++ b/lab/src/fleet/name_service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the name service: backends send load reports, and callers see the list of backends with a delay.
+//! Stub of the name service: backends send load reports, and callers see the list of backends with a delay.
 
 use super::upstream::element_mut;
 use crate::stubs::{HttpRequest, NO_CONTENT};
--- a/lab/src/fleet/upstream.rs
+++ b/lab/src/fleet/upstream.rs
@@ -1,4 +1,4 @@
-//! Stand-in for an upstream that a fleet shares. It processes a fixed number of calls concurrently, each for a fixed
+//! Stub of an upstream that a fleet shares. It processes a fixed number of calls concurrently, each for a fixed
 //! time, and rejects calls when its queue is full.
 
 use crate::sync::lock;
--- a/lab/src/scale/test_bed/agent.rs
+++ b/lab/src/scale/test_bed/agent.rs
@@ -1,4 +1,4 @@
-//! A stand-in agent without a core limit that records the duration of each run.
+//! A stub agent without a core limit that records the duration of each run.
 
 use crate::sync::lock;
 use std::collections::{BTreeMap, HashMap};
--- a/lab/src/scale/test_bed/bed.rs
+++ b/lab/src/scale/test_bed/bed.rs
@@ -1,4 +1,4 @@
-//! The process under test and its stand-ins.
+//! The process under test and the stubs of its dependencies.
 
 use super::agent::TimedAgent;
 use super::meter::CpuMeter;
@@ -21,7 +21,7 @@
 pub struct TestBed {
     /// The process.
     pub node: Node,
-    /// The stand-in agent of the process.
+    /// The stub agent of the process.
     pub agent: TimedAgent,
     /// The CPU meter of the process.
     pub meter: CpuMeter,
--- a/lab/src/scale/test_bed/load.rs
+++ b/lab/src/scale/test_bed/load.rs
@@ -2,7 +2,7 @@
 
 use super::agent::TimedAgent;
 use super::ledger::{InFlight, InFlightTable, Ledger, PhaseStats, Violations};
-use super::rpc::{encode_rpc, PATIENCE};
+use super::rpc::{encode_rpc, RPC_TIMEOUT};
 use super::settings::{method_name, tenant_name};
 use super::{health, version_order};
 use crate::report::ScenarioError;
@@ -19,7 +19,7 @@
 
 /// Number of connections that RPCs are sent on.
 const CONNECTIONS: usize = 8;
-/// Wait for answers beyond the patience of the last RPC.
+/// Wait for answers beyond the timeout of the last RPC.
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Wait for duplicate answers after the last RPC is answered.
 const DUPLICATE_ANSWER_WAIT: Duration = Duration::from_millis(50);
@@ -117,7 +117,7 @@
         self.ledger.stop();
         let sender = self.sender.take().ok_or("the load is already finished")?;
         let connections = sender.join().map_err(|_| "the sender thread of the load panicked")?;
-        let until = Instant::now() + PATIENCE + LATE_ANSWER_TIMEOUT;
+        let until = Instant::now() + RPC_TIMEOUT + LATE_ANSWER_TIMEOUT;
         let in_flight =
             || connections.iter().map(|connection| lock(&connection.in_flight).len() as u64).sum::<u64>();
         while in_flight() > 0 && Instant::now() < until {
--- a/lab/src/scale/test_bed/tests/load.rs
+++ b/lab/src/scale/test_bed/tests/load.rs
@@ -1,10 +1,10 @@
-//! Tests of `load.rs`: the ledger with stand-ins for the process that violate invariants.
+//! Tests of `load.rs`: the ledger with stubs of the process that violate invariants.
 
 use super::*;
 use crate::sidecar::{encode_frame, ABORTED, HEALTH, HEALTH_CHECK};
 use std::collections::BTreeMap;
 
-/// How a stand-in for the process answers RPCs.
+/// Behaviour of a stub of the process.
 #[derive(Clone, Copy, PartialEq)]
 enum AnswerMode {
     Correctly,
@@ -29,8 +29,8 @@
     (fields, payload[at..].to_vec())
 }
 
-/// Starts a stand-in for the process that answers RPCs itself.
-fn start_stand_in(answers: AnswerMode) -> SocketAddr {
+/// Starts a stub of the process that answers RPCs itself.
+fn start_stub(answers: AnswerMode) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -76,7 +76,7 @@
 }
 
 fn run_load(answers: AnswerMode, pair: u64) -> (Vec<PhaseStats>, Violations) {
-    let (at, agent) = (start_stand_in(answers), TimedAgent::start(Duration::ZERO).unwrap());
+    let (at, agent) = (start_stub(answers), TimedAgent::start(Duration::ZERO).unwrap());
     let profile = LoadProfile { methods: 3, tenants: 4, callers: 5, rate: 400.0, seed: 1 };
     let mut load = BackgroundLoad::start(at, &agent, profile).unwrap();
     load.check_health(at).unwrap();
--- a/lab/src/scale/test_bed/version_order.rs
+++ b/lab/src/scale/test_bed/version_order.rs
@@ -6,7 +6,7 @@
 
 use super::health::CHECK_INTERVAL;
 use super::ledger::Ledger;
-use super::rpc::{encode_rpc, PATIENCE};
+use super::rpc::{encode_rpc, RPC_TIMEOUT};
 use super::settings::{method_name, sentinel_tenants, tenant_name};
 use crate::sidecar::{read_frame, ANSWER, OK, REJECTED};
 use crate::sync::lock;
@@ -28,7 +28,7 @@
 
 /// Calls both tenants of the ledger's sentinel pair at once, repeatedly, until the load is stopped.
 pub(super) fn check_repeatedly(mut to: TcpStream, ledger: &Ledger, seed: u64) -> Option<()> {
-    to.set_read_timeout(Some(PATIENCE * 2)).ok()?;
+    to.set_read_timeout(Some(RPC_TIMEOUT * 2)).ok()?;
     let mut rng = StdRng::seed_from_u64(seed);
     // Starts with a valid RPC, because a connection that brings only unknown tenants is closed.
     let (mut stream, mut last_pair, mut known_before) = (1_u32, 0, false);
