--- a/lab/src/agent.rs
+++ b/lab/src/agent.rs
@@ -17,6 +17,7 @@
 const OPEN_SPAN_END_US: u64 = u64::MAX;
 /// Runs per core beyond which the cores thrash.
 const THRASHING_RUNS_PER_CORE: usize = 3;
+/// Largest factor by which thrashing makes a run take longer.
 const MAX_THRASHING_FACTOR: f64 = 6.0;
 
 /// Cores that start at a fraction of their speed and warm up.
--- a/lab/src/arguments.rs
+++ b/lab/src/arguments.rs
@@ -101,11 +101,11 @@
     RecoveryCpu,
     /// Most of a fleet restarted at once, its state lost, or its upstream unavailable
     FleetReturn,
-    /// Membership between processes under partitions, packet loss, pauses and crashes
+    /// Membership between processes under partitions, datagram loss, pauses and crashes
     FleetMembers,
     /// Agreement on lists between processes under partitions, pauses and crashes
     FleetAgree,
-    /// Processes killed and restarted at once: with their state, without it, with a torn state, or on a full disk
+    /// Processes killed and restarted at once: with their state, without it, with a truncated state, or on a full disk
     FleetReady,
     /// Cold servers under the combined load of as many callers
     FleetCold,
--- a/lab/src/fleet/cold_start.rs
+++ b/lab/src/fleet/cold_start.rs
@@ -21,7 +21,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const SOCKETS: u64 = 512;
+const MAX_SOCKETS: u64 = 512;
 const AGENT_CONNECT_WAIT: Duration = ms(300);
 /// Time after which a caller ignores an advertised credit.
 const CREDIT_TTL: Duration = Duration::from_secs(1);
@@ -216,7 +216,7 @@
 pub fn cold_start(report: &mut Report, seed: u64, nodes: usize) -> Result<(), ScenarioError> {
     let callers = nodes;
     let methods = [Method { work: ms(30), calls_upstream: false, ..LOOK_UP }];
-    let mut fleet = start_fleet(nodes, member_setup(&methods, SOCKETS, callers))?;
+    let mut fleet = start_fleet(nodes, member_setup(&methods, MAX_SOCKETS, callers))?;
     fleet.wait_until_listed();
     let start = restart_cold(&mut fleet)?;
     let stopped = Arc::new(AtomicBool::new(false));
--- a/lab/src/fleet/fault_script.rs
+++ b/lab/src/fleet/fault_script.rs
@@ -69,11 +69,11 @@
     GossipInboundBlocked,
     /// Members send no datagrams.
     GossipOutboundBlocked,
-    /// This percentage of the datagrams is lost.
+    /// Percentage of the datagrams that are lost.
     GossipLoss(u64),
     /// Datagrams are delayed by at most this many milliseconds.
     GossipDelay(u64),
-    /// This percentage of the datagrams is delivered twice.
+    /// Percentage of the datagrams that are delivered twice.
     GossipDuplication(u64),
     /// All faults of the network between members end.
     GossipHeal,
--- a/lab/src/fleet/idle_flood.rs
+++ b/lab/src/fleet/idle_flood.rs
@@ -1,4 +1,4 @@
-//! `idle-flood`: idle clients fill the descriptors of a process while the name service is down.
+//! `idle-flood`: idle clients use up the file descriptors of a process while the name service is down.
 
 use super::cluster::Fleet;
 use super::single_call::{call_once, is_healthy_by, ANSWER_TIMEOUT};
@@ -16,7 +16,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-const SOCKETS: u64 = 64;
+const MAX_SOCKETS: u64 = 64;
 const CALLERS: usize = 4;
 const CLIENT_THREADS: usize = 6;
 const CONNECTIONS_PER_CLIENT: usize = 60;
@@ -24,6 +24,7 @@
 const CALL_INTERVAL: Duration = ms(150);
 const AGENT_RESET_AT_CALL: u64 = 8;
 const UPSTREAM_RESET_AT_CALL: u64 = 16;
+/// Time after which the scenario no longer waits for a load report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(30);
 const EXIT_TIMEOUT: Duration = Duration::from_secs(4);
 
@@ -93,7 +94,7 @@
 pub fn idle_flood(report: &mut Report, seed: u64) -> Result<(), ScenarioError> {
     let mut rng = StdRng::seed_from_u64(seed);
     let methods = [Method { work: ms(4), ..LOOK_UP }];
-    let mut fleet = start_fleet(1, member_setup(&methods, SOCKETS, CALLERS))?;
+    let mut fleet = start_fleet(1, member_setup(&methods, MAX_SOCKETS, CALLERS))?;
     fleet.wait_until_listed();
     let member = &fleet.members[0];
     report.rule(
--- a/lab/src/fleet/members/observation.rs
+++ b/lab/src/fleet/members/observation.rs
@@ -2,7 +2,7 @@
 
 use super::faults::FaultPlan;
 use super::reachability::Reachability;
-use super::setup::{request_within, GREET_MS, PROBE_MS, SETTLE_MS, SUSPICION_MS};
+use super::setup::{request_within, ANNOUNCE_MS, JOIN_DELAY_MS, PROBE_MS, SUSPICION_MS};
 use crate::fleet::cluster::Fleet;
 use crate::fleet::fault_injection::InjectedFaults;
 use crate::time::ms;
@@ -25,11 +25,11 @@
 impl DocumentedBounds {
     pub(super) fn new(nodes: usize) -> DocumentedBounds {
         let detection_ms = PROBE_MS * (2 * nodes as u64 + 2) + SUSPICION_MS;
-        let max_announce_ms = GREET_MS * 5 / 4;
+        let max_announce_ms = ANNOUNCE_MS * 5 / 4;
         DocumentedBounds {
             detection_ms,
             transition_ms: detection_ms + detection_ms / 10 + PROBE_MS,
-            healing_ms: detection_ms + 4 * max_announce_ms + SETTLE_MS,
+            healing_ms: detection_ms + 4 * max_announce_ms + JOIN_DELAY_MS,
         }
     }
 }
--- a/lab/src/fleet/members/setup.rs
+++ b/lab/src/fleet/members/setup.rs
@@ -14,9 +14,9 @@
 /// Time from the suspicion of a member until it counts as failed.
 pub const SUSPICION_MS: u64 = 900;
 /// Interval between announcements to a contact.
-pub const GREET_MS: u64 = 500;
+pub const ANNOUNCE_MS: u64 = 500;
 /// Time until a member that has joined counts.
-pub const SETTLE_MS: u64 = 1_000;
+pub const JOIN_DELAY_MS: u64 = 1_000;
 /// Operator's file of a process without membership.
 pub const FILE_WITHOUT_MEMBERS: &str = "[changes]\ncontrol {dir}/control\nstate {dir}/state\n";
 const FILE_WITH_MEMBERS: &str =
--- a/lab/src/fleet/ready.rs
+++ b/lab/src/fleet/ready.rs
@@ -22,13 +22,13 @@
 /// Time after the restart at which late agents start.
 const AGENT_DELAY: Duration = Duration::from_secs(2);
 const SNAPSHOT_WAIT: Duration = ms(1_500);
-const SOCKETS: u64 = 512;
+const MAX_SOCKETS: u64 = 512;
 const CALLERS: usize = 4;
 
 /// Runs the scenario.
 pub fn ready(report: &mut Report, nodes: usize) -> Result<(), ScenarioError> {
     let operator_file = "[changes]\ncontrol {dir}/control\nstate {dir}/state\n[recovery]\nsnapshot 1s\n";
-    let setup = member_setup(&methods(), SOCKETS, CALLERS);
+    let setup = member_setup(&methods(), MAX_SOCKETS, CALLERS);
     let mut fleet = start_fleet(nodes, Setup { operator_file: Some(operator_file.into()), ..setup })?;
     fleet.wait_until_listed();
     thread::sleep(SNAPSHOT_WAIT);
--- a/lab/src/fleet/restart_recovery/run.rs
+++ b/lab/src/fleet/restart_recovery/run.rs
@@ -51,7 +51,8 @@
     rate: f64,
     /// Start of the load, in milliseconds since the start of the fleet.
     load_start_ms: u64,
-    /// Time of the last fault, in milliseconds since the start of the fleet.
+    /// Time of the last fault in milliseconds since the start of the fleet; the return of the upstream to full speed
+    /// does not count.
     last_fault_ms: u64,
     /// Start of the baseline measurement of the cores, and the work done before it.
     baseline_work: Option<(u64, Duration)>,
--- a/lab/src/fleet/tcp_proxy.rs
+++ b/lab/src/fleet/tcp_proxy.rs
@@ -86,7 +86,7 @@
             state.backward.stalled = stalled;
         }
     }
-    /// Resets all connections.
+    /// Resets all connections by shutting down both of their directions.
     pub fn reset_connections(&self) {
         for connection in self.state().connections.drain(..).flatten() {
             connection.shutdown(Shutdown::Both).unwrap_or_default();
--- a/lab/src/queue/throughput.rs
+++ b/lab/src/queue/throughput.rs
@@ -14,7 +14,8 @@
 
 const CORES: usize = 32;
 const PREFETCH: usize = 128;
-const FAILS_EVERY: u64 = 1_000;
+/// Interval of the messages that always fail.
+const MESSAGES_PER_FAILURE: u64 = 1_000;
 const MAX_MEMORY_MB: f64 = 32.0;
 const WINDOW_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -38,7 +39,7 @@
     let broker = Broker::start(FaultScript { counts_deliveries: true, ..FaultScript::default() })?;
     let all = (0..messages).map(|n| Message { number: n + 1, ..message(n) });
     broker.state().queues.entry(QUEUE.into()).or_default().extend(all);
-    let update = Method { effect: "free", fails_every: FAILS_EVERY, ..STOCK_UPDATE.without_work() };
+    let update = Method { effect: "free", fails_every: MESSAGES_PER_FAILURE, ..STOCK_UPDATE.without_work() };
     let more = format!("prefetch {PREFETCH}\nbound 10m\nattempts 2\npause 1ms 5ms\n");
     let file = operator_file(&[&broker], STOCK_UPDATE.name, &more);
     let setup = Setup {
--- a/lab/src/scale/agree/cluster.rs
+++ b/lab/src/scale/agree/cluster.rs
@@ -322,7 +322,7 @@
     }
 
     /// Returns the number of versions that were reported as committed and that the leader lacks or has with another
-    /// content.
+    /// content; `u64::MAX` without a leader.
     pub(super) fn lost_versions(&self) -> u64 {
         let leader = self.leader().and_then(|n| self.nodes[n].consensus.as_ref());
         let Some(log) = leader.map(ConsensusNode::version_log) else { return u64::MAX };
--- a/lab/src/scale/agree/event_loop.rs
+++ b/lab/src/scale/agree/event_loop.rs
@@ -23,7 +23,7 @@
     datagrams: Vec<Datagram>,
     writes: Vec<DiskWrite>,
     outcomes: Vec<CompletedProposal>,
-    /// On the local clock of the node.
+    /// Time of the next tick on the local clock of the node.
     next_tick: Us,
     is_leader: bool,
 }
--- a/lab/src/scale/agree/node.rs
+++ b/lab/src/scale/agree/node.rs
@@ -39,10 +39,10 @@
     pub(super) newest: u64,
 }
 
-/// What a node enforces at a moment.
+/// Versions that a node enforces at a point in time, and the end of its lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Enforcement {
-    /// Absent without a lease.
+    /// The enforced versions; `None` without a lease.
     pub(super) versions: Option<EnforcedVersions>,
     /// The virtual time at which the lease expires.
     pub(super) lease_until: Us,
--- a/lab/src/scale/capacity/import.rs
+++ b/lab/src/scale/capacity/import.rs
@@ -1,5 +1,5 @@
 //! Import of the output of scenarios (`--json`) as points of slopes. The size of a point is the number of methods and
-//! tenants together, of members, of callers or of list entries.
+//! tenants together, of members, of replicas, of connections of callers or of list entries.
 
 use super::error::CapacityError;
 use super::format::number;
--- a/lab/src/scale/config/scenario.rs
+++ b/lab/src/scale/config/scenario.rs
@@ -20,9 +20,9 @@
 
 const SMALL_SITE_METHODS: usize = 5;
 const CALLERS: usize = 42;
-const RATE_PER_S: f64 = 84.0;
+const RPCS_PER_S: f64 = 84.0;
 /// Rate above which each RPC takes the agent less time.
-const HIGH_RATE_PER_S: f64 = 400.0;
+const HIGH_RPCS_PER_S: f64 = 400.0;
 /// Delay until memory and load are stable.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 const QUICK_RELOADS: usize = 5;
@@ -52,7 +52,7 @@
     let small_site_kb = small_site_kb(program, &mut report)?;
     report.set("rss_kb_small", small_site_kb);
     let site = SiteSettings::new(options.methods.max(1), options.tenants, CALLERS);
-    let work = ms(if rate > HIGH_RATE_PER_S { 1 } else { 2 });
+    let work = ms(if rate > HIGH_RPCS_PER_S { 1 } else { 2 });
     let mut bed = TestBed::start(&site, program, work)?;
     report.set("start_ms", rounded(bed.start_ms));
     report.set("file_bytes", json!(bed.config_text(&site).len()));
@@ -158,7 +158,7 @@
 pub fn scenario(
     report: &mut Report, seed: u64, options: &ScaleOptions, rate: Option<f64>, other: Option<&Path>,
 ) -> Result<(), ScenarioError> {
-    let rate = rate.unwrap_or(RATE_PER_S);
+    let rate = rate.unwrap_or(RPCS_PER_S);
     let (mut this_build, mut other_build) = (Vec::new(), Vec::new());
     for turn in 0..options.turns.unwrap_or(1).max(1) as u64 {
         let result = run_build(seed + turn, options, rate, None)?;
--- a/lab/src/scale/members/options.rs
+++ b/lab/src/scale/members/options.rs
@@ -29,7 +29,7 @@
 pub struct MembersOptions {
     /// Number of members.
     pub nodes: usize,
-    /// Seed of all random draws.
+    /// Seed of the random number generators.
     pub seed: u64,
     /// What happens once all members know each other.
     pub kind: ScenarioKind,
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -6,7 +6,7 @@
 use super::options::{MembersOptions, ScenarioKind};
 use super::scenario::run_with_intervals;
 use crate::fleet::members::setup::{
-    operator_file, request_within, FILE_WITHOUT_MEMBERS, GREET_MS, PROBE_MS, SETTLE_MS, SUSPICION_MS,
+    operator_file, request_within, ANNOUNCE_MS, FILE_WITHOUT_MEMBERS, JOIN_DELAY_MS, PROBE_MS, SUSPICION_MS,
 };
 use crate::fleet::members::start_idle_fleet;
 use crate::fleet::Fleet;
@@ -41,8 +41,8 @@
     MembershipConfig {
         probe_interval: us(PROBE_MS),
         suspicion_timeout: us(SUSPICION_MS),
-        announce_interval: us(GREET_MS),
-        join_delay: us(SETTLE_MS),
+        announce_interval: us(ANNOUNCE_MS),
+        join_delay: us(JOIN_DELAY_MS),
         forget_after: us(3_600_000),
         flap_window: us(60_000),
         expected_members: nodes,
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -16,8 +16,8 @@
 use std::time::{Duration, Instant};
 
 /// High enough that the CPU time of RPCs dominates that of all other work.
-const RATE_PER_S: f64 = 3_000.0;
-const QUICK_RATE_PER_S: f64 = 500.0;
+const RPCS_PER_S: f64 = 3_000.0;
+const QUICK_RPCS_PER_S: f64 = 500.0;
 const ROUNDS: usize = 5;
 const WARM_UP: Duration = Duration::from_millis(400);
 /// Delay after the start of the processes, before the first measurement.
@@ -81,7 +81,7 @@
     fn new(options: &ScaleOptions, rate: Option<f64>, seconds: Option<u64>) -> Plan {
         let quick = options.quick;
         Plan {
-            rate_per_s: rate.unwrap_or(if quick { QUICK_RATE_PER_S } else { RATE_PER_S }),
+            rate_per_s: rate.unwrap_or(if quick { QUICK_RPCS_PER_S } else { RPCS_PER_S }),
             rounds: options.turns.unwrap_or(if quick { 1 } else { ROUNDS }).max(1),
             load_time: if quick { QUICK_MEASUREMENT_TIME } else { Duration::from_secs(seconds.unwrap_or(2)) },
             idle_time: if quick { QUICK_MEASUREMENT_TIME } else { IDLE_TIME },
--- a/lab/src/scale/test_bed/load.rs
+++ b/lab/src/scale/test_bed/load.rs
@@ -35,7 +35,7 @@
     pub callers: usize,
     /// Mean rate in RPCs per second.
     pub rate: f64,
-    /// Seed of all random draws.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
