--- a/lab/src/scale/config/scenario.rs
+++ b/lab/src/scale/config/scenario.rs
@@ -20,9 +20,9 @@
 
 const SMALL_SITE_METHODS: usize = 5;
 const CALLERS: usize = 42;
-const RATE_PER_S: f64 = 84.0;
+const RPCS_PER_S: f64 = 84.0;
 /// Rate above which each RPC takes the agent less time.
-const HIGH_RATE_PER_S: f64 = 400.0;
+const HIGH_RPCS_PER_S: f64 = 400.0;
 /// Delay until memory and load are stable.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 const QUICK_RELOADS: usize = 5;
@@ -33,7 +33,7 @@
     thread::sleep(SETTLE_TIME);
     let resident = bed.status_kb("VmRSS");
     let exit = bed.shut_down();
-    report.rule("a process was still running after the shutdown", exit.leftover_processes == 0);
+    report.rule("a process was still running at the end", exit.leftover_processes == 0);
     Ok(json!(resident))
 }
 
@@ -52,7 +52,7 @@
     let small_site_kb = small_site_kb(program, &mut report)?;
     report.set("rss_kb_small", small_site_kb);
     let site = SiteSettings::new(options.methods.max(1), options.tenants, CALLERS);
-    let work = ms(if rate > HIGH_RATE_PER_S { 1 } else { 2 });
+    let work = ms(if rate > HIGH_RPCS_PER_S { 1 } else { 2 });
     let mut bed = TestBed::start(&site, program, work)?;
     report.set("start_ms", rounded(bed.start_ms));
     report.set("file_bytes", json!(bed.config_text(&site).len()));
@@ -121,7 +121,7 @@
     let half_applied = status["counters"]["half_applied"].as_u64();
     let report = &mut session.report;
     report.set("half_applied", json!(half_applied));
-    report.rule("an answer was decided under parts of two versions", half_applied == Some(0));
+    report.rule("an answer was decided under a mix of two versions", half_applied == Some(0));
     report.set("rss_kb_end", json!(session.bed.status_kb("VmRSS")));
     report.set("peak_kb", json!(session.bed.status_kb("VmHWM")));
     report.set("refused", json!(session.rejected));
@@ -134,8 +134,8 @@
     let exit = session.bed.shut_down();
     let report = session.report;
     report.set("left_processes", json!(exit.leftover_processes));
-    report.rule("a process was still running after the shutdown", exit.leftover_processes == 0);
-    report.rule("the process did not exit with code 0", exit.code == Some(0));
+    report.rule("a process was still running at the end", exit.leftover_processes == 0);
+    report.rule("asterrilld did not exit with code 0 within 30 s", exit.code == Some(0));
     if session.quick {
         report.rule("a valid change was rejected", session.rejected == 0);
     }
@@ -149,7 +149,7 @@
     report.set("pairs", json!(violations.pairs));
     report.rule("an RPC got no final answer", violations.unanswered == 0);
     report.rule("an RPC was answered twice", violations.answered_twice == 0);
-    report.rule("an RPC got the result of another", violations.wrong_results == 0);
+    report.rule("an RPC got the result of another RPC", violations.wrong_results == 0);
     let in_order = violations.older_after_newer == 0;
     report.rule("an RPC was decided under an older version than one before it", in_order);
 }
@@ -158,7 +158,7 @@
 pub fn scenario(
     report: &mut Report, seed: u64, options: &ScaleOptions, rate: Option<f64>, other: Option<&Path>,
 ) -> Result<(), ScenarioError> {
-    let rate = rate.unwrap_or(RATE_PER_S);
+    let rate = rate.unwrap_or(RPCS_PER_S);
     let (mut this_build, mut other_build) = (Vec::new(), Vec::new());
     for turn in 0..options.turns.unwrap_or(1).max(1) as u64 {
         let result = run_build(seed + turn, options, rate, None)?;
--- a/lab/src/scale/test_bed/bed.rs
+++ b/lab/src/scale/test_bed/bed.rs
@@ -1,4 +1,4 @@
-//! The process under test and its stand-ins.
+//! The process under test and the stubs of its dependencies.
 
 use super::agent::TimedAgent;
 use super::meter::CpuMeter;
@@ -21,7 +21,7 @@
 pub struct TestBed {
     /// The process.
     pub node: Node,
-    /// The stand-in agent of the process.
+    /// The stub agent of the process.
     pub agent: TimedAgent,
     /// The CPU meter of the process.
     pub meter: CpuMeter,
@@ -72,7 +72,8 @@
         while TcpStream::connect(listen_addr).is_err() {
             if started_at.elapsed() > STARTUP_TIMEOUT {
                 return Err(format!(
-                    "the process did not accept connections within {STARTUP_TIMEOUT:?}; its log: {}",
+                    "asterrilld does not listen within {} s; its log: {}",
+                    STARTUP_TIMEOUT.as_secs(),
                     node.read_log()
                 )
                 .into());
