--- a/lab/src/scale/config/entry_changes.rs
+++ b/lab/src/scale/config/entry_changes.rs
@@ -2,7 +2,8 @@
 
 use super::fields::phase;
 use super::session::{
-    accepted, cpu_beyond_load_ms, rejection_reason, Outcome, Session, MAX_CONSECUTIVE_REJECTIONS,
+    accepted, cpu_beyond_load_ms, rejection_reason, starts_with_any, Outcome, Session,
+    MAX_CONSECUTIVE_REJECTIONS, STEP_UNSUPPORTED,
 };
 use crate::report::ScenarioError;
 use crate::scale::statistics::{median, rounded};
@@ -120,7 +121,8 @@
     /// answers that it expects a text.
     fn supports_steps(&mut self) -> Result<bool, ScenarioError> {
         let answer: Value = self.control.request(json!({"do": "stage", "step": ""}))?;
-        let supported = accepted(&answer) || !rejection_reason(&answer).starts_with("stage wants text");
+        let reason = rejection_reason(&answer);
+        let supported = accepted(&answer) || !starts_with_any(&reason, &STEP_UNSUPPORTED);
         if accepted(&answer) {
             self.control.request(json!({"do": "drop"}))?;
         }
--- a/lab/src/scale/config/session.rs
+++ b/lab/src/scale/config/session.rs
@@ -20,6 +20,12 @@
 /// Maximum number of reasons for rejections that are reported.
 const MAX_REASONS: usize = 5;
 
+/// Beginnings of the rejection of a step by a build that does not support steps: the text of earlier builds, then that
+/// of current ones.
+pub(super) const STEP_UNSUPPORTED: [&str; 2] = ["stage wants text", "stage requires text"];
+/// Beginnings of the rejection of a request that is longer than the build accepts, in the same order.
+const REQUEST_TOO_LONG: [&str; 2] = ["a request is a line", "a request must be one line"];
+
 /// Number of consecutive rejections after which no more changes are tried.
 pub(super) const MAX_CONSECUTIVE_REJECTIONS: usize = 3;
 
@@ -72,6 +78,11 @@
     format!("{}{}", text(&answer["error"]), problems.unwrap_or_default())
 }
 
+/// Reports whether a reason begins with one of these texts.
+pub(super) fn starts_with_any(reason: &str, texts: &[&str]) -> bool {
+    texts.iter().any(|text| reason.starts_with(text))
+}
+
 /// Returns the CPU time of the process between two readings beyond what the load alone takes in that time, in ms.
 pub(super) fn cpu_beyond_load_ms(now: &CpuReading, since: &CpuReading, idle_cpu_ms_per_s: f64) -> f64 {
     (now.cpu_ms(since) - idle_cpu_ms_per_s * now.ms(since) / 1e3).max(0.0)
@@ -96,7 +107,7 @@
         };
         if !accepted(&staged) {
             let reason = rejection_reason(&staged);
-            if ["stage wants text", "a request is a line"].iter().any(|start| reason.starts_with(start)) {
+            if starts_with_any(&reason, &STEP_UNSUPPORTED) || starts_with_any(&reason, &REQUEST_TOO_LONG) {
                 return Ok(Outcome::Unsupported);
             }
             self.record_rejection(reason);
