--- a/daemon/src/change/driver.rs
+++ b/daemon/src/change/driver.rs
@@ -27,8 +27,8 @@
 /// Interval between samples of the service statistics, in microseconds.
 const SAMPLE_INTERVAL_US: Us = 100_000;
 
-/// Reason recorded for a confirmation or a rollback that an operator requested.
-const REQUESTED: &str = "requested by an operator";
+/// Reason recorded for a confirmation or a rollback that an operator requested, as for staged and dropped versions.
+const REQUESTED: &str = "requested";
 
 /// Version that the process starts with.
 pub struct StartVersion {
--- a/daemon/src/tests/reply.rs
+++ b/daemon/src/tests/reply.rs
@@ -44,7 +44,7 @@
 #[test]
 fn replies_about_changes_have_their_documented_fields() {
     let (changes, problems) =
-        (vec!["cores: 2 -> 4".to_string()], vec!["risky: x (may be forced)".to_string()]);
+        (vec!["cores: 2 -> 4".to_string()], vec!["risky: x (can be forced)".to_string()]);
     assert_json(
         Reply::Diff(DiffReply {
             base: 1,
@@ -53,7 +53,7 @@
             changes: changes.clone(),
             problems: problems.clone(),
         }),
-        r#"{"base":1,"changes":["cores: 2 -> 4"],"entries":1,"hash":"HASH","ok":true,"problems":["risky: x (may be forced)"]}"#,
+        r#"{"base":1,"changes":["cores: 2 -> 4"],"entries":1,"hash":"HASH","ok":true,"problems":["risky: x (can be forced)"]}"#,
     );
     assert_json(
         Reply::Staged(StagedReply { version: 2, hash: hash(), entries: 1, changes, problems: Vec::new() }),
@@ -80,8 +80,8 @@
         Reply::Rejected(Rejection::new("nothing is staged")),
         r#"{"error":"nothing is staged","ok":false}"#,
     );
-    let failed = Rejection { problems: Some(vec!["wrong: x".into()]), ..Rejection::new("no") };
-    assert_json(Reply::Rejected(failed), r#"{"error":"no","ok":false,"problems":["wrong: x"]}"#);
+    let failed = Rejection { problems: Some(vec!["invalid: x".into()]), ..Rejection::new("no") };
+    assert_json(Reply::Rejected(failed), r#"{"error":"no","ok":false,"problems":["invalid: x"]}"#);
     let crossed = Rejection { crossed: true, ..Rejection::new("no") };
     assert_json(Reply::Rejected(crossed), r#"{"crossed":true,"error":"no","ok":false}"#);
 }
