--- a/daemon/src/agent_session.rs
+++ b/daemon/src/agent_session.rs
@@ -105,7 +105,7 @@
     resync_tag: Option<u64>,
     runs: BTreeMap<RpcId, RunRecord>,
     has_greeted: bool,
-    /// The time since which a message from the agent is overdue.
+    /// The time since which a message from the agent is expected and none has arrived.
     awaiting_since: Option<Us>,
     next_check: Us,
     /// The time without a notice after which a run counts as lost.
--- a/daemon/src/dispatcher/connections.rs
+++ b/daemon/src/dispatcher/connections.rs
@@ -25,7 +25,8 @@
         conn
     }
 
-    /// Handles the end of a sidecar connection. `broken` tells that the peer reset it or read too slowly.
+    /// Handles the end of a sidecar connection. `broken` tells that the peer reset it, or that its
+    /// socket failed.
     pub fn connection_closed(&self, conn: ConnectionId, broken: bool) {
         self.with(|core, outbound, now| {
             core.stats_mut().connections_broken += u64::from(broken);
--- a/daemon/src/shutdown.rs
+++ b/daemon/src/shutdown.rs
@@ -13,7 +13,7 @@
 /// Interval between checks whether all connections are closed, in microseconds.
 const CLOSE_POLL_INTERVAL_US: Us = 5_000;
 
-/// Graceful shutdown, started by the shutdown notice.
+/// Graceful shutdown, started by the shutdown notice SIGTERM.
 pub struct Shutdown {
     membership: Option<Arc<MembershipService>>,
     store: Option<Store>,
--- a/daemon/src/startup.rs
+++ b/daemon/src/startup.rs
@@ -63,7 +63,9 @@
         }
     }
 
-    /// Returns the time in microseconds after which an idle connection is closed; `Us::MAX` if none is configured.
+    /// Returns the time in microseconds after which an idle connection is closed.
+    ///
+    /// This is the time after which callers close idle connections themselves; `Us::MAX` if they never do.
     fn idle_timeout(&self) -> Us {
         match self.start.content.configuration.globals().idle_timeout {
             0 => Us::MAX,
--- a/daemon/src/stats.rs
+++ b/daemon/src/stats.rs
@@ -94,7 +94,7 @@
     name_service_protocol_errors => "bad_naming",
     /// Sidecar connections accepted.
     connections => "connections",
-    /// Sidecar connections that the peer reset, or whose peer read too slowly.
+    /// Sidecar connections that the peer reset, or whose socket failed.
     connections_broken => "broken",
     /// Sidecar connections closed because they were idle.
     closed_idle => "closed_idle",
--- a/daemon/src/store/versions.rs
+++ b/daemon/src/store/versions.rs
@@ -1,5 +1,5 @@
 //! File of versions. Changes are appended as steps. A snapshot is written by the first write, after a failed write,
-//! and when the steps exceed their limit of size.
+//! and when the steps would become longer than the snapshot before them and than the minimum for a compaction.
 
 use super::legacy_versions::{read_legacy_versions, remove_legacy_versions};
 use crate::durable_file;
@@ -40,8 +40,8 @@
 /// Writer of the file of versions.
 #[derive(Default)]
 pub(super) struct VersionsFile {
-    /// Content that this process has written; `None` before the first write, and after a failed write left the
-    /// content of the file unknown.
+    /// Content that this process has written; `None` before the first write and after a failed one, when the content
+    /// of the file is unknown.
     written: Option<WrittenFile>,
 }
 
--- a/daemon/src/store/writer.rs
+++ b/daemon/src/store/writer.rs
@@ -1,4 +1,7 @@
-//! Thread that writes the state files. Only the newest state of each kind is written, and versions are written first.
+//! Thread that writes the state files.
+//!
+//! Versions are written before anything else. Of several queued states of one kind only the newest is written, but every
+//! write of a voter is. A file that is replaced is replaced completely or not at all.
 
 use super::checksummed::{write_learned, write_members};
 use super::consensus::{append_consensus, OnDurable};
@@ -121,7 +124,7 @@
     dir: PathBuf,
     log: Logger,
     versions: VersionsFile,
-    /// True after a write of the voter's file has failed, so that it may end in an incomplete record.
+    /// Whether a write of the voter's file has failed, so that the file may end in an incomplete record.
     consensus_failed: bool,
     /// Number of failures at the last report. Reports are logged at the first, second, fourth failure and so on, so
     /// that a directory that stays full or read-only does not flood the log.
--- a/net/src/connection.rs
+++ b/net/src/connection.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// How a connection ended.
+/// The way in which a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
     /// The connection was closed locally.
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -3,15 +3,15 @@
 //!
 //! | module | purpose |
 //! | --- | --- |
-//! | `listener`, `connection_limit` | accepts connections, up to a limit |
-//! | `connection` | runs one socket: [`run_connection`] passes received bytes to a [`ConnectionHandler`] |
+//! | `listener`, `connection_limit` | listener that accepts connections up to a limit |
+//! | `connection` | driver of one socket: [`run_connection`] passes received bytes to a [`ConnectionHandler`] |
 //! | `outbox` | bounded queue of bytes to write to one socket |
 //! | `link`, `address`, `backoff` | outgoing connections that reconnect when they end |
 //! | `exchange` | a single request and reply over an outgoing connection |
 //! | `datagram_socket` | UDP datagrams |
 //! | `pool` | bounded pool of buffers of one size |
 //! | `clock`, `notify` | clocks, timers and wakeups |
-//! | `spawn` | starts the worker and coroutines |
+//! | `spawn` | start of the worker and of coroutines |
 #![warn(missing_docs)]
 
 mod address;
--- a/net/src/link.rs
+++ b/net/src/link.rs
@@ -34,8 +34,8 @@
 }
 
 /// Runs a link while its handler wants connections. An eager link always connects; a lazy one connects when its outbox is not
-/// empty. Attempts after a failure are delayed by the backoff. After a change of address, an established connection is kept
-/// until it ends.
+/// empty. Each further attempt is delayed by the backoff, unless the address changes meanwhile. After a change of address, an
+/// established connection is kept until it ends.
 pub fn run_link(
     to: &Address, outbox: &Outbox, pool: &BufferPool, eager: bool, mut backoff: Backoff,
     handler: &mut dyn LinkHandler,
