--- a/daemon/src/change/reply.rs
+++ b/daemon/src/change/reply.rs
@@ -14,7 +14,7 @@
     /// Problems that the checks found, if the change did not pass them.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub problems: Option<Vec<String>>,
-    /// True if another version was applied during validation, so that the change may be validated again.
+    /// Whether another version was applied during validation, so that the change may be validated again.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub crossed: bool,
 }
--- a/daemon/src/control_socket.rs
+++ b/daemon/src/control_socket.rs
@@ -84,7 +84,7 @@
     log: Logger,
     /// Number of clients being served.
     clients: Arc<AtomicUsize>,
-    /// True while a long request is read or handled.
+    /// Whether a long request is being read or handled.
     long_request_active: Arc<AtomicBool>,
 }
 
--- a/daemon/src/core/active_names.rs
+++ b/daemon/src/core/active_names.rs
@@ -1,4 +1,4 @@
-//! Lookup of the methods and tenants in force by their names.
+//! Lookup of the active methods and tenants by their names.
 
 use super::state::RpcEngine;
 use crate::name_table::NameTable;
@@ -8,21 +8,21 @@
 use asterrill_entries::Name;
 use asterrill_recovery::LatencyTargets;
 
-/// View of the name table that contains only the names in force in the decision module.
+/// View of the name table that contains only the names that are active in the decision module.
 pub(super) struct ActiveNames<'a> {
-    /// All names, in force or not.
+    /// All names, active or not.
     pub(super) names: &'a NameTable,
-    /// The engine, which reports whether a name is in force.
+    /// The engine, which reports whether a name is active.
     pub(super) engine: &'a RpcEngine,
 }
 
 impl ActiveNames<'_> {
-    /// Returns the index of a method, if it is in force.
+    /// Returns the index of a method, if it is active.
     pub(super) fn method_id(&self, name: &str) -> Option<MethodId> {
         self.names.method_id(name).filter(|id| self.engine.has_method(*id))
     }
 
-    /// Returns the index of a tenant, if it is in force.
+    /// Returns the index of a tenant, if it is active.
     pub(super) fn tenant_index(&self, name: &str) -> Option<usize> {
         self.names.tenant_index(name).filter(|index| self.engine.has_tenant(*index))
     }
--- a/daemon/src/core/configuration.rs
+++ b/daemon/src/core/configuration.rs
@@ -1,6 +1,6 @@
 //! Configuration versions, service figures for change monitoring, quota and deny lists.
 //!
-//! The entries of a new version are staged next to those in force, then a single input activates all of them.
+//! The entries of a new version are staged beside the active ones, then a single input activates all of them.
 
 use super::state::{Core, CoreState};
 use crate::outbound::Outbound;
@@ -27,7 +27,7 @@
 }
 
 impl Core {
-    /// Returns the number of the configuration version in force.
+    /// Returns the number of the active configuration version.
     pub fn version(&self) -> u64 {
         self.state.versions.module
     }
@@ -49,7 +49,7 @@
         load
     }
 
-    /// Makes the change in force final: answers are judged by its latency targets, and the indices of removed tenants
+    /// Makes the active change final: answers are judged by its latency targets, and the indices of removed tenants
     /// are released.
     pub fn commit_change(&mut self) {
         let engine = &self.engine;
@@ -66,7 +66,7 @@
         self.state.names.check_capacity_for(changes)
     }
 
-    /// Stages entries next to those in force. None of them is visible until [`Core::switch_version`].
+    /// Stages entries beside the active ones. None of them is visible until [`Core::switch_version`].
     ///
     /// A long change is staged in slices, so that other inputs are processed in between.
     pub fn stage(&mut self, changes: &[Change]) {
--- a/daemon/src/core/recovery.rs
+++ b/daemon/src/core/recovery.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Sets the hash of the settings in force.
+    /// Sets the hash of the active settings.
     pub fn set_settings_hash(&mut self, hash: u64) {
         if let Some(recovery) = &mut self.state.recovery {
             recovery.set_settings_hash(hash);
--- a/daemon/src/core/sidecar_rpcs.rs
+++ b/daemon/src/core/sidecar_rpcs.rs
@@ -55,7 +55,7 @@
         keys.iter().any(|(kind, key)| policy.rejects(*kind, key))
     }
 
-    /// Converts a request to the form that the engine accepts. Returns `None` if its method or tenant is not in force.
+    /// Converts a request to the form that the engine accepts. Returns `None` if its method or tenant is not active.
     fn resolve_rpc(
         &mut self, now: Us, conn: ConnectionId, request: &RpcRequest, body: &[u8],
     ) -> Option<IncomingRpc> {
--- a/daemon/src/dispatcher/outboxes.rs
+++ b/daemon/src/dispatcher/outboxes.rs
@@ -66,7 +66,7 @@
     pub(super) draining: bool,
     /// Whether all connections are being closed, including newly accepted ones.
     pub(super) closing_all: bool,
-    /// The configuration version in force, as written to the log.
+    /// The active configuration version, as written to the log.
     pub(super) version: u64,
     /// The buffer in which messages are encoded.
     pub(super) scratch: Vec<u8>,
--- a/daemon/src/dispatcher/shared.rs
+++ b/daemon/src/dispatcher/shared.rs
@@ -16,11 +16,11 @@
 use std::sync::{Mutex, MutexGuard};
 
 /// Divisor that gives the share of the memory limit used by each of the two buffer pools.
-const MEMORY_DIVISOR: u64 = 6;
+const POOL_MEMORY_DIVISOR: u64 = 6;
 
 /// Returns the number of buffers in each pool under a memory limit in MB.
 pub fn buffers_per_pool(memory_mb: u64) -> usize {
-    (memory_mb * 1024 * 1024 / MEMORY_DIVISOR / BUFFER_BYTES as u64) as usize
+    (memory_mb * 1024 * 1024 / POOL_MEMORY_DIVISOR / BUFFER_BYTES as u64) as usize
 }
 
 /// State protected by the dispatcher's lock.
--- a/daemon/src/membership/shared.rs
+++ b/daemon/src/membership/shared.rs
@@ -16,7 +16,7 @@
     pub(super) membership: Membership,
     /// Datagrams to send.
     pub(super) outgoing: VecDeque<Transmit>,
-    /// True once this backend has left the cluster.
+    /// Whether this backend has left the cluster.
     pub(super) left: bool,
     /// Raft node, if agreement on lists is configured.
     pub(super) consensus: Option<Node>,
--- a/daemon/src/name_table.rs
+++ b/daemon/src/name_table.rs
@@ -1,7 +1,7 @@
 //! Table of the indices of method and tenant names.
 //!
 //! The strings are shared with all other holders of a name, and an index never changes while its name is in the table.
-//! The decision module determines which names are in force: the table already contains names whose settings are staged,
+//! The decision module determines which names are active: the table already contains names whose settings are staged,
 //! and keeps removed names until the change that removed them is final.
 
 use asterrill::{Idempotency, MethodId, SettingsUpdate, Us};
@@ -9,7 +9,7 @@
 use asterrill_settings::ServerParts;
 use rustc_hash::FxHashMap;
 
-/// Settings of a method in the version in force.
+/// Settings of a method in the active version.
 #[derive(Clone, Debug)]
 struct MethodEntry {
     name: Name,
@@ -37,7 +37,7 @@
     /// The tenants removed by a change that is not final yet.
     removed_tenants: Vec<Name>,
     staged: Vec<StagedMethod>,
-    /// Whether each RPC must name a tenant in the version in force.
+    /// Whether each RPC must name a tenant in the active version.
     pub requires_tenant: bool,
     /// The names of the agent's gauges, in the order in which the agent sends them.
     pub gauges: Vec<String>,
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Returns the index of a method, in force or not.
+    /// Returns the index of a method, active or not.
     pub fn method_id(&self, name: &str) -> Option<MethodId> {
         self.method_ids.get(name).copied()
     }
 
-    /// Returns the index of a tenant, in force or not.
+    /// Returns the index of a tenant, active or not.
     pub fn tenant_index(&self, name: &str) -> Option<usize> {
         self.tenants.get(name).copied()
     }
@@ -98,7 +98,7 @@
         (0..self.methods.len()).map(MethodId)
     }
 
-    /// Returns all tenants in the table, in force or not.
+    /// Returns all tenants in the table, active or not.
     pub fn tenants(&self) -> impl Iterator<Item = (&Name, usize)> {
         self.tenants.iter().map(|(name, index)| (name, *index))
     }
@@ -124,7 +124,7 @@
         Err(format!("more than {MAX_METHODS} methods since the start of the process; restart it"))
     }
 
-    /// Allocates indices for the names in a change, and returns the settings to stage there. None of them is in force
+    /// Allocates indices for the names in a change, and returns the settings to stage there. None of them is active
     /// yet.
     pub fn stage(&mut self, changes: &[Change]) -> Vec<SettingsUpdate> {
         changes.iter().filter_map(|change| self.stage_change(change)).collect()
@@ -182,11 +182,11 @@
         targets
     }
 
-    /// Releases the indices of removed tenants after a change has become final or was rolled back. `in_force` reports
-    /// whether the tenant at an index is in force.
-    pub fn release_removed_tenants(&mut self, in_force: impl Fn(usize) -> bool) {
+    /// Releases the indices of removed tenants after a change has become final or was rolled back. `is_active` reports
+    /// whether the tenant at an index is active.
+    pub fn release_removed_tenants(&mut self, is_active: impl Fn(usize) -> bool) {
         for name in std::mem::take(&mut self.removed_tenants) {
-            let Some(index) = self.tenant_index(&name).filter(|index| !in_force(*index)) else { continue };
+            let Some(index) = self.tenant_index(&name).filter(|index| !is_active(*index)) else { continue };
             self.tenants.remove(&name);
             self.free_tenant_indices.push(index);
         }
--- a/daemon/src/operator_requests.rs
+++ b/daemon/src/operator_requests.rs
@@ -37,7 +37,7 @@
 /// Requests that wait for the worker.
 #[derive(Default)]
 pub struct PendingRequests {
-    /// True if a shutdown was requested.
+    /// Whether a shutdown was requested.
     pub shutdown: bool,
     /// Last configuration file that was reloaded.
     pub reload: Option<Result<Reload, SettingsError>>,
@@ -45,7 +45,7 @@
     pub context_requests: Vec<SyncSender<ValidationContext>>,
     /// Commands in the order of their arrival.
     pub commands: Vec<PendingCommand>,
-    /// True if requests are no longer executed.
+    /// Whether requests are no longer executed.
     closed: bool,
 }
 
--- a/daemon/src/queues/broker_events.rs
+++ b/daemon/src/queues/broker_events.rs
@@ -11,7 +11,7 @@
 const MAX_LOGGED_CHARS: usize = 128;
 
 impl QueueConsumers {
-    /// Processes bytes from the broker. Deliveries are routed by `catalog`, the names in force. The error says why the
+    /// Processes bytes from the broker. Deliveries are routed by `catalog`, the active names. The error says why the
     /// connection has failed.
     pub fn read(
         &mut self, now: Us, mut bytes: &[u8], logs: &mut Vec<String>, catalog: &dyn Catalog,
--- a/daemon/src/recovery.rs
+++ b/daemon/src/recovery.rs
@@ -23,7 +23,7 @@
 pub struct RecoveryConfig {
     /// The name of this server.
     pub name: String,
-    /// The hash of the settings in force.
+    /// The hash of the active settings.
     pub settings_hash: u64,
     /// The number of cores of this server.
     pub cores: f64,
@@ -41,7 +41,7 @@
     pub persistent: bool,
 }
 
-/// Lookup of the methods and tenants in force.
+/// Lookup of the active methods and tenants.
 pub trait ActiveCatalog {
     /// Returns the latency targets of the methods, by name.
     fn latency_targets(&self) -> &dyn LatencyTargets;
@@ -106,7 +106,7 @@
         self.next_update
     }
 
-    /// Sets the hash of the settings in force.
+    /// Sets the hash of the active settings.
     pub fn set_settings_hash(&mut self, hash: u64) {
         self.config.settings_hash = hash;
     }
--- a/daemon/src/service_stats.rs
+++ b/daemon/src/service_stats.rs
@@ -14,7 +14,7 @@
 /// Counters of one method.
 #[derive(Clone, Copy, Debug, Default)]
 struct MethodStats {
-    /// The latency target in force.
+    /// The active latency target.
     target: Us,
     /// The latency target by which answers are judged; while a change is on probation, that of the previous version.
     baseline_target: Us,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Makes the targets in force those by which answers are judged.
+    /// Makes the active targets those by which answers are judged.
     pub fn commit_targets(&mut self) {
         for method in &mut self.methods {
             method.baseline_target = method.target;
--- a/daemon/src/store.rs
+++ b/daemon/src/store.rs
@@ -3,7 +3,7 @@
 //! | module | purpose |
 //! | --- | --- |
 //! | `writer` | the thread that writes, and its queue |
-//! | `versions`, `legacy_versions` | the file of versions, and its former format |
+//! | `versions`, `legacy_versions` | the file of versions, and the legacy files of earlier builds |
 //! | `checksummed` | texts with a checksum: learned values and members |
 //! | `consensus` | the raft file of a voter |
 
--- a/daemon/src/store/legacy_versions.rs
+++ b/daemon/src/store/legacy_versions.rs
@@ -1,4 +1,4 @@
-//! Format of builds that predate the file of versions, with a complete text in a file of its own for each version.
+//! Legacy files of builds that predate the file of versions: each version is a complete text in its own file.
 
 use super::checksummed::FORMAT_VERSION;
 use crate::durable_file;
--- a/daemon/src/tests/core_access.rs
+++ b/daemon/src/tests/core_access.rs
@@ -8,7 +8,7 @@
     pub fn learned(&self) -> asterrill::LearnedState {
         self.engine.learned_state()
     }
-    /// Reports whether a tenant is in force.
+    /// Reports whether a tenant is active.
     pub fn has_tenant(&self, name: &str) -> bool {
         let active = ActiveNames { names: &self.state.names, engine: &self.engine };
         active.tenant_index(name).is_some()
--- a/daemon/src/tests/drain.rs
+++ b/daemon/src/tests/drain.rs
@@ -14,7 +14,8 @@
             && harness.peers.serving.last() == Some(&false)
             && !harness.core.is_drained()
     );
-    // RPCs received within the sending time are run, so sidecars are asked to send no new ones only after it.
+    // RPCs received within the health propagation delay are run, so sidecars are asked to send no new ones only after
+    // it.
     harness.advance(400 * MS);
     assert!(harness.peers.drain_announced && !harness.core.is_drained());
     harness.advance(599 * MS);
@@ -37,14 +38,14 @@
         assert!(!peers.serving.contains(&true), "reported as serving: {:?}", peers.serving);
         let mut harness = CoreHarness::with_core(core, peers, greeted_at, &sample_settings());
         harness.send_rpc(1, "book", 900 * MS, None);
-        assert_eq!(harness.peers.runs.len(), 1, "run within the sending time");
+        assert_eq!(harness.peers.runs.len(), 1, "run within the health propagation delay");
         harness.advance(START + 420 * MS - harness.now);
-        assert!(harness.peers.drain_announced, "announced after the sending time");
+        assert!(harness.peers.drain_announced, "announced after the health propagation delay");
         let late = harness.send_rpc(2, "book", 900 * MS, None);
         assert_eq!(
             (harness.peers.runs.len(), harness.peers.answers[&late].0),
             (1, "rejected"),
-            "rejected after the sending time"
+            "rejected after the health propagation delay"
         );
         harness.advance(1_000 * MS);
         assert!(harness.core.is_drained() && harness.core.unanswered_rpcs() == 0);
--- a/daemon/src/tests/store.rs
+++ b/daemon/src/tests/store.rs
@@ -1,4 +1,4 @@
-//! State files after damage, failed and interrupted writes, compaction, and in the former format.
+//! State files after damage, failed and interrupted writes, compaction, and of the legacy format.
 
 use super::versions::{VersionsFile, VERSIONS_FILE};
 use super::*;
@@ -191,8 +191,8 @@
 }
 
 #[test]
-fn former_format_is_read_until_versions_are_written() {
-    let dir = temp_dir("former");
+fn legacy_files_are_read_until_versions_are_written() {
+    let dir = temp_dir("legacy");
     let text = |rate: u32| {
         let settings = r#"{"Categories":[{"AimMs":1,"DeadlineMs":3,"Effect":"free","Name":"look","Worth":1}],"FamilyInfo":{"NCores":4,"RamKb":9e4},"Limits":{},"Safety":{"RampTimeMs":0,"StopSendingWithinMs":0,"TipMultiple":8},"Tenants":[{"Name":"nile","QuotaRps":RATE}]}"#;
         let settings = settings.replace("RATE", &rate.to_string());
@@ -221,7 +221,7 @@
     );
     assert_eq!(found.probation.as_ref().and_then(|on| on.content.tenant("nile")), Some(6.0));
     assert_eq!(found.rolled_back, []);
-    // The first write of the file of versions removes the files of the former format.
+    // The first write of the file of versions removes the legacy files.
     write_all(&dir, &mut VersionsFile::default(), &[state(1, None)]);
     assert_eq!(read_versions(&dir, &discarding_log()), Some(state(1, None)));
     assert!(!dir.join("good").exists() && !dir.join("probation").exists());
--- a/daemon/src/tests/versions.rs
+++ b/daemon/src/tests/versions.rs
@@ -50,7 +50,7 @@
         2,
         &mut peers,
     );
-    // At the greeting the module is rebuilt from the first settings, which are no longer in force.
+    // At the greeting the module is rebuilt from the first settings, which are no longer active.
     let outdated = server_parts(START, 1, &sample_settings(), Some(true));
     core.agent_connected(START);
     core.agent_greeted(START, Some(outdated), &mut peers);
@@ -60,7 +60,7 @@
     let request =
         RpcRequest { id, method, tenant, caller, arrived_at: START, deadline, size_kb: 20.0, key: None };
     core.rpc_received(START, stream, request, b"", &mut peers);
-    assert_eq!(peers.answers[&stream].0, "aborted", "unknown in the version in force");
+    assert_eq!(peers.answers[&stream].0, "aborted", "unknown in the active version");
     let mut harness = CoreHarness::new(32);
     harness.peers.agent_unreachable = true;
     let stream = harness.send_rpc(1, "look", 900 * MS, None);
@@ -86,7 +86,7 @@
         let request =
             RpcRequest { id, method, tenant, caller, arrived_at, deadline, size_kb: 1.0, key: None };
         harness.core.rpc_received(harness.now, stream, request, b"body", &mut harness.peers);
-        // It is run, queued or rejected if its names are in force, and aborted otherwise.
+        // It is run, queued or rejected if its names are active, and aborted otherwise.
         harness.peers.answers.get(&stream).is_none_or(|(outcome, _)| *outcome != "aborted")
     };
     let accepted_names = |harness: &mut CoreHarness| {
--- a/daemon/tests/shutdown_and_reload.rs
+++ b/daemon/tests/shutdown_and_reload.rs
@@ -69,7 +69,11 @@
     resume_process(&child);
     let (code, payload) = read_answer(&mut complete, 2);
     assert!(code == 0 && payload.ends_with(b"elohw"), "{payload:?}");
-    assert_eq!(read_answer(&mut queued, 1).0, 0, "an RPC that arrives within the grace period is run");
+    assert_eq!(
+        read_answer(&mut queued, 1).0,
+        0,
+        "an RPC that arrives within the health propagation delay is run"
+    );
     partial.write_all(&bytes[30..]).unwrap();
     assert!([0, 11].contains(&read_answer(&mut partial, 1).0));
     // Each connection is closed in order at the end, without a reset.
