--- a/lab/src/fleet/single_call.rs
+++ b/lab/src/fleet/single_call.rs
@@ -14,7 +14,7 @@
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 const CONNECT_TIMEOUT: Duration = ms(500);
 
-/// Returns the header of an RPC of [`LOOK`], with a random trace identifier.
+/// Returns the header of an RPC of [`LOOK_UP`], with a random trace identifier.
 pub(super) fn lookup_header(caller: u64, rng: &mut StdRng) -> RpcHeader<'static> {
     RpcHeader { method: LOOK_UP.name, trace: rng.random(), caller, timeout: ms(1_500), tenant: None }
 }
--- a/lab/src/scale/config/entry_changes.rs
+++ b/lab/src/scale/config/entry_changes.rs
@@ -1,4 +1,4 @@
-//! ChangeStats of single entries through the control socket, as steps if the build supports them.
+//! Changes of single entries through the control socket, as steps if the build supports them.
 
 use super::fields::phase;
 use super::session::{
@@ -28,7 +28,7 @@
 }
 
 impl Session<'_> {
-    /// ChangeStats single entries through the control socket. Returns whether the build supports steps and applied any.
+    /// Changes single entries through the control socket. Returns whether the build supports steps and applied any.
     pub(super) fn measure_entry_changes(
         &mut self, load: &BackgroundLoad, changes: usize, idle_cpu_ms_per_s: f64,
     ) -> Result<bool, ScenarioError> {
