--- a/daemon/tests/configuration_steps.rs
+++ b/daemon/tests/configuration_steps.rs
@@ -253,7 +253,7 @@
         (put("", "1"), ["line 1", "1 to 128 bytes"]),
         (put("fine", "-1"), ["line 1", "QuotaRps"]),
         ("{\"put\":\"tenant\",\"Name\":\"fine\"}".into(), ["line 1", "QuotaRps"]),
-        (format!("{valid}\n{valid}"), ["fine", "twice"]),
+        (format!("{valid}\n{valid}"), ["fine", "duplicate Name fine in Tenants"]),
         (format!("{valid}\n{{\"take\":\"tenant\",\"Name\":\"nobody\"}}"), ["nobody", "does not exist"]),
         (format!("{valid}\n{{\"take\":\"method\",\"Name\":\"look\"}}"), ["Categories", "last method"]),
         (format!("{valid}\n{{\"put\":\"tenant\",\"Na"), ["line 2", "JSON"]),
--- a/entries/src/error.rs
+++ b/entries/src/error.rs
@@ -30,7 +30,7 @@
     #[error("unknown field {0}")]
     UnknownField(String),
     /// The field is given more than once.
-    #[error("field {0} is given twice")]
+    #[error("duplicate field {0}")]
     DuplicateField(String),
     /// The name of an entry is empty, too long, or contains characters that are not allowed.
     #[error(
@@ -44,7 +44,7 @@
         forbids_whitespace: bool,
     },
     /// Two entries of one kind have the same name.
-    #[error("Name {name} is given twice in {}", .kind.list_key())]
+    #[error("duplicate Name {name} in {}", .kind.list_key())]
     DuplicateName {
         /// The kind of both entries.
         kind: EntryKind,
@@ -52,7 +52,7 @@
         name: Name,
     },
     /// A list has too many entries.
-    #[error("{list} has more than {max} entries, the bound {limit_name}")]
+    #[error("{list} has more than {max} entries (bound {limit_name})")]
     TooManyEntries {
         /// The key of the list.
         list: &'static str,
@@ -136,7 +136,7 @@
         message: String,
     },
     /// The line is not a valid line of a step, or is in the wrong place.
-    #[error("line {line}: expected exactly one of put, take and frame; base and hash are allowed only on the first line")]
+    #[error("line {line}: expected exactly one of put, take and frame, or base and hash, which are allowed only on the first line")]
     UnexpectedLine {
         /// The line's number.
         line: usize,
@@ -150,7 +150,7 @@
         error: ConfigError,
     },
     /// The step has more than [`MAX_CHANGES`] changes.
-    #[error("the step has more than {MAX_CHANGES} changes, the bound CHANGES")]
+    #[error("the step has more than {MAX_CHANGES} changes (bound CHANGES)")]
     TooManyChanges,
     /// The digest of the version that was read differs from the one that the text states.
     #[error("hash mismatch: expected {expected}, found {found}")]
--- a/entries/src/lib.rs
+++ b/entries/src/lib.rs
@@ -54,7 +54,6 @@
 mod step_line;
 mod time;
 mod validation;
-
 mod write;
 
 pub use asterrill::Method;
--- a/entries/src/limits.rs
+++ b/entries/src/limits.rs
@@ -1,4 +1,5 @@
-//! Limits of a configuration version. Messages name the limit of a list by its short name (`METHODS`, `TENANTS`, ...).
+//! Limits of a configuration version. Messages call the limit of a list its bound and give its short name, such as
+//! `bound TENANTS`.
 
 use asterrill::Us;
 
--- a/settings/tests/deployment_files.rs
+++ b/settings/tests/deployment_files.rs
@@ -166,8 +166,8 @@
         (r#"{"Name":"acme","QuotaRps":1e400}"#, ["not JSON", "number out of range"]),
         (r#"{"Name":"acme"}"#, ["acme", "QuotaRps is missing"]),
         (r#"{"Name":"acme","QuotaRps":null}"#, ["acme", "QuotaRps"]),
-        (r#"{"Name":"zeta","QuotaRps":1}"#, ["zeta", "twice in Tenants"]),
-        (r#"{"Name":"acme","QuotaRps":1,"QuotaRps":2}"#, ["QuotaRps", "twice"]),
+        (r#"{"Name":"zeta","QuotaRps":1}"#, ["zeta", "duplicate Name zeta in Tenants"]),
+        (r#"{"Name":"acme","QuotaRps":1,"QuotaRps":2}"#, ["QuotaRps", "duplicate field QuotaRps"]),
         (r#"{"Name":"","QuotaRps":1}"#, ["Name", "1 to 128 bytes"]),
         (&long, ["Name", "1 to 128 bytes"]),
         ("7", ["Name", "missing"]),
@@ -188,7 +188,7 @@
     {
         let json = deployment(settings(&[])).to_string().replacen('{', &format!("{{{part}"), 1);
         assert!(
-            error_message(Deployment::from_json(&json)).contains(&format!("{key} is given twice")),
+            error_message(Deployment::from_json(&json)).contains(&format!("duplicate field {key}")),
             "{key}"
         );
     }
