--- a/operator-config/src/broker.rs
+++ b/operator-config/src/broker.rs
@@ -106,7 +106,7 @@
             return Err(section.error(format!("duplicate queue {name}; the first is in line {line}")));
         }
         if self.queues.len() >= MAX_QUEUES {
-            return Err(section.error(format!("at most {MAX_QUEUES} queues are allowed")));
+            return Err(section.error(format!("the file has more than {MAX_QUEUES} queues")));
         }
         self.queues.push(QueueConfig::read(name, section)?);
         Ok(())
--- a/operator-config/src/changes.rs
+++ b/operator-config/src/changes.rs
@@ -75,7 +75,7 @@
                 ("format", "plain") => LogFormat::Plain,
                 ("format", "json") => LogFormat::Json,
                 ("format", other) => {
-                    return Err(directive.error(format!("format must be plain or json, found {other}")));
+                    return Err(directive.error(format!("format must be plain or json, found {other:?}")));
                 }
                 _ => return Err(section.unknown_directive(&directive)),
             };
--- a/operator-config/src/fleet.rs
+++ b/operator-config/src/fleet.rs
@@ -58,7 +58,7 @@
             return Err(directive.error(format!("duplicate keeper {name}")));
         }
         if self.voters.len() >= MAX_VOTERS {
-            return Err(directive.error(format!("at most {MAX_VOTERS} keepers are allowed")));
+            return Err(directive.error(format!("[fleet] has more than {MAX_VOTERS} keepers")));
         }
         self.voters.push(name.into());
         Ok(())
--- a/operator-config/src/members.rs
+++ b/operator-config/src/members.rs
@@ -124,7 +124,7 @@
 
     fn add_seed_address(&mut self, directive: &Directive<'_>) -> Result<(), ParseError> {
         if self.seed_addresses.len() >= MAX_SEED_ADDRESSES {
-            return Err(directive.error(format!("at most {MAX_SEED_ADDRESSES} contacts are allowed")));
+            return Err(directive.error(format!("[members] has more than {MAX_SEED_ADDRESSES} contacts")));
         }
         self.seed_addresses.push(directive.address()?);
         Ok(())
--- a/operator-config/src/queue.rs
+++ b/operator-config/src/queue.rs
@@ -181,7 +181,7 @@
     match directive.value()? {
         "reject" => Ok(RedeliveryPolicy::Reject),
         "run" => Ok(RedeliveryPolicy::Run),
-        other => Err(directive.error(format!("redelivered must be reject or run, found {other}"))),
+        other => Err(directive.error(format!("redelivered must be reject or run, found {other:?}"))),
     }
 }
 
--- a/operator-config/src/section.rs
+++ b/operator-config/src/section.rs
@@ -137,7 +137,7 @@
         let name = directive.name();
         match self.lines.insert(name, directive.line()) {
             None => Ok(()),
-            Some(line) => Err(directive.error(format!("duplicate {name}; already set in line {line}"))),
+            Some(line) => Err(directive.error(format!("duplicate {name}; the first is in line {line}"))),
         }
     }
 
