--- a/consumer/src/channel.rs
+++ b/consumer/src/channel.rs
@@ -65,14 +65,10 @@
     pub fn cancelled(&mut self, now: Us, by_broker: bool) {
         let mut consume_at = now;
         if by_broker {
-            let delay = self.next_reopen_delay();
-            consume_at += delay;
+            consume_at += self.next_reopen_delay();
             self.stats.cancelled += 1;
-            self.actions.push_back(Action::Log(format!(
-                "the broker cancelled the consumer of queue {}; consuming again in {} ms at the earliest",
-                self.config.name,
-                delay / 1000
-            )));
+            let line = format!("the broker cancelled the consumer of queue {}", self.config.name);
+            self.actions.push_back(Action::Log(line));
         }
         if self.subscription.is_active() {
             self.subscription = Subscription::Idle { consume_at };
--- a/consumer/src/prefetch.rs
+++ b/consumer/src/prefetch.rs
@@ -3,7 +3,8 @@
 //! The published credit is the number of RPCs that each caller may have outstanding here, and a queue is one caller.
 //! The window is twice the credit, because some of the unsettled deliveries are on the wire. If no credit is published,
 //! it is derived from the number of cores. The window is limited to the deliveries that memory has capacity for. While
-//! most unsettled deliveries wait for a retry, it is halved, because further deliveries would only wait as well.
+//! more than half of the unsettled deliveries wait for a retry, it is halved. Deliveries that wait count as unsettled,
+//! too, and further deliveries would only wait as well.
 //!
 //! A change of the window costs a cancel and a new subscription, because brokers differ in whether a new prefetch
 //! applies to an existing consumer. The window therefore grows by doubling, at most once a second, and shrinks at most
