--- a/protocol/src/agent.rs
+++ b/protocol/src/agent.rs
@@ -6,7 +6,7 @@
 use std::io::Write;
 
 /// Exclusive upper bound of times in milliseconds, so that they fit as microseconds.
-const MAX_MILLISECONDS: f64 = 1e15;
+const MAX_TIME_MS: f64 = 1e15;
 
 /// Number of a notice. The numbers ascend over all connections to one agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -125,7 +125,7 @@
 
 /// Parses a time in milliseconds and returns it in microseconds.
 fn parse_milliseconds(word: &str) -> Option<Us> {
-    word.parse::<f64>().ok().filter(|ms| *ms >= 0.0 && *ms < MAX_MILLISECONDS).map(|ms| (ms * 1000.0) as Us)
+    word.parse::<f64>().ok().filter(|ms| *ms >= 0.0 && *ms < MAX_TIME_MS).map(|ms| (ms * 1000.0) as Us)
 }
 
 /// Returns the gauges that the decision module reads, selected from `values`, which are in the order of `names`.
--- a/protocol/src/amqp/depth.rs
+++ b/protocol/src/amqp/depth.rs
@@ -4,7 +4,7 @@
 use crate::ProtocolError;
 
 /// Maximum nesting depth of tables and arrays, the outermost table included.
-const MAX_DEPTH: usize = 8;
+const MAX_TABLE_DEPTH: usize = 8;
 
 /// Cursor that skips the fields of a table or the values of an array without storing them.
 struct FieldWalker<'a>(&'a [u8]);
@@ -65,7 +65,7 @@
     }
 
     fn skip_table(&mut self) -> Result<(), ProtocolError> {
-        FieldWalker(self.long_string()?).skip_all(MAX_DEPTH, true)
+        FieldWalker(self.long_string()?).skip_all(MAX_TABLE_DEPTH, true)
     }
 }
 
--- a/protocol/src/amqp/frames.rs
+++ b/protocol/src/amqp/frames.rs
@@ -9,7 +9,7 @@
 
 /// Maximum size of a frame that is proposed and accepted, in bytes, with its head of seven bytes and its end octet.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024;
-/// Maximum frame size that each side must accept at least (4.2.3), in bytes.
+/// Frame size that each side must accept (4.2.3), in bytes. A lower maximum cannot be negotiated.
 pub const MIN_FRAME_BYTES: usize = 4096;
 
 /// Size of a frame's head in bytes: type, channel and size of the payload.
--- a/protocol/src/amqp/session.rs
+++ b/protocol/src/amqp/session.rs
@@ -17,7 +17,7 @@
 
 /// Maximum duration of the handshake, in microseconds.
 const HANDSHAKE_TIMEOUT_US: Us = 10_000_000;
-/// Maximum time to wait for the end of a close, in microseconds.
+/// Maximum time from the start of a close by either side to the end of the connection, in microseconds.
 const CLOSE_TIMEOUT_US: Us = 1_000_000;
 
 /// Stage in the life of a connection.
@@ -169,7 +169,7 @@
         self.last_sent + self.heartbeat / 2
     }
 
-    /// Records that the bytes in [`Session::out`] have been written, and clears them.
+    /// Records that the bytes in [`Session::out`] have been taken for writing, and clears them.
     pub fn mark_written(&mut self, now: Us) {
         self.last_sent = self.last_sent.max(now);
         self.out.clear();
--- a/protocol/src/sidecar/reader.rs
+++ b/protocol/src/sidecar/reader.rs
@@ -8,9 +8,9 @@
 /// Size of a frame's head in bytes: its length, type and stream.
 const HEAD_BYTES: usize = 9;
 /// Minimum value of a frame's length field, in bytes. The length does not include the length field itself.
-const MIN_LENGTH_BYTES: usize = 5;
+const MIN_FRAME_LENGTH_BYTES: usize = 5;
 /// Maximum value of a frame's length field, in bytes.
-const MAX_LENGTH_BYTES: usize = 262_144;
+const MAX_FRAME_LENGTH_BYTES: usize = 262_144;
 /// Maximum length of the body of an RPC, in bytes. An RPC with a longer one is malformed.
 const MAX_RPC_BODY_BYTES: usize = 2048;
 /// Maximum length of the value of a field that is read, in bytes. An RPC with a longer one is malformed.
@@ -18,7 +18,7 @@
 /// Number of hexadecimal digits of an RPC's id.
 const RPC_ID_DIGITS: usize = 16;
 /// Exclusive upper bound of times in milliseconds, so that they fit as microseconds.
-const MAX_MILLISECONDS: u64 = 1 << 50;
+const MAX_TIME_MS: u64 = 1 << 50;
 /// Exclusive upper bound of the memory of an RPC, in kilobytes.
 const MAX_SIZE_KB: f64 = 2000.0;
 
@@ -168,10 +168,10 @@
         let length = big_endian(&self.stored[..4]);
         self.frame_type = self.stored[4];
         self.stream = StreamId(big_endian(&self.stored[5..]) as u32);
-        if !(MIN_LENGTH_BYTES..=MAX_LENGTH_BYTES).contains(&length) {
+        if !(MIN_FRAME_LENGTH_BYTES..=MAX_FRAME_LENGTH_BYTES).contains(&length) {
             return Err(ProtocolError("a frame's length is out of bounds"));
         }
-        self.remaining = length - MIN_LENGTH_BYTES;
+        self.remaining = length - MIN_FRAME_LENGTH_BYTES;
         self.values.clear();
         self.malformed = false;
         match self.frame_type {
@@ -279,7 +279,7 @@
 
     /// Returns the value of a field that is a time in milliseconds, in microseconds.
     fn milliseconds(&self, name: &str) -> Option<Us> {
-        self.integer(name).filter(|ms| *ms < MAX_MILLISECONDS).map(|ms| ms * 1000)
+        self.integer(name).filter(|ms| *ms < MAX_TIME_MS).map(|ms| ms * 1000)
     }
 }
 
--- a/settings/src/platform_settings.rs
+++ b/settings/src/platform_settings.rs
@@ -38,7 +38,7 @@
     pub(crate) globals: GlobalFields,
     methods: Vec<(Name, Method)>,
     tenants: Vec<(Name, f64)>,
-    /// The object had a list of methods.
+    /// Whether the object has a list of methods.
     has_method_list: bool,
 }
 
