--- a/daemon/src/membership/service.rs
+++ b/daemon/src/membership/service.rs
@@ -20,13 +20,13 @@
 pub struct MembershipConfig<'a> {
     /// Name of this backend.
     pub name: &'a str,
-    /// Section [members] of the operator's file.
+    /// Section `[members]` of the operator's file.
     pub section: &'a MembershipSection,
     /// State that the previous process saved.
     pub persisted: Option<PersistedState>,
     /// Seed of the random number generator.
     pub seed: u64,
-    /// Section [fleet], which configures the agreement on lists, and the directory of a voter's storage.
+    /// Section `[fleet]`, which configures the agreement on lists, and the directory of a voter's storage.
     pub fleet: Option<(&'a FleetConfig, &'a Path)>,
 }
 
--- a/daemon/src/membership/status.rs
+++ b/daemon/src/membership/status.rs
@@ -7,7 +7,7 @@
 use asterrill_net::monotonic_now;
 use serde_json::{json, Value};
 
-/// Error text for requests that need the section [fleet] where the operator's file has none.
+/// Error text for requests that need the section `[fleet]` where the operator's file has none.
 pub(super) const NO_FLEET_SECTION: &str = "the operator's file has no section [fleet]";
 /// Maximum number of rows of an agreed list in a reply.
 const MAX_LIST_ROWS: usize = 5_000;
