--- a/daemon/src/queues/actions.rs
+++ b/daemon/src/queues/actions.rs
@@ -14,7 +14,7 @@
 
 /// Request of a queue to the core.
 pub enum QueueRequest {
-    /// Submit a delivery to the engine.
+    /// Submits a delivery to the engine.
     Submit {
         /// The delivery as an RPC, under a random id.
         rpc: IncomingRpc,
@@ -23,9 +23,9 @@
         /// The body of the delivery.
         body: Vec<u8>,
     },
-    /// Withdraw a delivery that has not been launched.
+    /// Withdraws a delivery that has not been launched.
     Withdraw(InFlightId),
-    /// Write a line to the log.
+    /// Writes a line to the log.
     Log(String),
 }
 
--- a/daemon/src/stats.rs
+++ b/daemon/src/stats.rs
@@ -106,7 +106,7 @@
     reloads_failed => "reloads_failed",
     /// Configuration versions that were activated.
     changes => "changes",
-    /// Configuration changes that were requested and refused.
+    /// Configuration changes that were requested and rejected.
     changes_refused => "changes_refused",
     /// Final answers given while parts of the core were at different configuration versions, which is a defect.
     half_applied => "half_applied",
