--- a/engine/src/rpc.rs
+++ b/engine/src/rpc.rs
@@ -43,15 +43,15 @@
 /// Stage of an open RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RpcState {
-    /// Waits to be started.
+    /// Waiting to be started.
     Queued,
-    /// Waits for the result of its original.
+    /// Waiting for the result of its original.
     Coalesced,
-    /// Runs at the executor, which was sent this command last.
+    /// Running at the executor, which was sent this command last.
     Running(SentCommand),
-    /// Its run waits for a decision about an upstream call.
+    /// Launched, and waiting for a decision about an upstream call.
     NeedsCall,
-    /// Its run waits for the reply to an upstream call.
+    /// Launched, and waiting for the reply to an upstream call.
     Calling(PendingCall),
 }
 
@@ -66,8 +66,8 @@
 /// Upstream call whose reply a run waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PendingCall {
-    /// Link that it was sent on; none if it could not be sent and its end is deferred.
+    /// Link that the call was sent on; none if it could not be sent and its end is deferred.
     pub(crate) link: Option<UpstreamLinkId>,
-    /// Time until which the engine waits for its reply, in microseconds.
+    /// Time until which the engine waits for the reply, in microseconds.
     pub(crate) expires_at: Us,
 }
--- a/src/caller_feedback.rs
+++ b/src/caller_feedback.rs
@@ -98,10 +98,10 @@
     /// or of the number of callers. The drawback is an additional handshake for a caller that pauses.
     pub(crate) fn adjust_idle_timeout(&mut self, open: f64, active_callers: f64, cores: f64) -> Option<Us> {
         let before = self.idle;
-        let wanted = MAX_CONNECTIONS_PER_CALLER * active_callers;
-        if open > wanted.max(KEPT_CONNECTIONS_PER_CORE * cores) {
+        let expected = MAX_CONNECTIONS_PER_CALLER * active_callers;
+        if open > expected.max(KEPT_CONNECTIONS_PER_CORE * cores) {
             self.idle = (before / 2).max(TICK_INTERVAL).min(self.max_idle);
-        } else if open < wanted / 2.0 {
+        } else if open < expected / 2.0 {
             self.idle = (before * 2).min(self.max_idle);
         }
         Some(self.idle).filter(|idle| *idle != before)
--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -1,4 +1,4 @@
-//! The end of RPCs: answered, rejected, finished or never run.
+//! The ends of RPCs: answers, rejections, ends of runs, and removal of RPCs that never ran.
 
 use super::state::Control;
 use crate::cost_estimate::CostEstimate;
--- a/src/control/inputs.rs
+++ b/src/control/inputs.rs
@@ -42,11 +42,11 @@
         self.handle(now, |control| control.handle_call_end(id, end))
     }
 
-    /// Handles a shutdown notice that was received at `noticed`. The process will be killed at `kill`.
-    pub fn drain(&mut self, now: Us, noticed: Us, kill: Us) -> Outcome {
+    /// Handles a shutdown notice that was received at `noticed_at`. The process will be killed at `kill_at`.
+    pub fn drain(&mut self, now: Us, noticed_at: Us, kill_at: Us) -> Outcome {
         self.handle(now, |control| {
-            let answers_due = kill.saturating_sub(2 * control.step);
-            control.drain.begin(noticed, answers_due);
+            let answers_due = kill_at.saturating_sub(2 * control.step);
+            control.drain.begin(noticed_at, answers_due);
             control.cap_deadlines(answers_due);
             control.outcome.log.push("shutdown notice received; draining".into());
         })
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Makes the periodic adjustments.
+    /// Makes the periodic adjustments and expires retained keys.
     fn tick(&mut self, gauges: Gauges) {
         self.next_tick = self.now + TICK_INTERVAL;
         self.keys.expire(self.now);
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -20,8 +20,8 @@
         Drain { grace, grace_ends: Us::MAX, answers_due: Us::MAX, close_pending: true }
     }
 
-    pub(crate) fn begin(&mut self, noticed: Us, answers_due: Us) {
-        (self.grace_ends, self.answers_due) = (noticed + self.grace, answers_due);
+    pub(crate) fn begin(&mut self, noticed_at: Us, answers_due: Us) {
+        (self.grace_ends, self.answers_due) = (noticed_at + self.grace, answers_due);
     }
 
     pub(crate) fn is_draining(&self) -> bool {
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -21,10 +21,10 @@
     /// The id that sorts after all others.
     pub const MAX: RpcId = RpcId([0xff; MAX_ID_BYTES]);
 
-    /// Creates an id from at most 36 bytes of text. Returns `None` for a longer text.
-    pub fn new(name: &str) -> Option<RpcId> {
+    /// Creates an id from at most 36 bytes of text. Returns `None` for longer text.
+    pub fn new(text: &str) -> Option<RpcId> {
         let mut bytes = [0; MAX_ID_BYTES];
-        bytes.get_mut(..name.len())?.copy_from_slice(name.as_bytes());
+        bytes.get_mut(..text.len())?.copy_from_slice(text.as_bytes());
         Some(RpcId(bytes))
     }
 
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -9,7 +9,7 @@
     Rejected {
         /// Whether the caller is asked not to try another server.
         terminal: bool,
-        /// Time that the caller should wait before it retries on this server; 0 for no advice.
+        /// Time that the caller should wait before it retries on this server; 0 if no delay is suggested.
         retry_after: Us,
     },
     /// An error that does not tell whether the RPC took effect.
@@ -25,7 +25,7 @@
     Rejected {
         /// Whether the caller is asked not to try another server.
         terminal: bool,
-        /// Time that the caller should wait before it retries on this server; 0 for no advice.
+        /// Time that the caller should wait before it retries on this server; 0 if no delay is suggested.
         retry_after: Us,
     },
     /// An error that does not tell whether the RPC took effect.
--- a/src/tenant_quotas.rs
+++ b/src/tenant_quotas.rs
@@ -14,7 +14,7 @@
     pub(crate) updated_at: Us,
 }
 
-const FULL: Allowance = Allowance { rpcs: MAX_ALLOWANCE_RPCS, updated_at: 0 };
+const FULL_ALLOWANCE: Allowance = Allowance { rpcs: MAX_ALLOWANCE_RPCS, updated_at: 0 };
 
 /// Quotas of tenants and their remaining allowances.
 pub struct TenantQuotas {
@@ -35,7 +35,7 @@
     pub fn new(rates: &[f64], replicas: usize, excess_weight: f64) -> TenantQuotas {
         TenantQuotas {
             rates: StagedTable::new(rates.iter().copied()),
-            allowances: vec![FULL; rates.len()],
+            allowances: vec![FULL_ALLOWANCE; rates.len()],
             replicas: replicas.max(1) as f64,
             excess_weight,
             fraction: 1.0,
@@ -46,8 +46,8 @@
     pub(crate) fn stage(&mut self, tenant: usize, rate: Option<f64>) {
         if rate.is_some() && self.rates.get(tenant).is_none() {
             let len = self.allowances.len().max(tenant + 1);
-            self.allowances.resize(len, FULL);
-            self.allowances[tenant] = FULL;
+            self.allowances.resize(len, FULL_ALLOWANCE);
+            self.allowances[tenant] = FULL_ALLOWANCE;
         }
         self.rates.stage(tenant, rate);
     }
--- a/src/tests/harness.rs
+++ b/src/tests/harness.rs
@@ -60,7 +60,8 @@
 /// A shutdown notice.
 pub(super) struct ShutdownNotice {
     pub(super) at: Us,
-    pub(super) kill: Us,
+    /// Time at which the process is killed.
+    pub(super) kill_at: Us,
 }
 
 pub(super) struct Harness {
@@ -186,9 +187,9 @@
         self.apply(outcome);
     }
 
-    pub(super) fn notify_drain(&mut self, kill: Us) {
-        self.drain = Some(ShutdownNotice { at: self.now, kill });
-        let outcome = self.control.drain(self.now, self.now, kill);
+    pub(super) fn notify_drain(&mut self, kill_at: Us) {
+        self.drain = Some(ShutdownNotice { at: self.now, kill_at });
+        let outcome = self.control.drain(self.now, self.now, kill_at);
         self.apply(outcome);
     }
 
@@ -335,7 +336,7 @@
                 now < deadline + DEADLINE_TOLERANCE,
                 "{id:?} not answered by its deadline {deadline}, now {now}"
             );
-            let before_kill = self.drain.as_ref().is_none_or(|notice| now < notice.kill);
+            let before_kill = self.drain.as_ref().is_none_or(|notice| now < notice.kill_at);
             assert!(before_kill, "{id:?} not answered when the process is killed");
         }
         let elapsed = (self.now as f64 / 1e3 - 5_000.0).min(3_000.0) / 3e3;
--- a/src/tests/publication.rs
+++ b/src/tests/publication.rs
@@ -59,8 +59,8 @@
 #[test]
 fn drain_publishes_unhealthy_at_once_and_zero_credit_after_the_grace_period() {
     let mut harness = idle_server();
-    let kill = harness.now + 3_000 * MS;
-    harness.notify_drain(kill);
+    let kill_at = harness.now + 3_000 * MS;
+    harness.notify_drain(kill_at);
     assert!(
         harness.health == Some(false) && harness.credit > Some(0.0),
         "arrivals within the grace period must be served"
