--- a/consensus/src/fragment.rs
+++ b/consensus/src/fragment.rs
@@ -12,7 +12,7 @@
 const MAX_PARTIAL_MESSAGES_PER_SENDER: usize = 8;
 const MAX_SENDERS: usize = 256;
 
-/// Splits a message into fragments that each fit a datagram. `None` if the message is too long.
+/// Splits a message into fragments that each fit a datagram. Returns `None` if the message is too long.
 pub fn fragment(message_number: u32, bytes: &[u8]) -> Option<Vec<Vec<u8>>> {
     let count = bytes.len().div_ceil(MAX_BODY_BYTES).max(1);
     if count > MAX_FRAGMENTS_PER_MESSAGE {
@@ -42,7 +42,7 @@
 }
 
 impl<'a> Fragment<'a> {
-    /// Parses a payload; `None` for one that [`fragment`] would not have made.
+    /// Parses a payload. Returns `None` for one that [`fragment`] would not have made.
     fn parse(payload: &'a [u8]) -> Option<Fragment<'a>> {
         let (header, body) = payload.split_at_checked(HEADER_BYTES)?;
         let message_number = u32::from_le_bytes(header.get(..4)?.try_into().ok()?);
@@ -81,7 +81,7 @@
 impl Reassembler {
     /// Processes one payload.
     ///
-    /// Returns the message once all of its fragments have arrived; `None` also for an invalid payload.
+    /// Returns the message once all of its fragments have arrived, and `None` until then and for an invalid payload.
     pub fn receive(&mut self, from: &str, payload: &[u8]) -> Option<Vec<u8>> {
         let fragment = Fragment::parse(payload)?;
         if fragment.count == 1 {
--- a/consensus/src/lease.rs
+++ b/consensus/src/lease.rs
@@ -14,7 +14,7 @@
 
 /// Bound on the difference between the rates of two clocks: at most one part in this many.
 const CLOCK_RATE_TOLERANCE_DIVISOR: u64 = 20;
-/// Maximum number of lease requests whose send times are remembered.
+/// Maximum number of lease requests whose send times are retained.
 const MAX_OPEN_ROUNDS: usize = 32;
 
 /// Returns the time for which a leader counts a lease of `lease_duration` after granting it, in microseconds.
@@ -52,7 +52,7 @@
 
     /// Extends the lease by the grant of a round, counted from the send time of its request.
     ///
-    /// Returns false if the round is no longer remembered.
+    /// Returns false if the send time of that request is no longer retained.
     pub fn accept_grant(&mut self, round: u64, lease_duration: Us) -> bool {
         let Some(requested_at) = self.request_times.get(&round).copied() else { return false };
         self.request_times = self.request_times.split_off(&(round + 1));
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -24,7 +24,7 @@
 //! };
 //! let mut node = Node::new(0, "n1", 1, config, &[], &[]).unwrap();
 //! let entry = ListEntry { access: Access::Denied, expires_at: 0 };
-//! let changes = vec![Change::Put { kind: ListKind::Tenants, key: "loud".into(), entry }];
+//! let changes = vec![Change::Put { kind: ListKind::Tenants, key: "tenant-7".into(), entry }];
 //! for now in (0..3_000_000).step_by(10_000) {
 //!     node.tick(now, now);
 //!     if now == 2_000_000 {
@@ -35,7 +35,7 @@
 //!         node.persisted(now, write.number);
 //!     }
 //! }
-//! assert!(node.apply_policy().rejects(ListKind::Tenants, "loud"));
+//! assert!(node.apply_policy().rejects(ListKind::Tenants, "tenant-7"));
 //! ```
 #![warn(missing_docs)]
 
--- a/consensus/src/node/state.rs
+++ b/consensus/src/node/state.rs
@@ -134,7 +134,7 @@
     /// there is none.
     ///
     /// # Errors
-    /// [`StartError`] if `raft` can't use the file.
+    /// Returns a [`StartError`] if `raft` can't use the file.
     pub fn new(
         now: Us, name: &str, incarnation: u64, config: Config, file: &[u8], snapshot: &[u8],
     ) -> Result<Node, StartError> {
--- a/consensus/src/version.rs
+++ b/consensus/src/version.rs
@@ -101,7 +101,7 @@
     /// Returns the next version, which results from a step.
     ///
     /// # Errors
-    /// [`StepError`] if the step is based on another version, changes nothing, or exceeds a limit.
+    /// Returns a [`StepError`] if the step is based on another version, changes nothing, or exceeds a limit.
     pub fn apply(&self, step: &Step) -> Result<Version, StepError> {
         if let Some(base) = step.base.filter(|base| *base != self.number) {
             return Err(StepError::WrongBase { base, newest: self.number, by: self.proposer.clone() });
--- a/consensus/src/version_log.rs
+++ b/consensus/src/version_log.rs
@@ -10,7 +10,7 @@
 const MAX_PENDING_VERSIONS: u64 = 64;
 /// Maximum number of versions that an operator can restore, and of steps that replicas can fetch.
 const MAX_RETAINED_VERSIONS: usize = 256;
-/// Maximum number of remembered proposals. A remembered proposal has no effect if it is committed again.
+/// Maximum number of proposals whose outcome is retained. Such a proposal has no effect if it is committed again.
 const MAX_RESOLVED_PROPOSALS: usize = 1_024;
 
 /// Versions and steps that this node has.
@@ -86,7 +86,7 @@
         self.active
     }
 
-    /// Returns the outcome of a proposal, while it is remembered.
+    /// Returns the outcome of a proposal, while it is retained.
     pub fn outcome(&self, id: &ProposalId) -> Option<&CommandOutcome> {
         self.resolved.iter().rev().find(|resolved| resolved.id == *id).map(|resolved| &resolved.outcome)
     }
@@ -180,7 +180,7 @@
     /// Returns the steps after the version with this number and hash: up to about `max_bytes` encoded, and at least one
     /// if there is one.
     ///
-    /// `None` if not all of them are retained, or this log does not have that version.
+    /// Returns `None` if not all of them are retained, or this log does not have that version.
     pub fn steps_after(&self, number: u64, hash: u64, max_bytes: usize) -> Option<Vec<Step>> {
         if self.version(number)?.hash() != hash {
             return None;
@@ -252,7 +252,7 @@
     /// Decodes what [`VersionLog::snapshot`] returned.
     ///
     /// # Errors
-    /// [`SnapshotError`] if the bytes are not a snapshot, or its version or steps don't match its hash.
+    /// Returns a [`SnapshotError`] if the bytes are not a snapshot, or its version or steps don't match its hash.
     pub fn from_snapshot(bytes: &[u8]) -> Result<VersionLog, SnapshotError> {
         let snapshot: Snapshot = postcard::from_bytes(bytes)
             .map_err(|source| SnapshotError::Decode { bytes: bytes.len(), source })?;
--- a/consensus/src/voter/state.rs
+++ b/consensus/src/voter/state.rs
@@ -36,10 +36,10 @@
     pub(super) last_write_number: u64,
     pub(super) tick_interval: Us,
     pub(super) next_tick: Us,
-    /// True while this voter has no vote.
+    /// True while this voter must not vote.
     ///
-    /// Its file is empty or damaged, so that it may have acknowledged entries that it no longer has. It may vote once it
-    /// has caught up, or once the logs of all voters are known to be empty.
+    /// This is so if its file is empty or damaged, because it may have acknowledged entries that it no longer has. It
+    /// may vote once it has caught up, or once the logs of all voters are known to be empty.
     pub(super) non_voting: bool,
     /// Voters that have reported that their log is empty, including this one.
     pub(super) empty_voters: BTreeSet<VoterId>,
@@ -58,7 +58,7 @@
     /// `tick_interval` is in microseconds.
     ///
     /// # Errors
-    /// [`raft::Error`] if `raft` can't use the file.
+    /// Returns a [`raft::Error`] if `raft` can't use the file.
     pub fn new(
         now: Us, id: VoterId, voter_count: usize, tick_interval: Us, file: &[u8],
     ) -> Result<Voter, raft::Error> {
--- a/membership/src/quorum.rs
+++ b/membership/src/quorum.rs
@@ -192,9 +192,12 @@
     /// Newcomers that were present for the join delay become agreed members once they complete a majority of the agreed
     /// size.
     fn bootstrap(&mut self, now: Us) {
-        let settled = |since: Us| now.saturating_sub(since) >= self.join_delay;
-        let admitted =
-            if settled(self.earliest_newcomer) { names_where(&self.newcomers, settled) } else { Vec::new() };
+        let join_delay_passed = |since: Us| now.saturating_sub(since) >= self.join_delay;
+        let admitted = if join_delay_passed(self.earliest_newcomer) {
+            names_where(&self.newcomers, join_delay_passed)
+        } else {
+            Vec::new()
+        };
         if 2 * (self.agreed.len() + admitted.len()) <= self.agreed_size() {
             return;
         }
@@ -209,11 +212,11 @@
     ///
     /// Presence before the start of the quorum is no evidence, so the delay counts from that start at the earliest.
     fn admit_newcomers(&mut self, now: Us, quorum_since: Us) {
-        let settled = |since: Us| now.saturating_sub(since.max(quorum_since)) >= self.join_delay;
-        if !settled(self.earliest_newcomer) {
+        let join_delay_passed = |since: Us| now.saturating_sub(since.max(quorum_since)) >= self.join_delay;
+        if !join_delay_passed(self.earliest_newcomer) {
             return;
         }
-        for name in names_where(&self.newcomers, settled) {
+        for name in names_where(&self.newcomers, join_delay_passed) {
             if self.agreed.len() < MAX_AGREED_MEMBERS {
                 self.newcomers.remove(&name);
                 self.add_agreed(name);
--- a/membership/src/quota_lease.rs
+++ b/membership/src/quota_lease.rs
@@ -47,9 +47,9 @@
 
 /// Lease of this member on its fraction of the divided limits.
 ///
-/// It prevents the sides of a partition from using more than the limit together. The cost: after a loss, the quota of
-/// the lost member stays unused for the reassignment delay. A minority uses no leased quota, and if no side has a
-/// quorum, no member does.
+/// It prevents the sides of a partition from using more than the limit together. The drawback is that, after a loss,
+/// the quota of the lost member stays unused for the reassignment delay. A minority uses no leased quota, and if no
+/// side has a quorum, no member does.
 #[derive(Clone, Debug)]
 pub struct QuotaLease {
     timing: LeaseTiming,
--- a/membership/src/rate_limit.rs
+++ b/membership/src/rate_limit.rs
@@ -33,7 +33,7 @@
 
 /// Rate limiter that keeps one address from using all of this member's CPU time.
 ///
-/// The cost: a burst of a genuine member is truncated, and its updates have to be gossiped again.
+/// The drawback is that a long burst of a genuine member is truncated, and its updates have to be gossiped again.
 #[derive(Default)]
 pub(crate) struct SourceRateLimiter {
     buckets: BTreeMap<SocketAddr, TokenBucket>,
--- a/membership/src/role_policy.rs
+++ b/membership/src/role_policy.rs
@@ -13,7 +13,7 @@
 pub enum AllowedChanges {
     /// All changes are allowed.
     Any,
-    /// Only undoing a change and accepting the running version are allowed.
+    /// Only rolling back a change and confirming the running version are allowed.
     RollbackOnly,
 }
 
--- a/membership/src/tests/network.rs
+++ b/membership/src/tests/network.rs
@@ -166,8 +166,8 @@
     /// Returns the sum of the quota fractions in use, which must not exceed 1.
     pub fn quota_sum(&self) -> f64 {
         // A paused process uses nothing, whatever fraction it holds.
-        let awake = self.members.iter().enumerate().filter(|(n, _)| !self.paused.contains_key(n));
-        awake.filter_map(|(_, member)| member.as_ref()).map(Membership::quota_fraction).sum()
+        let running = self.members.iter().enumerate().filter(|(n, _)| !self.paused.contains_key(n));
+        running.filter_map(|(_, member)| member.as_ref()).map(Membership::quota_fraction).sum()
     }
 
     pub fn run(&mut self, duration: Us) {
@@ -181,7 +181,7 @@
     /// An event is a resumed process, a datagram, or a wakeup.
     fn step(&mut self, until: Us) -> bool {
         let arrival = self.in_flight.first_key_value().map_or(Us::MAX, |((at, _), _)| *at);
-        let (wakeup, awake) = self.next_wakeup();
+        let (wakeup, woken) = self.next_wakeup();
         let resume = self.paused.iter().map(|(n, until)| (*until, *n)).min();
         let (resume, resumed) = resume.unwrap_or((Us::MAX, 0));
         let next = arrival.min(wakeup).min(resume);
@@ -195,16 +195,16 @@
             let Some((_, datagram)) = self.in_flight.pop_first() else { return false };
             self.arrive(datagram);
         } else {
-            self.tick(awake);
+            self.tick(woken);
         }
         self.max_quota_sum = self.max_quota_sum.max(self.quota_sum());
         true
     }
 
     fn next_wakeup(&self) -> (Us, usize) {
-        let awake = (0..self.members.len()).filter(|n| !self.paused.contains_key(n));
+        let running = (0..self.members.len()).filter(|n| !self.paused.contains_key(n));
         let wakeup = |n: usize| self.members[n].as_ref().map_or(Us::MAX, Membership::next_wakeup);
-        awake.map(|n| (wakeup(n).max(self.now), n)).min().unwrap_or((Us::MAX, 0))
+        running.map(|n| (wakeup(n).max(self.now), n)).min().unwrap_or((Us::MAX, 0))
     }
 
     fn resume(&mut self, n: usize) {
--- a/membership/src/tests/reference.rs
+++ b/membership/src/tests/reference.rs
@@ -82,22 +82,22 @@
     }
 
     fn admit_and_forget(&mut self, now: Us, quorum_since: Us) {
-        let for_long = |since: Us, span: Us| now.saturating_sub(since.max(quorum_since)) >= span;
-        for name in names(&self.newcomers, |since| for_long(since, self.join_delay)) {
+        let has_lasted = |since: Us, span: Us| now.saturating_sub(since.max(quorum_since)) >= span;
+        for name in names(&self.newcomers, |since| has_lasted(since, self.join_delay)) {
             self.newcomers.remove(&name);
             self.agreed.insert(name);
         }
-        for name in names(&self.absent, |since| for_long(since, self.forget_after)) {
+        for name in names(&self.absent, |since| has_lasted(since, self.forget_after)) {
             self.agreed.remove(&name);
             self.absent.remove(&name);
         }
     }
 
     fn bootstrap(&mut self, now: Us) {
-        let settled = names(&self.newcomers, |since| now.saturating_sub(since) >= self.join_delay);
-        if 2 * (self.agreed.len() + settled.len()) > self.agreed_size() {
+        let admitted = names(&self.newcomers, |since| now.saturating_sub(since) >= self.join_delay);
+        if 2 * (self.agreed.len() + admitted.len()) > self.agreed_size() {
             self.newcomers.clear();
-            self.agreed.extend(settled);
+            self.agreed.extend(admitted);
         }
     }
 
--- a/membership/src/tick.rs
+++ b/membership/src/tick.rs
@@ -74,7 +74,8 @@
     /// Sends announcements to randomly chosen missing members and contacts.
     ///
     /// This guards against two faults: the sides of a healed partition have removed each other and never reconnect, and
-    /// a member whose contacts are all dead at its start never joins. The cost: occasional datagrams to absent members.
+    /// a member whose contacts are all dead at its start never joins. The drawback is occasional datagrams to absent
+    /// members.
     fn announce_to_missing(&mut self) {
         let jitter = ANNOUNCE_JITTER_MIN + ANNOUNCE_JITTER_RANGE * self.rng.random::<f64>();
         self.next_announce = self.now + (self.config.announce_interval as f64 * jitter) as Us;
