--- a/recovery/src/slow_start.rs
+++ b/recovery/src/slow_start.rs
@@ -28,9 +28,9 @@
     pub waiting: usize,
 }
 
-/// Factor by which the limit grows at a good update below the threshold.
+/// Factor by which the limit grows at an ok update below the threshold.
 const GROWTH_FACTOR: f64 = 1.5;
-/// Number of calls by which the limit grows at a good update above the threshold.
+/// Number of calls by which the limit grows at an ok update above the threshold.
 const GROWTH_STEP_CALLS: f64 = 0.1;
 /// Factor by which the limit is multiplied after an update with failures.
 const BACKOFF_FACTOR: f64 = 0.5;
--- a/recovery/src/snapshot.rs
+++ b/recovery/src/snapshot.rs
@@ -89,7 +89,12 @@
     #[error("line {0} of the body is invalid")]
     InvalidLine(usize),
     /// The snapshot has more methods, accounts or tenants than this program writes.
-    #[error("too many methods, accounts or tenants")]
+    #[error(
+        "too many entries: expected at most {} methods, {} accounts and {} tenants",
+        MAX_METHODS,
+        MAX_ACCOUNTS,
+        MAX_TENANTS
+    )]
     TooManyEntries,
 }
 
--- a/rollout/src/check.rs
+++ b/rollout/src/check.rs
@@ -8,7 +8,7 @@
 use asterrill_entries::{Change, Configuration, EntryKind, Name};
 use std::fmt;
 
-/// Problem of a change: an error or a risk.
+/// Problem of a change, which is an error or a risk.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Problem {
     /// Error: the change is always rejected.
@@ -202,8 +202,11 @@
             )
         });
     }
-    if method.late_value_ratio > 1.0 || method.skip_value_ratio > 1.0 {
-        problems.invalid(|| format!("method {name}: late or skip value ratio is above 1"));
+    let (late, skip) = (method.late_value_ratio, method.skip_value_ratio);
+    if late > 1.0 || skip > 1.0 {
+        problems.invalid(|| {
+            format!("method {name}: late value ratio is {late} and skip value ratio is {skip}, expected at most 1")
+        });
     }
     if method.idempotency == Idempotency::Keyed && method.idempotency_window == 0 {
         problems.invalid(|| {
--- a/rollout/src/version_file/error.rs
+++ b/rollout/src/version_file/error.rs
@@ -16,7 +16,7 @@
     #[error("the snapshot header on the second line is malformed or its checksum does not match")]
     SnapshotHeader,
     /// A line that should name a rolled back version is malformed.
-    #[error("the line of an undone version is malformed")]
+    #[error("the line of an undone version is malformed, expected \"undone HASH NUMBER\"")]
     RolledBackLine,
     /// The end line of the snapshot is missing.
     #[error("the end line of the snapshot is missing")]
--- a/rollout/tests/rollout/checks.rs
+++ b/rollout/tests/rollout/checks.rs
@@ -36,7 +36,7 @@
         ),
         (
             |version| version.methods.get_mut("look").unwrap().late_value_ratio = 1.5,
-            "invalid: method look: late or skip value ratio is above 1",
+            "invalid: method look: late value ratio is 1.5 and skip value ratio is 0, expected at most 1",
         ),
         (
             |version| version.methods.get_mut("look").unwrap().idempotency = Idempotency::Keyed,
