--- a/engine/src/calls.rs
+++ b/engine/src/calls.rs
@@ -53,8 +53,8 @@
         out.skip(id);
     }
 
-    /// Ends a call on this link, with its reply or with another result. If this RPC has no pending call on the link, the
-    /// event is counted as a late reply.
+    /// Ends a call on this link, with its reply or with another result. If this RPC has no pending call on the link,
+    /// the event is counted as a late reply.
     pub fn call_ended(
         &mut self, now: Us, link: UpstreamLinkId, id: RpcId, end: CallEnd, reply: &[u8],
         out: &mut dyn Outputs<ReplyTo>,
--- a/recovery/src/checksummed.rs
+++ b/recovery/src/checksummed.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChecksumError {
     /// The text has an unknown header or is longer than [`MAX_TEXT_BYTES`]. Contains the expected kind.
-    #[error("not a {0} file of this program: unknown header, or too long")]
+    #[error("not a {0} file of this program: unknown header, or longer than {max} bytes", max = MAX_TEXT_BYTES)]
     UnknownKind(&'static str),
     /// The format number is not the expected one. Contains the first line.
     #[error("unsupported file format, written by another version of this program: {0:?}")]
--- a/rollout/src/probation.rs
+++ b/rollout/src/probation.rs
@@ -13,8 +13,8 @@
 //!   0.50 of criticality, where strict order would have lost 0.32.
 //! - **A slow upstream.** RPCs whose upstream call failed or timed out are left out of the baseline and of the
 //!   observation. An RPC whose call was never placed is counted, because the change may be the cause.
-//! - **A short random fluctuation.** The loss must show in each of the last [`RECENT_SLOTS`] slots of half a second that
-//!   had enough RPCs, and over all of them it must be statistically significant.
+//! - **A short random fluctuation.** The loss must show in each of the last [`RECENT_SLOTS`] slots of half a second
+//!   that had enough RPCs, and over all of them it must be statistically significant.
 //!
 //! A smaller, lasting loss is detected at the end of the probation. Most slots must then have been bad, so that a
 //! single short failure does not count.
