--- a/net/src/outbox.rs
+++ b/net/src/outbox.rs
@@ -114,9 +114,9 @@
     /// Takes up to `count` buffers. An outbox that already holds [`GUARANTEED_BUFFERS`] leaves the pool's reserve to others, so
     /// that a slow peer is disconnected before it exhausts the pool.
     fn take_buffers(&self, count: usize, held: usize) -> Vec<PooledBuffer> {
-        let slow = held >= GUARANTEED_BUFFERS;
+        let has_guaranteed = held >= GUARANTEED_BUFFERS;
         (0..count)
-            .map_while(|_| if slow { self.pool.take_with_reserve() } else { self.pool.take() })
+            .map_while(|_| if has_guaranteed { self.pool.take_outside_reserve() } else { self.pool.take() })
             .collect()
     }
 
--- a/net/src/pool.rs
+++ b/net/src/pool.rs
@@ -54,13 +54,14 @@
         Some(PooledBuffer { bytes, pool: self.clone() })
     }
 
-    /// Takes an empty buffer but leaves the last quarter of the pool to others, for an owner that already holds several.
-    pub fn take_with_reserve(&self) -> Option<PooledBuffer> {
-        let ample = {
+    /// Takes an empty buffer unless only the reserve is left, which is the last quarter of the pool. An owner that already holds
+    /// several buffers leaves the reserve to others.
+    pub fn take_outside_reserve(&self) -> Option<PooledBuffer> {
+        let above_reserve = {
             let state = self.lock();
             state.in_use < state.max / 4 * 3
         };
-        self.take().filter(|_| ample)
+        self.take().filter(|_| above_reserve)
     }
 
     /// Takes a buffer and copies these bytes into it. Returns `None` if no buffer is free or there are more than
--- a/settings/src/platform_settings.rs
+++ b/settings/src/platform_settings.rs
@@ -90,11 +90,11 @@
         }
         match kind {
             EntryKind::Method => {
-                let method = fields.method().map_err(|why| why.in_entry(kind, &name))?;
+                let method = fields.method().map_err(|error| error.in_entry(kind, &name))?;
                 self.methods.push((name, method));
             }
             EntryKind::Tenant => {
-                let quota = fields.quota().map_err(|why| why.in_entry(kind, &name))?;
+                let quota = fields.quota().map_err(|error| error.in_entry(kind, &name))?;
                 self.tenants.push((name, quota));
             }
         }
