--- a/entries/src/apply.rs
+++ b/entries/src/apply.rs
@@ -15,8 +15,8 @@
     /// Returns the version that results from applying the changes.
     ///
     /// # Errors
-    /// [`ConfigError`] names the invalid key: a key that is changed twice, an entry to remove that does not exist, or a
-    /// name, a number or a count of entries that is out of bounds. The last method cannot be removed.
+    /// Returns a [`ConfigError`] that names the invalid key: a key that is changed twice, an entry to remove that does
+    /// not exist, or a name, a number or a count of entries that is out of bounds. The last method cannot be removed.
     pub fn apply(&self, changes: &[Change]) -> Result<Configuration, ConfigError> {
         check_distinct_keys(changes)?;
         let mut next = self.clone();
--- a/entries/src/change.rs
+++ b/entries/src/change.rs
@@ -22,7 +22,7 @@
 }
 
 impl Change {
-    /// Returns the kind and name of the entry that it changes, or `None` for the global settings.
+    /// Returns the kind and name of the entry that the change concerns, or `None` for the global settings.
     pub fn key(&self) -> Option<(EntryKind, &Name)> {
         match self {
             Change::SetGlobals(_) => None,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Reports whether it removes an entry.
+    /// Reports whether the change removes an entry.
     pub(crate) fn is_removal(&self) -> bool {
         matches!(self, Change::RemoveMethod(_) | Change::RemoveTenant(_))
     }
@@ -40,7 +40,7 @@
 /// A set of changes that leads from one version to the next.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Step {
-    /// The number of the version that it applies to; `None` for the running version, whichever that is.
+    /// The number of the version that the step applies to; `None` for the running version, whichever that is.
     pub base: Option<u64>,
     /// The digest of that version; `None` if the digest is not to be checked.
     pub hash: Option<Digest>,
--- a/entries/src/configuration.rs
+++ b/entries/src/configuration.rs
@@ -110,7 +110,7 @@
     /// Removes an entry.
     ///
     /// # Errors
-    /// [`ConfigError::UnknownEntry`] if there is no entry of this name.
+    /// Returns [`ConfigError::UnknownEntry`] if there is no entry of this name.
     pub(crate) fn remove(&mut self, kind: EntryKind, name: &Name) -> Result<(), ConfigError> {
         let removed = match kind {
             EntryKind::Method => self.methods.remove(&**name).map(|method| Digest::of_method(name, &method)),
--- a/entries/src/diff.rs
+++ b/entries/src/diff.rs
@@ -40,7 +40,7 @@
     /// `running` are shared with it.
     ///
     /// # Errors
-    /// [`ConfigError`], as for [`Configuration::apply`], and if there is no method.
+    /// Returns a [`ConfigError`] for the same reasons as [`Configuration::apply`], and if there is no method.
     pub fn from_entries(
         running: Option<&Configuration>, globals: GlobalSettings, mut methods: Vec<(Name, Method)>,
         mut tenants: Vec<(Name, f64)>,
--- a/entries/src/digest.rs
+++ b/entries/src/digest.rs
@@ -19,7 +19,8 @@
 /// A digest of the contents of a version. Versions with equal contents have equal digests, whatever order of changes
 /// led to them. The digest detects mistakes and lost updates, but does not protect against forgery.
 ///
-/// It is the sum, modulo 2^128, of the hashes of all entries, so an update costs only the entries that change.
+/// The digest is the sum, modulo 2^128, of the hashes of all entries and of the global settings, so that the
+/// cost of an update is proportional to the entries that change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(u128);
 
@@ -49,7 +50,7 @@
 }
 
 impl Digest {
-    /// Returns the contribution of the global settings, given as their canonical text.
+    /// Returns the contribution of the global settings to a version's digest. `text` is their canonical text.
     pub(crate) fn of_globals(text: &str) -> Digest {
         hash_entry(GLOBALS_TAG, &[], text)
     }
--- a/entries/src/entry.rs
+++ b/entries/src/entry.rs
@@ -16,7 +16,7 @@
 }
 
 impl EntryKind {
-    /// Returns its keyword in steps: `method` or `tenant`.
+    /// Returns the keyword of the kind in steps: `method` or `tenant`.
     pub fn keyword(self) -> &'static str {
         match self {
             EntryKind::Method => "method",
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Returns the key of the list of such entries in the platform's settings.
+    /// Returns the key of the list of entries of this kind in the platform's settings.
     pub fn list_key(self) -> &'static str {
         match self {
             EntryKind::Method => "Categories",
--- a/entries/src/fields/entry.rs
+++ b/entries/src/fields/entry.rs
@@ -19,7 +19,7 @@
     /// Returns the name of an entry.
     ///
     /// # Errors
-    /// [`ConfigError`] if it is absent or invalid.
+    /// Returns a [`ConfigError`] if the name is absent or invalid.
     pub fn entry_name(&self, kind: EntryKind) -> Result<&str, ConfigError> {
         let name = self.text("Name")?;
         check_name(kind, name)?;
@@ -29,7 +29,7 @@
     /// Returns the parameters of a method, without its name.
     ///
     /// # Errors
-    /// [`ConfigError`] names the field that is absent, of the wrong type or out of bounds.
+    /// Returns a [`ConfigError`] that names the field that is absent, of the wrong type or out of bounds.
     pub fn method(&self) -> Result<Method, ConfigError> {
         // An `Effect` that is absent or no string is reported before errors of other fields; an unknown keyword in it
         // is reported in field order.
@@ -50,7 +50,7 @@
     /// Returns the quota of a tenant, in RPCs per second across the whole fleet; 0 is valid.
     ///
     /// # Errors
-    /// [`ConfigError`] if it is absent, of the wrong type or out of bounds.
+    /// Returns a [`ConfigError`] if the quota is absent, of the wrong type or out of bounds.
     pub fn quota(&self) -> Result<f64, ConfigError> {
         self.bounded_number("QuotaRps")
     }
--- a/entries/src/fields/global.rs
+++ b/entries/src/fields/global.rs
@@ -59,7 +59,7 @@
     /// Reads the value of one of [`SETTINGS_KEYS`].
     ///
     /// # Errors
-    /// Those of the deserializer.
+    /// Returns the errors of the deserializer.
     pub fn read<'d, A: MapAccess<'d>>(&mut self, key: FieldKey, object: &mut A) -> Result<(), A::Error> {
         match key.name {
             "FamilyInfo" => {
@@ -85,7 +85,7 @@
     /// Reads the resource limits of the deployment, `memory_mb` and `sockets`, and reports whether they were an object.
     ///
     /// # Errors
-    /// Those of the deserializer.
+    /// Returns the errors of the deserializer.
     pub fn read_resource_limits<'d, A: MapAccess<'d>>(&mut self, object: &mut A) -> Result<bool, A::Error> {
         let is_object = object.next_value_seed(JsonSeed(&mut self.resource_limits))?;
         self.check_object("limits", is_object)
--- a/entries/src/fields/merge.rs
+++ b/entries/src/fields/merge.rs
@@ -15,7 +15,7 @@
     /// base.
     ///
     /// # Errors
-    /// [`ConfigError`] names the field that is required and absent, of the wrong type or out of bounds.
+    /// Returns a [`ConfigError`] that names the field that is required and absent, of the wrong type or out of bounds.
     pub fn settings(&self, base: Option<&GlobalSettings>) -> Result<GlobalSettings, ConfigError> {
         if base.is_none() {
             self.check_required_objects()?;
--- a/entries/src/fields/object.rs
+++ b/entries/src/fields/object.rs
@@ -12,13 +12,13 @@
 /// A key that an object may contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FieldKey {
-    /// Its index in the list of expected keys.
+    /// The index of the key in the list of expected keys.
     pub index: usize,
     /// The key itself.
     pub name: &'static str,
 }
 
-/// Deserializer of a key, as one of the expected names.
+/// Deserializer of a key that is to be one of the expected names.
 struct KeySeed {
     names: &'static [&'static str],
     strictness: Strictness,
@@ -55,8 +55,8 @@
 /// Reads an object. Calls `read_value`, which must read the value, for each key that is one of `names`, at most 64.
 ///
 /// # Errors
-/// Those of the deserializer and of `read_value`, and [`ConfigError::DuplicateField`], as it would be ambiguous which
-/// of the two values is meant.
+/// Returns the errors of the deserializer and of `read_value`, and [`ConfigError::DuplicateField`], as it would be
+/// ambiguous which of the two values is meant.
 pub fn read_fields<'d, A: MapAccess<'d>>(
     mut object: A, names: &'static [&'static str], strictness: Strictness,
     mut read_value: impl FnMut(FieldKey, &mut A) -> Result<(), A::Error>,
@@ -104,7 +104,7 @@
     /// Reads the value of the field with this index in the list of names.
     ///
     /// # Errors
-    /// Those of the deserializer.
+    /// Returns the errors of the deserializer.
     pub fn read_value<'d, A: MapAccess<'d>>(&mut self, index: usize, object: &mut A) -> Result<(), A::Error> {
         let value = object.next_value_seed(self.strictness)?;
         if let Some(slot) = self.values.get_mut(index) {
@@ -131,7 +131,7 @@
     /// Returns the value of a field that is a string.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`] if it is absent or not a string.
+    /// Returns [`ConfigError::InvalidField`] if it is absent or not a string.
     pub fn text(&self, name: &'static str) -> Result<&str, ConfigError> {
         match self.get(name) {
             Some(FieldValue::Text(text)) => Ok(text),
@@ -142,7 +142,7 @@
     /// Returns a number of 0 or more, or `None` if the field is absent or `null`.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`] if it is not a number, or negative.
+    /// Returns [`ConfigError::InvalidField`] if it is not a number, or negative.
     pub fn optional_number(&self, name: &'static str) -> Result<Option<f64>, ConfigError> {
         match self.value(name) {
             None => Ok(None),
@@ -155,7 +155,7 @@
     /// Returns a number of 0 or more.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`] if it is absent, not a number, or negative.
+    /// Returns [`ConfigError::InvalidField`] if it is absent, not a number, or negative.
     pub fn number(&self, name: &'static str) -> Result<f64, ConfigError> {
         self.optional_number(name)?.ok_or(ConfigError::InvalidField(name))
     }
@@ -163,7 +163,7 @@
     /// Returns a number from 0 to [`MAX_SETTING_VALUE`], or `None` if the field is absent or `null`.
     ///
     /// # Errors
-    /// Those of [`ObjectFields::optional_number`], and [`ConfigError::OutOfBounds`].
+    /// Returns the errors of [`ObjectFields::optional_number`], and [`ConfigError::OutOfBounds`].
     pub fn optional_bounded_number(&self, name: &'static str) -> Result<Option<f64>, ConfigError> {
         match self.optional_number(name)? {
             Some(value) if value > MAX_SETTING_VALUE => Err(ConfigError::OutOfBounds { key: name, value }),
@@ -174,7 +174,7 @@
     /// Returns a number from 0 to [`MAX_SETTING_VALUE`].
     ///
     /// # Errors
-    /// Those of [`ObjectFields::number`], and [`ConfigError::OutOfBounds`].
+    /// Returns the errors of [`ObjectFields::number`], and [`ConfigError::OutOfBounds`].
     pub fn bounded_number(&self, name: &'static str) -> Result<f64, ConfigError> {
         self.optional_bounded_number(name)?.ok_or(ConfigError::InvalidField(name))
     }
@@ -183,7 +183,7 @@
     /// [`MAX_DURATION_US`](crate::MAX_DURATION_US), or `None` if the field is absent or `null`.
     ///
     /// # Errors
-    /// Those of [`ObjectFields::optional_number`].
+    /// Returns the errors of [`ObjectFields::optional_number`].
     pub fn optional_duration(&self, name: &'static str) -> Result<Option<Us>, ConfigError> {
         Ok(self.optional_number(name)?.map(micros_from_millis))
     }
@@ -192,7 +192,7 @@
     /// [`MAX_DURATION_US`](crate::MAX_DURATION_US).
     ///
     /// # Errors
-    /// Those of [`ObjectFields::number`].
+    /// Returns the errors of [`ObjectFields::number`].
     pub fn duration(&self, name: &'static str) -> Result<Us, ConfigError> {
         self.number(name).map(micros_from_millis)
     }
@@ -200,7 +200,7 @@
     /// Returns a boolean: `false` if the field is absent or `null`, and in lenient reading also if it is not a boolean.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`] in strict reading if it is not a boolean.
+    /// Returns [`ConfigError::InvalidField`] in strict reading if it is not a boolean.
     pub(crate) fn boolean(&self, name: &'static str) -> Result<bool, ConfigError> {
         match self.value(name) {
             Some(FieldValue::Bool(value)) => Ok(*value),
@@ -212,7 +212,7 @@
     /// Returns the value that a keyword stands for.
     ///
     /// # Errors
-    /// Those of [`ObjectFields::text`], and [`ConfigError::UnknownKeyword`].
+    /// Returns the errors of [`ObjectFields::text`], and [`ConfigError::UnknownKeyword`].
     pub(crate) fn keyword<T: Copy>(
         &self, name: &'static str, keywords: &Keywords<T>,
     ) -> Result<T, ConfigError> {
@@ -223,7 +223,7 @@
     /// Returns the value that a keyword stands for, or `None` if the field is absent or `null`.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`] if it is not a string, and [`ConfigError::UnknownKeyword`].
+    /// Returns [`ConfigError::InvalidField`] if it is not a string, and [`ConfigError::UnknownKeyword`].
     pub(crate) fn optional_keyword<T: Copy>(
         &self, name: &'static str, keywords: &Keywords<T>,
     ) -> Result<Option<T>, ConfigError> {
--- a/entries/src/fields/value.rs
+++ b/entries/src/fields/value.rs
@@ -38,13 +38,13 @@
     /// Handles a scalar, and by default also an array or object, as [`FieldValue::Nested`].
     ///
     /// # Errors
-    /// An error of the handler if it rejects the value.
+    /// Returns an error if the handler rejects the value.
     fn scalar<E: Error>(self, value: FieldValue) -> Result<Self::Output, E>;
 
     /// Handles an array; skips it by default.
     ///
     /// # Errors
-    /// Those of the deserializer and of the handler.
+    /// Returns the errors of the deserializer and of the handler.
     fn array<'d, A: SeqAccess<'d>>(self, mut array: A) -> Result<Self::Output, A::Error> {
         while array.next_element::<IgnoredAny>()?.is_some() {}
         self.scalar(FieldValue::Nested)
@@ -53,7 +53,7 @@
     /// Handles an object; skips it by default.
     ///
     /// # Errors
-    /// Those of the deserializer and of the handler.
+    /// Returns the errors of the deserializer and of the handler.
     fn object<'d, A: MapAccess<'d>>(self, mut object: A) -> Result<Self::Output, A::Error> {
         while object.next_entry::<IgnoredAny, IgnoredAny>()?.is_some() {}
         self.scalar(FieldValue::Nested)
--- a/entries/src/globals.rs
+++ b/entries/src/globals.rs
@@ -115,7 +115,7 @@
     /// Returns the upstream and its limits, for the decision module.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`] if the upstream is shared and its quota or window is missing.
+    /// Returns [`ConfigError::InvalidField`] if the upstream is shared and its quota or window is missing.
     pub fn upstream_limits(&self) -> Result<Upstream, ConfigError> {
         Ok(match self.upstream {
             UpstreamKind::None => Upstream::Absent,
@@ -130,7 +130,7 @@
     /// Returns the fraction of its full speed, 0 to 1, at which the server starts: 1 unless it starts cold.
     ///
     /// # Errors
-    /// [`ConfigError::InvalidField`] if it starts cold and the fraction is missing.
+    /// Returns [`ConfigError::InvalidField`] if the server starts cold and the fraction is missing.
     pub fn initial_speed(&self, cold_start: bool) -> Result<f64, ConfigError> {
         if !cold_start {
             return Ok(1.0);
@@ -142,7 +142,7 @@
     /// Checks all settings.
     ///
     /// # Errors
-    /// [`ConfigError`] names the field that is out of bounds, or required and missing.
+    /// Returns a [`ConfigError`] that names the field that is out of bounds, or required and missing.
     pub fn check(&self) -> Result<(), ConfigError> {
         self.check_numbers()?;
         self.check_durations()?;
--- a/entries/src/read.rs
+++ b/entries/src/read.rs
@@ -20,7 +20,7 @@
 /// that `base` is the version that the step applies to.
 ///
 /// # Errors
-/// [`StepError`] names the line, the key and the mistake. No part of the step is returned then.
+/// Returns a [`StepError`] that names the line, the key and the mistake. No part of the step is returned then.
 pub fn read_step(text: &str, base: &Configuration) -> Result<Step, StepError> {
     let mut step = Step::default();
     let mut reader = LineReader::new();
@@ -47,8 +47,8 @@
 /// states a digest, the version must have that digest.
 ///
 /// # Errors
-/// [`StepError`] names the line, the key and the mistake. A version without global settings or without a method is
-/// invalid.
+/// Returns a [`StepError`] that names the line, the key and the mistake. A version without global settings or without a
+/// method is invalid.
 pub fn read_configuration(text: &str) -> Result<Configuration, StepError> {
     let mut configuration = Configuration::new(GlobalSettings::default());
     let mut reader = LineReader::new();
--- a/entries/src/step_line.rs
+++ b/entries/src/step_line.rs
@@ -73,7 +73,7 @@
     /// names are shared with it.
     ///
     /// # Errors
-    /// [`StepError`] names the line and the mistake.
+    /// Returns a [`StepError`] that names the line and the mistake.
     pub(crate) fn read(
         &mut self, number: usize, text: &str, base: &Configuration,
     ) -> Result<Line, StepError> {
--- a/entries/src/validation.rs
+++ b/entries/src/validation.rs
@@ -10,7 +10,7 @@
 /// contain whitespace either, as it is a field of the lines that are sent to the agent.
 ///
 /// # Errors
-/// [`ConfigError::InvalidName`], with the start of the name.
+/// Returns [`ConfigError::InvalidName`] with the start of the name.
 pub(crate) fn check_name(kind: EntryKind, name: &str) -> Result<(), ConfigError> {
     let forbids_whitespace = kind == EntryKind::Method;
     let forbidden = |c: char| c.is_control() || forbids_whitespace && c.is_whitespace();
@@ -26,7 +26,7 @@
 /// Checks the parameters of a method.
 ///
 /// # Errors
-/// [`ConfigError::OutOfBounds`] names the field.
+/// Returns [`ConfigError::OutOfBounds`], which names the field.
 pub(crate) fn check_method(method: &Method) -> Result<(), ConfigError> {
     check_duration("AimMs", method.latency_target)?;
     check_duration("DeadlineMs", method.deadline)?;
@@ -39,7 +39,7 @@
 /// Checks the quota of a tenant, in RPCs per second.
 ///
 /// # Errors
-/// [`ConfigError::OutOfBounds`] if it is out of bounds.
+/// Returns [`ConfigError::OutOfBounds`] if the quota is out of bounds.
 pub(crate) fn check_quota(quota: f64) -> Result<(), ConfigError> {
     check_at_most("QuotaRps", quota, MAX_SETTING_VALUE)
 }
--- a/entries/src/write.rs
+++ b/entries/src/write.rs
@@ -29,7 +29,7 @@
 /// [`read_configuration`](crate::read_configuration) reads them back to an equal version.
 ///
 /// # Errors
-/// Those of `to`.
+/// Returns the error of `to`.
 pub fn write_configuration(configuration: &Configuration, to: &mut dyn fmt::Write) -> fmt::Result {
     encode_globals_line(configuration.globals(), to)?;
     for (name, method) in configuration.methods() {
--- a/net/src/connection.rs
+++ b/net/src/connection.rs
@@ -53,9 +53,9 @@
 /// The way in which a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The connection was closed locally.
+    /// A close from this side.
     Closed,
-    /// The peer reset the connection, or the socket failed.
+    /// A reset by the peer, or a failure of the socket.
     Broken,
 }
 
@@ -101,9 +101,9 @@
 /// The result of one round, which determines what the coroutine waits for before the next.
 #[derive(Clone, Copy, Default)]
 struct Progress {
-    /// More data may be readable already.
+    /// Whether more data may be readable already.
     more: bool,
-    /// The buffer pool was exhausted.
+    /// Whether the buffer pool was exhausted.
     no_buffer: bool,
 }
 
@@ -113,9 +113,9 @@
     outbox: &'a Outbox,
     pool: &'a BufferPool,
     handler: &'a mut dyn ConnectionHandler,
-    /// The peer has not closed its half of the connection.
+    /// Whether the peer has not closed its half of the connection.
     read_open: bool,
-    /// The handler accepts further bytes.
+    /// Whether the handler accepts further bytes.
     accepts_data: bool,
     final_reads_left: usize,
     /// The event flags of the last wakeup. Events are edge-triggered: after a readable event, the socket is read until a read
@@ -149,7 +149,10 @@
         }
     }
 
-    /// Reads, writes, closes if requested, and waits. The error is how the connection ended.
+    /// Reads, writes, closes if requested, and waits.
+    ///
+    /// # Errors
+    /// Returns how the connection ended.
     fn run_round(&mut self) -> Result<(), ConnectionEnd> {
         let mut progress = Progress::default();
         self.read(&mut progress)?;
--- a/net/src/connection_limit.rs
+++ b/net/src/connection_limit.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 struct Shared {
-    /// Available permits. Negative after the limit was lowered below the number of open connections.
+    /// Number of available permits. Negative after the limit was lowered below the number of open connections.
     available: AtomicIsize,
     /// Wakes the listener when permits become available.
     released: Notify,
--- a/net/src/exchange.rs
+++ b/net/src/exchange.rs
@@ -13,11 +13,11 @@
 /// The state of a reply that is being read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyStatus {
-    /// More of the reply is expected.
+    /// A reply of which more is expected.
     Incomplete,
-    /// The reply is complete, and the connection can be reused.
+    /// A complete reply, after which the connection can be reused.
     KeepAlive,
-    /// The reply is complete or malformed, and the connection must be closed.
+    /// A complete or malformed reply, after which the connection must be closed.
     Close,
 }
 
--- a/net/src/link.rs
+++ b/net/src/link.rs
@@ -15,14 +15,14 @@
 
 /// A handler for the bytes of a link and for the state changes of its connections.
 pub trait LinkHandler: ConnectionHandler {
-    /// Called while there is no connection, before the next attempt to connect. Bytes put into the outbox from now on are sent
+    /// Prepares for the next attempt to connect, while there is no connection. Bytes put into the outbox from now on are sent
     /// over the next connection; an eager link discards them when it connects.
     fn before_connect(&mut self);
 
-    /// Called when a connection is established. Bytes put into the outbox from now on are sent over it.
+    /// Handles a new connection. Bytes put into the outbox from now on are sent over it.
     fn on_connected(&mut self);
 
-    /// Called when the connection ended or could not be established. `refused` is true if the peer refused the connection, so
+    /// Handles the end of a connection, or a failed attempt to connect. `refused` is true if the peer refused the connection, so
     /// that nothing in the outbox can have arrived. Returns whether the connection was useful, however short it was; if so,
     /// the backoff is reset.
     fn on_disconnected(&mut self, refused: bool) -> bool;
--- a/net/src/listener.rs
+++ b/net/src/listener.rs
@@ -23,7 +23,7 @@
     waker: Mutex<Option<WaitIoWaker>>,
 }
 
-/// A handle that closes a listening socket once the connections already in its accept queue have been taken over. Clones
+/// A handle that closes a listening socket once the connections already in its accept queue have been accepted. Clones
 /// control the same socket.
 #[derive(Clone, Default)]
 pub struct ListenerHandle {
--- a/net/src/outbox.rs
+++ b/net/src/outbox.rs
@@ -12,9 +12,9 @@
 
 /// A handle that wakes the coroutine that owns the socket.
 pub(crate) enum Waker {
-    /// The coroutine waits for events of the socket.
+    /// The waker of a coroutine that waits for events of its socket.
     Io(WaitIoWaker),
-    /// The coroutine is parked without a connection.
+    /// A coroutine that is parked without a connection.
     Parked(Coroutine),
 }
 
@@ -24,22 +24,22 @@
     /// No close is requested.
     #[default]
     None,
-    /// Close once the outbox is flushed.
+    /// A close once the outbox is flushed.
     AfterFlush,
-    /// Close at once.
+    /// A close at once.
     Now,
 }
 
 #[derive(Default)]
 struct Queue {
     buffers: VecDeque<PooledBuffer>,
-    /// Bytes of the first buffer that have been written.
+    /// Number of bytes of the first buffer that have been written.
     written: usize,
-    /// Bytes that are queued.
+    /// Number of bytes that are queued.
     pending: usize,
     max_pending: usize,
     close: CloseRequest,
-    /// The connection's permit is needed: do not wait for the peer to close.
+    /// Whether to close without waiting for the peer to close too, because the connection's permit is needed.
     skip_linger: bool,
     waker: Option<Waker>,
     last_used: u64,
@@ -137,8 +137,8 @@
         self.lock().skip_linger
     }
 
-    /// Closes the current connection once the outbox is flushed. Returns false and does nothing without a connection, so that a
-    /// link can still connect.
+    /// Closes the current connection once the outbox is flushed. Without a connection, returns false and changes
+    /// nothing, so that a link can still connect.
     pub fn finish_if_connected(&self) -> bool {
         self.close_if_connected(CloseRequest::AfterFlush)
     }
--- a/net/tests/closing.rs
+++ b/net/tests/closing.rs
@@ -12,7 +12,7 @@
 use std::sync::Once;
 use std::time::Duration;
 
-/// How long a test waits for an expected event.
+/// Maximum time that a test waits for an expected event.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn ensure_worker() {
--- a/net/tests/drivers.rs
+++ b/net/tests/drivers.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, Once, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long a test waits for an expected event.
+/// Maximum time that a test waits for an expected event.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Starts the worker, once per process.
@@ -19,7 +19,7 @@
     ONCE.call_once(|| start_worker().unwrap());
 }
 
-/// Lets one test at a time use the worker, since some tests occupy it on purpose and others measure time.
+/// Locks the worker for one test at a time, since some tests occupy it on purpose and others measure time.
 fn exclusive() -> MutexGuard<'static, ()> {
     static WORKER: Mutex<()> = Mutex::new(());
     WORKER.lock().unwrap_or_else(PoisonError::into_inner)
