--- a/consumer/src/action.rs
+++ b/consumer/src/action.rs
@@ -18,48 +18,48 @@
     pub tenant: Option<usize>,
     /// Caller, for fair shares among callers.
     pub caller: CallerId,
-    /// Time by which it must be answered, in microseconds.
+    /// Time by which the message must be answered, in microseconds.
     pub deadline: Us,
-    /// Memory that it is accounted for, in kB.
+    /// Memory that the message is accounted for, in kB.
     pub size_kb: f64,
 }
 
 /// Action to be carried out, in the order in which [`crate::QueueConsumer::next_action`] returns it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Open the queue's channel. The owner answers with [`crate::QueueConsumer::channel_opened`] or
+    /// Opens the queue's channel. The owner answers with [`crate::QueueConsumer::channel_opened`] or
     /// [`crate::QueueConsumer::channel_open_failed`].
     OpenChannel,
-    /// Close the channel.
+    /// Closes the channel.
     CloseChannel {
         /// Reply code of AMQP 0-9-1.
         code: u16,
         /// Reply text.
         reason: &'static str,
     },
-    /// Set the prefetch and consume. The owner answers with [`crate::QueueConsumer::consume_ok`].
+    /// Sets the prefetch and starts the consumer. The owner answers with [`crate::QueueConsumer::consume_ok`].
     Consume {
         /// Number of deliveries that may be unsettled at a time.
         prefetch: u16,
     },
-    /// Cancel the consumer. The owner answers with [`crate::QueueConsumer::cancelled`].
+    /// Cancels the consumer. The owner answers with [`crate::QueueConsumer::cancelled`].
     Cancel,
-    /// Submit a message to the engine. Its body is [`crate::QueueConsumer::body`].
+    /// Submits a message to the engine. Its body is [`crate::QueueConsumer::body`].
     Submit(Submission),
-    /// Withdraw a submission that has not run. The owner answers with [`crate::QueueConsumer::withdrawn`] if that
+    /// Withdraws a submission that has not run. The owner answers with [`crate::QueueConsumer::withdrawn`] if that
     /// succeeded.
     Withdraw(InFlightId),
-    /// Settle one delivery.
+    /// Settles one delivery.
     Settle {
         /// Tag of the delivery.
         tag: DeliveryTag,
         /// Settlement: ack, reject or requeue.
         settlement: Settlement,
     },
-    /// Publish [`crate::QueueConsumer::pending_reply`]. The owner answers with
+    /// Publishes [`crate::QueueConsumer::pending_reply`]. The owner answers with
     /// [`crate::QueueConsumer::reply_published`] if that succeeded.
     PublishReply(InFlightId),
-    /// Write a line to the operators' log.
+    /// Writes a line to the operators' log.
     Log(String),
 }
 
@@ -70,7 +70,7 @@
     pub reply_to: &'a str,
     /// `correlation-id` of the message.
     pub correlation_id: Option<&'a str>,
-    /// Whether the RPC was answered ok; if not, it was aborted.
+    /// Whether the RPC was answered ok; false if it was aborted.
     pub ok: bool,
     /// Result, truncated to a maximum length.
     pub body: &'a [u8],
--- a/consumer/src/intake.rs
+++ b/consumer/src/intake.rs
@@ -154,7 +154,7 @@
 
     /// Rejects a delivery that has no route.
     fn reject_unrouted(&mut self, tag: DeliveryTag, error: &RouteError) {
-        // Only the 1st, 2nd, 3rd, 5th, 9th and so on is logged, so that a misconfigured queue does not flood the log.
+        // Only the 1st, 2nd, 3rd, 5th, 9th and so on are logged, so that a misconfigured queue does not flood the log.
         let logged = self.stats.unrouted == 0 || self.stats.unrouted.is_power_of_two();
         if logged {
             let line =
--- a/consumer/src/message.rs
+++ b/consumer/src/message.rs
@@ -11,7 +11,8 @@
     pub(crate) idempotency: Idempotency,
     pub(crate) submission: Submission,
     pub(crate) body: Vec<u8>,
-    /// Tags of all its unsettled deliveries. Empty if the channel was lost and the message has not been redelivered.
+    /// Tags of all unsettled deliveries of the message. Empty if the channel was lost and the message has not been
+    /// redelivered.
     pub(crate) delivery_tags: Vec<DeliveryTag>,
     pub(crate) state: MessageState,
     /// Number of runs, here or before a redelivery.
@@ -45,7 +46,7 @@
 pub(crate) enum MessageState {
     /// Held until its retry.
     Waiting {
-        /// Time at which it is submitted again, in microseconds.
+        /// Time at which the message is submitted again, in microseconds.
         retry_at: Us,
     },
     /// Submitted to the engine.
@@ -57,7 +58,7 @@
 /// Reply that is to be published or confirmed.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct OutgoingReply {
-    /// Settlement of the deliveries afterwards.
+    /// Settlement of the deliveries once the reply is confirmed or abandoned.
     pub(crate) settlement: Settlement,
     pub(crate) result: Vec<u8>,
     /// Publish sequence number that the broker's confirm will carry; none until the reply is published.
--- a/consumer/src/replies.rs
+++ b/consumer/src/replies.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Processes a publisher confirm. The broker accepted replies, or refused them (`basic.nack`): all up to a publish
-    /// sequence number if `multiple`, else that one.
+    /// Processes a publisher confirm, by which the broker accepted replies or refused them (`basic.nack`). It covers
+    /// all replies up to a publish sequence number if `multiple`, else that one alone.
     pub fn reply_confirmed(&mut self, now: Us, sequence: u64, multiple: bool, accepted: bool) {
         let first = if multiple { 0 } else { sequence };
         let confirmed: Vec<u64> =
--- a/consumer/src/retry_policy.rs
+++ b/consumer/src/retry_policy.rs
@@ -7,9 +7,9 @@
 /// Decision about a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Disposition {
-    /// Settle its deliveries, after a reply if the message asked for one.
+    /// Settles the deliveries of the message, after a reply if it asked for one.
     Settle(Settlement),
-    /// Submit it again after this delay, in microseconds.
+    /// Submits the message again after this delay, in microseconds.
     Retry { delay: Us },
 }
 
@@ -18,7 +18,7 @@
 pub(crate) struct AttemptHistory {
     /// Idempotency of its method, which decides whether it may run again.
     pub(crate) idempotency: Idempotency,
-    /// Time by which it must be answered, in microseconds.
+    /// Time by which the message must be answered, in microseconds.
     pub(crate) deadline: Us,
     /// Number of runs, here or before a redelivery, including the last one.
     pub(crate) runs: u32,
--- a/operator-config/src/changes.rs
+++ b/operator-config/src/changes.rs
@@ -22,7 +22,7 @@
     pub control_socket: Option<PathBuf>,
     /// The directory in which versions persist across restarts (`state`), if any.
     pub state_dir: Option<PathBuf>,
-    /// How long a change is on probation, 1 s to 1 h (`probation`).
+    /// The duration of the probation of a change, 1 s to 1 h (`probation`).
     pub probation: u64,
     /// The factor by which a value may differ from the running one in a change that is not forced, 2 to 1000 (`factor`).
     pub max_change_factor: u64,
--- a/operator-config/src/config.rs
+++ b/operator-config/src/config.rs
@@ -13,9 +13,9 @@
 pub struct OperatorConfig {
     /// The broker whose queues are consumed, if any.
     pub broker: Option<BrokerConfig>,
-    /// How configuration changes are accepted, and the format of the log.
+    /// The rules for configuration changes, and the format of the log.
     pub changes: ChangesConfig,
-    /// How the server recovers; `None` for the platform's default.
+    /// The settings of the server's recovery; `None` for the platform's default.
     pub recovery: Option<RecoverySettings>,
     /// The membership of backends; `None` for the platform's default.
     pub members: Option<MembershipConfig>,
--- a/operator-config/src/fleet.rs
+++ b/operator-config/src/fleet.rs
@@ -15,7 +15,7 @@
 pub struct FleetConfig {
     /// The names of the members that vote and store versions, sorted; an odd number up to nine (`keeper`).
     pub voters: Vec<String>,
-    /// How long a version stays in effect without a renewal by the leader, 500 ms to 1 min (`lease`).
+    /// The time for which a version stays in effect without a renewal by the leader, 500 ms to 1 min (`lease`).
     pub lease: u64,
     /// The interval at which the lease is renewed.
     pub renew_interval: u64,
--- a/operator-config/src/members.rs
+++ b/operator-config/src/members.rs
@@ -44,7 +44,7 @@
     pub suspicion_timeout: u64,
     /// The interval between messages to seed addresses while members are missing, 100 ms to 1 min (`greet`).
     pub contact_interval: u64,
-    /// The time until a new member counts, 100 ms to 10 min (`settle`).
+    /// The time until a new member is counted as a member, 100 ms to 10 min (`settle`).
     pub join_delay: u64,
     /// The time until a failed member is removed from the list, 1 min to 30 d (`forget`).
     pub forget_after: u64,
--- a/operator-config/src/queue.rs
+++ b/operator-config/src/queue.rs
@@ -54,16 +54,16 @@
 /// The handling of a redelivered message of a non-idempotent method that the deduplication window does not hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RedeliveryPolicy {
-    /// Reject the message, since it may have run.
+    /// Rejects the message, since it may have run.
     Reject,
-    /// Run the message.
+    /// Runs the message.
     Run,
 }
 
 /// The bounds within which redelivered messages are recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DedupWindow {
-    /// How long a delivery is remembered, in microseconds, 1 s to 7 d.
+    /// The time for which a delivery is remembered, in microseconds, 1 s to 7 d.
     pub duration: u64,
     /// Maximum number of deliveries that are remembered at a time, up to a million.
     pub max_entries: usize,
@@ -101,9 +101,9 @@
     pub retry_backoff: Backoff,
     /// The memory that a queued delivery takes in kB, 1 to 2000 (`memory`).
     pub memory_kb: f64,
-    /// How redelivered messages are recognised (`remember`).
+    /// The bounds within which redelivered messages are recognised (`remember`).
     pub dedup_window: DedupWindow,
-    /// How unrecognised redelivered messages are handled (`redelivered`).
+    /// The handling of redelivered messages that are not recognised (`redelivered`).
     pub redelivery_policy: RedeliveryPolicy,
 }
 
--- a/protocol/src/agent.rs
+++ b/protocol/src/agent.rs
@@ -15,7 +15,7 @@
 /// Notice from the agent.
 #[derive(Debug, PartialEq)]
 pub enum Notice<'a> {
-    /// The first notice on a connection.
+    /// First notice on a connection.
     Greeting {
         /// Whether the agent started with empty caches, so that this server is cold.
         cold_start: bool,
@@ -51,7 +51,7 @@
     /// Reads the next notice and advances `input` past it. Without a complete notice, all of `input` is consumed.
     ///
     /// # Errors
-    /// A line that is not a notice, or a line or body that exceeds its maximum length.
+    /// Returns an error for a line that is not a notice, and for a line or body that exceeds its maximum length.
     pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Notice<'a>>, ProtocolError> {
         match self.0.next(input, body_length)? {
             Some((line, body)) => parse_notice(line, body)
--- a/protocol/src/amqp/error.rs
+++ b/protocol/src/amqp/error.rs
@@ -8,16 +8,16 @@
     /// Violation of the framing or of the order of methods by the broker.
     #[error("{0}")]
     Protocol(&'static str),
-    /// Authentication mechanisms that the broker offers, without PLAIN among them.
+    /// Offer of authentication mechanisms by the broker that does not include PLAIN.
     #[error("expected the broker to offer the authentication mechanism PLAIN; it offers {0:?}")]
     PlainNotOffered(String),
-    /// Silence of the broker for this many milliseconds, twice the negotiated heartbeat interval.
+    /// Lack of data from the broker for this many milliseconds, twice the negotiated heartbeat interval.
     #[error("no data from the broker for {0} ms, twice the negotiated heartbeat interval")]
     HeartbeatTimeout(u64),
     /// Handshake that the broker did not complete in time.
     #[error("the broker did not open the connection within 10 s")]
     HandshakeTimeout,
-    /// Maximum frame size proposed by the broker, in bytes, below the minimum that both sides must accept (4.2.3).
+    /// Maximum frame size in bytes that the broker proposed and that is below the minimum for both sides (4.2.3).
     #[error("the broker proposed a maximum frame size of {0} bytes; expected at least 4096")]
     FrameMaxTooSmall(u32),
     /// Close of the connection from this side that the broker did not confirm in time.
--- a/protocol/src/amqp/frames.rs
+++ b/protocol/src/amqp/frames.rs
@@ -92,7 +92,7 @@
     /// Reads the next frame and advances `input` past it. Without a complete frame, all of `input` is consumed.
     ///
     /// # Errors
-    /// Invalid frame. Every later call returns the same error.
+    /// Returns an error for an invalid frame, and the same error from every later call.
     pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<AMQPFrame>, ProtocolError> {
         if let Some(error) = &self.failed {
             return Err(error.clone());
--- a/protocol/src/amqp/message.rs
+++ b/protocol/src/amqp/message.rs
@@ -139,19 +139,19 @@
         /// Whether the broker accepted the message; false for a `basic.nack`.
         accepted: bool,
     },
-    /// Return of a published message that could not be routed.
+    /// Return of a published message that the broker could not route.
     Returned {
         /// `message-id` of the message.
         message_id: Option<String>,
         /// Reply code of the broker.
         code: u16,
     },
-    /// Block of publishing by the broker (RabbitMQ's `connection.blocked`).
+    /// Notice that the broker accepts no messages for now (RabbitMQ's `connection.blocked`).
     Blocked {
         /// Reason that the broker gave.
         reason: String,
     },
-    /// End of a block of publishing.
+    /// Notice that the broker accepts messages again (RabbitMQ's `connection.unblocked`).
     Unblocked,
     /// Close of a channel by the broker.
     ChannelClosed {
--- a/protocol/src/amqp/session.rs
+++ b/protocol/src/amqp/session.rs
@@ -135,7 +135,8 @@
     /// Writes a heartbeat if one is due (4.2.7) and checks the timeouts.
     ///
     /// # Errors
-    /// The handshake or the close has taken too long, or the broker has been silent for two heartbeat intervals.
+    /// Returns an error if the handshake or the close has taken too long, or the broker has been silent for two
+    /// heartbeat intervals.
     pub fn tick(&mut self, now: Us) -> Result<(), SessionError> {
         match self.state {
             State::Starting | State::Tuning | State::Opening
--- a/protocol/src/amqp/session/incoming.rs
+++ b/protocol/src/amqp/session/incoming.rs
@@ -20,7 +20,8 @@
     /// all of `input` is consumed.
     ///
     /// # Errors
-    /// Invalid frame, or one that is not allowed in the current state. The connection can't be used any more.
+    /// Returns an error for a frame that is invalid or not allowed in the current state. The connection can't be used
+    /// any more.
     pub fn read(&mut self, now: Us, input: &mut &[u8]) -> Result<Option<Event>, SessionError> {
         if self.state == State::Disconnected {
             *input = &[];
--- a/protocol/src/line_reader.rs
+++ b/protocol/src/line_reader.rs
@@ -34,8 +34,8 @@
     /// consumed. `body_length` extracts the length of the body from a line, none if it has no body.
     ///
     /// # Errors
-    /// A line or a body without CR LF or over its maximum length, a line that is not UTF-8, or an error of
-    /// `body_length`.
+    /// Returns an error for a line or a body without CR LF or over its maximum length, and for a line that is not
+    /// UTF-8. Returns the errors of `body_length`.
     pub(crate) fn next(
         &mut self, input: &mut &[u8], body_length: fn(&str) -> Result<Option<usize>, ProtocolError>,
     ) -> Result<Option<Line<'_>>, ProtocolError> {
--- a/protocol/src/name_service.rs
+++ b/protocol/src/name_service.rs
@@ -43,7 +43,7 @@
     /// Reads the next reply and advances `input` past it. Without a complete reply, all of `input` is consumed.
     ///
     /// # Errors
-    /// A reply that is not HTTP/1, or that exceeds its maximum length.
+    /// Returns an error for a reply that is not HTTP/1, or that exceeds its maximum length.
     pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<Reply>, ProtocolError> {
         while self.pending.is_none() {
             let Some((byte, later)) = input.split_first() else { return Ok(None) };
--- a/protocol/src/sidecar/reader.rs
+++ b/protocol/src/sidecar/reader.rs
@@ -93,7 +93,7 @@
     /// Reads the next frame and advances `input` past it. Without a complete frame, all of `input` is consumed.
     ///
     /// # Errors
-    /// Invalid framing. Every later call returns the same error.
+    /// Returns an error for invalid framing, and the same error from every later call.
     pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Frame<'a>>, ProtocolError> {
         if let Some(error) = &self.failed {
             return Err(error.clone());
--- a/protocol/src/upstream.rs
+++ b/protocol/src/upstream.rs
@@ -30,7 +30,7 @@
     /// Reads the next reply and advances `input` past it. Without a complete reply, all of `input` is consumed.
     ///
     /// # Errors
-    /// A line that is not a reply, or a body that exceeds [`crate::MAX_BODY_BYTES`].
+    /// Returns an error for a line that is not a reply, and for a body that exceeds [`crate::MAX_BODY_BYTES`].
     pub fn next<'a>(&'a mut self, input: &mut &[u8]) -> Result<Option<Reply<'a>>, ProtocolError> {
         let Some((line, body)) = self.0.next(input, body_length)? else { return Ok(None) };
         let mut words = line.split(' ');
--- a/settings/src/server_parts.rs
+++ b/settings/src/server_parts.rs
@@ -31,7 +31,7 @@
     pub gauges: Vec<String>,
     /// Whether an RPC may be answered with the response of another one, by `MethodId`.
     pub coalescable: Vec<bool>,
-    /// How long the response of a read may be reused for other RPCs, in microseconds; 0 disables reuse.
+    /// The time for which the response of a read may be reused for other RPCs, in microseconds; 0 disables reuse.
     pub response_ttl: Us,
     /// The minimum interval between two inputs of the decision module, in microseconds.
     pub min_event_interval: Us,
@@ -76,7 +76,8 @@
     now: Us, seed: u64, settings: &Value, cold_start: Option<bool>,
 ) -> Result<ServerParts, SettingsError> {
     let PlatformSettings { globals, methods, tenants } = PlatformSettings::from_value(settings)?;
-    // Building a configuration sorts the entries and rejects duplicate names.
+    // The server is built from the lists in their own order. The configuration is discarded; building it checks the entries and
+    // rejects duplicate names.
     Configuration::from_entries(None, globals.clone(), methods.clone(), tenants.clone())?;
     build_server(now, seed, &globals, methods, tenants, cold_start)
 }
--- a/simulator/src/decode.rs
+++ b/simulator/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding of batch items into inputs of the decision module, whose API doesn't use the names of the wire.
+//! Decoding of batch items into inputs of the decision module. The names on the wire differ from those of its API.
 
 use crate::error::WireError;
 use crate::instance::Instance;
