--- a/cli/src/control_client.rs
+++ b/cli/src/control_client.rs
@@ -27,42 +27,42 @@
 pub enum Request {
     /// A command without arguments.
     Simple(SimpleCommand),
-    /// Compare a change with the running version.
+    /// Compares a change with the running version.
     Diff(ChangeSource),
-    /// Stage a change.
+    /// Stages a change.
     Stage {
         /// The change to stage.
         source: ChangeSource,
-        /// Accept it only if this version is running, or is the newest agreed one.
+        /// The version that must be running, or be the newest agreed one; `None` for any.
         base: Option<u64>,
-        /// Accept it even if it is risky or was rolled back before.
+        /// Whether to accept the change even if it is risky or was rolled back before.
         force: bool,
-        /// Wait for the version on probation instead of being rejected.
+        /// Whether the change waits for the version on probation instead of being rejected.
         queue: bool,
     },
-    /// Activate the staged version.
+    /// Activates the staged version.
     Apply {
-        /// Apply only if this version is running.
+        /// The version that must be running; `None` for any.
         if_base: Option<u64>,
         /// Length of the probation, in microseconds.
         probation_us: Option<u64>,
     },
-    /// Get the entries of a list.
+    /// Returns the entries of a list.
     List(String),
-    /// Change entries of a list.
+    /// Changes entries of a list.
     ListChange {
         /// The name of the list.
         list: String,
-        /// Accept it only if this version is running, or is the newest agreed one.
+        /// The version that must be running, or be the newest agreed one; `None` for any.
         base: Option<u64>,
         /// Objects with `key`, `standing` and `until`.
         entries: Vec<Value>,
     },
-    /// Restore the contents of an earlier agreed version.
+    /// Restores the contents of an earlier agreed version.
     FleetUndo {
         /// The number of that version.
         to: u64,
-        /// Accept it only if this version is running, or is the newest agreed one.
+        /// The version that must be running, or be the newest agreed one; `None` for any.
         base: Option<u64>,
     },
 }
--- a/cli/src/lists.rs
+++ b/cli/src/lists.rs
@@ -48,7 +48,8 @@
         }
         entries.push(json!({"key": key.trim(), "standing": standing}));
     }
-    let mut outcome = Outcome::invalid_input("the file has no entries");
+    let why = format!("{}: expected at least one line KEY in or KEY out, found none", file.display());
+    let mut outcome = Outcome::invalid_input(why);
     for chunk in entries.chunks(MAX_ENTRIES_PER_VERSION) {
         outcome = change(client, list, None, chunk.to_vec());
         if !outcome.is_done() {
--- a/cli/src/outcome.rs
+++ b/cli/src/outcome.rs
@@ -51,7 +51,8 @@
         self.status == ExitStatus::Done
     }
 
-    /// Reports whether the reply's `ok` is true, as it is for a difference, too.
+    /// Reports whether the reply's `ok` is true. It is also true for a difference, whose status is
+    /// [`ExitStatus::Negative`].
     pub fn is_ok(&self) -> bool {
         self.reply["ok"] == json!(true)
     }
