--- a/consumer/src/dedup.rs
+++ b/consumer/src/dedup.rs
@@ -75,7 +75,7 @@
 }
 
 impl SettledMessages {
-    /// Returns an empty memory of at most `capacity` settlements, each of which is remembered for `ttl` microseconds.
+    /// Returns an empty collection of at most `capacity` settlements, each of which expires after `ttl` microseconds.
     pub(crate) fn new(ttl: Us, capacity: usize) -> SettledMessages {
         SettledMessages {
             ttl,
--- a/consumer/src/timers.rs
+++ b/consumer/src/timers.rs
@@ -43,7 +43,7 @@
         [message, subscription, prefetch].into_iter().flatten().min()
     }
 
-    /// Returns the prefetch to consume with; 0 for none.
+    /// Returns the prefetch with which to consume; 0 if nothing is to be consumed.
     fn target_prefetch(&self) -> u16 {
         if self.draining {
             0
