--- a/lab/src/broker/delivery.rs
+++ b/lab/src/broker/delivery.rs
@@ -62,7 +62,7 @@
                 let next = duplicate.take().or_else(|| state.next_message(&consumer.queue));
                 let Some(message) = next else { break };
                 state.ledger.deliveries += 1;
-                if message.delivered > 0 {
+                if message.delivery_count > 0 {
                     state.ledger.redeliveries += 1;
                     let every = state.script.duplicate_every;
                     if every > 0 && state.ledger.redeliveries.is_multiple_of(every) {
@@ -70,7 +70,7 @@
                     }
                 }
                 write_delivery(&mut self.out, *id, channel, message, state.script.counts_deliveries);
-                state.ledger.most_unsettled = state.ledger.most_unsettled.max(channel.unsettled.len());
+                state.ledger.max_unsettled = state.ledger.max_unsettled.max(channel.unsettled.len());
                 if let Some(interruption) = next_interruption(&mut state) {
                     return Some(interruption);
                 }
@@ -190,7 +190,7 @@
     let deliver = basic::Deliver {
         consumer_tag: tag.as_str().into(),
         delivery_tag: channel.last_tag + 1,
-        redelivered: message.delivered > 0,
+        redelivered: message.delivery_count > 0,
         exchange: "".into(),
         routing_key: queue.as_str().into(),
     };
@@ -215,7 +215,7 @@
     }
     if with_count {
         let mut headers = FieldTable::default();
-        let count = AMQPValue::LongLongInt(message.delivered as i64);
+        let count = AMQPValue::LongLongInt(message.delivery_count as i64);
         headers.insert("x-delivery-count".into(), count);
         properties = properties.with_headers(headers);
     }
--- a/lab/src/broker/ledger.rs
+++ b/lab/src/broker/ledger.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// `correlation-id` of the reply.
-    pub correlation: Option<String>,
+    pub correlation_id: Option<String>,
     /// Body of the reply.
     pub body: Vec<u8>,
 }
@@ -61,7 +61,7 @@
     /// Number of `basic.consume` requests that were accepted.
     pub subscriptions: u64,
     /// Maximum number of unsettled deliveries on one channel.
-    pub most_unsettled: usize,
+    pub max_unsettled: usize,
     /// Final settlements by message number; a requeue is not final.
     pub settlements: BTreeMap<u64, Vec<Settlement>>,
     /// Users that sent credentials.
--- a/lab/src/broker/message.rs
+++ b/lab/src/broker/message.rs
@@ -14,7 +14,7 @@
     /// Message body.
     pub body: Vec<u8>,
     /// Number of deliveries after which the message was requeued.
-    pub delivered: u64,
+    pub delivery_count: u64,
 }
 
 /// A queue that never empties.
--- a/lab/src/broker/methods.rs
+++ b/lab/src/broker/methods.rs
@@ -154,7 +154,7 @@
         channel.settled_tags.insert(tag);
         state.ledger.settle(message.number, settlement);
         if settlement == Settlement::Requeued {
-            message.delivered += 1;
+            message.delivery_count += 1;
             state.queues.entry(queue).or_default().push_front(message);
         } else if state.script.loses_settlements {
             channel.settled_messages.push((queue, message));
@@ -170,8 +170,8 @@
         let properties = properties.unwrap_or_default();
         let mut state = lock(&self.state);
         if state.reply_queues.contains(publish.routing_key.as_str()) {
-            let correlation = properties.correlation_id().as_ref().map(ToString::to_string);
-            state.ledger.replies.push(Reply { correlation, body });
+            let correlation_id = properties.correlation_id().as_ref().map(ToString::to_string);
+            state.ledger.replies.push(Reply { correlation_id, body });
         } else {
             state.ledger.returned += 1;
             let returned = BasicMethod::Return(basic::Return {
--- a/lab/src/broker/state.rs
+++ b/lab/src/broker/state.rs
@@ -65,7 +65,7 @@
         let settled = channel.settled_messages.into_iter().filter(|_| cut);
         let all: Vec<(String, Message)> = settled.chain(channel.unsettled.into_values()).collect();
         for (queue, mut message) in all.into_iter().rev() {
-            message.delivered += 1;
+            message.delivery_count += 1;
             self.queues.entry(queue).or_default().push_front(message);
         }
     }
--- a/lab/src/fleet/cold_start.rs
+++ b/lab/src/fleet/cold_start.rs
@@ -26,14 +26,14 @@
 /// Time after which a caller ignores an advertised credit.
 const CREDIT_TTL: Duration = Duration::from_secs(1);
 /// A caller without credit sends an RPC in one of this many turns, on average.
-const CALL_ODDS_WITHOUT_CREDIT: u32 = 60;
+const TURNS_PER_CALL_WITHOUT_CREDIT: u32 = 60;
 const TURN_INTERVAL: Duration = ms(4);
 const SAMPLE_INTERVAL: Duration = ms(5);
 /// Seeds that are reserved for the callers of one run, as each caller has its own seed.
 const SEEDS_PER_RUN: u64 = 1_000;
 /// Size of the length field of a frame, which does not count itself.
 const LENGTH_FIELD_BYTES: usize = 4;
-const FRAME_HEAD_BYTES: usize = 9;
+const FRAME_HEADER_BYTES: usize = 9;
 const READ_BUFFER_BYTES: usize = 4096;
 
 /// Credit that a server advertised: the number of RPCs that a caller may have in flight there.
@@ -81,21 +81,21 @@
     }
 
     /// Returns the number of RPCs in flight that were sent with credit.
-    fn with_credit(&self) -> usize {
+    fn in_flight_with_credit(&self) -> usize {
         self.in_flight.values().filter(|with_credit| **with_credit).count()
     }
 
     /// Removes the next complete frame from the received bytes and returns its type, stream and payload.
     fn next_frame(&mut self) -> Option<(u8, u32, Vec<u8>)> {
         let length = u32::from_be_bytes(self.bytes.get(..LENGTH_FIELD_BYTES)?.try_into().ok()?) as usize;
-        let mut head: Vec<u8> = self.bytes.get(..length + LENGTH_FIELD_BYTES)?.to_vec();
-        if head.len() < FRAME_HEAD_BYTES {
+        let mut header: Vec<u8> = self.bytes.get(..length + LENGTH_FIELD_BYTES)?.to_vec();
+        if header.len() < FRAME_HEADER_BYTES {
             return None;
         }
-        let payload = head.split_off(FRAME_HEAD_BYTES);
+        let payload = header.split_off(FRAME_HEADER_BYTES);
         self.bytes.drain(..length + LENGTH_FIELD_BYTES);
-        let stream = u32::from_be_bytes(head[LENGTH_FIELD_BYTES + 1..].try_into().ok()?);
-        Some((head[LENGTH_FIELD_BYTES], stream, payload))
+        let stream = u32::from_be_bytes(header[LENGTH_FIELD_BYTES + 1..].try_into().ok()?);
+        Some((header[LENGTH_FIELD_BYTES], stream, payload))
     }
 
     /// Reads what was received and returns how many RPCs it answers.
@@ -123,11 +123,13 @@
     /// Sends an RPC if the credit allows it, and reports whether it was sent.
     fn send(&mut self, caller: u64, rng: &mut StdRng) -> bool {
         self.credit = self.credit.filter(|credit| credit.received_at.elapsed() < CREDIT_TTL);
-        let with_credit = self.with_credit();
+        let with_credit = self.in_flight_with_credit();
         let allowed = match self.credit {
             Some(credit) => with_credit < credit.limit,
             // A caller without credit calls rarely, and has one RPC in flight at a time.
-            None => self.in_flight.len() == with_credit && rng.random_range(0..CALL_ODDS_WITHOUT_CREDIT) == 0,
+            None => {
+                self.in_flight.len() == with_credit && rng.random_range(0..TURNS_PER_CALL_WITHOUT_CREDIT) == 0
+            }
         };
         if !allowed || self.in_flight.len() >= MAX_STREAMS {
             return false;
@@ -141,7 +143,7 @@
 
     fn usage(&self) -> Usage {
         let credit = self.credit.map_or(0.0, |credit| credit.credit);
-        Usage { in_flight: self.with_credit(), credit }
+        Usage { in_flight: self.in_flight_with_credit(), credit }
     }
 }
 
--- a/lab/src/fleet/idle_flood.rs
+++ b/lab/src/fleet/idle_flood.rs
@@ -181,8 +181,8 @@
     report.set("health_checks", service.health_checks.into());
     report.set("slowest_ms", (service.slowest.as_millis() as u64).into());
     report.rule("an RPC of a listed sidecar was not answered within 2 s", service.answered == service.calls);
-    let most_served = service.ok * 10 >= service.calls * 9;
-    report.rule("fewer than 90% of the RPCs of a listed sidecar were served", most_served);
+    let enough_served = service.ok * 10 >= service.calls * 9;
+    report.rule("fewer than 90% of the RPCs of a listed sidecar were served", enough_served);
     let healthy = service.healthy == service.health_checks;
     report.rule("a health check was not answered as healthy within 2 s", healthy);
 }
--- a/lab/src/fleet/members/evaluation.rs
+++ b/lab/src/fleet/members/evaluation.rs
@@ -178,16 +178,19 @@
     fn upstream_occupancy(&self, fleet: &Fleet) -> Vec<f64> {
         let occupancy = fleet.upstream.state().occupancy.clone();
         let window_sum = |buckets: &[f64]| buckets.iter().sum::<f64>();
-        occupancy.get(bucket(self.load_start_ms)..).unwrap_or(&[]).windows(10).map(window_sum).collect()
+        occupancy.get(bucket_index(self.load_start_ms)..).unwrap_or(&[]).windows(10).map(window_sum).collect()
     }
 }
 
-fn bucket(ms: u64) -> usize {
+fn bucket_index(ms: u64) -> usize {
     (ms / BUCKET_MS) as usize
 }
 
 fn in_time_share_between(ledger: &CallerLedger, from_ms: u64, to_ms: u64) -> f64 {
-    let buckets = ledger.buckets.get(bucket(from_ms)..bucket(to_ms).min(ledger.buckets.len())).unwrap_or(&[]);
+    let buckets = ledger
+        .buckets
+        .get(bucket_index(from_ms)..bucket_index(to_ms).min(ledger.buckets.len()))
+        .unwrap_or(&[]);
     if buckets.is_empty() {
         0.0
     } else {
--- a/lab/src/fleet/restart_recovery/measurements.rs
+++ b/lab/src/fleet/restart_recovery/measurements.rs
@@ -14,14 +14,14 @@
     /// Time buckets since the start of the load.
     pub(super) buckets: Vec<Bucket>,
     /// Share of criticality answered in time before the first fault.
-    pub(super) before: f64,
+    pub(super) in_time_before: f64,
     /// Share of criticality answered in time after the recovery.
-    pub(super) after: f64,
+    pub(super) in_time_after: f64,
     /// Share of all cores that runs used before the first fault, according to the agents.
     pub(super) load: f64,
     pub(super) unanswered: usize,
     /// Time from the start of the load to the last fault.
-    pub(super) fault_ms: u64,
+    pub(super) last_fault_ms: u64,
     /// Number of calls that the upstream rejected.
     pub(super) upstream_rejections: u64,
     /// Time from the last fault until service was full again.
@@ -56,8 +56,8 @@
     /// Returns the figures that are reported for this build and for another.
     pub(super) fn figures(&self) -> Value {
         json!({"full_service_ms": self.recovery_ms, "floor_ms": self.min_recovery_ms,
-            "in_time_before": self.before, "load_before": self.load,
-            "in_time_after": self.after, "attempts_peak_ratio": self.attempts_peak,
+            "in_time_before": self.in_time_before, "load_before": self.load,
+            "in_time_after": self.in_time_after, "attempts_peak_ratio": self.attempts_peak,
             "calls_below_peak_ratio": self.calls_peak, "no_final_answer": self.unanswered,
             "answered_twice": self.ledger.answered_twice, "effects_twice": self.repeated_effects,
             "stale_decisions": self.stale_decisions, "left_processes": self.remaining_processes,
--- a/lab/src/fleet/restart_recovery/run.rs
+++ b/lab/src/fleet/restart_recovery/run.rs
@@ -91,7 +91,7 @@
     }
 }
 
-fn bucket(ms: u64) -> usize {
+fn bucket_index(ms: u64) -> usize {
     (ms / BUCKET_MS) as usize
 }
 
@@ -185,8 +185,8 @@
             let cores = (self.options.nodes * CORES) as f64 * (now_ms - since_ms) as f64 / 1e3;
             (self.work_done() - work).as_secs_f64() / cores
         });
-        let from = bucket(self.load_start_ms + BASELINE_START_MS);
-        let to = bucket(self.load_start_ms + FIRST_FAULT_MS - BASELINE_END_BEFORE_FAULT_MS);
+        let from = bucket_index(self.load_start_ms + BASELINE_START_MS);
+        let to = bucket_index(self.load_start_ms + FIRST_FAULT_MS - BASELINE_END_BEFORE_FAULT_MS);
         let in_time = in_time_share(&self.callers.ledger().buckets[from..to]);
         self.baseline = Some(Baseline { in_time, load });
     }
@@ -194,7 +194,7 @@
     /// Reports whether all faults were injected and service is full again.
     fn has_recovered(&self, now_ms: u64) -> bool {
         self.baseline.is_some_and(|baseline| {
-            let answered = bucket(now_ms.saturating_sub(ANSWER_DELAY_MS));
+            let answered = bucket_index(now_ms.saturating_sub(ANSWER_DELAY_MS));
             let ledger = self.callers.ledger();
             let buckets = &ledger.buckets[..answered.min(ledger.buckets.len())];
             self.next_fault >= self.faults.len()
@@ -214,13 +214,13 @@
         let stale_decisions = self.stale_rejections(&ledger) + self.stale_skips();
         let logs: Vec<String> = self.fleet.members.iter().map(|m| m.node.read_log()).collect();
         let failed_writes = |log: &String| log.matches("could not be written").count() as u64;
-        let reports_from = bucket(self.last_fault_ms + REPORTS_SPREAD_AFTER_MS);
+        let reports_from = bucket_index(self.last_fault_ms + REPORTS_SPREAD_AFTER_MS);
         Measurements {
-            before: baseline.in_time,
+            in_time_before: baseline.in_time,
             load: baseline.load,
             unanswered,
-            after: in_time_share(after_recovery(&ledger, full)),
-            fault_ms: self.last_fault_ms - self.load_start_ms,
+            in_time_after: in_time_share(after_recovery(&ledger, full)),
+            last_fault_ms: self.last_fault_ms - self.load_start_ms,
             upstream_rejections,
             recovery_ms: full.map(|full| full.saturating_sub(self.last_fault_ms)),
             min_recovery_ms: min_recovery_ms(self.kind, self.options.nodes, restarted, expected_load),
@@ -230,7 +230,7 @@
             repeated_effects: self.fleet.repeated_effects(STOCK_UPDATE.name),
             reports_peak: self.fleet.name_service.peak_reports(reports_from),
             snapshots_failed: logs.iter().map(failed_writes).sum(),
-            buckets: ledger.buckets[bucket(self.load_start_ms)..].to_vec(),
+            buckets: ledger.buckets[bucket_index(self.load_start_ms)..].to_vec(),
             ledger,
             faults: self.faults.to_vec(),
             none_panicked: self.fleet.none_panicked(),
@@ -239,7 +239,7 @@
     }
 
     fn first_fault_bucket(&self) -> usize {
-        bucket(self.load_start_ms + FIRST_FAULT_MS)
+        bucket_index(self.load_start_ms + FIRST_FAULT_MS)
     }
 
     /// Returns the largest number of attempts in a second since the first fault, relative to the rate before.
@@ -247,7 +247,7 @@
         let first_fault = self.first_fault_bucket();
         let attempts: Vec<u32> =
             ledger.buckets.iter().skip(first_fault).map(|bucket| bucket.attempts).collect();
-        let measured = &ledger.buckets[bucket(self.load_start_ms + BASELINE_START_MS)..first_fault];
+        let measured = &ledger.buckets[bucket_index(self.load_start_ms + BASELINE_START_MS)..first_fault];
         let baseline_rate: u32 = measured.iter().map(|bucket| bucket.attempts).sum();
         let baseline_rate =
             f64::from(baseline_rate) / ((FIRST_FAULT_MS - BASELINE_START_MS) as f64 / 1_000.0);
@@ -287,7 +287,7 @@
             let agent = member.agent.state();
             for at in &agent.skipped_calls {
                 let ms = at.saturating_duration_since(self.fleet.start).as_millis() as u64;
-                let bucket = bucket(ms);
+                let bucket = bucket_index(ms);
                 let late = at.saturating_duration_since(member.available_since) > STALE_AFTER
                     && upstream_restored_ms.is_none_or(|upstream_restored_ms| {
                         bucket as u64 * BUCKET_MS > upstream_restored_ms + STALE_AFTER.as_millis() as u64
@@ -305,7 +305,7 @@
 fn after_recovery(ledger: &CallerLedger, full: Option<u64>) -> &[Bucket] {
     let buckets = &ledger.buckets;
     full.map_or(&buckets[buckets.len().saturating_sub(40)..], |full| {
-        let from = bucket(full);
+        let from = bucket_index(full);
         &buckets[from..(from + 100).min(buckets.len())]
     })
 }
--- a/lab/src/fleet/restart_recovery/scenario.rs
+++ b/lab/src/fleet/restart_recovery/scenario.rs
@@ -32,7 +32,7 @@
         report.set(name, value.clone());
     }
     report.set("rpcs", json!(measurements.ledger.rpcs));
-    report.set("fault_ended_ms", json!(measurements.fault_ms));
+    report.set("fault_ended_ms", json!(measurements.last_fault_ms));
     report.set("calls_turned_away_below", json!(measurements.upstream_rejections));
     report.set("pushed_back", json!(measurements.ledger.rejections.len()));
     report.set("reports_peak_tenth", json!(measurements.reports_peak));
@@ -59,7 +59,7 @@
     report.rule("a decision was based on an outdated value", measurements.stale_decisions == 0);
     report.rule("a process was still running at the end", measurements.remaining_processes == 0);
     report.rule("a process panicked", measurements.none_panicked);
-    report.rule("service before the fault was too low to compare with", measurements.before > 0.9);
+    report.rule("service before the fault was too low to compare with", measurements.in_time_before > 0.9);
     let load_as_expected = (0.8..1.15).contains(&(measurements.load / expected_load));
     report.rule("the measured load differs from the expected load", load_as_expected);
     // The time that cold cores need anyway, plus 30% and a second. The rule allows another second for slow machines.
--- a/lab/src/queue/broker_faults.rs
+++ b/lab/src/queue/broker_faults.rs
@@ -49,9 +49,9 @@
     let file = operator_file(&brokers, STOCK_UPDATE.name, "prefetch 32\nbound 60s\n");
     let setup = backend_setup(&[TILL_PRICE, LOOK_UP, update], Some(file));
     let mut backend = Backend::start(&setup, &broker.password())?;
-    let never = AtomicBool::new(false);
+    let never_stopped = AtomicBool::new(false);
     let rates = [RateSpan::new(Duration::from_secs(4), 100.0)];
-    let stats = run_load(backend.node.address, &FRAMED_METHODS, &rates, seed, &never)?;
+    let stats = run_load(backend.node.address, &FRAMED_METHODS, &rates, seed, &never_stopped)?;
     check_framed(report, &stats);
     // The huge body and the split delivery add two messages to the published ones.
     let complete = wait_until(Duration::from_secs(40), || {
@@ -84,7 +84,7 @@
         !ledger.replies.is_empty() && ledger.returned > 0,
     );
     let matching = ledger.replies.iter().all(|reply| {
-        reply.correlation.is_some() && (reply.body.is_empty() || reply.body.starts_with(b"did job "))
+        reply.correlation_id.is_some() && (reply.body.is_empty() || reply.body.starts_with(b"did job "))
     });
     report.rule("a reply does not belong to its message", matching);
 }
--- a/lab/src/queue/cpu.rs
+++ b/lab/src/queue/cpu.rs
@@ -31,14 +31,14 @@
 }
 
 fn run(report: &mut Report, setup: &Setup, load: RateSpan, seed: u64) -> Result<Run, ScenarioError> {
-    let never = AtomicBool::new(false);
+    let never_stopped = AtomicBool::new(false);
     let start = Instant::now();
     let backend = Backend::start(setup, "")?;
     let start_ms = start.elapsed().as_secs_f64() * MS_PER_S;
     let address = backend.node.address;
-    run_load(address, &FRAMED_METHODS, &[RateSpan::new(WARM_UP, load.rate)], seed + 50, &never)?;
+    run_load(address, &FRAMED_METHODS, &[RateSpan::new(WARM_UP, load.rate)], seed + 50, &never_stopped)?;
     let before = backend.node.cpu_us();
-    let stats = run_load(address, &FRAMED_METHODS, &[load], seed, &never)?;
+    let stats = run_load(address, &FRAMED_METHODS, &[load], seed, &never_stopped)?;
     let cpu_us = (backend.node.cpu_us() - before) as f64;
     check_framed(report, &stats);
     Ok(Run { cpu_us_per_rpc: cpu_us / sum(&stats, |s| s.sent).max(1) as f64, stats, start_ms })
--- a/lab/src/queue/demo.rs
+++ b/lab/src/queue/demo.rs
@@ -27,9 +27,9 @@
     let third = duration / 3;
     let rates =
         [STEADY_RPCS_PER_S, JUMP_RPCS_PER_S, STEADY_RPCS_PER_S].map(|rate| RateSpan::new(third, rate));
-    let (address, never) = (backend.node.address, AtomicBool::new(false));
+    let (address, never_stopped) = (backend.node.address, AtomicBool::new(false));
     let load = std::thread::spawn(move || {
-        run_load(address, &FRAMED_METHODS, &rates, seed, &never).map_err(|e| e.to_string())
+        run_load(address, &FRAMED_METHODS, &rates, seed, &never_stopped).map_err(|e| e.to_string())
     });
     let start = Instant::now();
     let mut runs_before = 0;
--- a/lab/src/queue/flood.rs
+++ b/lab/src/queue/flood.rs
@@ -36,7 +36,7 @@
 fn measure_service(
     report: &mut Report, seed: u64, load: RateSpan, flooded: bool,
 ) -> Result<Service, ScenarioError> {
-    let never = AtomicBool::new(false);
+    let never_stopped = AtomicBool::new(false);
     let broker = Broker::start(FaultScript::default())?;
     broker.state().endless_queue = Some(endless_stock_queue());
     let file = flooded.then(|| operator_file(&[&broker], STOCK_UPDATE.name, "caller 900\nprefetch 64\n"));
@@ -44,17 +44,17 @@
     let mut backend = Backend::start(&setup, &broker.password())?;
     let address = backend.node.address;
     let warm_up =
-        run_load(address, &FRAMED_METHODS, &[RateSpan::new(WARM_UP, load.rate)], seed + 100, &never)?;
+        run_load(address, &FRAMED_METHODS, &[RateSpan::new(WARM_UP, load.rate)], seed + 100, &never_stopped)?;
     report.rule("no framed RPC was answered during the warm-up", sum(&warm_up, |s| s.ok) > 0);
     let (cpu_us_before, before) = (backend.node.cpu_us(), broker.ledger());
-    let stats = run_load(address, &FRAMED_METHODS, &[load], seed, &never)?;
+    let stats = run_load(address, &FRAMED_METHODS, &[load], seed, &never_stopped)?;
     let after = broker.ledger();
     let cpu_us = backend.node.cpu_us() - cpu_us_before;
     check_framed(report, &stats);
     if flooded {
         let deliveries = after.acked - before.acked;
         report.set("deliveries_per_s", json!(deliveries as f64 / load.duration.as_secs_f64()));
-        report.set("most_out", json!(after.most_unsettled));
+        report.set("most_out", json!(after.max_unsettled));
         report.set("subscriptions", json!(after.subscriptions));
         report.set("memory_mb", json!(backend.node.memory_mb()));
         report.rule("no delivery was acknowledged", deliveries > 0);
--- a/lab/src/queue/throughput.rs
+++ b/lab/src/queue/throughput.rs
@@ -52,7 +52,7 @@
     let mut backend = Backend::start(&setup, &broker.password())?;
     // The window doubles step by step: measure once it is fully open, or once half of the messages are delivered.
     wait_until(WINDOW_TIMEOUT, || {
-        broker.ledger().most_unsettled >= PREFETCH || broker.ready_messages(QUEUE) as u64 * 2 < messages
+        broker.ledger().max_unsettled >= PREFETCH || broker.ready_messages(QUEUE) as u64 * 2 < messages
     });
     let start = Instant::now();
     let timeout = Duration::from_secs(if options.lost_launch { 20 } else { 120 });
--- a/lab/src/rollout/bad_change.rs
+++ b/lab/src/rollout/bad_change.rs
@@ -88,10 +88,11 @@
     let kind = KINDS[(seed % KINDS.len() as u64) as usize];
     report.set("kind", json!(kind.name()));
     let managed = ManagedBackend::start(seed, kind == BadChange::ConcurrencyTooHigh)?;
-    let never = AtomicBool::new(false);
+    let never_stopped = AtomicBool::new(false);
     let address = managed.node().address;
     let rate = rate * kind.rate_factor();
-    let load = |span, seed| run_load(address, &FRAMED_METHODS, &[RateSpan::new(span, rate)], seed, &never);
+    let load =
+        |span, seed| run_load(address, &FRAMED_METHODS, &[RateSpan::new(span, rate)], seed, &never_stopped);
     load(ms(1_500), seed + 9)?;
     let before = load(ms(8_000), seed)?;
     let mut settings = managed.setup.settings();
--- a/lab/src/rollout/good_change.rs
+++ b/lab/src/rollout/good_change.rs
@@ -24,9 +24,9 @@
 /// Runs `config-good`.
 pub fn good_change(report: &mut Report, seed: u64, rate: f64) -> Result<(), ScenarioError> {
     let managed = ManagedBackend::start(seed + 1_000, false)?;
-    let never = AtomicBool::new(false);
+    let never_stopped = AtomicBool::new(false);
     let address = managed.node().address;
-    let before = run_load(address, &FRAMED_METHODS, &[RateSpan::new(ms(4_000), rate)], seed, &never)?;
+    let before = run_load(address, &FRAMED_METHODS, &[RateSpan::new(ms(4_000), rate)], seed, &never_stopped)?;
     let jump = seed % 2 == 1;
     report.set("jump", json!(jump));
     let text = managed.platform_file(changed_settings(&managed, seed));
--- a/lab/src/scale/agree/audit.rs
+++ b/lab/src/scale/agree/audit.rs
@@ -34,17 +34,17 @@
     pub(super) reverted: u64,
     hashes: BTreeMap<u64, u64>,
     /// Number of times that a version had another content than before.
-    pub(super) forked: u64,
+    pub(super) content_conflicts: u64,
 }
 
 impl VersionAudit {
     /// Records the content hash with which a version was observed.
     pub(super) fn record_hash(&mut self, version: u64, hash: u64) {
-        self.forked += u64::from(*self.hashes.entry(version).or_insert(hash) != hash);
+        self.content_conflicts += u64::from(*self.hashes.entry(version).or_insert(hash) != hash);
     }
 
     /// Retains a version for later comparisons.
-    pub(super) fn remember(&mut self, version: &Version) {
+    pub(super) fn retain_version(&mut self, version: &Version) {
         self.versions.entry(version.number).or_insert_with(|| version.clone());
     }
 
--- a/lab/src/scale/agree/build.rs
+++ b/lab/src/scale/agree/build.rs
@@ -67,7 +67,7 @@
         run.change(0, step.to_vec()).ok_or("a step of the list was not committed")?;
     }
     run.cluster.run_to(run.cluster.now + SETTLE_TIME);
-    run.cluster.remember_versions();
+    run.cluster.retain_versions();
     Ok(())
 }
 
--- a/lab/src/scale/agree/changes.rs
+++ b/lab/src/scale/agree/changes.rs
@@ -67,7 +67,7 @@
     report.set("changes", json!(rounds.changes.len()));
     report.set("refused", json!(rounds.uncommitted));
     report.set("last_in_force", json!(last_in_force.is_some()));
-    run.cluster.remember_versions();
+    run.cluster.retain_versions();
     let proposer = run.random_replica();
     run_largest_step(report, run, proposer, &unaffected);
     if !quick && run.entries * run.replicas.len() <= MAX_FULL_CHANGE_REPLICA_ENTRIES {
--- a/lab/src/scale/agree/cluster.rs
+++ b/lab/src/scale/agree/cluster.rs
@@ -315,10 +315,10 @@
 
     /// Adds all versions that the leader retains to the audit, so that they can be compared after the leader drops
     /// them.
-    pub(super) fn remember_versions(&mut self) {
+    pub(super) fn retain_versions(&mut self) {
         let Some(leader) = self.leader() else { return };
         let Some(consensus) = &self.nodes[leader].consensus else { return };
-        consensus.version_log().history().for_each(|version| self.audit.remember(version));
+        consensus.version_log().history().for_each(|version| self.audit.retain_version(version));
     }
 
     /// Returns the number of versions that were reported as committed and that the leader lacks or has with another
--- a/lab/src/scale/agree/scenario.rs
+++ b/lab/src/scale/agree/scenario.rs
@@ -113,7 +113,7 @@
         ("stated_ms", json!(ms(bound))),
         ("contradiction_ms_max", json!(ms(audit.longest_contradiction))),
         ("older_after_newer", json!(audit.reverted)),
-        ("other_histories", json!(audit.forked)),
+        ("other_histories", json!(audit.content_conflicts)),
         ("lost_versions", json!(lost_versions)),
         ("elections", json!(cluster.elections - baseline.elections)),
         ("lapsed", json!(lapsed)),
@@ -142,7 +142,7 @@
         "the leader lacks a version that was reported as committed, or has it with another content",
         lost_versions == 0,
     );
-    report.rule("a version number has two different contents", audit.forked == 0);
+    report.rule("a version number has two different contents", audit.content_conflicts == 0);
     let enough = committed >= baseline.proposals + MIN_COMMITTED_VERSIONS;
     report.rule("too few versions were committed for a meaningful result", enough);
 }
--- a/lab/src/scale/capacity/format.rs
+++ b/lab/src/scale/capacity/format.rs
@@ -5,7 +5,7 @@
 
 /// Formats a number with commas between groups of three digits. Numbers from 100 on have no decimals, and smaller ones
 /// have up to three significant digits.
-pub fn number(value: f64) -> String {
+pub fn format_number(value: f64) -> String {
     let decimals = match value.abs() {
         magnitude if magnitude >= 100.0 || magnitude == 0.0 => 0,
         magnitude if magnitude >= 10.0 => 1,
@@ -28,26 +28,28 @@
 }
 
 /// Formats a value as a multiple of its limit.
-pub fn times(value: f64, limit: f64) -> String {
-    format!("{} times", number(value / limit))
+pub fn format_multiple(value: f64, limit: f64) -> String {
+    format!("{} times", format_number(value / limit))
 }
 
 /// Formats a figure for a table cell, with the ids of the slopes that it lacks.
 pub fn figure_cell(figure: Option<&Figure>, unit: &str) -> String {
     match figure {
         None => "not measured".into(),
-        Some(figure) if figure.missing_slopes.is_empty() => format!("{} {unit}", number(figure.value)),
+        Some(figure) if figure.missing_slopes.is_empty() => format!("{} {unit}", format_number(figure.value)),
         Some(figure) => {
             let missing = figure.missing_slopes.join(", ");
-            format!("{} {unit} and more (not measured: {missing})", number(figure.value))
+            format!("{} {unit} and more (not measured: {missing})", format_number(figure.value))
         }
     }
 }
 
 /// Formats points for a table cell.
-pub fn points(points: &[(f64, f64)]) -> String {
-    let texts: Vec<_> =
-        points.iter().map(|(size, value)| format!("{}: {}", number(*size), number(*value))).collect();
+pub fn format_points(points: &[(f64, f64)]) -> String {
+    let texts: Vec<_> = points
+        .iter()
+        .map(|(size, value)| format!("{}: {}", format_number(*size), format_number(*value)))
+        .collect();
     if texts.is_empty() {
         "not measured".into()
     } else {
@@ -62,14 +64,18 @@
         Extrapolation::Exact => "read off".into(),
         Extrapolation::Linear { intercept, slope, deviation } => {
             let deviation = percent(deviation);
-            format!("{} + {} each, off by {deviation} at most", number(intercept), number(slope))
+            format!(
+                "{} + {} each, off by {deviation} at most",
+                format_number(intercept),
+                format_number(slope)
+            )
         }
         Extrapolation::WorstPair { from, to, slope, deviation } => format!(
             "not on a line (off by {}): the worst pair, {} and {}, {} each",
             percent(deviation),
-            number(from),
-            number(to),
-            number(slope)
+            format_number(from),
+            format_number(to),
+            format_number(slope)
         ),
         Extrapolation::SinglePoint => "one point".into(),
     }
--- a/lab/src/scale/capacity/import.rs
+++ b/lab/src/scale/capacity/import.rs
@@ -2,7 +2,7 @@
 //! tenants together, of members, of replicas, of connections of callers or of list entries.
 
 use super::error::CapacityError;
-use super::format::number;
+use super::format::format_number;
 use super::options::MeasuredBuild;
 use super::outputs::size;
 use super::slopes::Slopes;
@@ -84,9 +84,9 @@
     for (size, measurements) in sizes {
         let min = measurements.iter().map(|measurement| measurement.min).fold(f64::INFINITY, f64::min);
         let max = measurements.iter().map(|measurement| measurement.max).fold(f64::NEG_INFINITY, f64::max);
-        let size = number(*size as f64);
+        let size = format_number(*size as f64);
         if min < max {
-            parts.push(format!("at {size} {} to {}", number(min), number(max)));
+            parts.push(format!("at {size} {} to {}", format_number(min), format_number(max)));
         }
         if let Some(fallback) =
             source.fallback.filter(|_| measurements.iter().any(|measurement| measurement.is_fallback))
--- a/lab/src/scale/capacity/over_budget.rs
+++ b/lab/src/scale/capacity/over_budget.rs
@@ -1,7 +1,7 @@
 //! Table of the lines that are over their budget.
 
 use super::budgets::{BudgetLine, Budgets, Build, Figure};
-use super::format::{describe_load_case, figure_cell, number, role_name, times};
+use super::format::{describe_load_case, figure_cell, format_multiple, format_number, role_name};
 use super::slopes::Slopes;
 use std::fmt::Write;
 
@@ -33,7 +33,7 @@
         let budget = budgets.budget(line.budget.as_ref()?)?;
         let [previous, current] =
             [Build::Previous, Build::Current].map(|build| budgets.figure(line, build, slopes));
-        let text = format!("{} {}", number(budget.limit), budget.unit);
+        let text = format!("{} {}", format_number(budget.limit), budget.unit);
         Some(Row { line, budget: text, unit: &budget.unit, limit: budget.limit, previous, current })
     });
     let mut rows: Vec<_> = rows.filter(|row| row.max_factor() > 1.0).collect();
@@ -62,8 +62,8 @@
             let text = figure_cell(figure.as_ref(), row.unit);
             match figure {
                 None => text,
-                Some(_) if factor > 1.0 => format!("**{text}, {}**", times(factor, 1.0)),
-                Some(_) => format!("{text}, {}", times(factor, 1.0)),
+                Some(_) if factor > 1.0 => format!("**{text}, {}**", format_multiple(factor, 1.0)),
+                Some(_) => format!("{text}, {}", format_multiple(factor, 1.0)),
             }
         };
         let (previous, current) = (cell(&row.previous), cell(&row.current));
--- a/lab/src/scale/capacity/page.rs
+++ b/lab/src/scale/capacity/page.rs
@@ -1,7 +1,9 @@
 //! Tables of `docs/CAPACITY.md`, between the markers `<!-- capacity: NAME -->` and `<!-- end -->`.
 
 use super::budgets::{Bound, Budgets, Build};
-use super::format::{describe_extrapolation, describe_load_case, figure_cell, number, points, times};
+use super::format::{
+    describe_extrapolation, describe_load_case, figure_cell, format_multiple, format_number, format_points,
+};
 use super::over_budget::over_budget_table;
 use super::slopes::{Provenance, Role, Slope, Slopes};
 use std::fmt::Write;
@@ -63,12 +65,13 @@
     for (needed, bound) in rows {
         let unit = &bound.unit;
         let of_bound = match needed {
-            Some(needed) if needed > bound.bound => format!("**{}**", times(needed, bound.bound)),
-            Some(needed) => times(needed, bound.bound),
+            Some(needed) if needed > bound.bound => format!("**{}**", format_multiple(needed, bound.bound)),
+            Some(needed) => format_multiple(needed, bound.bound),
             None => String::new(),
         };
-        let needed = needed.map_or("not measured".into(), |needed| format!("{} {unit}", number(needed)));
-        let [previous, current] = [bound.previous_bound, bound.bound].map(number);
+        let needed =
+            needed.map_or("not measured".into(), |needed| format!("{} {unit}", format_number(needed)));
+        let [previous, current] = [bound.previous_bound, bound.bound].map(format_number);
         let (description, location, carried_by) = (&bound.description, &bound.location, &bound.carried_by);
         let _ = writeln!(
             text,
@@ -91,13 +94,19 @@
 fn sizes_table(budgets: &Budgets) -> String {
     let mut text = String::from("| size | figure |\n| --- | --- |\n");
     for size in &budgets.sizes {
-        let _ = writeln!(text, "| {} | {} |", size.description, number(size.value));
+        let _ = writeln!(text, "| {} | {} |", size.description, format_number(size.value));
     }
     for rate in &budgets.rates {
         let _ = match rate.period_s {
-            1.0 => writeln!(text, "| {} | {} a second |", rate.description, number(rate.count)),
+            1.0 => writeln!(text, "| {} | {} a second |", rate.description, format_number(rate.count)),
             period_s => {
-                writeln!(text, "| {} | {} in {} s |", rate.description, number(rate.count), number(period_s))
+                writeln!(
+                    text,
+                    "| {} | {} in {} s |",
+                    rate.description,
+                    format_number(rate.count),
+                    format_number(period_s)
+                )
             }
         };
     }
@@ -111,7 +120,7 @@
             text,
             "| {} | {} {} | {} |",
             budget.description,
-            number(budget.limit),
+            format_number(budget.limit),
             budget.unit,
             budget.source
         );
@@ -141,10 +150,12 @@
         };
         let (limit, of_budget) = match (budget, &figure) {
             (Some(budget), Some(figure)) if figure.value > budget.limit => {
-                (number(budget.limit), format!("**{}**", times(figure.value, budget.limit)))
+                (format_number(budget.limit), format!("**{}**", format_multiple(figure.value, budget.limit)))
             }
-            (Some(budget), Some(figure)) => (number(budget.limit), times(figure.value, budget.limit)),
-            (Some(budget), None) => (number(budget.limit), String::new()),
+            (Some(budget), Some(figure)) => {
+                (format_number(budget.limit), format_multiple(figure.value, budget.limit))
+            }
+            (Some(budget), None) => (format_number(budget.limit), String::new()),
             (None, _) => ("none stated".into(), String::new()),
         };
         let cell = figure_cell(figure.as_ref(), unit);
@@ -171,7 +182,7 @@
 /// Writes the rows of a slope for the current build and, if it was measured, for the previous build.
 fn write_slope(text: &mut String, slope: &Slope, budgets: &Budgets) {
     let at_fleet_size = |build| match budgets.value_at_fleet_size(slope, build) {
-        Some((value, how)) => format!("{}, {}", number(value), describe_extrapolation(how)),
+        Some((value, how)) => format!("{}, {}", format_number(value), describe_extrapolation(how)),
         None => String::new(),
     };
     let taken = |provenance: &Option<Provenance>| match provenance {
@@ -188,7 +199,7 @@
     let _ = writeln!(
         text,
         "| `{id}` | {description}, {unit}{axis} | {} | {} | {}{} | {} |",
-        points(&slope.points),
+        format_points(&slope.points),
         at_fleet_size(Build::Current),
         source.join("; "),
         taken(&slope.provenance),
@@ -198,7 +209,7 @@
         let _ = writeln!(
             text,
             "| the same, build before | | {} | {} | {}{} | |",
-            points(&previous.points),
+            format_points(&previous.points),
             at_fleet_size(Build::Previous),
             previous.spread,
             taken(&previous.provenance)
--- a/lab/src/scale/capacity/tests/format.rs
+++ b/lab/src/scale/capacity/tests/format.rs
@@ -13,6 +13,6 @@
         (0.0256, "0.026"),
         (-1_234.0, "-1,234"),
     ] {
-        assert_eq!(number(value), text);
+        assert_eq!(format_number(value), text);
     }
 }
--- a/lab/src/scale/members/crashes.rs
+++ b/lab/src/scale/members/crashes.rs
@@ -46,7 +46,8 @@
         };
         let first_reassigned = self.simulation.run_until(self.transition_timeout(), any_increased);
         let first_reassigned = first_reassigned.map(|_| self.simulation.now - first_crash);
-        let fully_shared = self.simulation.run_until(self.detection_bound(), Simulation::all_shares_taken);
+        let fully_shared =
+            self.simulation.run_until(self.detection_bound(), Simulation::quota_fully_assigned);
         let fully_shared: Value = to_ms(fully_shared.map(|_| self.simulation.now - first_crash));
         self.set("transition_first_ms", to_ms(first_reassigned));
         self.set("transition_all_ms", fully_shared);
--- a/lab/src/scale/members/run.rs
+++ b/lab/src/scale/members/run.rs
@@ -146,7 +146,7 @@
 
     /// Runs until the whole quota is assigned. Returns the time it took, or `None` after a timeout.
     pub(super) fn wait_until_fully_shared(&mut self) -> Option<Us> {
-        self.simulation.run_until(self.transition_timeout(), Simulation::all_shares_taken)
+        self.simulation.run_until(self.transition_timeout(), Simulation::quota_fully_assigned)
     }
 
     /// Reports whether a run of this size waits for quota transitions.
--- a/lab/src/scale/members/simulation.rs
+++ b/lab/src/scale/members/simulation.rs
@@ -213,7 +213,7 @@
         self.slots.iter().all(|slot| slot.member.is_none() || slot.view == View::Complete)
     }
     /// Reports whether the whole quota is in use.
-    pub fn all_shares_taken(&self) -> bool {
+    pub fn quota_fully_assigned(&self) -> bool {
         self.total_share >= 1.0 - SHARE_SUM_TOLERANCE
     }
     /// Returns the sum of the quota shares of all members; 1 is the whole quota.
--- a/lab/src/scale/members/tests/simulation.rs
+++ b/lab/src/scale/members/tests/simulation.rs
@@ -38,14 +38,14 @@
 }
 
 #[test]
-fn incremental_counts_match_what_members_say() {
+fn incremental_counts_match_the_state_of_the_members() {
     let mut simulation = Simulation::new(12, 5, config(12), 0.0);
     assert!(!simulation.all_discovered() && !simulation.all_known());
     simulation.run(1_500 * MILLISECOND);
     check_counts(&mut simulation);
     simulation
         .run_until(60 * SECOND, |simulation| {
-            simulation.all_discovered() && simulation.all_complete() && simulation.all_shares_taken()
+            simulation.all_discovered() && simulation.all_complete() && simulation.quota_fully_assigned()
         })
         .expect("the whole quota is in use");
     check_counts(&mut simulation);
--- a/lab/src/scale/test_bed/tests/version_order.rs
+++ b/lab/src/scale/test_bed/tests/version_order.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn two_answers_reveal_version_order() {
+fn detects_a_newer_version_before_an_older_one() {
     // A change that adds both tenants: a violation if only the first one is recognised.
     assert!(out_of_order(true, false, false));
     assert!(![(true, true), (false, false), (false, true)]
