--- a/lab/src/broker/delivery.rs
+++ b/lab/src/broker/delivery.rs
@@ -15,7 +15,7 @@
 
 /// Maximum bytes of a message body in one frame.
 pub(super) const MAX_CONTENT_FRAME_BYTES: usize = 4096;
-/// Bytes that wait to be written, beyond which nothing more is delivered.
+/// Number of bytes waiting to be written above which no further message is delivered.
 const MAX_OUT_BYTES: usize = 1 << 18;
 const UNREAD_BEFORE_CUT: Duration = Duration::from_millis(20);
 const BLOCKED_TIME: Duration = Duration::from_millis(300);
--- a/lab/src/broker/ledger.rs
+++ b/lab/src/broker/ledger.rs
@@ -17,7 +17,7 @@
 /// A reply that the client published.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// `correlation-id` of the reply.
+    /// `correlation-id` property of the reply.
     pub correlation_id: Option<String>,
     /// Body of the reply.
     pub body: Vec<u8>,
--- a/lab/src/broker/message.rs
+++ b/lab/src/broker/message.rs
@@ -13,7 +13,7 @@
     pub expiration: Option<String>,
     /// Message body.
     pub body: Vec<u8>,
-    /// Number of deliveries after which the message was requeued.
+    /// Number of earlier deliveries, after each of which the message was requeued.
     pub delivery_count: u64,
 }
 
@@ -22,6 +22,6 @@
 pub struct EndlessQueue {
     /// Name of the queue.
     pub queue: String,
-    /// Returns the message of a number.
+    /// Function that returns the message with a given number.
     pub make_message: fn(u64) -> Message,
 }
--- a/lab/src/broker/server.rs
+++ b/lab/src/broker/server.rs
@@ -50,7 +50,7 @@
         self.state().ledger.clone()
     }
 
-    /// Returns the password of each user.
+    /// Returns the password that all users share.
     pub fn password(&self) -> String {
         self.state().password.clone()
     }
--- a/lab/src/broker/state.rs
+++ b/lab/src/broker/state.rs
@@ -18,7 +18,7 @@
     pub script: FaultScript,
     /// Ledger of deliveries and settlements.
     pub ledger: BrokerLedger,
-    /// Password of each user.
+    /// Password that all users share.
     pub password: String,
     pub(super) last_number: u64,
 }
--- a/lab/src/control.rs
+++ b/lab/src/control.rs
@@ -38,7 +38,7 @@
     last_used: Instant,
 }
 
-/// A client of the control socket that reuses its connection while it has been idle for a short time only.
+/// A client of the control socket that reuses its connection unless it has been idle for too long.
 pub struct ControlClient {
     path: PathBuf,
     connection: Option<Connection>,
@@ -79,7 +79,7 @@
         read?;
         Ok(parsed.map_err(|e| {
             format!(
-                "control socket: invalid answer: {e} ({})",
+                "control socket: expected one line of JSON as the answer: {e} ({})",
                 sent.map_or_else(|e| e.to_string(), |()| answer)
             )
         })?)
--- a/lab/src/fleet/agree/evaluation.rs
+++ b/lab/src/fleet/agree/evaluation.rs
@@ -7,7 +7,7 @@
 use crate::report::Report;
 use serde_json::{json, Value};
 
-/// A node counts as enforcing versions under a lease at a change if it served a call within this time before the change.
+/// Time before a change within which a served call shows that the node enforced versions under a lease.
 const RECENTLY_SERVED_MS: u64 = 500;
 
 /// Number and content hash of a version.
@@ -122,7 +122,7 @@
     }
 }
 
-/// Numbers of committed versions that nodes do not have, or have with different content.
+/// Counts of committed versions that nodes lack, and of those that nodes have with different content.
 struct VersionFaults {
     lost: usize,
     conflicting: usize,
--- a/lab/src/fleet/agree/probe_caller.rs
+++ b/lab/src/fleet/agree/probe_caller.rs
@@ -30,7 +30,7 @@
     pub(super) served: bool,
 }
 
-/// Statistics of the caller.
+/// Calls of the caller, and the attempts without an answer.
 #[derive(Default)]
 pub(super) struct CallLedger {
     pub(super) calls: Vec<Call>,
--- a/lab/src/fleet/agree/run.rs
+++ b/lab/src/fleet/agree/run.rs
@@ -121,7 +121,7 @@
     }
 }
 
-/// Proposes at a random node to allow or deny the caller; returns none if the change was not committed.
+/// Proposes at a random node to allow or deny the caller; returns `None` if the change was not committed.
 fn propose_change(fleet: &Fleet, allowed: bool, rng: &mut StdRng) -> Option<Change> {
     let standing = if allowed { "in" } else { "out" };
     let entries = json!([{"key": PROBE_CALLER_ID.to_string(), "standing": standing}]);
--- a/lab/src/fleet/callers/attempts.rs
+++ b/lab/src/fleet/callers/attempts.rs
@@ -9,7 +9,7 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// Attempts of an RPC that may be retried.
+/// Maximum number of attempts of one RPC.
 const MAX_ATTEMPTS_PER_RPC: u32 = 3;
 /// Time after the timeout of an attempt at which its answer counts as missing.
 const ANSWER_SLACK: Duration = Duration::from_millis(250);
@@ -93,8 +93,8 @@
         connection.credit = credit.or(connection.credit);
         connection.answered += 1;
         let Some(attempt) = connection.in_flight.remove(&stream) else {
-            // An answer to an attempt that has passed its deadline is late, not a duplicate, unless the attempt was
-            // answered before.
+            // An answer after the deadline of its attempt counts as late. It counts as a duplicate only if the attempt
+            // was answered before.
             let late = stream <= connection.last_stream && connection.answered <= connection.last_stream;
             return self.record(|ledger| ledger.answered_twice += u64::from(!late));
         };
--- a/lab/src/fleet/callers/connection.rs
+++ b/lab/src/fleet/callers/connection.rs
@@ -9,7 +9,7 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Identifies a connection among those of one caller, also among those to the same backend.
+/// Identifier of a connection, unique among all connections of one caller.
 pub(super) type ConnectionId = u64;
 
 /// An attempt that awaits its answer.
--- a/lab/src/fleet/callers/profile.rs
+++ b/lab/src/fleet/callers/profile.rs
@@ -14,7 +14,7 @@
     pub unsafe_to_retry: Vec<&'static str>,
     /// Number of callers.
     pub callers: usize,
-    /// RPCs a second of all callers together.
+    /// RPCs per second of all callers together.
     pub rate: f64,
     /// Share (0 to 1) of the callers that ignore the credit and the pauses that backends advertise.
     pub ignoring_share: f64,
--- a/lab/src/fleet/cluster.rs
+++ b/lab/src/fleet/cluster.rs
@@ -35,7 +35,7 @@
     pub upstream_proxy: TcpProxy,
     /// Proxy between the process and the name service.
     pub name_service_proxy: TcpProxy,
-    /// Time of the last start, or of the last return from a fault that kept it from answering.
+    /// Time of the last start, or of the end of the last fault that kept the process from answering.
     pub available_since: Instant,
     /// Whether the process was started and not stopped since.
     pub up: bool,
@@ -70,12 +70,12 @@
     pub upstream_slots: usize,
     /// Time that the upstream takes for a call.
     pub upstream_call_time: Duration,
-    /// Seed of the network between processes that gossip; none for a fleet without gossip.
+    /// Seed of the network between processes that gossip; `None` for a fleet without gossip.
     pub network_seed: Option<u64>,
 }
 
-/// Returns the name and address of a member. The system never assigns such an address to a connection of its own
-/// choice.
+/// Returns the name and address of a member. The operating system never assigns such an address to an outgoing
+/// connection.
 fn placement(n: usize) -> Placement {
     let process = std::process::id();
     let (a, b) = (20 + (process / 250 % 200) as u8, (process % 250) as u8 + 1);
--- a/lab/src/fleet/cold_start.rs
+++ b/lab/src/fleet/cold_start.rs
@@ -25,7 +25,7 @@
 const AGENT_CONNECT_WAIT: Duration = ms(300);
 /// Time after which a caller ignores an advertised credit.
 const CREDIT_TTL: Duration = Duration::from_secs(1);
-/// A caller without credit sends an RPC in one of this many turns, on average.
+/// Mean number of turns for each RPC that a caller without credit sends.
 const TURNS_PER_CALL_WITHOUT_CREDIT: u32 = 60;
 const TURN_INTERVAL: Duration = ms(4);
 const SAMPLE_INTERVAL: Duration = ms(5);
@@ -181,7 +181,7 @@
     let mut peaks = Peaks { excess_in_flight: f64::MIN, credit_sum: f64::MIN, samples: 0 };
     while start.elapsed() < WARM_UP {
         let warm_up_progress = (start.elapsed().as_secs_f64() / WARM_UP.as_secs_f64()).min(1.0);
-        // The settings state half the speed at the start.
+        // According to the settings, the cores start at half of their speed.
         let speed = 0.5 + 0.5 * warm_up_progress;
         let budget = (1.0 + 7.0 * speed) * 2.0;
         for server in usage {
--- a/lab/src/fleet/datagram_network.rs
+++ b/lab/src/fleet/datagram_network.rs
@@ -116,7 +116,7 @@
     let mut bytes = [0; MAX_DATAGRAM_BYTES];
     while !stopped.load(Ordering::Acquire) {
         let Ok((n, from)) = socket.recv_from(&mut bytes) else { continue };
-        // The sender is none if it is no member; its datagrams are never blocked.
+        // `None` stands for a sender that is not a member; its datagrams are never blocked.
         let from = member_addresses.iter().position(|address| *address == from);
         lock(state).accept(from, to, &bytes[..n]);
     }
--- a/lab/src/fleet/fault_injection.rs
+++ b/lab/src/fleet/fault_injection.rs
@@ -240,7 +240,7 @@
         if Instant::now() > deadline {
             return;
         }
-        // In turn: one that is too short, one of another version, and one with a plausible length and version.
+        // The datagrams are in turn too short, of another version, and of a plausible length and version.
         let datagrams = [vec![1; 8], vec![9; 80], [vec![1], vec![(n % 251) as u8; 200]].concat()];
         for target in targets {
             socket.send_to(&datagrams[n as usize % 3], target).map(drop).unwrap_or_default();
--- a/lab/src/fleet/fault_script.rs
+++ b/lab/src/fleet/fault_script.rs
@@ -1,4 +1,4 @@
-//! Fault scripts: one fault a line, with the time in milliseconds since the load began, the fault, the members and
+//! Fault scripts: one fault per line, with the time in milliseconds since the load began, the fault, the members and
 //! further arguments. Scripts are written by hand or generated from a seed; a scenario that fails prints its script,
 //! and `--script` runs it again.
 //!
@@ -69,11 +69,11 @@
     GossipInboundBlocked,
     /// Members send no datagrams.
     GossipOutboundBlocked,
-    /// Percentage of the datagrams that are lost.
+    /// This percentage of the datagrams is lost.
     GossipLoss(u64),
     /// Datagrams are delayed by at most this many milliseconds.
     GossipDelay(u64),
-    /// Percentage of the datagrams that are delivered twice.
+    /// This percentage of the datagrams is delivered twice.
     GossipDuplication(u64),
     /// All faults of the network between members end.
     GossipHeal,
@@ -107,7 +107,7 @@
     pub at_ms: u64,
     /// The fault.
     pub kind: FaultKind,
-    /// Indices of the members; empty for faults that concern no single member.
+    /// Indices of the members; empty for faults that are not limited to certain members.
     pub nodes: Vec<usize>,
 }
 
--- a/lab/src/fleet/members/cpu.rs
+++ b/lab/src/fleet/members/cpu.rs
@@ -38,7 +38,7 @@
 /// Figures of one round.
 struct Round {
     cpu_us_per_rpc: f64,
-    /// CPU time of a process without RPCs, in microseconds a second.
+    /// CPU time of a process without RPCs, in microseconds per second.
     idle_cpu_us_per_s: f64,
 }
 
--- a/lab/src/fleet/members/faults.rs
+++ b/lab/src/fleet/members/faults.rs
@@ -23,7 +23,7 @@
     FaultKind::GossipPartition(groups.iter().map(|group| group.to_vec()).collect())
 }
 
-/// Begin and end of faults, in milliseconds since the start of the load.
+/// Start and end of faults, in milliseconds since the start of the load.
 struct Span {
     from: u64,
     to: u64,
--- a/lab/src/fleet/members/observation.rs
+++ b/lab/src/fleet/members/observation.rs
@@ -47,7 +47,7 @@
 }
 
 impl Observation {
-    /// Asks a member for its state; returns none without an answer in time.
+    /// Asks a member for its state; returns `None` without an answer in time.
     pub(super) fn read(fleet: &Fleet, node: usize) -> Option<Observation> {
         let request = json!({"do": "members"});
         let answer = request_within(&fleet.members[node].node.dir, request, ANSWER_TIMEOUT)?;
--- a/lab/src/fleet/members/setup.rs
+++ b/lab/src/fleet/members/setup.rs
@@ -15,7 +15,7 @@
 pub const SUSPICION_MS: u64 = 900;
 /// Interval between announcements to a contact.
 pub const ANNOUNCE_MS: u64 = 500;
-/// Time until a member that has joined counts.
+/// Time from the join of a member until it counts as a member.
 pub const JOIN_DELAY_MS: u64 = 1_000;
 /// Operator's file of a process without membership.
 pub const FILE_WITHOUT_MEMBERS: &str = "[changes]\ncontrol {dir}/control\nstate {dir}/state\n";
--- a/lab/src/fleet/plot.rs
+++ b/lab/src/fleet/plot.rs
@@ -14,7 +14,8 @@
 
 /// Draws curves over time in seconds, and a vertical line at each fault.
 pub fn draw_curves(path: &Path, title: &str, curves: &[Curve], faults: &[f64]) -> Result<(), ScenarioError> {
-    draw(path, title, curves, faults).map_err(|error| format!("{}: {error}", path.display()).into())
+    draw(path, title, curves, faults)
+        .map_err(|error| format!("cannot draw the plot {}: {error}", path.display()).into())
 }
 
 fn draw(
--- a/lab/src/fleet/ready.rs
+++ b/lab/src/fleet/ready.rs
@@ -67,7 +67,7 @@
 }
 
 /// Starts all processes, and the late agents after [`AGENT_DELAY`]. Returns the time until each process was ready;
-/// none for one that never was.
+/// `None` for one that was not ready in time.
 fn restart_all(fleet: &mut Fleet) -> Result<Vec<Option<Duration>>, ScenarioError> {
     let start = Instant::now();
     for member in &mut fleet.members {
--- a/lab/src/fleet/restart_recovery/run.rs
+++ b/lab/src/fleet/restart_recovery/run.rs
@@ -26,7 +26,7 @@
 const BASELINE_END_BEFORE_FAULT_MS: u64 = 500;
 /// Longest duration of the load, unless [`MIN_RUN_AFTER_FAULTS_MS`] needs more.
 const MAX_RUN_MS: u64 = 40_000;
-/// Time after the last fault for which the load lasts at least, without a recovery.
+/// Minimum duration of the load after the last fault, unless service recovers earlier.
 const MIN_RUN_AFTER_FAULTS_MS: u64 = 16_000;
 /// Time after which the RPCs of a bucket count as answered.
 const ANSWER_DELAY_MS: u64 = 2_000;
@@ -47,7 +47,7 @@
     callers: Callers,
     injected: InjectedFaults,
     next_fault: usize,
-    /// RPCs a second.
+    /// RPCs per second.
     rate: f64,
     /// Start of the load, in milliseconds since the start of the fleet.
     load_start_ms: u64,
--- a/lab/src/fleet/restart_recovery/service.rs
+++ b/lab/src/fleet/restart_recovery/service.rs
@@ -10,9 +10,9 @@
 const FULL_SERVICE_SHARE: f64 = 0.95;
 /// Consecutive seconds for which service has to be full.
 const MIN_FULL_SECONDS: usize = 10;
-/// The cores have to bear the load with 5% headroom for its variation.
+/// Factor by which the capacity of the cores has to exceed the load: 5% headroom for its variation.
 const LOAD_HEADROOM_FACTOR: f64 = 1.05;
-/// Lower bound of the recovery time if cold cores do not bear the load earlier.
+/// Lower bound that is used if cold cores do not bear the load within this time.
 const RECOVERY_SEARCH_LIMIT_MS: u64 = 20_000;
 
 /// Returns the start of the first [`MIN_FULL_SECONDS`] consecutive seconds of full service, in milliseconds since the
--- a/lab/src/fleet/upstream.rs
+++ b/lab/src/fleet/upstream.rs
@@ -56,7 +56,7 @@
 }
 
 impl UpstreamState {
-    /// Returns the calls a second that the upstream can process at full speed.
+    /// Returns the number of calls per second that the upstream can process at full speed.
     pub fn capacity(&self) -> f64 {
         self.slots as f64 / self.call_time.as_secs_f64()
     }
--- a/lab/src/fleet/workload.rs
+++ b/lab/src/fleet/workload.rs
@@ -24,7 +24,7 @@
     ]
 }
 
-/// Returns the profile of six callers that together send `rate` RPCs a second to three methods; one of the callers
+/// Returns the profile of six callers that together send `rate` RPCs per second to three methods; one of the callers
 /// ignores what backends advertise.
 pub fn caller_profile(rate: f64, seed: u64) -> CallerProfile {
     let methods: Vec<MethodLoad> =
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 const CONNECTIONS: usize = 8;
-/// Number of callers, which the connections are assigned to in turn.
+/// Number of callers, to which the connections are assigned in turn.
 const CALLERS: usize = 4;
 /// Time beyond the longest timeout in which answers are still accepted.
 const LATE_ANSWER_GRACE: Duration = Duration::from_millis(200);
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the laboratory: `asterrill-lab SCENARIO --seed N [--json]`.
+//! Command line of the lab: `asterrill-lab SCENARIO --seed N [--json]`.
 //!
 //! Runs a scenario with `asterrilld` and stubs of its dependencies on loopback, and prints the report; with `--json`,
 //! as one JSON object on the last line. The exit code is 1 if a rule was broken, and 2 if the scenario could not be
--- a/lab/src/node.rs
+++ b/lab/src/node.rs
@@ -25,7 +25,7 @@
     program: PathBuf,
 }
 
-/// Finds the daemon in the directory of this program or, as for tests, in its parent directory.
+/// Finds the daemon in the directory of this program, or in the parent directory, as tests need it.
 pub fn daemon_program() -> Option<PathBuf> {
     let own = std::env::current_exe().ok()?;
     let dirs = [own.parent()?.to_path_buf(), own.parent()?.parent()?.to_path_buf()];
@@ -65,8 +65,11 @@
         std::fs::write(&secret, password)?;
         std::fs::set_permissions(&secret, PermissionsExt::from_mode(0o600))?;
         let log = dir.join("log");
-        let not_built =
-            || Error::other("asterrilld is missing in the directory of asterrill-lab: build it first");
+        let not_built = || {
+            Error::other(
+                "asterrilld not found in the directory of asterrill-lab or its parent; build it first",
+            )
+        };
         let program = program.or_else(daemon_program).ok_or_else(not_built)?;
         if let Some(file) = file {
             let text = file.replace("{password}", &secret.display().to_string());
@@ -105,7 +108,8 @@
         while TcpStream::connect(self.address).is_err() {
             if Instant::now() > deadline {
                 return Err(Error::other(format!(
-                    "asterrilld does not listen within 5 s; its log: {}",
+                    "asterrilld did not listen on {} within 5 s; its log: {}",
+                    self.address,
                     self.read_log()
                 )));
             }
@@ -129,7 +133,7 @@
         status_kb_or_zero(&self.process(), "VmHWM") / 1024.0
     }
 
-    /// Returns the name of its directory in `/proc`: the process id.
+    /// Returns the process id, which is the name of its directory in `/proc`.
     pub fn process(&self) -> String {
         self.child.id().to_string()
     }
--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -32,7 +32,7 @@
 
 /// Index of `utime` in proc(5), counted from the field after the command name.
 const USER_TICKS_FIELD: usize = 11;
-/// Index of `stime`.
+/// Index of `stime`, counted in the same way.
 const SYSTEM_TICKS_FIELD: usize = 12;
 
 /// Returns the thread id and the CPU time in nanoseconds of each live thread of a process.
--- a/lab/src/queue/redelivery.rs
+++ b/lab/src/queue/redelivery.rs
@@ -29,9 +29,9 @@
     };
     let broker = Broker::start(script)?;
     (0..messages).for_each(|n| broker.publish(QUEUE, message(n)));
-    let more = "prefetch 256\nbound 60s\nremember 10m 20000\n";
+    let extra_lines = "prefetch 256\nbound 60s\nremember 10m 20000\n";
     let methods = [TILL_PRICE, LOOK_UP, STOCK_UPDATE.without_work()];
-    let setup = backend_setup(&methods, Some(operator_file(&[&broker], STOCK_UPDATE.name, more)));
+    let setup = backend_setup(&methods, Some(operator_file(&[&broker], STOCK_UPDATE.name, extra_lines)));
     let setup = Setup { advertise: "off", cores: CORES, ..setup };
     let mut backend = Backend::start(&setup, &broker.password())?;
     let complete = wait_until(SETTLEMENT_TIMEOUT, || {
--- a/lab/src/queue/throughput.rs
+++ b/lab/src/queue/throughput.rs
@@ -14,7 +14,7 @@
 
 const CORES: usize = 32;
 const PREFETCH: usize = 128;
-/// Interval of the messages that always fail.
+/// Interval of the messages that always fail: one in this many.
 const MESSAGES_PER_FAILURE: u64 = 1_000;
 const MAX_MEMORY_MB: f64 = 32.0;
 const WINDOW_TIMEOUT: Duration = Duration::from_secs(10);
@@ -40,8 +40,8 @@
     let all = (0..messages).map(|n| Message { number: n + 1, ..message(n) });
     broker.state().queues.entry(QUEUE.into()).or_default().extend(all);
     let update = Method { effect: "free", fails_every: MESSAGES_PER_FAILURE, ..STOCK_UPDATE.without_work() };
-    let more = format!("prefetch {PREFETCH}\nbound 10m\nattempts 2\npause 1ms 5ms\n");
-    let file = operator_file(&[&broker], STOCK_UPDATE.name, &more);
+    let extra_lines = format!("prefetch {PREFETCH}\nbound 10m\nattempts 2\npause 1ms 5ms\n");
+    let file = operator_file(&[&broker], STOCK_UPDATE.name, &extra_lines);
     let setup = Setup {
         advertise: "off",
         cores: CORES,
--- a/lab/src/scale/agree/audit.rs
+++ b/lab/src/scale/agree/audit.rs
@@ -33,7 +33,7 @@
     /// Number of times that a node reverted to an older version.
     pub(super) reverted: u64,
     hashes: BTreeMap<u64, u64>,
-    /// Number of times that a version had another content than before.
+    /// Number of times that a version was observed with other content than before.
     pub(super) content_conflicts: u64,
 }
 
--- a/lab/src/scale/agree/cluster.rs
+++ b/lab/src/scale/agree/cluster.rs
@@ -167,7 +167,7 @@
         let (at, name, config) = (self.local_time(n), self.names[n].clone(), self.config.clone());
         let node = &mut self.nodes[n];
         let started = ConsensusNode::new(at, &name, self.start_count, config, &node.disk, snapshot);
-        // Cannot fail: the disk holds only what the voter itself wrote.
+        // This cannot fail, because the disk holds only what the voter itself wrote.
         let Ok(consensus) = started else { return };
         node.disk.truncate(consensus.valid_log_len());
         node.consensus = Some(consensus);
--- a/lab/src/scale/agree/node.rs
+++ b/lab/src/scale/agree/node.rs
@@ -70,7 +70,7 @@
 
 /// One simulated node.
 pub(super) struct Node {
-    /// `None` while the node is down.
+    /// State machine of the node; `None` while the node is down.
     pub(super) consensus: Option<ConsensusNode>,
     /// The rate of the node's clock, in thousandths of virtual time.
     pub(super) clock_rate_permille: u64,
--- a/lab/src/scale/agree/scenario.rs
+++ b/lab/src/scale/agree/scenario.rs
@@ -20,7 +20,7 @@
 const RECOVERY_PHASE: Us = 10 * SECOND;
 /// Time after the recovery phase within which all nodes have to enforce the newest version.
 const CONVERGENCE_TIMEOUT: Us = 30 * SECOND;
-/// Number of versions below which the audit proves nothing.
+/// Minimum number of versions that have to be committed for a meaningful result.
 const MIN_COMMITTED_VERSIONS: usize = 4;
 
 // Budgets of one backend, and of the time until a change is in force in the whole fleet.
--- a/lab/src/scale/capacity/budgets.rs
+++ b/lab/src/scale/capacity/budgets.rs
@@ -143,10 +143,10 @@
     pub bound: f64,
     /// Unit of the bound.
     pub unit: String,
-    /// Value that is needed at the size of the fleet. Excludes `slope`.
+    /// Value that is needed at the size of the fleet. Must not be set together with `slope`.
     #[serde(default)]
     pub needed: Option<f64>,
-    /// Id of the slope that gives the needed value. Excludes `needed`.
+    /// Id of the slope that gives the needed value. Must not be set together with `needed`.
     #[serde(default)]
     pub slope: Option<String>,
     /// Mechanism that handles the needed value, or a statement that there is none yet.
@@ -224,7 +224,7 @@
                 return Err(row_error(format!("unknown budget {budget:?}")));
             }
             if line.value.is_some() && (line.assumption.is_none() || !line.terms.is_empty()) {
-                return Err(row_error("a value requires assumed, and excludes terms".into()));
+                return Err(row_error("found value without assumed, or together with terms".into()));
             }
             if line.carried_by.is_empty() {
                 return Err(row_error("empty carried, expected the mechanism or \"none: missing\"".into()));
--- a/lab/src/scale/capacity/error.rs
+++ b/lab/src/scale/capacity/error.rs
@@ -6,25 +6,25 @@
 /// Error that prevents the generation of the page.
 #[derive(thiserror::Error, Debug)]
 pub enum CapacityError {
-    /// A file could not be read or written.
+    /// File that could not be read or written.
     #[error("{path}: {error}")]
     File { path: PathBuf, error: std::io::Error },
-    /// A file is not valid JSON, or has unexpected contents.
+    /// File that is not valid JSON, or has unexpected contents.
     #[error("{path}: {error}")]
     Json { path: PathBuf, error: serde_json::Error },
-    /// A file has an unsupported format version.
+    /// File with an unsupported format version.
     #[error("{path}: format {found}, expected {expected}")]
     Format { path: PathBuf, found: u64, expected: u64 },
-    /// A row of a file is invalid.
+    /// Invalid row of a file.
     #[error("{path}: row {row}: {reason}")]
     Row { path: PathBuf, row: String, reason: String },
-    /// The markers of the tables on the page are invalid.
+    /// Page whose table markers are invalid.
     #[error("{path}: {reason}")]
     Page { path: PathBuf, reason: String },
-    /// The output of a scenario could not be imported.
+    /// Output of a scenario that could not be imported.
     #[error("{path}: {reason}")]
     Output { path: PathBuf, reason: String },
-    /// A plot could not be drawn.
+    /// Plot that could not be drawn.
     #[error("{path}: {reason}")]
     Plot { path: PathBuf, reason: String },
 }
--- a/lab/src/scale/capacity/files.rs
+++ b/lab/src/scale/capacity/files.rs
@@ -1,4 +1,4 @@
-//! Input of the files of the capacity page.
+//! Reading and parsing of the input files of the capacity page.
 
 use super::error::CapacityError;
 use serde::de::DeserializeOwned;
--- a/lab/src/scale/capacity/import.rs
+++ b/lab/src/scale/capacity/import.rs
@@ -20,7 +20,7 @@
     value: f64,
     min: f64,
     max: f64,
-    /// Whether the value is of the fallback field.
+    /// Whether the value was read from the fallback field.
     is_fallback: bool,
     /// First rule that the run broke.
     broken_rule: Option<String>,
@@ -137,7 +137,7 @@
     }
     let output_error = |reason: String| CapacityError::Output { path: path.into(), reason };
     if rows.is_empty() {
-        return Err(output_error("the outputs contain no field that a row is made of".into()));
+        return Err(output_error("found no field in the outputs from which a row is computed".into()));
     }
     if let Some(commit) = commit {
         let provenance = if build == MeasuredBuild::After {
--- a/lab/src/scale/capacity/slopes.rs
+++ b/lab/src/scale/capacity/slopes.rs
@@ -33,13 +33,13 @@
 /// Origin of a figure, the most reliable first.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Basis {
-    /// The figure was measured.
+    /// Figure that was measured.
     #[serde(rename = "measured")]
     Measured,
-    /// The figure was derived from measured figures.
+    /// Figure that was derived from measured figures.
     #[serde(rename = "worked out")]
     Derived,
-    /// The figure is an assumption.
+    /// Figure that is an assumption.
     #[serde(rename = "assumed")]
     Assumed,
 }
@@ -204,7 +204,7 @@
             }
         }
         if self.basis == Basis::Measured && !self.points.is_empty() && self.command.is_empty() {
-            return Err("measured points without the command that measures them".into());
+            return Err("empty command, expected the one that measures the points".into());
         }
         if (self.basis == Basis::Assumed || self.points.is_empty()) && self.note.is_empty() {
             return Err("empty note, expected the reason why the figure is not measured".into());
--- a/lab/src/scale/capacity/sources.rs
+++ b/lab/src/scale/capacity/sources.rs
@@ -11,7 +11,7 @@
     pub(super) relative_to_other: bool,
     /// Field that is used if the first is missing. The spread of the row says so.
     pub(super) fallback: Option<&'static str>,
-    /// Size of the unit of the row in the unit of the field.
+    /// Divisor that converts the unit of the field to the unit of the row.
     pub(super) unit: f64,
 }
 
--- a/lab/src/scale/members/action_queue.rs
+++ b/lab/src/scale/members/action_queue.rs
@@ -32,7 +32,7 @@
 }
 impl Ord for TimedAction {
     fn cmp(&self, other: &TimedAction) -> Ordering {
-        // Reversed, because the heap returns the greatest element first.
+        // The order is reversed, because the heap returns the greatest element first.
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
--- a/lab/src/scale/members/options.rs
+++ b/lab/src/scale/members/options.rs
@@ -5,7 +5,7 @@
 use clap::ValueEnum;
 use std::ops::RangeInclusive;
 
-/// What happens once all members know each other.
+/// Events of a run after all members know each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum ScenarioKind {
     /// Nothing; only the figures of an idle fleet
@@ -31,7 +31,7 @@
     pub nodes: usize,
     /// Seed of the random number generators.
     pub seed: u64,
-    /// What happens once all members know each other.
+    /// Events of a run after all members know each other.
     pub kind: ScenarioKind,
     /// Fraction of datagrams that are lost.
     pub loss: f64,
--- a/lab/src/scale/members/simulation.rs
+++ b/lab/src/scale/members/simulation.rs
@@ -47,9 +47,9 @@
     starts_at: Us,
     /// The virtual time of the next scheduled tick.
     next_tick: Us,
-    /// The start number of each other member that it considers up; zero for none.
+    /// The start number of each other member that the member considers up; zero for a member that it does not.
     known_starts: Vec<u64>,
-    /// Whether it has ever considered each other member up.
+    /// Whether the member has ever considered each other member up.
     discovered: Vec<bool>,
     view: View,
     quota_share: f64,
@@ -313,7 +313,7 @@
             let arrival = self.now + self.rng.random_range(NETWORK_DELAY);
             self.queue.push(arrival, Action::Datagram { from: n, to, bytes });
         }
-        // Cannot loop: a member never asks for a second tick at the same time without need.
+        // This cannot loop, because a member never asks for an unneeded second tick at the same time.
         self.schedule_tick(n, next_tick.max(self.now));
     }
 
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -15,7 +15,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// High enough that the CPU time of RPCs dominates that of all other work.
+/// Rate of the load, high enough that the CPU time of RPCs dominates that of all other work.
 const RPCS_PER_S: f64 = 3_000.0;
 const QUICK_RPCS_PER_S: f64 = 500.0;
 const ROUNDS: usize = 5;
--- a/lab/src/scale/test_bed/bed.rs
+++ b/lab/src/scale/test_bed/bed.rs
@@ -72,7 +72,7 @@
         while TcpStream::connect(listen_addr).is_err() {
             if started_at.elapsed() > STARTUP_TIMEOUT {
                 return Err(format!(
-                    "asterrilld does not listen within {} s; its log: {}",
+                    "asterrilld did not listen on {listen_addr} within {} s; its log: {}",
                     STARTUP_TIMEOUT.as_secs(),
                     node.read_log()
                 )
--- a/lab/src/scale/test_bed/tests/load.rs
+++ b/lab/src/scale/test_bed/tests/load.rs
@@ -82,7 +82,7 @@
     load.check_health(at).unwrap();
     load.check_version_order(at, 1).unwrap();
     load.set_sentinel_pair(pair);
-    // Long enough for a busy machine.
+    // The timeout is long enough for a busy machine.
     let until = Instant::now() + Duration::from_secs(20);
     let sent = || lock(&load.ledger.phases[0]).sent >= 60;
     let checked_pairs =
--- a/lab/src/scale/test_bed/tests/meter.rs
+++ b/lab/src/scale/test_bed/tests/meter.rs
@@ -10,7 +10,7 @@
     let before = meter.read();
     let until = Instant::now() + Duration::from_secs(20);
     let mut used_cpu_ms = 0.0;
-    // Long enough for a busy machine.
+    // The timeout is long enough for a busy machine.
     while used_cpu_ms < 5.0 && Instant::now() < until {
         std::hint::black_box((0..1_000_000_u64).fold(0, |a, b| a ^ std::hint::black_box(b)));
         used_cpu_ms = meter.read().cpu_ms(&before);
--- a/lab/src/scale/test_bed/version_order.rs
+++ b/lab/src/scale/test_bed/version_order.rs
@@ -30,7 +30,7 @@
 pub(super) fn check_repeatedly(mut to: TcpStream, ledger: &Ledger, seed: u64) -> Option<()> {
     to.set_read_timeout(Some(RPC_TIMEOUT * 2)).ok()?;
     let mut rng = StdRng::seed_from_u64(seed);
-    // Starts with a valid RPC, because a connection that brings only unknown tenants is closed.
+    // The first RPC is valid, because a connection on which only unknown tenants call is closed.
     let (mut stream, mut last_pair, mut known_before) = (1_u32, 0, false);
     to.write_all(&encode_rpc(stream, &method_name(0), Some(&tenant_name(0)), 1, rng.random(), b"pair 0"))
         .ok()?;
--- a/lab/src/scale/tool.rs
+++ b/lab/src/scale/tool.rs
@@ -126,7 +126,7 @@
     let own = daemon_program().map(|daemon| daemon.with_file_name("asterrill"));
     let program = other
         .or(own.as_deref())
-        .ok_or("asterrill is missing in the directory of asterrill-lab: build it first")?;
+        .ok_or("asterrill is expected beside asterrilld, which was not found; build both first")?;
     let dir = TempDir(std::env::temp_dir().join(format!("asterrill-lab-tool-{}", std::process::id())));
     std::fs::create_dir_all(&dir.0)?;
     let [original, changed] = ["one.json", "two.json"].map(|name| dir.0.join(name));
--- a/lab/src/setup.rs
+++ b/lab/src/setup.rs
@@ -23,13 +23,13 @@
     pub operator_file: Option<String>,
     /// Value of the setting `Say`: `window` to advertise credit to callers, or `off`.
     pub advertise: &'static str,
-    /// Program to start in place of the daemon in the directory of the laboratory.
+    /// Program to start in place of the daemon in the directory of `asterrill-lab`.
     pub program: Option<PathBuf>,
     /// Number of the launch that the agent drops.
     pub lost_launch: Option<u64>,
     /// Duration of a cold start according to the settings.
     pub warm_up: Duration,
-    /// Fraction of a method's criticality that an answer without its call is worth.
+    /// Fraction of a method's criticality that an answer without the upstream call is worth.
     pub skip_value: f64,
     /// Share of the upstream, if several backends use it.
     pub shared_upstream: Option<UpstreamShare>,
--- a/lab/src/stubs.rs
+++ b/lab/src/stubs.rs
@@ -56,7 +56,7 @@
 /// HTTP response to a load report.
 pub const NO_CONTENT: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
 
-/// HTTP request to the name service, as far as load reports need it.
+/// HTTP request to the name service, with the parts that load reports use.
 #[derive(Clone, Debug)]
 pub struct HttpRequest {
     /// Request line with method and path.
