--- a/lab/src/fleet/fault_script.rs
+++ b/lab/src/fleet/fault_script.rs
@@ -69,11 +69,11 @@
     GossipInboundBlocked,
     /// Members send no datagrams.
     GossipOutboundBlocked,
-    /// This percentage of the datagrams is lost.
+    /// Loss of a percentage of the datagrams.
     GossipLoss(u64),
     /// Datagrams are delayed by at most this many milliseconds.
     GossipDelay(u64),
-    /// This percentage of the datagrams is delivered twice.
+    /// Duplication of a percentage of the datagrams.
     GossipDuplication(u64),
     /// All faults of the network between members end.
     GossipHeal,
@@ -172,7 +172,9 @@
         if words.is_empty() {
             continue;
         }
-        let invalid = || format!("line {} of the fault script is not a valid fault: {line:?}", i + 1);
+        let invalid = || {
+            format!("line {} of the fault script: expected a time in ms and a fault, found {line:?}", i + 1)
+        };
         faults.push(parse_line(&words, nodes).ok_or_else(invalid)?);
     }
     faults.sort_by_key(|fault: &ScheduledFault| fault.at_ms);
--- a/lab/src/fleet/name_service.rs
+++ b/lab/src/fleet/name_service.rs
@@ -108,7 +108,7 @@
         snapshot.map(|snapshot| snapshot.names.clone()).unwrap_or_default()
     }
 
-    /// Returns the time of the last report of a backend, if that report says that it accepts RPCs.
+    /// Returns the time of the last report of a backend, if that report states that the backend accepts RPCs.
     pub fn last_serving_report(&self, name: &str) -> Option<Instant> {
         let lists = lock(&self.shared);
         lists.last_reports.get(name).filter(|report| report.serving).map(|report| report.at)
--- a/lab/src/fleet/restart_recovery/scenario.rs
+++ b/lab/src/fleet/restart_recovery/scenario.rs
@@ -62,7 +62,8 @@
     report.rule("service before the fault was too low to compare with", measurements.in_time_before > 0.9);
     let load_as_expected = (0.8..1.15).contains(&(measurements.load / expected_load));
     report.rule("the measured load differs from the expected load", load_as_expected);
-    // The time that cold cores need anyway, plus 30% and a second. The rule allows another second for slow machines.
+    // The bound is the time that cold cores need in any case, plus 30% and a second. The rule allows another second
+    // for slow machines.
     let bound_ms = measurements.min_recovery_ms as f64 * 1.3 + 1_000.0;
     report.set("bound_ms", json!(bound_ms));
     report.rule("service did not recover", measurements.recovery_ms.is_some());
--- a/lab/src/fleet/restart_recovery/service.rs
+++ b/lab/src/fleet/restart_recovery/service.rs
@@ -12,7 +12,7 @@
 const MIN_FULL_SECONDS: usize = 10;
 /// Factor by which the capacity of the cores has to exceed the load: 5% headroom for its variation.
 const LOAD_HEADROOM_FACTOR: f64 = 1.05;
-/// Lower bound that is used if cold cores do not bear the load within this time.
+/// Lower bound that is used if cold cores do not sustain the load within this time.
 const RECOVERY_SEARCH_LIMIT_MS: u64 = 20_000;
 
 /// Returns the start of the first [`MIN_FULL_SECONDS`] consecutive seconds of full service, in milliseconds since the
@@ -28,13 +28,13 @@
     })
 }
 
-/// Returns the lower bound of the recovery time: the time after a restart until cold cores bear the load.
+/// Returns the lower bound of the recovery time: the time after a restart until cold cores sustain the load.
 pub(super) fn min_recovery_ms(kind: OutageKind, nodes: usize, restarted: usize, load: f64) -> u64 {
     let warm = (nodes - restarted) as f64 / nodes as f64;
     let cold = restarted as f64 / nodes as f64;
     let fits = |t: u64| warm + cold * COLD_START.speed(ms(t)) >= load * LOAD_HEADROOM_FACTOR;
     match kind {
-        // At a third of its speed the upstream does not bear the load; it is slow for three seconds.
+        // At a third of its speed the upstream does not sustain the load; it is slow for three seconds.
         OutageKind::UpstreamLost => 3_000,
         // For up to two seconds, lists contain backends that are down and lack backends that are up again.
         OutageKind::Rolling | OutageKind::PartialFailure => 2_000,
--- a/lab/src/rollout/bad_change.rs
+++ b/lab/src/rollout/bad_change.rs
@@ -144,7 +144,7 @@
         false => managed.request(json!({"do": "stage", "text": text, "force": true}))?,
     };
     if !accepted(&staged) {
-        return Err(format!("the change was not staged: {staged}").into());
+        return Err(format!("the change was not staged even with force; answer: {staged}").into());
     }
     Ok(())
 }
--- a/lab/src/scale/callers.rs
+++ b/lab/src/scale/callers.rs
@@ -129,8 +129,9 @@
         while connections.len() < count {
             let caller = connections.len() as u64;
             let connection = open_connection(node.address, caller);
-            connections
-                .push(connection.ok_or_else(|| format!("the RPC of caller {caller} was not answered"))?);
+            connections.push(connection.ok_or_else(|| {
+                format!("caller {caller} could not connect to {}, or its RPC was not answered", node.address)
+            })?);
         }
         runs.push(measure(report, &node, &mut connections, &baseline));
     }
--- a/lab/src/scale/members/partition.rs
+++ b/lab/src/scale/members/partition.rs
@@ -13,7 +13,7 @@
 /// Time by which a partition outlasts the quota transition.
 const PARTITION_MARGIN: Us = 30 * SECOND;
 /// Number of announce intervals within which the sides of a healed partition find each other, as the documentation for
-/// operators promises.
+/// operators states.
 const HEALING_ANNOUNCEMENTS: u64 = 4;
 
 impl Run<'_> {
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -119,8 +119,7 @@
     pauses_per_s: f64,
 }
 
-/// Measures idle processes. Their counters are queried only if `with_members` is set, that is, if membership is
-/// enabled.
+/// Measures idle processes. Their counters are queried only if `with_members` is set, which requires membership.
 fn measure_idle(fleet: &Fleet, with_members: bool) -> IdleUsage {
     let nodes = fleet.members.len();
     let average = |of: &dyn Fn(usize) -> f64| (0..nodes).map(of).sum::<f64>() / nodes.max(1) as f64;
--- a/lab/src/scale/rpc.rs
+++ b/lab/src/scale/rpc.rs
@@ -122,7 +122,8 @@
                 }
                 if Instant::now() > deadline {
                     return Err(format!(
-                        "the change of the list {list} was not accepted; last answer: {answer}"
+                        "the change of the list {list} was not accepted within {} s; last answer: {answer}",
+                        LISTS_ACTIVE_TIMEOUT.as_secs()
                     )
                     .into());
                 }
@@ -136,7 +137,11 @@
             return Ok(());
         }
         if Instant::now() > deadline {
-            return Err(format!("the lists did not become active in time; last status: {answer}").into());
+            return Err(format!(
+                "the lists did not become active within {} s; last status: {answer}",
+                LISTS_ACTIVE_TIMEOUT.as_secs()
+            )
+            .into());
         }
         thread::sleep(Duration::from_millis(50));
     }
--- a/lab/src/scale/test_bed/meter.rs
+++ b/lab/src/scale/test_bed/meter.rs
@@ -54,8 +54,9 @@
 impl CpuReading {
     /// Returns the CPU time between two readings in milliseconds.
     ///
-    /// It is the larger one of the time of the threads and the ticks of the process less two, the possible error of two
-    /// readings. The latter is larger if threads that started and ended in between took more.
+    /// The result is the greater of two values: the time of the threads, and the ticks of the process less two, which
+    /// is the possible error of two readings. The second is greater if short-lived threads used much CPU time between
+    /// the readings.
     pub fn cpu_ms(&self, since: &CpuReading) -> f64 {
         let thread_ns = self.thread_total_ns.saturating_sub(since.thread_total_ns);
         let tick_ns = self.tick_total_ns.saturating_sub(since.tick_total_ns).saturating_sub(2 * CPU_TICK_NS);
--- a/lab/src/scale/test_bed/version_order.rs
+++ b/lab/src/scale/test_bed/version_order.rs
@@ -19,9 +19,9 @@
 
 /// Reports whether two RPCs of one connection were decided under a newer version and then under an older one.
 ///
-/// Both tenants are added by the same change, or removed when it is undone. `first` and `second` tell whether the
-/// tenants of the RPCs were recognised, in the order of sending; `known_before` tells whether both tenants existed
-/// before the change.
+/// Both tenants are added by the same change, or removed when it is undone. `first` and `second` are set if the
+/// tenants of the RPCs were recognised, in the order of sending; `known_before` is set if both tenants existed before
+/// the change.
 pub(super) fn out_of_order(first: bool, second: bool, known_before: bool) -> bool {
     first != known_before && second == known_before
 }
