--- a/lab/src/agent.rs
+++ b/lab/src/agent.rs
@@ -12,7 +12,7 @@
 const FREE_CORE_WINDOW_US: u64 = 100_000;
 /// Delay with which a launch may arrive after rejections of the same burst of RPCs.
 const MAX_LAUNCH_DELAY_US: u64 = 20_000;
-const IDLE_WAIT: Duration = Duration::from_millis(50);
+const MAX_IDLE_WAIT: Duration = Duration::from_millis(50);
 /// End of a busy span that has not ended.
 const OPEN_SPAN_END_US: u64 = u64::MAX;
 /// Runs per core beyond which the cores thrash.
@@ -194,7 +194,7 @@
             if next_end.is_some_and(|end| end <= Instant::now()) {
                 continue;
             }
-            let wait = next_end.map_or(IDLE_WAIT, |end| end.saturating_duration_since(Instant::now()));
+            let wait = next_end.map_or(MAX_IDLE_WAIT, |end| end.saturating_duration_since(Instant::now()));
             let woken = self.shared.1.wait_timeout(state, wait);
             state = woken.unwrap_or_else(|e| e.into_inner()).0;
         }
--- a/lab/src/fleet/agree/evaluation.rs
+++ b/lab/src/fleet/agree/evaluation.rs
@@ -154,7 +154,7 @@
     report_service(report, recording);
     report_versions(report, recording);
     let none_panicked = fleet.none_panicked();
-    let remaining_processes = fleet.end();
+    let remaining_processes = fleet.kill_all();
     report.set("left_processes", json!(remaining_processes));
     report.rule("a process was still running at the end", remaining_processes == 0);
     report.rule("a process panicked", none_panicked);
--- a/lab/src/fleet/callers/balancing.rs
+++ b/lab/src/fleet/callers/balancing.rs
@@ -64,7 +64,7 @@
     }
 
     /// Handles a broken connection. The attempts in flight on it may have run.
-    pub(super) fn connection_broke(&mut self, node: usize, id: ConnectionId) {
+    pub(super) fn handle_broken_connection(&mut self, node: usize, id: ConnectionId) {
         if self.connection(node, id).is_none() {
             return;
         }
--- a/lab/src/fleet/callers/caller.rs
+++ b/lab/src/fleet/callers/caller.rs
@@ -198,7 +198,7 @@
                     open.draining = true;
                 }
             }
-            Event::Broken { node, connection } => self.connection_broke(node, connection),
+            Event::Broken { node, connection } => self.handle_broken_connection(node, connection),
             Event::Answer { node, connection, stream, answer } => {
                 self.handle_answer(node, connection, stream, &answer);
             }
--- a/lab/src/fleet/cluster.rs
+++ b/lab/src/fleet/cluster.rs
@@ -173,7 +173,7 @@
     }
 
     /// Kills every process and returns how many of them still exist.
-    pub fn end(&mut self) -> usize {
+    pub fn kill_all(&mut self) -> usize {
         // SIGKILL also ends processes that are stopped by SIGSTOP.
         self.members.iter_mut().for_each(|member| member.node.kill());
         self.upstream.stop();
@@ -203,6 +203,6 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.end();
+        self.kill_all();
     }
 }
--- a/lab/src/fleet/cold_start.rs
+++ b/lab/src/fleet/cold_start.rs
@@ -255,6 +255,6 @@
         peaks.credit_sum <= 1.0,
     );
     report.rule("too few RPCs were answered: 20 per process or fewer", counts.answered > 20 * nodes as u64);
-    report.rule("a process was still running at the end", fleet.end() == 0);
+    report.rule("a process was still running at the end", fleet.kill_all() == 0);
     Ok(())
 }
--- a/lab/src/fleet/idle_flood.rs
+++ b/lab/src/fleet/idle_flood.rs
@@ -128,7 +128,7 @@
     let filled = logged_count(&log, "closed_crowded") > 0 && opened > 200;
     report.rule("the idle clients did not use up the descriptors", filled);
     report.rule("asterrilld did not exit with code 0 within 4 s", exit_code == Some(0));
-    report.rule("a process was still running at the end", fleet.end() == 0);
+    report.rule("a process was still running at the end", fleet.kill_all() == 0);
     Ok(())
 }
 
--- a/lab/src/fleet/members/evaluation.rs
+++ b/lab/src/fleet/members/evaluation.rs
@@ -276,7 +276,7 @@
     let repeated_effects = fleet.repeated_effects(STOCK_UPDATE.name);
     let none_panicked = fleet.none_panicked();
     let delivered = fleet.network.as_ref().map_or(0, |network| network.delivered());
-    let remaining_processes = fleet.end();
+    let remaining_processes = fleet.kill_all();
     report.set("nodes", json!(fleet.members.len()));
     report.set("no_final_answer", json!(unanswered));
     report.set("answered_twice", json!(ledger.answered_twice));
--- a/lab/src/fleet/ready.rs
+++ b/lab/src/fleet/ready.rs
@@ -44,7 +44,7 @@
     }
     let ready_after = restart_all(&mut fleet)?;
     report_ready(report, &ready_after);
-    report.rule("a process was still running at the end", fleet.end() == 0);
+    report.rule("a process was still running at the end", fleet.kill_all() == 0);
     Ok(())
 }
 
--- a/lab/src/fleet/restart_recovery/run.rs
+++ b/lab/src/fleet/restart_recovery/run.rs
@@ -234,7 +234,7 @@
             ledger,
             faults: self.faults.to_vec(),
             none_panicked: self.fleet.none_panicked(),
-            remaining_processes: self.fleet.end(),
+            remaining_processes: self.fleet.kill_all(),
         }
     }
 
--- a/lab/src/fleet/upstream.rs
+++ b/lab/src/fleet/upstream.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const IDLE_WAIT: Duration = Duration::from_millis(50);
+const MAX_IDLE_WAIT: Duration = Duration::from_millis(50);
 const MAX_QUEUED_CALLS_PER_SLOT: usize = 4;
 const BUCKET_MS: u64 = 100;
 
@@ -128,7 +128,7 @@
 
     fn time_until_next_end(&self) -> Duration {
         let first = self.running.first_key_value();
-        first.map_or(IDLE_WAIT, |((at, _), _)| at.saturating_duration_since(Instant::now()))
+        first.map_or(MAX_IDLE_WAIT, |((at, _), _)| at.saturating_duration_since(Instant::now()))
     }
 }
 
--- a/lab/src/rollout/bad_change.rs
+++ b/lab/src/rollout/bad_change.rs
@@ -131,7 +131,7 @@
     managed.check_versions(report)?;
     let again = managed.request(json!({"do": "stage", "text": text}))?;
     report.rule("the undone change was staged again", !accepted(&again));
-    managed.end(report);
+    managed.shut_down(report);
     Ok(())
 }
 
--- a/lab/src/rollout/crash.rs
+++ b/lab/src/rollout/crash.rs
@@ -49,7 +49,7 @@
     let stats = run_load(managed.node().address, &FRAMED_METHODS, &rates, seed, &AtomicBool::new(false))?;
     check_framed(report, &[&stats]);
     managed.check_versions(report)?;
-    managed.end(report);
+    managed.shut_down(report);
     Ok(())
 }
 
--- a/lab/src/rollout/good_change.rs
+++ b/lab/src/rollout/good_change.rs
@@ -61,7 +61,7 @@
     report.set("in_time_during", json!(in_time(&during, &FRAMED_METHODS)));
     check_framed(report, &[&before, &during]);
     managed.check_versions(report)?;
-    managed.end(report);
+    managed.shut_down(report);
     Ok(())
 }
 
--- a/lab/src/rollout/managed_backend.rs
+++ b/lab/src/rollout/managed_backend.rs
@@ -106,7 +106,7 @@
     }
 
     /// Shuts the backend down, and checks that it exits with code 0 and that changes were logged.
-    pub(super) fn end(mut self, report: &mut Report) {
+    pub(super) fn shut_down(mut self, report: &mut Report) {
         self.backend.node.signal("TERM");
         let code = self.backend.node.wait_for_exit(EXIT_TIMEOUT);
         report.rule("asterrilld did not exit with code 0 within 6 s", code == Some(0));
--- a/lab/src/rollout/storm.rs
+++ b/lab/src/rollout/storm.rs
@@ -49,7 +49,7 @@
     report.set("in_time", json!(in_time(&stats, &FRAMED_METHODS)));
     managed.check_versions(report)?;
     drop(incomplete_client);
-    managed.end(report);
+    managed.shut_down(report);
     std::thread::sleep(Duration::from_millis(50));
     let ledger = broker.ledger();
     report_broker_ledger(report, &ledger);
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -182,7 +182,7 @@
     let mut fleet = start_idle_fleet(nodes, FILE_WITHOUT_MEMBERS.into(), seed)?;
     std::thread::sleep(STARTUP_TIME);
     let without_members = measure_idle(&fleet, false);
-    let mut leftover_processes = fleet.end();
+    let mut leftover_processes = fleet.kill_all();
     drop(fleet);
     let mut fleet = start_idle_fleet(nodes, operator_file(nodes), seed)?;
     let started_at = fleet.members.iter().map(|m| m.available_since).max().unwrap_or(fleet.start);
@@ -192,7 +192,7 @@
     std::thread::sleep(STARTUP_TIME);
     let with_members = measure_idle(&fleet, true);
     let detected_ms = crash_processes(report, &mut fleet, detection_ms);
-    leftover_processes += fleet.end();
+    leftover_processes += fleet.kill_all();
     Ok(ProcessFigures { without_members, with_members, discovered_ms, detected_ms, leftover_processes })
 }
 
