--- a/lab/src/fleet/agree/evaluation.rs
+++ b/lab/src/fleet/agree/evaluation.rs
@@ -7,7 +7,7 @@
 use crate::report::Report;
 use serde_json::{json, Value};
 
-/// A node counts as enforcing versions under a lease at a change if it served a call within this time before the change.
+/// Time before a change within which a served call shows that the node enforced versions under a lease.
 const RECENTLY_SERVED_MS: u64 = 500;
 
 /// Number and content hash of a version.
@@ -122,7 +122,7 @@
     }
 }
 
-/// Numbers of committed versions that nodes do not have, or have with different content.
+/// Counts of committed versions that nodes lack, and of those that nodes have with different content.
 struct VersionFaults {
     lost: usize,
     conflicting: usize,
@@ -154,7 +154,7 @@
     report_service(report, recording);
     report_versions(report, recording);
     let none_panicked = fleet.none_panicked();
-    let remaining_processes = fleet.end();
+    let remaining_processes = fleet.kill_all();
     report.set("left_processes", json!(remaining_processes));
     report.rule("a process was still running at the end", remaining_processes == 0);
     report.rule("a process panicked", none_panicked);
--- a/lab/src/fleet/cold_start.rs
+++ b/lab/src/fleet/cold_start.rs
@@ -25,15 +25,15 @@
 const AGENT_CONNECT_WAIT: Duration = ms(300);
 /// Time after which a caller ignores an advertised credit.
 const CREDIT_TTL: Duration = Duration::from_secs(1);
-/// A caller without credit sends an RPC in one of this many turns, on average.
-const CALL_ODDS_WITHOUT_CREDIT: u32 = 60;
+/// Mean number of turns for each RPC that a caller without credit sends.
+const TURNS_PER_CALL_WITHOUT_CREDIT: u32 = 60;
 const TURN_INTERVAL: Duration = ms(4);
 const SAMPLE_INTERVAL: Duration = ms(5);
 /// Seeds that are reserved for the callers of one run, as each caller has its own seed.
 const SEEDS_PER_RUN: u64 = 1_000;
 /// Size of the length field of a frame, which does not count itself.
 const LENGTH_FIELD_BYTES: usize = 4;
-const FRAME_HEAD_BYTES: usize = 9;
+const FRAME_HEADER_BYTES: usize = 9;
 const READ_BUFFER_BYTES: usize = 4096;
 
 /// Credit that a server advertised: the number of RPCs that a caller may have in flight there.
@@ -81,21 +81,21 @@
     }
 
     /// Returns the number of RPCs in flight that were sent with credit.
-    fn with_credit(&self) -> usize {
+    fn in_flight_with_credit(&self) -> usize {
         self.in_flight.values().filter(|with_credit| **with_credit).count()
     }
 
     /// Removes the next complete frame from the received bytes and returns its type, stream and payload.
     fn next_frame(&mut self) -> Option<(u8, u32, Vec<u8>)> {
         let length = u32::from_be_bytes(self.bytes.get(..LENGTH_FIELD_BYTES)?.try_into().ok()?) as usize;
-        let mut head: Vec<u8> = self.bytes.get(..length + LENGTH_FIELD_BYTES)?.to_vec();
-        if head.len() < FRAME_HEAD_BYTES {
+        let mut header: Vec<u8> = self.bytes.get(..length + LENGTH_FIELD_BYTES)?.to_vec();
+        if header.len() < FRAME_HEADER_BYTES {
             return None;
         }
-        let payload = head.split_off(FRAME_HEAD_BYTES);
+        let payload = header.split_off(FRAME_HEADER_BYTES);
         self.bytes.drain(..length + LENGTH_FIELD_BYTES);
-        let stream = u32::from_be_bytes(head[LENGTH_FIELD_BYTES + 1..].try_into().ok()?);
-        Some((head[LENGTH_FIELD_BYTES], stream, payload))
+        let stream = u32::from_be_bytes(header[LENGTH_FIELD_BYTES + 1..].try_into().ok()?);
+        Some((header[LENGTH_FIELD_BYTES], stream, payload))
     }
 
     /// Reads what was received and returns how many RPCs it answers.
@@ -123,11 +123,13 @@
     /// Sends an RPC if the credit allows it, and reports whether it was sent.
     fn send(&mut self, caller: u64, rng: &mut StdRng) -> bool {
         self.credit = self.credit.filter(|credit| credit.received_at.elapsed() < CREDIT_TTL);
-        let with_credit = self.with_credit();
+        let with_credit = self.in_flight_with_credit();
         let allowed = match self.credit {
             Some(credit) => with_credit < credit.limit,
             // A caller without credit calls rarely, and has one RPC in flight at a time.
-            None => self.in_flight.len() == with_credit && rng.random_range(0..CALL_ODDS_WITHOUT_CREDIT) == 0,
+            None => {
+                self.in_flight.len() == with_credit && rng.random_range(0..TURNS_PER_CALL_WITHOUT_CREDIT) == 0
+            }
         };
         if !allowed || self.in_flight.len() >= MAX_STREAMS {
             return false;
@@ -141,7 +143,7 @@
 
     fn usage(&self) -> Usage {
         let credit = self.credit.map_or(0.0, |credit| credit.credit);
-        Usage { in_flight: self.with_credit(), credit }
+        Usage { in_flight: self.in_flight_with_credit(), credit }
     }
 }
 
@@ -179,7 +181,7 @@
     let mut peaks = Peaks { excess_in_flight: f64::MIN, credit_sum: f64::MIN, samples: 0 };
     while start.elapsed() < WARM_UP {
         let warm_up_progress = (start.elapsed().as_secs_f64() / WARM_UP.as_secs_f64()).min(1.0);
-        // The settings state half the speed at the start.
+        // According to the settings, the cores start at half of their speed.
         let speed = 0.5 + 0.5 * warm_up_progress;
         let budget = (1.0 + 7.0 * speed) * 2.0;
         for server in usage {
@@ -253,6 +255,6 @@
         peaks.credit_sum <= 1.0,
     );
     report.rule("too few RPCs were answered: 20 per process or fewer", counts.answered > 20 * nodes as u64);
-    report.rule("a process was still running at the end", fleet.end() == 0);
+    report.rule("a process was still running at the end", fleet.kill_all() == 0);
     Ok(())
 }
--- a/lab/src/fleet/ready.rs
+++ b/lab/src/fleet/ready.rs
@@ -44,7 +44,7 @@
     }
     let ready_after = restart_all(&mut fleet)?;
     report_ready(report, &ready_after);
-    report.rule("a process was still running at the end", fleet.end() == 0);
+    report.rule("a process was still running at the end", fleet.kill_all() == 0);
     Ok(())
 }
 
@@ -67,7 +67,7 @@
 }
 
 /// Starts all processes, and the late agents after [`AGENT_DELAY`]. Returns the time until each process was ready;
-/// none for one that never was.
+/// `None` for one that was not ready in time.
 fn restart_all(fleet: &mut Fleet) -> Result<Vec<Option<Duration>>, ScenarioError> {
     let start = Instant::now();
     for member in &mut fleet.members {
--- a/lab/src/scale/agree/cluster.rs
+++ b/lab/src/scale/agree/cluster.rs
@@ -167,7 +167,7 @@
         let (at, name, config) = (self.local_time(n), self.names[n].clone(), self.config.clone());
         let node = &mut self.nodes[n];
         let started = ConsensusNode::new(at, &name, self.start_count, config, &node.disk, snapshot);
-        // Cannot fail: the disk holds only what the voter itself wrote.
+        // This cannot fail, because the disk holds only what the voter itself wrote.
         let Ok(consensus) = started else { return };
         node.disk.truncate(consensus.valid_log_len());
         node.consensus = Some(consensus);
@@ -315,10 +315,10 @@
 
     /// Adds all versions that the leader retains to the audit, so that they can be compared after the leader drops
     /// them.
-    pub(super) fn remember_versions(&mut self) {
+    pub(super) fn retain_versions(&mut self) {
         let Some(leader) = self.leader() else { return };
         let Some(consensus) = &self.nodes[leader].consensus else { return };
-        consensus.version_log().history().for_each(|version| self.audit.remember(version));
+        consensus.version_log().history().for_each(|version| self.audit.retain_version(version));
     }
 
     /// Returns the number of versions that were reported as committed and that the leader lacks or has with another
--- a/lab/src/scale/agree/scenario.rs
+++ b/lab/src/scale/agree/scenario.rs
@@ -20,7 +20,7 @@
 const RECOVERY_PHASE: Us = 10 * SECOND;
 /// Time after the recovery phase within which all nodes have to enforce the newest version.
 const CONVERGENCE_TIMEOUT: Us = 30 * SECOND;
-/// Number of versions below which the audit proves nothing.
+/// Minimum number of versions that have to be committed for a meaningful result.
 const MIN_COMMITTED_VERSIONS: usize = 4;
 
 // Budgets of one backend, and of the time until a change is in force in the whole fleet.
@@ -113,7 +113,7 @@
         ("stated_ms", json!(ms(bound))),
         ("contradiction_ms_max", json!(ms(audit.longest_contradiction))),
         ("older_after_newer", json!(audit.reverted)),
-        ("other_histories", json!(audit.forked)),
+        ("other_histories", json!(audit.content_conflicts)),
         ("lost_versions", json!(lost_versions)),
         ("elections", json!(cluster.elections - baseline.elections)),
         ("lapsed", json!(lapsed)),
@@ -142,7 +142,7 @@
         "the leader lacks a version that was reported as committed, or has it with another content",
         lost_versions == 0,
     );
-    report.rule("a version number has two different contents", audit.forked == 0);
+    report.rule("a version number has two different contents", audit.content_conflicts == 0);
     let enough = committed >= baseline.proposals + MIN_COMMITTED_VERSIONS;
     report.rule("too few versions were committed for a meaningful result", enough);
 }
--- a/lab/src/scale/members/processes.rs
+++ b/lab/src/scale/members/processes.rs
@@ -119,8 +119,7 @@
     pauses_per_s: f64,
 }
 
-/// Measures idle processes. Their counters are queried only if `with_members` is set, that is, if membership is
-/// enabled.
+/// Measures idle processes. Their counters are queried only if `with_members` is set, which requires membership.
 fn measure_idle(fleet: &Fleet, with_members: bool) -> IdleUsage {
     let nodes = fleet.members.len();
     let average = |of: &dyn Fn(usize) -> f64| (0..nodes).map(of).sum::<f64>() / nodes.max(1) as f64;
@@ -183,7 +182,7 @@
     let mut fleet = start_idle_fleet(nodes, FILE_WITHOUT_MEMBERS.into(), seed)?;
     std::thread::sleep(STARTUP_TIME);
     let without_members = measure_idle(&fleet, false);
-    let mut leftover_processes = fleet.end();
+    let mut leftover_processes = fleet.kill_all();
     drop(fleet);
     let mut fleet = start_idle_fleet(nodes, operator_file(nodes), seed)?;
     let started_at = fleet.members.iter().map(|m| m.available_since).max().unwrap_or(fleet.start);
@@ -193,7 +192,7 @@
     std::thread::sleep(STARTUP_TIME);
     let with_members = measure_idle(&fleet, true);
     let detected_ms = crash_processes(report, &mut fleet, detection_ms);
-    leftover_processes += fleet.end();
+    leftover_processes += fleet.kill_all();
     Ok(ProcessFigures { without_members, with_members, discovered_ms, detected_ms, leftover_processes })
 }
 
--- a/lab/src/scale/test_bed/version_order.rs
+++ b/lab/src/scale/test_bed/version_order.rs
@@ -19,9 +19,9 @@
 
 /// Reports whether two RPCs of one connection were decided under a newer version and then under an older one.
 ///
-/// Both tenants are added by the same change, or removed when it is undone. `first` and `second` tell whether the
-/// tenants of the RPCs were recognised, in the order of sending; `known_before` tells whether both tenants existed
-/// before the change.
+/// Both tenants are added by the same change, or removed when it is undone. `first` and `second` are set if the
+/// tenants of the RPCs were recognised, in the order of sending; `known_before` is set if both tenants existed before
+/// the change.
 pub(super) fn out_of_order(first: bool, second: bool, known_before: bool) -> bool {
     first != known_before && second == known_before
 }
@@ -30,7 +30,7 @@
 pub(super) fn check_repeatedly(mut to: TcpStream, ledger: &Ledger, seed: u64) -> Option<()> {
     to.set_read_timeout(Some(RPC_TIMEOUT * 2)).ok()?;
     let mut rng = StdRng::seed_from_u64(seed);
-    // Starts with a valid RPC, because a connection that brings only unknown tenants is closed.
+    // The first RPC is valid, because a connection on which only unknown tenants call is closed.
     let (mut stream, mut last_pair, mut known_before) = (1_u32, 0, false);
     to.write_all(&encode_rpc(stream, &method_name(0), Some(&tenant_name(0)), 1, rng.random(), b"pair 0"))
         .ok()?;
