--- a/daemon/src/change/driver.rs
+++ b/daemon/src/change/driver.rs
@@ -196,7 +196,7 @@
                 self.apply(dispatcher, if_base, probation, pause).map(Reply::Applied)
             }
             OperatorCommand::Simple(command) => self.execute_simple(dispatcher, command, pause),
-            OperatorCommand::AgreedList(_) | OperatorCommand::ProposeAgreed(_) => no_fleet(),
+            OperatorCommand::AgreedList(_) | OperatorCommand::ProposeAgreed(_) => missing_fleet_section(),
         };
         result.into()
     }
@@ -211,7 +211,7 @@
             SimpleCommand::Drop => self.drop_staged(&dispatcher.log).map(Reply::Dropped),
             SimpleCommand::History => Ok(Reply::History(self.history())),
             SimpleCommand::Members => Err(Rejection::new("the operator's file has no section [members]")),
-            SimpleCommand::Fleet => no_fleet(),
+            SimpleCommand::Fleet => missing_fleet_section(),
         }
     }
 
@@ -367,6 +367,6 @@
     )
 }
 
-fn no_fleet() -> Result<Reply, Rejection> {
+fn missing_fleet_section() -> Result<Reply, Rejection> {
     Err(Rejection::new("the operator's file has no section [fleet]"))
 }
--- a/daemon/src/core/sidecar_rpcs.rs
+++ b/daemon/src/core/sidecar_rpcs.rs
@@ -69,14 +69,14 @@
         let coalescible = self.state.sidecars.is_verified(conn);
         let keys = self.keys_of(method, request, body, coalescible);
         let now = self.engine.advance_to(now);
-        let received_from = request.arrived_at.max(self.state.first_greeting_at.unwrap_or(now));
+        let delay_start = request.arrived_at.max(self.state.first_greeting_at.unwrap_or(now));
         Some(IncomingRpc {
             id: request.id,
             method,
             tenant,
             caller: request.caller,
             deadline: request.deadline,
-            read_delay: now.saturating_sub(received_from),
+            read_delay: now.saturating_sub(delay_start),
             size_kb: request.size_kb,
             cache_key: keys.cache,
             coalescible,
--- a/daemon/src/membership.rs
+++ b/daemon/src/membership.rs
@@ -10,5 +10,5 @@
 mod shared;
 mod status;
 
-pub use service::{check, MembershipConfig};
+pub use service::{read_name_and_key, MembershipConfig};
 pub use shared::MembershipService;
--- a/daemon/src/membership/service.rs
+++ b/daemon/src/membership/service.rs
@@ -30,11 +30,13 @@
     pub fleet: Option<(&'a FleetConfig, &'a Path)>,
 }
 
-/// Reads the key of the cluster and checks the member's name.
+/// Returns the name of this member and the key of the cluster, after checking the name and reading the key file.
 ///
 /// # Errors
 /// The key can't be read, or the name is not a valid member name.
-pub fn check(name: &str, section: &MembershipSection) -> Result<(MemberName, String), SettingsError> {
+pub fn read_name_and_key(
+    name: &str, section: &MembershipSection,
+) -> Result<(MemberName, String), SettingsError> {
     let key = asterrill_operator_config::read_secret(&section.key_file)
         .map_err(|error| SettingsError::new(error.to_string()))?;
     let name = MemberName::new(name)
@@ -46,12 +48,12 @@
     /// Creates the service and binds its socket, so that a failure is reported before anything else starts.
     ///
     /// # Errors
-    /// Those of [`check`], the address can't be bound, or the raft storage is unusable.
+    /// Those of [`read_name_and_key`], the address can't be bound, or the raft storage is unusable.
     pub fn open(
         config: MembershipConfig<'_>, log: &Logger,
     ) -> Result<(Arc<MembershipService>, DatagramSocket), SettingsError> {
         let section = config.section;
-        let (name, key) = check(config.name, section)?;
+        let (name, key) = read_name_and_key(config.name, section)?;
         let restored = PersistedState::restore(config.persisted, now(), section.forget_after);
         let generation = restored.generation;
         let local_id = MemberId {
--- a/daemon/src/startup.rs
+++ b/daemon/src/startup.rs
@@ -51,7 +51,7 @@
         let body_buffers = buffers_per_pool(deployment.memory_mb) as u64;
         let broker = operator::broker_setup(now(), &operator, configuration, deployment.seed, body_buffers)?;
         if let Some(members) = &operator.members {
-            membership::check(&deployment.name, members)?;
+            membership::read_name_and_key(&deployment.name, members)?;
         }
         Ok(Config { deployment, start, operator, server_parts, broker })
     }
--- a/daemon/src/tasks.rs
+++ b/daemon/src/tasks.rs
@@ -161,13 +161,17 @@
     // The connection is registered here, so that it can be evicted as soon as the next one finds no free slot.
     let outbox = Outbox::new(&dispatcher.pool, MAX_SIDECAR_BACKLOG_BYTES);
     let conn = dispatcher.connection_opened(outbox.clone());
-    let driver = dispatcher.clone();
+    let task_dispatcher = dispatcher.clone();
     let spawned = spawn("sidecar", move || {
         let frames = sidecar::Reader::default();
-        let mut connection =
-            SidecarConnection { dispatcher: driver.clone(), conn, frames, has_received_frame: false };
-        let end = run_connection(&stream, &outbox, &driver.pool, &mut connection);
-        driver.connection_closed(conn, end == ConnectionEnd::Broken);
+        let mut connection = SidecarConnection {
+            dispatcher: task_dispatcher.clone(),
+            conn,
+            frames,
+            has_received_frame: false,
+        };
+        let end = run_connection(&stream, &outbox, &task_dispatcher.pool, &mut connection);
+        task_dispatcher.connection_closed(conn, end == ConnectionEnd::Broken);
         drop(stream);
         drop(permit);
     });
--- a/daemon/src/tests/reply.rs
+++ b/daemon/src/tests/reply.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn rejections_have_an_error_and_only_what_else_applies() {
+fn rejections_have_an_error_and_only_the_optional_fields_that_apply() {
     assert_json(
         Reply::Rejected(Rejection::new("nothing is staged")),
         r#"{"error":"nothing is staged","ok":false}"#,
