--- a/daemon/src/agent_session.rs
+++ b/daemon/src/agent_session.rs
@@ -9,7 +9,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Maximum time without data from the agent after a request to it, in microseconds. Ten samples then remain unanswered.
+/// Maximum time without data from the agent after a request to it, in microseconds. Ten requests for
+/// samples are unanswered by then.
 const SILENCE_TIMEOUT_US: Us = 1_000_000;
 /// Time without a notice about a run after which it counts as lost, as a multiple of the longest latency target.
 const RUN_TIMEOUT_LATENCY_TARGETS: Us = 4;
--- a/daemon/src/change/driver.rs
+++ b/daemon/src/change/driver.rs
@@ -27,7 +27,8 @@
 /// Interval between samples of the service statistics, in microseconds.
 const SAMPLE_INTERVAL_US: Us = 100_000;
 
-/// Reason recorded for a confirmation or a rollback that an operator requested, as for staged and dropped versions.
+/// Reason recorded for a confirmation or a rollback that an operator requested. The same reason is recorded for staged
+/// and dropped versions.
 const REQUESTED: &str = "requested";
 
 /// Version that the process starts with.
@@ -83,7 +84,9 @@
         self.running.clone()
     }
 
-    /// Returns the time at which `tick` must be called. Calls have to be on time only during a probation.
+    /// Returns the time at which [`ChangeDriver::tick`] is due next during a probation.
+    ///
+    /// Without a probation, calls need not be on time, and the result is `Us::MAX`.
     pub fn next_deadline(&self) -> Us {
         if self.monitor.is_some() {
             self.next_sample
--- a/daemon/src/change/prepare.rs
+++ b/daemon/src/change/prepare.rs
@@ -205,7 +205,8 @@
 
 /// Returns the global parts of the decision module if a change affects them.
 ///
-/// Changes of methods affect them, because they depend on the shortest and the longest of the methods' times.
+/// Changes of methods affect them, because they depend on the shortest latency target and the longest deadline of all
+/// methods.
 ///
 /// # Errors
 /// The configuration is invalid.
--- a/daemon/src/connection.rs
+++ b/daemon/src/connection.rs
@@ -13,8 +13,8 @@
 use slog::warn;
 use std::sync::Arc;
 
-/// Time within which a sidecar has to close a connection that was closed by this server, before it is reset, in
-/// microseconds.
+/// Time that a sidecar has to close its side of a connection that this server has closed, in microseconds. The
+/// connection is reset after it.
 const LINGER_TIME_US: Us = 500_000;
 
 /// Connection opened by a sidecar.
--- a/daemon/src/connection_limits.rs
+++ b/daemon/src/connection_limits.rs
@@ -1,8 +1,9 @@
 //! Limits on connections and upstream links for a given number of file descriptors.
 
-/// Descriptors reserved for other purposes; 13 are in use without any sidecar connection or upstream link.
+/// File descriptors reserved for purposes other than sidecar connections and upstream links. A process without either
+/// of these has 13 open.
 const RESERVED_DESCRIPTORS: u64 = 16;
-/// Number of descriptors for each upstream link.
+/// Ratio of the file descriptors of the process to its upstream links.
 const DESCRIPTORS_PER_UPSTREAM_LINK: u64 = 8;
 /// Minimum number of upstream links, so that the next call of an RPC can use another link than the previous one.
 const MIN_UPSTREAM_LINKS: u64 = 2;
--- a/daemon/src/control_loop.rs
+++ b/daemon/src/control_loop.rs
@@ -19,7 +19,7 @@
 /// Delay of a wakeup, in microseconds, beyond which the process counts as having been paused. Input that arrived
 /// during the pause is then read before timers expire.
 const LATE_WAKEUP_US: Us = 20_000;
-/// Time for reading that input, in microseconds.
+/// Time for reading the input that arrived during a pause, in microseconds.
 const CATCH_UP_US: Us = 5_000;
 
 /// Owner of all work on the worker that is not part of an RPC.
--- a/daemon/src/control_request.rs
+++ b/daemon/src/control_request.rs
@@ -70,7 +70,7 @@
             Some("list-change") => {
                 let kind = self.list_kind()?;
                 let rows = self.0.get("entries").and_then(Value::as_array);
-                let rows = rows.ok_or("list-change requires entries")?;
+                let rows = rows.ok_or("list-change requires entries, an array of objects")?;
                 let changes = rows.iter().map(|row| list_change(kind, row)).collect::<Result<_, _>>()?;
                 Ok(OperatorCommand::ProposeAgreed(Proposal::Change { base: self.number("base")?, changes }))
             }
@@ -111,7 +111,11 @@
 /// An entry has a key, a standing (`in`, `out` or `none`) and, optionally, the Unix time in microseconds at which it
 /// expires.
 fn list_change(kind: ListKind, row: &Value) -> Result<Change, String> {
-    let key = row.get("key").and_then(Value::as_str).ok_or("list-change: an entry has no key")?.to_string();
+    let key = row
+        .get("key")
+        .and_then(Value::as_str)
+        .ok_or("list-change: each entry requires key, a string")?
+        .to_string();
     let expires_at = row.get("until").and_then(Value::as_u64).unwrap_or(0);
     let access = match row.get("standing").and_then(Value::as_str) {
         Some("in") => Access::Allowed,
--- a/daemon/src/core/lifecycle.rs
+++ b/daemon/src/core/lifecycle.rs
@@ -10,7 +10,7 @@
 const FLUSH_TIME_US: Us = 100_000;
 
 impl Core {
-    /// Starts the engine, whose decision module determines the figures published at first.
+    /// Starts the engine. Its decision module determines the initial figures that are published to callers.
     pub fn start(&mut self, now: Us, outbound: &mut dyn Outbound) {
         self.with_engine(now, outbound, |engine, now, outputs| engine.start(now, outputs));
     }
--- a/daemon/src/core/sidecar_rpcs.rs
+++ b/daemon/src/core/sidecar_rpcs.rs
@@ -86,8 +86,8 @@
 
     /// Returns the keys under which the engine recognises other attempts of this RPC.
     ///
-    /// An answer carries the result of a run for this RPC. Of reads with the same entity key, only attempts of the same
-    /// RPC are coalesced, so both keys are computed from method, tenant and body.
+    /// An RPC may be answered only with the result of a run for the same method, tenant and body. The entity key alone
+    /// does not ensure this, so both keys are computed from method, tenant and body.
     fn keys_of(&self, method: MethodId, request: &RpcRequest, body: &[u8], coalescible: bool) -> RpcKeys {
         if self.state.names.idempotency(method) == Some(Idempotency::Keyed) {
             let key = idempotency_key(&request.method, &request.tenant, body);
--- a/daemon/src/dispatcher/connections.rs
+++ b/daemon/src/dispatcher/connections.rs
@@ -1,4 +1,4 @@
-//! Events in the life cycle of connections, as reported by their drivers.
+//! Events in the life cycle of connections, as reported by the coroutines that serve them.
 
 use super::shared::{Dispatcher, DispatcherState};
 use super::sidecar_connection::SidecarConnectionState;
@@ -25,8 +25,7 @@
         conn
     }
 
-    /// Handles the end of a sidecar connection. `broken` tells that the peer reset it, or that its
-    /// socket failed.
+    /// Handles the end of a sidecar connection. `broken` tells that the peer reset it, or that its socket failed.
     pub fn connection_closed(&self, conn: ConnectionId, broken: bool) {
         self.with(|core, outbound, now| {
             core.stats_mut().connections_broken += u64::from(broken);
--- a/daemon/src/store/consensus.rs
+++ b/daemon/src/store/consensus.rs
@@ -11,7 +11,7 @@
 
 const RAFT_FILE: &str = "agreed";
 
-/// Reads the file; returns no bytes if it does not exist.
+/// Reads the raft file; returns no bytes if it does not exist.
 pub fn read_consensus(dir: &Path) -> io::Result<Vec<u8>> {
     match std::fs::read(dir.join(RAFT_FILE)) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(Vec::new()),
@@ -19,15 +19,16 @@
     }
 }
 
-/// Truncates the file to `length` bytes, which removes an incomplete record at its end.
+/// Truncates the raft file to `length` bytes, which removes an incomplete record at its end.
 pub fn truncate_consensus(dir: &Path, length: usize) -> io::Result<()> {
     let file = File::options().write(true).create(true).truncate(false).open(dir.join(RAFT_FILE))?;
     file.set_len(length as u64)?;
     file.sync_all()
 }
 
-/// Appends to the file or replaces it, as each write specifies. All appends without a replacement between them share
-/// one sync.
+/// Appends to the raft file or replaces it, as each write specifies.
+///
+/// All appends without a replacement between them share one sync.
 pub(super) fn append_consensus(
     dir: &Path, writes: &[DiskWrite], on_durable: Option<&OnDurable>,
 ) -> io::Result<()> {
--- a/daemon/src/store/legacy_versions.rs
+++ b/daemon/src/store/legacy_versions.rs
@@ -9,10 +9,12 @@
 
 /// File names of the good version and of the one on probation.
 const FILE_NAMES: [&str; 2] = ["good", "probation"];
-/// Kind in the header of their checksummed texts.
+/// Kind in the header of the checksummed texts in these files.
 const TEXT_KIND: &str = "state";
 
-/// Reads the files. Their rolled back versions are ignored, because they were identified by a hash of the text.
+/// Reads the legacy files.
+///
+/// The rolled back versions in them are ignored, because these were identified by a hash of the text.
 pub(super) fn read_legacy_versions(dir: &Path, log: &Logger) -> Option<PersistedState> {
     let [good, probation] = FILE_NAMES.map(|name| {
         let path = dir.join(name);
@@ -24,7 +26,7 @@
     Some(PersistedState { good: good?, probation, rolled_back: Vec::new() })
 }
 
-/// Removes the files. Errors are ignored, because the files are not read once the new format exists.
+/// Removes the legacy files. Errors are ignored, because the files are not read once the new format exists.
 pub(super) fn remove_legacy_versions(dir: &Path) {
     FILE_NAMES.iter().for_each(|name| std::fs::remove_file(dir.join(name)).unwrap_or_default());
 }
--- a/daemon/src/store/versions.rs
+++ b/daemon/src/store/versions.rs
@@ -1,5 +1,7 @@
-//! File of versions. Changes are appended as steps. A snapshot is written by the first write, after a failed write,
-//! and when the steps would become longer than the snapshot before them and than the minimum for a compaction.
+//! File of versions, to which changes are appended as steps.
+//!
+//! A snapshot replaces the file at the first write, after a failed write, and when the steps would become longer than
+//! both the snapshot before them and the minimum size for a compaction.
 
 use super::legacy_versions::{read_legacy_versions, remove_legacy_versions};
 use crate::durable_file;
--- a/daemon/src/store/writer.rs
+++ b/daemon/src/store/writer.rs
@@ -1,7 +1,7 @@
 //! Thread that writes the state files.
 //!
-//! Versions are written before anything else. Of several queued states of one kind only the newest is written, but every
-//! write of a voter is. A file that is replaced is replaced completely or not at all.
+//! Versions are written before anything else. Of several queued states of one kind only the newest is written, but
+//! all writes of a voter are written in order. A file that is replaced is replaced completely or not at all.
 
 use super::checksummed::{write_learned, write_members};
 use super::consensus::{append_consensus, OnDurable};
@@ -94,12 +94,12 @@
         self.0.update(|pending| pending.versions = Some(state));
     }
 
-    /// Queues learned values to be written; only the last ones are.
+    /// Queues learned values to be written. Only the last queued values are written.
     pub fn save_learned(&self, learned: Snapshot) {
         self.0.update(|pending| pending.learned = Some(learned));
     }
 
-    /// Queues the text of the known members to be written; only the last one is.
+    /// Queues the text of the known members to be written. Only the last queued text is written.
     pub fn save_members(&self, text: String) {
         self.0.update(|pending| pending.members = Some(text));
     }
--- a/daemon/src/tests/cost.rs
+++ b/daemon/src/tests/cost.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// `cargo test --release -p asterrill-daemon cost -- --ignored --nocapture`
+/// Measures version switches with RPCs in flight, and the service statistics. Run with
+/// `cargo test --release -p asterrill-daemon cost -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn cost_of_a_version_switch_and_of_the_service_stats() {
--- a/daemon/tests/stand_ins/mod.rs
+++ b/daemon/tests/stand_ins/mod.rs
@@ -63,7 +63,10 @@
     while child.try_wait().unwrap().is_none() {
         if Instant::now() > until {
             child.kill().unwrap();
-            panic!("the daemon does not exit: {}", stderr_text(&child.wait_with_output().unwrap()));
+            panic!(
+                "the daemon did not exit within {TIMEOUT:?}: {}",
+                stderr_text(&child.wait_with_output().unwrap())
+            );
         }
         thread::sleep(Duration::from_millis(10));
     }
