--- a/daemon/src/change/driver.rs
+++ b/daemon/src/change/driver.rs
@@ -27,7 +27,8 @@
 /// Interval between samples of the service statistics, in microseconds.
 const SAMPLE_INTERVAL_US: Us = 100_000;
 
-/// Reason recorded for a confirmation or a rollback that an operator requested, as for staged and dropped versions.
+/// Reason recorded for a confirmation or a rollback that an operator requested. The same reason is recorded for staged
+/// and dropped versions.
 const REQUESTED: &str = "requested";
 
 /// Version that the process starts with.
@@ -83,7 +84,9 @@
         self.running.clone()
     }
 
-    /// Returns the time at which `tick` must be called. Calls have to be on time only during a probation.
+    /// Returns the time at which [`ChangeDriver::tick`] is due next during a probation.
+    ///
+    /// Without a probation, calls need not be on time, and the result is `Us::MAX`.
     pub fn next_deadline(&self) -> Us {
         if self.monitor.is_some() {
             self.next_sample
@@ -196,7 +199,7 @@
                 self.apply(dispatcher, if_base, probation, pause).map(Reply::Applied)
             }
             OperatorCommand::Simple(command) => self.execute_simple(dispatcher, command, pause),
-            OperatorCommand::AgreedList(_) | OperatorCommand::ProposeAgreed(_) => no_fleet(),
+            OperatorCommand::AgreedList(_) | OperatorCommand::ProposeAgreed(_) => missing_fleet_section(),
         };
         result.into()
     }
@@ -211,7 +214,7 @@
             SimpleCommand::Drop => self.drop_staged(&dispatcher.log).map(Reply::Dropped),
             SimpleCommand::History => Ok(Reply::History(self.history())),
             SimpleCommand::Members => Err(Rejection::new("the operator's file has no section [members]")),
-            SimpleCommand::Fleet => no_fleet(),
+            SimpleCommand::Fleet => missing_fleet_section(),
         }
     }
 
@@ -367,6 +370,6 @@
     )
 }
 
-fn no_fleet() -> Result<Reply, Rejection> {
+fn missing_fleet_section() -> Result<Reply, Rejection> {
     Err(Rejection::new("the operator's file has no section [fleet]"))
 }
--- a/daemon/src/core/sidecar_rpcs.rs
+++ b/daemon/src/core/sidecar_rpcs.rs
@@ -69,14 +69,14 @@
         let coalescible = self.state.sidecars.is_verified(conn);
         let keys = self.keys_of(method, request, body, coalescible);
         let now = self.engine.advance_to(now);
-        let received_from = request.arrived_at.max(self.state.first_greeting_at.unwrap_or(now));
+        let delay_start = request.arrived_at.max(self.state.first_greeting_at.unwrap_or(now));
         Some(IncomingRpc {
             id: request.id,
             method,
             tenant,
             caller: request.caller,
             deadline: request.deadline,
-            read_delay: now.saturating_sub(received_from),
+            read_delay: now.saturating_sub(delay_start),
             size_kb: request.size_kb,
             cache_key: keys.cache,
             coalescible,
@@ -86,8 +86,8 @@
 
     /// Returns the keys under which the engine recognises other attempts of this RPC.
     ///
-    /// An answer carries the result of a run for this RPC. Of reads with the same entity key, only attempts of the same
-    /// RPC are coalesced, so both keys are computed from method, tenant and body.
+    /// An RPC may be answered only with the result of a run for the same method, tenant and body. The entity key alone
+    /// does not ensure this, so both keys are computed from method, tenant and body.
     fn keys_of(&self, method: MethodId, request: &RpcRequest, body: &[u8], coalescible: bool) -> RpcKeys {
         if self.state.names.idempotency(method) == Some(Idempotency::Keyed) {
             let key = idempotency_key(&request.method, &request.tenant, body);
--- a/daemon/src/tests/cost.rs
+++ b/daemon/src/tests/cost.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Measures the CPU time of a switch and of the statistics. Run with
+/// Measures version switches with RPCs in flight, and the service statistics. Run with
 /// `cargo test --release -p asterrill-daemon cost -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
