--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What a new checkout needs is a Rust tool chain and the crate registry.
+# A new checkout requires a Rust toolchain and access to the crate registry.
 CONFIG ?= config.json
 
 .PHONY: build test lint run demo lab scale fleet-gate
@@ -14,11 +14,11 @@
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked --exclude asterrill-cli
 
-# The main job, to be looked at: a backend among stand-ins on loopback ports that the system chooses.
+# Demonstrates the main function: one backend with simulated peers, on loopback ports that the system chooses.
 demo: build
 	target/release/asterrill-lab demo
 
-# Scenarios with fixed verdicts.
+# Runs the scenarios that have fixed pass criteria.
 lab: build
 	target/release/asterrill-lab amqp-flood --seconds 5 --json
 	target/release/asterrill-lab amqp-redeliver --messages 2000 --json
@@ -42,8 +42,9 @@
 	target/release/asterrill-lab scale-config --methods 40 --tenants 400 --changes 5 --quick --json
 	target/release/asterrill-lab scale-rpc --quick --json
 
-# What the parts cost at the fleet's size: a handful of minutes for most lines. Rules are verdicts; what is over a budget is told
-# under "over". Times and CPU are of this machine, and of what else it does. OTHER=PATH plays another asterrilld in turns.
+# Measures the cost of the parts at the size of the fleet. Most lines take several minutes. Only the rules decide the
+# verdict; figures over a budget are listed under "over". Times and CPU figures depend on this machine and its other load.
+# OTHER=PATH runs another asterrilld alternately, for comparison.
 OTHER ?=
 OTHERS = $(if $(OTHER),--other $(OTHER))
 scale: build
@@ -67,8 +68,9 @@
 	target/release/asterrill-lab scale-callers --json
 	target/release/asterrill-lab scale-forms --json
 
-# The users' standing test, quick: three days of the whole fleet under the fleet's clock. It needs their kit, which is not
-# part of this repository, and the cores to itself; without the kit it says so and fails, as nothing was measured.
+# Runs the users' standing test in its quick form: three days of the whole fleet by the fleet's clock. It requires the
+# users' kit, which is not part of this repository, and all cores for itself. Without the kit it prints that nothing was
+# measured, and fails.
 KIT ?= ../given/kit/more/mass/bin/lbreal
 SITE ?= ../given/kit/sites/stock-lookup-cairo.toml
 WHY ?= the quick days of the whole fleet, from the house's own gate
@@ -77,6 +79,6 @@
 	$(KIT) score $(SITE) --quick --why "$(WHY)" | tee target/fleet-gate.txt
 	@grep -q '^GATE passed' target/fleet-gate.txt
 
-# One backend in the foreground, told what it needs by $(CONFIG); see README.md.
+# Runs one backend in the foreground with the configuration file $(CONFIG); see README.md.
 run: build
 	GW_CONFIG=$(CONFIG) exec target/release/asterrilld
